--- a/internal/coordination/archive_test.go
+++ b/internal/coordination/archive_test.go
@@ -462,3 +462,35 @@
 	archived(t, w, jobs)
 	askedAll(t, w, append(jobs[:40], more[:40]...))
 }
+
+// A submission may name a cancelled job that is in the archive and another that is not over.
+// It is cancelled, and the end of the other one must not end the controller.
+func TestArchivedCancelledPrerequisiteBesideAnUnfinishedOne(t *testing.T) {
+	defer func() {
+		if err := recover(); err != nil {
+			t.Errorf("the controller ended: %v", err)
+		}
+	}()
+	s := littleMemory()
+	s.Limits.MemMB = 0.02 // one ended job is kept in memory
+	w := worldOf(t, s)
+	cancelled := accepted(t, w, job(1, protocol.Array, 1), time.Minute)
+	w.Run(2 * time.Second)
+	w.CancelJob(cancelled)
+	endsJobs(t, w, 100, 6)
+	inArchive := func() bool {
+		_, archive := placesOf(t, w)
+		_, ok := archive[cancelled.Sub.ID]
+		return ok
+	}
+	if !w.Until(time.Minute, inArchive) {
+		t.Fatal("the cancelled job is not in the archive")
+	}
+	unfinished := accepted(t, w, job(2, protocol.Array, 1), 5*time.Second)
+	dependent := accepted(t, w, job(3, protocol.Array, 1), time.Second, cancelled, unfinished)
+	pollFor(w, 30*time.Second)
+	if unfinished.Told != protocol.StatusDone || dependent.Told != protocol.StatusCancelled {
+		t.Errorf("users are told that the jobs are %q and %q", unfinished.Told, dependent.Told)
+	}
+	check(t, w)
+}
--- /dev/null
+++ b/internal/coordination/effect_trace_test.go
@@ -0,0 +1,454 @@
+package coordination_test
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"hash"
+	"io"
+	"math/rand/v2"
+	"os"
+	"regexp"
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	"oakpick/internal/config"
+	"oakpick/internal/coordination"
+	"oakpick/internal/fake"
+	"oakpick/internal/protocol"
+)
+
+// An effect trace is everything that leaves the controllers of a simulated world, in the
+// form of the wire and the store, with its time. A change that is not meant to change
+// behavior leaves the traces of all seeds equal:
+//
+//	go test ./internal/coordination -run TestEffectTraces -trace.seeds=300 -trace.write=before.json
+//	go test ./internal/coordination -run TestEffectTraces -trace.seeds=300 -trace.compare=before.json
+//
+// Log lines are left out.
+var (
+	traceSeeds   = flag.Int("trace.seeds", 3, "how many worlds TestEffectTraces plays")
+	traceWrite   = flag.String("trace.write", "", "file that TestEffectTraces writes the digests to, by seed")
+	traceCompare = flag.String("trace.compare", "", "file of digests that TestEffectTraces compares with")
+	traceDump    = flag.String("trace.dump", "", "directory that TestEffectTraces writes the traces themselves to")
+)
+
+// TestEffectTraces plays worlds with fixed seeds. Without flags it checks that a world
+// played twice gives the same trace, which every comparison of traces relies on.
+func TestEffectTraces(t *testing.T) {
+	digests := playTraces(t)
+	switch {
+	case *traceWrite != "":
+		writeDigests(t, *traceWrite, digests)
+	case *traceCompare != "":
+		compareDigests(t, *traceCompare, digests)
+	default:
+		for seed, digest := range playTraces(t) {
+			if digests[seed] != digest {
+				t.Errorf("seed %s: the same world gave two traces", seed)
+			}
+		}
+	}
+}
+
+// playTraces plays the worlds of all seeds side by side and returns the digests by seed.
+func playTraces(t *testing.T) map[string]string {
+	t.Helper()
+	digests := make(map[string]string, *traceSeeds)
+	var mutex sync.Mutex
+	t.Run("seeds", func(t *testing.T) {
+		for seed := range *traceSeeds {
+			t.Run(strconv.Itoa(seed), func(t *testing.T) {
+				t.Parallel()
+				digest := playTrace(t, uint64(seed))
+				mutex.Lock()
+				defer mutex.Unlock()
+				digests[strconv.Itoa(seed)] = digest
+			})
+		}
+	})
+	return digests
+}
+
+func writeDigests(t *testing.T, file string, digests map[string]string) {
+	t.Helper()
+	text, err := json.MarshalIndent(digests, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(file, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func compareDigests(t *testing.T, file string, digests map[string]string) {
+	t.Helper()
+	text, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var before map[string]string
+	if err := json.Unmarshal(text, &before); err != nil {
+		t.Fatal(err)
+	}
+	if len(before) != len(digests) {
+		t.Errorf("%d seeds were played, %d digests are in %s", len(digests), len(before), file)
+	}
+	for seed, digest := range digests {
+		if before[seed] != digest {
+			t.Errorf("seed %s: another trace than in %s", seed, file)
+		}
+	}
+	t.Logf("%d seeds compared", len(digests))
+}
+
+// playTrace plays the world of a seed and returns the digest of its trace.
+func playTrace(t *testing.T, seed uint64) string {
+	t.Helper()
+	digest := sha256.New()
+	trace := effectTrace{digest: digest, out: digest}
+	if *traceDump != "" {
+		file, err := os.Create(fmt.Sprintf("%s/%d.txt", *traceDump, seed))
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer func() {
+			if err := file.Close(); err != nil {
+				t.Error(err)
+			}
+		}()
+		trace.out = io.MultiWriter(digest, file)
+	}
+	tw := newTraceWorld(seed)
+	tw.world.Observe = func(node string, effect coordination.Effect) { trace.add(tw.world.Now, node, effect) }
+	tw.play()
+	if trace.effects == 0 {
+		t.Fatalf("seed %d: nothing left the controllers", seed)
+	}
+	return hex.EncodeToString(digest.Sum(nil))
+}
+
+// effectTrace sums up effects.
+type effectTrace struct {
+	digest  hash.Hash
+	out     io.Writer
+	effects int
+}
+
+var machinesLookedAt = regexp.MustCompile(`"machines_looked_at": \d+`)
+
+// add notes an effect, as the wire or the store sees it.
+func (e *effectTrace) add(now time.Duration, node string, effect coordination.Effect) {
+	line := ""
+	switch x := effect.(type) {
+	case coordination.Reply:
+		// How many machines were looked at depends on the order of a map in one place.
+		body := machinesLookedAt.ReplaceAll(x.Body, nil)
+		line = fmt.Sprintf("reply %d %d %x %d %v", x.ID, x.Status, body, x.RetryAfter, x.Close)
+	case coordination.Forward:
+		line = fmt.Sprintf("forward %d %s", x.ID, x.Peer)
+	case coordination.StateCall:
+		line = fmt.Sprintf("state %d %d %s %s %d %d %v %x", x.ID, x.Op, x.Key, x.After, x.Most, x.Lease, x.TTL, protocol.Encode(x.Txn))
+	case coordination.CloudCall:
+		line = fmt.Sprintf("cloud %d %d %s %x %v %v", x.ID, x.Op, x.After, protocol.Encode(x.Rental), x.Hosts, x.Until)
+	case coordination.OrdersCall:
+		line = fmt.Sprintf("commands %d %s %s %x %v", x.ID, x.Host, x.Addr, protocol.EncodeOrders(x.Token, x.Session, x.Commands), x.Until)
+	case coordination.PeerCall:
+		line = fmt.Sprintf("peer %s %d %v %v", x.Peer, x.Term, x.Asked, x.AsksArchive)
+	case coordination.Log:
+		return
+	default:
+		panic(fmt.Sprintf("an unknown effect %T", x))
+	}
+	e.effects++
+	if _, err := fmt.Fprintf(e.out, "%d %s %s\n", now, node, line); err != nil {
+		panic(err)
+	}
+}
+
+// traceWorld is a world whose troubles and users are drawn from a seed.
+type traceWorld struct {
+	world   *fake.World
+	random  *rand.Rand
+	teams   []string
+	jobs    int
+	blocked map[string]bool // "from>to": nothing arrives
+	loss    int             // of messages, in hundredths
+	copies  int             // of messages, in hundredths
+	latency time.Duration   // of the state service
+}
+
+const traceJobs = 40
+
+func newTraceWorld(seed uint64) *traceWorld {
+	random := rand.New(rand.NewPCG(seed, 0x747261636573))
+	tw := &traceWorld{random: random, teams: []string{"red", "blue"}, blocked: map[string]bool{}}
+	s := fake.Settings()
+	if tw.oneIn(3) {
+		s.Size = 5
+	}
+	if tw.oneIn(2) {
+		s.Teams = append(s.Teams, config.Team{Name: "guests"})
+		tw.teams = append(tw.teams, "guests")
+	}
+	if tw.oneIn(3) {
+		s.State.Next = nextLimits(1, 1+random.IntN(3), 25)
+	}
+	if tw.oneIn(3) {
+		s.Limits.MemMB = 0.03 // the archive is used after two jobs
+	}
+	if tw.oneIn(2) {
+		s.Objectives = []config.Objective{{Kind: "wait", Class: "c", Within: 8}}
+	}
+	s.Cloud.RPS = 1 + 4*random.Float64()
+	tw.world = fake.NewWorld(s)
+	tw.world.Network = tw.fate
+	return tw
+}
+
+func (tw *traceWorld) oneIn(n int) bool { return tw.random.IntN(n) == 0 }
+
+func (tw *traceWorld) between(least, most int) int { return least + tw.random.IntN(most-least+1) }
+
+func (tw *traceWorld) millis(least, most int) time.Duration {
+	return time.Duration(tw.between(least, most)) * time.Millisecond
+}
+
+// fate delays, loses and copies messages.
+func (tw *traceWorld) fate(kind, from, to string) fake.Fate {
+	f := fake.Well()
+	f.Request += time.Duration(tw.random.IntN(20)) * time.Millisecond
+	if tw.blocked[from+">"+to] {
+		f.LoseRequest = true
+		return f
+	}
+	if kind == "state" {
+		f.Answer += tw.latency
+	}
+	f.LoseRequest = tw.random.IntN(100) < tw.loss
+	f.LoseAnswer = tw.random.IntN(100) < tw.loss
+	if tw.random.IntN(100) < tw.copies {
+		f.Copy = tw.millis(500, 20_000)
+	}
+	return f
+}
+
+// play lets jobs come and troubles happen, and then time pass until most is over.
+func (tw *traceWorld) play() {
+	tw.world.Run(tw.millis(500, 6000))
+	for range tw.between(20, 45) {
+		switch tw.random.IntN(5) {
+		case 0, 1:
+			tw.submit()
+			tw.submit()
+		case 2:
+			tw.ask()
+		case 3:
+			tw.trouble()
+		case 4:
+			tw.machineTrouble()
+		}
+		tw.world.Run(tw.millis(50, 6000))
+		tw.world.PollAll()
+	}
+	tw.loss, tw.copies, tw.latency = 0, 0, 0
+	for range 12 {
+		tw.world.Run(8 * time.Second)
+		tw.world.PollAll()
+		tw.ask()
+	}
+}
+
+func (tw *traceWorld) submit() {
+	if tw.jobs >= traceJobs {
+		return
+	}
+	tw.jobs++
+	s := job(tw.jobs, protocol.Shape(tw.random.IntN(3)), tw.between(1, 6))
+	s.Class = fmt.Sprintf("c%d", tw.random.IntN(3))
+	s.Priority = protocol.Priority(tw.random.IntN(4))
+	s.Team = tw.teams[tw.random.IntN(len(tw.teams))]
+	s.Spot = tw.oneIn(2)
+	s.CPUs = float64(tw.between(1, 4))
+	s.Image = fmt.Sprintf("image-%d", tw.random.IntN(3))
+	s.ImageGB = float64(tw.between(1, 12))
+	if tw.oneIn(6) {
+		s.GPUs = float64(tw.between(1, 2))
+	}
+	switch tw.random.IntN(8) {
+	case 0:
+		s.OneZone = true
+	case 1:
+		s.Spread = true
+	case 2:
+		s.Zone = "a"
+	case 3:
+		s.Types = []string{"small"}
+	case 4:
+		s.Deadline = float64(tw.between(10, 60))
+	}
+	if s.Shape == protocol.Array && tw.oneIn(5) {
+		s.Tasks = tw.between(40, 160) // several blocks
+	}
+	for i := 1; i < tw.jobs; i++ {
+		// A job that names a cancelled one in the archive and another ends its controller, see
+		// TestArchivedCancelledPrerequisiteBesideAnUnfinishedOne.
+		if p := tw.job(i); p != nil && p.Accepted && !p.Cancel && !tw.world.CancelledWith(p) && p.Sub.Shape != protocol.Service && tw.oneIn(8) {
+			s.Prerequisites = append(s.Prerequisites, p.Sub.ID)
+		}
+	}
+	if s.Shape == protocol.Service || tw.oneIn(4) {
+		s.SaveEach = 0
+	}
+	j := tw.world.Submit(s, tw.millis(1000, 15_000))
+	j.Broken = tw.oneIn(15)
+}
+
+func (tw *traceWorld) job(number int) *fake.Job {
+	return tw.world.Jobs[fmt.Sprintf("wk-%06d", number)]
+}
+
+func (tw *traceWorld) anyJob() *fake.Job {
+	if tw.jobs == 0 {
+		return nil
+	}
+	return tw.job(tw.between(1, tw.jobs))
+}
+
+func (tw *traceWorld) node() *fake.Node { return tw.world.Nodes[tw.random.IntN(len(tw.world.Nodes))] }
+
+// ask has users and operators ask for something.
+func (tw *traceWorld) ask() {
+	ignore := func(coordination.Reply) {}
+	j := tw.anyJob()
+	switch tw.random.IntN(8) {
+	case 0:
+		if j != nil && !j.Cancel && j.Accepted {
+			tw.world.CancelJob(j)
+		}
+	case 1:
+		if j != nil && j.Accepted {
+			tw.world.Again(j)
+		}
+	case 2:
+		tw.world.OddRequests()
+	case 3:
+		if j != nil && j.Accepted {
+			tw.world.CloseLook(j)
+		}
+	case 4:
+		if j != nil && j.Accepted && !j.Cancel && j.Sub.Shape != protocol.Service {
+			tw.world.Until(10*time.Second, func() bool { return len(j.DoneTasks) == j.Sub.Tasks })
+			tw.world.CancelEverywhere(j)
+		}
+	case 5:
+		tw.node().Ask(coordination.AdminCall{Kind: coordination.AdminStatus}, ignore)
+	case 6:
+		change := fmt.Sprintf(`{"sample": %d, "warm_room": %d, "idle_s": %d, "moves_per_min": %d}`,
+			tw.between(1, 64), tw.random.IntN(4), tw.random.IntN(8), tw.random.IntN(300))
+		tw.node().Ask(coordination.AdminCall{Kind: coordination.AdminChange, Body: []byte(change)}, ignore)
+	case 7:
+		if j != nil {
+			tw.node().Ask(coordination.AdminCall{Kind: coordination.AdminJob, Job: j.Sub.ID}, ignore)
+		}
+		tw.node().Ask(coordination.AdminCall{Kind: coordination.AdminRead}, ignore)
+	}
+}
+
+// trouble befalls controllers, the state service, the cloud or the network.
+func (tw *traceWorld) trouble() {
+	w := tw.world
+	switch n := tw.node(); tw.random.IntN(11) {
+	case 0:
+		tw.crash(n)
+	case 1:
+		if l := w.Leader(); l != nil {
+			tw.crash(l)
+		}
+	case 2:
+		for _, n := range w.Nodes {
+			tw.crash(n)
+		}
+	case 3:
+		n.PausedUntil = w.Now + tw.millis(100, 12_000)
+	case 4:
+		left, stall := tw.random.IntN(30), tw.millis(100, 20_000)
+		n.Stall = func(coordination.Effect) time.Duration {
+			if left--; left != 0 {
+				return 0
+			}
+			return stall
+		}
+	case 5:
+		w.State.Outage(true)
+		w.After(tw.millis(500, 20_000), func() { w.State.Outage(false) })
+	case 6:
+		w.State.Cut[n.Name] = true
+		w.After(tw.millis(500, 20_000), func() { w.State.Cut[n.Name] = false })
+	case 7:
+		tw.cut(n.Name, tw.millis(1000, 30_000), "state", "cloud", "n0", "n1", "n2", "n3", "n4")
+	case 8:
+		w.Cloud.Down = true
+		w.After(tw.millis(500, 20_000), func() { w.Cloud.Down = false })
+	case 9:
+		tw.loss, tw.copies = tw.random.IntN(20), tw.random.IntN(15)
+	case 10:
+		tw.latency = tw.millis(20, 800)
+		w.After(tw.millis(500, 15_000), func() { tw.latency = 0 })
+	}
+	if tw.world.Cfg.Settings.State.Next != nil && tw.oneIn(20) {
+		w.State.Lower()
+	}
+}
+
+// machineTrouble befalls a machine.
+func (tw *traceWorld) machineTrouble() {
+	w := tw.world
+	names := w.Names()
+	if len(names) == 0 {
+		return
+	}
+	name := names[tw.random.IntN(len(names))]
+	switch worker := w.Workers[name]; tw.random.IntN(6) {
+	case 0:
+		worker.HangUntil = w.Now + tw.millis(500, 25_000)
+	case 1:
+		w.Notice(name, tw.millis(500, 15_000))
+	case 2:
+		w.Cloud.Die(name)
+	case 3:
+		worker.Sick = true
+		w.After(tw.millis(1000, 25_000), func() { worker.Sick = false })
+	case 4:
+		controllers := make([]string, len(w.Nodes))
+		for i, n := range w.Nodes {
+			controllers[i] = n.Name
+		}
+		tw.cut(name, tw.millis(1000, 30_000), controllers...)
+	case 5:
+		w.Cloud.Never, w.Cloud.Late = 1, tw.millis(0, 5000)
+	}
+}
+
+func (tw *traceWorld) crash(n *fake.Node) {
+	if !n.Up {
+		return
+	}
+	n.Crash()
+	tw.world.After(tw.millis(0, 8000), n.Start)
+}
+
+// cut loses every message between one end and others for a while.
+func (tw *traceWorld) cut(name string, d time.Duration, others ...string) {
+	set := func(blocked bool) {
+		for _, other := range others {
+			tw.blocked[name+">"+other], tw.blocked[other+">"+name] = blocked, blocked
+		}
+	}
+	set(true)
+	tw.world.After(d, func() { set(false) })
+}
--- a/internal/fake/node.go
+++ b/internal/fake/node.go
@@ -123,7 +123,13 @@
 		return
 	}
 	now := coordination.Now{Mono: n.Steady(), WallMs: (n.w.Now + n.ClockOff).Milliseconds() + 1_000_000}
-	n.carryOut(n.node.Step(now, []coordination.Command{command}))
+	effects := n.node.Step(now, []coordination.Command{command})
+	if n.w.Observe != nil {
+		for _, e := range effects {
+			n.w.Observe(n.Name, e)
+		}
+	}
+	n.carryOut(effects)
 	n.noteLeader()
 }
 
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -46,6 +46,9 @@
 	// read it and written it back.
 	Production func(key string, value []byte) []byte
 
+	// Observe is told of every effect of a controller, before it is carried out.
+	Observe func(node string, effect coordination.Effect)
+
 	// KilledByLease counts tasks that workers ended because their lease had lapsed.
 	KilledByLease int
 	// TasksDied counts tasks that were on machines that died.
