--- a/internal/config/budget.go
+++ b/internal/config/budget.go
@@ -4,16 +4,16 @@
 
 // Connections that a process needs beside those of users and workers, at most.
 const (
-	// StateCalls and StateRenewals are connections to the state service.
-	StateCalls    = 6
-	StateRenewals = 4
-	// StateLookups are those for looking up ended jobs in the archive.
-	StateLookups = 1
-	// CloudCalls are those to the cloud.
-	CloudCalls = 6
-	perPeer    = 4 // both ways, while one replaces another
-	spare      = 8 // listeners, the runtime's own, and operators' tools
-	atLeast    = 16
+	// StateConnections and StateRenewalConnections are connections to the state service.
+	StateConnections        = 6
+	StateRenewalConnections = 4
+	// ArchiveReadConnections are those for looking up ended jobs in the archive.
+	ArchiveReadConnections = 1
+	// CloudConnections are those to the cloud.
+	CloudConnections = 6
+	perPeer          = 4 // both ways, while one replaces another
+	spare            = 8 // listeners, the runtime's own, and operators' tools
+	atLeast          = 16
 
 	// connectionMemory is what a connection of the front takes at most: two buffers
 	// of 4 KiB, its goroutine and a request in progress. All of them together may
@@ -23,7 +23,7 @@
 
 // Sockets is how max_connections is shared out.
 type Sockets struct {
-	Front    int // users, workers and health checks
+	Frontend int // users, workers and health checks
 	Commands int // direct commands to workers, at least
 	shared   int // both together
 }
@@ -31,13 +31,13 @@
 // Sockets shares out the sockets. Workers' own connections, users and health
 // checks have their place first.
 func (s *Settings) Sockets() Sockets {
-	shared := min(s.Limits.MaxConnections-s.ownSockets(), int(s.Limits.MemMB/2*(1<<20)/connectionMemory))
+	shared := min(s.Limits.MaxConnections-s.ownSockets(), int(s.Limits.MemoryMB/2*(1<<20)/connectionMemory))
 	commands := max(1, shared/16)
-	return Sockets{Front: shared - commands, Commands: commands, shared: shared}
+	return Sockets{Frontend: shared - commands, Commands: commands, shared: shared}
 }
 
 func (s *Settings) ownSockets() int {
-	return StateCalls + StateRenewals + StateLookups + CloudCalls + perPeer*(s.Size-1) + spare + s.ExtensionSockets
+	return StateConnections + StateRenewalConnections + ArchiveReadConnections + CloudConnections + perPeer*(s.Size-1) + spare + s.ExtensionSockets
 }
 
 // CommandsNow is how many connections direct commands may take while the front
--- a/internal/config/budget_test.go
+++ b/internal/config/budget_test.go
@@ -11,25 +11,25 @@
 	}{
 		{2590, 3, 1840, 200, 271}, {2356, 5, 1101, 300, 322}, {700, 3, 64, 100, 98}, {900, 3, 440, 100, 98}, {64, 3, 8, 4, 32},
 	} {
-		s := Settings{Size: x.size, Limits: Limits{MaxConnections: x.most, MemMB: x.mem}}
+		s := Settings{Size: x.size, Limits: Limits{MaxConnections: x.most, MemoryMB: x.mem}}
 		if p := s.budgets(); len(p) > 0 {
 			t.Fatal(p)
 		}
 		k := s.Sockets()
-		if front := x.workers + x.users; k.Front < front {
-			t.Errorf("%d sockets: %d for the front, which needs %d", x.most, k.Front, front)
+		if front := x.workers + x.users; k.Frontend < front {
+			t.Errorf("%d sockets: %d for the front, which needs %d", x.most, k.Frontend, front)
 		}
-		for front := 0; front <= k.Front; front++ {
+		for front := 0; front <= k.Frontend; front++ {
 			if n := k.CommandsNow(front); n < 1 || front+n+s.ownSockets() > x.most {
 				t.Fatalf("%d sockets: %d for commands beside %d of the front", x.most, n, front)
 			}
 		}
 	}
-	s := Settings{Size: 3, Limits: Limits{MaxConnections: 100_000, MemMB: 64}}
-	if k := s.Sockets(); k.Front*connectionMemory > 32<<20 {
-		t.Errorf("%d connections of the front in 64 MB", k.Front)
+	s := Settings{Size: 3, Limits: Limits{MaxConnections: 100_000, MemoryMB: 64}}
+	if k := s.Sockets(); k.Frontend*connectionMemory > 32<<20 {
+		t.Errorf("%d connections of the front in 64 MB", k.Frontend)
 	}
-	s = Settings{Size: 5, Limits: Limits{MaxConnections: 48, MemMB: 64}}
+	s = Settings{Size: 5, Limits: Limits{MaxConnections: 48, MemoryMB: 64}}
 	if len(s.budgets()) == 0 {
 		t.Error("five controllers can't do with 48 sockets")
 	}
@@ -40,10 +40,10 @@
 func TestSocketsHoldALargeFleet(t *testing.T) {
 	const workers, users = 4000, 500
 	for _, size := range []int{3, 5} {
-		s := Settings{Size: size, Limits: Limits{MaxConnections: 4900, MemMB: 225}}
+		s := Settings{Size: size, Limits: Limits{MaxConnections: 4900, MemoryMB: 225}}
 		k := s.Sockets()
-		if k.Front < workers+users {
-			t.Errorf("%d controllers: %d connections for %d workers and %d users", size, k.Front, workers, users)
+		if k.Frontend < workers+users {
+			t.Errorf("%d controllers: %d connections for %d workers and %d users", size, k.Frontend, workers, users)
 		}
 		if n := k.CommandsNow(workers + users); n < workers/20 {
 			t.Errorf("%d controllers: %d connections for commands", size, n)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,28 +22,28 @@
 
 // Team has a guarantee and a limit; 0 means none.
 type Team struct {
-	Name    string  `json:"name" validate:"required"`
-	CPUs    float64 `json:"cpus" validate:"gte=0,lte=1e9"`
-	CPUsMax float64 `json:"cpus_max" validate:"gte=0,lte=1e9"`
-	GPUs    float64 `json:"gpus" validate:"gte=0,lte=1e9"`
-	GPUsMax float64 `json:"gpus_max" validate:"gte=0,lte=1e9"`
+	Name           string  `json:"name" validate:"required"`
+	GuaranteedCPUs float64 `json:"cpus" validate:"gte=0,lte=1e9"`
+	CPULimit       float64 `json:"cpus_max" validate:"gte=0,lte=1e9"`
+	GuaranteedGPUs float64 `json:"gpus" validate:"gte=0,lte=1e9"`
+	GPULimit       float64 `json:"gpus_max" validate:"gte=0,lte=1e9"`
 }
 
 // Objective repeats one aim.
 type Objective struct {
-	Kind   string  `json:"kind" validate:"required"`
-	Class  string  `json:"class"`
-	Within float64 `json:"within_s" validate:"gte=0"`
-	Share  float64 `json:"share" validate:"gte=0,lte=1"`
+	Kind    string  `json:"kind" validate:"required"`
+	Class   string  `json:"class"`
+	WithinS float64 `json:"within_s" validate:"gte=0"`
+	Share   float64 `json:"share" validate:"gte=0,lte=1"`
 }
 
 // Workers are the workers' times, in seconds.
 type Workers struct {
-	Report   float64 `json:"report_s" validate:"gt=0,lte=3600"`
-	Lease    float64 `json:"lease_s" validate:"gt=0,lte=86400,gtfield=Report"`
-	GangWait float64 `json:"gang_wait_s" validate:"gt=0,lte=86400"`
-	GangPeer float64 `json:"gang_peer_s" validate:"gt=0,lte=86400"`
-	Cancel   float64 `json:"cancel_s" validate:"gt=0,lte=86400,gtfield=Lease"`
+	HeartbeatIntervalS float64 `json:"report_s" validate:"gt=0,lte=3600"`
+	LeaseS             float64 `json:"lease_s" validate:"gt=0,lte=86400,gtfield=HeartbeatIntervalS"`
+	GangStartTimeoutS  float64 `json:"gang_wait_s" validate:"gt=0,lte=86400"`
+	GangPeerTimeoutS   float64 `json:"gang_peer_s" validate:"gt=0,lte=86400"`
+	CancelWithinS      float64 `json:"cancel_s" validate:"gt=0,lte=86400,gtfield=LeaseS"`
 }
 
 // State is what the state service bears.
@@ -86,28 +86,28 @@
 
 // Cloud is what the cloud bears.
 type Cloud struct {
-	RPS     float64 `json:"rps" validate:"gt=0,lte=1e6"`
-	ListLag float64 `json:"list_lag_s" validate:"gte=0,lte=3600"`
+	RPS      float64 `json:"rps" validate:"gt=0,lte=1e6"`
+	ListLagS float64 `json:"list_lag_s" validate:"gte=0,lte=3600"`
 }
 
 // Limits are the process's own.
 type Limits struct {
 	CPU            float64 `json:"cpu" validate:"gt=0,lte=1024"`
-	MemMB          float64 `json:"mem_mb" validate:"gte=32,lte=1e6"`
+	MemoryMB       float64 `json:"mem_mb" validate:"gte=32,lte=1e6"`
 	MaxConnections int     `json:"max_connections" validate:"gte=32,lte=1000000"`
 }
 
 // Settings hold for all nodes alike.
 type Settings struct {
-	Size       int         `json:"size" validate:"gte=1,lte=99"`
-	Zones      []string    `json:"zones" validate:"required,min=1,dive,required"`
-	Teams      []Team      `json:"teams" validate:"required,min=1,dive"`
-	Objectives []Objective `json:"objectives" validate:"dive"`
-	Workers    Workers     `json:"workers"`
-	State      State       `json:"state"`
-	Cloud      Cloud       `json:"cloud"`
-	Limits     Limits      `json:"limits"`
-	ClockError float64     `json:"clock_error_ms" validate:"gte=0,lte=3600000"`
+	Size         int         `json:"size" validate:"gte=1,lte=99"`
+	Zones        []string    `json:"zones" validate:"required,min=1,dive,required"`
+	Teams        []Team      `json:"teams" validate:"required,min=1,dive"`
+	Objectives   []Objective `json:"objectives" validate:"dive"`
+	Workers      Workers     `json:"workers"`
+	State        State       `json:"state"`
+	Cloud        Cloud       `json:"cloud"`
+	Limits       Limits      `json:"limits"`
+	ClockErrorMs float64     `json:"clock_error_ms" validate:"gte=0,lte=3600000"`
 
 	// ExtensionSockets are those that extensions take; none unless a file switches one on.
 	ExtensionSockets int `json:"-"`
@@ -115,12 +115,12 @@
 
 // Config is one node's settings file.
 type Config struct {
-	Node       string `json:"node_name" validate:"required"`
-	Zone       string `json:"zone" validate:"required"`
-	Listen     string `json:"front" validate:"required,hostname_port"`
-	PeerListen string `json:"cluster_listen" validate:"required,hostname_port"`
-	Peers      []Peer `json:"others" validate:"dive"`
-	Services   struct {
+	Node        string `json:"node_name" validate:"required"`
+	Zone        string `json:"zone" validate:"required"`
+	FrontListen string `json:"front" validate:"required,hostname_port"`
+	PeerListen  string `json:"cluster_listen" validate:"required,hostname_port"`
+	Peers       []Peer `json:"others" validate:"dive"`
+	Services    struct {
 		Cloud string `json:"cloud" validate:"required,hostname_port"`
 		State string `json:"state" validate:"required,hostname_port"`
 	} `json:"services"`
--- a/internal/config/extensions.go
+++ b/internal/config/extensions.go
@@ -17,15 +17,15 @@
 type Distribution struct {
 	// Port is that of the listener, at the address of cluster_listen.
 	Port int `toml:"port" validate:"gte=1,lte=65535"`
-	// StoreSlots is how many agents may fetch from the store at a time.
-	StoreSlots int `toml:"store_slots" validate:"gte=1,lte=1024"`
+	// StoreFetchers is how many agents may fetch from the store at a time.
+	StoreFetchers int `toml:"store_slots" validate:"gte=1,lte=1024"`
 	// Connections is how many the listener holds; 0: a quarter of max_connections. They are
 	// taken from those of users and workers.
 	Connections int `toml:"connections" validate:"gte=0,lte=1000000"`
-	// ReportS is the time between the inventories of an agent that fetches, IdleReportS
+	// InventoryIntervalS is the time between the inventories of an agent that fetches, IdleInventoryIntervalS
 	// between those of one that doesn't; 0: half of report_s, and twice that.
-	ReportS     float64 `toml:"report_s" validate:"gte=0,lte=3600"`
-	IdleReportS float64 `toml:"idle_report_s" validate:"gte=0,lte=3600"`
+	InventoryIntervalS     float64 `toml:"report_s" validate:"gte=0,lte=3600"`
+	IdleInventoryIntervalS float64 `toml:"idle_report_s" validate:"gte=0,lte=3600"`
 }
 
 // Ratios to the settings, where the file gives no figure.
@@ -49,15 +49,15 @@
 	if d.Connections == 0 {
 		d.Connections = s.Limits.MaxConnections / trackerConnectionShare
 	}
-	if d.ReportS == 0 {
-		d.ReportS = s.Workers.Report * trackerReportShare
+	if d.InventoryIntervalS == 0 {
+		d.InventoryIntervalS = s.Workers.HeartbeatIntervalS * trackerReportShare
 	}
-	if d.IdleReportS == 0 {
-		d.IdleReportS = s.Workers.Report * trackerIdleShare
+	if d.IdleInventoryIntervalS == 0 {
+		d.IdleInventoryIntervalS = s.Workers.HeartbeatIntervalS * trackerIdleShare
 	}
 	var problems []error
-	if d.IdleReportS < d.ReportS {
-		problems = append(problems, fmt.Errorf("%s: distribution.idle_report_s: %g is less than report_s, %g", path, d.IdleReportS, d.ReportS))
+	if d.IdleInventoryIntervalS < d.InventoryIntervalS {
+		problems = append(problems, fmt.Errorf("%s: distribution.idle_report_s: %g is less than report_s, %g", path, d.IdleInventoryIntervalS, d.InventoryIntervalS))
 	}
 	if _, port, err := net.SplitHostPort(cfg.PeerListen); err != nil || port == strconv.Itoa(d.Port) {
 		problems = append(problems, fmt.Errorf("%s: distribution.port: %d is that of cluster_listen", path, d.Port))
--- a/internal/config/extensions_test.go
+++ b/internal/config/extensions_test.go
@@ -29,16 +29,16 @@
 // connections that it takes are not given to users and workers as well.
 func TestExtensionsAreDerivedFromTheSettings(t *testing.T) {
 	cfg := exampleConfig(t)
-	before := cfg.Settings.Sockets().Front
+	before := cfg.Settings.Sockets().Frontend
 	e, err := LoadExtensions("../../deploy/extensions.toml", cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := e.Distribution
-	if d.Connections != cfg.Settings.Limits.MaxConnections/4 || d.ReportS != cfg.Settings.Workers.Report/2 || d.IdleReportS != 2*cfg.Settings.Workers.Report {
+	if d.Connections != cfg.Settings.Limits.MaxConnections/4 || d.InventoryIntervalS != cfg.Settings.Workers.HeartbeatIntervalS/2 || d.IdleInventoryIntervalS != 2*cfg.Settings.Workers.HeartbeatIntervalS {
 		t.Errorf("%+v", d)
 	}
-	if after := cfg.Settings.Sockets().Front; after >= before {
+	if after := cfg.Settings.Sockets().Frontend; after >= before {
 		t.Errorf("%d connections of the front, and %d with the tracker's beside them", before, after)
 	}
 	if address, err := d.TrackerAddress("10.0.0.1:8081"); err != nil || address != "10.0.0.1:8082" {
--- a/internal/coordination/admin.go
+++ b/internal/coordination/admin.go
@@ -33,7 +33,7 @@
 	w := cfg.Settings.Workers
 	return Options{
 		WriteShare: 0.95, Sample: 64, IdleS: 0, WarmRoom: 3,
-		PreemptMostS: 50 * w.Lease, GiveUpBoots: 4, TakeoverS: 1.5 * w.Report, MovesPerMin: 6 * cfg.Settings.State.Smallest().WriteRPS,
+		PreemptMostS: 50 * w.LeaseS, GiveUpBoots: 4, TakeoverS: 1.5 * w.HeartbeatIntervalS, MovesPerMin: 6 * cfg.Settings.State.Smallest().WriteRPS,
 	}
 }
 
@@ -61,21 +61,21 @@
 	return o, nil
 }
 
-// AdminKind is what an operator asks.
-type AdminKind uint8
+// AdminRequestKind is what an operator asks.
+type AdminRequestKind uint8
 
 // What operators ask.
 const (
-	AdminStatus AdminKind = iota
+	AdminStatus AdminRequestKind = iota
 	AdminRead
 	AdminChange
 	AdminJob
 )
 
-// AdminCall is a request of an operator; its body and its answer are JSON.
-type AdminCall struct {
+// AdminRequest is a request of an operator; its body and its answer are JSON.
+type AdminRequest struct {
 	ID   uint64
-	Kind AdminKind
+	Kind AdminRequestKind
 	Body []byte
 	Job  string // that AdminJob is about
 }
@@ -83,16 +83,16 @@
 // optionsItem keeps what operators have changed, as facts are kept.
 type optionsItem struct{ text string }
 
-// Emit writes it.
-func (o *optionsItem) Emit(v *storage.PageValue) { v.Options = o.text }
+// AppendTo writes it.
+func (o *optionsItem) AppendTo(v *storage.PageValue) { v.Options = o.text }
 
-// Size is the space that every figure together may take.
-func (o *optionsItem) Size() int { return storage.OptionsReserve }
+// EncodedSize is the space that every figure together may take.
+func (o *optionsItem) EncodedSize() int { return storage.OptionsReservedSize }
 
-// Reserve leaves room for every figure to be changed.
-func (o *optionsItem) Reserve() int { return storage.OptionsReserve }
+// ReservedSize leaves room for every figure to be changed.
+func (o *optionsItem) ReservedSize() int { return storage.OptionsReservedSize }
 
-func (n *Node) admin(c AdminCall) {
+func (n *Controller) admin(c AdminRequest) {
 	switch {
 	case c.Kind == AdminStatus:
 		n.emit(Reply{ID: c.ID, Status: 200, Body: asJSON(n.status())})
@@ -101,7 +101,7 @@
 	case n.engine == nil && n.otherLeader() != "":
 		n.emit(Forward{ID: c.ID, Peer: n.otherLeader()})
 	default:
-		n.emit(Reply{ID: c.ID, Status: 503, Body: asJSON(map[string]string{"error": "no leader"}), RetryAfter: 1})
+		n.emit(Reply{ID: c.ID, Status: 503, Body: asJSON(map[string]string{"error": "no leader"}), RetryAfterS: 1})
 	}
 }
 
@@ -113,7 +113,7 @@
 	return append(b, '\n')
 }
 
-func (e *engine) admin(c AdminCall) {
+func (e *engine) admin(c AdminRequest) {
 	switch c.Kind {
 	case AdminRead:
 		e.reply(c.ID, 200, asJSON(e.opt))
@@ -138,13 +138,13 @@
 	e.optItem.text = string(text)
 	e.use(opt)
 	e.n.log(Info, "settings changed", "settings", string(text))
-	e.store.Touch(e.n.now.Mono, e.optItem, storage.OnCommit(func() { e.reply(c.ID, 200, asJSON(opt)) }))
+	e.store.MarkDirty(e.n.now.Monotonic, e.optItem, storage.OnCommit(func() { e.reply(c.ID, 200, asJSON(opt)) }))
 }
 
 // use puts figures in force.
 func (e *engine) use(opt Options) {
 	e.opt = opt
-	e.store.SetBudget(e.n.cfg.Settings.State.Smallest().WriteRPS * opt.WriteShare)
+	e.store.SetWriteRate(e.n.cfg.Settings.State.Smallest().WriteRPS * opt.WriteShare)
 	e.schedule = true
 }
 
@@ -208,9 +208,9 @@
 	Empty   int `json:"empty"`
 }
 
-func (n *Node) status() Status {
+func (n *Controller) status() Status {
 	s := Status{
-		Node: n.cfg.Node, Role: n.Role(), Term: n.term.own, Leader: n.term.leader, UpS: n.now.Mono.Seconds(), Counts: n.Stats,
+		Node: n.cfg.Node, Role: n.Role(), Term: n.term.own, Leader: n.term.leader, UpS: n.now.Monotonic.Seconds(), Counts: n.Stats,
 	}
 	if n.engine != nil {
 		s.Leads = n.engine.status()
@@ -219,16 +219,16 @@
 }
 
 func (e *engine) status() *LeaderStatus {
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	pages, oldest := e.store.Backlog(now)
 	l := &LeaderStatus{
 		SinceS: (now - e.ledAt).Seconds(), CertainForS: max(0, e.n.term.until-now).Seconds(), Jobs: len(e.order), Over: len(e.finals), Archive: e.archive.status(),
 		Classes: map[string]Queue{}, Teams: map[string]TeamUse{}, Machines: map[string]Machines{},
-		Doubts: []string{}, Cordoned: []string{}, Failing: e.failingJobs(), SteppedDown: []string{}, Backlog: pages, BacklogS: oldest.Seconds(), Pages: e.store.Pages(), Unsplit: e.store.Unsplit(),
+		Doubts: []string{}, Cordoned: []string{}, Failing: e.failingJobs(), SteppedDown: []string{}, Backlog: pages, BacklogS: oldest.Seconds(), Pages: e.store.PageCount(), Unsplit: e.store.OversizedPages(),
 	}
 	for name, t := range e.teams {
 		l.Teams[name] = TeamUse{
-			CPUs: t.used.cpus, CPUsSure: t.CPUs, CPUsAtMost: t.CPUsMax, GPUs: t.used.gpus, GPUsSure: t.GPUs, GPUsAtMost: t.GPUsMax,
+			CPUs: t.used.cpus, CPUsSure: t.GuaranteedCPUs, CPUsAtMost: t.CPULimit, GPUs: t.used.gpus, GPUsSure: t.GuaranteedGPUs, GPUsAtMost: t.GPULimit,
 		}
 	}
 	for _, j := range e.order {
--- a/internal/coordination/admin_jobs.go
+++ b/internal/coordination/admin_jobs.go
@@ -33,7 +33,7 @@
 }
 
 // jobStatus answers an operator's question about a job.
-func (e *engine) jobStatus(c AdminCall) {
+func (e *engine) jobStatus(c AdminRequest) {
 	j := e.jobs[c.Job]
 	if j == nil {
 		why := "no unfinished job of that name"
@@ -66,7 +66,7 @@
 	}
 	s := &FailuresStatus{
 		Tasks: f.tasks, Rounds: f.rounds, Machines: slices.Sorted(maps.Keys(f.on)),
-		NextTryInS: max(0, f.retryAt-e.n.now.Mono).Seconds(),
+		NextTryInS: max(0, f.retryAt-e.n.now.Monotonic).Seconds(),
 		Fault:      "machine", Why: "it has failed on fewer machines than it takes to call it the job's fault",
 	}
 	switch {
--- a/internal/coordination/admin_test.go
+++ b/internal/coordination/admin_test.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/fake"
 )
 
-func admin(w *fake.World, n int, kind coordination.AdminKind, body string) (status int, answer string) {
-	w.Nodes[n].Ask(coordination.AdminCall{Kind: kind, Body: []byte(body)}, func(r coordination.Reply) {
+func admin(w *fake.World, n int, kind coordination.AdminRequestKind, body string) (status int, answer string) {
+	w.Controllers[n].Request(coordination.AdminRequest{Kind: kind, Body: []byte(body)}, func(r coordination.Reply) {
 		status, answer = r.Status, string(r.Body)
 	})
 	w.Run(time.Second)
@@ -39,14 +39,14 @@
 	if status, answer := admin(w, 1, coordination.AdminChange, `{"sample": 7, "warm_room": 0.5}`); status != 200 {
 		t.Fatalf("through a follower: %d %s", status, answer)
 	}
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Crash()
 	}
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Start()
 	}
 	w.Run(6 * time.Second)
-	for n := range w.Nodes {
+	for n := range w.Controllers {
 		status, answer := admin(w, n, coordination.AdminRead, "")
 		if status != 200 || !strings.Contains(answer, `"sample": 7`) || !strings.Contains(answer, `"warm_room": 0.5`) {
 			t.Errorf("node %d: %d %s", n, status, answer)
--- a/internal/coordination/archive.go
+++ b/internal/coordination/archive.go
@@ -42,7 +42,7 @@
 	used    time.Duration
 }
 
-func (p *archivePage) covers(id string) bool { return p.low <= id && id < p.Bound }
+func (p *archivePage) covers(id string) bool { return p.low <= id && id < p.UpperBound }
 
 // archiveRead is a read under way.
 type archiveRead struct {
@@ -56,7 +56,7 @@
 // ask is a user's request that waits for pages of the archive. After its user was refused it
 // goes on, so that what was found isn't lost when the user comes back.
 type ask struct {
-	call    UserCall
+	call    UserRequest
 	waiting bool // its user
 	until   time.Duration
 	forget  time.Duration
@@ -94,7 +94,7 @@
 func (a *archive) page(id string) *archivePage {
 	for _, p := range a.cache {
 		if p.covers(id) {
-			p.used = a.e.n.now.Mono
+			p.used = a.e.n.now.Monotonic
 			return p
 		}
 	}
@@ -120,8 +120,8 @@
 			return nil, true
 		}
 		found[id] = nil
-		if r, ok := p.Final(id); ok {
-			found[id] = &final{FinalRecord: r}
+		if r, ok := p.Lookup(id); ok {
+			found[id] = &final{TerminalRecord: r}
 		}
 	}
 	return needs, false
@@ -131,18 +131,18 @@
 func (e *engine) known(id string) bool { return e.jobs[id] != nil || e.finals[id] != nil }
 
 // subjects are the jobs that a request is about.
-func (e *engine) subjects(c UserCall) []string {
+func (e *engine) subjects(c UserRequest) []string {
 	if c.Kind != Submit {
 		return []string{c.Job}
 	}
-	if e.known(c.Submit.ID) {
+	if e.known(c.Submission.ID) {
 		return nil
 	}
-	return append([]string{c.Submit.ID}, c.Submit.Prerequisites...)
+	return append([]string{c.Submission.ID}, c.Submission.Prerequisites...)
 }
 
 // request answers a user's request, or lets it wait for what has to be looked up.
-func (a *archive) request(c UserCall) {
+func (a *archive) request(c UserRequest) {
 	e := a.e
 	if !a.exists {
 		e.decide(c, nil)
@@ -166,30 +166,30 @@
 		e.n.refuse(c.ID, "asked already")
 	case earlier != nil:
 		earlier.call, earlier.waiting, earlier.needs = c, true, needs
-		earlier.until = e.n.now.Mono + waitOf(c.Kind)
+		earlier.until = e.n.now.Monotonic + waitOf(c.Kind)
 	case !a.admits(c.Kind):
 		e.n.refuse(c.ID, tooManyAsk)
 	default:
-		now := e.n.now.Mono
+		now := e.n.now.Monotonic
 		a.asks = append(a.asks, &ask{call: c, waiting: true, until: now + waitOf(c.Kind), forget: now + 2*e.rules.lease, needs: needs, found: found})
 	}
 }
 
 // waitOf is how long a request waits for the archive: as long as for a commit.
-func waitOf(kind UserKind) time.Duration {
+func waitOf(kind UserRequestKind) time.Duration {
 	if kind == Poll {
-		return config.Seconds(protocol.PollWaitS / 2.0)
+		return config.Seconds(protocol.PollTimeoutS / 2.0)
 	}
 	return config.Seconds(commitWithinS)
 }
 
 // earlier is the same submission that came before. Polls and cancellations ask for one job
 // each, and needn't be remembered.
-func (a *archive) earlier(c UserCall) *ask {
+func (a *archive) earlier(c UserRequest) *ask {
 	if c.Kind != Submit {
 		return nil
 	}
-	i := slices.IndexFunc(a.asks, func(x *ask) bool { return x.call.Kind == Submit && x.call.Submit.ID == c.Submit.ID })
+	i := slices.IndexFunc(a.asks, func(x *ask) bool { return x.call.Kind == Submit && x.call.Submission.ID == c.Submission.ID })
 	if i < 0 {
 		return nil
 	}
@@ -204,7 +204,7 @@
 // cancellations: users ask about jobs that nobody has submitted. If there are too many of
 // them, one that waits is refused in the newcomer's place, drawn so that nobody who asks
 // again and again is always the one.
-func (a *archive) admits(kind UserKind) bool {
+func (a *archive) admits(kind UserRequestKind) bool {
 	most := max(asksLeast, int(a.e.n.cfg.Settings.State.Smallest().RPS*asksShare))
 	if kind != Poll {
 		return len(a.asks) < most
@@ -235,7 +235,7 @@
 	if !n.certain() || n.engine != a.e {
 		return
 	}
-	if a.read == nil && n.now.Mono >= a.retryAt {
+	if a.read == nil && n.now.Monotonic >= a.retryAt {
 		if id := a.nextNeed(); id != "" {
 			a.send(id)
 		}
@@ -264,7 +264,7 @@
 		return
 	}
 	a.read = &archiveRead{id: id, changes: a.changes}
-	n.state(forArchivePage, storage.StateCall{Op: storage.StateList, Key: storage.ArchivePrefix, After: storage.ArchivePrefix + id, Most: 1})
+	n.state(forArchivePage, storage.StateCall{Op: storage.StateList, Key: storage.ArchivePrefix, StartAfter: storage.ArchivePrefix + id, Limit: 1})
 }
 
 // pageRead takes a page in, and answers whoever waited for it.
@@ -275,7 +275,7 @@
 		return // it may have been read before a move was carried out
 	}
 	if r.Outcome != OK || len(r.List.Entries) == 0 {
-		a.retryAt = a.e.n.now.Mono + a.e.rules.retry
+		a.retryAt = a.e.n.now.Monotonic + a.e.rules.retry
 		if r.Outcome == OK {
 			a.e.n.log(Error, "the last page of ended jobs is missing", "job", read.id)
 		}
@@ -285,7 +285,7 @@
 	if err != nil {
 		a.e.n.log(Error, "a page of ended jobs can't be read, its jobs get 503", "error", err.Error())
 	}
-	a.keep(&archivePage{ArchivePage: page, low: read.id, damaged: err != nil, used: a.e.n.now.Mono})
+	a.keep(&archivePage{ArchivePage: page, low: read.id, damaged: err != nil, used: a.e.n.now.Monotonic})
 	a.answer()
 }
 
@@ -293,7 +293,7 @@
 // was used longest ago if there are too many.
 func (a *archive) keep(p *archivePage) {
 	for i, old := range a.cache {
-		if old.Bound == p.Bound {
+		if old.UpperBound == p.UpperBound {
 			p.low = min(p.low, old.low)
 			a.cache[i] = p
 			return
@@ -330,14 +330,14 @@
 func (a *archive) refuseLate() {
 	n := a.e.n
 	for _, x := range slices.Clone(a.asks) {
-		if x.waiting && (n.now.Mono >= x.until || !n.certain()) {
+		if x.waiting && (n.now.Monotonic >= x.until || !n.certain()) {
 			x.waiting = false
 			n.refuse(x.call.ID, "the ended jobs can't be read in time")
 			if x.call.Kind != Submit {
 				a.drop(x)
 			}
 		}
-		if n.now.Mono >= x.forget && !x.waiting {
+		if n.now.Monotonic >= x.forget && !x.waiting {
 			a.drop(x)
 		}
 	}
--- a/internal/coordination/archive_move.go
+++ b/internal/coordination/archive_move.go
@@ -17,11 +17,11 @@
 	e := a.e
 	items := a.source()
 	if len(items) == 0 {
-		a.moveAt = e.n.now.Mono + e.rules.report
+		a.moveAt = e.n.now.Monotonic + e.rules.report
 		return
 	}
-	room := e.store.MoveRoom()
-	targets := map[*archivePage][]storage.FinalRecord{}
+	room := e.store.MaxArchivePagesPerMove()
+	targets := map[*archivePage][]storage.TerminalRecord{}
 	var chosen []storage.Item
 	for _, f := range items {
 		p := a.target(f.ID)
@@ -36,7 +36,7 @@
 		if p.damaged || len(targets) == room && targets[p] == nil {
 			continue
 		}
-		targets[p] = append(targets[p], f.FinalRecord)
+		targets[p] = append(targets[p], f.TerminalRecord)
 		chosen = append(chosen, f)
 	}
 	a.write(targets, chosen, room)
@@ -45,7 +45,7 @@
 // due tells whether there are ended jobs to be moved, and nothing speaks against it now.
 func (a *archive) due() bool {
 	e := a.e
-	n, now := e.n, e.n.now.Mono
+	n, now := e.n, e.n.now.Monotonic
 	ended := len(e.finals)
 	if ended <= e.rules.endedKept || len(a.moving) > 0 || e.raising != nil || e.drain {
 		return false
@@ -54,7 +54,7 @@
 		return false
 	}
 	if ended > pressing*e.rules.endedKept {
-		return e.store.MayWrite(now, 1+e.store.MoveRoom())
+		return e.store.CanWrite(now, 1+e.store.MaxArchivePagesPerMove())
 	}
 	return e.store.Idle(now)
 }
@@ -63,15 +63,15 @@
 // haven't.
 func (a *archive) allRead() bool {
 	n := a.e.n
-	all, asks := true, n.now.Mono >= a.askAt
+	all, asks := true, n.now.Monotonic >= a.askAt
 	for _, p := range n.cfg.Peers {
 		if a.readers[p.Name] {
 			continue
 		}
 		all = false
 		if asks {
-			a.askAt = n.now.Mono + a.e.rules.probe
-			n.emit(PeerCall{Peer: p.Name, Term: n.term.own, Asked: n.now.Mono, AsksArchive: true})
+			a.askAt = n.now.Monotonic + a.e.rules.probe
+			n.emit(PeerCall{Peer: p.Name, Term: n.term.own, SentAt: n.now.Monotonic, AsksArchive: true})
 		}
 	}
 	return all
@@ -88,9 +88,9 @@
 			named[id] = true
 		}
 	}
-	for range e.store.Pages() {
+	for range e.store.PageCount() {
 		page := a.sources
-		a.sources = (a.sources + 1) % e.store.Pages()
+		a.sources = (a.sources + 1) % e.store.PageCount()
 		var out []*final
 		for _, item := range e.store.Items(page) {
 			if f, ok := item.(*final); ok && e.finals[f.ID] == f && !f.rest && !named[f.ID] {
@@ -109,14 +109,14 @@
 // target is the page of the archive that a job goes to, if it is in memory.
 func (a *archive) target(id string) *archivePage {
 	if !a.exists && len(a.cache) == 0 {
-		a.cache = []*archivePage{{ArchivePage: &storage.ArchivePage{Bound: storage.LastBound}}}
+		a.cache = []*archivePage{{ArchivePage: &storage.ArchivePage{UpperBound: storage.LastUpperBound}}}
 	}
 	return a.page(id)
 }
 
 // write sends the move of some ended jobs. Pages that would have to be divided into more
 // than one transaction takes are left out.
-func (a *archive) write(targets map[*archivePage][]storage.FinalRecord, chosen []storage.Item, room int) {
+func (a *archive) write(targets map[*archivePage][]storage.TerminalRecord, chosen []storage.Item, room int) {
 	e := a.e
 	var pages []*storage.ArchivePage
 	lows := map[string]string{} // by bound
@@ -125,13 +125,13 @@
 	for p := range targets {
 		sorted = append(sorted, p)
 	}
-	slices.SortFunc(sorted, func(x, y *archivePage) int { return cmp.Compare(x.Bound, y.Bound) })
-	left := e.store.MoveBytes()
+	slices.SortFunc(sorted, func(x, y *archivePage) int { return cmp.Compare(x.UpperBound, y.UpperBound) })
+	left := e.store.MaxArchiveBytesPerMove()
 	for _, p := range sorted {
-		parts := p.With(targets[p], e.store.MaxArchivePage())
+		parts := p.Merge(targets[p], e.store.MaxArchivePageSize())
 		size := 0
 		for _, part := range parts {
-			size += part.TxnBytes()
+			size += part.TransactionSize()
 		}
 		if len(pages)+len(parts) > room || size > left {
 			continue
@@ -139,8 +139,8 @@
 		left -= size
 		low := p.low
 		for _, part := range parts {
-			lows[part.Bound] = low
-			low = part.Bound
+			lows[part.UpperBound] = low
+			low = part.UpperBound
 		}
 		pages = append(pages, parts...)
 		for _, r := range targets[p] {
@@ -153,7 +153,7 @@
 		return
 	}
 	var w *storage.Write
-	w = e.store.Move(e.n.now.Mono, e.termCondition(), chosen, pages, storage.OnCommitInBackground(func() {
+	w = e.store.Move(e.n.now.Monotonic, e.termCondition(), chosen, pages, storage.OnBackgroundCommit(func() {
 		a.moved(chosen, pages, lows, w.Version)
 	}))
 	if w == nil {
@@ -169,8 +169,8 @@
 // skipSource leaves the page of records that is being looked at to a later turn: what is on
 // it can't be moved now, and needn't be looked at again in the next step.
 func (a *archive) skipSource() {
-	a.moveAt = a.e.n.now.Mono + a.e.rules.retry
-	a.sources = (a.sources + 1) % max(1, a.e.store.Pages())
+	a.moveAt = a.e.n.now.Monotonic + a.e.rules.retry
+	a.sources = (a.sources + 1) % max(1, a.e.store.PageCount())
 }
 
 // moved notes that a move is durable: from now on the jobs are looked up.
@@ -190,13 +190,13 @@
 	}
 	for _, p := range pages {
 		p.Version = version
-		a.replace(&archivePage{ArchivePage: p, low: lows[p.Bound], used: e.n.now.Mono})
+		a.replace(&archivePage{ArchivePage: p, low: lows[p.UpperBound], used: e.n.now.Monotonic})
 	}
 }
 
 // replace puts a page that was written into the cache. What an earlier copy of a page spoke
 // for may be divided between several now.
 func (a *archive) replace(p *archivePage) {
-	a.cache = slices.DeleteFunc(a.cache, func(old *archivePage) bool { return old.Bound == p.Bound })
+	a.cache = slices.DeleteFunc(a.cache, func(old *archivePage) bool { return old.UpperBound == p.UpperBound })
 	a.keep(p)
 }
--- a/internal/coordination/archive_orderings_test.go
+++ b/internal/coordination/archive_orderings_test.go
@@ -14,9 +14,9 @@
 // slowMoves has writes of pages carried out late, and answers to reads come later still, so
 // that much happens while a move or a read is under way.
 func slowMoves(w *fake.World) {
-	w.HoldsWrites = true
-	w.Network = func(kind, _, _ string) fake.Fate {
-		f := fake.Well()
+	w.SeparateWrites = true
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
 		switch kind {
 		case "write":
 			f.Request = 200 * time.Millisecond
@@ -42,18 +42,18 @@
 func TestReadThatCrossesAMove(t *testing.T) {
 	w := worldOf(t, littleMemory())
 	spare(t, w)
-	w.Nodes[2].Crash()                   // nothing is moved before it says that it reads the archive
+	w.Controllers[2].Crash()             // nothing is moved before it says that it reads the archive
 	jobs := endsJobs(t, w, 100_000, 600) // more pages than a leader keeps
 	slowMoves(w)
-	w.Nodes[2].Start()
+	w.Controllers[2].Start()
 	for n := range 400 {
 		if w.Leader() == nil {
 			w.Run(50 * time.Millisecond)
 			continue
 		}
-		w.Leader().Ask(coordination.UserCall{Kind: coordination.Poll, Job: fmt.Sprintf("wk-%06d", 100_000+(n*37)%99_000)}, func(coordination.Reply) {})
+		w.Leader().Request(coordination.UserRequest{Kind: coordination.Poll, Job: fmt.Sprintf("wk-%06d", 100_000+(n*37)%99_000)}, func(coordination.Reply) {})
 		if n%4 == 0 {
-			w.CloseLook(jobs[n/4%len(jobs)])
+			w.QueryEverywhere(jobs[n/4%len(jobs)])
 		}
 		w.Run(50 * time.Millisecond)
 		noneVanishes(t, w, jobs)
@@ -68,12 +68,12 @@
 func TestPrerequisitesThatAreBeingMoved(t *testing.T) {
 	w := worldOf(t, littleMemory())
 	spare(t, w)
-	w.Nodes[2].Crash() // nothing is moved before it says that it reads the archive
+	w.Controllers[2].Crash() // nothing is moved before it says that it reads the archive
 	jobs := endsJobs(t, w, 100_000, 120)
 	long := w.Submit(job(50, protocol.Array, 1), 90*time.Second)
-	runs(t, w, long.Sub.ID, 1)
+	runs(t, w, long.Submission.ID, 1)
 	slowMoves(w)
-	w.Nodes[2].Start()
+	w.Controllers[2].Start()
 	var after []*fake.Job
 	for n := range 60 {
 		s := job(600_000+n, protocol.Array, 1)
@@ -93,8 +93,8 @@
 	notLogged(t, w, "a prerequisite is on no page")
 	check(t, w)
 	for _, j := range after {
-		if j.Told != protocol.StatusDone {
-			t.Errorf("%s is called %q", j.Sub.ID, j.Told)
+		if j.Status != protocol.StatusDone {
+			t.Errorf("%s is called %q", j.Submission.ID, j.Status)
 		}
 	}
 }
@@ -107,10 +107,10 @@
 	w := worldOf(t, s)
 	spare(t, w)
 	endsJobs(t, w, 100_000, 60)
-	w.HoldsWrites = true
+	w.SeparateWrites = true
 	writes := 0
-	w.Network = func(kind, _, _ string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
 		if kind == "write" {
 			writes++
 			f.LoseRequest = writes%3 == 0
@@ -126,7 +126,7 @@
 		if n%6 == 5 {
 			w.Leader().Crash()
 			w.Run(4 * time.Second)
-			for _, node := range w.Nodes {
+			for _, node := range w.Controllers {
 				if !node.Up {
 					node.Start()
 				}
@@ -140,8 +140,8 @@
 	notLogged(t, w, "a block of an unknown job is dropped")
 	check(t, w)
 	for _, j := range jobs {
-		if j.Told != protocol.StatusDone {
-			t.Errorf("%s is called %q", j.Sub.ID, j.Told)
+		if j.Status != protocol.StatusDone {
+			t.Errorf("%s is called %q", j.Submission.ID, j.Status)
 		}
 	}
 }
@@ -151,7 +151,7 @@
 func TestNothingToMoveKeepsNobodyFromTheArchive(t *testing.T) {
 	w, jobs := withArchive(t, 600)
 	long := w.Submit(job(50, protocol.Array, 1), time.Hour)
-	runs(t, w, long.Sub.ID, 1)
+	runs(t, w, long.Submission.ID, 1)
 	needs := []*fake.Job{long}
 	for n := range keptWithLittleMemory + 8 {
 		s := job(700_000+n, protocol.Array, 1)
@@ -166,10 +166,10 @@
 	leader := w.Leader()
 	for n := 0; n < len(jobs); n += 15 {
 		status := 0
-		leader.Ask(coordination.UserCall{Kind: coordination.Poll, Job: jobs[n].Sub.ID}, func(r coordination.Reply) { status = r.Status })
+		leader.Request(coordination.UserRequest{Kind: coordination.Poll, Job: jobs[n].Submission.ID}, func(r coordination.Reply) { status = r.Status })
 		w.Run(300 * time.Millisecond)
 		if status != 200 {
-			t.Errorf("%s: %d after 0.3 s", jobs[n].Sub.ID, status)
+			t.Errorf("%s: %d after 0.3 s", jobs[n].Submission.ID, status)
 		}
 	}
 	check(t, w)
--- a/internal/coordination/archive_test.go
+++ b/internal/coordination/archive_test.go
@@ -18,8 +18,8 @@
 // of the archive.
 func littleMemory() config.Settings {
 	s := fake.Settings()
-	s.Limits.MemMB = 0.5
-	s.Teams[1].CPUs = 1000
+	s.Limits.MemoryMB = 0.5
+	s.Teams[1].GuaranteedCPUs = 1000
 	return s
 }
 
@@ -27,17 +27,17 @@
 
 // placesOf tells for each ended job whether it is on a page that a take-over reads, and
 // whether it is in the archive.
-func placesOf(t *testing.T, w *fake.World) (pages, archive map[string]storage.FinalRecord) {
+func placesOf(t *testing.T, w *fake.World) (pages, archive map[string]storage.TerminalRecord) {
 	t.Helper()
-	pages, archive = map[string]storage.FinalRecord{}, map[string]storage.FinalRecord{}
+	pages, archive = map[string]storage.TerminalRecord{}, map[string]storage.TerminalRecord{}
 	for key, value := range w.State.Values() {
 		switch {
-		case strings.HasPrefix(key, storage.Prefix):
+		case strings.HasPrefix(key, storage.PagePrefix):
 			var v storage.PageValue
 			if err := protocol.Decode(value, &v); err != nil {
 				t.Fatal(err)
 			}
-			for _, r := range v.Finals {
+			for _, r := range v.Terminal {
 				pages[r.ID] = r
 			}
 		case strings.HasPrefix(key, storage.ArchivePrefix):
@@ -45,7 +45,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, r := range page.Finals {
+			for _, r := range page.Terminal {
 				if _, twice := archive[r.ID]; twice {
 					t.Fatalf("%s is on two pages of the archive", r.ID)
 				}
@@ -62,13 +62,13 @@
 	pages, archive := placesOf(t, w)
 	unfinished, _ := recordedJobs(t, pagesOf(w))
 	for _, j := range jobs {
-		if j.Told != protocol.StatusDone {
+		if j.Status != protocol.StatusDone {
 			continue
 		}
-		_, onPage := pages[j.Sub.ID]
-		_, inArchive := archive[j.Sub.ID]
-		if _, open := unfinished[j.Sub.ID]; !onPage && !inArchive && !open {
-			t.Fatalf("%v: %s is nowhere on record", w.Now, j.Sub.ID)
+		_, onPage := pages[j.Submission.ID]
+		_, inArchive := archive[j.Submission.ID]
+		if _, open := unfinished[j.Submission.ID]; !onPage && !inArchive && !open {
+			t.Fatalf("%v: %s is nowhere on record", w.Now, j.Submission.ID)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 		s.CPUs, s.MemoryGB, s.ImageGB = 0.05, 0.05, 0.01
 		jobs = append(jobs, w.Submit(s, 500*time.Millisecond))
 	}
-	done := func(j *fake.Job) bool { return j.Told == protocol.StatusDone }
+	done := func(j *fake.Job) bool { return j.Status == protocol.StatusDone }
 	for tries := 0; tries < 60 && !all(jobs, done); tries++ {
 		pollFor(w, 2*time.Second)
 	}
@@ -123,11 +123,11 @@
 	for _, j := range jobs {
 		before := j.AnsweredAt
 		for tries := 0; tries < 20 && j.AnsweredAt == before; tries++ {
-			w.CloseLook(j)
+			w.QueryEverywhere(j)
 			w.Run(100 * time.Millisecond)
 		}
 		if j.AnsweredAt == before {
-			t.Fatalf("nobody is told about %s", j.Sub.ID)
+			t.Fatalf("nobody is told about %s", j.Submission.ID)
 		}
 	}
 	for _, j := range jobs[:min(5, len(jobs))] {
@@ -135,8 +135,8 @@
 	}
 	w.Run(3 * time.Second)
 	for _, j := range jobs {
-		if j.Told != protocol.StatusDone {
-			t.Fatalf("%s is called %q", j.Sub.ID, j.Told)
+		if j.Status != protocol.StatusDone {
+			t.Fatalf("%s is called %q", j.Submission.ID, j.Status)
 		}
 	}
 	check(t, w)
@@ -148,11 +148,11 @@
 	w, jobs := withArchive(t, 300)
 	askedAll(t, w, jobs[:60])
 	w.PollUnknown()
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Crash()
 	}
 	w.Run(12 * time.Second)
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Start()
 	}
 	if !w.Until(10*time.Second, func() bool { return w.Leader() != nil }) {
@@ -187,11 +187,11 @@
 func leaderEndsInsideAMove(t *testing.T, trouble string, after int) {
 	w := worldOf(t, littleMemory())
 	spare(t, w)
-	w.HoldsWrites = true
+	w.SeparateWrites = true
 	jobs := endsJobs(t, w, 100_000, 60)
 	writes := 0
-	w.Network = func(kind, _, _ string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
 		if kind != "write" {
 			return f
 		}
@@ -234,7 +234,7 @@
 	jobs := endsJobs(t, w, 100_000, 80)
 	for n := range 120 {
 		for _, j := range jobs[n%8 : min(len(jobs), n%8+20)] {
-			w.CloseLook(j)
+			w.QueryEverywhere(j)
 		}
 		w.Run(50 * time.Millisecond)
 		noneVanishes(t, w, jobs)
@@ -254,9 +254,9 @@
 			if w.Jobs[id] != nil {
 				continue
 			}
-			w.Nodes[i%3].Ask(coordination.UserCall{Kind: coordination.Poll, Job: id}, func(r coordination.Reply) {
+			w.Controllers[i%3].Request(coordination.UserRequest{Kind: coordination.Poll, Job: id}, func(r coordination.Reply) {
 				statuses[r.Status]++
-				if r.Status == 503 && r.RetryAfter == 0 {
+				if r.Status == 503 && r.RetryAfterS == 0 {
 					t.Error("refused without a time to come back")
 				}
 			})
@@ -270,7 +270,7 @@
 	for n := 0; n < 100 && !other.Accepted; n++ {
 		for i := range 50 {
 			id := fmt.Sprintf("wk-%06d", 910_000+n*50+i)
-			w.Nodes[i%3].Ask(coordination.UserCall{Kind: coordination.Poll, Job: id}, func(coordination.Reply) {})
+			w.Controllers[i%3].Request(coordination.UserRequest{Kind: coordination.Poll, Job: id}, func(coordination.Reply) {})
 		}
 		w.Run(50 * time.Millisecond)
 	}
@@ -290,26 +290,26 @@
 	w := worldOf(t, littleMemory())
 	spare(t, w)
 	called := w.Submit(job(50, protocol.Array, 1), time.Hour)
-	runs(t, w, called.Sub.ID, 1)
+	runs(t, w, called.Submission.ID, 1)
 	w.CancelJob(called)
 	jobs := endsJobs(t, w, 100_000, 150)
 	archived(t, w, jobs)
 	endsJobs(t, w, 300_000, 40) // so that the cancelled one goes, too
 	w.Run(10 * time.Second)
 	_, archive := placesOf(t, w)
-	if _, ok := archive[called.Sub.ID]; !ok {
+	if _, ok := archive[called.Submission.ID]; !ok {
 		t.Fatal("the cancelled job is not in the archive")
 	}
 	after := accepted(t, w, job(60, protocol.Array, 1), time.Second, jobs[0], jobs[70], jobs[140])
 	with := accepted(t, w, job(61, protocol.Array, 1), time.Second, jobs[3], called)
 	s := job(62, protocol.Array, 1)
-	s.Prerequisites = []string{jobs[1].Sub.ID, "wk-777777"}
+	s.Prerequisites = []string{jobs[1].Submission.ID, "wk-777777"}
 	refused := w.Submit(s, time.Second)
 	w.Run(3 * time.Second)
 	w.Leader().Crash()
 	pollFor(w, 30*time.Second)
-	if after.Told != protocol.StatusDone || with.Told != protocol.StatusCancelled || refused.Refused != 422 {
-		t.Errorf("after done ones %q, with a cancelled one %q, with an unknown one %d", after.Told, with.Told, refused.Refused)
+	if after.Status != protocol.StatusDone || with.Status != protocol.StatusCancelled || refused.RejectedWith != 422 {
+		t.Errorf("after done ones %q, with a cancelled one %q, with an unknown one %d", after.Status, with.Status, refused.RejectedWith)
 	}
 	check(t, w)
 }
@@ -321,20 +321,20 @@
 	spare(t, w)
 	named := endsJobs(t, w, 500_000, 1)[0]
 	running := w.Submit(job(50, protocol.Array, 1), 100*time.Second)
-	runs(t, w, running.Sub.ID, 1)
+	runs(t, w, running.Submission.ID, 1)
 	waits := accepted(t, w, job(51, protocol.Array, 1), time.Second, named, running)
 	jobs := endsJobs(t, w, 100_000, 100)
 	w.Run(10 * time.Second)
 	pages, _ := placesOf(t, w)
-	if _, ok := pages[named.Sub.ID]; !ok {
+	if _, ok := pages[named.Submission.ID]; !ok {
 		t.Error("a job that another names was moved")
 	}
 	w.Leader().Crash()
 	for range 20 {
 		pollFor(w, 8*time.Second)
 	}
-	if waits.Told != protocol.StatusDone {
-		t.Errorf("the job that waits is called %q", waits.Told)
+	if waits.Status != protocol.StatusDone {
+		t.Errorf("the job that waits is called %q", waits.Status)
 	}
 	noneVanishes(t, w, jobs)
 	check(t, w)
@@ -345,15 +345,15 @@
 func TestNothingIsArchivedBeforeAllCanRead(t *testing.T) {
 	w := worldOf(t, littleMemory())
 	spare(t, w)
-	w.Nodes[2].Crash()
-	w.Nodes[2].Old = true
-	w.Nodes[2].Start()
+	w.Controllers[2].Crash()
+	w.Controllers[2].RunsProduction = true
+	w.Controllers[2].Start()
 	endsJobs(t, w, 100_000, 100)
 	w.Run(20 * time.Second)
 	if _, archive := placesOf(t, w); len(archive) > 0 {
 		t.Error("moved beside a version that doesn't read the archive")
 	}
-	upgrade(w, w.Nodes[2], time.Second)
+	upgrade(w, w.Controllers[2], time.Second)
 	jobs := endsJobs(t, w, 200_000, 5)
 	archived(t, w, jobs)
 	check(t, w)
@@ -381,7 +381,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, r := range page.Finals {
+			for _, r := range page.Terminal {
 				lost[r.ID] = true
 			}
 		}
@@ -396,11 +396,11 @@
 	for _, j := range jobs {
 		status := 0
 		for tries := 0; tries < 10 && status != 200; tries++ {
-			leader.Ask(coordination.UserCall{Kind: coordination.Poll, Job: j.Sub.ID}, func(r coordination.Reply) { status = r.Status })
+			leader.Request(coordination.UserRequest{Kind: coordination.Poll, Job: j.Submission.ID}, func(r coordination.Reply) { status = r.Status })
 			w.Run(50 * time.Millisecond)
 		}
-		if want := 200; lost[j.Sub.ID] && status != 503 || !lost[j.Sub.ID] && status != want {
-			t.Errorf("%s, lost %v: %d", j.Sub.ID, lost[j.Sub.ID], status)
+		if want := 200; lost[j.Submission.ID] && status != 503 || !lost[j.Submission.ID] && status != want {
+			t.Errorf("%s, lost %v: %d", j.Submission.ID, lost[j.Submission.ID], status)
 		}
 	}
 	if w.Leader() != leader {
@@ -416,25 +416,25 @@
 func TestLookupWhileTheLeaderIsRefused(t *testing.T) {
 	w, jobs := withArchive(t, 200)
 	leader := w.Leader()
-	w.Network = func(kind, from, _ string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, from, _ string) fake.Delivery {
+		f := fake.Reliable()
 		if kind == "state" && from == leader.Name {
 			f.Answer = 800 * time.Millisecond // the lookup's answer comes after the end of the term
 		}
 		return f
 	}
 	for _, j := range jobs[:30] {
-		leader.Ask(coordination.UserCall{Kind: coordination.Poll, Job: j.Sub.ID}, func(r coordination.Reply) {
+		leader.Request(coordination.UserRequest{Kind: coordination.Poll, Job: j.Submission.ID}, func(r coordination.Reply) {
 			if r.Status == 404 {
-				t.Errorf("%s is called unknown", j.Sub.ID)
+				t.Errorf("%s is called unknown", j.Submission.ID)
 			}
 		})
 	}
 	w.Run(100 * time.Millisecond)
-	w.State.Cut[leader.Name] = true
+	w.State.Unreachable[leader.Name] = true
 	lookRepeatedly(w, jobs[:10], 20, 200*time.Millisecond)
 	w.Network = nil
-	w.State.Cut = map[string]bool{}
+	w.State.Unreachable = map[string]bool{}
 	w.Run(15 * time.Second)
 	askedAll(t, w, jobs[:30])
 }
@@ -450,13 +450,13 @@
 	jobs := endsJobs(t, w, 100_000, 250)
 	archived(t, w, jobs)
 	w.Cfg.Settings.State.Next = nextLimits(2, 4, 40)
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Crash()
 		n.Start()
 	}
 	w.Run(15 * time.Second)
 	half := endsJobs(t, w, 400_000, 40)
-	w.State.Lower()
+	w.State.LowerLimits()
 	more := endsJobs(t, w, 100_050, 80)
 	jobs = slices.Concat(jobs, half, more)
 	archived(t, w, jobs)
@@ -472,7 +472,7 @@
 		}
 	}()
 	s := littleMemory()
-	s.Limits.MemMB = 0.02 // one ended job is kept in memory
+	s.Limits.MemoryMB = 0.02 // one ended job is kept in memory
 	w := worldOf(t, s)
 	cancelled := accepted(t, w, job(1, protocol.Array, 1), time.Minute)
 	w.Run(2 * time.Second)
@@ -480,7 +480,7 @@
 	endsJobs(t, w, 100, 6)
 	inArchive := func() bool {
 		_, archive := placesOf(t, w)
-		_, ok := archive[cancelled.Sub.ID]
+		_, ok := archive[cancelled.Submission.ID]
 		return ok
 	}
 	if !w.Until(time.Minute, inArchive) {
@@ -489,8 +489,8 @@
 	unfinished := accepted(t, w, job(2, protocol.Array, 1), 5*time.Second)
 	dependent := accepted(t, w, job(3, protocol.Array, 1), time.Second, cancelled, unfinished)
 	pollFor(w, 30*time.Second)
-	if unfinished.Told != protocol.StatusDone || dependent.Told != protocol.StatusCancelled {
-		t.Errorf("users are told that the jobs are %q and %q", unfinished.Told, dependent.Told)
+	if unfinished.Status != protocol.StatusDone || dependent.Status != protocol.StatusCancelled {
+		t.Errorf("users are told that the jobs are %q and %q", unfinished.Status, dependent.Status)
 	}
 	check(t, w)
 }
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -12,9 +12,9 @@
 func TestSuccessorStopsWhatWasCancelled(t *testing.T) {
 	w := world(t)
 	j := w.Submit(service(1, 2), 0)
-	runs(t, w, j.Sub.ID, 2)
-	w.Network = func(kind, _, _ string) fake.Fate { // no commands arrive from now on
-		f := fake.Well()
+	runs(t, w, j.Submission.ID, 2)
+	w.Network = func(kind, _, _ string) fake.Delivery { // no commands arrive from now on
+		f := fake.Reliable()
 		f.LoseAnswer = kind == "report"
 		f.LoseRequest = kind == "orders"
 		return f
@@ -23,10 +23,10 @@
 	if !w.Until(time.Second, func() bool { return j.Cancelled }) {
 		t.Fatal("never told that it is cancelled")
 	}
-	w.Nodes[0].Crash()
+	w.Controllers[0].Crash()
 	w.Network = nil
 	w.Run(40 * time.Second)
-	if n := len(w.On(j.Sub.ID)); n != 0 {
+	if n := len(w.MachinesOf(j.Submission.ID)); n != 0 {
 		t.Errorf("%d tasks are left", n)
 	}
 	check(t, w)
@@ -37,20 +37,20 @@
 func TestCancellationIsNotToldBeforeItIsDurable(t *testing.T) {
 	w := world(t)
 	j := w.Submit(service(1, 1), 0)
-	runs(t, w, j.Sub.ID, 1)
+	runs(t, w, j.Submission.ID, 1)
 	w.State.Outage(true)
 	w.CancelJob(j)
 	for range 10 {
 		w.Run(100 * time.Millisecond)
 		w.PollAll()
 	}
-	if j.Told != protocol.StatusRunning {
-		t.Errorf("told %q during the outage", j.Told)
+	if j.Status != protocol.StatusRunning {
+		t.Errorf("told %q during the outage", j.Status)
 	}
 	w.State.Outage(false)
 	w.Run(20 * time.Second)
-	if !j.Cancelled || len(w.On(j.Sub.ID)) != 0 {
-		t.Errorf("told %q, on %v", j.Told, w.On(j.Sub.ID))
+	if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) != 0 {
+		t.Errorf("told %q, on %v", j.Status, w.MachinesOf(j.Submission.ID))
 	}
 	check(t, w)
 }
@@ -60,7 +60,7 @@
 // worker's lease will have ended the task in time, and is then told.
 func TestCancellationIsToldOnceItCanBeKept(t *testing.T) {
 	w, j := onlyItsWorker(t)
-	if !w.Until(10*time.Second, func() bool { return w.Nodes[1].Leads() || w.Nodes[2].Leads() }) {
+	if !w.Until(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
 		t.Fatal("nobody took over")
 	}
 	w.CancelJob(j)
@@ -91,20 +91,20 @@
 					jobs = append(jobs, w.Submit(s, 0))
 				}
 				for _, j := range jobs {
-					runs(t, w, j.Sub.ID, 1)
+					runs(t, w, j.Submission.ID, 1)
 				}
 				w.Run(3*time.Second + 2*time.Second*time.Duration(phase)/time.Duration(phases))
-				n0 := w.Nodes[0]
+				n0 := w.Controllers[0]
 				switch how {
 				case "ends":
 					n0.Crash()
 				case "is refused":
-					w.State.Cut["n0"] = true
+					w.State.Unreachable["n0"] = true
 				case "stands still":
 					n0.PausedUntil = w.Now + 8*time.Second
 				case "hears no worker":
-					w.Network = func(kind, a, b string) fake.Fate {
-						f := fake.Well()
+					w.Network = func(kind, a, b string) fake.Delivery {
+						f := fake.Reliable()
 						f.LoseRequest = kind == "report" && b == "n0" || kind == "orders" && a == "n0"
 						return f
 					}
@@ -119,13 +119,13 @@
 					})
 				}
 				lookRepeatedly(w, jobs, 30, time.Second)
-				delete(w.State.Cut, "n0")
+				delete(w.State.Unreachable, "n0")
 				w.Network = nil
 				w.Run(20 * time.Second)
 				check(t, w)
 				for _, j := range jobs {
-					if !j.Cancelled || len(w.On(j.Sub.ID)) > 0 {
-						t.Fatalf("%s: told %q, on %v", j.Sub.ID, j.Told, w.On(j.Sub.ID))
+					if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) > 0 {
+						t.Fatalf("%s: told %q, on %v", j.Submission.ID, j.Status, w.MachinesOf(j.Submission.ID))
 					}
 				}
 			}
--- a/internal/coordination/classes.go
+++ b/internal/coordination/classes.go
@@ -23,7 +23,7 @@
 // arrived learns from a submission.
 func (e *engine) arrived(j *job) {
 	c := e.classOf(j)
-	c.arrivals = append(c.arrivals, e.n.now.Mono)
+	c.arrivals = append(c.arrivals, e.n.now.Monotonic)
 	if len(c.arrivals) > 64 {
 		c.arrivals = c.arrivals[1:]
 	}
--- a/internal/coordination/close_looks_test.go
+++ b/internal/coordination/close_looks_test.go
@@ -14,26 +14,26 @@
 func TestCloseLooks(t *testing.T) {
 	troubles := map[string]func(w *fake.World, at time.Duration){
 		"none":        func(*fake.World, time.Duration) {},
-		"leader ends": func(w *fake.World, at time.Duration) { w.After(at, w.Nodes[0].Crash) },
+		"leader ends": func(w *fake.World, at time.Duration) { w.After(at, w.Controllers[0].Crash) },
 		"stands still": func(w *fake.World, at time.Duration) {
-			w.After(at, func() { w.Nodes[0].PausedUntil = w.Now + 3*time.Second })
+			w.After(at, func() { w.Controllers[0].PausedUntil = w.Now + 3*time.Second })
 		},
 		"refused": func(w *fake.World, at time.Duration) {
-			w.After(at, func() { w.State.Cut["n0"] = true })
-			w.After(at+6*time.Second, func() { delete(w.State.Cut, "n0") })
+			w.After(at, func() { w.State.Unreachable["n0"] = true })
+			w.After(at+6*time.Second, func() { delete(w.State.Unreachable, "n0") })
 		},
 		"answers lost": func(w *fake.World, at time.Duration) {
 			from := w.Now + at
-			w.Network = func(kind, _, _ string) fake.Fate {
-				f := fake.Well()
+			w.Network = func(kind, _, _ string) fake.Delivery {
+				f := fake.Reliable()
 				f.LoseAnswer = kind == "state" && w.Now >= from && w.Now < from+2*time.Second
 				return f
 			}
 		},
 	}
 	slowly := func(w *fake.World) {
-		w.Network = func(kind, _, _ string) fake.Fate {
-			f := fake.Well()
+		w.Network = func(kind, _, _ string) fake.Delivery {
+			f := fake.Reliable()
 			if kind == "state" {
 				f.Request, f.Answer = 120*time.Millisecond, 30*time.Millisecond
 			}
@@ -41,7 +41,7 @@
 		}
 	}
 	troubles["slow writes"] = func(w *fake.World, _ time.Duration) { slowly(w) }
-	troubles["slow writes, leader ends"] = func(w *fake.World, at time.Duration) { slowly(w); w.After(at/8, w.Nodes[0].Crash) }
+	troubles["slow writes, leader ends"] = func(w *fake.World, at time.Duration) { slowly(w); w.After(at/8, w.Controllers[0].Crash) }
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -67,10 +67,10 @@
 				w.Run(10 * time.Second)
 				pollFor(w, 18*time.Second)
 				check(t, w)
-				if ends.Told != protocol.StatusDone || called.Told != protocol.StatusCancelled {
-					t.Errorf("step %d: told %q and %q", step, ends.Told, called.Told)
+				if ends.Status != protocol.StatusDone || called.Status != protocol.StatusCancelled {
+					t.Errorf("step %d: told %q and %q", step, ends.Status, called.Status)
 				}
-				told[both.Told]++
+				told[both.Status]++
 			}
 			if told[protocol.StatusDone]+told[protocol.StatusCancelled] != steps {
 				t.Errorf("told %v", told)
--- a/internal/coordination/consolidate.go
+++ b/internal/coordination/consolidate.go
@@ -14,7 +14,7 @@
 // are up, have room beyond what is kept free and hold the image, so that a
 // replica is away for no longer than two messages and a write take.
 func (e *engine) consolidate(bins []*bin) {
-	f, now := &e.fleet, e.n.now.Mono
+	f, now := &e.fleet, e.n.now.Monotonic
 	for _, w := range f.unplaced {
 		if w.tasks > 0 && !w.job.Spot {
 			// Room is short: what was to be emptied is used again.
@@ -52,7 +52,7 @@
 	// A move takes a replica away for about a second: few may be away at a time.
 	replicas := 0
 	for _, j := range e.order {
-		if j.Shape == protocol.Service {
+		if j.Kind == protocol.Service {
 			replicas += len(j.tasks)
 		}
 	}
@@ -83,7 +83,7 @@
 		worth float64
 	}
 	var list []candidate
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	for _, b := range bins {
 		h := b.h
 		if h == nil || b.used || !e.alive(h) || len(h.tasks) == 0 || len(h.others) > 0 || now < h.drainNext {
@@ -92,7 +92,7 @@
 		price, excess, replicas := e.fleet.price(b.offer), 0.0, false
 		for _, t := range h.tasks {
 			excess += e.perTask(t.job, b.offer) / e.leastPerTask(t.job)
-			replicas = replicas || t.job.Shape == protocol.Service
+			replicas = replicas || t.job.Kind == protocol.Service
 		}
 		if !replicas {
 			continue // what is on it ends by itself, and its room is for more of that
@@ -137,10 +137,10 @@
 	room := map[*bin]need{}
 	for _, t := range h.tasks {
 		j := t.job
-		if j.Shape == protocol.Gang || t.stopping || j.Cancelled {
+		if j.Kind == protocol.Gang || t.stopping || j.Cancelled {
 			return false
 		}
-		if j.Shape == protocol.Array {
+		if j.Kind == protocol.Array {
 			continue // it ends by itself
 		}
 		use := j.zoneUse()
@@ -171,29 +171,29 @@
 // moveOne stops a replica of a machine that is being emptied, if a place is
 // ready for it and its job has no other on the move.
 func (e *engine) moveOne(h *host, promised map[*host]need, perMin float64) {
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	if now < e.moveAt || now < h.drainNext {
 		return
 	}
 	for _, t := range h.tasks {
-		if t.job.Shape != protocol.Service {
+		if t.job.Kind != protocol.Service {
 			return // first let the others end
 		}
 	}
 	for _, t := range h.tasks {
 		j := t.job
 		// A start that is undone within half a minute counts for nothing.
-		if t.stopping || t.ranSince < 0 || now-t.ranSince < protocol.StartCountsS*time.Second*4/3 || j.idle() > 0 {
+		if t.stopping || t.ranSince < 0 || now-t.ranSince < protocol.StableStartS*time.Second*4/3 || j.idle() > 0 {
 			continue
 		}
 		use := j.zoneUse()
 		use[h.zone]--
 		for _, to := range e.byName {
-			e.n.Stats.HostsSeen++
+			e.n.Stats.MachinesExamined++
 			if !j.need.fits(e.free(to).minus(promised[to])) || !e.fitsMove(j, h, to, use) {
 				continue
 			}
-			e.n.Stats.Moved++
+			e.n.Stats.ReplicasMoved++
 			e.moveAt += time.Duration(float64(time.Minute) / perMin)
 			j.prefer = to
 			promised[to] = promised[to].plus(j.need)
--- a/internal/coordination/deferred.go
+++ b/internal/coordination/deferred.go
@@ -6,25 +6,25 @@
 // submission that met a leader so new that it knew no machine types yet. Most changes of
 // leader are over within the term's lease, and to be told to come back takes longer than that.
 type deferred struct {
-	call  UserCall
+	call  UserRequest
 	until time.Duration
 }
 
 // mayDefer tells whether a request is worth keeping until there is a leader. Questions
 // aren't: their users ask again anyway, and there may be very many of them.
-func (n *Node) mayDefer(c UserCall) bool {
+func (n *Controller) mayDefer(c UserRequest) bool {
 	return c.Kind != Poll && len(n.deferred) < n.rules.deferMost
 }
 
 // deferCall keeps a request.
-func (n *Node) deferCall(c UserCall) {
-	n.Stats.Deferred++
-	n.deferred = append(n.deferred, deferred{c, n.now.Mono + n.rules.deferFor})
+func (n *Controller) deferCall(c UserRequest) {
+	n.Stats.RequestsDeferred++
+	n.deferred = append(n.deferred, deferred{c, n.now.Monotonic + n.rules.deferFor})
 }
 
 // resumeDeferred hands the requests on once there is a leader, and refuses those that have
 // waited for too long.
-func (n *Node) resumeDeferred() {
+func (n *Controller) resumeDeferred() {
 	if len(n.deferred) == 0 {
 		return
 	}
@@ -34,7 +34,7 @@
 		switch {
 		case n.canDecide(d.call):
 			n.user(d.call)
-		case n.now.Mono < d.until:
+		case n.now.Monotonic < d.until:
 			n.deferred = append(n.deferred, d)
 		default:
 			n.refuse(d.call.ID, "no leader")
@@ -43,7 +43,7 @@
 }
 
 // canDecide tells whether a request can be decided here or handed on.
-func (n *Node) canDecide(c UserCall) bool {
+func (n *Controller) canDecide(c UserRequest) bool {
 	if n.engine != nil {
 		return n.certain() && (c.Kind != Submit || len(n.engine.fleet.types) > 0)
 	}
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -43,8 +43,8 @@
 		return n
 	}
 	n := &dependency{job: j.ID, own: j.Priority, effective: j.Priority, dueMs: noDeadline, runMs: int64(j.expectedRun() * 1000)}
-	if j.Deadline > 0 {
-		n.dueMs = j.SubmittedMs + int64(j.Deadline*1000)
+	if j.DeadlineS > 0 {
+		n.dueMs = j.SubmittedMs + int64(j.DeadlineS*1000)
 	}
 	n.latestMs = n.dueMs
 	d.nodes[j.ID] = n
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -12,7 +12,7 @@
 
 func graphJob(id string, p protocol.Priority, deadline, run float64) *job {
 	return &job{
-		JobRecord: storage.JobRecord{ID: id, Priority: p, Deadline: deadline, Estimate: run, SubmittedMs: 1000, Class: "c"},
+		JobRecord: storage.JobRecord{ID: id, Priority: p, DeadlineS: deadline, EstimatedRunS: run, SubmittedMs: 1000, Class: "c"},
 		e:         &engine{},
 	}
 }
@@ -169,7 +169,7 @@
 		{60, submittedMs + 60_000 - 8_000}, // it had to begin before
 	} {
 		e := &engine{
-			n:    &Node{now: Now{WallMs: doneMs, Mono: 89 * time.Second}},
+			n:    &Controller{now: Now{WallMs: doneMs, Monotonic: 89 * time.Second}},
 			jobs: map[string]*job{}, classes: map[string]*class{}, dependencies: newDependencies(),
 		}
 		first, last := graphJob("first", protocol.Low, 0, 15), graphJob("last", protocol.High, c.deadline, 8)
@@ -180,7 +180,7 @@
 		}
 		e.dependencies.add(last, []*job{first}, 0)
 		e.prerequisiteDone("first")
-		if last.waits() || last.readyMs != doneMs || last.idleSince != e.n.now.Mono {
+		if last.waits() || last.readyMs != doneMs || last.idleSince != e.n.now.Monotonic {
 			t.Errorf("deadline %v: waits %t, its times count from %d ms", c.deadline, last.waits(), last.readyMs)
 		}
 		if got := e.queuedAtMs(last); got != c.queuedAt {
--- a/internal/coordination/early_start_test.go
+++ b/internal/coordination/early_start_test.go
@@ -23,11 +23,11 @@
 
 // severalBlocks is a job whose tasks all find room on one small machine, and take more
 // than one block.
-func severalBlocks(id int, shape protocol.Shape) protocol.Submission {
+func severalBlocks(id int, shape protocol.JobKind) protocol.Submission {
 	s := job(id, shape, 36)
 	s.CPUs, s.MemoryGB, s.ImageGB = 0.1, 0.1, 0.1
 	if shape == protocol.Service {
-		s.SaveEach = 0
+		s.CheckpointIntervalS = 0
 	}
 	return s
 }
@@ -45,7 +45,7 @@
 		for _, r := range page.Jobs {
 			jobs[r.ID] = true
 		}
-		for _, r := range page.Finals {
+		for _, r := range page.Terminal {
 			jobs[r.ID], named[r.ID] = true, prerequisites[r.ID]
 		}
 		for _, r := range page.Blocks {
@@ -72,10 +72,10 @@
 
 // firstWrite has the first transaction of a page meet a trouble, and all others pass.
 func firstWrite(w *fake.World, trouble string) {
-	w.HoldsWrites = true
+	w.SeparateWrites = true
 	writes := 0
-	w.Network = func(kind, _, _ string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
 		if kind != "write" {
 			return f
 		}
@@ -86,9 +86,9 @@
 		case trouble == "late" && writes == 1:
 			f.LoseRequest, f.Copy = true, 4*time.Second
 		case trouble == "refused" && writes == 1:
-			w.After(f.Request, func() { w.State.RefuseWrites = true })
+			w.After(f.Request, func() { w.State.RejectWrites = true })
 		case trouble == "refused" && writes == 2:
-			w.After(f.Request, func() { w.State.RefuseWrites = false })
+			w.After(f.Request, func() { w.State.RejectWrites = false })
 		}
 		return f
 	}
@@ -98,8 +98,8 @@
 // that arrive late.
 func unreachable(w *fake.World, hosts []string, trouble string, d time.Duration) {
 	until := w.Now + d
-	w.Network = func(kind, from, to string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, from, to string) fake.Delivery {
+		f := fake.Reliable()
 		if w.Now >= until {
 			return f
 		}
@@ -126,7 +126,7 @@
 // asked. Nothing of a job starts before its record is durable (seen on an enlarged bench
 // day as "a block of an unknown job is dropped", with its starts).
 func TestNothingStartsBeforeItsJobIsDurable(t *testing.T) {
-	for _, shape := range []protocol.Shape{protocol.Array, protocol.Gang, protocol.Service} {
+	for _, shape := range []protocol.JobKind{protocol.Array, protocol.Gang, protocol.Service} {
 		for _, write := range []string{"lost", "late", "refused"} {
 			for _, machine := range []string{"cut off", "hangs", "reports late"} {
 				for _, cancel := range []bool{false, true} {
@@ -140,7 +140,7 @@
 	}
 }
 
-func startsBeforeItsJob(t *testing.T, shape protocol.Shape, write, machine string, cancel bool) {
+func startsBeforeItsJob(t *testing.T, shape protocol.JobKind, write, machine string, cancel bool) {
 	w := worldOf(t, onePageATransaction())
 	hosts := spare(t, w)
 	w.Run(5 * time.Second) // nothing is left to be written
@@ -150,7 +150,7 @@
 		w.Run(50 * time.Millisecond)
 		recordsBelong(t, w, nil)
 	}
-	if on := w.On(j.Sub.ID); len(on) > 0 {
+	if on := w.MachinesOf(j.Submission.ID); len(on) > 0 {
 		if !j.Accepted && write != "refused" {
 			t.Errorf("%d tasks are on machines, and the job is not accepted", len(on))
 		}
@@ -166,7 +166,7 @@
 	}
 	for n := range 80 {
 		if n%10 == 5 {
-			w.CloseLook(j) // the user doesn't wait for an answer of the node that has ended
+			w.QueryEverywhere(j) // the user doesn't wait for an answer of the node that has ended
 		}
 		w.Run(100 * time.Millisecond)
 		recordsBelong(t, w, nil)
@@ -197,7 +197,7 @@
 				s.CPUs, s.MemoryGB = 0.1, 0.1
 				needs = append(needs, w.Submit(s, time.Second))
 			}
-			done := func(j *fake.Job) bool { return j.Told == protocol.StatusDone }
+			done := func(j *fake.Job) bool { return j.Status == protocol.StatusDone }
 			for tries := 0; tries < 60 && !all(needs, done); tries++ {
 				pollFor(w, 2*time.Second)
 			}
@@ -208,7 +208,7 @@
 			j := accepted(t, w, severalBlocks(1, protocol.Array), time.Second, needs...)
 			for range 60 {
 				w.Run(50 * time.Millisecond)
-				recordsBelong(t, w, map[string]int{j.Sub.ID: len(needs)})
+				recordsBelong(t, w, map[string]int{j.Submission.ID: len(needs)})
 			}
 			pollFor(w, 40*time.Second)
 			check(t, w)
@@ -218,11 +218,11 @@
 }
 
 // losesWrite loses one write of a page, counted from now on; the others pass.
-func losesWrite(w *fake.World, number int) func(kind, from, to string) fake.Fate {
-	w.HoldsWrites = true
+func losesWrite(w *fake.World, number int) func(kind, from, to string) fake.Delivery {
+	w.SeparateWrites = true
 	writes := 0
-	return func(kind, _, _ string) fake.Fate {
-		f := fake.Well()
+	return func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
 		if kind == "write" {
 			writes++
 			f.LoseRequest = writes == number
@@ -244,14 +244,14 @@
 			w := worldOf(t, onePageATransaction())
 			spare(t, w)
 			j := w.Submit(severalBlocks(1, protocol.Array), 6*time.Second)
-			if !w.Until(30*time.Second, func() bool { return w.Running(j.Sub.ID) == j.Sub.Tasks }) {
+			if !w.Until(30*time.Second, func() bool { return w.Running(j.Submission.ID) == j.Submission.Tasks }) {
 				t.Fatal("not all tasks run")
 			}
 			w.Run(2 * time.Second)
-			w.HoldsWrites = true
+			w.SeparateWrites = true
 			w.Network = losesEverySecond(lost)
 			before := w.Now
-			if !w.Until(20*time.Second, func() bool { return len(j.DoneTasks) == j.Sub.Tasks }) {
+			if !w.Until(20*time.Second, func() bool { return len(j.DoneTasks) == j.Submission.Tasks }) {
 				t.Fatal("the tasks don't end")
 			}
 			for w.Now < before+10*time.Second {
@@ -269,10 +269,10 @@
 
 // losesEverySecond loses every second write of a page, from such a one on (the first is 1);
 // the others pass.
-func losesEverySecond(from int) func(kind, from, to string) fake.Fate {
+func losesEverySecond(from int) func(kind, from, to string) fake.Delivery {
 	writes := 0
-	return func(kind, _, _ string) fake.Fate {
-		f := fake.Well()
+	return func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
 		if kind == "write" {
 			writes++
 			f.LoseRequest = writes >= from && writes%2 == from%2
@@ -286,15 +286,15 @@
 func doneAreRecorded(t *testing.T, w *fake.World, j *fake.Job) {
 	t.Helper()
 	unfinished, _ := recordedJobs(t, pagesOf(w))
-	if _, open := unfinished[j.Sub.ID]; !open {
+	if _, open := unfinished[j.Submission.ID]; !open {
 		return
 	}
 	tasks := 0
 	for _, value := range pagesOf(w) {
-		tasks += recordedTasks(t, value, j.Sub.ID)
+		tasks += recordedTasks(t, value, j.Submission.ID)
 	}
-	if tasks < j.Sub.Tasks {
-		t.Fatalf("%v: of %d tasks that were started %d are recorded as started or done", w.Now, j.Sub.Tasks, tasks)
+	if tasks < j.Submission.Tasks {
+		t.Fatalf("%v: of %d tasks that were started %d are recorded as started or done", w.Now, j.Submission.Tasks, tasks)
 	}
 }
 
@@ -307,12 +307,12 @@
 	}
 	blockTasks := storage.BlockTasks(storage.PageBytes(fake.Settings().State.ValueKB))
 	n := 0
-	full := storage.Bits{}
+	full := storage.Bitmap{}
 	for _, r := range page.Jobs {
 		if r.ID != id {
 			continue
 		}
-		full, _ = storage.ParseBits(r.Full)
+		full, _ = storage.ParseBitmap(r.CompletedBlocks)
 		for b := 0; b*blockTasks < r.Tasks; b++ {
 			if full.Has(b) {
 				n += min(blockTasks, r.Tasks-b*blockTasks)
@@ -323,7 +323,7 @@
 		if r.Job != id || full.Has(r.Block) {
 			continue
 		}
-		done, err := storage.ParseBits(r.Done)
+		done, err := storage.ParseBitmap(r.Done)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -348,10 +348,10 @@
 			spare(t, w)
 			w.Run(5 * time.Second)
 			tries := map[int64]bool{}
-			w.Overheard = func(r protocol.Report) {
+			w.OnHeartbeat = func(r protocol.Heartbeat) {
 				for _, task := range r.Tasks {
 					if task.Job == "wk-000001" {
-						tries[task.Try] = true
+						tries[task.Number] = true
 					}
 				}
 			}
@@ -365,8 +365,8 @@
 			if len(tries) != 1 {
 				t.Errorf("members of %d attempts were started", len(tries))
 			}
-			if j.Told != protocol.StatusDone {
-				t.Errorf("the gang is called %q", j.Told)
+			if j.Status != protocol.StatusDone {
+				t.Errorf("the gang is called %q", j.Status)
 			}
 		})
 	}
--- a/internal/coordination/effect_trace_test.go
+++ b/internal/coordination/effect_trace_test.go
@@ -124,7 +124,7 @@
 		trace.out = io.MultiWriter(digest, file)
 	}
 	tw := newTraceWorld(seed)
-	tw.world.Observe = func(node string, effect coordination.Effect) { trace.add(tw.world.Now, node, effect) }
+	tw.world.OnEffect = func(node string, effect coordination.Effect) { trace.add(tw.world.Now, node, effect) }
 	tw.play()
 	if trace.effects == 0 {
 		t.Fatalf("seed %d: nothing left the controllers", seed)
@@ -148,17 +148,17 @@
 	case coordination.Reply:
 		// How many machines were looked at depends on the order of a map in one place.
 		body := machinesLookedAt.ReplaceAll(x.Body, nil)
-		line = fmt.Sprintf("reply %d %d %x %d %v", x.ID, x.Status, body, x.RetryAfter, x.Close)
+		line = fmt.Sprintf("reply %d %d %x %d %v", x.ID, x.Status, body, x.RetryAfterS, x.CloseConnection)
 	case coordination.Forward:
 		line = fmt.Sprintf("forward %d %s", x.ID, x.Peer)
 	case coordination.StateCall:
-		line = fmt.Sprintf("state %d %d %s %s %d %d %v %x", x.ID, x.Op, x.Key, x.After, x.Most, x.Lease, x.TTL, protocol.Encode(x.Txn))
+		line = fmt.Sprintf("state %d %d %s %s %d %d %v %x", x.ID, x.Op, x.Key, x.StartAfter, x.Limit, x.Lease, x.TTL, protocol.Encode(x.Txn))
 	case coordination.CloudCall:
-		line = fmt.Sprintf("cloud %d %d %s %x %v %v", x.ID, x.Op, x.After, protocol.Encode(x.Rental), x.Hosts, x.Until)
-	case coordination.OrdersCall:
-		line = fmt.Sprintf("commands %d %s %s %x %v", x.ID, x.Host, x.Addr, protocol.EncodeOrders(x.Token, x.Session, x.Commands), x.Until)
+		line = fmt.Sprintf("cloud %d %d %s %x %v %v", x.ID, x.Op, x.StartAfter, protocol.Encode(x.Provisioning), x.Machines, x.NotAfter)
+	case coordination.CommandsCall:
+		line = fmt.Sprintf("commands %d %s %s %x %v", x.ID, x.Machine, x.Addr, protocol.EncodeCommands(x.FencingToken, x.Incarnation, x.Commands), x.NotAfter)
 	case coordination.PeerCall:
-		line = fmt.Sprintf("peer %s %d %v %v", x.Peer, x.Term, x.Asked, x.AsksArchive)
+		line = fmt.Sprintf("peer %s %d %v %v", x.Peer, x.Term, x.SentAt, x.AsksArchive)
 	case coordination.Log:
 		return
 	default:
@@ -199,10 +199,10 @@
 		s.State.Next = nextLimits(1, 1+random.IntN(3), 25)
 	}
 	if tw.oneIn(3) {
-		s.Limits.MemMB = 0.03 // the archive is used after two jobs
+		s.Limits.MemoryMB = 0.03 // the archive is used after two jobs
 	}
 	if tw.oneIn(2) {
-		s.Objectives = []config.Objective{{Kind: "wait", Class: "c", Within: 8}}
+		s.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 8}}
 	}
 	s.Cloud.RPS = 1 + 4*random.Float64()
 	tw.world = fake.NewWorld(s)
@@ -219,8 +219,8 @@
 }
 
 // fate delays, loses and copies messages.
-func (tw *traceWorld) fate(kind, from, to string) fake.Fate {
-	f := fake.Well()
+func (tw *traceWorld) fate(kind, from, to string) fake.Delivery {
+	f := fake.Reliable()
 	f.Request += time.Duration(tw.random.IntN(20)) * time.Millisecond
 	if tw.blocked[from+">"+to] {
 		f.LoseRequest = true
@@ -268,7 +268,7 @@
 		return
 	}
 	tw.jobs++
-	s := job(tw.jobs, protocol.Shape(tw.random.IntN(3)), tw.between(1, 6))
+	s := job(tw.jobs, protocol.JobKind(tw.random.IntN(3)), tw.between(1, 6))
 	s.Class = fmt.Sprintf("c%d", tw.random.IntN(3))
 	s.Priority = protocol.Priority(tw.random.IntN(4))
 	s.Team = tw.teams[tw.random.IntN(len(tw.teams))]
@@ -289,23 +289,23 @@
 	case 3:
 		s.Types = []string{"small"}
 	case 4:
-		s.Deadline = float64(tw.between(10, 60))
+		s.DeadlineS = float64(tw.between(10, 60))
 	}
-	if s.Shape == protocol.Array && tw.oneIn(5) {
+	if s.Kind == protocol.Array && tw.oneIn(5) {
 		s.Tasks = tw.between(40, 160) // several blocks
 	}
 	for i := 1; i < tw.jobs; i++ {
 		// A job that names a cancelled one in the archive and another ends its controller, see
 		// TestArchivedCancelledPrerequisiteBesideAnUnfinishedOne.
-		if p := tw.job(i); p != nil && p.Accepted && !p.Cancel && !tw.world.CancelledWith(p) && p.Sub.Shape != protocol.Service && tw.oneIn(8) {
-			s.Prerequisites = append(s.Prerequisites, p.Sub.ID)
+		if p := tw.job(i); p != nil && p.Accepted && !p.CancelRequested && !tw.world.CancelledWith(p) && p.Submission.Kind != protocol.Service && tw.oneIn(8) {
+			s.Prerequisites = append(s.Prerequisites, p.Submission.ID)
 		}
 	}
-	if s.Shape == protocol.Service || tw.oneIn(4) {
-		s.SaveEach = 0
+	if s.Kind == protocol.Service || tw.oneIn(4) {
+		s.CheckpointIntervalS = 0
 	}
 	j := tw.world.Submit(s, tw.millis(1000, 15_000))
-	j.Broken = tw.oneIn(15)
+	j.AlwaysFails = tw.oneIn(15)
 }
 
 func (tw *traceWorld) job(number int) *fake.Job {
@@ -319,7 +319,9 @@
 	return tw.job(tw.between(1, tw.jobs))
 }
 
-func (tw *traceWorld) node() *fake.Node { return tw.world.Nodes[tw.random.IntN(len(tw.world.Nodes))] }
+func (tw *traceWorld) node() *fake.Controller {
+	return tw.world.Controllers[tw.random.IntN(len(tw.world.Controllers))]
+}
 
 // ask has users and operators ask for something.
 func (tw *traceWorld) ask() {
@@ -327,35 +329,35 @@
 	j := tw.anyJob()
 	switch tw.random.IntN(8) {
 	case 0:
-		if j != nil && !j.Cancel && j.Accepted {
+		if j != nil && !j.CancelRequested && j.Accepted {
 			tw.world.CancelJob(j)
 		}
 	case 1:
 		if j != nil && j.Accepted {
-			tw.world.Again(j)
+			tw.world.Resubmit(j)
 		}
 	case 2:
-		tw.world.OddRequests()
+		tw.world.InvalidRequests()
 	case 3:
 		if j != nil && j.Accepted {
-			tw.world.CloseLook(j)
+			tw.world.QueryEverywhere(j)
 		}
 	case 4:
-		if j != nil && j.Accepted && !j.Cancel && j.Sub.Shape != protocol.Service {
-			tw.world.Until(10*time.Second, func() bool { return len(j.DoneTasks) == j.Sub.Tasks })
+		if j != nil && j.Accepted && !j.CancelRequested && j.Submission.Kind != protocol.Service {
+			tw.world.Until(10*time.Second, func() bool { return len(j.DoneTasks) == j.Submission.Tasks })
 			tw.world.CancelEverywhere(j)
 		}
 	case 5:
-		tw.node().Ask(coordination.AdminCall{Kind: coordination.AdminStatus}, ignore)
+		tw.node().Request(coordination.AdminRequest{Kind: coordination.AdminStatus}, ignore)
 	case 6:
 		change := fmt.Sprintf(`{"sample": %d, "warm_room": %d, "idle_s": %d, "moves_per_min": %d}`,
 			tw.between(1, 64), tw.random.IntN(4), tw.random.IntN(8), tw.random.IntN(300))
-		tw.node().Ask(coordination.AdminCall{Kind: coordination.AdminChange, Body: []byte(change)}, ignore)
+		tw.node().Request(coordination.AdminRequest{Kind: coordination.AdminChange, Body: []byte(change)}, ignore)
 	case 7:
 		if j != nil {
-			tw.node().Ask(coordination.AdminCall{Kind: coordination.AdminJob, Job: j.Sub.ID}, ignore)
+			tw.node().Request(coordination.AdminRequest{Kind: coordination.AdminJob, Job: j.Submission.ID}, ignore)
 		}
-		tw.node().Ask(coordination.AdminCall{Kind: coordination.AdminRead}, ignore)
+		tw.node().Request(coordination.AdminRequest{Kind: coordination.AdminRead}, ignore)
 	}
 }
 
@@ -370,7 +372,7 @@
 			tw.crash(l)
 		}
 	case 2:
-		for _, n := range w.Nodes {
+		for _, n := range w.Controllers {
 			tw.crash(n)
 		}
 	case 3:
@@ -387,8 +389,8 @@
 		w.State.Outage(true)
 		w.After(tw.millis(500, 20_000), func() { w.State.Outage(false) })
 	case 6:
-		w.State.Cut[n.Name] = true
-		w.After(tw.millis(500, 20_000), func() { w.State.Cut[n.Name] = false })
+		w.State.Unreachable[n.Name] = true
+		w.After(tw.millis(500, 20_000), func() { w.State.Unreachable[n.Name] = false })
 	case 7:
 		tw.cut(n.Name, tw.millis(1000, 30_000), "state", "cloud", "n0", "n1", "n2", "n3", "n4")
 	case 8:
@@ -401,14 +403,14 @@
 		w.After(tw.millis(500, 15_000), func() { tw.latency = 0 })
 	}
 	if tw.world.Cfg.Settings.State.Next != nil && tw.oneIn(20) {
-		w.State.Lower()
+		w.State.LowerLimits()
 	}
 }
 
 // machineTrouble befalls a machine.
 func (tw *traceWorld) machineTrouble() {
 	w := tw.world
-	names := w.Names()
+	names := w.MachineNames()
 	if len(names) == 0 {
 		return
 	}
@@ -419,22 +421,22 @@
 	case 1:
 		w.Notice(name, tw.millis(500, 15_000))
 	case 2:
-		w.Cloud.Die(name)
+		w.Cloud.Fail(name)
 	case 3:
-		worker.Sick = true
-		w.After(tw.millis(1000, 25_000), func() { worker.Sick = false })
+		worker.FailsTasks = true
+		w.After(tw.millis(1000, 25_000), func() { worker.FailsTasks = false })
 	case 4:
-		controllers := make([]string, len(w.Nodes))
-		for i, n := range w.Nodes {
+		controllers := make([]string, len(w.Controllers))
+		for i, n := range w.Controllers {
 			controllers[i] = n.Name
 		}
 		tw.cut(name, tw.millis(1000, 30_000), controllers...)
 	case 5:
-		w.Cloud.Never, w.Cloud.Late = 1, tw.millis(0, 5000)
+		w.Cloud.FailNextBoots, w.Cloud.BootDelay = 1, tw.millis(0, 5000)
 	}
 }
 
-func (tw *traceWorld) crash(n *fake.Node) {
+func (tw *traceWorld) crash(n *fake.Controller) {
 	if !n.Up {
 		return
 	}
--- a/internal/coordination/engine.go
+++ b/internal/coordination/engine.go
@@ -9,7 +9,7 @@
 
 // engine is a leader's picture of everything, and what it does about it.
 type engine struct {
-	n       *Node
+	n       *Controller
 	rules   Rules
 	opt     Options
 	optItem *optionsItem
@@ -54,7 +54,7 @@
 			return
 		}
 		e.hostsTick()
-		if now := e.n.now.Mono; e.schedule && now >= e.passAt {
+		if now := e.n.now.Monotonic; e.schedule && now >= e.passAt {
 			e.schedule = false
 			e.placeAll()
 			// The more waits in vain, the more a pass takes, and the less it matters
--- a/internal/coordination/export_test.go
+++ b/internal/coordination/export_test.go
@@ -5,7 +5,7 @@
 import "fmt"
 
 // CheckCounts compares the counts that a leader keeps of each job with its tasks.
-func (n *Node) CheckCounts() error {
+func (n *Controller) CheckCounts() error {
 	if n.engine == nil {
 		return nil
 	}
--- a/internal/coordination/failures.go
+++ b/internal/coordination/failures.go
@@ -34,8 +34,8 @@
 
 // failed notes a task's error.
 func (e *engine) failed(t *task) {
-	e.n.Stats.Failed++
-	now, j, h := e.n.now.Mono, t.job, t.host
+	e.n.Stats.TasksFailed++
+	now, j, h := e.n.now.Monotonic, t.job, t.host
 	f := &j.failures
 	f.tasks++
 	f.on[h.name] = true
@@ -67,7 +67,7 @@
 		}
 		delete(h.failedJobs, j.ID)
 		if len(h.failedJobs) < jobsAgainstMachine {
-			h.pauseUntil = min(h.pauseUntil, e.n.now.Mono+e.rules.lease)
+			h.pauseUntil = min(h.pauseUntil, e.n.now.Monotonic+e.rules.lease)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 // while, or, if several jobs have, until it is known whose fault it is. A job that is known
 // to run well elsewhere says so at once.
 func (e *engine) suspectMachine(h *host, j *job) {
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	if _, ok := h.failedJobs[j.ID]; !ok {
 		h.failedJobs[j.ID] = false
 	}
@@ -95,7 +95,7 @@
 		return true
 	}
 	for _, t := range j.tasks {
-		if t.host != than && t.ranSince >= 0 && e.n.now.Mono-t.ranSince > e.rules.report {
+		if t.host != than && t.ranSince >= 0 && e.n.now.Monotonic-t.ranSince > e.rules.report {
 			return true
 		}
 	}
@@ -141,14 +141,14 @@
 // notesRunning looks whether a running task shows that its job is well.
 func (e *engine) notesRunning(t *task) {
 	f := &t.job.failures
-	if f.tasks > 0 && t.ranSince >= 0 && e.n.now.Mono-t.ranSince > 2*(f.lasted+e.rules.report) {
+	if f.tasks > 0 && t.ranSince >= 0 && e.n.now.Monotonic-t.ranSince > 2*(f.lasted+e.rules.report) {
 		e.runsWell(t.job, t.host)
 	}
 }
 
 // mayTry is how many of a job's idle tasks may be placed now, as far as its failures go.
 func (e *engine) mayTry(j *job, idle int) int {
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	switch {
 	case now < j.failures.retryAt:
 		return 0
@@ -156,7 +156,7 @@
 		return idle
 	case now < j.team.tryAt || len(j.tasks) > 0:
 		return 0 // one at a time, and not all of a team's at once
-	case j.Shape == protocol.Gang:
+	case j.Kind == protocol.Gang:
 		return idle
 	}
 	return min(idle, 1)
@@ -166,7 +166,7 @@
 // Nothing is stopped for it, and a machine is rented only after a long while: it may be the
 // machines' fault after all.
 func (e *engine) waitsAfterFailures(j *job, tasks int) {
-	if e.n.now.Mono-j.idleSince < e.rules.patience {
+	if e.n.now.Monotonic-j.idleSince < e.rules.patience {
 		tasks = 0
 	}
 	e.fleet.unplaced = append(e.fleet.unplaced, wait{j, tasks})
@@ -175,7 +175,7 @@
 // tried notes that a task of a job that fails everywhere is placed.
 func (e *engine) tried(j *job) {
 	if j.failures.jobsFault {
-		j.team.tryAt = e.n.now.Mono + e.rules.tryApart
+		j.team.tryAt = e.n.now.Monotonic + e.rules.tryApart
 	}
 }
 
@@ -184,10 +184,10 @@
 // a machine. They are tried one after the other, not all at once.
 func (e *engine) inheritFailures() {
 	for _, j := range e.order {
-		if j.Shape == protocol.Service || j.Cancelled || j.done > 0 || len(j.tasks) > 1 {
+		if j.Kind == protocol.Service || j.Cancelled || j.done > 0 || len(j.tasks) > 1 {
 			continue
 		}
-		ended := j.Try - int64(len(j.tasks))
+		ended := j.GangAttempt - int64(len(j.tasks))
 		for _, b := range j.blocks {
 			ended += b.try
 		}
@@ -196,6 +196,6 @@
 		}
 		f := &j.failures
 		f.jobsFault, f.tasks, f.rounds = true, int(ended), machinesAgainstJob
-		f.retryAt = e.n.now.Mono + e.rules.failure.Wait(f.rounds, e.n.rng)
+		f.retryAt = e.n.now.Monotonic + e.rules.failure.Wait(f.rounds, e.n.rng)
 	}
 }
--- a/internal/coordination/failures_test.go
+++ b/internal/coordination/failures_test.go
@@ -14,14 +14,14 @@
 // broken hands in a job that fails on every machine.
 func broken(w *fake.World, s protocol.Submission) *fake.Job {
 	j := w.Submit(s, 0)
-	j.Broken = true
+	j.AlwaysFails = true
 	return j
 }
 
 // countStarts counts the starts that workers execute of each job from now on.
 func countStarts(w *fake.World) map[string]int {
 	starts := map[string]int{}
-	w.Started = func(j *fake.Job, _ int) { starts[j.Sub.ID]++ }
+	w.OnStart = func(j *fake.Job, _ int) { starts[j.Submission.ID]++ }
 	return starts
 }
 
@@ -66,22 +66,22 @@
 	w.Run(15 * time.Second)
 	jobs := submit(w)
 	w.Run(30 * time.Second)
-	rented = -w.Leader().Stats().Rented
+	rented = -w.Leader().Stats().MachinesScaledOut
 	all := countStarts(w)
 	for i := range 8 {
 		w.Submit(job(60+i, protocol.Array, 2), 2*time.Second)
 		w.Run(15 * time.Second)
 		w.PollAll()
 	}
-	rented += w.Leader().Stats().Rented
+	rented += w.Leader().Stats().MachinesScaledOut
 	starts = map[string]int{}
 	for _, j := range jobs {
-		starts[j.Sub.ID] = all[j.Sub.ID]
-		if j.Sub.Shape == protocol.Gang {
-			starts[j.Sub.ID] /= j.Sub.Tasks
+		starts[j.Submission.ID] = all[j.Submission.ID]
+		if j.Submission.Kind == protocol.Gang {
+			starts[j.Submission.ID] /= j.Submission.Tasks
 		}
 	}
-	if len(jobs) > 0 && starts[jobs[0].Sub.ID] == 0 {
+	if len(jobs) > 0 && starts[jobs[0].Submission.ID] == 0 {
 		t.Error("the array isn't tried any more")
 	}
 	if logged(w, "machine cordoned") {
@@ -92,8 +92,8 @@
 	}
 	w.Run(4 * time.Second)
 	for _, j := range jobs {
-		if j.Told != protocol.StatusCancelled {
-			t.Errorf("%s is called %q", j.Sub.ID, j.Told)
+		if j.Status != protocol.StatusCancelled {
+			t.Errorf("%s is called %q", j.Submission.ID, j.Status)
 		}
 	}
 	pollFor(w, 30*time.Second)
@@ -115,14 +115,14 @@
 		starts := countStarts(w)
 		endLeader(w)
 		w.Run(20 * time.Second)
-		if n := starts[jobs[0].Sub.ID]; n > 5 {
-			t.Errorf("the array of %d tasks was started %d times after a change of leader", jobs[0].Sub.Tasks, n)
+		if n := starts[jobs[0].Submission.ID]; n > 5 {
+			t.Errorf("the array of %d tasks was started %d times after a change of leader", jobs[0].Submission.Tasks, n)
 		}
 	}
 	good := w.Submit(job(70, protocol.Array, 6), 2*time.Second)
 	pollFor(w, 40*time.Second)
-	if good.Told != protocol.StatusDone {
-		t.Errorf("another job of the team is %q", good.Told)
+	if good.Status != protocol.StatusDone {
+		t.Errorf("another job of the team is %q", good.Status)
 	}
 	check(t, w)
 }
@@ -131,9 +131,9 @@
 func TestFaultyMachineIsFoundAmongJobsWithAMistake(t *testing.T) {
 	w := world(t)
 	a := w.Submit(service(50, 1), 0)
-	runs(t, w, a.Sub.ID, 1)
-	faulty := w.On(a.Sub.ID)[0]
-	w.Workers[faulty].Sick = true
+	runs(t, w, a.Submission.ID, 1)
+	faulty := w.MachinesOf(a.Submission.ID)[0]
+	w.Workers[faulty].FailsTasks = true
 	mistakes(w)
 	for i := range 10 {
 		w.Submit(job(60+i, protocol.Array, 2), 2*time.Second)
@@ -167,10 +167,10 @@
 	if status.Failures == nil || status.Failures.Fault != "job" || len(status.Failures.Machines) < 3 || status.Failures.Why == "" {
 		t.Errorf("operators are told %+v", status.Failures)
 	}
-	j.Broken = false
+	j.AlwaysFails = false
 	pollFor(w, 60*time.Second)
-	if j.Told != protocol.StatusDone {
-		t.Errorf("it is %q, %d of %d tasks done", j.Told, len(j.DoneTasks), s.Tasks)
+	if j.Status != protocol.StatusDone {
+		t.Errorf("it is %q, %d of %d tasks done", j.Status, len(j.DoneTasks), s.Tasks)
 	}
 	check(t, w)
 }
@@ -179,7 +179,7 @@
 func jobStatus(t *testing.T, w *fake.World, id string) coordination.JobStatus {
 	t.Helper()
 	var s coordination.JobStatus
-	w.Leader().Ask(coordination.AdminCall{Kind: coordination.AdminJob, Job: id}, func(r coordination.Reply) {
+	w.Leader().Request(coordination.AdminRequest{Kind: coordination.AdminJob, Job: id}, func(r coordination.Reply) {
 		if err := json.Unmarshal(r.Body, &s); err != nil || r.Status != 200 {
 			t.Errorf("status %d, %v: %s", r.Status, err, r.Body)
 		}
--- a/internal/coordination/five_controllers_test.go
+++ b/internal/coordination/five_controllers_test.go
@@ -42,8 +42,8 @@
 			lookClosely(w, jobs, 2*time.Second)
 			for _, pair := range [][2]int{{0, 1}, {2, 3}, {4, 0}} {
 				for _, i := range pair {
-					w.Nodes[i].Crash()
-					w.After(pause, w.Nodes[i].Start)
+					w.Controllers[i].Crash()
+					w.After(pause, w.Controllers[i].Start)
 				}
 				w.Run(pause/2 + 300*time.Millisecond)
 				if pair[0] == 2 {
@@ -52,7 +52,7 @@
 				w.Run(pause + 700*time.Millisecond)
 				w.PollAll()
 			}
-			w.State.Lower()
+			w.State.LowerLimits()
 			pollFor(w, 90*time.Second)
 			check(t, w)
 			served(t, w)
@@ -82,16 +82,16 @@
 					}
 					return inZone[name]
 				}
-				w.Network = func(_, from, to string) fake.Fate {
-					f := fake.Well()
+				w.Network = func(_, from, to string) fake.Delivery {
+					f := fake.Reliable()
 					a, b := zone(from), zone(to)
 					f.LoseRequest = a == "a" && b == "b" || a == "b" && b == "a"
 					return f
 				}
 				w.After(4*time.Second, func() { w.CancelEverywhere(jobs[1]) })
 				if crash {
-					w.After(6*time.Second, w.Nodes[0].Crash)
-					w.After(14*time.Second, w.Nodes[0].Start)
+					w.After(6*time.Second, w.Controllers[0].Crash)
+					w.After(14*time.Second, w.Controllers[0].Start)
 				}
 				lookRepeatedly(w, jobs, 40, time.Second)
 				w.Network = nil
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -65,20 +65,20 @@
 func size(mt *protocol.MachineType) need { return need{mt.CPUs, mt.GPUs, mt.MemoryGB} }
 
 func (e *engine) cloud(c CloudCall, cc cloudCall) bool {
-	f, now := &e.fleet, e.n.now.Mono
+	f, now := &e.fleet, e.n.now.Monotonic
 	if f.budget == nil {
 		rps := e.n.cfg.Settings.Cloud.RPS
 		f.budget = rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps)))
 		f.calls = map[uint64]cloudCall{}
 	}
-	if now < f.back || len(f.calls) >= config.CloudCalls || !f.budget.AllowN(e.n.now.forLimiter(), 1) {
+	if now < f.back || len(f.calls) >= config.CloudConnections || !f.budget.AllowN(e.n.now.forLimiter(), 1) {
 		return false
 	}
 	c.ID = e.n.id()
-	if c.Op == CloudRent || c.Op == CloudReturn {
+	if c.Op == CloudScaleOut || c.Op == CloudScaleIn {
 		// The process may stand still between here and the sending. A machine that looks
 		// idle now may have another leader's tasks by then.
-		c.Until = e.n.term.until
+		c.NotAfter = e.n.term.until
 	}
 	f.calls[c.ID] = cc
 	e.n.emit(c)
@@ -86,13 +86,13 @@
 }
 
 func (e *engine) fleetTick() {
-	f, now := &e.fleet, e.n.now.Mono
+	f, now := &e.fleet, e.n.now.Monotonic
 	if now < f.planAt {
 		return
 	}
 	f.planAt = now + e.rules.report/6
 	if f.typesAt == 0 || now > f.typesAt {
-		if e.cloud(CloudCall{Op: CloudTypes}, cloudCall{op: CloudTypes}) {
+		if e.cloud(CloudCall{Op: CloudListTypes}, cloudCall{op: CloudListTypes}) {
 			f.typesAt = now + e.rules.lease*2
 			if len(f.types) == 0 {
 				f.typesAt = now + e.rules.report
@@ -101,17 +101,17 @@
 	}
 	for _, r := range slices.Clone(f.rentals) {
 		if r.ready && !r.Answered && !r.calling && now >= r.retryAt {
-			r.calling = e.cloud(CloudCall{Op: CloudRent, Rental: protocol.Rental{
-				Request: r.Request, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count,
-			}}, cloudCall{op: CloudRent, rental: r})
+			r.calling = e.cloud(CloudCall{Op: CloudScaleOut, Provisioning: protocol.ProvisioningRequest{
+				RequestID: r.RequestID, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count,
+			}}, cloudCall{op: CloudScaleOut, rental: r})
 		}
-		if r.Answered && !slices.ContainsFunc(r.Hosts, e.knownOnlyByRental) {
+		if r.Answered && !slices.ContainsFunc(r.Machines, e.knownOnlyByRental) {
 			f.rentals = slices.DeleteFunc(f.rentals, func(x *rental) bool { return x == r })
 			e.store.Remove(now, r, r.onCommitLater())
 		}
 	}
 	if !f.listing && now >= f.listAt {
-		f.listing = e.cloud(CloudCall{Op: CloudList}, cloudCall{op: CloudList})
+		f.listing = e.cloud(CloudCall{Op: CloudListMachines}, cloudCall{op: CloudListMachines})
 		f.seen = map[string]bool{}
 	}
 	if len(f.types) == 0 || f.lists == 0 {
@@ -192,27 +192,27 @@
 }
 
 func (e *engine) cloudResult(c CloudResult) {
-	f, now := &e.fleet, e.n.now.Mono
+	f, now := &e.fleet, e.n.now.Monotonic
 	cc, ok := f.calls[c.ID]
 	if !ok {
 		return
 	}
 	delete(f.calls, c.ID)
-	if c.Outcome == Refused || c.Outcome == Lost || c.Outcome == NotSent {
+	if c.Outcome == Refused || c.Outcome == Unknown || c.Outcome == NotSent {
 		f.back = now + e.rules.report/3
 	}
 	switch cc.op {
-	case CloudTypes:
+	case CloudListTypes:
 		if c.Outcome == OK && len(c.Types) > 0 {
 			f.types = c.Types
 			f.prices++
 			e.schedule = true
 		}
-	case CloudList:
+	case CloudListMachines:
 		e.listed(c)
-	case CloudRent:
+	case CloudScaleOut:
 		e.rented(cc.rental, c)
-	case CloudReturn:
+	case CloudScaleIn:
 		if c.Outcome != OK {
 			for _, name := range cc.hosts {
 				if h := e.hosts[name]; h != nil {
@@ -231,22 +231,22 @@
 			}
 			e.removeHost(h)
 			e.gone[name] = now
-			e.n.Stats.Returned++
+			e.n.Stats.MachinesScaledIn++
 		}
 		e.schedule = true
 	}
 }
 
 func (e *engine) rented(r *rental, c CloudResult) {
-	f, now := &e.fleet, e.n.now.Mono
+	f, now := &e.fleet, e.n.now.Monotonic
 	r.calling = false
 	f.planAt = 0 // the next may be waiting for this one's connection
 	switch c.Outcome {
 	case OK:
-		r.Answered, r.Hosts = true, c.Hosts
-		e.n.Stats.Rented += int64(len(c.Hosts))
-		e.n.log(Info, "machines rented", "request", r.Request, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(c.Hosts))
-		for _, name := range c.Hosts {
+		r.Answered, r.Machines = true, c.Machines
+		e.n.Stats.MachinesScaledOut += int64(len(c.Machines))
+		e.n.log(Info, "machines rented", "request", r.RequestID, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(c.Machines))
+		for _, name := range c.Machines {
 			if _, gone := e.gone[name]; gone {
 				continue
 			}
@@ -254,10 +254,10 @@
 			h.kind, h.zone, h.spot = r.Type, r.Zone, r.Spot
 			h.rentedAt = now
 		}
-		if len(c.Hosts) < r.Count {
+		if len(c.Machines) < r.Count {
 			e.noCapacity(r)
 		}
-		e.store.Touch(now, r, r.onCommitLater())
+		e.store.MarkDirty(now, r, r.onCommitLater())
 	case NotFound, Invalid: // no capacity, or malformed
 		if c.Outcome == Invalid {
 			e.n.log(Error, "the cloud calls a rental malformed", "type", r.Type, "zone", r.Zone, "count", r.Count)
@@ -275,23 +275,23 @@
 	if e.fleet.refused == nil {
 		e.fleet.refused = map[offer]time.Duration{}
 	}
-	e.fleet.refused[offer{r.Type, r.Zone, r.Spot}] = e.n.now.Mono + e.rules.lease*2
+	e.fleet.refused[offer{r.Type, r.Zone, r.Spot}] = e.n.now.Monotonic + e.rules.lease*2
 }
 
 func (e *engine) listed(c CloudResult) {
-	f, now := &e.fleet, e.n.now.Mono
+	f, now := &e.fleet, e.n.now.Monotonic
 	f.listing = false
 	if c.Outcome != OK {
 		f.listAt = now + e.rules.report
 		return
 	}
 	for _, m := range c.List.Machines {
-		f.seen[m.Host] = true
-		if _, gone := e.gone[m.Host]; gone {
+		f.seen[m.Name] = true
+		if _, gone := e.gone[m.Name]; gone {
 			continue
 		}
-		known := e.hosts[m.Host] != nil
-		h := e.host(m.Host)
+		known := e.hosts[m.Name] != nil
+		h := e.host(m.Name)
 		if !known || !h.up && h.listed == 0 {
 			h.rentedAt = now - config.Seconds(m.AgeS)
 		}
@@ -307,11 +307,11 @@
 		}
 	}
 	if c.List.More && len(c.List.Machines) > 0 {
-		f.listing = e.cloud(CloudCall{Op: CloudList, After: c.List.Machines[len(c.List.Machines)-1].Host}, cloudCall{op: CloudList})
+		f.listing = e.cloud(CloudCall{Op: CloudListMachines, StartAfter: c.List.Machines[len(c.List.Machines)-1].Name}, cloudCall{op: CloudListMachines})
 		return
 	}
 	f.lists++
-	lag := config.Seconds(e.n.cfg.Settings.Cloud.ListLag)
+	lag := config.Seconds(e.n.cfg.Settings.Cloud.ListLagS)
 	f.listAt = now + max(lag/2, e.rules.report)
 	for _, h := range slices.Clone(e.byName) {
 		if f.seen[h.name] || len(h.tasks) > 0 {
@@ -328,13 +328,13 @@
 
 // booted notes the first report of a machine in this term.
 func (e *engine) booted(h *host) {
-	h.emptySince = e.n.now.Mono
+	h.emptySince = e.n.now.Monotonic
 	e.n.log(Debug, "machine is up", "host", h.name, "type", h.kind, "zone", h.zone, "spot", h.spot)
 }
 
 // rental is a request for machines that is being made.
 type rental struct {
-	storage.RentalRecord
+	storage.ProvisioningRecord
 	calling bool
 	retryAt time.Duration
 	ready   bool // durable, so that it may be sent
@@ -342,12 +342,14 @@
 }
 
 // onCommitLater makes a wait for a change of the rental that nobody waits for.
-func (r *rental) onCommitLater() *storage.CommitWait {
-	return waitMaker(storage.OnCommitLater).unlessGuests(r.guests)(func() {})
+func (r *rental) onCommitLater() *storage.CommitWaiter {
+	return waitMaker(storage.OnDeferredCommit).unlessGuests(r.guests)(func() {})
 }
 
-// Emit writes it.
-func (r *rental) Emit(v *storage.PageValue) { v.Rentals = append(v.Rentals, r.RentalRecord) }
+// AppendTo writes it.
+func (r *rental) AppendTo(v *storage.PageValue) {
+	v.Provisioning = append(v.Provisioning, r.ProvisioningRecord)
+}
 
 // coming tells whether a machine that isn't up can still be counted on.
 func (e *engine) coming(h *host) bool {
@@ -355,14 +357,14 @@
 	if h.up || mt == nil || h.returning || h.failedMachine {
 		return false
 	}
-	return e.n.now.Mono-h.rentedAt < config.Seconds(mt.BootS*1.5)
+	return e.n.now.Monotonic-h.rentedAt < config.Seconds(mt.BootS*1.5)
 }
 
 // rent records a request for machines; it is made once that is durable. No more
 // are open than the cloud answers in a second or two. It tells how many machines
 // the request is for; 0: none was made.
 func (e *engine) rent(w wanted, count int) int {
-	f, now := &e.fleet, e.n.now.Mono
+	f, now := &e.fleet, e.n.now.Monotonic
 	open := 0
 	for _, r := range f.rentals {
 		if !r.Answered {
@@ -373,14 +375,14 @@
 		return 0
 	}
 	f.counter++
-	r := &rental{guests: w.guests, RentalRecord: storage.RentalRecord{
-		Request: fmt.Sprintf("oakpick-%d-%d", e.firstT, f.counter), Type: w.kind, Zone: w.zone, Spot: w.spot, Count: count, AtMs: e.n.now.WallMs,
+	r := &rental{guests: w.guests, ProvisioningRecord: storage.ProvisioningRecord{
+		RequestID: fmt.Sprintf("oakpick-%d-%d", e.firstT, f.counter), Type: w.kind, Zone: w.zone, Spot: w.spot, Count: count, AtMs: e.n.now.WallMs,
 	}}
 	for r.Count > 1 && !e.store.Fits(r) { // its answer has to be kept on a page
 		r.Count /= 2
 	}
 	f.rentals = append(f.rentals, r)
-	e.store.Touch(now, r, waitMaker(storage.OnCommit).unlessGuests(r.guests)(func() {
+	e.store.MarkDirty(now, r, waitMaker(storage.OnCommit).unlessGuests(r.guests)(func() {
 		r.ready = true
 		e.fleet.planAt = 0
 	}))
--- a/internal/coordination/fleet_test.go
+++ b/internal/coordination/fleet_test.go
@@ -16,8 +16,8 @@
 	w := world(t)
 	w.Run(4 * time.Second)
 	lost, until := 0, w.Now+7*time.Second
-	w.Network = func(kind, _, _ string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
 		if kind == "cloud" && w.Now < until {
 			lost++
 			f.LoseAnswer = true
@@ -29,9 +29,9 @@
 	w.Submit(s, 0)
 	runs(t, w, s.ID, 1)
 	w.Run(10 * time.Second)
-	if st := w.Nodes[0].Stats(); lost == 0 || int64(len(w.Names())) != st.Rented-st.Returned {
-		n := st.Rented - st.Returned
-		t.Errorf("%d lost answers, %d machines known of %d", lost, n, len(w.Names()))
+	if st := w.Controllers[0].Stats(); lost == 0 || int64(len(w.MachineNames())) != st.MachinesScaledOut-st.MachinesScaledIn {
+		n := st.MachinesScaledOut - st.MachinesScaledIn
+		t.Errorf("%d lost answers, %d machines known of %d", lost, n, len(w.MachineNames()))
 	}
 	check(t, w)
 }
@@ -43,12 +43,12 @@
 	w := world(t)
 	hosts := spare(t, w)
 	cut := w.Now + 20*time.Second
-	w.Network = func(_, from, to string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(_, from, to string) fake.Delivery {
+		f := fake.Reliable()
 		f.LoseRequest = w.Now < cut && (from == hosts[0] || to == hosts[0])
 		return f
 	}
-	w.Nodes[0].Crash()
+	w.Controllers[0].Crash()
 	w.Run(25 * time.Second)
 	if log := strings.Join(w.Log, "\n"); strings.Contains(log, "machine returned [host "+hosts[0]) {
 		t.Errorf("given back\n%s", log)
@@ -77,11 +77,11 @@
 	w.Submit(s, 0)
 	runs(t, w, s.ID, 1)
 	w.Run(3 * time.Second)
-	cut, calls := w.On(s.ID)[0], 0
-	w.Nodes[0].Crash()
+	cut, calls := w.MachinesOf(s.ID)[0], 0
+	w.Controllers[0].Crash()
 	w.Cloud.Down = false
-	w.Network = func(kind, from, to string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, from, to string) fake.Delivery {
+		f := fake.Reliable()
 		f.LoseRequest = from == cut || to == cut
 		if kind == "cloud" { // the types are had, and nothing more
 			calls++
@@ -109,13 +109,13 @@
 	if status, answer := admin(w, 0, coordination.AdminChange, `{"warm_room": 0, "idle_s": 5}`); status != 200 {
 		t.Fatal(answer)
 	}
-	kind := func(j *fake.Job) string { return w.KindOf(w.On(j.Sub.ID)[0]) }
+	kind := func(j *fake.Job) string { return w.TypeOf(w.MachinesOf(j.Submission.ID)[0]) }
 	gpu := service(1, 1)
 	gpu.GPUs = 1
 	c := w.Submit(gpu, 0)
 	runs(t, w, gpu.ID, 1)
 	d := w.Submit(service(2, 1), 0)
-	runs(t, w, d.Sub.ID, 1)
+	runs(t, w, d.Submission.ID, 1)
 	small := service(3, 1)
 	small.Types = []string{"small"}
 	f := w.Submit(small, 0)
@@ -125,7 +125,7 @@
 	}
 	w.CancelJob(c)
 	w.Run(60 * time.Second)
-	if kind(d) != "small" || len(w.On(d.Sub.ID)) != 1 {
+	if kind(d) != "small" || len(w.MachinesOf(d.Submission.ID)) != 1 {
 		t.Errorf("still on a %s machine", kind(d))
 	}
 	w.CancelJob(f)
@@ -154,7 +154,7 @@
 		w.Submit(s, 0)
 		w.Run(3 * time.Second)
 	}
-	if n := w.Nodes[0].Stats().Rented; n != 2 {
+	if n := w.Controllers[0].Stats().MachinesScaledOut; n != 2 {
 		t.Errorf("%d machines rented", n)
 	}
 	check(t, w)
@@ -165,21 +165,21 @@
 func TestManyMachinesAreRentedTogether(t *testing.T) {
 	w := world(t)
 	w.Run(2 * time.Second)
-	w.Cloud.Most = 300
+	w.Cloud.Capacity = 300
 	for i := range 10 {
 		s := service(i+1, 20)
 		s.CPUs, s.Types, s.Team = 4, []string{"small"}, "blue"
 		w.Submit(s, 0)
 	}
-	w.Network = func(kind, _, _ string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
 		if kind == "cloud" {
 			f.Answer = 900 * time.Millisecond
 		}
 		return f
 	}
 	w.Run(2500 * time.Millisecond)
-	if n := w.Nodes[0].Stats().Rented; n < 120 {
+	if n := w.Controllers[0].Stats().MachinesScaledOut; n < 120 {
 		t.Errorf("%d machines rented 2.5 s after 200 tasks came", n)
 	}
 	check(t, w)
@@ -190,7 +190,7 @@
 func TestRentedMachinesAreNotRentedAgainWhileADearOneBoots(t *testing.T) {
 	w := world(t)
 	admin(w, 0, coordination.AdminChange, `{"warm_room": 0}`)
-	w.Cloud.Late = 4 * time.Second // booting takes several plans
+	w.Cloud.BootDelay = 4 * time.Second // booting takes several plans
 	dear := service(1, 1)
 	dear.GPUs, dear.CPUs = 1, 1
 	w.Submit(dear, 0)
@@ -219,10 +219,10 @@
 	if n := len(w.Cloud.Rented()); n != 1 {
 		t.Fatalf("%d machines are rented for one replica", n)
 	}
-	before := w.Leader().Stats().Rented
-	rented := func() int64 { return w.Leader().Stats().Rented - before }
-	w.Cloud.Never = 1 // one of the machines never comes up
-	w.Cloud.Die(w.On(s.ID)[0])
+	before := w.Leader().Stats().MachinesScaledOut
+	rented := func() int64 { return w.Leader().Stats().MachinesScaledOut - before }
+	w.Cloud.FailNextBoots = 1 // one of the machines never comes up
+	w.Cloud.Fail(w.MachinesOf(s.ID)[0])
 	w.Until(40*time.Second, func() bool { return rented() > 0 })
 	w.Run(2 * time.Second) // before either could be late
 	if n := rented(); n != 2 {
@@ -245,7 +245,7 @@
 	w := world(t)
 	admin(w, 0, coordination.AdminChange, `{"warm_room": 0}`)
 	w.Run(3 * time.Second)
-	w.Cloud.Late = 60 * time.Second
+	w.Cloud.BootDelay = 60 * time.Second
 	s := service(1, 1)
 	s.CPUs = 4
 	w.Submit(s, 0)
--- a/internal/coordination/formats_test.go
+++ b/internal/coordination/formats_test.go
@@ -184,7 +184,7 @@
 func pagesOf(w *fake.World) map[string][]byte { return onlyPages(w.State.Values()) }
 
 func onlyPages(values map[string][]byte) map[string][]byte {
-	maps.DeleteFunc(values, func(key string, _ []byte) bool { return !strings.HasPrefix(key, storage.Prefix) })
+	maps.DeleteFunc(values, func(key string, _ []byte) bool { return !strings.HasPrefix(key, storage.PagePrefix) })
 	return values
 }
 
@@ -202,7 +202,7 @@
 		t.Fatal(err)
 	}
 	return map[string]int{
-		"jobs": len(page.Jobs), "blocks": len(page.Blocks), "finals": len(page.Finals), "rentals": len(page.Rentals),
+		"jobs": len(page.Jobs), "blocks": len(page.Blocks), "finals": len(page.Terminal), "rentals": len(page.Provisioning),
 		"options": len(page.Options), "extensions": len(page.Extensions),
 		"prerequisites": len(page.Prerequisites),
 	}
@@ -227,8 +227,8 @@
 			case key == "peer/step-down":
 				again = writtenBack[protocol.StepDown](value)
 			case key == "peer/step-down-answer":
-				again = writtenBack[protocol.StepDownAnswer](value)
-			case strings.HasPrefix(key, storage.Prefix):
+				again = writtenBack[protocol.StepDownResponse](value)
+			case strings.HasPrefix(key, storage.PagePrefix):
 				again = writtenBack[storage.PageValue](value)
 				for kind, n := range recordKinds(t, value) {
 					kinds[kind] += n
@@ -266,9 +266,9 @@
 			t.Fatal(err)
 		}
 		for _, r := range page.Jobs {
-			unfinished[r.ID] = protocol.Submission{ID: r.ID, Shape: r.Shape, Tasks: r.Tasks}
+			unfinished[r.ID] = protocol.Submission{ID: r.ID, Kind: r.Kind, Tasks: r.Tasks}
 		}
-		for _, r := range page.Finals {
+		for _, r := range page.Terminal {
 			finished[r.ID] = protocol.StatusDone
 			if r.Cancelled {
 				finished[r.ID] = protocol.StatusCancelled
@@ -378,7 +378,7 @@
 	if !bytes.Equal(writtenBack[productionStepDown](ask), ask) {
 		t.Error("production reads another step-down request")
 	}
-	answer := protocol.Encode(protocol.StepDownAnswer{SteppedDown: true, Led: 1 << 40, UpMs: 5})
+	answer := protocol.Encode(protocol.StepDownResponse{SteppedDown: true, LastLoadedTerm: 1 << 40, UptimeMs: 5})
 	if !bytes.Equal(writtenBack[productionStepDownAnswer](answer), answer) {
 		t.Error("production reads another answer")
 	}
@@ -399,7 +399,7 @@
 			if !bytes.Equal(asPipelines(key, value), value) {
 				t.Fatalf("%s holds what the first version with prerequisites would not write: %x", key, value)
 			}
-			if strings.HasPrefix(key, storage.Prefix) {
+			if strings.HasPrefix(key, storage.PagePrefix) {
 				extensions += recordKinds(t, value)["extensions"]
 			}
 		}
@@ -426,9 +426,9 @@
 		}
 	}
 	for i := range 12 {
-		s := job(i+1, protocol.Shape(i%3), 1+i*2%5)
-		if s.Shape == protocol.Service {
-			s.SaveEach = 0
+		s := job(i+1, protocol.JobKind(i%3), 1+i*2%5)
+		if s.Kind == protocol.Service {
+			s.CheckpointIntervalS = 0
 		}
 		j := w.Submit(s, 3*time.Second)
 		w.Run(1500 * time.Millisecond)
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -84,9 +84,9 @@
 // all are durable.
 func (e *engine) startGang(j *job, hosts []*host) {
 	if len(j.tasks) == 0 {
-		j.Try++
+		j.GangAttempt++
 		j.gangRan = false
-		e.store.Touch(e.n.now.Mono, j.blocks[0], nil)
+		e.store.MarkDirty(e.n.now.Monotonic, j.blocks[0], nil)
 	}
 	var placed []*task
 	w := j.onCommitStart(func() {
--- a/internal/coordination/gap_test.go
+++ b/internal/coordination/gap_test.go
@@ -48,7 +48,7 @@
 		jobs = append(jobs, w.Submit(s, 0))
 	}
 	for _, j := range jobs {
-		runs(t, w, j.Sub.ID, 2)
+		runs(t, w, j.Submission.ID, 2)
 	}
 	kept := jobs[3] // which nobody cancels
 	w.Run(4*time.Second + g.phase)
@@ -58,9 +58,9 @@
 			w.After(d, do)
 		}
 	}
-	others := func(do func(*fake.Node)) func() {
+	others := func(do func(*fake.Controller)) func() {
 		return func() {
-			for _, n := range w.Nodes[1:] {
+			for _, n := range w.Controllers[1:] {
 				if n.Holds() {
 					do(n)
 					return
@@ -69,8 +69,8 @@
 		}
 	}
 	const down = 45 * time.Second
-	w.Network = func(kind, a, b string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, a, b string) fake.Delivery {
+		f := fake.Reliable()
 		during := w.Now < from+g.outage+down
 		cut := g.peersCut && during && (g.heals == 0 || w.Now < from+g.heals)
 		f.LoseRequest = cut && (kind == "peer" || kind == "forward") && (a == "n0" && !g.oneWay || b == "n0") ||
@@ -83,7 +83,7 @@
 		}
 		return f
 	}
-	w.State.Cut["n0"] = true
+	w.State.Unreachable["n0"] = true
 	for i, j := range jobs[:3] {
 		at(g.cancel+time.Duration(i)*400*time.Millisecond, func() {
 			if i == 0 {
@@ -94,46 +94,46 @@
 		})
 	}
 	at(g.outage, func() { w.State.Outage(true) })
-	at(g.outage+down, func() { w.State.Outage(false); delete(w.State.Cut, "n0") })
-	at(g.ends, others(func(n *fake.Node) {
+	at(g.outage+down, func() { w.State.Outage(false); delete(w.State.Unreachable, "n0") })
+	at(g.ends, others(func(n *fake.Controller) {
 		n.Crash()
 		at(g.again, n.Start)
 	}))
-	at(g.stands, others(func(n *fake.Node) { n.PausedUntil = w.Now + 12*time.Second }))
+	at(g.stands, others(func(n *fake.Controller) { n.PausedUntil = w.Now + 12*time.Second }))
 	if g.restarts {
-		at(g.outage+2*time.Second, func() { w.Nodes[0].Crash(); w.Nodes[0].Start() })
+		at(g.outage+2*time.Second, func() { w.Controllers[0].Crash(); w.Controllers[0].Start() })
 	}
 	counted := map[*fake.Job]bool{}
 	for w.Now < from+g.outage+down+40*time.Second {
 		w.Run(500 * time.Millisecond)
 		for _, j := range jobs {
 			if !g.peersCut || int(w.Now/time.Second)%3 == 0 {
-				w.CloseLook(j)
+				w.QueryEverywhere(j)
 			}
 			if j.Cancelled && !counted[j] {
 				counted[j] = true
 				told++
-				if len(w.On(j.Sub.ID)) > 0 {
+				if len(w.MachinesOf(j.Submission.ID)) > 0 {
 					held++
 				}
 			}
 		}
 	}
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		if !n.Up {
 			n.Start()
 		}
 	}
 	w.Run(30 * time.Second)
-	if len(w.Broken) > 0 {
-		t.Fatalf("%s: %s\n%s", g, strings.Join(w.Broken, "\n"), strings.Join(w.Log[max(0, len(w.Log)-60):], "\n"))
+	if len(w.Violations) > 0 {
+		t.Fatalf("%s: %s\n%s", g, strings.Join(w.Violations, "\n"), strings.Join(w.Log[max(0, len(w.Log)-60):], "\n"))
 	}
 	for _, j := range jobs[:3] {
-		if !j.Cancelled || len(w.On(j.Sub.ID)) > 0 {
-			t.Fatalf("%s: %s told %q, on %v", g, j.Sub.ID, j.Told, w.On(j.Sub.ID))
+		if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) > 0 {
+			t.Fatalf("%s: %s told %q, on %v", g, j.Submission.ID, j.Status, w.MachinesOf(j.Submission.ID))
 		}
 	}
-	if n := w.Running(kept.Sub.ID); n != 2 {
+	if n := w.Running(kept.Submission.ID); n != 2 {
 		t.Fatalf("%s: %d of 2 replicas of the job that was not cancelled run\n%s", g, n, strings.Join(w.Log[max(0, len(w.Log)-60):], "\n"))
 	}
 	return told, held
--- a/internal/coordination/guests.go
+++ b/internal/coordination/guests.go
@@ -19,7 +19,7 @@
 const guestPriceRatio = 2
 
 // hasGuarantee tells whether a team is guaranteed anything.
-func hasGuarantee(t config.Team) bool { return t.CPUs > 0 || t.GPUs > 0 }
+func hasGuarantee(t config.Team) bool { return t.GuaranteedCPUs > 0 || t.GuaranteedGPUs > 0 }
 
 // markGuests notes which teams are guests: those without a guarantee, if any has one.
 func (e *engine) markGuests(teams []config.Team) {
@@ -85,7 +85,7 @@
 	if len(j.tasks) > 0 {
 		return false
 	}
-	waited := min(e.n.now.Mono-j.idleSince, time.Duration(e.n.now.WallMs-j.readyMs)*time.Millisecond)
+	waited := min(e.n.now.Monotonic-j.idleSince, time.Duration(e.n.now.WallMs-j.readyMs)*time.Millisecond)
 	return waited > e.rules.patience
 }
 
@@ -153,31 +153,31 @@
 }
 
 // waitMaker makes a wait that goes before or after others.
-type waitMaker func(then func()) *storage.CommitWait
+type waitMaker func(then func()) *storage.CommitWaiter
 
 // unlessGuests gives how a change is waited for: guests' are written once others' have been.
 func (ordinary waitMaker) unlessGuests(guests bool) waitMaker {
 	if guests {
-		return storage.OnCommitLast
+		return storage.OnLowestPriorityCommit
 	}
 	return ordinary
 }
 
 // onCommitStart makes a wait that a task's start depends on.
-func (j *job) onCommitStart(then func()) *storage.CommitWait {
-	return waitMaker(storage.OnCommitStart).unlessGuests(j.guest())(then)
+func (j *job) onCommitStart(then func()) *storage.CommitWaiter {
+	return waitMaker(storage.OnStartCommit).unlessGuests(j.guest())(then)
 }
 
 // onCommitLater makes a wait that nobody outside depends on.
-func (j *job) onCommitLater(then func()) *storage.CommitWait {
-	return waitMaker(storage.OnCommitLater).unlessGuests(j.guest())(then)
+func (j *job) onCommitLater(then func()) *storage.CommitWaiter {
+	return waitMaker(storage.OnDeferredCommit).unlessGuests(j.guest())(then)
 }
 
 // touchLater has a block of the job written with a change that nobody outside waits for.
 func (e *engine) touchLater(b *block) {
 	if b.job.guest() {
-		e.store.Touch(e.n.now.Mono, b, b.job.onCommitLater(func() {}))
+		e.store.MarkDirty(e.n.now.Monotonic, b, b.job.onCommitLater(func() {}))
 		return
 	}
-	e.store.Touch(e.n.now.Mono, b, nil)
+	e.store.MarkDirty(e.n.now.Monotonic, b, nil)
 }
--- a/internal/coordination/guests_test.go
+++ b/internal/coordination/guests_test.go
@@ -18,7 +18,7 @@
 	return worldOf(t, s)
 }
 
-func guestJob(id int, shape protocol.Shape, tasks int) protocol.Submission {
+func guestJob(id int, shape protocol.JobKind, tasks int) protocol.Submission {
 	s := job(id, shape, tasks)
 	s.Team, s.Priority, s.Spot = "guests", protocol.Low, true
 	return s
@@ -29,9 +29,9 @@
 // the work is done all the same.
 func TestGuestsAreRentedOnlyWhatTheirWorkIsWorth(t *testing.T) {
 	w := guestWorld(t)
-	w.Cloud.MostOf = map[string]int{"small": 3}
+	w.Cloud.CapacityOf = map[string]int{"small": 3}
 	dear := 0
-	w.Booted = func(m protocol.Machine) {
+	w.OnBoot = func(m protocol.Machine) {
 		if !m.Spot { // ordinary ones are 2.5 times the price
 			dear++
 		}
@@ -58,7 +58,7 @@
 func TestGuestTakesAnyRoomInTheEnd(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		w := guestWorld(t)
-		w.Cloud.MostOf = map[string]int{"small": 0}
+		w.Cloud.CapacityOf = map[string]int{"small": 0}
 		paying := service(1, 1)
 		paying.CPUs, paying.GPUs, paying.MemoryGB = 2, 1, 4
 		w.Submit(paying, 0)
@@ -90,14 +90,14 @@
 func TestMachineIsNotKeptForGuestsAlone(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		w := guestWorld(t)
-		w.Cloud.MostOf = map[string]int{"small": 0}
+		w.Cloud.CapacityOf = map[string]int{"small": 0}
 		paying := service(1, 1)
 		paying.CPUs, paying.GPUs = 2, 2
 		w.Submit(paying, 0)
 		runs(t, w, paying.ID, 1)
-		host := w.On(paying.ID)[0]
+		host := w.MachinesOf(paying.ID)[0]
 		s := guestJob(2, protocol.Array, 3)
-		s.CPUs, s.Estimate = 2, 400
+		s.CPUs, s.EstimatedRunS = 2, 400
 		j := w.Submit(s, 400*time.Second)
 		if !w.Until(60*time.Second, func() bool { return w.Running(s.ID) > 0 }) {
 			t.Fatal("the guest's tasks don't run")
@@ -106,16 +106,16 @@
 		if ends {
 			w.Leader().Crash()
 		}
-		w.Cloud.MostOf["small"] = 4
-		if !w.Until(150*time.Second, func() bool { return !slices.Contains(w.Names(), host) }) {
-			t.Errorf("%s is kept for %v", host, w.On(s.ID))
+		w.Cloud.CapacityOf["small"] = 4
+		if !w.Until(150*time.Second, func() bool { return !slices.Contains(w.MachineNames(), host) }) {
+			t.Errorf("%s is kept for %v", host, w.MachinesOf(s.ID))
 		}
 		if !w.Until(90*time.Second, func() bool { return w.Running(s.ID) == 3 }) {
 			t.Errorf("%d of 3 of the guest's tasks go on", w.Running(s.ID))
 		}
-		for _, h := range w.On(s.ID) {
-			if w.KindOf(h) != "small" {
-				t.Errorf("a guest's task is on a %s", w.KindOf(h))
+		for _, h := range w.MachinesOf(s.ID) {
+			if w.TypeOf(h) != "small" {
+				t.Errorf("a guest's task is on a %s", w.TypeOf(h))
 			}
 		}
 		w.CancelEverywhere(j)
@@ -131,9 +131,9 @@
 	s.Teams = append(s.Teams, config.Team{Name: "guests"})
 	s.State.WriteRPS = 3
 	w := worldOf(t, s)
-	w.Cloud.MostOf = map[string]int{"small": 16}
+	w.Cloud.CapacityOf = map[string]int{"small": 16}
 	array := guestJob(1, protocol.Array, 25_000)
-	array.CPUs, array.MemoryGB, array.Estimate = 0.05, 0.1, 3
+	array.CPUs, array.MemoryGB, array.EstimatedRunS = 0.05, 0.1, 3
 	w.Submit(array, 3*time.Second)
 	w.Run(20 * time.Second)
 	l := w.Leader()
@@ -145,7 +145,7 @@
 		j := w.Submit(job(10+i, protocol.Array, 1), 2*time.Second)
 		began := w.Now
 		if !w.Until(30*time.Second, func() bool { return j.Accepted }) {
-			t.Fatalf("%s is not accepted", j.Sub.ID)
+			t.Fatalf("%s is not accepted", j.Submission.ID)
 		}
 		worst = max(worst, w.Now-began)
 		w.Run(time.Second)
--- a/internal/coordination/helpers_test.go
+++ b/internal/coordination/helpers_test.go
@@ -21,13 +21,13 @@
 func worldOf(t *testing.T, s config.Settings) *fake.World {
 	t.Helper()
 	w := fake.NewWorld(s)
-	for _, n := range w.Nodes[1:] {
+	for _, n := range w.Controllers[1:] {
 		n.Crash()
 	}
-	if !w.Until(5*time.Second, w.Nodes[0].Leads) {
+	if !w.Until(5*time.Second, w.Controllers[0].Leads) {
 		t.Fatal("nobody leads")
 	}
-	for _, n := range w.Nodes[1:] {
+	for _, n := range w.Controllers[1:] {
 		n.Start()
 	}
 	return w
@@ -42,7 +42,7 @@
 
 func service(id, tasks int) protocol.Submission {
 	s := job(id, protocol.Service, tasks)
-	s.SaveEach = 0
+	s.CheckpointIntervalS = 0
 	return s
 }
 
@@ -53,7 +53,7 @@
 	s.CPUs = 4
 	j := w.Submit(s, 0)
 	runs(t, w, s.ID, 2)
-	hosts := w.On(s.ID)
+	hosts := w.MachinesOf(s.ID)
 	w.CancelJob(j)
 	w.Run(4 * time.Second)
 	return hosts
@@ -64,7 +64,7 @@
 	for at := time.Duration(0); at < d; at += 7 * time.Millisecond {
 		w.After(at, func() {
 			for _, j := range jobs {
-				w.CloseLook(j)
+				w.QueryEverywhere(j)
 			}
 		})
 	}
@@ -79,20 +79,20 @@
 	w.Run(time.Second)
 }
 
-func job(id int, shape protocol.Shape, tasks int) protocol.Submission {
+func job(id int, shape protocol.JobKind, tasks int) protocol.Submission {
 	return protocol.Submission{
-		ID: fmt.Sprintf("wk-%06d", id), Class: "c", Team: "blue", Shape: shape, Priority: protocol.Normal, Tasks: tasks,
-		CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, Estimate: 5, SaveEach: 2, SaveTime: 1,
+		ID: fmt.Sprintf("wk-%06d", id), Class: "c", Team: "blue", Kind: shape, Priority: protocol.Normal, Tasks: tasks,
+		CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimatedRunS: 5, CheckpointIntervalS: 2, CheckpointDurationS: 1,
 	}
 }
 
 func check(t interface{ Fatalf(string, ...any) }, w *fake.World) {
-	if len(w.Broken) > 0 {
+	if len(w.Violations) > 0 {
 		tail := w.Log[max(0, len(w.Log)-60):]
-		t.Fatalf("rules broken:\n%s\nlog:\n%s", strings.Join(w.Broken, "\n"), strings.Join(tail, "\n"))
+		t.Fatalf("rules broken:\n%s\nlog:\n%s", strings.Join(w.Violations, "\n"), strings.Join(tail, "\n"))
 	}
-	for _, n := range w.Nodes {
-		if node := n.Coordination(); node != nil {
+	for _, n := range w.Controllers {
+		if node := n.Controller(); node != nil {
 			if err := node.CheckCounts(); err != nil {
 				t.Fatalf("%s: %v", n.Name, err)
 			}
@@ -103,24 +103,24 @@
 // served fails unless every job that was accepted and not cancelled is served.
 func served(t interface{ Fatalf(string, ...any) }, w *fake.World) {
 	for id, j := range w.Jobs {
-		if j.Cancel || j.Broken {
+		if j.CancelRequested || j.AlwaysFails {
 			continue
 		}
 		if !j.Accepted {
 			t.Fatalf("%s was never accepted", id)
 		}
 		if w.CancelledWith(j) {
-			if j.Told != protocol.StatusCancelled {
-				t.Fatalf("%s is called %q, and a job that it needs is cancelled", id, j.Told)
+			if j.Status != protocol.StatusCancelled {
+				t.Fatalf("%s is called %q, and a job that it needs is cancelled", id, j.Status)
 			}
 			continue
 		}
-		if j.Sub.Shape == protocol.Service {
-			if n := w.Running(id); n != j.Sub.Tasks {
-				t.Fatalf("%s: %d of %d replicas run\n%s", id, n, j.Sub.Tasks, strings.Join(w.Log[max(0, len(w.Log)-60):], "\n"))
+		if j.Submission.Kind == protocol.Service {
+			if n := w.Running(id); n != j.Submission.Tasks {
+				t.Fatalf("%s: %d of %d replicas run\n%s", id, n, j.Submission.Tasks, strings.Join(w.Log[max(0, len(w.Log)-60):], "\n"))
 			}
-		} else if j.Told != protocol.StatusDone {
-			t.Fatalf("%s is not done but %q, %d of %d tasks: %+v\n%s", id, j.Told, len(j.DoneTasks), j.Sub.Tasks, j.Sub, strings.Join(w.Log[max(0, len(w.Log)-60):], "\n"))
+		} else if j.Status != protocol.StatusDone {
+			t.Fatalf("%s is not done but %q, %d of %d tasks: %+v\n%s", id, j.Status, len(j.DoneTasks), j.Submission.Tasks, j.Submission, strings.Join(w.Log[max(0, len(w.Log)-60):], "\n"))
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	for range times {
 		w.Run(after)
 		for _, j := range jobs {
-			w.CloseLook(j)
+			w.QueryEverywhere(j)
 		}
 	}
 }
--- a/internal/coordination/hold_test.go
+++ b/internal/coordination/hold_test.go
@@ -26,22 +26,22 @@
 		t.Run(x.down.String()+x.trouble, func(t *testing.T) {
 			w := world(t)
 			j := w.Submit(service(1, 2), 0)
-			runs(t, w, j.Sub.ID, 2)
+			runs(t, w, j.Submission.ID, 2)
 			w.Run(10 * time.Second)
-			hosts := w.On(j.Sub.ID)
+			hosts := w.MachinesOf(j.Submission.ID)
 			w.State.Outage(true)
-			w.Network = func(kind, from, to string) fake.Fate {
-				f := fake.Well()
+			w.Network = func(kind, from, to string) fake.Delivery {
+				f := fake.Reliable()
 				f.LoseRequest = x.trouble == "cut" && kind == "peer" && (from == "n1" || to == "n1")
 				return f
 			}
 			if x.trouble == "restart" {
-				w.After(3*time.Second, w.Nodes[1].Crash)
-				w.After(4*time.Second, w.Nodes[1].Start)
+				w.After(3*time.Second, w.Controllers[1].Crash)
+				w.After(4*time.Second, w.Controllers[1].Start)
 			}
 			w.After(x.down, func() { w.State.Outage(false) })
 			w.Run(x.down + 8*time.Second)
-			kept := slices.Equal(w.On(j.Sub.ID), hosts) && w.Session(hosts[0]) == 1
+			kept := slices.Equal(w.MachinesOf(j.Submission.ID), hosts) && w.Session(hosts[0]) == 1
 			if kept != x.kept {
 				t.Errorf("kept %v\n%s", kept, strings.Join(w.Log[max(0, len(w.Log)-20):], "\n"))
 			}
@@ -59,13 +59,13 @@
 func TestSuccessorThatCannotReadTheBooks(t *testing.T) {
 	w := world(t)
 	j := w.Submit(service(1, 2), 0)
-	runs(t, w, j.Sub.ID, 2)
+	runs(t, w, j.Submission.ID, 2)
 	w.Run(5 * time.Second)
-	hosts := w.On(j.Sub.ID)
+	hosts := w.MachinesOf(j.Submission.ID)
 	taken := func() bool { h := w.State.Holder(coordination.LeaderKey); return h != "n0" && h != "" }
-	w.State.Cut["n0"] = true
-	w.Network = func(kind, from, _ string) fake.Fate {
-		f := fake.Well()
+	w.State.Unreachable["n0"] = true
+	w.Network = func(kind, from, _ string) fake.Delivery {
+		f := fake.Reliable()
 		f.LoseAnswer = kind == "state" && from != "n0" && taken()
 		return f
 	}
@@ -75,17 +75,17 @@
 	w.Run(100 * time.Millisecond)
 	w.State.Outage(true)
 	w.Run(40 * time.Second)
-	if w.Session(hosts[0]) != 1 || !slices.Equal(w.On(j.Sub.ID), hosts) {
+	if w.Session(hosts[0]) != 1 || !slices.Equal(w.MachinesOf(j.Submission.ID), hosts) {
 		t.Errorf("what ran was lost in the outage\n%s", strings.Join(w.Log[max(0, len(w.Log)-20):], "\n"))
 	}
 	w.Network = nil
-	delete(w.State.Cut, "n0")
+	delete(w.State.Unreachable, "n0")
 	w.State.Outage(false)
 	w.Run(5 * time.Second)
 	w.CancelEverywhere(j)
 	w.Run(20 * time.Second)
-	if !j.Cancelled || len(w.On(j.Sub.ID)) != 0 {
-		t.Errorf("told %q, on %v", j.Told, w.On(j.Sub.ID))
+	if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) != 0 {
+		t.Errorf("told %q, on %v", j.Status, w.MachinesOf(j.Submission.ID))
 	}
 	check(t, w)
 }
@@ -97,10 +97,10 @@
 	w := world(t)
 	spare(t, w)
 	j := w.Submit(service(1, 1), 0)
-	runs(t, w, j.Sub.ID, 1)
-	host := w.On(j.Sub.ID)[0]
-	w.Network = func(_, from, to string) fake.Fate {
-		f := fake.Well()
+	runs(t, w, j.Submission.ID, 1)
+	host := w.MachinesOf(j.Submission.ID)[0]
+	w.Network = func(_, from, to string) fake.Delivery {
+		f := fake.Reliable()
 		alone := func(x string) bool { return x == "n0" || x == host }
 		f.LoseRequest = alone(from) != alone(to)
 		return f
@@ -117,7 +117,7 @@
 	if w.Leader() == nil || w.Leader().Name == "n0" {
 		t.Fatal("nobody took over")
 	}
-	if w.Running(j.Sub.ID) != 1 {
+	if w.Running(j.Submission.ID) != 1 {
 		t.Error("the replica was not replaced")
 	}
 	w.Network = nil
@@ -129,12 +129,12 @@
 func TestPeersLettingGoShortensTheWait(t *testing.T) {
 	w := world(t)
 	j := w.Submit(service(1, 1), 0)
-	runs(t, w, j.Sub.ID, 1)
-	host := w.On(j.Sub.ID)[0]
-	w.Nodes[0].Crash()
-	w.After(3*time.Second, w.Nodes[0].Start)
-	w.Cloud.Die(host)
-	if !w.Until(22*time.Second, func() bool { return w.Running(j.Sub.ID) == 1 }) {
+	runs(t, w, j.Submission.ID, 1)
+	host := w.MachinesOf(j.Submission.ID)[0]
+	w.Controllers[0].Crash()
+	w.After(3*time.Second, w.Controllers[0].Start)
+	w.Cloud.Fail(host)
+	if !w.Until(22*time.Second, func() bool { return w.Running(j.Submission.ID) == 1 }) {
 		t.Errorf("not replaced in 22 s\n%s", strings.Join(w.Log, "\n"))
 	}
 	check(t, w)
@@ -145,14 +145,14 @@
 func TestReportThatWaitedOutTheHoldIsRefused(t *testing.T) {
 	w := world(t)
 	j := w.Submit(service(1, 1), 0)
-	runs(t, w, j.Sub.ID, 1)
-	host := w.On(j.Sub.ID)[0]
-	n0 := w.Nodes[0]
+	runs(t, w, j.Submission.ID, 1)
+	host := w.MachinesOf(j.Submission.ID)[0]
+	n0 := w.Controllers[0]
 	n0.PausedUntil = w.Now + 60*time.Second
 	got := -1
 	w.After(0, func() { // the first thing that it finds
-		r := protocol.Report{Host: host, Type: "small", Zone: "a", Session: 9, Seq: 1}
-		n0.Ask(coordination.ReportCall{Report: &r}, func(a coordination.Reply) { got = a.Status })
+		r := protocol.Heartbeat{Machine: host, Type: "small", Zone: "a", Incarnation: 9, Sequence: 1}
+		n0.Request(coordination.HeartbeatRequest{Heartbeat: &r}, func(a coordination.Reply) { got = a.Status })
 	})
 	w.Run(61 * time.Second)
 	if got == 200 || got == -1 {
--- a/internal/coordination/hosts.go
+++ b/internal/coordination/hosts.go
@@ -32,7 +32,7 @@
 	guaranteedTasks int
 	used            need                  // what they take
 	leaving         need                  // of that, what stopping ones are about to leave
-	others          []protocol.TaskReport // on the machine, but not in the records
+	others          []protocol.TaskStatus // on the machine, but not in the records
 	forget          map[protocol.Attempt]forgetting
 
 	call        uint64 // the direct command under way
@@ -66,7 +66,7 @@
 	}
 	h := &host{
 		name: name, forget: map[protocol.Attempt]forgetting{}, failedJobs: map[string]bool{},
-		rentedAt: e.n.now.Mono, emptySince: e.n.now.Mono,
+		rentedAt: e.n.now.Monotonic, emptySince: e.n.now.Monotonic,
 	}
 	e.hosts[name] = h
 	i, _ := slices.BinarySearchFunc(e.byName, name, func(h *host, s string) int { return cmp.Compare(h.name, s) })
@@ -98,34 +98,34 @@
 
 // reportCall answers a worker. Entitlement was checked: this node leads, or may
 // still answer within its hold.
-func (e *engine) reportCall(c ReportCall) {
-	n, r := e.n, c.Report
-	n.Stats.Reports++
-	now := n.now.Mono
-	_, returned := e.gone[r.Host]
-	h := e.hosts[r.Host]
-	if returned || h != nil && (r.Session <= h.dead || r.Session < h.session || !r.Newer(h.beatSess, h.beat)) {
+func (e *engine) reportCall(c HeartbeatRequest) {
+	n, r := e.n, c.Heartbeat
+	n.Stats.Heartbeats++
+	now := n.now.Monotonic
+	_, returned := e.gone[r.Machine]
+	h := e.hosts[r.Machine]
+	if returned || h != nil && (r.Incarnation <= h.dead || r.Incarnation < h.session || !r.Newer(h.beatSess, h.beat)) {
 		// A machine given back, a session that has lapsed, or a copy of an
 		// older report: no worker waits for this answer, and to count it as an
 		// answer would only put off the proof that the session has lapsed.
-		n.Stats.StaleReports++
+		n.Stats.StaleHeartbeats++
 		n.refuse(c.ID, "an old report")
 		return
 	}
-	if r.Token > e.token {
+	if r.FencingToken > e.token {
 		n.refuse(c.ID, "a newer token is out")
 		n.stepDown("a worker has seen a newer token")
 		return
 	}
-	h = e.host(r.Host)
-	h.beatSess, h.beat = r.Session, r.Seq
+	h = e.host(r.Machine)
+	h.beatSess, h.beat = r.Incarnation, r.Sequence
 	e.learn(h, r)
 	if e.mustRefuse(h) {
 		n.refuse(c.ID, "must stop first")
 		return
 	}
 	h.answered, h.wasAnswered = now, true
-	n.emit(Reply{ID: c.ID, Status: 200, Body: protocol.EncodeReportAnswer(e.token, e.commands(h, false))})
+	n.emit(Reply{ID: c.ID, Status: 200, Body: protocol.EncodeHeartbeatResponse(e.token, e.commands(h, false))})
 }
 
 // mustRefuse tells whether a machine may hold a task of a cancelled job that
@@ -136,7 +136,7 @@
 		return false
 	}
 	for _, t := range h.tasks {
-		if t.job.Cancelled && t.job.cancelKnown && !t.seen && e.n.now.Mono > t.job.cancelledAt+e.rules.cancel {
+		if t.job.Cancelled && t.job.cancelKnown && !t.seen && e.n.now.Monotonic > t.job.cancelledAt+e.rules.cancel {
 			return true
 		}
 	}
@@ -144,36 +144,36 @@
 }
 
 // learn takes in a worker's message.
-func (e *engine) learn(h *host, r *protocol.Report) {
-	now := e.n.now.Mono
-	if !r.Newer(h.session, h.seq) && h.up || r.Session < h.session {
+func (e *engine) learn(h *host, r *protocol.Heartbeat) {
+	now := e.n.now.Monotonic
+	if !r.Newer(h.session, h.seq) && h.up || r.Incarnation < h.session {
 		return
 	}
 	if h.fails > 0 && now-h.heard > e.rules.silent {
 		h.next = now // it is back
 	}
-	if r.Session > h.session || !h.up {
+	if r.Incarnation > h.session || !h.up {
 		e.schedule = true
 	}
-	if r.Session > h.session {
+	if r.Incarnation > h.session {
 		h.sessionAt = now
 		h.doubtTok, h.forget, h.images = 0, map[protocol.Attempt]forgetting{}, nil
 	}
-	if r.Session > h.session || !h.up {
+	if r.Incarnation > h.session || !h.up {
 		// Earlier sessions are over, and everything of them is gone. The records may hold
 		// starts of several: a leader that ended had recorded only some of them anew.
-		e.loseEarlier(h, r.Session)
+		e.loseEarlier(h, r.Incarnation)
 	}
 	h.addr, h.kind, h.zone, h.spot = r.Addr, r.Type, r.Zone, r.Spot
 	if !h.up {
 		e.booted(h)
 	}
-	h.up, h.session, h.seq, h.heard = true, r.Session, r.Seq, now
-	h.token = max(h.token, r.Token)
-	if r.Notice >= 0 && h.noticeAt == 0 {
-		h.noticeAt = now + time.Duration(r.Notice*float64(time.Second))
+	h.up, h.session, h.seq, h.heard = true, r.Incarnation, r.Sequence, now
+	h.token = max(h.token, r.FencingToken)
+	if r.InterruptionInS >= 0 && h.noticeAt == 0 {
+		h.noticeAt = now + time.Duration(r.InterruptionInS*float64(time.Second))
 		e.notice(h)
-	} else if r.Notice < 0 {
+	} else if r.InterruptionInS < 0 {
 		h.noticeAt = 0
 	}
 	e.tasksOf(h, r)
@@ -189,8 +189,8 @@
 }
 
 // tasksOf compares a report with the records.
-func (e *engine) tasksOf(h *host, r *protocol.Report) {
-	now := e.n.now.Mono
+func (e *engine) tasksOf(h *host, r *protocol.Heartbeat) {
+	now := e.n.now.Monotonic
 	h.others = h.others[:0]
 	listed := make(map[protocol.Attempt]bool, len(r.Tasks))
 	for _, tr := range r.Tasks {
@@ -221,7 +221,7 @@
 				t.ranSince = now
 				t.job.hasRun = true
 				h.arrivedImage(t.job, now)
-				if t.job.Shape == protocol.Gang {
+				if t.job.Kind == protocol.Gang {
 					t.job.gangRan = true
 				}
 			}
@@ -235,7 +235,7 @@
 		}
 	}
 	for _, t := range slices.Clone(h.tasks) {
-		if t.session == r.Session && !listed[t.attempt()] && t.job.tasks[t.index] == t {
+		if t.session == r.Incarnation && !listed[t.attempt()] && t.job.tasks[t.index] == t {
 			e.absent(t, r)
 		}
 	}
@@ -247,7 +247,7 @@
 		return nil
 	}
 	t := j.tasks[a.Task]
-	if t == nil || t.host != h || t.try != a.Try || t.session != h.session {
+	if t == nil || t.host != h || t.try != a.Number || t.session != h.session {
 		return nil
 	}
 	return t
@@ -256,12 +256,12 @@
 // absent decides whether a report that doesn't name a task proves that it is
 // not there and never will be. It does only if the worker had seen a token that
 // voids every start that may still be on its way.
-func (e *engine) absent(t *task, r *protocol.Report) {
+func (e *engine) absent(t *task, r *protocol.Heartbeat) {
 	switch {
-	case t.inherited && r.Token >= e.firstT:
+	case t.inherited && r.FencingToken >= e.firstT:
 		e.lost(t, "report with this term's token")
 	case t.inherited || t.sentToken == 0:
-	case r.Token > t.sentToken && t.host.call == 0:
+	case r.FencingToken > t.sentToken && t.host.call == 0:
 		e.lost(t, "report with a token raised since")
 	case t.answered && t.host.call == 0 && t.seen:
 		e.lost(t, "the worker no longer names it")
@@ -270,12 +270,12 @@
 
 // notice prepares for the machine being taken away.
 func (e *engine) notice(h *host) {
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	e.n.log(Info, "machine is to be taken", "host", h.name, "in", (h.noticeAt - now).String())
 	for _, t := range slices.Clone(h.tasks) {
 		j := t.job
 		left := (h.noticeAt - now).Seconds()
-		if j.saves() && j.SaveTime+1 < left && t.ranSince >= 0 && !e.endsWithin(t, left-2) {
+		if j.saves() && j.CheckpointDurationS+1 < left && t.ranSince >= 0 && !e.endsWithin(t, left-2) {
 			e.preemptTask(t, "the machine is to be taken")
 		} else if !t.seen || t.state == protocol.Fetching || t.state == protocol.Waiting {
 			e.preemptTask(t, "the machine is to be taken")
@@ -286,7 +286,7 @@
 
 // alive tells whether a machine can be given tasks.
 func (e *engine) alive(h *host) bool {
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	return h.up && !h.returning && !h.draining && !h.cordoned && !h.failedMachine && h.noticeAt == 0 && h.session > h.dead && now >= h.pauseUntil &&
 		e.silentFor(h) < e.rules.report*5/2 && (h.doubtTok < e.token)
 }
--- a/internal/coordination/images.go
+++ b/internal/coordination/images.go
@@ -14,7 +14,7 @@
 
 // fetch notes that a task's image will be on the machine.
 func (h *host) fetch(e *engine, j *job) {
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	i := slices.IndexFunc(h.images, func(im image) bool { return im.name == j.Image })
 	if i >= 0 {
 		im := h.images[i]
@@ -22,7 +22,7 @@
 		return
 	}
 	mt := e.fleet.kind(h.kind)
-	if mt == nil || mt.FetchRate <= 0 {
+	if mt == nil || mt.FetchGBPerS <= 0 {
 		return
 	}
 	busy := now
@@ -35,7 +35,7 @@
 		total -= h.images[0].gb
 		h.images = h.images[1:]
 	}
-	ready := busy + time.Duration(j.ImageGB/mt.FetchRate*float64(time.Second))
+	ready := busy + time.Duration(j.ImageGB/mt.FetchGBPerS*float64(time.Second))
 	h.images = append(h.images, image{j.Image, j.ImageGB, ready})
 }
 
@@ -52,7 +52,7 @@
 
 // fetchTime is how long a task's image would take to be on the machine.
 func (h *host) fetchTime(e *engine, j *job) float64 {
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	var busy time.Duration
 	for _, im := range h.images {
 		if im.name == j.Image {
@@ -61,8 +61,8 @@
 		busy = max(busy, im.ready-now)
 	}
 	mt := e.fleet.kind(h.kind)
-	if mt == nil || mt.FetchRate <= 0 {
+	if mt == nil || mt.FetchGBPerS <= 0 {
 		return 0
 	}
-	return j.ImageGB/mt.FetchRate + max(0, busy.Seconds())
+	return j.ImageGB/mt.FetchGBPerS + max(0, busy.Seconds())
 }
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -15,7 +15,7 @@
 	worth  worth // see guests.go
 	need   need
 	kinds  string // the types that it allows, in one word
-	full   storage.Bits
+	full   storage.Bitmap
 	blocks map[int]*block
 	tasks  map[int]*task // active ones
 	done   int
@@ -53,16 +53,16 @@
 	job    *job
 	number int
 	try    int64
-	done   storage.Bits
+	done   storage.Bitmap
 	starts []*task
 }
 
-// Emit writes the block, and with the first also the job.
-func (b *block) Emit(v *storage.PageValue) {
+// AppendTo writes the block, and with the first also the job.
+func (b *block) AppendTo(v *storage.PageValue) {
 	j := b.job
 	if b.number == 0 {
 		r := j.JobRecord
-		r.Full = j.full.Text()
+		r.CompletedBlocks = j.full.Text()
 		v.Jobs = append(v.Jobs, r)
 		if x, ok := j.extension(); ok {
 			v.Extensions = append(v.Extensions, x)
@@ -71,26 +71,26 @@
 			return
 		}
 	}
-	r := storage.BlockRecord{Job: j.ID, Block: b.number, Try: b.try, Done: b.done.Text()}
+	r := storage.BlockRecord{Job: j.ID, Block: b.number, LastAttempt: b.try, Done: b.done.Text()}
 	for _, t := range b.starts {
 		r.Starts = append(r.Starts, t.record())
 	}
 	v.Blocks = append(v.Blocks, r)
 }
 
-// Size is the space that it takes now.
-func (b *block) Size() int {
+// EncodedSize is the space that it takes now.
+func (b *block) EncodedSize() int {
 	n := b.baseSize()
 	for _, t := range b.starts {
 		r := t.record()
-		n += r.Size()
+		n += r.EncodedSize()
 	}
 	return n
 }
 
-// Reserve is the space it may come to need.
-func (b *block) Reserve() int {
-	return b.baseSize() + b.job.blockLen(b.number)*storage.StartReserve
+// ReservedSize is the space it may come to need.
+func (b *block) ReservedSize() int {
+	return b.baseSize() + b.job.blockLen(b.number)*storage.StartReservedSize
 }
 
 // baseSize is the space that it takes without its starts.
@@ -98,9 +98,9 @@
 	j := b.job
 	n := storage.BlockSize(j.ID, j.blockLen(b.number))
 	if b.number == 0 {
-		n += j.JobRecord.Reserve(j.blockCount())
+		n += j.JobRecord.ReservedSize(j.blockCount())
 		if x, ok := j.extension(); ok {
-			n += x.Size()
+			n += x.EncodedSize()
 		}
 	}
 	return n
@@ -120,7 +120,7 @@
 
 // leastStarts is how many starts of a block have to be recordable at a time.
 func (j *job) leastStarts() int {
-	if j.Shape == protocol.Gang {
+	if j.Kind == protocol.Gang {
 		return j.blockLen(0)
 	}
 	return 1 // of an array or a service: the others can wait
@@ -136,7 +136,7 @@
 		return idle
 	case j.committed || j.blockCount() == 1:
 		return 0
-	case j.Shape == protocol.Gang:
+	case j.Kind == protocol.Gang:
 		return idle
 	}
 	return max(0, idle-(j.blockLen(0)-len(j.tasks)))
@@ -147,20 +147,20 @@
 // starts are recorded together; whether they fit is asked when it is submitted.
 func (j *job) recordable(index int) bool {
 	b := j.blocks[index/j.blockTasks]
-	return b == nil || j.Shape == protocol.Gang || b.Size()+storage.StartReserve <= j.e.store.MaxItem()
+	return b == nil || j.Kind == protocol.Gang || b.EncodedSize()+storage.StartReservedSize <= j.e.store.MaxItemSize()
 }
 
 // final is a job that is over.
 type final struct {
-	storage.FinalRecord
+	storage.TerminalRecord
 	rest bool // something else of the job may still be recorded
 }
 
-// Emit writes it.
-func (f *final) Emit(v *storage.PageValue) { v.Finals = append(v.Finals, f.FinalRecord) }
+// AppendTo writes it.
+func (f *final) AppendTo(v *storage.PageValue) { v.Terminal = append(v.Terminal, f.TerminalRecord) }
 
-// Size is the space that it takes.
-func (f *final) Size() int { return f.Reserve() }
+// EncodedSize is the space that it takes.
+func (f *final) EncodedSize() int { return f.ReservedSize() }
 
 func (j *job) blockCount() int { return (j.Tasks + j.blockTasks - 1) / j.blockTasks }
 
@@ -224,4 +224,4 @@
 	return j.over && !(j.Cancelled && j.committed) || j.recordsParts
 }
 
-func (j *job) saves() bool { return j.SaveEach > 0 }
+func (j *job) saves() bool { return j.CheckpointIntervalS > 0 }
--- a/internal/coordination/lapse.go
+++ b/internal/coordination/lapse.go
@@ -8,7 +8,7 @@
 
 // hostsTick looks for leases that have lapsed, and for doubts to be ended.
 func (e *engine) hostsTick() {
-	n, now := e.n, e.n.now.Mono
+	n, now := e.n, e.n.now.Monotonic
 	if now < e.hostsAt {
 		return
 	}
@@ -17,7 +17,7 @@
 	raise := false
 	live, silent := 0, 0
 	for _, h := range slices.Clone(e.byName) {
-		n.Stats.HostsSeen++
+		n.Stats.MachinesExamined++
 		if h.up && h.session > h.dead && now-h.heard < e.rules.lease {
 			live++
 			if e.silentFor(h) > e.rules.silent {
@@ -41,7 +41,7 @@
 		for _, t := range h.tasks {
 			if t.stopping && t.stopSent > 0 && now-t.stopSent > e.rules.report {
 				e.queueCommands(h)
-				if t.grace > 0 && now-t.stopAt > time.Duration((t.grace+2*t.job.SaveTime)*float64(time.Second))+2*e.rules.report {
+				if t.grace > 0 && now-t.stopAt > time.Duration((t.grace+2*t.job.CheckpointDurationS)*float64(time.Second))+2*e.rules.report {
 					t.grace = 0
 				}
 			}
@@ -86,7 +86,7 @@
 func (e *engine) canConfirmCancellation(j *job) bool {
 	base := e.n.lapseBase()
 	for _, t := range j.tasks {
-		if h := t.host; h.token < e.firstT && h.lapses(e, base) > e.n.now.Mono+e.rules.cancelWithin {
+		if h := t.host; h.token < e.firstT && h.lapses(e, base) > e.n.now.Monotonic+e.rules.cancelWithin {
 			return false
 		}
 	}
--- a/internal/coordination/large_fleet_test.go
+++ b/internal/coordination/large_fleet_test.go
@@ -46,7 +46,7 @@
 // and no machine stays rented. A limit that stands below the fleet's size would leave some out.
 func TestLargeFleetThroughTakeOverRackLossAndReturn(t *testing.T) {
 	w, leader := fleetOf(t, largeFleet)
-	w.Cloud.Most += rackMachines // room for machines in place of those that die
+	w.Cloud.Capacity += rackMachines // room for machines in place of those that die
 	if !w.Until(time.Minute, func() bool { return allReplicasRun(w) }) {
 		t.Fatal("not every replica runs")
 	}
@@ -63,8 +63,8 @@
 		t.Error("a take-over has ended replicas")
 	}
 
-	for _, host := range w.Names()[:rackMachines] {
-		w.Cloud.Die(host)
+	for _, host := range w.MachineNames()[:rackMachines] {
+		w.Cloud.Fail(host)
 	}
 	w.Run(time.Second)
 	if allReplicasRun(w) {
--- a/internal/coordination/large_pipeline_test.go
+++ b/internal/coordination/large_pipeline_test.go
@@ -53,7 +53,7 @@
 				w := worldOf(t, smallestBudgets())
 				spare(t, w)
 				root := accepted(t, w, job(1, protocol.Array, 1), time.Hour)
-				runs(t, w, root.Sub.ID, 1)
+				runs(t, w, root.Submission.ID, 1)
 				all := []*fake.Job{root}
 				for n := 1; n <= size; n++ {
 					all = append(all, accepted(t, w, job(1000+n, protocol.Array, 1), time.Second, needs(w, root, n, all)...))
@@ -72,15 +72,15 @@
 				}
 				lookClosely(w, all[len(all)-5:], 300*time.Millisecond)
 				w.Run(400 * time.Millisecond)
-				if last := all[len(all)-1]; crash < 0 && last.Told != protocol.StatusCancelled {
-					t.Errorf("%s is called %q after 0.7 s", last.Sub.ID, last.Told)
+				if last := all[len(all)-1]; crash < 0 && last.Status != protocol.StatusCancelled {
+					t.Errorf("%s is called %q after 0.7 s", last.Submission.ID, last.Status)
 				}
 				other := w.Submit(job(5, protocol.Array, 1), time.Second)
 				from, acceptedAfter := w.Now, time.Duration(0)
-				for w.Now < root.CancelAt+config.Seconds(w.Cfg.Settings.Workers.Cancel) {
+				for w.Now < root.CancelledAt+config.Seconds(w.Cfg.Settings.Workers.CancelWithinS) {
 					w.Run(500 * time.Millisecond)
 					for _, j := range all[len(all)-5:] {
-						w.CloseLook(j)
+						w.QueryEverywhere(j)
 					}
 					if other.Accepted && acceptedAfter == 0 {
 						acceptedAfter = w.Now - from
@@ -94,8 +94,8 @@
 				}
 				pollFor(w, 15*time.Second)
 				for _, j := range all {
-					if j.Told != protocol.StatusCancelled {
-						t.Fatalf("%s is called %q", j.Sub.ID, j.Told)
+					if j.Status != protocol.StatusCancelled {
+						t.Fatalf("%s is called %q", j.Submission.ID, j.Status)
 					}
 				}
 				check(t, w)
@@ -114,31 +114,31 @@
 		s.State.TxnOps = 1 // the end of each job has a transaction of its own
 		w := worldOf(t, s)
 		spare(t, w)
-		w.Nodes[0].ClockOff = 5 * time.Second
-		w.Nodes[1].ClockOff, w.Nodes[2].ClockOff = -5*time.Second, -5*time.Second
+		w.Controllers[0].ClockOffset = 5 * time.Second
+		w.Controllers[1].ClockOffset, w.Controllers[2].ClockOffset = -5*time.Second, -5*time.Second
 		long := func(n int) protocol.Submission { // each on a page of its own
 			s := job(n, protocol.Array, 1)
 			s.Class = fmt.Sprintf("%01400d", n)
 			return s
 		}
 		first := accepted(t, w, long(1), time.Hour)
-		runs(t, w, first.Sub.ID, 1)
+		runs(t, w, first.Submission.ID, 1)
 		second := accepted(t, w, long(2), time.Second, first)
 		if !w.Until(10*time.Second, func() bool { return second.Accepted }) {
 			t.Fatal("not accepted")
 		}
-		w.Nodes[0].Crash()
-		w.After(10*time.Second, w.Nodes[0].Start)
+		w.Controllers[0].Crash()
+		w.After(10*time.Second, w.Controllers[0].Start)
 		third := accepted(t, w, long(3), time.Second, second)
 		fourth := accepted(t, w, long(4), time.Second, third)
 		if !w.Until(20*time.Second, func() bool { return fourth.Accepted }) {
 			t.Fatal("not accepted")
 		}
 		w.Run(12 * time.Second)
-		w.HoldsWrites = true
+		w.SeparateWrites = true
 		writes := 0
-		w.Network = func(kind, _, _ string) fake.Fate { // the cancellation is written, and few of the ends
-			f := fake.Well()
+		w.Network = func(kind, _, _ string) fake.Delivery { // the cancellation is written, and few of the ends
+			f := fake.Reliable()
 			if kind == "write" {
 				writes++
 				f.LoseRequest = writes > 1+step/4
@@ -160,8 +160,8 @@
 		pollFor(w, 40*time.Second)
 		check(t, w)
 		settled(t, w, jobs)
-		if first.Told != protocol.StatusCancelled {
-			t.Fatalf("the first is called %q", first.Told)
+		if first.Status != protocol.StatusCancelled {
+			t.Fatalf("the first is called %q", first.Status)
 		}
 	}
 }
@@ -173,14 +173,14 @@
 	w := world(t)
 	done := w.Submit(job(1, protocol.Gang, 2), time.Second)
 	pollFor(w, 30*time.Second)
-	if done.Told != protocol.StatusDone {
-		t.Fatalf("the first is called %q", done.Told)
+	if done.Status != protocol.StatusDone {
+		t.Fatalf("the first is called %q", done.Status)
 	}
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Crash()
 	}
 	w.Run(20 * time.Second)
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Start()
 	}
 	if !w.Until(10*time.Second, func() bool { return w.Leader() != nil }) {
@@ -188,17 +188,17 @@
 	}
 	w.Run(time.Second)
 	statuses := map[int]int{}
-	for i, n := range w.Nodes {
+	for i, n := range w.Controllers {
 		for _, id := range []int{10, 10 + i} { // the first is submitted at each
 			s := job(id, protocol.Array, 1)
-			s.Prerequisites = []string{done.Sub.ID}
-			n.Ask(coordination.UserCall{Kind: coordination.Submit, Job: s.ID, Submit: &s}, func(r coordination.Reply) { statuses[r.Status]++ })
+			s.Prerequisites = []string{done.Submission.ID}
+			n.Request(coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}, func(r coordination.Reply) { statuses[r.Status]++ })
 		}
 	}
 	var jobs []*fake.Job
-	for i := range w.Nodes {
+	for i := range w.Controllers {
 		s := job(10+i, protocol.Array, 1)
-		s.Prerequisites = []string{done.Sub.ID}
+		s.Prerequisites = []string{done.Submission.ID}
 		jobs = append(jobs, w.Submit(s, time.Second))
 	}
 	pollFor(w, 30*time.Second)
@@ -206,8 +206,8 @@
 		t.Errorf("answers %v to %d jobs", statuses, len(jobs))
 	}
 	for _, j := range jobs {
-		if j.Told != protocol.StatusDone {
-			t.Errorf("%s is called %q", j.Sub.ID, j.Told)
+		if j.Status != protocol.StatusDone {
+			t.Errorf("%s is called %q", j.Submission.ID, j.Status)
 		}
 	}
 	check(t, w)
@@ -221,7 +221,7 @@
 		spare(t, w)
 		jobs := pipeline(t, w, 1)
 		which := 1 + step%3
-		if !w.Until(60*time.Second, func() bool { return len(jobs[0].DoneTasks) == jobs[0].Sub.Tasks }) {
+		if !w.Until(60*time.Second, func() bool { return len(jobs[0].DoneTasks) == jobs[0].Submission.Tasks }) {
 			t.Fatal("the first job does not end")
 		}
 		w.Run(time.Duration(step/3) * 60 * time.Millisecond)
@@ -238,8 +238,8 @@
 		pollFor(w, 60*time.Second)
 		check(t, w)
 		settled(t, w, jobs)
-		if jobs[0].Told != protocol.StatusDone || jobs[which].Told != protocol.StatusCancelled {
-			t.Fatalf("the first is called %q, the cancelled one %q", jobs[0].Told, jobs[which].Told)
+		if jobs[0].Status != protocol.StatusDone || jobs[which].Status != protocol.StatusCancelled {
+			t.Fatalf("the first is called %q, the cancelled one %q", jobs[0].Status, jobs[which].Status)
 		}
 	}
 }
@@ -256,12 +256,12 @@
 		first := job(1, protocol.Array, 1)
 		first.Class = strings.Repeat("c", 1400) // what needs it is on another page
 		needed := accepted(t, w, first, time.Hour)
-		runs(t, w, needed.Sub.ID, 1)
+		runs(t, w, needed.Submission.ID, 1)
 		w.Run(3 * time.Second)
-		w.HoldsWrites = true
+		w.SeparateWrites = true
 		held := false
-		w.Network = func(kind, _, _ string) fake.Fate {
-			f := fake.Well()
+		w.Network = func(kind, _, _ string) fake.Delivery {
+			f := fake.Reliable()
 			if kind == "write" && !held {
 				held = true // the first is the acceptance
 				f.Request = 3 * time.Second
@@ -273,11 +273,11 @@
 		w.CancelEverywhere(needed)
 		for range 20 + step {
 			w.Run(70 * time.Millisecond)
-			w.CloseLook(j)
+			w.QueryEverywhere(j)
 		}
 		pollFor(w, 20*time.Second)
-		if j.Told != protocol.StatusCancelled || !j.Accepted {
-			t.Fatalf("accepted %t, called %q", j.Accepted, j.Told)
+		if j.Status != protocol.StatusCancelled || !j.Accepted {
+			t.Fatalf("accepted %t, called %q", j.Accepted, j.Status)
 		}
 		for key, value := range pagesOf(w) {
 			var page storage.PageValue
@@ -317,7 +317,7 @@
 	w := worldOf(t, s)
 	spare(t, w)
 	held := accepted(t, w, job(1, protocol.Array, 1), 45*time.Second)
-	runs(t, w, held.Sub.ID, 1)
+	runs(t, w, held.Submission.ID, 1)
 	needs := []*fake.Job{held}
 	for n := range named {
 		small := job(1000+n, protocol.Array, 1)
@@ -331,7 +331,7 @@
 	w.Run(10 * time.Second)
 	last := job(2, protocol.Array, 1)
 	for _, p := range needs {
-		last.Prerequisites = append(last.Prerequisites, p.Sub.ID)
+		last.Prerequisites = append(last.Prerequisites, p.Submission.ID)
 	}
 	return w, last, held
 }
@@ -347,22 +347,22 @@
 		return n
 	}
 	writes := 0
-	w.HoldsWrites = true
-	w.Network = func(kind, _, _ string) fake.Fate {
-		f := fake.Well()
+	w.SeparateWrites = true
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
 		if kind == "write" {
 			writes++
 			f.LoseRequest = writes > 1
 		}
 		return f
 	}
-	w.Nodes[0].Ask(coordination.UserCall{Kind: coordination.Submit, Job: last.ID, Submit: &last}, func(coordination.Reply) {})
+	w.Controllers[0].Request(coordination.UserRequest{Kind: coordination.Submit, Job: last.ID, Submission: &last}, func(coordination.Reply) {})
 	w.Run(500 * time.Millisecond)
 	if parts() == 0 {
 		t.Fatal("no part was recorded: this shows nothing")
 	}
-	w.Nodes[0].Crash()
-	w.After(2*time.Second, w.Nodes[0].Start)
+	w.Controllers[0].Crash()
+	w.After(2*time.Second, w.Controllers[0].Start)
 	w.Network = nil
 	w.Run(10 * time.Second)
 	if n := parts(); n > 0 {
@@ -377,9 +377,9 @@
 func playManyPrerequisites(t *testing.T, writes int, cancelled string) {
 	w, last, held := manyPrerequisites(t)
 	sent := 0
-	w.HoldsWrites = true
-	w.Network = func(kind, _, _ string) fake.Fate {
-		f := fake.Well()
+	w.SeparateWrites = true
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
 		if kind == "write" {
 			sent++
 			f.LoseRequest = sent == writes+1 || sent == writes+2 // what comes after them arrives
@@ -394,20 +394,20 @@
 	lookClosely(w, []*fake.Job{j}, 500*time.Millisecond)
 	w.Run(300 * time.Millisecond)
 	w.Leader().Crash()
-	w.After(2*time.Second, w.Nodes[0].Start)
+	w.After(2*time.Second, w.Controllers[0].Start)
 	w.Network = nil
 	if !w.Until(40*time.Second, func() bool { return j.Accepted }) {
 		t.Fatal("not accepted")
 	}
-	w.CloseLook(j)
+	w.QueryEverywhere(j)
 	if cancelled == "later" {
 		w.CancelEverywhere(held)
 	}
 	pollFor(w, 90*time.Second)
 	check(t, w)
 	settled(t, w, []*fake.Job{held, j})
-	if j.Refused != 0 || cancelled != "" && held.Told != protocol.StatusCancelled {
-		t.Errorf("refused with %d; the job that it needs is called %q", j.Refused, held.Told)
+	if j.RejectedWith != 0 || cancelled != "" && held.Status != protocol.StatusCancelled {
+		t.Errorf("refused with %d; the job that it needs is called %q", j.RejectedWith, held.Status)
 	}
 	for key, value := range pagesOf(w) {
 		if n := recordKinds(t, value)["prerequisites"]; n > 0 {
--- a/internal/coordination/late_controller_test.go
+++ b/internal/coordination/late_controller_test.go
@@ -40,10 +40,10 @@
 	called := w.Submit(service(2, 2), 0)
 	w.Run(25 * time.Second)
 	old := w.Leader()
-	w.HoldsWrites = true
-	w.Network = func(kind, from, to string) fake.Fate {
-		f := fake.Well()
-		if from == old.Name && old.Old && (kind == "write" || kind == "orders" || kind == "forward") {
+	w.SeparateWrites = true
+	w.Network = func(kind, from, to string) fake.Delivery {
+		f := fake.Reliable()
+		if from == old.Name && old.RunsProduction && (kind == "write" || kind == "orders" || kind == "forward") {
 			f.Request = late
 		}
 		if to == old.Name && kind == "forward" {
@@ -62,9 +62,9 @@
 	}
 	held := 0
 	for range 5 { // requests that it holds
-		old.Ask(coordination.UserCall{Kind: coordination.Poll, Job: called.Sub.ID}, func(coordination.Reply) { held++ })
+		old.Request(coordination.UserRequest{Kind: coordination.Poll, Job: called.Submission.ID}, func(coordination.Reply) { held++ })
 	}
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		if n != old {
 			w.Run(hang / 3)
 			upgrade(w, n, 400*time.Millisecond)
@@ -74,7 +74,7 @@
 	old.PausedUntil = 0
 	upgrade(w, old, 500*time.Millisecond)
 	w.Run(time.Second)
-	w.State.Lower()
+	w.State.LowerLimits()
 	jobs := pipeline(t, w, 300)
 	w.CancelEverywhere(jobs[1])
 	lookRepeatedly(w, jobs, 80, 500*time.Millisecond)
@@ -82,8 +82,8 @@
 	check(t, w)
 	served(t, w)
 	settled(t, w, jobs)
-	if called.Told != protocol.StatusCancelled {
-		t.Errorf("the job that the hanging leader was asked to cancel is called %q", called.Told)
+	if called.Status != protocol.StatusCancelled {
+		t.Errorf("the job that the hanging leader was asked to cancel is called %q", called.Status)
 	}
 	if resumes && held == 0 {
 		t.Error("the hanging leader answered nothing when it resumed")
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -17,9 +17,9 @@
 func TestNextProcessOfTheLeaderTakesOverAtOnce(t *testing.T) {
 	w := world(t)
 	w.Run(time.Second)
-	w.Nodes[0].Crash()
-	w.Nodes[0].Start()
-	if !w.Until(500*time.Millisecond, w.Nodes[0].Leads) {
+	w.Controllers[0].Crash()
+	w.Controllers[0].Start()
+	if !w.Until(500*time.Millisecond, w.Controllers[0].Leads) {
 		t.Error("it does not lead after half a second")
 	}
 	check(t, w)
@@ -34,9 +34,9 @@
 	var held, renewal coordination.StateCall
 	term, writes := int64(0), 0
 	now := coordination.Now{}
-	var give func(commands ...coordination.Command)
-	give = func(commands ...coordination.Command) {
-		now.Mono += time.Millisecond
+	var give func(commands ...coordination.Event)
+	give = func(commands ...coordination.Event) {
+		now.Monotonic += time.Millisecond
 		for _, effect := range n.Step(now, commands) {
 			c, ok := effect.(coordination.StateCall)
 			if !ok {
@@ -49,31 +49,31 @@
 			case c.Op == storage.StateGet:
 				held = c
 				continue
-			case c.Op == storage.StateRenew:
+			case c.Op == storage.StateRenewLease:
 				renewal = c
 				continue
 			case len(c.Txn.Then) > 0 && c.Txn.Then[0].Put == coordination.LeaderKey:
 				term += 10
-				r.Number = term
+				r.Revision = term
 			case len(c.Txn.Then) > 0:
 				writes++
 				r.Outcome = storage.Conflict
 			default:
-				r.Number = 7
+				r.Revision = 7
 			}
 			give(coordination.StateResult{StateResult: r})
 		}
 	}
 	leads := func() bool { return n.Role() == "leader" }
 	tick := func() {
-		now.Mono += 500 * time.Millisecond
+		now.Monotonic += 500 * time.Millisecond
 		give(coordination.Tick{})
 	}
 	tick()
 	if !leads() {
 		t.Fatal("does not lead")
 	}
-	give(coordination.AdminCall{ID: 1, Kind: coordination.AdminChange, Body: []byte(`{"sample": 7}`)})
+	give(coordination.AdminRequest{ID: 1, Kind: coordination.AdminChange, Body: []byte(`{"sample": 7}`)})
 	if writes != 1 || held.ID == 0 {
 		t.Fatalf("%d writes, %+v looked at", writes, held)
 	}
@@ -97,12 +97,14 @@
 func TestFollowerThatCannotReachTheLeader(t *testing.T) {
 	w := world(t)
 	w.Run(5 * time.Second)
-	healthy := func() []bool { return []bool{w.Nodes[0].Healthy(), w.Nodes[1].Healthy(), w.Nodes[2].Healthy()} }
+	healthy := func() []bool {
+		return []bool{w.Controllers[0].Healthy(), w.Controllers[1].Healthy(), w.Controllers[2].Healthy()}
+	}
 	if h := healthy(); !slices.Equal(h, []bool{true, true, true}) {
 		t.Fatalf("at first %v", h)
 	}
-	w.Network = func(kind, _, _ string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
 		f.LoseRequest = kind == "peer" || kind == "forward"
 		return f
 	}
@@ -124,18 +126,18 @@
 func TestFormerLeaderRefusedByTheStateServiceFollows(t *testing.T) {
 	w := world(t)
 	a := w.Submit(service(1, 1), 0)
-	runs(t, w, a.Sub.ID, 1)
-	w.State.Cut["n0"] = true
-	if !w.Until(10*time.Second, func() bool { return w.Nodes[1].Leads() || w.Nodes[2].Leads() }) {
+	runs(t, w, a.Submission.ID, 1)
+	w.State.Unreachable["n0"] = true
+	if !w.Until(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
 		t.Fatal("nobody else leads")
 	}
 	w.Run(time.Second)
 	for range 10 {
 		status := 0
-		w.Nodes[0].Ask(coordination.UserCall{Kind: coordination.Poll, Job: a.Sub.ID}, func(r coordination.Reply) { status = r.Status })
+		w.Controllers[0].Request(coordination.UserRequest{Kind: coordination.Poll, Job: a.Submission.ID}, func(r coordination.Reply) { status = r.Status })
 		w.Run(time.Second)
-		if status != 200 || !w.Nodes[0].Healthy() {
-			t.Fatalf("at %v status %d, healthy %t", w.Now, status, w.Nodes[0].Healthy())
+		if status != 200 || !w.Controllers[0].Healthy() {
+			t.Fatalf("at %v status %d, healthy %t", w.Now, status, w.Controllers[0].Healthy())
 		}
 	}
 	check(t, w)
@@ -146,7 +148,7 @@
 // term up at once, and nothing that runs is lost.
 func TestLeaderThatHearsNoWorkerGivesUp(t *testing.T) {
 	s := fake.Settings()
-	s.Workers.Report, s.Workers.Lease, s.Workers.Cancel = 3, 14, 34
+	s.Workers.HeartbeatIntervalS, s.Workers.LeaseS, s.Workers.CancelWithinS = 3, 14, 34
 	w := fake.NewWorld(s)
 	for i := range 4 {
 		w.Submit(service(i+1, 3), 0)
@@ -157,14 +159,14 @@
 		t.Fatal("nobody leads")
 	}
 	before := map[string]int64{}
-	for _, name := range w.Names() {
+	for _, name := range w.MachineNames() {
 		before[name] = w.Session(name)
 	}
 	if len(before) < 3 {
 		t.Fatalf("only %d machines", len(before))
 	}
-	w.Network = func(kind, from, to string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, from, to string) fake.Delivery {
+		f := fake.Reliable()
 		f.LoseRequest = kind == "report" && to == leader.Name || kind == "orders" && from == leader.Name
 		return f
 	}
@@ -183,14 +185,14 @@
 // The three tasks of a job end far apart, two of them on machines that hang, and
 // the leader changes between any two ends: each counts once, and the job is done.
 func TestTasksEndFarApartWhileLeadersChange(t *testing.T) {
-	for _, shape := range []protocol.Shape{protocol.Array, protocol.Gang} {
+	for _, shape := range []protocol.JobKind{protocol.Array, protocol.Gang} {
 		for step := range 6 {
 			w := world(t)
 			s := job(1, shape, 3)
-			s.CPUs, s.SaveEach = 4, 0 // a machine each
+			s.CPUs, s.CheckpointIntervalS = 4, 0 // a machine each
 			j := w.Submit(s, 4*time.Second)
 			runs(t, w, s.ID, 3)
-			for i, host := range w.On(s.ID)[:2] {
+			for i, host := range w.MachinesOf(s.ID)[:2] {
 				w.Workers[host].HangUntil = w.Now + time.Duration(4+4*i)*time.Second
 			}
 			for i := range 3 {
@@ -237,8 +239,8 @@
 				l.Crash()
 				w.After(3*time.Second, l.Start)
 			case 2:
-				w.State.Cut[l.Name] = true
-				w.After(6*time.Second, func() { delete(w.State.Cut, l.Name) })
+				w.State.Unreachable[l.Name] = true
+				w.After(6*time.Second, func() { delete(w.State.Unreachable, l.Name) })
 			case 3:
 				l.PausedUntil = w.Now + 4*time.Second
 			case 4:
@@ -269,19 +271,19 @@
 			a := w.Submit(service(1, 3), 0)
 			w.Submit(job(2, protocol.Array, 4), 20*time.Second)
 			called := w.Submit(service(3, 2), 0)
-			runs(t, w, a.Sub.ID, 3)
-			runs(t, w, called.Sub.ID, 2)
+			runs(t, w, a.Submission.ID, 3)
+			runs(t, w, called.Submission.ID, 2)
 			w.CancelEverywhere(called)
 			w.Run(20 * time.Millisecond)
-			for _, n := range w.Nodes {
+			for _, n := range w.Controllers {
 				n.Crash()
 			}
 			w.Run(away)
-			for _, n := range w.Nodes[:back] {
+			for _, n := range w.Controllers[:back] {
 				n.Start()
 			}
 			pollFor(w, 10*time.Second)
-			for _, n := range w.Nodes[back:] {
+			for _, n := range w.Controllers[back:] {
 				n.Start()
 			}
 			w.CancelEverywhere(called)
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -14,9 +14,9 @@
 // others, and from services what is left to work that ends.
 func (t *team) heldFrom(j *job) need {
 	n := t.owed
-	if j.Shape == protocol.Service {
-		n.cpus += max(0, min(t.CPUsMax*endsShare, t.ends.cpus+t.endsWait.cpus)-t.ends.cpus)
-		n.gpus += max(0, min(t.GPUsMax*endsShare, t.ends.gpus+t.endsWait.gpus)-t.ends.gpus)
+	if j.Kind == protocol.Service {
+		n.cpus += max(0, min(t.CPULimit*endsShare, t.ends.cpus+t.endsWait.cpus)-t.ends.cpus)
+		n.gpus += max(0, min(t.GPULimit*endsShare, t.ends.gpus+t.endsWait.gpus)-t.ends.gpus)
 	}
 	return n
 }
@@ -30,11 +30,11 @@
 	lack := func() need {
 		over := t.used.plus(t.owed).plus(j.need.times(float64(count))).minus(t.leaving)
 		n := need{}
-		if t.CPUsMax > 0 {
-			n.cpus = max(0, over.cpus-t.CPUsMax)
+		if t.CPULimit > 0 {
+			n.cpus = max(0, over.cpus-t.CPULimit)
 		}
-		if t.GPUsMax > 0 {
-			n.gpus = max(0, over.gpus-t.GPUsMax)
+		if t.GPULimit > 0 {
+			n.gpus = max(0, over.gpus-t.GPULimit)
 		}
 		return n
 	}
@@ -42,7 +42,7 @@
 	if highest, ok := e.pass.noneToStop[t]; !short.fits(need{}) && (!ok || order(j) > highest) {
 		var may []*task
 		for _, v := range e.order {
-			if v.team != t || v.priority() >= j.priority() || v.over || v.Cancelled || order(v) >= order(j) || v.Shape == protocol.Service {
+			if v.team != t || v.priority() >= j.priority() || v.over || v.Cancelled || order(v) >= order(j) || v.Kind == protocol.Service {
 				continue
 			}
 			for _, x := range e.sorted(v) {
@@ -66,11 +66,11 @@
 			if x.stopping || x.job.tasks[x.index] != x {
 				continue // with the gang that it was of
 			}
-			if rest := t.ends.minus(x.job.need); t.GPUsMax > 0 && rest.gpus < t.GPUsMax*endsShare || t.CPUsMax > 0 && rest.cpus < t.CPUsMax*endsShare {
+			if rest := t.ends.minus(x.job.need); t.GPULimit > 0 && rest.gpus < t.GPULimit*endsShare || t.CPULimit > 0 && rest.cpus < t.CPULimit*endsShare {
 				break
 			}
 			t.ends = t.ends.minus(x.job.need)
-			e.n.Stats.Preempted++
+			e.n.Stats.TasksPreempted++
 			e.preemptTask(x, "its team's limit is needed for "+j.ID)
 			short = lack()
 		}
@@ -85,11 +85,11 @@
 	t := j.team
 	left := need{1e12, 1e12, 1e12} // no limit
 	held := t.heldFrom(j)
-	if t.CPUsMax > 0 {
-		left.cpus = t.CPUsMax - t.used.cpus - held.cpus
+	if t.CPULimit > 0 {
+		left.cpus = t.CPULimit - t.used.cpus - held.cpus
 	}
-	if t.GPUsMax > 0 {
-		left.gpus = t.GPUsMax - t.used.gpus - held.gpus
+	if t.GPULimit > 0 {
+		left.gpus = t.GPULimit - t.used.gpus - held.gpus
 	}
 	return j.need.count(left, most)
 }
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -28,7 +28,7 @@
 // Higher priority needs room on a full fleet: the batch task yields, saving.
 func TestLowerPriorityYields(t *testing.T) {
 	w := world(t)
-	w.Cloud.Most = 1
+	w.Cloud.Capacity = 1
 	low := job(1, protocol.Array, 4)
 	low.Priority, low.CPUs, low.Types = protocol.Low, 2, []string{"small"}
 	j := w.Submit(low, 60*time.Second)
@@ -60,9 +60,9 @@
 	more.Team, more.Priority, more.CPUs = "red", protocol.Low, 0.5
 	w.Submit(more, 3*time.Second)
 	w.Run(5 * time.Second)
-	slow := w.On(low.ID)[0] // one machine's tasks are gone later than the others'
-	w.Network = func(kind, _, b string) fake.Fate {
-		f := fake.Well()
+	slow := w.MachinesOf(low.ID)[0] // one machine's tasks are gone later than the others'
+	w.Network = func(kind, _, b string) fake.Delivery {
+		f := fake.Reliable()
 		if kind == "orders" && b == slow {
 			f.Request = 700 * time.Millisecond
 		}
@@ -98,8 +98,8 @@
 		return w.Submit(s, 0)
 	}
 	a, b := full(1), full(2)
-	runs(t, w, a.Sub.ID, 2)
-	runs(t, w, b.Sub.ID, 2)
+	runs(t, w, a.Submission.ID, 2)
+	runs(t, w, b.Submission.ID, 2)
 	low := job(3, protocol.Array, 4)
 	low.Team, low.Priority = "red", protocol.Low
 	w.Submit(low, 8*time.Second)
@@ -107,10 +107,10 @@
 	w.Run(3 * time.Second)
 	w.CancelJob(a)
 	runs(t, w, low.ID, 4)
-	if n := w.Running(c.Sub.ID); n != 0 {
+	if n := w.Running(c.Submission.ID); n != 0 {
 		t.Errorf("%d replicas run that leave no part to the batch", n)
 	}
-	runs(t, w, c.Sub.ID, 2)
+	runs(t, w, c.Submission.ID, 2)
 	pollFor(w, 15*time.Second)
 	check(t, w)
 	served(t, w)
@@ -121,7 +121,7 @@
 // straight back, so nothing is stopped.
 func TestPreemptionFollowsTheQueue(t *testing.T) {
 	w := world(t)
-	w.Cloud.Most = 1
+	w.Cloud.Capacity = 1
 	beyond := service(1, 2)
 	beyond.Priority, beyond.CPUs, beyond.Types, beyond.Zone, beyond.Team = protocol.Production, 2, []string{"small"}, "a", "blue"
 	w.Submit(beyond, 0)
@@ -134,7 +134,7 @@
 	sure.Priority, sure.CPUs, sure.Types, sure.Zone, sure.Team = protocol.High, 4, []string{"small"}, "b", "red"
 	w.Submit(sure, 0)
 	w.Run(10 * time.Second)
-	if n := w.Nodes[0].Stats().Preempted; n != 0 || w.Running(more.ID) != 1 {
+	if n := w.Controllers[0].Stats().TasksPreempted; n != 0 || w.Running(more.ID) != 1 {
 		t.Errorf("%d stopped, %d of 1 run", n, w.Running(more.ID))
 	}
 	check(t, w)
@@ -149,7 +149,7 @@
 			t.Run(fmt.Sprint(trouble, change), func(t *testing.T) {
 				t.Parallel()
 				s := fake.Settings()
-				s.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 8}, {Name: "blue", CPUs: 4, CPUsMax: 4}}
+				s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 8, CPULimit: 8}, {Name: "blue", GuaranteedCPUs: 4, CPULimit: 4}}
 				w := fake.NewWorld(s)
 				w.Run(2 * time.Second)
 				var first, next []*fake.Job
@@ -159,7 +159,7 @@
 					first = append(first, w.Submit(s, 0))
 				}
 				for _, j := range first {
-					runs(t, w, j.Sub.ID, 2)
+					runs(t, w, j.Submission.ID, 2)
 				}
 				for i, team := range []string{"red", "red", "blue"} {
 					s := service(i+11, 2)
@@ -169,11 +169,11 @@
 				w.Run(3 * time.Second)
 				away, from := map[string]bool{}, w.Now
 				for _, j := range first {
-					away[w.On(j.Sub.ID)[0]] = true
+					away[w.MachinesOf(j.Submission.ID)[0]] = true
 				}
 				const lasts = 30 * time.Second
-				w.Network = func(_, a, b string) fake.Fate {
-					f := fake.Well()
+				w.Network = func(_, a, b string) fake.Delivery {
+					f := fake.Reliable()
 					if w.Now > from+lasts {
 						return f
 					}
@@ -197,19 +197,19 @@
 					w.After(time.Second, func() { w.CancelEverywhere(j) })
 				}
 				w.Run(5 * time.Second)
-				for _, n := range w.Nodes {
+				for _, n := range w.Controllers {
 					if !n.Up {
 						n.Start()
 					}
 				}
 				for _, j := range next {
-					runs(t, w, j.Sub.ID, 2)
+					runs(t, w, j.Submission.ID, 2)
 				}
 				w.Run(40 * time.Second)
 				check(t, w)
 				for _, j := range next {
-					if n := w.Running(j.Sub.ID); n != 2 {
-						t.Errorf("%s: %d run", j.Sub.ID, n)
+					if n := w.Running(j.Submission.ID); n != 2 {
+						t.Errorf("%s: %d run", j.Submission.ID, n)
 					}
 				}
 			})
@@ -223,9 +223,9 @@
 func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
 	for _, slow := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1400 * time.Millisecond} {
 		w := world(t)
-		w.Cloud.Most = 1
-		w.Network = func(kind, _, _ string) fake.Fate {
-			f := fake.Well()
+		w.Cloud.Capacity = 1
+		w.Network = func(kind, _, _ string) fake.Delivery {
+			f := fake.Reliable()
 			if kind == "orders" || kind == "report" {
 				f.Request, f.Answer = slow/2, slow/2
 			}
@@ -246,7 +246,7 @@
 		w.Run(15 * time.Second)
 		n := 0
 		for _, j := range urgent {
-			n += w.Running(j.Sub.ID)
+			n += w.Running(j.Submission.ID)
 		}
 		if n < 4 { // of six: room for two on each machine
 			t.Errorf("links of %v: %d urgent replicas run", slow, n)
@@ -278,7 +278,7 @@
 		rest.Team, rest.Types = "red", []string{"large"}
 		w.Submit(rest, 30*time.Second)
 		w.Run(7500*time.Millisecond + time.Duration(step)*100*time.Millisecond) // within gang_peer_s of the end
-		if on := w.On(j.Sub.ID); len(on) > 0 {
+		if on := w.MachinesOf(j.Submission.ID); len(on) > 0 {
 			w.Workers[on[len(on)-1]].HangUntil = w.Now + 26*time.Second
 		}
 		w.CancelJob(filler)
--- a/internal/coordination/load.go
+++ b/internal/coordination/load.go
@@ -13,7 +13,7 @@
 
 // newEngine makes a leader's picture of everything from the pages that it has read
 // behind the barrier of its term.
-func newEngine(n *Node, entries []protocol.Entry) (*engine, error) {
+func newEngine(n *Controller, entries []protocol.Entry) (*engine, error) {
 	pages, err := storage.ReadPages(entries)
 	if err != nil {
 		return nil, err
@@ -40,22 +40,22 @@
 		e.loadRentedHosts(r)
 	}
 	n.log(Info, "leading", "term", e.token, "jobs", len(e.order), "over", len(e.finals), "hosts", len(e.hosts),
-		"pages", e.store.Pages(), "pages above limits to come", e.store.Unsplit())
+		"pages", e.store.PageCount(), "pages above limits to come", e.store.OversizedPages())
 	return e, nil
 }
 
 // emptyEngine is the picture of a service that has never been used.
-func emptyEngine(n *Node) *engine {
+func emptyEngine(n *Controller) *engine {
 	s := n.cfg.Settings
 	e := &engine{
-		n: n, rules: n.rules, opt: DefaultOptions(n.cfg), token: n.term.own, firstT: n.term.own, ledAt: n.now.Mono,
+		n: n, rules: n.rules, opt: DefaultOptions(n.cfg), token: n.term.own, firstT: n.term.own, ledAt: n.now.Monotonic,
 		jobs: map[string]*job{}, finals: map[string]*final{}, teams: map[string]*team{}, hosts: map[string]*host{},
 		gone: map[string]time.Duration{}, writes: map[uint64]*storage.Write{}, asking: map[uint64]bool{}, schedule: true,
 		classes: map[string]*class{}, within: map[string]float64{}, dependencies: newDependencies(),
 	}
 	for _, o := range s.Objectives {
 		if o.Kind == "wait" {
-			e.within[o.Class] = o.Within
+			e.within[o.Class] = o.WithinS
 		}
 	}
 	for _, t := range s.Teams {
@@ -69,7 +69,7 @@
 		PageBytes: storage.PageBytes(limits.ValueKB), ChangesPerTxn: limits.TxnOps, WritesPerS: limits.WriteRPS * e.opt.WriteShare,
 	}, fmt.Sprintf("%d", e.token), n.rules.retry)
 	if n.limitsLowered {
-		e.store.LimitsLowered()
+		e.store.SetLimitsLowered()
 	}
 	return e
 }
@@ -78,13 +78,13 @@
 func (e *engine) loadPage(p storage.LoadedPage) error {
 	e.store.Load(p.Number, p.Version)
 	if p.Stale {
-		e.store.LoadStale(e.n.now.Mono, p.Number)
+		e.store.LoadStalePage(e.n.now.Monotonic, p.Number)
 	}
 	if p.Value.Options != "" {
 		e.loadOptions(p)
 	}
-	for _, r := range p.Value.Finals {
-		f := &final{FinalRecord: r}
+	for _, r := range p.Value.Terminal {
+		f := &final{TerminalRecord: r}
 		e.finals[r.ID] = f
 		e.store.Load(p.Number, p.Version, f)
 	}
@@ -97,8 +97,8 @@
 			return err
 		}
 	}
-	for _, r := range p.Value.Rentals {
-		rt := &rental{RentalRecord: r, ready: true}
+	for _, r := range p.Value.Provisioning {
+		rt := &rental{ProvisioningRecord: r, ready: true}
 		e.fleet.rentals = append(e.fleet.rentals, rt)
 		e.store.Load(p.Number, p.Version, rt)
 	}
@@ -122,7 +122,7 @@
 	if x.BlockTasks > 0 {
 		j.blockTasks, j.recordBlocks = x.BlockTasks, true
 	}
-	full, err := storage.ParseBits(r.Full)
+	full, err := storage.ParseBitmap(r.CompletedBlocks)
 	if err != nil {
 		return fmt.Errorf("job %s: %w", r.ID, err)
 	}
@@ -130,7 +130,7 @@
 		return err
 	}
 	j.full, j.committed, j.cancelKnown = full, true, r.Cancelled
-	j.cancelledAt = e.n.now.Mono
+	j.cancelledAt = e.n.now.Monotonic
 	for b := range j.blockCount() {
 		if full.Has(b) {
 			j.done += j.blockLen(b)
@@ -146,7 +146,7 @@
 	for _, r := range p.Value.Prerequisites {
 		j := e.jobs[r.Job]
 		if j == nil {
-			e.store.LoadStale(e.n.now.Mono, p.Number)
+			e.store.LoadStalePage(e.n.now.Monotonic, p.Number)
 			continue
 		}
 		part := &prerequisitesPart{r}
@@ -212,28 +212,28 @@
 }
 
 func (e *engine) loadRentedHosts(r *rental) {
-	for _, name := range r.Hosts {
+	for _, name := range r.Machines {
 		h := e.host(name)
 		h.kind, h.zone, h.spot = r.Type, r.Zone, r.Spot
-		h.rentedAt = e.n.now.Mono - time.Duration(max(0, e.n.now.WallMs-r.AtMs))*time.Millisecond
+		h.rentedAt = e.n.now.Monotonic - time.Duration(max(0, e.n.now.WallMs-r.AtMs))*time.Millisecond
 	}
 }
 
 func (e *engine) readBlock(b *block, r storage.BlockRecord) error {
 	j := b.job
-	done, err := storage.ParseBits(r.Done)
+	done, err := storage.ParseBitmap(r.Done)
 	if err != nil {
 		return fmt.Errorf("job %s: %w", j.ID, err)
 	}
 	if err := r.ValidateTasks(j.Tasks, j.blockTasks, done); err != nil {
 		return err
 	}
-	b.try, b.done = r.Try, done
+	b.try, b.done = r.LastAttempt, done
 	if j.full.Has(b.number) {
 		// Its completion is recorded in the first block; it was about to go. The
 		// first block itself stays, since it carries the job's record.
 		if b.number != 0 {
-			e.store.Remove(e.n.now.Mono, b, j.onCommitLater(func() {}))
+			e.store.Remove(e.n.now.Monotonic, b, j.onCommitLater(func() {}))
 			delete(j.blocks, b.number)
 		}
 		return nil
@@ -244,10 +244,10 @@
 		}
 	}
 	for _, s := range r.Starts {
-		h := e.host(s.Host)
+		h := e.host(s.Machine)
 		t := &task{
-			job: j, block: b, index: s.Task, try: s.Try, host: h, session: s.Session,
-			inherited: true, committed: true, placedAt: e.n.now.Mono, ranSince: -1,
+			job: j, block: b, index: s.Task, try: s.Attempt, host: h, session: s.Incarnation,
+			inherited: true, committed: true, placedAt: e.n.now.Monotonic, ranSince: -1,
 		}
 		b.starts = append(b.starts, t)
 		j.tasks[t.index] = t
@@ -257,7 +257,7 @@
 		h.tasks = append(h.tasks, t)
 		h.countTask(j, 1)
 		h.used = h.used.plus(j.need)
-		h.session = max(h.session, s.Session)
+		h.session = max(h.session, s.Incarnation)
 		j.team.used = j.team.used.plus(j.need)
 	}
 	return nil
@@ -265,7 +265,7 @@
 
 func (e *engine) newJob(r storage.JobRecord) *job {
 	j := &job{
-		JobRecord: r, e: e, blocks: map[int]*block{}, tasks: map[int]*task{}, idleSince: e.n.now.Mono,
+		JobRecord: r, e: e, blocks: map[int]*block{}, tasks: map[int]*task{}, idleSince: e.n.now.Monotonic,
 		need: need{r.CPUs, r.GPUs, r.MemoryGB}, failures: failureSeries{on: map[string]bool{}}, kinds: strings.Join(r.Types, " "),
 		readyMs: r.SubmittedMs, blockTasks: e.rules.blockTasks,
 	}
--- a/internal/coordination/messages.go
+++ b/internal/coordination/messages.go
@@ -10,12 +10,12 @@
 // Now is the time of a step: the steady clock since the process began, and the
 // time of day in milliseconds.
 type Now struct {
-	Mono   time.Duration
-	WallMs int64
+	Monotonic time.Duration
+	WallMs    int64
 }
 
 // forLimiter is the steady clock as rate limiters take it.
-func (n Now) forLimiter() time.Time { return time.Unix(1, 0).Add(n.Mono) }
+func (n Now) forLimiter() time.Time { return time.Unix(1, 0).Add(n.Monotonic) }
 
 // Outcome is how a call to another component ended.
 type Outcome = storage.Outcome
@@ -28,15 +28,15 @@
 	Invalid  = storage.Invalid
 	Refused  = storage.Refused
 	NotSent  = storage.NotSent
-	Lost     = storage.Lost
+	Unknown  = storage.Unknown
 )
 
-// Command is what goes into Step: a request, an answer to an effect, or time.
-type Command interface{ command() }
+// Event is what goes into Step: a request, an answer to an effect, or time.
+type Event interface{ event() }
 
 // Request is a command that is answered with a Reply of its ID.
 type Request interface {
-	Command
+	Event
 	// WithID gives the same request under such a number.
 	WithID(id uint64) Request
 }
@@ -46,20 +46,20 @@
 
 // Commands that go into Step.
 type (
-	// UserCall is a request of a user.
-	UserCall struct {
-		ID     uint64
-		Kind   UserKind
-		Job    string
-		Submit *protocol.Submission
+	// UserRequest is a request of a user.
+	UserRequest struct {
+		ID         uint64
+		Kind       UserRequestKind
+		Job        string
+		Submission *protocol.Submission
 	}
-	// ReportCall is a report of a worker.
-	ReportCall struct {
-		ID     uint64
-		Report *protocol.Report
+	// HeartbeatRequest is a report of a worker.
+	HeartbeatRequest struct {
+		ID        uint64
+		Heartbeat *protocol.Heartbeat
 	}
-	// StepDownCall is a new leader's question.
-	StepDownCall struct {
+	// StepDownRequest is a new leader's question.
+	StepDownRequest struct {
 		ID     uint64
 		Term   int64
 		Leader string
@@ -68,23 +68,23 @@
 	}
 	// CloudResult answers a CloudCall.
 	CloudResult struct {
-		ID      uint64
-		Outcome Outcome
-		Types   []protocol.MachineType
-		List    protocol.MachineList
-		Hosts   []string
+		ID       uint64
+		Outcome  Outcome
+		Types    []protocol.MachineType
+		List     protocol.MachineList
+		Machines []string
 	}
-	// OrdersResult answers an OrdersCall: OK, Conflict (nothing executed), NotSent or Lost.
-	OrdersResult struct {
-		ID      uint64
-		Host    string
-		Outcome Outcome
-		Report  *protocol.Report
+	// CommandsResult answers an CommandsCall: OK, Conflict (nothing executed), NotSent or Lost.
+	CommandsResult struct {
+		ID        uint64
+		Machine   string
+		Outcome   Outcome
+		Heartbeat *protocol.Heartbeat
 	}
 	// PeerResult answers a PeerCall.
 	PeerResult struct {
 		PeerCall
-		protocol.StepDownAnswer
+		protocol.StepDownResponse
 	}
 	// StateResult answers a StateCall.
 	StateResult struct{ storage.StateResult }
@@ -92,49 +92,49 @@
 	Tick struct{}
 )
 
-func (UserCall) command()     {}
-func (ReportCall) command()   {}
-func (StepDownCall) command() {}
-func (AdminCall) command()    {}
-func (StateResult) command()  {}
-func (CloudResult) command()  {}
-func (OrdersResult) command() {}
-func (PeerResult) command()   {}
-func (Tick) command()         {}
+func (UserRequest) event()      {}
+func (HeartbeatRequest) event() {}
+func (StepDownRequest) event()  {}
+func (AdminRequest) event()     {}
+func (StateResult) event()      {}
+func (CloudResult) event()      {}
+func (CommandsResult) event()   {}
+func (PeerResult) event()       {}
+func (Tick) event()             {}
 
 // WithID gives the same request under such a number.
-func (c UserCall) WithID(id uint64) Request { c.ID = id; return c }
+func (c UserRequest) WithID(id uint64) Request { c.ID = id; return c }
 
 // WithID gives the same request under such a number.
-func (c ReportCall) WithID(id uint64) Request { c.ID = id; return c }
+func (c HeartbeatRequest) WithID(id uint64) Request { c.ID = id; return c }
 
 // WithID gives the same request under such a number.
-func (c StepDownCall) WithID(id uint64) Request { c.ID = id; return c }
+func (c StepDownRequest) WithID(id uint64) Request { c.ID = id; return c }
 
 // WithID gives the same request under such a number.
-func (c AdminCall) WithID(id uint64) Request { c.ID = id; return c }
+func (c AdminRequest) WithID(id uint64) Request { c.ID = id; return c }
 
-// UserKind is what a user asks.
-type UserKind uint8
+// UserRequestKind is what a user asks.
+type UserRequestKind uint8
 
 // What users ask.
 const (
-	Submit UserKind = iota
+	Submit UserRequestKind = iota
 	Poll
 	Cancel
 )
 
 // Effects that come out of Step.
 type (
-	// Reply answers a UserCall, ReportCall or StepDownCall.
+	// Reply answers a UserRequest, HeartbeatRequest or StepDownRequest.
 	Reply struct {
-		ID         uint64
-		Status     int
-		Body       []byte
-		RetryAfter int  // seconds; 0: not said
-		Close      bool // the user had better come back on a new connection, which may lead elsewhere
+		ID              uint64
+		Status          int
+		Body            []byte
+		RetryAfterS     int  // seconds; 0: not said
+		CloseConnection bool // the user had better come back on a new connection, which may lead elsewhere
 	}
-	// Forward hands a UserCall to the leader.
+	// Forward hands a UserRequest to the leader.
 	Forward struct {
 		ID   uint64
 		Peer string
@@ -143,57 +143,57 @@
 	StateCall struct{ storage.StateCall }
 	// CloudCall asks the cloud.
 	CloudCall struct {
-		ID     uint64
-		Op     CloudOp
-		After  string
-		Rental protocol.Rental
-		Hosts  []string
-		// Until is until when it may be sent, by the steady clock: after that another
+		ID           uint64
+		Op           CloudOp
+		StartAfter   string
+		Provisioning protocol.ProvisioningRequest
+		Machines     []string
+		// NotAfter is until when it may be sent, by the steady clock: after that another
 		// controller may lead. 0: at any time.
-		Until time.Duration
+		NotAfter time.Duration
 	}
-	// OrdersCall sends commands straight to a worker.
-	OrdersCall struct {
-		ID             uint64
-		Host, Addr     string
-		Token, Session int64
-		Commands       []protocol.Command
-		// Until is until when it may be sent, as with CloudCall.
-		Until time.Duration
+	// CommandsCall sends commands straight to a worker.
+	CommandsCall struct {
+		ID                        uint64
+		Machine, Addr             string
+		FencingToken, Incarnation int64
+		Commands                  []protocol.Command
+		// NotAfter is until when it may be sent, as with CloudCall.
+		NotAfter time.Duration
 	}
 	// PeerCall asks a peer to let go of terms below Term.
 	PeerCall struct {
-		Peer  string
-		Term  int64
-		Asked time.Duration // when
+		Peer   string
+		Term   int64
+		SentAt time.Duration // when
 		// AsksArchive asks whether the peer reads the archive of ended jobs.
 		AsksArchive bool
 	}
 	// Log is a line for the operator.
 	Log struct {
-		Level LogLevel
-		Text  string
-		Args  []any // keys and values, as log/slog takes them
+		Level   LogLevel
+		Message string
+		Args    []any // keys and values, as log/slog takes them
 	}
 )
 
-func (Reply) effect()      {}
-func (Forward) effect()    {}
-func (StateCall) effect()  {}
-func (CloudCall) effect()  {}
-func (OrdersCall) effect() {}
-func (PeerCall) effect()   {}
-func (Log) effect()        {}
+func (Reply) effect()        {}
+func (Forward) effect()      {}
+func (StateCall) effect()    {}
+func (CloudCall) effect()    {}
+func (CommandsCall) effect() {}
+func (PeerCall) effect()     {}
+func (Log) effect()          {}
 
 // CloudOp is a request to the cloud.
 type CloudOp uint8
 
 // Requests to the cloud.
 const (
-	CloudTypes CloudOp = iota
-	CloudList
-	CloudRent
-	CloudReturn
+	CloudListTypes CloudOp = iota
+	CloudListMachines
+	CloudScaleOut
+	CloudScaleIn
 )
 
 // LogLevel is how much a line matters.
--- a/internal/coordination/model_test.go
+++ b/internal/coordination/model_test.go
@@ -46,26 +46,26 @@
 			teams = append(teams, "guests")
 		}
 		w := fake.NewWorld(settings)
-		w.Production = asProduction
+		w.AsProduction = asProduction
 		rolls := rapid.Bool().Draw(t, "rolls")
-		for _, n := range w.Nodes {
-			if n.Old = rolls; rolls { // the day begins with the version in production
+		for _, n := range w.Controllers {
+			if n.RunsProduction = rolls; rolls { // the day begins with the version in production
 				n.Crash()
 				n.Start()
 			}
 		}
 		upgraded := func() bool {
-			return !slices.ContainsFunc(w.Nodes, func(n *fake.Node) bool { return n.Old })
+			return !slices.ContainsFunc(w.Controllers, func(n *fake.Controller) bool { return n.RunsProduction })
 		}
-		cut := map[string]bool{}   // from>to: nothing arrives
-		deaf := map[string]bool{}  // hosts that get no answers and no commands
-		mute := map[string]bool{}  // hosts whose reports reach nobody
-		var kept []protocol.Report // copies, for the next leader
+		cut := map[string]bool{}      // from>to: nothing arrives
+		deaf := map[string]bool{}     // hosts that get no answers and no commands
+		mute := map[string]bool{}     // hosts whose reports reach nobody
+		var kept []protocol.Heartbeat // copies, for the next leader
 		leader := ""
 		loss, late, copies := 0, 0, 0 // in hundredths
 		slow := time.Duration(0)      // answers of the state service
-		w.Network = func(kind, from, to string) fake.Fate {
-			f := fake.Well()
+		w.Network = func(kind, from, to string) fake.Delivery {
+			f := fake.Reliable()
 			if cut[from+">"+to] {
 				f.LoseRequest = true
 				if late > 50 { // held, and delivered when the cut ends
@@ -106,7 +106,7 @@
 				return
 			}
 			jobs++
-			s := job(jobs, protocol.Shape(rapid.IntRange(0, 2).Draw(t, "shape")), rapid.IntRange(1, 4).Draw(t, "tasks"))
+			s := job(jobs, protocol.JobKind(rapid.IntRange(0, 2).Draw(t, "shape")), rapid.IntRange(1, 4).Draw(t, "tasks"))
 			s.Priority = protocol.Priority(rapid.IntRange(0, 3).Draw(t, "priority"))
 			s.Team = rapid.SampledFrom(teams).Draw(t, "team")
 			s.Spot = rapid.Bool().Draw(t, "spot")
@@ -122,25 +122,25 @@
 			s.Image = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "image")
 			for i := 1; i < jobs && upgraded(); i++ { // nothing new is asked of the service before
 				p := w.Jobs[fmt.Sprintf("wk-%06d", i)]
-				if p.Accepted && p.Sub.Shape != protocol.Service && rapid.IntRange(0, 3).Draw(t, "needs") == 0 {
-					s.Prerequisites = append(s.Prerequisites, p.Sub.ID)
+				if p.Accepted && p.Submission.Kind != protocol.Service && rapid.IntRange(0, 3).Draw(t, "needs") == 0 {
+					s.Prerequisites = append(s.Prerequisites, p.Submission.ID)
 				}
 			}
-			if s.Shape == protocol.Service {
-				s.SaveEach = 0
+			if s.Kind == protocol.Service {
+				s.CheckpointIntervalS = 0
 			}
 			j := w.Submit(s, time.Duration(rapid.IntRange(1, 15).Draw(t, "run"))*time.Second)
-			j.Broken = rapid.IntRange(0, 19).Draw(t, "broken") == 0
+			j.AlwaysFails = rapid.IntRange(0, 19).Draw(t, "broken") == 0
 		}
 		pick := func() (*fake.Worker, string) {
-			names := w.Names()
+			names := w.MachineNames()
 			if len(names) == 0 {
 				return nil, ""
 			}
 			n := rapid.SampledFrom(names).Draw(t, "host")
 			return w.Workers[n], n
 		}
-		node := func() *fake.Node { return w.Nodes[rapid.IntRange(0, 2).Draw(t, "node")] }
+		node := func() *fake.Controller { return w.Controllers[rapid.IntRange(0, 2).Draw(t, "node")] }
 		submit()
 		submit()
 		for range rapid.IntRange(4, 14).Draw(t, "actions") {
@@ -152,12 +152,12 @@
 			case "submit":
 				submit()
 			case "cancel":
-				if j := w.Jobs[fmt.Sprintf("wk-%06d", rapid.IntRange(1, jobs).Draw(t, "job"))]; j != nil && !j.Cancel && j.Accepted {
+				if j := w.Jobs[fmt.Sprintf("wk-%06d", rapid.IntRange(1, jobs).Draw(t, "job"))]; j != nil && !j.CancelRequested && j.Accepted {
 					w.CancelJob(j)
 				}
 			case "again":
 				if j := w.Jobs[fmt.Sprintf("wk-%06d", rapid.IntRange(1, jobs).Draw(t, "job"))]; j != nil && j.Accepted {
-					w.Again(j)
+					w.Resubmit(j)
 				}
 			case "crash":
 				if n := node(); n.Up {
@@ -165,7 +165,7 @@
 					w.After(time.Duration(rapid.IntRange(0, 8000).Draw(t, "for"))*time.Millisecond, n.Start)
 				}
 			case "crash all":
-				for _, n := range w.Nodes {
+				for _, n := range w.Controllers {
 					if n.Up {
 						n.Crash()
 						w.After(time.Duration(rapid.IntRange(0, 8000).Draw(t, "for"))*time.Millisecond, n.Start)
@@ -176,8 +176,8 @@
 				w.After(time.Duration(rapid.IntRange(1, 40).Draw(t, "for"))*time.Second, func() { w.State.Outage(false) })
 			case "state cut":
 				n := node()
-				w.State.Cut[n.Name] = true
-				w.After(time.Duration(rapid.IntRange(1, 40).Draw(t, "for"))*time.Second, func() { w.State.Cut[n.Name] = false })
+				w.State.Unreachable[n.Name] = true
+				w.After(time.Duration(rapid.IntRange(1, 40).Draw(t, "for"))*time.Second, func() { w.State.Unreachable[n.Name] = false })
 			case "isolate": // only its workers are left to it
 				n := node()
 				ends := []string{"state", "cloud", "n0", "n1", "n2"}
@@ -192,11 +192,11 @@
 				})
 			case "cut host":
 				_, h := pick()
-				for _, n := range w.Nodes {
+				for _, n := range w.Controllers {
 					cut[n.Name+">"+h], cut[h+">"+n.Name] = true, true
 				}
 				w.After(time.Duration(rapid.IntRange(1, 40).Draw(t, "for"))*time.Second, func() {
-					for _, n := range w.Nodes {
+					for _, n := range w.Controllers {
 						delete(cut, n.Name+">"+h)
 						delete(cut, h+">"+n.Name)
 					}
@@ -204,7 +204,7 @@
 			case "zone": // a node and a machine are left to themselves
 				n := node()
 				_, h := pick()
-				for _, o := range w.Nodes {
+				for _, o := range w.Controllers {
 					if o != n {
 						cut[o.Name+">"+h], cut[h+">"+o.Name] = true, true
 						cut[o.Name+">"+n.Name], cut[n.Name+">"+o.Name] = true, true
@@ -237,22 +237,22 @@
 				w.Notice(h, time.Duration(rapid.IntRange(1, 15).Draw(t, "in"))*time.Second)
 			case "die":
 				if _, h := pick(); h != "" {
-					w.Cloud.Die(h)
+					w.Cloud.Fail(h)
 				}
 			case "cloud":
 				w.Cloud.Down = true
 				w.After(time.Duration(rapid.IntRange(1, 30).Draw(t, "for"))*time.Second, func() { w.Cloud.Down = false })
 			case "sick":
 				if k, _ := pick(); k != nil {
-					k.Sick = true
-					w.After(30*time.Second, func() { k.Sick = false })
+					k.FailsTasks = true
+					w.After(30*time.Second, func() { k.FailsTasks = false })
 				}
 			case "mute":
 				_, h := pick()
 				mute[h] = true
 				w.After(time.Duration(rapid.IntRange(1, 40).Draw(t, "for"))*time.Second, func() { delete(mute, h) })
 			case "keep reports":
-				w.Overheard = func(r protocol.Report) {
+				w.OnHeartbeat = func(r protocol.Heartbeat) {
 					if len(kept) < 300 {
 						r.Tasks = slices.Clone(r.Tasks)
 						kept = append(kept, r)
@@ -261,29 +261,29 @@
 			case "looks":
 				for range 5 {
 					for i := range jobs {
-						w.CloseLook(w.Jobs[fmt.Sprintf("wk-%06d", i+1)])
+						w.QueryEverywhere(w.Jobs[fmt.Sprintf("wk-%06d", i+1)])
 					}
 					w.Run(30 * time.Millisecond)
 				}
 			case "cancel at end":
 				j := w.Jobs[fmt.Sprintf("wk-%06d", rapid.IntRange(1, jobs).Draw(t, "job"))]
-				if !j.Cancel && j.Accepted && j.Sub.Shape != protocol.Service {
-					w.Until(20*time.Second, func() bool { return len(j.DoneTasks) == j.Sub.Tasks })
+				if !j.CancelRequested && j.Accepted && j.Submission.Kind != protocol.Service {
+					w.Until(20*time.Second, func() bool { return len(j.DoneTasks) == j.Submission.Tasks })
 					w.CancelEverywhere(j)
 				}
 			case "roll": // the next controller gets the new version
-				for _, n := range w.Nodes {
-					if n.Old {
+				for _, n := range w.Controllers {
+					if n.RunsProduction {
 						upgrade(w, n, time.Duration(rapid.IntRange(100, 6000).Draw(t, "for"))*time.Millisecond)
 						break
 					}
 				}
 			case "lower limits":
 				if upgraded() {
-					w.State.Lower()
+					w.State.LowerLimits()
 				}
 			case "odd":
-				w.OddRequests()
+				w.InvalidRequests()
 			case "slow state":
 				slow = time.Duration(rapid.IntRange(50, 900).Draw(t, "by")) * time.Millisecond
 				w.After(time.Duration(rapid.IntRange(1, 20).Draw(t, "for"))*time.Second, func() { slow = 0 })
@@ -296,22 +296,22 @@
 				if l := w.Leader(); l != nil && l.Name != leader {
 					leader = l.Name
 					for _, r := range kept { // to every controller, just as another leads
-						for _, n := range w.Nodes {
-							n.Ask(coordination.ReportCall{Report: &r}, func(coordination.Reply) {})
+						for _, n := range w.Controllers {
+							n.Request(coordination.HeartbeatRequest{Heartbeat: &r}, func(coordination.Reply) {})
 						}
 					}
-					kept, w.Overheard = nil, nil
+					kept, w.OnHeartbeat = nil, nil
 				}
 			}
 			check(t, w)
 		}
 		loss, late, copies, slow = 0, 0, 0, 0
-		for _, n := range w.Nodes {
-			if n.Old {
+		for _, n := range w.Controllers {
+			if n.RunsProduction {
 				upgrade(w, n, time.Second)
 			}
 		}
-		for _, n := range w.Nodes {
+		for _, n := range w.Controllers {
 			n.Stall = nil
 		}
 		w.Run(65 * time.Second) // the longest trouble is over
@@ -320,7 +320,7 @@
 			j := w.Jobs[fmt.Sprintf("wk-%06d", i+1)]
 			// What never ends is cancelled where it can keep others from running:
 			// jobs that always fail, and services of the team with a limit.
-			if !j.Cancel && j.Accepted && !w.CancelledWith(j) && (j.Broken || j.Sub.Team == "red" && j.Sub.Shape == protocol.Service) {
+			if !j.CancelRequested && j.Accepted && !w.CancelledWith(j) && (j.AlwaysFails || j.Submission.Team == "red" && j.Submission.Kind == protocol.Service) {
 				w.CancelJob(j)
 			}
 		}
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -13,8 +13,8 @@
 	"oakpick/internal/protocol"
 )
 
-// Node is one controller.
-type Node struct {
+// Controller is one controller.
+type Controller struct {
 	cfg    *config.Config
 	rules  Rules
 	now    Now
@@ -34,42 +34,42 @@
 
 // Stats are counts since the process began.
 type Stats struct {
-	Submitted    int64 `json:"submitted"`
-	Polled       int64 `json:"polled"`
-	Cancelled    int64 `json:"cancelled"`
-	Reports      int64 `json:"reports"`
-	StaleReports int64 `json:"stale_reports"`
-	Starts       int64 `json:"starts"`
-	Lost         int64 `json:"tasks_lost"`
-	Finished     int64 `json:"tasks_finished"`
-	Preempted    int64 `json:"tasks_preempted"`
-	Moved        int64 `json:"replicas_moved"`
-	Failed       int64 `json:"tasks_failed"`
-	Raised       int64 `json:"tokens_raised"`
-	Terms        int64 `json:"terms_taken"`
-	Rented       int64 `json:"machines_rented"`
-	Returned     int64 `json:"machines_returned"`
-	Txns         int64 `json:"writes"`
-	Retries      int64 `json:"writes_retried"`
-	HostsSeen    int64 `json:"machines_looked_at"`
-	JobsSeen     int64 `json:"jobs_looked_at"`
+	JobsSubmitted     int64 `json:"submitted"`
+	JobsPolled        int64 `json:"polled"`
+	JobsCancelled     int64 `json:"cancelled"`
+	Heartbeats        int64 `json:"reports"`
+	StaleHeartbeats   int64 `json:"stale_reports"`
+	TasksStarted      int64 `json:"starts"`
+	TasksLost         int64 `json:"tasks_lost"`
+	TasksFinished     int64 `json:"tasks_finished"`
+	TasksPreempted    int64 `json:"tasks_preempted"`
+	ReplicasMoved     int64 `json:"replicas_moved"`
+	TasksFailed       int64 `json:"tasks_failed"`
+	TokensAdvanced    int64 `json:"tokens_raised"`
+	TermsTaken        int64 `json:"terms_taken"`
+	MachinesScaledOut int64 `json:"machines_rented"`
+	MachinesScaledIn  int64 `json:"machines_returned"`
+	Writes            int64 `json:"writes"`
+	WritesRetried     int64 `json:"writes_retried"`
+	MachinesExamined  int64 `json:"machines_looked_at"`
+	JobsExamined      int64 `json:"jobs_looked_at"`
 	// Pauses are the times that the process stood still, see pauses.go.
 	Pauses         int64 `json:"pauses"`
 	PausedMs       int64 `json:"paused_ms"`
 	LongestPauseMs int64 `json:"longest_pause_ms"`
-	// Deferred are requests that waited for a leader to be known.
-	Deferred int64 `json:"requests_deferred"`
+	// RequestsDeferred are requests that waited for a leader to be known.
+	RequestsDeferred int64 `json:"requests_deferred"`
 }
 
 // New makes a node. The seed and the boot name must differ between processes.
-func New(cfg *config.Config, boot string, seed uint64) *Node {
-	n := &Node{cfg: cfg, boot: boot, rng: rand.New(rand.NewPCG(seed, 0x6f616b)), rules: NewRules(cfg)}
+func New(cfg *config.Config, boot string, seed uint64) *Controller {
+	n := &Controller{cfg: cfg, boot: boot, rng: rand.New(rand.NewPCG(seed, 0x6f616b)), rules: NewRules(cfg)}
 	n.pauses.Threshold = n.rules.pause
 	return n
 }
 
 // Step takes a batch of commands and gives what is to be done about them.
-func (n *Node) Step(now Now, commands []Command) []Effect {
+func (n *Controller) Step(now Now, commands []Event) []Effect {
 	n.now, n.out = now, nil
 	n.notePause()
 	if n.engine != nil && n.holdOver() {
@@ -88,27 +88,27 @@
 	return n.out
 }
 
-func (n *Node) emit(effect Effect) { n.out = append(n.out, effect) }
+func (n *Controller) emit(effect Effect) { n.out = append(n.out, effect) }
 
-func (n *Node) log(level LogLevel, text string, args ...any) {
-	n.emit(Log{Level: level, Text: text, Args: args})
+func (n *Controller) log(level LogLevel, text string, args ...any) {
+	n.emit(Log{Level: level, Message: text, Args: args})
 }
 
-func (n *Node) id() uint64 { n.nextID++; return n.nextID }
+func (n *Controller) id() uint64 { n.nextID++; return n.nextID }
 
-func (n *Node) refuse(id uint64, why string) {
-	n.emit(Reply{ID: id, Status: 503, Body: protocol.EncodeError(why), RetryAfter: 1})
+func (n *Controller) refuse(id uint64, why string) {
+	n.emit(Reply{ID: id, Status: 503, Body: protocol.EncodeError(why), RetryAfterS: 1})
 }
 
-func (n *Node) handle(c Command) {
+func (n *Controller) handle(c Event) {
 	switch c := c.(type) {
-	case UserCall:
+	case UserRequest:
 		n.user(c)
-	case ReportCall:
+	case HeartbeatRequest:
 		n.report(c)
-	case StepDownCall:
+	case StepDownRequest:
 		n.askedToStepDown(c)
-	case AdminCall:
+	case AdminRequest:
 		n.admin(c)
 	case StateResult:
 		n.stateResult(c.StateResult)
@@ -116,7 +116,7 @@
 		if n.engine != nil {
 			n.engine.cloudResult(c)
 		}
-	case OrdersResult:
+	case CommandsResult:
 		if n.engine != nil {
 			n.engine.ordersResult(c)
 		}
@@ -126,7 +126,7 @@
 	}
 }
 
-func (n *Node) user(c UserCall) {
+func (n *Controller) user(c UserRequest) {
 	switch {
 	case n.engine != nil && n.certain():
 		n.engine.user(c)
@@ -139,16 +139,16 @@
 	}
 }
 
-func (n *Node) report(c ReportCall) {
+func (n *Controller) report(c HeartbeatRequest) {
 	if n.engine != nil {
 		n.engine.reportCall(c)
 		return
 	}
-	n.emit(Reply{ID: c.ID, Status: 421, Body: protocol.EncodeReportTo(n.otherLeader())})
+	n.emit(Reply{ID: c.ID, Status: 421, Body: protocol.EncodeRedirect(n.otherLeader())})
 }
 
 // otherLeader is the peer that is known to lead; empty: none is.
-func (n *Node) otherLeader() string {
+func (n *Controller) otherLeader() string {
 	if n.term.leader == n.cfg.Node {
 		return ""
 	}
@@ -156,7 +156,7 @@
 }
 
 // KnownLeader is who leads as far as is known, this node or another; empty: nobody.
-func (n *Node) KnownLeader() string {
+func (n *Controller) KnownLeader() string {
 	if n.Leads() {
 		return n.cfg.Node
 	}
@@ -166,18 +166,18 @@
 // Healthy tells whether the node can take requests: it leads with a certain
 // term, or has lately heard of a leader and can hand them to it. Users of a node
 // that cannot are better off at another.
-func (n *Node) Healthy() bool {
+func (n *Controller) Healthy() bool {
 	if n.engine != nil {
 		return true
 	}
 	if n.term.leader != "" {
-		return n.now.Mono-n.pauses.Since(n.term.reached) <= n.rules.probeTimeout
+		return n.now.Monotonic-n.pauses.Since(n.term.reached) <= n.rules.probeTimeout
 	}
-	return n.now.Mono-n.term.heard < n.rules.healthFor || n.now.Mono < n.rules.healthFor
+	return n.now.Monotonic-n.term.heard < n.rules.healthFor || n.now.Monotonic < n.rules.healthFor
 }
 
 // Role says what the node is doing.
-func (n *Node) Role() string {
+func (n *Controller) Role() string {
 	switch {
 	case n.engine != nil && n.certain():
 		return "leader"
@@ -189,21 +189,21 @@
 	return "follower"
 }
 
-// TermView is what parts beside the node have to know of its term.
-type TermView struct {
-	Reign  int64         // the version that the leader's key had when this node began to lead; 0: it doesn't
-	Token  int64         // the version now
-	Until  time.Duration // until when no other node can lead, by the steady clock
-	Leader string        // who leads, as far as is known; empty while this node does
+// LeadershipView is what parts beside the node have to know of its term.
+type LeadershipView struct {
+	Term         int64         // the version that the leader's key had when this node began to lead; 0: it doesn't
+	FencingToken int64         // the version now
+	LeaseUntil   time.Duration // until when no other node can lead, by the steady clock
+	Leader       string        // who leads, as far as is known; empty while this node does
 }
 
-// Term tells who leads.
-func (n *Node) Term() TermView {
+// Leadership tells who leads.
+func (n *Controller) Leadership() LeadershipView {
 	if n.engine == nil {
-		return TermView{Leader: n.otherLeader()}
+		return LeadershipView{Leader: n.otherLeader()}
 	}
-	return TermView{Reign: n.term.led, Token: n.term.own, Until: n.term.until}
+	return LeadershipView{Term: n.term.led, FencingToken: n.term.own, LeaseUntil: n.term.until}
 }
 
 // Leads tells whether the node holds, or still answers for, a term.
-func (n *Node) Leads() bool { return n.engine != nil }
+func (n *Controller) Leads() bool { return n.engine != nil }
