--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -11,7 +11,7 @@
 // them. Starts only go direct, so that their outcome is known.
 func (e *engine) commands(h *host, direct bool) []protocol.Command {
 	var out []protocol.Command
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	for _, tr := range h.others {
 		if tr.State != protocol.Exited {
 			out = append(out, protocol.Command{Verb: protocol.Stop, Attempt: tr.Attempt})
@@ -19,7 +19,7 @@
 	}
 	for _, t := range h.tasks {
 		if t.stopping && t.session == h.session && (!direct || t.stopSent == 0 || now-t.stopSent > e.rules.report/2) {
-			out = append(out, protocol.Command{Verb: protocol.Stop, Attempt: t.attempt(), Grace: t.grace})
+			out = append(out, protocol.Command{Verb: protocol.Stop, Attempt: t.attempt(), GracePeriodS: t.grace})
 			if direct {
 				t.stopSent = now
 			}
@@ -35,7 +35,7 @@
 		}
 	}
 	slices.SortFunc(names, func(a, b protocol.Attempt) int {
-		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task), cmp.Compare(a.Try, b.Try))
+		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task), cmp.Compare(a.Number, b.Number))
 	})
 	for _, a := range names {
 		out = append(out, protocol.Command{Verb: protocol.Forget, Attempt: a})
@@ -55,11 +55,11 @@
 // sendOrders sends what machines are to be told at once. Those that can't be
 // told now stay among the commandsDue.
 func (e *engine) sendOrders() {
-	n, now := e.n, e.n.now.Mono
+	n, now := e.n, e.n.now.Monotonic
 	commandsDue := e.commandsDue
 	e.commandsDue = e.commandsDue[:0]
 	for _, h := range commandsDue {
-		n.Stats.HostsSeen++
+		n.Stats.MachinesExamined++
 		if h.commandsDue && (h.call != 0 || now < h.next || !h.up || h.session <= h.dead) {
 			e.commandsDue = append(e.commandsDue, h)
 			continue
@@ -86,7 +86,7 @@
 		for _, t := range starts {
 			cmds = append(cmds, protocol.Command{Verb: protocol.Start, Attempt: t.attempt()})
 			if t.sentToken == 0 {
-				n.Stats.Starts++
+				n.Stats.TasksStarted++
 			}
 			t.prevToken, t.sentToken = t.sentToken, e.token
 		}
@@ -94,20 +94,20 @@
 			continue
 		}
 		h.call, h.callAt, h.starts = n.id(), now, starts
-		call := OrdersCall{ID: h.call, Host: h.name, Addr: h.addr, Token: e.token, Session: h.session, Commands: cmds}
+		call := CommandsCall{ID: h.call, Machine: h.name, Addr: h.addr, FencingToken: e.token, Incarnation: h.session, Commands: cmds}
 		if len(starts) > 0 {
-			call.Until = n.term.until // nothing starts in doubt
+			call.NotAfter = n.term.until // nothing starts in doubt
 		}
 		n.emit(call)
 	}
 }
 
-func (e *engine) ordersResult(c OrdersResult) {
-	h := e.hosts[c.Host]
+func (e *engine) ordersResult(c CommandsResult) {
+	h := e.hosts[c.Machine]
 	if h == nil || h.call != c.ID {
 		return
 	}
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	starts, at := h.starts, h.callAt
 	h.call, h.starts = 0, nil
 	switch c.Outcome {
@@ -145,17 +145,17 @@
 		}
 		h.pauseUntil = max(h.pauseUntil, now+e.rules.report/2)
 	}
-	if c.Report == nil || c.Report.Host != h.name {
+	if c.Heartbeat == nil || c.Heartbeat.Machine != h.name {
 		return
 	}
-	if c.Report.Token > e.token {
+	if c.Heartbeat.FencingToken > e.token {
 		e.n.stepDown("a worker has seen a newer token")
 		return
 	}
-	e.learn(h, c.Report)
+	e.learn(h, c.Heartbeat)
 	if c.Outcome == OK {
 		for _, t := range starts {
-			if t.job.tasks[t.index] == t && !t.seen && c.Report.Session == t.session && c.Report.Seq >= h.seq {
+			if t.job.tasks[t.index] == t && !t.seen && c.Heartbeat.Incarnation == t.session && c.Heartbeat.Sequence >= h.seq {
 				e.lost(t, "executed, and yet not on the machine")
 			}
 		}
--- a/internal/coordination/packing.go
+++ b/internal/coordination/packing.go
@@ -43,7 +43,7 @@
 const lostRoom = 2
 
 // waits tells whether what is being packed are replicas that users miss.
-func (p *packing) waits(j *job) bool { return !p.warm && j.Shape == protocol.Service }
+func (p *packing) waits(j *job) bool { return !p.warm && j.Kind == protocol.Service }
 
 // packed is what tells tasks apart that may go into the same bins.
 type packed struct {
@@ -114,7 +114,7 @@
 func (p *packing) candidates(j *job, spotOnly bool) *candidates {
 	c := &candidates{p: p, j: j, spotOnly: spotOnly, costs: map[offer]float64{}}
 	for _, b := range p.bins[p.from[c.packed()]:] {
-		p.e.n.Stats.HostsSeen++
+		p.e.n.Stats.MachinesExamined++
 		if c.takes(b) {
 			c.list = append(c.list, candidate{b, c.key(b)})
 		}
@@ -125,7 +125,7 @@
 
 // packed is what tells the job's tasks apart from others that go into the same bins.
 func (c *candidates) packed() packed {
-	return packed{c.j.shape(), c.spotOnly, c.p.warm, c.j.Shape == protocol.Service}
+	return packed{c.j.shape(), c.spotOnly, c.p.warm, c.j.Kind == protocol.Service}
 }
 
 // takes tells whether a bin has room for a task of the job, which may go there.
--- a/internal/coordination/packing_test.go
+++ b/internal/coordination/packing_test.go
@@ -37,7 +37,7 @@
 
 func (p *scanPacking) binFor(j *job, tasks int, use map[string]int, spotOnly bool) *bin {
 	e := p.e
-	k := packed{j.shape(), spotOnly, p.warm, j.Shape == protocol.Service}
+	k := packed{j.shape(), spotOnly, p.warm, j.Kind == protocol.Service}
 	o, ok := e.cheapest(j, use, tasks, spotOnly)
 	passOver := func(b *bin) bool { return ok && (p.sooner(j, b, o) || b.overdue && p.waits(j)) }
 	b := p.pack(p.bins[p.from[k]:], j, use, spotOnly, passOver)
@@ -65,7 +65,7 @@
 	var best *bin
 	bestKey := math.Inf(1)
 	for _, b := range bins {
-		p.e.n.Stats.HostsSeen++
+		p.e.n.Stats.MachinesExamined++
 		if !j.need.fits(b.room) || spotOnly && !b.offer.spot || !j.allowed(b.offer.kind, b.offer.zone, b.offer.spot) || !j.zoneOK(b.offer.zone, use) || passOver(b) {
 			continue
 		}
@@ -82,8 +82,8 @@
 
 // plannedFleet draws an engine with machine types, and refuses some of its offers.
 func plannedFleet(t *rapid.T, zones []string) *engine {
-	e := &engine{n: &Node{}, fleet: fleet{refused: map[offer]time.Duration{}}}
-	e.n.now.Mono = time.Hour
+	e := &engine{n: &Controller{}, fleet: fleet{refused: map[offer]time.Duration{}}}
+	e.n.now.Monotonic = time.Hour
 	for i := range rapid.IntRange(1, 3).Draw(t, "types") {
 		e.fleet.types = append(e.fleet.types, protocol.MachineType{
 			Name: fmt.Sprint("type", i), CPUs: rapid.SampledFrom([]float64{4, 8, 16}).Draw(t, "cpus"),
@@ -128,7 +128,7 @@
 
 func plannedJob(t *rapid.T, e *engine, zones []string, i int) *job {
 	r := storage.JobRecord{
-		ID: fmt.Sprint("wk-", i), Shape: rapid.SampledFrom([]protocol.Shape{protocol.Array, protocol.Gang, protocol.Service}).Draw(t, "shape"),
+		ID: fmt.Sprint("wk-", i), Kind: rapid.SampledFrom([]protocol.JobKind{protocol.Array, protocol.Gang, protocol.Service}).Draw(t, "shape"),
 		Tasks: rapid.IntRange(1, 30).Draw(t, "tasks"), CPUs: rapid.SampledFrom([]float64{0.5, 1, 1.3, 3}).Draw(t, "cpus"),
 		GPUs: rapid.SampledFrom([]float64{0, 0, 1}).Draw(t, "gpus"), MemoryGB: 1, AnyType: rapid.Bool().Draw(t, "any type"),
 		OneZone: rapid.IntRange(0, 4).Draw(t, "one zone") == 0, Spot: rapid.Bool().Draw(t, "may use spot"),
@@ -170,7 +170,7 @@
 // Of 400 machines none is looked at again for each of 300 tasks.
 func TestPlanLooksAtEachMachineOnceAJob(t *testing.T) {
 	zones := []string{"a"}
-	e := &engine{n: &Node{}, fleet: fleet{refused: map[offer]time.Duration{}}}
+	e := &engine{n: &Controller{}, fleet: fleet{refused: map[offer]time.Duration{}}}
 	e.fleet.types = []protocol.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.5, BootS: 10, Zones: zones}}
 	var present []*bin
 	for range 400 {
@@ -179,7 +179,7 @@
 	p := newPacking(e, present)
 	j := &job{JobRecord: storage.JobRecord{ID: "wk-1", Tasks: 300, CPUs: 1, MemoryGB: 1, AnyType: true}, e: e, need: need{1, 0, 1}}
 	p.add(j, j.Tasks, map[string]int{}, false)
-	if seen := e.n.Stats.HostsSeen; seen != 400 {
+	if seen := e.n.Stats.MachinesExamined; seen != 400 {
 		t.Errorf("%d looks at machines", seen)
 	}
 }
--- a/internal/coordination/pauses.go
+++ b/internal/coordination/pauses.go
@@ -9,8 +9,8 @@
 // count from the last answer that a worker can have had.
 
 // notePause finds out, at the beginning of a step, whether the process has stood still.
-func (n *Node) notePause() {
-	stood := n.pauses.Step(n.now.Mono)
+func (n *Controller) notePause() {
+	stood := n.pauses.Step(n.now.Monotonic)
 	if stood == 0 {
 		return
 	}
@@ -20,12 +20,12 @@
 	if n.term.own == 0 {
 		// Another may stand still less often: it has the first turn at a free term, so
 		// that terms don't follow one another at the pace of this node's pauses.
-		n.term.backOff = max(n.term.backOff, n.now.Mono+n.rules.pausedBackOff)
+		n.term.backOff = max(n.term.backOff, n.now.Monotonic+n.rules.pausedBackOff)
 	}
 }
 
 // callsInFlight is how many calls to other components have had no answer yet.
-func (n *Node) callsInFlight() int {
+func (n *Controller) callsInFlight() int {
 	calls := len(n.term.calls)
 	if n.engine != nil {
 		calls += len(n.engine.fleet.calls)
@@ -40,11 +40,11 @@
 
 // silentFor is for how long a machine has been silent while it could have been heard.
 func (e *engine) silentFor(h *host) time.Duration {
-	return e.n.now.Mono - e.n.pauses.Since(h.heard)
+	return e.n.now.Monotonic - e.n.pauses.Since(h.heard)
 }
 
 // catchingUp tells whether the process has stood still a moment ago, so that machines
 // that are well may not have reported since.
 func (e *engine) catchingUp() bool {
-	return e.n.pauses.Within(e.n.now.Mono, e.rules.silent)
+	return e.n.pauses.Within(e.n.now.Monotonic, e.rules.silent)
 }
--- a/internal/coordination/pauses_test.go
+++ b/internal/coordination/pauses_test.go
@@ -25,16 +25,16 @@
 	for _, stall := range []time.Duration{3 * time.Second, 16 * time.Second, 40 * time.Second} {
 		w := world(t)
 		spare(t, w)
-		idle := len(w.Names())
-		w.Cloud.MostOf = map[string]int{"small": 1, "large": 0} // nothing else can be had
+		idle := len(w.MachineNames())
+		w.Cloud.CapacityOf = map[string]int{"small": 1, "large": 0} // nothing else can be had
 		l := w.Leader()
 		var stalled []string
 		l.Stall = func(effect coordination.Effect) time.Duration {
 			c, ok := effect.(coordination.CloudCall)
-			if !ok || c.Op != coordination.CloudReturn || stalled != nil {
+			if !ok || c.Op != coordination.CloudScaleIn || stalled != nil {
 				return 0
 			}
-			stalled = c.Hosts
+			stalled = c.Machines
 			return stall
 		}
 		if !w.Until(60*time.Second, func() bool { return stalled != nil }) {
@@ -61,7 +61,7 @@
 	spare(t, w)
 	l, stood := w.Leader(), false
 	l.Stall = func(effect coordination.Effect) time.Duration {
-		if c, ok := effect.(coordination.OrdersCall); !ok || stood || !starts(c) {
+		if c, ok := effect.(coordination.CommandsCall); !ok || stood || !starts(c) {
 			return 0
 		}
 		stood = true
@@ -74,7 +74,7 @@
 		t.Fatal("nothing is started")
 	}
 	w.Run(6 * time.Second)
-	if n := len(w.On(s.ID)); n > 0 {
+	if n := len(w.MachinesOf(s.ID)); n > 0 {
 		t.Error("a leader in doubt has started a task")
 	}
 	w.State.Outage(false)
@@ -82,7 +82,7 @@
 	check(t, w)
 }
 
-func starts(c coordination.OrdersCall) bool {
+func starts(c coordination.CommandsCall) bool {
 	return slices.ContainsFunc(c.Commands, func(c protocol.Command) bool { return c.Verb == protocol.Start })
 }
 
@@ -92,7 +92,7 @@
 func TestLeaderStandsStillBeforeAnEffect(t *testing.T) {
 	kinds := map[string]func(coordination.Effect) bool{
 		"answer": func(e coordination.Effect) bool { _, ok := e.(coordination.Reply); return ok },
-		"orders": func(e coordination.Effect) bool { _, ok := e.(coordination.OrdersCall); return ok },
+		"orders": func(e coordination.Effect) bool { _, ok := e.(coordination.CommandsCall); return ok },
 		"cloud":  func(e coordination.Effect) bool { _, ok := e.(coordination.CloudCall); return ok },
 		"state":  func(e coordination.Effect) bool { _, ok := e.(coordination.StateCall); return ok },
 	}
@@ -135,8 +135,8 @@
 	if !stood {
 		t.Error("the leader never stood still")
 	}
-	if called.Told != protocol.StatusCancelled {
-		t.Errorf("the cancelled job is called %q", called.Told)
+	if called.Status != protocol.StatusCancelled {
+		t.Errorf("the cancelled job is called %q", called.Status)
 	}
 }
 
@@ -155,7 +155,7 @@
 				w.Run(12 * time.Second)
 				w.Leader().Crash()
 				left, stood := skip, false
-				for _, n := range w.Nodes[1:] {
+				for _, n := range w.Controllers[1:] {
 					n.Stall = func(effect coordination.Effect) time.Duration {
 						if c, ok := effect.(coordination.StateCall); stood || ok && c.Op == storage.StateGet {
 							return 0 // a look at who leads
@@ -171,8 +171,8 @@
 				pollFor(w, stall+70*time.Second)
 				check(t, w)
 				served(t, w)
-				if called.Told != protocol.StatusCancelled {
-					t.Errorf("the cancelled job is called %q", called.Told)
+				if called.Status != protocol.StatusCancelled {
+					t.Errorf("the cancelled job is called %q", called.Status)
 				}
 			})
 		}
@@ -190,10 +190,10 @@
 		w.Submit(s, 0)
 	}
 	l := w.Leader()
-	for returned := int64(-1); returned != l.Stats().Returned; w.Run(40 * time.Second) {
-		returned = l.Stats().Returned
+	for returned := int64(-1); returned != l.Stats().MachinesScaledIn; w.Run(40 * time.Second) {
+		returned = l.Stats().MachinesScaledIn
 	}
-	before, machines := l.Stats(), len(w.Names())
+	before, machines := l.Stats(), len(w.MachineNames())
 	if machines < 3 {
 		t.Fatalf("only %d machines", machines)
 	}
@@ -202,8 +202,8 @@
 	w.Run(time.Second)
 	// The workers wait in vain, and are on their way from node to node when it goes on.
 	goesOn := w.Now + 5*time.Second
-	w.Network = func(kind, _, to string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, _, to string) fake.Delivery {
+		f := fake.Reliable()
 		f.LoseRequest = kind == "report" && to == l.Name && w.Now < goesOn
 		return f
 	}
@@ -212,13 +212,13 @@
 	w.State.Outage(false)
 	w.Run(20 * time.Second)
 	after := l.Stats()
-	if !l.Leads() || after.Terms != before.Terms {
+	if !l.Leads() || after.TermsTaken != before.TermsTaken {
 		t.Errorf("the term is lost: %s", strings.Join(w.Log[mark:], "\n"))
 	}
 	if after.Pauses != 1 || after.LongestPauseMs < 5000 || !logged(w, "process stood still [for 5") {
 		t.Errorf("%d pauses, the longest %d ms", after.Pauses, after.LongestPauseMs)
 	}
-	if after.Rented != before.Rented || after.Returned != before.Returned || after.Moved != before.Moved || after.Lost != before.Lost {
+	if after.MachinesScaledOut != before.MachinesScaledOut || after.MachinesScaledIn != before.MachinesScaledIn || after.ReplicasMoved != before.ReplicasMoved || after.TasksLost != before.TasksLost {
 		t.Errorf("%+v before, %+v after", before, after)
 	}
 	check(t, w)
@@ -229,10 +229,10 @@
 func TestFollowerThatStoodStillIsHealthyAtOnce(t *testing.T) {
 	w := world(t)
 	w.Run(5 * time.Second)
-	f := w.Nodes[1]
+	f := w.Controllers[1]
 	f.PausedUntil = w.Now + 10*time.Second
-	w.Network = func(kind, from, _ string) fake.Fate { // its greetings take a little longer
-		well := fake.Well()
+	w.Network = func(kind, from, _ string) fake.Delivery { // its greetings take a little longer
+		well := fake.Reliable()
 		if kind == "peer" && from == f.Name {
 			well.Request = 400 * time.Millisecond
 		}
@@ -262,7 +262,7 @@
 	for i := range asked {
 		w.After(time.Duration(i)*60*time.Millisecond, func() {
 			s := service(100+i, 1)
-			w.Nodes[1+i%2].Ask(coordination.UserCall{Kind: coordination.Submit, Job: s.ID, Submit: &s}, func(r coordination.Reply) {
+			w.Controllers[1+i%2].Request(coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}, func(r coordination.Reply) {
 				if r.Status == 201 || r.Status == 200 {
 					answers++
 				} else {
@@ -271,7 +271,7 @@
 			})
 		})
 	}
-	if !w.Until(10*time.Second, func() bool { return w.Nodes[1].Leads() || w.Nodes[2].Leads() }) {
+	if !w.Until(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
 		t.Fatal("nobody else leads")
 	}
 	w.Run(1500 * time.Millisecond)
@@ -290,8 +290,8 @@
 	l := w.Leader()
 	terms := func() int64 {
 		sum := int64(0)
-		for _, n := range w.Nodes {
-			sum += n.Stats().Terms
+		for _, n := range w.Controllers {
+			sum += n.Stats().TermsTaken
 		}
 		return sum
 	}
@@ -318,10 +318,10 @@
 	for ahead := 500 * time.Millisecond; ahead <= 1100*time.Millisecond; ahead += 50 * time.Millisecond {
 		w := world(t)
 		w.Run(5 * time.Second)
-		slow := w.Nodes[1]
+		slow := w.Controllers[1]
 		slow.PausedUntil = w.Now + 4*time.Second
-		w.After(4*time.Second-ahead, w.Nodes[0].Crash)
-		if !w.Until(10*time.Second, func() bool { return slow.Leads() || w.Nodes[2].Leads() }) {
+		w.After(4*time.Second-ahead, w.Controllers[0].Crash)
+		if !w.Until(10*time.Second, func() bool { return slow.Leads() || w.Controllers[2].Leads() }) {
 			t.Fatal("nobody leads")
 		}
 		if slow.Leads() {
@@ -337,19 +337,19 @@
 	w := world(t)
 	w.Run(20 * time.Second)
 	l := w.Leader()
-	before := l.Stats().Rented
+	before := l.Stats().MachinesScaledOut
 	s := service(1, 3)
 	s.CPUs = 4 // a machine each
 	w.Submit(s, 0)
-	if !w.Until(5*time.Second, func() bool { return l.Stats().Rented > before }) {
+	if !w.Until(5*time.Second, func() bool { return l.Stats().MachinesScaledOut > before }) {
 		t.Fatal("nothing is rented")
 	}
 	w.Run(time.Second)
-	before = l.Stats().Rented
+	before = l.Stats().MachinesScaledOut
 	w.State.Outage(true)
 	goesOn := w.Now + 9*time.Second
-	w.Network = func(kind, _, to string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, _, to string) fake.Delivery {
+		f := fake.Reliable()
 		f.LoseRequest = kind == "report" && to == l.Name && w.Now < goesOn
 		return f
 	}
@@ -357,7 +357,7 @@
 	w.Run(9 * time.Second)
 	w.State.Outage(false)
 	runs(t, w, s.ID, 3)
-	if rented := l.Stats().Rented; rented != before || !l.Leads() {
+	if rented := l.Stats().MachinesScaledOut; rented != before || !l.Leads() {
 		t.Errorf("%d machines rented before the pause, %d after", before, rented)
 	}
 	check(t, w)
@@ -374,13 +374,13 @@
 				continue
 			}
 			s := fake.Settings()
-			s.Workers.Report, s.Workers.Lease, s.Workers.Cancel = 3, 14, 34
+			s.Workers.HeartbeatIntervalS, s.Workers.LeaseS, s.Workers.CancelWithinS = 3, 14, 34
 			w := fake.NewWorld(s)
 			for i := range 4 {
 				w.Submit(service(i+1, 3), 0)
 			}
 			w.Run(30 * time.Second)
-			for w.Leader() != w.Nodes[leader] { // hand the term on until the right one has it
+			for w.Leader() != w.Controllers[leader] { // hand the term on until the right one has it
 				l := w.Leader()
 				if l == nil {
 					w.Run(time.Second)
@@ -390,10 +390,10 @@
 				w.Run(4 * time.Second)
 			}
 			w.Run(20 * time.Second)
-			third := w.Nodes[3-leader-other]
+			third := w.Controllers[3-leader-other]
 			killed := w.KilledByLease
-			w.Nodes[leader].PausedUntil = w.Now + 14*time.Second
-			w.Nodes[other].PausedUntil = w.Now + 14*time.Second
+			w.Controllers[leader].PausedUntil = w.Now + 14*time.Second
+			w.Controllers[other].PausedUntil = w.Now + 14*time.Second
 			if !w.Until(3*time.Second, third.Leads) {
 				t.Errorf("the third doesn't lead after 3 s")
 			}
@@ -412,20 +412,20 @@
 func TestLeaderStandsStillWhileAnotherIsRefused(t *testing.T) {
 	w := world(t)
 	j := w.Submit(service(1, 2), 0)
-	runs(t, w, j.Sub.ID, 2)
-	w.State.Cut["n1"] = true
-	w.Nodes[0].PausedUntil = w.Now + 20*time.Second
-	if !w.Until(5*time.Second, w.Nodes[2].Leads) {
+	runs(t, w, j.Submission.ID, 2)
+	w.State.Unreachable["n1"] = true
+	w.Controllers[0].PausedUntil = w.Now + 20*time.Second
+	if !w.Until(5*time.Second, w.Controllers[2].Leads) {
 		t.Fatal("the third doesn't lead")
 	}
 	w.Run(2 * time.Second)
 	called := w.Submit(service(2, 1), 0)
 	w.CancelEverywhere(j)
 	pollFor(w, 12*time.Second)
-	if !called.Accepted || j.Told != protocol.StatusCancelled {
-		t.Errorf("accepted %t, told %q", called.Accepted, j.Told)
+	if !called.Accepted || j.Status != protocol.StatusCancelled {
+		t.Errorf("accepted %t, told %q", called.Accepted, j.Status)
 	}
-	delete(w.State.Cut, "n1")
+	delete(w.State.Unreachable, "n1")
 	pollFor(w, 30*time.Second)
 	check(t, w)
 	served(t, w)
--- a/internal/coordination/pipeline_test.go
+++ b/internal/coordination/pipeline_test.go
@@ -18,9 +18,9 @@
 	t.Helper()
 	for _, p := range needs {
 		if !w.Until(30*time.Second, func() bool { return p.Accepted }) {
-			t.Fatalf("%s was not accepted", p.Sub.ID)
+			t.Fatalf("%s was not accepted", p.Submission.ID)
 		}
-		s.Prerequisites = append(s.Prerequisites, p.Sub.ID)
+		s.Prerequisites = append(s.Prerequisites, p.Submission.ID)
 	}
 	return w.Submit(s, run)
 }
@@ -30,7 +30,7 @@
 func pipeline(t testing.TB, w *fake.World, first int) []*fake.Job {
 	t.Helper()
 	scrub, split, grade, push := job(first, protocol.Array, 2), job(first+1, protocol.Array, 4), job(first+2, protocol.Gang, 2), job(first+3, protocol.Array, 1)
-	scrub.Priority, split.Priority, push.Priority, push.Deadline = protocol.Low, protocol.Low, protocol.High, 90
+	scrub.Priority, split.Priority, push.Priority, push.DeadlineS = protocol.Low, protocol.Low, protocol.High, 90
 	a := accepted(t, w, scrub, 2*time.Second)
 	b := accepted(t, w, split, 3*time.Second, a)
 	c := accepted(t, w, grade, 2*time.Second, b)
@@ -43,13 +43,13 @@
 	t.Helper()
 	cancelled := false
 	for _, j := range jobs {
-		cancelled = cancelled || j.Told == protocol.StatusCancelled
+		cancelled = cancelled || j.Status == protocol.StatusCancelled
 		want := protocol.StatusDone
 		if cancelled {
 			want = protocol.StatusCancelled
 		}
-		if j.Told != want {
-			t.Fatalf("%s is called %q, not %q\n%s", j.Sub.ID, j.Told, want, strings.Join(w.Log[max(0, len(w.Log)-60):], "\n"))
+		if j.Status != want {
+			t.Fatalf("%s is called %q, not %q\n%s", j.Submission.ID, j.Status, want, strings.Join(w.Log[max(0, len(w.Log)-60):], "\n"))
 		}
 	}
 }
@@ -61,20 +61,20 @@
 	jobs := pipeline(t, w, 1)
 	w.Run(time.Second)
 	for _, j := range jobs {
-		w.CloseLook(j)
+		w.QueryEverywhere(j)
 	}
 	w.Run(time.Second)
 	for _, j := range jobs[1:] {
-		if j.Told != protocol.StatusQueued {
-			t.Errorf("%s is called %q while it waits", j.Sub.ID, j.Told)
+		if j.Status != protocol.StatusQueued {
+			t.Errorf("%s is called %q while it waits", j.Submission.ID, j.Status)
 		}
 	}
 	pollFor(w, 60*time.Second)
 	settled(t, w, jobs)
 	late := accepted(t, w, job(9, protocol.Array, 1), time.Second, jobs...)
 	pollFor(w, 20*time.Second)
-	if late.Told != protocol.StatusDone {
-		t.Errorf("the job that came later is called %q", late.Told)
+	if late.Status != protocol.StatusDone {
+		t.Errorf("the job that came later is called %q", late.Status)
 	}
 	check(t, w)
 }
@@ -108,14 +108,14 @@
 					}
 					if int(w.Now/(50*time.Millisecond))%10 == 0 {
 						for _, j := range jobs {
-							w.CloseLook(j)
+							w.QueryEverywhere(j)
 						}
 					}
 				}
 				pollFor(w, 40*time.Second)
 				check(t, w)
 				settled(t, w, jobs)
-				outcomes[jobs[1].Told]++
+				outcomes[jobs[1].Status]++
 			}
 			if cancelAt == 0 && outcomes[protocol.StatusDone] != 40 {
 				t.Errorf("%v without a cancellation", outcomes)
@@ -131,25 +131,25 @@
 // stays so.
 func TestPrerequisiteIsCancelledWhileTheLeadershipChanges(t *testing.T) {
 	troubles := map[string]func(w *fake.World){
-		"leader ends":  func(w *fake.World) { w.Nodes[0].Crash(); w.After(4*time.Second, w.Nodes[0].Start) },
-		"stands still": func(w *fake.World) { w.Nodes[0].PausedUntil = w.Now + 6*time.Second },
+		"leader ends":  func(w *fake.World) { w.Controllers[0].Crash(); w.After(4*time.Second, w.Controllers[0].Start) },
+		"stands still": func(w *fake.World) { w.Controllers[0].PausedUntil = w.Now + 6*time.Second },
 		"refused": func(w *fake.World) {
-			w.State.Cut["n0"] = true
-			w.After(12*time.Second, func() { delete(w.State.Cut, "n0") })
+			w.State.Unreachable["n0"] = true
+			w.After(12*time.Second, func() { delete(w.State.Unreachable, "n0") })
 		},
 		"outage": func(w *fake.World) {
 			w.State.Outage(true)
 			w.After(5*time.Second, func() { w.State.Outage(false) })
 		},
 		"refused, then an outage": func(w *fake.World) {
-			w.State.Cut["n0"] = true
+			w.State.Unreachable["n0"] = true
 			w.After(1500*time.Millisecond, func() { w.State.Outage(true) })
-			w.After(45*time.Second, func() { w.State.Outage(false); delete(w.State.Cut, "n0") })
+			w.After(45*time.Second, func() { w.State.Outage(false); delete(w.State.Unreachable, "n0") })
 		},
 		"answers lost": func(w *fake.World) {
 			from, calls := w.Now, 0
-			w.Network = func(kind, _, _ string) fake.Fate {
-				f := fake.Well()
+			w.Network = func(kind, _, _ string) fake.Delivery {
+				f := fake.Reliable()
 				calls++
 				f.LoseAnswer = kind == "state" && w.Now < from+4*time.Second && calls%2 == 0
 				return f
@@ -158,7 +158,7 @@
 		"slow": func(w *fake.World) { // several times slower, and again and again
 			for i := range 12 {
 				w.After(time.Duration(i)*700*time.Millisecond, func() {
-					for _, n := range w.Nodes {
+					for _, n := range w.Controllers {
 						n.PausedUntil = w.Now + 500*time.Millisecond
 					}
 				})
@@ -189,8 +189,8 @@
 				check(t, w)
 				settled(t, w, jobs)
 				settled(t, w, []*fake.Job{long, after, last})
-				if long.Told != protocol.StatusCancelled {
-					t.Fatalf("the long job is called %q", long.Told)
+				if long.Status != protocol.StatusCancelled {
+					t.Fatalf("the long job is called %q", long.Status)
 				}
 				told++
 			}
@@ -207,7 +207,7 @@
 	done := w.Submit(job(1, protocol.Array, 1), time.Second)
 	pollFor(w, 15*time.Second)
 	long := accepted(t, w, job(2, protocol.Array, 1), time.Hour)
-	runs(t, w, long.Sub.ID, 1)
+	runs(t, w, long.Submission.ID, 1)
 	standing := accepted(t, w, service(3, 1), 0)
 	called := accepted(t, w, job(4, protocol.Array, 1), time.Hour)
 	through := accepted(t, w, job(5, protocol.Array, 1), time.Second, called)
@@ -218,13 +218,13 @@
 		status int
 		told   string
 	}{
-		{[]string{done.Sub.ID}, 201, protocol.StatusDone},
-		{[]string{done.Sub.ID, long.Sub.ID}, 201, protocol.StatusQueued},
-		{[]string{called.Sub.ID}, 201, protocol.StatusCancelled},
-		{[]string{long.Sub.ID, through.Sub.ID}, 201, protocol.StatusCancelled},
+		{[]string{done.Submission.ID}, 201, protocol.StatusDone},
+		{[]string{done.Submission.ID, long.Submission.ID}, 201, protocol.StatusQueued},
+		{[]string{called.Submission.ID}, 201, protocol.StatusCancelled},
+		{[]string{long.Submission.ID, through.Submission.ID}, 201, protocol.StatusCancelled},
 		{[]string{"wk-777777"}, 422, ""},
 		{[]string{"wk-000105"}, 422, ""}, // its own
-		{[]string{standing.Sub.ID}, 422, ""},
+		{[]string{standing.Submission.ID}, 422, ""},
 	} {
 		s := job(100+i, protocol.Array, 1)
 		if i == 5 {
@@ -234,10 +234,10 @@
 		j := w.Submit(s, time.Second)
 		pollFor(w, 12*time.Second)
 		switch {
-		case c.status == 422 && j.Refused != 422:
-			t.Errorf("needs %v: accepted %t, refused %d", c.needs, j.Accepted, j.Refused)
-		case c.status == 201 && (!j.Accepted || j.Told != c.told):
-			t.Errorf("needs %v: accepted %t, called %q, not %q", c.needs, j.Accepted, j.Told, c.told)
+		case c.status == 422 && j.RejectedWith != 422:
+			t.Errorf("needs %v: accepted %t, refused %d", c.needs, j.Accepted, j.RejectedWith)
+		case c.status == 201 && (!j.Accepted || j.Status != c.told):
+			t.Errorf("needs %v: accepted %t, called %q, not %q", c.needs, j.Accepted, j.Status, c.told)
 		}
 	}
 	check(t, w)
@@ -248,8 +248,8 @@
 	d.Prerequisites = []string{p.ID}
 	l := w.Leader()
 	status := 0
-	l.Ask(coordination.UserCall{Kind: coordination.Submit, Job: p.ID, Submit: &p}, func(coordination.Reply) {})
-	l.Ask(coordination.UserCall{Kind: coordination.Submit, Job: d.ID, Submit: &d}, func(r coordination.Reply) { status = r.Status })
+	l.Request(coordination.UserRequest{Kind: coordination.Submit, Job: p.ID, Submission: &p}, func(coordination.Reply) {})
+	l.Request(coordination.UserRequest{Kind: coordination.Submit, Job: d.ID, Submission: &d}, func(r coordination.Reply) { status = r.Status })
 	w.Run(100 * time.Millisecond)
 	if status != 503 {
 		t.Errorf("needs a job that isn't durable: %d", status)
@@ -257,10 +257,10 @@
 	// A repeat is answered by the job's state, whatever it names now.
 	w.State.Outage(false)
 	w.Run(5 * time.Second)
-	again := long.Sub
+	again := long.Submission
 	again.Prerequisites = []string{"wk-777777"}
 	l = w.Leader()
-	l.Ask(coordination.UserCall{Kind: coordination.Submit, Job: again.ID, Submit: &again}, func(r coordination.Reply) { status = r.Status })
+	l.Request(coordination.UserRequest{Kind: coordination.Submit, Job: again.ID, Submission: &again}, func(r coordination.Reply) { status = r.Status })
 	w.Run(100 * time.Millisecond)
 	if status != 200 {
 		t.Errorf("a repeat that names a job nobody knows: %d", status)
@@ -271,13 +271,13 @@
 // and it counts for nobody's guarantee.
 func TestWaitingJobHoldsNothing(t *testing.T) {
 	s := fake.Settings()
-	s.Teams = []config.Team{{Name: "red", CPUs: 4, CPUsMax: 4}, {Name: "blue", CPUs: 4, CPUsMax: 8}}
+	s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 4, CPULimit: 4}, {Name: "blue", GuaranteedCPUs: 4, CPULimit: 8}}
 	w := fake.NewWorld(s)
 	w.Run(2 * time.Second)
 	first := job(1, protocol.Array, 1)
 	first.Team = "blue"
 	long := accepted(t, w, first, time.Hour)
-	runs(t, w, long.Sub.ID, 1)
+	runs(t, w, long.Submission.ID, 1)
 	w.Run(60 * time.Second)
 	machines := len(w.Cloud.Rented())
 	waits := job(2, protocol.Gang, 4)
@@ -292,8 +292,8 @@
 	w.Submit(other, 3*time.Second)
 	runs(t, w, other.ID, 4)
 	pollFor(w, 20*time.Second)
-	if waiting.Told != protocol.StatusQueued || waiting.Began {
-		t.Errorf("the waiting job is called %q", waiting.Told)
+	if waiting.Status != protocol.StatusQueued || waiting.Started {
+		t.Errorf("the waiting job is called %q", waiting.Status)
 	}
 	check(t, w)
 }
@@ -302,26 +302,26 @@
 // all room that there is; the array doesn't wait behind it, nor stop production.
 func TestLowArrayBeforeAnUrgentEndIsNotStarved(t *testing.T) {
 	w := world(t)
-	w.Cloud.Most = 1 // of each type in each zone
+	w.Cloud.Capacity = 1 // of each type in each zone
 	production := service(1, 1)
 	production.CPUs, production.Priority = 4, protocol.Production
 	kept := w.Submit(production, 0)
-	runs(t, w, kept.Sub.ID, 1)
+	runs(t, w, kept.Submission.ID, 1)
 	for i := range 30 {
 		s := job(10+i, protocol.Array, 2)
-		s.CPUs, s.SaveEach, s.SaveTime = 2, 1, 0.5
+		s.CPUs, s.CheckpointIntervalS, s.CheckpointDurationS = 2, 1, 0.5
 		w.Submit(s, 40*time.Second)
 	}
 	w.Run(20 * time.Second)
 	low, urgent := job(2, protocol.Array, 2), job(3, protocol.Array, 1)
-	low.Priority, urgent.Priority, urgent.Deadline = protocol.Low, protocol.High, 60
+	low.Priority, urgent.Priority, urgent.DeadlineS = protocol.Low, protocol.High, 60
 	a := accepted(t, w, low, 3*time.Second)
 	b := accepted(t, w, urgent, time.Second, a)
 	pollFor(w, 40*time.Second)
-	if a.Told != protocol.StatusDone || b.Told != protocol.StatusDone {
-		t.Errorf("the low array is called %q, the urgent end %q", a.Told, b.Told)
+	if a.Status != protocol.StatusDone || b.Status != protocol.StatusDone {
+		t.Errorf("the low array is called %q, the urgent end %q", a.Status, b.Status)
 	}
-	if w.Running(kept.Sub.ID) != 1 {
+	if w.Running(kept.Submission.ID) != 1 {
 		t.Error("production was pushed out")
 	}
 	check(t, w)
@@ -343,15 +343,15 @@
 		long.Class = strings.Repeat("c", 1400) // what needs it is on another page
 		first := accepted(t, w, long, 2*time.Second)
 		jobs := []*fake.Job{first, accepted(t, w, job(2, protocol.Array, 1), time.Second, first)}
-		runs(t, w, first.Sub.ID, 1)
-		host := w.On(first.Sub.ID)[0]
+		runs(t, w, first.Submission.ID, 1)
+		host := w.MachinesOf(first.Submission.ID)[0]
 		if !w.Until(20*time.Second, func() bool { return len(first.DoneTasks) == 1 }) {
 			t.Fatal("the first job does not end")
 		}
 		held, crashed := false, time.Duration(0)
-		w.HoldsWrites = true
-		w.Network = func(kind, from, _ string) fake.Fate {
-			f := fake.Well()
+		w.SeparateWrites = true
+		w.Network = func(kind, from, _ string) fake.Delivery {
+			f := fake.Reliable()
 			if kind == "write" && from == "n0" && !held {
 				held = true // the first write after the end
 				f.Request = 5 * time.Second
@@ -366,19 +366,19 @@
 			jobs = append(jobs, accepted(t, w, job(3, protocol.Array, 1), time.Second, first))
 		}
 		w.Run(300 * time.Millisecond)
-		w.Nodes[0].Crash()
+		w.Controllers[0].Crash()
 		crashed = w.Now
 		if step%3 == 1 {
 			w.After(700*time.Millisecond, func() { w.CancelEverywhere(first) })
 		}
 		lookRepeatedly(w, jobs, 120, 50*time.Millisecond)
-		w.Nodes[0].Start()
+		w.Controllers[0].Start()
 		pollFor(w, 40*time.Second)
 		check(t, w)
 		for _, j := range jobs[1:] {
 			settled(t, w, []*fake.Job{first, j})
 		}
-		outcomes[first.Told]++
+		outcomes[first.Status]++
 	}
 	t.Log(outcomes)
 	if len(outcomes) != 2 {
@@ -391,17 +391,17 @@
 func TestSubmissionNamesAJobThatIsStillBeingStopped(t *testing.T) {
 	w := world(t)
 	long := accepted(t, w, job(1, protocol.Array, 1), time.Hour)
-	runs(t, w, long.Sub.ID, 1)
+	runs(t, w, long.Submission.ID, 1)
 	w.Run(5 * time.Second)
-	w.Workers[w.On(long.Sub.ID)[0]].HangUntil = w.Now + 9*time.Second
+	w.Workers[w.MachinesOf(long.Submission.ID)[0]].HangUntil = w.Now + 9*time.Second
 	w.CancelJob(long)
-	if !w.Until(3*time.Second, func() bool { return long.Told == protocol.StatusCancelled }) {
-		t.Fatalf("the long job is called %q", long.Told)
+	if !w.Until(3*time.Second, func() bool { return long.Status == protocol.StatusCancelled }) {
+		t.Fatalf("the long job is called %q", long.Status)
 	}
 	j := accepted(t, w, job(2, protocol.Array, 1), time.Second, long)
 	pollFor(w, 3*time.Second)
-	if !j.Accepted || j.Told != protocol.StatusCancelled {
-		t.Errorf("accepted %t, called %q", j.Accepted, j.Told)
+	if !j.Accepted || j.Status != protocol.StatusCancelled {
+		t.Errorf("accepted %t, called %q", j.Accepted, j.Status)
 	}
 	w.Run(20 * time.Second)
 	check(t, w)
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -61,11 +61,11 @@
 
 // placeAll places what waits, in order, and frees room for what may take it.
 func (e *engine) placeAll() {
-	before := e.n.Stats.HostsSeen
+	before := e.n.Stats.MachinesExamined
 	e.pass.tasks = 0
-	defer func() { e.pass.machines = e.n.Stats.HostsSeen - before }()
+	defer func() { e.pass.machines = e.n.Stats.MachinesExamined - before }()
 	e.fleet.unplaced = e.fleet.unplaced[:0]
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	q := e.queue()
 	if len(q) == 0 {
 		return
@@ -76,7 +76,7 @@
 			e.fleet.unplaced = append(e.fleet.unplaced, wait{j, 0})
 			continue
 		}
-		if j.Shape == protocol.Gang {
+		if j.Kind == protocol.Gang {
 			e.placeGang(j)
 			continue
 		}
@@ -166,7 +166,7 @@
 		t.owed = need{}
 	}
 	for _, h := range e.byName {
-		e.n.Stats.HostsSeen++
+		e.n.Stats.MachinesExamined++
 		h.virtual = e.free(h)
 		if !h.up {
 			p.booting = append(p.booting, h)
@@ -182,7 +182,7 @@
 	list, ok := e.pass.room[s]
 	if !ok {
 		for _, h := range e.byName {
-			e.n.Stats.HostsSeen++
+			e.n.Stats.MachinesExamined++
 			if e.alive(h) && j.allowed(h.kind, h.zone, h.spot) && j.need.fits(e.roomFor(j, h, h.virtual)) {
 				list = append(list, h)
 			}
@@ -215,7 +215,7 @@
 	var best, failedThere *host // failedThere: only if there is no other
 	bestCost, failedThereCost := math.Inf(1), math.Inf(1)
 	for i, looked := 0, 0; i < len(list) && looked < e.opt.Sample; {
-		e.n.Stats.HostsSeen++
+		e.n.Stats.MachinesExamined++
 		r := i + e.n.rng.IntN(len(list)-i)
 		h := list[r]
 		if !j.need.fits(e.roomFor(j, h, h.virtual)) { // filled up in this pass
@@ -254,12 +254,12 @@
 // betterSoon tells whether a task should rather wait for a machine that is about
 // to be up than have its image fetched beside another one: both would be late.
 func (e *engine) betterSoon(j *job, h *host) bool {
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	mt := e.fleet.kind(h.kind)
-	if mt == nil || mt.FetchRate <= 0 {
+	if mt == nil || mt.FetchGBPerS <= 0 {
 		return false
 	}
-	own := j.ImageGB / mt.FetchRate
+	own := j.ImageGB / mt.FetchGBPerS
 	if own < 1 || h.fetchTime(e, j) < 1.3*own {
 		return false
 	}
@@ -270,7 +270,7 @@
 		return false
 	}
 	for _, x := range e.pass.booting {
-		e.n.Stats.HostsSeen++
+		e.n.Stats.MachinesExamined++
 		if !e.coming(x) || !j.allowed(x.kind, x.zone, x.spot) {
 			continue
 		}
@@ -293,7 +293,7 @@
 		waited := float64(e.n.now.WallMs-j.readyMs) / 1000
 		if left := within - waited; left > 0 && fetch > 0.9*left-0.5 {
 			c += 40
-		} else if left <= 0 && j.Shape == protocol.Service {
+		} else if left <= 0 && j.Kind == protocol.Service {
 			c += 0.2 * fetch // late or lost: every second that the replica is away counts
 		}
 	}
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -15,7 +15,7 @@
 	for _, w := range e.fleet.unplaced {
 		if !w.job.over && !w.job.Cancelled {
 			tasks := min(w.tasks, w.job.idle())
-			if w.job.Shape == protocol.Service && w.job.hasRun {
+			if w.job.Kind == protocol.Service && w.job.hasRun {
 				tasks *= lostRoom
 			}
 			p.add(w.job, tasks, w.job.zoneUse(), false)
@@ -62,7 +62,7 @@
 			// The place of a stopping task is free long before a new machine is up.
 			bins = append(bins, &bin{h: h, offer: offer{h.kind, h.zone, h.spot}, room: e.free(h).plus(h.leaving)})
 		case e.coming(h):
-			age := e.n.now.Mono - h.rentedAt
+			age := e.n.now.Monotonic - h.rentedAt
 			bins = append(bins, &bin{
 				h: h, offer: offer{h.kind, h.zone, h.spot}, room: size(mt),
 				ready:   max(config.Seconds(mt.BootS)-age, config.Seconds(mt.BootS/10)),
@@ -97,7 +97,7 @@
 		more = false
 		for _, w := range offers {
 			if counts[w] > 0 {
-				asked := e.rent(w, min(counts[w], protocol.MaxRented))
+				asked := e.rent(w, min(counts[w], protocol.MaxScaleOut))
 				counts[w] -= asked
 				more = more || asked > 0
 			}
@@ -124,7 +124,7 @@
 // warmTasks is how many tasks of a class to keep room for: what may arrive,
 // beyond what leaves, while a machine boots.
 func (e *engine) warmTasks(c *class) int {
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	window := e.rules.lease * 10
 	n := 0
 	for _, at := range c.arrivals {
@@ -141,7 +141,7 @@
 	}
 	expected := float64(n) / span.Seconds() * boot
 	warm := e.opt.WarmRoom
-	if c.sample != nil && c.sample.Shape == protocol.Array {
+	if c.sample != nil && c.sample.Kind == protocol.Array {
 		warm /= 2 // its tasks needn't all run at once
 	}
 	return int(math.Round(warm * math.Sqrt(expected) * c.tasks))
@@ -154,7 +154,7 @@
 
 // cheapest is the offer that gives a task of the job its place for the least.
 func (e *engine) cheapest(j *job, use map[string]int, n int, spotOnly bool) (offer, bool) {
-	f, now := &e.fleet, e.n.now.Mono
+	f, now := &e.fleet, e.n.now.Monotonic
 	var best offer
 	bestCost := math.Inf(1)
 	for i := range f.types {
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -36,7 +36,7 @@
 		if h == nil {
 			var more []*task
 			if h, more = e.preemptFor(j, use, taken, extra, n == 0); h == nil {
-				if j.Shape == protocol.Gang && n < count {
+				if j.Kind == protocol.Gang && n < count {
 					e.giveRoomBack(saved)
 					return
 				}
@@ -55,7 +55,7 @@
 		use[h.zone]++
 	}
 	for _, t := range victims {
-		e.n.Stats.Preempted++
+		e.n.Stats.TasksPreempted++
 		e.preemptTask(t, "preempted for "+j.ID)
 		if h := t.host; !slices.Contains(e.pass.freeing, h) {
 			e.pass.freeing = append(e.pass.freeing, h)
@@ -66,7 +66,7 @@
 // comingRoom finds a machine whose stopping tasks will leave room for a task.
 func (e *engine) comingRoom(j *job, use map[string]int, extra map[*host]need) *host {
 	fits := func(h *host) bool {
-		e.n.Stats.HostsSeen++
+		e.n.Stats.MachinesExamined++
 		return j.need.fits(h.virtual.plus(h.leaving).plus(extra[h])) && e.alive(h) && j.allowed(h.kind, h.zone, h.spot) && j.zoneOK(h.zone, use)
 	}
 	for _, list := range [][]*host{e.withRoom(j), e.pass.freeing} {
@@ -101,7 +101,7 @@
 	var victims []*task
 	bestCost := math.Inf(1)
 	for i, found := 0, 0; i < len(list) && found < e.opt.Sample; i++ {
-		e.n.Stats.HostsSeen++
+		e.n.Stats.MachinesExamined++
 		r := i + e.n.rng.IntN(len(list)-i)
 		list[i], list[r] = list[r], list[i]
 		h := list[i]
@@ -172,7 +172,7 @@
 
 // leastOrder is the lowest order of the tasks on a machine that could be stopped.
 func (e *engine) leastOrder(h *host) int {
-	e.n.Stats.HostsSeen++
+	e.n.Stats.MachinesExamined++
 	e.pass.tasks += int64(len(h.tasks))
 	least := math.MaxInt
 	for _, t := range h.tasks {
@@ -188,15 +188,15 @@
 	j := t.job
 	ran := 0.0
 	if t.ranSince >= 0 {
-		ran = (e.n.now.Mono - t.ranSince).Seconds()
+		ran = (e.n.now.Monotonic - t.ranSince).Seconds()
 	}
 	switch {
-	case j.Shape == protocol.Service && t.ranSince >= 0:
+	case j.Kind == protocol.Service && t.ranSince >= 0:
 		return 240 + 60*float64(j.Priority)
-	case j.Shape == protocol.Service:
+	case j.Kind == protocol.Service:
 		return 30 + 60*float64(j.Priority)
 	case j.saves():
-		return j.SaveTime + 10
+		return j.CheckpointDurationS + 10
 	default:
 		return ran + 10
 	}
@@ -204,9 +204,9 @@
 
 // endsWithin guesses whether a task is over within so many seconds.
 func (e *engine) endsWithin(t *task, s float64) bool {
-	if t.job.Shape == protocol.Service || t.ranSince < 0 {
+	if t.job.Kind == protocol.Service || t.ranSince < 0 {
 		return false
 	}
-	ran := (e.n.now.Mono - t.ranSince).Seconds()
-	return t.job.Estimate > 0 && ran+s > t.job.Estimate*1.2
+	ran := (e.n.now.Monotonic - t.ranSince).Seconds()
+	return t.job.EstimatedRunS > 0 && ran+s > t.job.EstimatedRunS*1.2
 }
--- a/internal/coordination/prerequisites.go
+++ b/internal/coordination/prerequisites.go
@@ -11,21 +11,21 @@
 // for the page of the job itself.
 type prerequisitesPart struct{ storage.PrerequisitesRecord }
 
-// Emit writes it.
-func (p *prerequisitesPart) Emit(v *storage.PageValue) {
+// AppendTo writes it.
+func (p *prerequisitesPart) AppendTo(v *storage.PageValue) {
 	v.Prerequisites = append(v.Prerequisites, p.PrerequisitesRecord)
 }
 
-// Reserve is the space that it takes, which never changes.
-func (p *prerequisitesPart) Reserve() int { return p.Size() }
+// ReservedSize is the space that it takes, which never changes.
+func (p *prerequisitesPart) ReservedSize() int { return p.EncodedSize() }
 
 // divide puts the prerequisites of a new job into records of their own if the job's page
 // can't take them.
 func (e *engine) divide(j *job) {
-	if (&block{job: j}).baseSize()+j.leastStarts()*storage.StartReserve <= e.store.MaxItem() {
+	if (&block{job: j}).baseSize()+j.leastStarts()*storage.StartReservedSize <= e.store.MaxItemSize() {
 		return
 	}
-	for _, r := range storage.SplitPrerequisites(j.ID, j.prerequisites, e.store.MaxItem()) {
+	for _, r := range storage.SplitPrerequisites(j.ID, j.prerequisites, e.store.MaxItemSize()) {
 		j.parts = append(j.parts, &prerequisitesPart{r})
 	}
 }
@@ -38,12 +38,12 @@
 		return
 	}
 	j.recordsParts = true
-	wait := storage.OnCommitLater(func() {
+	wait := storage.OnDeferredCommit(func() {
 		j.recordsParts = false
 		then()
 	})
 	for _, p := range j.parts {
-		e.store.Touch(e.n.now.Mono, p, wait)
+		e.store.MarkDirty(e.n.now.Monotonic, p, wait)
 	}
 }
 
@@ -65,7 +65,7 @@
 	if c := j.e.classes[j.Class]; c != nil && c.run > 0 {
 		return c.run
 	}
-	return j.Estimate
+	return j.EstimatedRunS
 }
 
 // refusedPrerequisite tells whether a submission names a job that it can't: the
@@ -83,7 +83,7 @@
 		switch {
 		case p == nil:
 			return 422, "needs a job that was never accepted"
-		case p.Shape == protocol.Service:
+		case p.Kind == protocol.Service:
 			return 422, "needs a service, which is never done"
 		case !p.committed:
 			// Its own acceptance may come to nothing.
@@ -140,7 +140,7 @@
 	for _, ready := range e.dependencies.done(id) {
 		j := e.jobs[ready]
 		j.readyMs = e.n.now.WallMs
-		j.idleSince = e.n.now.Mono
+		j.idleSince = e.n.now.Monotonic
 		e.arrived(j)
 		e.order = append(slices.DeleteFunc(e.order, func(x *job) bool { return x == j }), j)
 		e.schedule = true
@@ -157,7 +157,7 @@
 			continue
 		}
 		e.n.log(Debug, "job cancelled with its prerequisite", "job", j.ID, "prerequisite", id)
-		j.Cancelled, j.cancelKnown, j.cancelledAt = true, true, e.n.now.Mono
+		j.Cancelled, j.cancelKnown, j.cancelledAt = true, true, e.n.now.Monotonic
 		e.settle(j, nil)
 	}
 }
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -15,12 +15,12 @@
 		t.ends, t.endsWait = need{}, need{}
 	}
 	for _, j := range e.order {
-		e.n.Stats.JobsSeen++
+		e.n.Stats.JobsExamined++
 		if j.waits() {
 			j.within = false
 			continue
 		}
-		if j.Shape != protocol.Service {
+		if j.Kind != protocol.Service {
 			j.team.ends = j.team.ends.plus(j.need.times(float64(len(j.tasks) - j.stopping)))
 			j.team.endsWait = j.team.endsWait.plus(j.need.times(float64(j.idle())))
 		}
@@ -31,7 +31,7 @@
 		s := sum[j.team].plus(j.need.times(float64(j.Tasks - j.done)))
 		sum[j.team] = s
 		t := j.team
-		j.within = (t.CPUs > 0 || t.GPUs > 0) && (t.CPUs == 0 || s.cpus <= t.CPUs+slack) && (t.GPUs == 0 || s.gpus <= t.GPUs+slack)
+		j.within = (t.GuaranteedCPUs > 0 || t.GuaranteedGPUs > 0) && (t.GuaranteedCPUs == 0 || s.cpus <= t.GuaranteedCPUs+slack) && (t.GuaranteedGPUs == 0 || s.gpus <= t.GuaranteedGPUs+slack)
 		if j.idle() > 0 {
 			out = append(out, j)
 		}
@@ -58,15 +58,15 @@
 		// few long arrays don't keep many small jobs waiting.
 		return j.readyMs + int64(j.expectedRun()*lengthWeight*1000)
 	}
-	if j.Deadline == 0 {
+	if j.DeadlineS == 0 {
 		return j.readyMs
 	}
 	limit := need{1e12, 1e12, 1e12}
-	if j.team.CPUsMax > 0 {
-		limit.cpus = j.team.CPUsMax
+	if j.team.CPULimit > 0 {
+		limit.cpus = j.team.CPULimit
 	}
-	if j.team.GPUsMax > 0 {
-		limit.gpus = j.team.GPUsMax
+	if j.team.GPULimit > 0 {
+		limit.gpus = j.team.GPULimit
 	}
 	alone := j.expectedRun() * float64(j.Tasks-j.done) / float64(max(1, j.need.count(limit, 1<<30)))
 	return j.readyMs + int64(alone*lengthWeight*1000)
--- a/internal/coordination/reports_test.go
+++ b/internal/coordination/reports_test.go
@@ -26,8 +26,8 @@
 		}
 		w.Run(3 * time.Second)
 		lag := w.Now + 6*time.Second
-		w.Network = func(kind, _, _ string) fake.Fate {
-			f := fake.Well()
+		w.Network = func(kind, _, _ string) fake.Delivery {
+			f := fake.Reliable()
 			if kind == "state" && w.Now < lag {
 				f.Request, f.Answer = 350*time.Millisecond, 350*time.Millisecond
 			}
@@ -45,13 +45,13 @@
 			w.After(3*time.Second, l.Start)
 		}
 		for _, j := range jobs {
-			runs(t, w, j.Sub.ID, 2)
+			runs(t, w, j.Submission.ID, 2)
 		}
 		w.Run(150 * time.Second) // every machine that isn't needed has been given back
 		check(t, w)
 		used := map[string]bool{}
 		for _, j := range jobs {
-			for _, h := range w.On(j.Sub.ID) {
+			for _, h := range w.MachinesOf(j.Submission.ID) {
 				used[h] = true
 			}
 		}
@@ -69,41 +69,41 @@
 		t.Run(fmt.Sprint("machine has died ", died), func(t *testing.T) {
 			for step := range 20 {
 				w := world(t)
-				var kept []protocol.Report
-				w.Overheard = func(r protocol.Report) {
+				var kept []protocol.Heartbeat
+				w.OnHeartbeat = func(r protocol.Heartbeat) {
 					r.Tasks = slices.Clone(r.Tasks)
 					kept = append(kept, r)
 				}
 				before := w.Submit(service(1, 2), 0)
-				runs(t, w, before.Sub.ID, 2)
-				host := w.On(before.Sub.ID)[0]
+				runs(t, w, before.Submission.ID, 2)
+				host := w.MachinesOf(before.Submission.ID)[0]
 				if step%2 == 1 { // an earlier session: it hangs past its lease and comes back
 					w.Workers[host].HangUntil = w.Now + 12*time.Second
 					w.Run(14 * time.Second)
-					runs(t, w, before.Sub.ID, 2)
+					runs(t, w, before.Submission.ID, 2)
 				}
 				after := w.Submit(service(2, 2), 0)
-				runs(t, w, after.Sub.ID, 2)
+				runs(t, w, after.Submission.ID, 2)
 				w.Run(3 * time.Second)
 				// The machine itself is away at first, so that only copies speak for it.
-				away, back := w.On(after.Sub.ID)[0], w.Now+6*time.Second
+				away, back := w.MachinesOf(after.Submission.ID)[0], w.Now+6*time.Second
 				if died {
-					w.Cloud.Die(away)
+					w.Cloud.Fail(away)
 				}
-				w.Network = func(_, a, b string) fake.Fate {
-					f := fake.Well()
+				w.Network = func(_, a, b string) fake.Delivery {
+					f := fake.Reliable()
 					f.LoseRequest = step%4 < 2 && w.Now < back && (a == away || b == away)
 					return f
 				}
-				w.Nodes[0].Crash()
+				w.Controllers[0].Crash()
 				copies := slices.Clone(kept)
 				flood := func() {
 					for i, r := range copies {
 						if i%5 != step%5 {
 							continue
 						}
-						for _, n := range w.Nodes {
-							n.Ask(coordination.ReportCall{Report: &r}, func(coordination.Reply) {})
+						for _, n := range w.Controllers {
+							n.Request(coordination.HeartbeatRequest{Heartbeat: &r}, func(coordination.Reply) {})
 						}
 					}
 				}
@@ -118,8 +118,8 @@
 				if !taken {
 					t.Fatal("nobody took over")
 				}
-				runs(t, w, before.Sub.ID, 2)
-				runs(t, w, after.Sub.ID, 2)
+				runs(t, w, before.Submission.ID, 2)
+				runs(t, w, after.Submission.ID, 2)
 				w.Run(30 * time.Second)
 				check(t, w)
 				served(t, w)
--- a/internal/coordination/return.go
+++ b/internal/coordination/return.go
@@ -20,11 +20,11 @@
 
 // returnUnneeded returns machines that are empty, have failed or never came up.
 func (e *engine) returnUnneeded(needed map[*host]bool) {
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	var back []string
 	for _, h := range e.byName {
 		mt := e.fleet.kind(h.kind)
-		if h.returnCall || len(back) >= protocol.MaxReturned {
+		if h.returnCall || len(back) >= protocol.MaxScaleIn {
 			continue
 		}
 		why := ""
@@ -62,7 +62,7 @@
 		return
 	}
 	slices.SortFunc(back, cmp.Compare)
-	if e.cloud(CloudCall{Op: CloudReturn, Hosts: back}, cloudCall{op: CloudReturn, hosts: back}) {
+	if e.cloud(CloudCall{Op: CloudScaleIn, Machines: back}, cloudCall{op: CloudScaleIn, hosts: back}) {
 		for _, name := range back {
 			e.hosts[name].returnCall = true
 		}
--- a/internal/coordination/rules.go
+++ b/internal/coordination/rules.go
@@ -66,34 +66,34 @@
 // TermLease is how long the term's lease lasts: while it runs out after a leader
 // has ended, nobody can be served.
 func TermLease(w config.Workers) time.Duration {
-	return config.Seconds(min(w.Lease/10, w.Report*0.4))
+	return config.Seconds(min(w.LeaseS/10, w.HeartbeatIntervalS*0.4))
 }
 
 // NewRules derives the times from the settings.
 func NewRules(cfg *config.Config) Rules {
 	w := cfg.Settings.Workers
 	sec := config.Seconds
-	lease := sec(w.Lease * (1 + drift))
+	lease := sec(w.LeaseS * (1 + drift))
 	ttl := TermLease(w)
 	r := Rules{
 		ttl:          ttl,
 		renew:        ttl / 5,
-		poll:         sec(w.Lease / 60),
-		lease:        lease + sec(w.Report/20),
-		report:       sec(w.Report),
-		answer:       sec(w.Report * 0.75),
-		retry:        sec(w.Report / 20),
-		raise:        sec(w.Lease / 4),
-		cancelWithin: sec(w.Cancel*(1-drift) - w.Report/4),
-		sweep:        sec(w.Report / 40),
-		silent:       sec(w.Report * 1.5),
-		hold:         sec(w.Lease * 2),
-		cancel:       sec(w.Cancel - w.Lease*(1+2*drift) - w.Report),
+		poll:         sec(w.LeaseS / 60),
+		lease:        lease + sec(w.HeartbeatIntervalS/20),
+		report:       sec(w.HeartbeatIntervalS),
+		answer:       sec(w.HeartbeatIntervalS * 0.75),
+		retry:        sec(w.HeartbeatIntervalS / 20),
+		raise:        sec(w.LeaseS / 4),
+		cancelWithin: sec(w.CancelWithinS*(1-drift) - w.HeartbeatIntervalS/4),
+		sweep:        sec(w.HeartbeatIntervalS / 40),
+		silent:       sec(w.HeartbeatIntervalS * 1.5),
+		hold:         sec(w.LeaseS * 2),
+		cancel:       sec(w.CancelWithinS - w.LeaseS*(1+2*drift) - w.HeartbeatIntervalS),
 	}
 	// By the limits as they are, also if others are to come: earlier versions that
 	// run beside this one, and jobs that they accepted, have blocks of this length.
 	r.blockTasks = storage.BlockTasks(storage.PageBytes(cfg.Settings.State.ValueKB))
-	memory := cfg.Settings.Limits.MemMB * (1 << 20)
+	memory := cfg.Settings.Limits.MemoryMB * (1 << 20)
 	r.endedKept = int(memory / endedShare / endedBytes)
 	r.archivePages = max(archivePagesLeast, int(memory/archiveCacheShare/(cfg.Settings.State.ValueKB*1024)))
 	r.backOff = r.ttl * 2
@@ -110,7 +110,7 @@
 	r.looksMost = r.retry
 	r.lookBackOff = time.Duration(float64(r.sweep) / looksASweep / min(1, cfg.Settings.Limits.CPU))
 	r.healthFor = r.ttl * 6
-	r.probe = sec(w.Lease / 12)
+	r.probe = sec(w.LeaseS / 12)
 	r.probeTimeout = r.probe * 5 / 2
 	return r
 }
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -12,23 +12,23 @@
 
 // fleetOf makes a world with so many machines up, each with a replica of a job of
 // fifty, and the leader among its nodes.
-func fleetOf(t testing.TB, machines int) (*fake.World, *fake.Node) {
+func fleetOf(t testing.TB, machines int) (*fake.World, *fake.Controller) {
 	t.Helper()
 	s := fake.Settings()
 	s.Teams = s.Teams[:1]
-	s.Teams[0].CPUs, s.Teams[0].CPUsMax = 1e6, 0
-	s.Workers.Report, s.Workers.Lease, s.Workers.Cancel = 5, 26.5, 56.5
+	s.Teams[0].GuaranteedCPUs, s.Teams[0].CPULimit = 1e6, 0
+	s.Workers.HeartbeatIntervalS, s.Workers.LeaseS, s.Workers.CancelWithinS = 5, 26.5, 56.5
 	s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 400, 8, 8
 	s.Cloud.RPS = 12
 	w := fake.NewWorld(s)
-	w.Cloud.Most = machines / 2 // in each of two zones
+	w.Cloud.Capacity = machines / 2 // in each of two zones
 	for i := range machines / 50 {
 		j := service(i+1, 50)
 		j.Team, j.CPUs, j.Types = "red", 3, []string{"small"}
 		w.Submit(j, 0)
 	}
-	if !w.Until(60*time.Second, func() bool { return len(w.Names()) >= machines }) {
-		t.Fatalf("%d machines are up", len(w.Names()))
+	if !w.Until(60*time.Second, func() bool { return len(w.MachineNames()) >= machines }) {
+		t.Fatalf("%d machines are up", len(w.MachineNames()))
 	}
 	w.Run(10 * time.Second)
 	n := w.Leader()
@@ -57,11 +57,11 @@
 				before := n.Stats()
 				do()
 				after := n.Stats()
-				return after.HostsSeen - before.HostsSeen, after.JobsSeen - before.JobsSeen
+				return after.MachinesExamined - before.MachinesExamined, after.JobsExamined - before.JobsExamined
 			}
 			hosts, jobs := seen(func() {
 				for range 100 {
-					n.Ask(coordination.UserCall{Kind: coordination.Poll, Job: "wk-000001"}, func(coordination.Reply) {})
+					n.Request(coordination.UserRequest{Kind: coordination.Poll, Job: "wk-000001"}, func(coordination.Reply) {})
 				}
 			})
 			if hosts > int64(2*machines) || jobs > int64(2*machines) {
@@ -77,7 +77,7 @@
 				for i := range 20 {
 					s := service(500+i, 1)
 					s.Team = "red"
-					n.Ask(coordination.UserCall{Kind: coordination.Submit, Job: s.ID, Submit: &s}, func(coordination.Reply) {})
+					n.Request(coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}, func(coordination.Reply) {})
 				}
 			})
 			if hosts > int64(20*4*(machines+64)) || jobs > int64(20*(machines/50+20)) {
@@ -109,7 +109,7 @@
 		run := func(name string, request func() coordination.Request) {
 			b.Run(fmt.Sprintf("%s/%d", name, machines), func(b *testing.B) {
 				for range b.N {
-					n.Ask(request(), func(coordination.Reply) {})
+					n.Request(request(), func(coordination.Reply) {})
 				}
 			})
 		}
@@ -118,17 +118,19 @@
 				n.Tick()
 			}
 		})
-		run("poll", func() coordination.Request { return coordination.UserCall{Kind: coordination.Poll, Job: "wk-000001"} })
+		run("poll", func() coordination.Request {
+			return coordination.UserRequest{Kind: coordination.Poll, Job: "wk-000001"}
+		})
 		seq := int64(0)
 		run("report", func() coordination.Request {
 			seq++
-			return coordination.ReportCall{Report: &protocol.Report{Host: "x-000001", Type: "small", Zone: "a", Session: 1, Seq: seq}}
+			return coordination.HeartbeatRequest{Heartbeat: &protocol.Heartbeat{Machine: "x-000001", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq}}
 		})
 		run("submission", func() coordination.Request {
 			seq++
 			s := service(100_000+int(seq), 1)
 			s.Team = "red"
-			return coordination.UserCall{Kind: coordination.Submit, Job: s.ID, Submit: &s}
+			return coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}
 		})
 		w, _ := fleetOf(b, machines)
 		waiting(w, 300)
@@ -155,7 +157,7 @@
 // and arrays that make so many starts a second with so many tasks running.
 type peak struct {
 	w     *fake.World
-	n     *fake.Node
+	n     *fake.Controller
 	rate  float64 // arrays a second
 	tasks int     // each
 	run   time.Duration
@@ -180,7 +182,7 @@
 		for p.due += p.rate * step.Seconds(); p.due >= 1; p.due-- {
 			p.next++
 			s := job(p.next, protocol.Array, p.tasks)
-			s.Team, s.CPUs, s.MemoryGB, s.ImageGB, s.SaveEach = "red", 0.05, 0.1, 0.1, 0
+			s.Team, s.CPUs, s.MemoryGB, s.ImageGB, s.CheckpointIntervalS = "red", 0.05, 0.1, 0.1, 0
 			p.w.Submit(s, p.run)
 		}
 		p.w.Run(step)
@@ -197,11 +199,11 @@
 		b.Run(fmt.Sprintf("%d machines %d tasks %.0f starts", size.machines, size.running, size.starts), func(b *testing.B) {
 			p := peakOf(b, size.machines, size.running, size.starts)
 			b.ResetTimer()
-			began := p.n.Stats().Starts
+			began := p.n.Stats().TasksStarted
 			for range b.N {
 				p.pass(time.Second)
 			}
-			b.ReportMetric(float64(p.n.Stats().Starts-began)/float64(b.N), "starts/op")
+			b.ReportMetric(float64(p.n.Stats().TasksStarted-began)/float64(b.N), "starts/op")
 			check(b, p.w)
 		})
 	}
--- a/internal/coordination/starts_test.go
+++ b/internal/coordination/starts_test.go
@@ -14,8 +14,8 @@
 // first within the term, then after the job has moved on.
 func TestCopyOfAStartDoesNotRunAgain(t *testing.T) {
 	w := world(t)
-	w.Network = func(kind, _, _ string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
 		if kind == "orders" {
 			f.Copy = 25 * time.Second
 		}
@@ -25,7 +25,7 @@
 	for range 30 {
 		w.Run(2 * time.Second)
 		w.PollAll()
-		for _, id := range w.On(j.Sub.ID) {
+		for _, id := range w.MachinesOf(j.Submission.ID) {
 			if w.Now > 45*time.Second {
 				t.Fatalf("runs again on %s", id)
 			}
@@ -48,8 +48,8 @@
 			spare(t, w)
 			w.Run(time.Duration(at) * 50 * time.Millisecond)
 			host := ""
-			w.Network = func(kind, _, to string) fake.Fate {
-				f := fake.Well()
+			w.Network = func(kind, _, to string) fake.Delivery {
+				f := fake.Reliable()
 				switch {
 				case kind != "orders" || host != "" && to != host:
 				case host == "":
@@ -60,10 +60,10 @@
 				return f
 			}
 			j := w.Submit(service(1, 1), 0)
-			runs(t, w, j.Sub.ID, 1)
+			runs(t, w, j.Submission.ID, 1)
 			w.Run(60 * time.Second)
-			if w.Running(j.Sub.ID) != 1 || len(w.On(j.Sub.ID)) != 1 {
-				t.Errorf("on %v", w.On(j.Sub.ID))
+			if w.Running(j.Submission.ID) != 1 || len(w.MachinesOf(j.Submission.ID)) != 1 {
+				t.Errorf("on %v", w.MachinesOf(j.Submission.ID))
 			}
 			check(t, w)
 		})
@@ -77,8 +77,8 @@
 	w := world(t)
 	spare(t, w)
 	var crashed time.Duration
-	w.Network = func(kind, from, _ string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, from, _ string) fake.Delivery {
+		f := fake.Reliable()
 		if kind == "orders" && from == "n0" {
 			f.Request = 8 * time.Second
 		}
@@ -91,7 +91,7 @@
 	if !j.Accepted {
 		t.Fatal("not accepted")
 	}
-	w.Nodes[0].Crash()
+	w.Controllers[0].Crash()
 	crashed = w.Now
 	w.Run(7500 * time.Millisecond)
 	if w.Leader() == nil {
@@ -100,7 +100,7 @@
 	if log := strings.Join(w.Log, "\n"); strings.Contains(log, "task lost [job wk-000001") {
 		t.Errorf("absence believed\n%s", log)
 	}
-	runs(t, w, j.Sub.ID, 1)
+	runs(t, w, j.Submission.ID, 1)
 	w.Run(30 * time.Second)
 	check(t, w)
 }
@@ -109,9 +109,9 @@
 func TestSickMachineIsSetAside(t *testing.T) {
 	w := world(t)
 	a := w.Submit(service(1, 1), 0)
-	runs(t, w, a.Sub.ID, 1)
-	sick := w.On(a.Sub.ID)[0]
-	w.Workers[sick].Sick = true
+	runs(t, w, a.Submission.ID, 1)
+	sick := w.MachinesOf(a.Submission.ID)[0]
+	w.Workers[sick].FailsTasks = true
 	for i := range 5 {
 		w.Submit(job(i+2, protocol.Array, 2), time.Second)
 	}
@@ -131,15 +131,15 @@
 	w := world(t)
 	for i := range 3 {
 		j := w.Submit(service(i+1, 1), 0)
-		j.Broken = true
+		j.AlwaysFails = true
 	}
 	w.Run(90 * time.Second)
-	st := w.Nodes[0].Stats()
-	if st.Failed < 6 || st.Failed > 60 {
-		t.Errorf("%d failures in 90 s", st.Failed)
+	st := w.Controllers[0].Stats()
+	if st.TasksFailed < 6 || st.TasksFailed > 60 {
+		t.Errorf("%d failures in 90 s", st.TasksFailed)
 	}
 	good := w.Submit(service(9, 1), 0)
-	runs(t, w, good.Sub.ID, 1)
+	runs(t, w, good.Submission.ID, 1)
 	check(t, w)
 }
 
@@ -150,15 +150,15 @@
 	s.CPUs, s.Spread = 3, true
 	j := w.Submit(s, 40*time.Second)
 	runs(t, w, s.ID, 3)
-	w.Cloud.Die(w.On(s.ID)[1])
+	w.Cloud.Fail(w.MachinesOf(s.ID)[1])
 	w.Run(2 * time.Second)
 	runs(t, w, s.ID, 3)
 	for range 40 {
 		w.Run(2 * time.Second)
 		w.PollAll()
 	}
-	if j.Told != protocol.StatusDone {
-		t.Errorf("told %q", j.Told)
+	if j.Status != protocol.StatusDone {
+		t.Errorf("told %q", j.Status)
 	}
 	check(t, w)
 }
--- a/internal/coordination/takeover_test.go
+++ b/internal/coordination/takeover_test.go
@@ -19,10 +19,10 @@
 	t.Helper()
 	n := coordination.New(cfg, "boot", 1)
 	now := coordination.Now{WallMs: 1_000_000}
-	var give func(command coordination.Command)
-	give = func(command coordination.Command) {
-		now.Mono += time.Millisecond
-		for _, effect := range n.Step(now, []coordination.Command{command}) {
+	var give func(command coordination.Event)
+	give = func(command coordination.Event) {
+		now.Monotonic += time.Millisecond
+		for _, effect := range n.Step(now, []coordination.Event{command}) {
 			if c, ok := effect.(coordination.StateCall); ok && n.Role() != "leader" {
 				r := w.State.Execute(c.StateCall)
 				entries += len(r.List.Entries)
@@ -32,7 +32,7 @@
 	}
 	for range 10 {
 		if n.Role() != "leader" {
-			now.Mono += 500 * time.Millisecond
+			now.Monotonic += 500 * time.Millisecond
 			give(coordination.Tick{})
 		}
 	}
@@ -48,15 +48,15 @@
 	s := fake.Settings()
 	s.State.ValueKB = 8
 	w := fake.NewWorld(s)
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Crash()
 	}
-	w.State.ListMost = 200
+	w.State.MaxListed = 200
 	values := map[string][]byte{}
 	pages := 0
 	add := func(v storage.PageValue) {
-		v.ID = "1-1"
-		values[fmt.Sprintf("%s%06d", storage.Prefix, pages)] = protocol.Encode(v)
+		v.WriteID = "1-1"
+		values[fmt.Sprintf("%s%06d", storage.PagePrefix, pages)] = protocol.Encode(v)
 		pages++
 	}
 	for first := 0; first < unfinished; first += 20 {
@@ -70,19 +70,19 @@
 	for first := 0; first < kept; first += 200 {
 		var v storage.PageValue
 		for i := first; i < min(first+200, kept); i++ {
-			v.Finals = append(v.Finals, storage.FinalRecord{ID: fmt.Sprintf("wk-8%08d", i), Tasks: 4})
+			v.Terminal = append(v.Terminal, storage.TerminalRecord{ID: fmt.Sprintf("wk-8%08d", i), Tasks: 4})
 		}
 		add(v)
 	}
 	const each = 200
 	for first := 0; first < archived; first += each {
-		v := storage.ArchiveValue{ID: "1-1"}
+		v := storage.ArchiveValue{WriteID: "1-1"}
 		for i := first; i < min(first+each, archived); i++ {
-			v.Finals = append(v.Finals, storage.FinalRecord{ID: fmt.Sprintf("wk-9%08d", i), Tasks: 4})
+			v.Terminal = append(v.Terminal, storage.TerminalRecord{ID: fmt.Sprintf("wk-9%08d", i), Tasks: 4})
 		}
 		bound := fmt.Sprintf("wk-9%08d", first+each)
 		if first+each >= archived {
-			bound = storage.LastBound
+			bound = storage.LastUpperBound
 		}
 		values[storage.ArchivePrefix+bound] = protocol.Encode(v)
 	}
@@ -127,23 +127,23 @@
 func TestStartsOfTwoSessionsOnOneMachine(t *testing.T) {
 	for durable := range 5 {
 		w := world(t)
-		w.Cloud.MostOf = map[string]int{"small": 1, "large": 0}
+		w.Cloud.CapacityOf = map[string]int{"small": 1, "large": 0}
 		for i := range 80 { // on more pages than a transaction takes
 			s := service(i+1, 1)
 			s.CPUs, s.MemoryGB, s.Zone = 0.05, 0.1, "a" // there is one machine that they may have
 			w.Submit(s, 0)
 		}
-		if !w.Until(60*time.Second, func() bool { return len(w.Names()) > 0 && w.Running("wk-000080") == 1 }) {
+		if !w.Until(60*time.Second, func() bool { return len(w.MachineNames()) > 0 && w.Running("wk-000080") == 1 }) {
 			t.Fatal("the replicas don't run")
 		}
 		w.Run(5 * time.Second)
-		host := w.On("wk-000001")[0]
+		host := w.MachinesOf("wk-000001")[0]
 		session := w.Session(host)
-		w.HoldsWrites = true
+		w.SeparateWrites = true
 		placed := func() int { return strings.Count(strings.Join(w.Log, "\n"), "task placed [job wk-000001 ") }
 		left := durable
-		w.Network = func(kind, from, to string) fake.Fate {
-			f := fake.Well()
+		w.Network = func(kind, from, to string) fake.Delivery {
+			f := fake.Reliable()
 			f.LoseRequest = w.Session(host) == session && (from == host || to == host)
 			if kind == "write" && placed() > 1 {
 				left--
--- a/internal/coordination/task.go
+++ b/internal/coordination/task.go
@@ -33,11 +33,11 @@
 }
 
 func (t *task) record() storage.StartRecord {
-	return storage.StartRecord{Task: t.index, Try: t.try, Host: t.host.name, Session: t.session}
+	return storage.StartRecord{Task: t.index, Attempt: t.try, Machine: t.host.name, Incarnation: t.session}
 }
 
 func (t *task) attempt() protocol.Attempt {
-	return protocol.Attempt{Job: t.job.ID, Task: t.index, Try: t.try}
+	return protocol.Attempt{Job: t.job.ID, Task: t.index, Number: t.try}
 }
 
 func (e *engine) sorted(j *job) []*task {
@@ -50,19 +50,19 @@
 }
 
 // place records the start of a task; it is sent once that is durable.
-func (e *engine) place(j *job, index int, h *host, w *storage.CommitWait) *task {
+func (e *engine) place(j *job, index int, h *host, w *storage.CommitWaiter) *task {
 	bn := index / j.blockTasks
 	b := j.blocks[bn]
 	if b == nil {
 		b = &block{job: j, number: bn}
 		j.blocks[bn] = b
 	}
-	try := j.Try
-	if j.Shape != protocol.Gang {
+	try := j.GangAttempt
+	if j.Kind != protocol.Gang {
 		b.try++
 		try = b.try
 	}
-	t := &task{job: j, block: b, index: index, try: try, host: h, session: h.session, placedAt: e.n.now.Mono, ranSince: -1}
+	t := &task{job: j, block: b, index: index, try: try, host: h, session: h.session, placedAt: e.n.now.Monotonic, ranSince: -1}
 	b.starts = append(b.starts, t)
 	j.tasks[index] = t
 	j.unfinished++
@@ -75,7 +75,7 @@
 	if w == nil {
 		w = j.onCommitStart(func() { e.started(t) })
 	}
-	e.store.Touch(e.n.now.Mono, b, w)
+	e.store.MarkDirty(e.n.now.Monotonic, b, w)
 	return t
 }
 
@@ -113,15 +113,15 @@
 	if !j.isDone(t.index) {
 		j.unfinished--
 		j.requeue = append(j.requeue, t.index)
-		j.idleSince = e.n.now.Mono
+		j.idleSince = e.n.now.Monotonic
 	}
 	if len(t.host.tasks) == 0 {
-		t.host.emptySince = e.n.now.Mono
+		t.host.emptySince = e.n.now.Monotonic
 		t.host.used, t.host.leaving = need{}, need{} // no rounding is carried on
 	}
 	e.schedule = true
 	e.touchLater(t.block)
-	if j.Shape == protocol.Gang {
+	if j.Kind == protocol.Gang {
 		e.gangLost(j)
 	}
 }
@@ -143,7 +143,7 @@
 
 // lost is a task that is gone without having told why.
 func (e *engine) lost(t *task, proof string) {
-	e.n.Stats.Lost++
+	e.n.Stats.TasksLost++
 	e.n.log(Info, "task lost", "job", t.job.ID, "task", t.index, "attempt", t.try, "host", t.host.name, "proof", proof)
 	e.drop(t)
 	e.settle(t.job, nil)
@@ -151,41 +151,41 @@
 
 // exited handles a task that its worker reports as ended. The worker is told to
 // forget it once what it means is durable.
-func (e *engine) exited(t *task, r protocol.TaskReport) {
+func (e *engine) exited(t *task, r protocol.TaskStatus) {
 	j, h, a := t.job, t.host, r.Attempt
-	h.forget[a] = forgetting{token: max(t.sentToken, e.firstT-1), since: e.n.now.Mono}
+	h.forget[a] = forgetting{token: max(t.sentToken, e.firstT-1), since: e.n.now.Monotonic}
 	w := j.onCommitLater(func() { e.forgettable(h, a) })
-	now := e.n.now.Mono
-	switch r.Cause {
-	case protocol.Done:
-		e.n.Stats.Finished++
+	now := e.n.now.Monotonic
+	switch r.ExitCause {
+	case protocol.ExitDone:
+		e.n.Stats.TasksFinished++
 		e.ran(j, now-t.ranSince, t.ranSince >= 0 && !t.inherited)
 		e.runsWell(j, h)
 		e.markDone(j, t.index)
-		if j.Shape == protocol.Gang { // complete together
+		if j.Kind == protocol.Gang { // complete together
 			// The others are still on their machines until these say so: one may hang.
 			for i := range j.Tasks {
 				e.markDone(j, i)
 			}
 		}
-	case protocol.Failed:
+	case protocol.ExitFailed:
 		e.failed(t)
-	case protocol.NoRoom, protocol.Busy:
+	case protocol.ExitInsufficientResources, protocol.ExitTaskAlreadyPresent:
 		h.pauseUntil = now + e.rules.report
-	case protocol.Unknown:
+	case protocol.ExitUnknownJob:
 		j.retryAt = now + e.rules.report/2
-	case protocol.Alone:
+	case protocol.ExitGangIncomplete:
 		j.gangEnding = true
 	}
-	if r.Cause != protocol.Done {
-		e.n.log(Debug, "task ended", "job", j.ID, "task", t.index, "host", h.name, "cause", r.Cause.String(), "saved", r.Saved)
+	if r.ExitCause != protocol.ExitDone {
+		e.n.log(Debug, "task ended", "job", j.ID, "task", t.index, "host", h.name, "cause", r.ExitCause.String(), "saved", r.Checkpointed)
 	}
 	b := t.block
 	e.drop(t)
 	if j.blocks[b.number] == b {
-		e.store.Touch(now, b, w)
+		e.store.MarkDirty(now, b, w)
 	} else {
-		e.store.Touch(now, j.blocks[0], w)
+		e.store.MarkDirty(now, j.blocks[0], w)
 	}
 	e.settle(j, w)
 }
@@ -205,7 +205,7 @@
 	if j.tasks[index] != nil {
 		j.unfinished--
 	}
-	now := e.n.now.Mono
+	now := e.n.now.Monotonic
 	e.touchLater(b)
 	for i := range j.blockLen(bn) {
 		if !b.done.Has(i) {
@@ -215,16 +215,16 @@
 	// The whole block is done: the first block says so, and only when that is
 	// durable does the block itself go.
 	j.full.Set(bn)
-	e.store.Touch(now, j.blocks[0], j.onCommitLater(func() {
+	e.store.MarkDirty(now, j.blocks[0], j.onCommitLater(func() {
 		if bn != 0 && j.blocks[bn] == b && len(b.starts) == 0 {
 			delete(j.blocks, bn)
-			e.store.Remove(e.n.now.Mono, b, j.onCommitLater(func() {}))
+			e.store.Remove(e.n.now.Monotonic, b, j.onCommitLater(func() {}))
 		}
 	}))
 }
 
 // settle closes a job that is over and has nothing on machines any more.
-func (e *engine) settle(j *job, w *storage.CommitWait) {
+func (e *engine) settle(j *job, w *storage.CommitWaiter) {
 	if j.over || j.recordsParts || len(j.tasks) > 0 || !j.Cancelled && j.done < j.Tasks || j.Cancelled && !j.cancelKnown {
 		return
 	}
@@ -236,8 +236,8 @@
 
 // recordEnd puts a job's end in the place of its record. The end of a cancelled job can
 // wait: its users hear the same before it is durable, also from a successor.
-func (e *engine) recordEnd(j *job, w *storage.CommitWait) {
-	f := &final{FinalRecord: storage.FinalRecord{ID: j.ID, Cancelled: j.Cancelled, Tasks: j.Tasks}}
+func (e *engine) recordEnd(j *job, w *storage.CommitWaiter) {
+	f := &final{TerminalRecord: storage.TerminalRecord{ID: j.ID, Cancelled: j.Cancelled, Tasks: j.Tasks}}
 	ended := func() {
 		e.finals[f.ID] = f
 		delete(e.jobs, f.ID)
@@ -248,14 +248,14 @@
 	}
 	wait := storage.OnCommit(ended)
 	if j.Cancelled {
-		wait = storage.OnCommitInBackground(ended)
+		wait = storage.OnBackgroundCommit(ended)
 	}
 	if w == nil {
-		e.store.Swap(e.n.now.Mono, j.blocks[0], f, wait)
+		e.store.Replace(e.n.now.Monotonic, j.blocks[0], f, wait)
 		return
 	}
-	e.store.Swap(e.n.now.Mono, j.blocks[0], f, w)
-	e.store.Touch(e.n.now.Mono, f, wait)
+	e.store.Replace(e.n.now.Monotonic, j.blocks[0], f, w)
+	e.store.MarkDirty(e.n.now.Monotonic, f, wait)
 }
 
 // removeRest removes what is recorded of a job beside its end. It may go only once that is
@@ -273,7 +273,7 @@
 	f.rest = len(rest) > 0
 	wait := j.onCommitLater(func() { f.rest = false })
 	for _, item := range rest {
-		e.store.Remove(e.n.now.Mono, item, wait)
+		e.store.Remove(e.n.now.Monotonic, item, wait)
 	}
 }
 
@@ -288,7 +288,7 @@
 		t.job.team.leaving = t.job.team.leaving.plus(t.job.need)
 	}
 	t.stopping, t.grace = true, grace
-	t.stopAt = e.n.now.Mono
+	t.stopAt = e.n.now.Monotonic
 	if t.sentToken == 0 && !t.inherited {
 		if t.committed {
 			e.drop(t) // otherwise started does it
@@ -306,10 +306,10 @@
 	}
 	grace := 0.0
 	if j.saves() {
-		grace = j.SaveTime + 0.5
+		grace = j.CheckpointDurationS + 0.5
 	}
 	e.n.log(Debug, "task stopped", "job", j.ID, "task", t.index, "host", t.host.name, "why", why)
-	if j.Shape != protocol.Gang {
+	if j.Kind != protocol.Gang {
 		e.stop(t, grace)
 		return
 	}
--- a/internal/coordination/team.go
+++ b/internal/coordination/team.go
@@ -20,6 +20,6 @@
 
 // allows tells whether so much more stays within the limit.
 func (t *team) allows(n need) bool {
-	return (t.CPUsMax == 0 || t.used.cpus+n.cpus <= t.CPUsMax+slack) &&
-		(t.GPUsMax == 0 || t.used.gpus+n.gpus <= t.GPUsMax+slack)
+	return (t.CPULimit == 0 || t.used.cpus+n.cpus <= t.CPULimit+slack) &&
+		(t.GPULimit == 0 || t.used.gpus+n.gpus <= t.GPULimit+slack)
 }
--- a/internal/coordination/term.go
+++ b/internal/coordination/term.go
@@ -79,53 +79,53 @@
 	pages   bool // all are read
 }
 
-func (n *Node) state(why purpose, c storage.StateCall) {
+func (n *Controller) state(why purpose, c storage.StateCall) {
 	if n.term.calls == nil {
 		n.term.calls = map[uint64]pending{}
 	}
 	c.ID = n.id()
-	n.term.calls[c.ID] = pending{why, n.now.Mono}
+	n.term.calls[c.ID] = pending{why, n.now.Monotonic}
 	n.emit(StateCall{c})
 }
 
 // holdOver tells whether workers may no longer be answered. The hold counts from
 // when another node may first have led: when our lease ended, or later, if since
 // then every peer has said that it has not.
-func (n *Node) holdOver() bool {
+func (n *Controller) holdOver() bool {
 	t := &n.term
-	from := n.now.Mono
+	from := n.now.Monotonic
 	for _, p := range n.cfg.Peers {
 		from = min(from, t.idle[p.Name])
 	}
-	return n.now.Mono > max(t.until, from)+n.rules.hold
+	return n.now.Monotonic > max(t.until, from)+n.rules.hold
 }
 
 // askIdle asks the peers, while the term is in doubt, whether any of them has led.
-func (n *Node) askIdle() {
+func (n *Controller) askIdle() {
 	t := &n.term
-	if n.engine == nil || n.certain() || n.now.Mono < t.doubtAt {
+	if n.engine == nil || n.certain() || n.now.Monotonic < t.doubtAt {
 		return
 	}
-	t.doubtAt = n.now.Mono + n.rules.probe
+	t.doubtAt = n.now.Monotonic + n.rules.probe
 	for _, p := range n.cfg.Peers {
-		n.emit(PeerCall{Peer: p.Name, Asked: n.now.Mono})
+		n.emit(PeerCall{Peer: p.Name, SentAt: n.now.Monotonic})
 	}
 }
 
 // idlePeer notes a peer's word that it has not led since our lease ended. Only a
 // process that was running by then can give it: its predecessor might have.
-func (n *Node) idlePeer(r PeerResult) {
+func (n *Controller) idlePeer(r PeerResult) {
 	t := &n.term
-	up := time.Duration(float64(r.UpMs)*(1-drift)) * time.Millisecond
-	if n.engine != nil && r.Led < t.own && n.now.Mono-up <= t.until {
-		t.idle[r.Peer] = max(t.idle[r.Peer], r.Asked)
+	up := time.Duration(float64(r.UptimeMs)*(1-drift)) * time.Millisecond
+	if n.engine != nil && r.LastLoadedTerm < t.own && n.now.Monotonic-up <= t.until {
+		t.idle[r.Peer] = max(t.idle[r.Peer], r.SentAt)
 	}
 }
 
 // certain tells whether no other node can have taken the term yet.
-func (n *Node) certain() bool { return n.engine != nil && n.now.Mono < n.term.until }
+func (n *Controller) certain() bool { return n.engine != nil && n.now.Monotonic < n.term.until }
 
-func (n *Node) extend(sent time.Duration) {
+func (n *Controller) extend(sent time.Duration) {
 	ttl := n.rules.ttl
 	// The lease counts from when the request was sent, on a clock that may be
 	// slow; a twentieth is left for the time between a check and its use.
@@ -134,11 +134,11 @@
 	}
 }
 
-func (n *Node) termTick() {
-	t, now := &n.term, n.now.Mono
+func (n *Controller) termTick() {
+	t, now := &n.term, n.now.Monotonic
 	if t.own != 0 && now >= t.renewAt {
 		t.renewAt = now + n.rules.renew
-		n.state(forRenew, storage.StateCall{Op: storage.StateRenew, Lease: t.lease})
+		n.state(forRenew, storage.StateCall{Op: storage.StateRenewLease, Lease: t.lease})
 	}
 	if t.own != 0 {
 		n.askIdle()
@@ -156,7 +156,7 @@
 		// To ask a peer to let go of nothing is a greeting: whether it answers
 		// tells whether users' requests could be handed to it.
 		t.greetAt = now + n.rules.probe
-		n.emit(PeerCall{Peer: t.leader, Asked: now})
+		n.emit(PeerCall{Peer: t.leader, SentAt: now})
 	}
 	if !t.checkingLeader && now >= t.leaderCheckAt {
 		t.checkingLeader = true
@@ -165,22 +165,22 @@
 }
 
 // follow notes who leads.
-func (n *Node) follow(leader string, term int64) {
+func (n *Controller) follow(leader string, term int64) {
 	t := &n.term
 	if t.leader != leader {
 		n.log(Info, "following", "leader", leader, "term", term)
-		t.leader, t.reached = leader, n.now.Mono
+		t.leader, t.reached = leader, n.now.Monotonic
 	}
 }
 
 // scheduleLeaderCheck plans the next look at the leader's key.
-func (n *Node) scheduleLeaderCheck() {
+func (n *Controller) scheduleLeaderCheck() {
 	n.term.checkingLeader = false
 	jitter := time.Duration(n.rng.Int64N(int64(n.rules.poll)/4 + 1))
-	n.term.leaderCheckAt = n.now.Mono + n.rules.poll + jitter
+	n.term.leaderCheckAt = n.now.Monotonic + n.rules.poll + jitter
 }
 
-func (n *Node) stepDown(why string) {
+func (n *Controller) stepDown(why string) {
 	t := &n.term
 	n.log(Info, "term lost", "term", t.own, "why", why)
 	n.engine = nil
@@ -194,20 +194,20 @@
 
 // yieldTerm ends the term by this node's own choice, so that another can take it
 // at once.
-func (n *Node) yieldTerm(why string) {
+func (n *Controller) yieldTerm(why string) {
 	n.restartTerm(why)
-	n.term.backOff = n.now.Mono + n.rules.backOff
+	n.term.backOff = n.now.Monotonic + n.rules.backOff
 }
 
 // restartTerm ends the term so that a new one can begin at once, on this node or
 // another.
-func (n *Node) restartTerm(why string) {
+func (n *Controller) restartTerm(why string) {
 	lease := n.term.lease
 	n.stepDown(why)
-	n.state(forRevoke, storage.StateCall{Op: storage.StateRevoke, Lease: lease})
+	n.state(forRevoke, storage.StateCall{Op: storage.StateRevokeLease, Lease: lease})
 }
 
-func (n *Node) stateResult(r storage.StateResult) {
+func (n *Controller) stateResult(r storage.StateResult) {
 	p, ok := n.term.calls[r.ID]
 	if !ok {
 		return
@@ -215,7 +215,7 @@
 	delete(n.term.calls, r.ID)
 	t := &n.term
 	if r.Outcome == OK || r.Outcome == NotFound || r.Outcome == Conflict {
-		t.heard = n.now.Mono
+		t.heard = n.now.Monotonic
 	}
 	switch p.why {
 	case forLeaderCheck:
@@ -244,7 +244,7 @@
 	}
 }
 
-func (n *Node) leaderKeyRead(r storage.StateResult) {
+func (n *Controller) leaderKeyRead(r storage.StateResult) {
 	t := &n.term
 	if t.own != 0 {
 		t.checkingLeader = false
@@ -276,7 +276,7 @@
 		n.scheduleLeaderCheck()
 	case NotFound:
 		t.seen, t.leader = 0, ""
-		if n.now.Mono < t.backOff {
+		if n.now.Monotonic < t.backOff {
 			n.scheduleLeaderCheck()
 			return
 		}
@@ -286,23 +286,23 @@
 	}
 }
 
-func (n *Node) askLease() {
+func (n *Controller) askLease() {
 	t := &n.term
-	if t.acquire != nil && n.now.Mono < t.until {
+	if t.acquire != nil && n.now.Monotonic < t.until {
 		n.sendAcquire()
 		return
 	}
 	t.acquire = nil
-	n.state(forGrant, storage.StateCall{Op: storage.StateGrant, TTL: n.rules.ttl})
+	n.state(forGrant, storage.StateCall{Op: storage.StateGrantLease, TTL: n.rules.ttl})
 }
 
-func (n *Node) granted(r storage.StateResult, p pending) {
+func (n *Controller) granted(r storage.StateResult, p pending) {
 	t := &n.term
 	if t.own != 0 || r.Outcome != OK {
 		n.scheduleLeaderCheck()
 		return
 	}
-	t.lease, t.until = r.Number, 0
+	t.lease, t.until = r.Revision, 0
 	n.extend(p.sent)
 	t.acquire = &protocol.Txn{
 		If:   []protocol.Condition{{Key: LeaderKey, Version: t.seen}},
@@ -311,18 +311,18 @@
 	n.sendAcquire()
 }
 
-func (n *Node) sendAcquire() {
+func (n *Controller) sendAcquire() {
 	n.term.checkingLeader = true
 	n.state(forAcquire, storage.StateCall{Op: storage.StateTxn, Txn: *n.term.acquire})
 }
 
-func (n *Node) acquiredResult(r storage.StateResult) {
+func (n *Controller) acquiredResult(r storage.StateResult) {
 	t := &n.term
 	if t.own != 0 || t.acquire == nil {
 		return
 	}
 	if r.Outcome == OK {
-		n.tookTerm(r.Number)
+		n.tookTerm(r.Revision)
 		return
 	}
 	if r.Outcome == Invalid {
@@ -330,27 +330,27 @@
 	}
 	// Refused, lost to another, or not answered: the next look tells.
 	n.scheduleLeaderCheck()
-	t.leaderCheckAt = n.now.Mono + n.rules.retry
+	t.leaderCheckAt = n.now.Monotonic + n.rules.retry
 }
 
-func (n *Node) tookTerm(version int64) {
+func (n *Controller) tookTerm(version int64) {
 	t := &n.term
 	t.checkingLeader, t.acquire = false, nil
-	if version <= t.floor || n.now.Mono >= t.until {
+	if version <= t.floor || n.now.Monotonic >= t.until {
 		n.stepDown("taken too late")
 		return
 	}
 	t.own, t.leader = version, n.cfg.Node
-	t.renewAt = n.now.Mono
+	t.renewAt = n.now.Monotonic
 	t.steppedDown, t.askAt = map[string]time.Duration{}, 0
 	t.idle = map[string]time.Duration{}
 	t.loading = &loader{}
-	n.Stats.Terms++
+	n.Stats.TermsTaken++
 	n.log(Info, "term taken", "term", version)
 	n.state(forBarrier, storage.StateCall{Op: storage.StateTxn, Txn: protocol.Txn{If: []protocol.Condition{{Key: LeaderKey, Version: version}}}})
 }
 
-func (n *Node) loadResult(why purpose, r storage.StateResult) {
+func (n *Controller) loadResult(why purpose, r storage.StateResult) {
 	t := &n.term
 	l := t.loading
 	if l == nil {
@@ -366,10 +366,10 @@
 			return
 		}
 		if l.pages {
-			n.state(forArchive, storage.StateCall{Op: storage.StateList, Key: storage.ArchivePrefix, Most: 1})
+			n.state(forArchive, storage.StateCall{Op: storage.StateList, Key: storage.ArchivePrefix, Limit: 1})
 			return
 		}
-		n.state(forPages, storage.StateCall{Op: storage.StateList, Key: storage.Root, After: after})
+		n.state(forPages, storage.StateCall{Op: storage.StateList, Key: storage.RecordsPrefix, StartAfter: after})
 	}
 	switch {
 	case why == forArchive && r.Outcome == OK:
@@ -389,7 +389,7 @@
 }
 
 // lead begins to lead with the records that were read.
-func (n *Node) lead(entries []protocol.Entry, archive bool) {
+func (n *Controller) lead(entries []protocol.Entry, archive bool) {
 	t := &n.term
 	t.loading = nil
 	e, err := newEngine(n, entries)
@@ -400,12 +400,12 @@
 	}
 	e.archive.exists = archive
 	n.engine = e
-	t.led, t.ledAt = t.own, n.now.Mono
+	t.led, t.ledAt = t.own, n.now.Monotonic
 }
 
 // askedToStepDown answers a new leader: whatever term below its own this node held, it
 // no longer answers workers for it.
-func (n *Node) askedToStepDown(c StepDownCall) {
+func (n *Controller) askedToStepDown(c StepDownRequest) {
 	t := &n.term
 	news := c.Term > t.floor // no late copy of what an earlier leader said
 	t.floor = max(t.floor, c.Term-1)
@@ -417,26 +417,26 @@
 		// can go on serving its users and send its workers there.
 		n.follow(c.Leader, c.Term)
 	}
-	n.emit(Reply{ID: c.ID, Status: 200, Body: protocol.Encode(protocol.StepDownAnswer{
-		SteppedDown: true, Led: t.led, UpMs: n.now.Mono.Milliseconds(), ReadsArchive: c.AsksArchive,
+	n.emit(Reply{ID: c.ID, Status: 200, Body: protocol.Encode(protocol.StepDownResponse{
+		SteppedDown: true, LastLoadedTerm: t.led, UptimeMs: n.now.Monotonic.Milliseconds(), ReadsArchive: c.AsksArchive,
 	})})
 }
 
 // askStepDown asks every peer that hasn't said so to let go of older terms.
-func (n *Node) askStepDown() {
+func (n *Controller) askStepDown() {
 	t := &n.term
-	if len(t.steppedDown) == len(n.cfg.Peers) || n.now.Mono < t.askAt || n.now.Mono > t.ledAt+n.rules.hold {
+	if len(t.steppedDown) == len(n.cfg.Peers) || n.now.Monotonic < t.askAt || n.now.Monotonic > t.ledAt+n.rules.hold {
 		return
 	}
-	t.askAt = n.now.Mono + n.rules.report/3
+	t.askAt = n.now.Monotonic + n.rules.report/3
 	for _, p := range n.cfg.Peers {
 		if _, ok := t.steppedDown[p.Name]; !ok {
-			n.emit(PeerCall{Peer: p.Name, Term: t.own, Asked: n.now.Mono})
+			n.emit(PeerCall{Peer: p.Name, Term: t.own, SentAt: n.now.Monotonic})
 		}
 	}
 }
 
-func (n *Node) peerResult(r PeerResult) {
+func (n *Controller) peerResult(r PeerResult) {
 	t := &n.term
 	if r.Term == 0 {
 		switch {
@@ -444,7 +444,7 @@
 		case n.engine != nil:
 			n.idlePeer(r)
 		case r.Peer == t.leader:
-			t.reached = n.now.Mono
+			t.reached = n.now.Monotonic
 		}
 		return
 	}
@@ -452,7 +452,7 @@
 		return
 	}
 	if _, ok := t.steppedDown[r.Peer]; !ok {
-		t.steppedDown[r.Peer] = n.now.Mono
+		t.steppedDown[r.Peer] = n.now.Monotonic
 	}
 	if n.engine != nil && r.ReadsArchive {
 		n.engine.archive.readers[r.Peer] = true
@@ -464,7 +464,7 @@
 // Each earlier term's lease ended before ours was taken, and nobody answers
 // workers for longer than the hold beyond that, or beyond our last word that we
 // had not led.
-func (n *Node) lapseBase() time.Duration {
+func (n *Controller) lapseBase() time.Duration {
 	t := &n.term
 	base := t.ledAt
 	bound := t.ledAt + n.rules.hold + time.Duration(float64(n.rules.hold)*drift)
--- a/internal/coordination/upgrade_test.go
+++ b/internal/coordination/upgrade_test.go
@@ -22,12 +22,12 @@
 	s.State.ValueKB, s.State.TxnOps = 8, 8
 	s.State.Next = nextLimits(1, 3, 25)
 	w := fake.NewWorld(s)
-	w.Production = asProduction
-	for _, n := range w.Nodes {
+	w.AsProduction = asProduction
+	for _, n := range w.Controllers {
 		n.Crash()
-		n.Old = true
+		n.RunsProduction = true
 	}
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Start()
 	}
 	if !w.Until(10*time.Second, func() bool { return w.Leader() != nil }) {
@@ -41,9 +41,9 @@
 }
 
 // upgrade replaces a controller's process by one of the new version.
-func upgrade(w *fake.World, n *fake.Node, after time.Duration) {
+func upgrade(w *fake.World, n *fake.Controller, after time.Duration) {
 	n.Crash()
-	n.Old = false
+	n.RunsProduction = false
 	w.After(after, n.Start)
 }
 
@@ -73,25 +73,25 @@
 					}
 					// It dies before its turn and comes back old, or it has its turn, or goes back.
 					l.Crash()
-					l.Old = round%2 == 1
+					l.RunsProduction = round%2 == 1
 					w.After(pause, l.Start)
-					w.Submit(job(10+round, protocol.Shape(round%2), 2), 2*time.Second)
+					w.Submit(job(10+round, protocol.JobKind(round%2), 2), 2*time.Second)
 					if round == 5 {
 						w.CancelEverywhere(called)
 					}
 					w.Run(pause + 2500*time.Millisecond)
 					w.PollAll()
 				}
-				for _, n := range w.Nodes {
+				for _, n := range w.Controllers {
 					n.Crash()
-					n.Old = false
+					n.RunsProduction = false
 					n.Start()
 				}
 				pollFor(w, 90*time.Second)
 				check(t, w)
 				served(t, w)
-				if called.Told != protocol.StatusCancelled {
-					t.Errorf("told %q", called.Told)
+				if called.Status != protocol.StatusCancelled {
+					t.Errorf("told %q", called.Status)
 				}
 			})
 		}
@@ -133,7 +133,7 @@
 						if err != nil {
 							t.Fatal(err)
 						}
-						if strings.HasPrefix(key, storage.Prefix) && len(text) > 1024 {
+						if strings.HasPrefix(key, storage.PagePrefix) && len(text) > 1024 {
 							n++
 						}
 					}
@@ -143,8 +143,8 @@
 					t.Fatal("the old version left no large page: this shows nothing")
 				}
 				calls := 0
-				w.Network = func(kind, _, _ string) fake.Fate {
-					f := fake.Well()
+				w.Network = func(kind, _, _ string) fake.Delivery {
+					f := fake.Reliable()
 					if kind == "state" {
 						f.Request += slow
 						f.Copy = 3 * slow
@@ -155,8 +155,8 @@
 				}
 				// The leader last: with no time to wait, the new version has never led.
 				l := w.Leader()
-				nodes := slices.Clone(w.Nodes)
-				slices.SortStableFunc(nodes, func(a, b *fake.Node) int {
+				nodes := slices.Clone(w.Controllers)
+				slices.SortStableFunc(nodes, func(a, b *fake.Controller) int {
 					if a == l {
 						return 1
 					}
@@ -175,18 +175,18 @@
 						t.Errorf("%d pages are above the limits to come after %v", n, wait)
 					}
 				}
-				w.State.Lower()
+				w.State.LowerLimits()
 				w.CancelEverywhere(called)
 				w.Submit(job(3, protocol.Gang, 2), 2*time.Second)
 				w.Submit(service(4, 2), 0)
 				pollFor(w, 150*time.Second)
 				check(t, w)
 				served(t, w)
-				if called.Told != protocol.StatusCancelled {
-					t.Errorf("told %q", called.Told)
+				if called.Status != protocol.StatusCancelled {
+					t.Errorf("told %q", called.Status)
 				}
-				if w.State.RefusedForSize > 3*len(w.Nodes) {
-					t.Errorf("%d transactions were refused for their size", w.State.RefusedForSize)
+				if w.State.RejectedForSize > 3*len(w.Controllers) {
+					t.Errorf("%d transactions were refused for their size", w.State.RejectedForSize)
 				}
 			})
 		}
@@ -211,10 +211,10 @@
 	if most < 20 || most >= 60 {
 		t.Errorf("%d of 60 tasks ran at a time", most)
 	}
-	w.State.Lower()
+	w.State.LowerLimits()
 	pollFor(w, 60*time.Second)
-	if j.Told != protocol.StatusDone {
-		t.Errorf("told %q, %d tasks done", j.Told, len(j.DoneTasks))
+	if j.Status != protocol.StatusDone {
+		t.Errorf("told %q, %d tasks done", j.Status, len(j.DoneTasks))
 	}
 	check(t, w)
 }
@@ -248,21 +248,21 @@
 	if n := len(j.DoneTasks); n == 0 || n > 36 || j.DoneTasks[12] {
 		t.Fatalf("%d of 60 tasks are done", n)
 	}
-	w.State.Lower()
+	w.State.LowerLimits()
 	for _, host := range first {
-		w.Cloud.Die(host)
+		w.Cloud.Fail(host)
 	}
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Crash()
 	}
 	w.Cfg.Settings.State = s.State.Smallest()
 	w.Cfg.Settings.State.Next = nil
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Start()
 	}
 	pollFor(w, 90*time.Second)
-	if j.Told != protocol.StatusDone {
-		t.Errorf("told %q, %d tasks done", j.Told, len(j.DoneTasks))
+	if j.Status != protocol.StatusDone {
+		t.Errorf("told %q, %d tasks done", j.Status, len(j.DoneTasks))
 	}
 	check(t, w)
 }
@@ -287,8 +287,8 @@
 			}
 			changeValueSize(w, sizes[1])
 			pollFor(w, 90*time.Second)
-			if j.Told != protocol.StatusDone {
-				t.Errorf("told %q, %d tasks done", j.Told, len(j.DoneTasks))
+			if j.Status != protocol.StatusDone {
+				t.Errorf("told %q, %d tasks done", j.Status, len(j.DoneTasks))
 			}
 			check(t, w)
 		})
@@ -297,12 +297,12 @@
 
 // changeValueSize restarts every controller with another value_kb.
 func changeValueSize(w *fake.World, kilobytes float64) {
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Crash()
 	}
 	w.Cfg.Settings.State.ValueKB = kilobytes
-	w.State.Allow(kilobytes)
-	for _, n := range w.Nodes {
+	w.State.SetMaxValueKB(kilobytes)
+	for _, n := range w.Controllers {
 		n.Start()
 	}
 }
@@ -314,18 +314,18 @@
 	s := fake.Settings()
 	s.State.ValueKB = 4
 	w := fake.NewWorld(s)
-	w.Production = asProduction
-	for _, n := range w.Nodes {
+	w.AsProduction = asProduction
+	for _, n := range w.Controllers {
 		n.Crash()
-		n.Old = true
+		n.RunsProduction = true
 		n.Start()
 	}
 	large := job(1, protocol.Array, 60)
 	large.CPUs, large.Team = 0.5, "red"
 	w.Submit(large, 30*time.Second)
 	runs(t, w, large.ID, 24)
-	for _, n := range w.Nodes {
-		n.Old = false
+	for _, n := range w.Controllers {
+		n.RunsProduction = false
 	}
 	changeValueSize(w, 1)
 	w.Run(10 * time.Second)
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -9,15 +9,15 @@
 	"oakpick/internal/storage"
 )
 
-func (e *engine) user(c UserCall) {
+func (e *engine) user(c UserRequest) {
 	if c.Kind == Poll {
-		e.n.Stats.Polled++
+		e.n.Stats.JobsPolled++
 	}
 	e.archive.request(c)
 }
 
 // decide answers a request, given the ends of what it is about that are in the archive.
-func (e *engine) decide(c UserCall, archived ends) {
+func (e *engine) decide(c UserRequest, archived ends) {
 	switch c.Kind {
 	case Submit:
 		e.submit(c, archived)
@@ -48,10 +48,10 @@
 		e.n.refuse(id, "its tasks can't be stopped yet")
 		return
 	}
-	a := protocol.JobAnswer{ID: j.ID, Status: protocol.StatusQueued}
+	a := protocol.JobResponse{ID: j.ID, Status: protocol.StatusQueued}
 	running := 0
 	for _, t := range j.tasks {
-		if t.seen && (t.state == protocol.Running || t.state == protocol.Saving) {
+		if t.seen && (t.state == protocol.Running || t.state == protocol.Checkpointing) {
 			running++
 		}
 	}
@@ -68,7 +68,7 @@
 }
 
 func (e *engine) answerFinal(id uint64, f *final, counts bool) {
-	a := protocol.JobAnswer{ID: f.ID, Status: protocol.StatusDone}
+	a := protocol.JobResponse{ID: f.ID, Status: protocol.StatusDone}
 	done, running := f.Tasks, 0
 	if f.Cancelled {
 		a.Status, done = protocol.StatusCancelled, 0
@@ -79,8 +79,8 @@
 	e.reply(id, 200, protocol.Encode(a))
 }
 
-func (e *engine) submit(c UserCall, archived ends) {
-	s := c.Submit
+func (e *engine) submit(c UserRequest, archived ends) {
+	s := c.Submission
 	if f := e.final(s.ID, archived); f != nil {
 		e.answerFinal(c.ID, f, false)
 		return
@@ -95,7 +95,7 @@
 			return
 		}
 		e.asking[c.ID] = true
-		e.store.Touch(e.n.now.Mono, j.blocks[0], storage.OnCommit(func() { e.answerJob(c.ID, 200, j, false) }))
+		e.store.MarkDirty(e.n.now.Monotonic, j.blocks[0], storage.OnCommit(func() { e.answerJob(c.ID, 200, j, false) }))
 		return
 	}
 	if e.behind() {
@@ -125,23 +125,23 @@
 }
 
 // accept takes a new job in. Its user is told once that is durable.
-func (e *engine) accept(c UserCall, archived ends) {
-	e.n.Stats.Submitted++
-	j := e.newJob(storage.NewJobRecord(c.Submit, e.n.now.WallMs))
+func (e *engine) accept(c UserRequest, archived ends) {
+	e.n.Stats.JobsSubmitted++
+	j := e.newJob(storage.NewJobRecord(c.Submission, e.n.now.WallMs))
 	var cancelled bool
-	j.prerequisites, cancelled = e.withoutArchived(c.Submit.Prerequisites, archived)
+	j.prerequisites, cancelled = e.withoutArchived(c.Submission.Prerequisites, archived)
 	e.divide(j)
 	cancelled = e.linkPrerequisites(j) || cancelled
 	switch {
 	case cancelled:
-		j.Cancelled, j.cancelledAt = true, e.n.now.Mono
+		j.Cancelled, j.cancelledAt = true, e.n.now.Monotonic
 	case !j.waits():
 		e.arrived(j)
 		e.schedule = true
 	}
 	e.asking[c.ID] = true
 	e.recordParts(j, func() {
-		e.store.Touch(e.n.now.Mono, j.blocks[0], storage.OnCommit(func() {
+		e.store.MarkDirty(e.n.now.Monotonic, j.blocks[0], storage.OnCommit(func() {
 			j.committed = true
 			e.schedule = e.schedule || j.blockCount() > 1 || len(j.parts) > 0 // see awaitsRecord
 			j.cancelKnown = j.cancelKnown || cancelled
@@ -153,19 +153,19 @@
 
 // commitWithinS is within how many seconds a commit has to be expected for a user to wait
 // for it: half of the time that users wait leaves enough for the way there and back.
-const commitWithinS = protocol.SubmitWaitS / 2.0
+const commitWithinS = protocol.SubmitTimeoutS / 2.0
 
 // behind tells whether a new record could not be committed while its user waits. What is
 // only written in the background doesn't keep it waiting.
 func (e *engine) behind() bool {
-	pages := e.store.Before(e.n.now.Mono + config.Seconds(commitWithinS))
+	pages := e.store.PagesDueBefore(e.n.now.Monotonic + config.Seconds(commitWithinS))
 	return e.stalled() || float64(pages) > e.n.cfg.Settings.State.Smallest().WriteRPS*e.opt.WriteShare*commitWithinS
 }
 
 // stalled tells whether the state service has taken no write for so long that nobody
 // should wait for one.
 func (e *engine) stalled() bool {
-	return e.store.Stalled(e.n.now.Mono) > config.Seconds(commitWithinS)
+	return e.store.StalledFor(e.n.now.Monotonic) > config.Seconds(commitWithinS)
 }
 
 // refuseAsking answers at once whoever waits for a commit that isn't to be
@@ -196,23 +196,23 @@
 		return "a task fits no allowed machine type"
 	}
 	whole := n
-	if s.Shape != protocol.Array {
+	if s.Kind != protocol.Array {
 		whole = n.times(float64(s.Tasks))
 		if s.Spread && s.Tasks > 1 && (s.OneZone || s.Zone != "") {
 			return "cannot be both in one zone and spread"
 		}
 	}
-	if t.CPUsMax > 0 && whole.cpus > t.CPUsMax+slack || t.GPUsMax > 0 && whole.gpus > t.GPUsMax+slack {
+	if t.CPULimit > 0 && whole.cpus > t.CPULimit+slack || t.GPULimit > 0 && whole.gpus > t.GPULimit+slack {
 		return "needs more than the team's limit"
 	}
 	probe := &job{e: e, JobRecord: storage.NewJobRecord(s, e.n.now.WallMs), blockTasks: e.rules.blockTasks, recordBlocks: true}
-	if (&block{job: probe}).baseSize()+probe.leastStarts()*storage.StartReserve > e.store.MaxItem() {
+	if (&block{job: probe}).baseSize()+probe.leastStarts()*storage.StartReservedSize > e.store.MaxItemSize() {
 		return "its description is too long to be kept"
 	}
 	return ""
 }
 
-func (e *engine) poll(c UserCall, archived ends) {
+func (e *engine) poll(c UserRequest, archived ends) {
 	if f := e.final(c.Job, archived); f != nil {
 		e.answerFinal(c.ID, f, true)
 	} else if j := e.jobs[c.Job]; j == nil {
@@ -224,7 +224,7 @@
 	}
 }
 
-func (e *engine) cancel(c UserCall, archived ends) {
+func (e *engine) cancel(c UserRequest, archived ends) {
 	if f := e.final(c.Job, archived); f != nil {
 		e.answerFinal(c.ID, f, false)
 		return
@@ -243,16 +243,16 @@
 		return
 	}
 	if !j.Cancelled {
-		e.n.Stats.Cancelled++
-		j.Cancelled, j.cancelledAt = true, e.n.now.Mono
+		e.n.Stats.JobsCancelled++
+		j.Cancelled, j.cancelledAt = true, e.n.now.Monotonic
 	}
 	e.asking[c.ID] = true
 	// Durable first, then answered, and only then are its tasks stopped: a
 	// cancellation that was never told must not have cost the job its tasks.
-	e.store.Touch(e.n.now.Mono, j.blocks[0], storage.OnCommit(func() {
+	e.store.MarkDirty(e.n.now.Monotonic, j.blocks[0], storage.OnCommit(func() {
 		j.committed = true
 		if !j.cancelKnown {
-			j.cancelKnown, j.cancelledAt = true, e.n.now.Mono
+			j.cancelKnown, j.cancelledAt = true, e.n.now.Monotonic
 			e.stopAll(j)
 			e.cancelDependents(j.ID)
 		}
--- a/internal/coordination/write_rate_test.go
+++ b/internal/coordination/write_rate_test.go
@@ -18,7 +18,7 @@
 	w := worldOf(t, smallestBudgets())
 	spare(t, w)
 	standing := w.Submit(service(1, 2), 0)
-	runs(t, w, standing.Sub.ID, 2)
+	runs(t, w, standing.Submission.ID, 2)
 	var called []*fake.Job
 	for i := range 8 {
 		s := service(10+i, 1)
@@ -26,13 +26,13 @@
 		called = append(called, accepted(t, w, s, 0))
 	}
 	for _, j := range called {
-		runs(t, w, j.Sub.ID, 1)
+		runs(t, w, j.Submission.ID, 1)
 	}
 	after := accepted(t, w, job(30, protocol.Array, 1), time.Hour)
 	dependent := accepted(t, w, job(31, protocol.Array, 1), time.Second, after)
 	w.Run(5 * time.Second)
-	terms, lost := w.Nodes[0].Stats().Terms, w.Nodes[0].Stats().Lost
-	w.State.RefuseWrites = true
+	terms, lost := w.Controllers[0].Stats().TermsTaken, w.Controllers[0].Stats().TasksLost
+	w.State.RejectWrites = true
 	from := w.Now
 	id, slowest, refused, answers := 1000, time.Duration(0), 0, 0
 	for second := range 25 {
@@ -41,11 +41,11 @@
 			s, asked := job(id, protocol.Array, 1), w.Now
 			s.CPUs = 0.1
 			// Its user asks only once, but its tasks are known to the workers.
-			w.Jobs[s.ID] = &fake.Job{Sub: s, Run: 100 * time.Millisecond, Saved: map[int]time.Duration{}, DoneTasks: map[int]bool{}}
-			w.Nodes[0].Ask(coordination.UserCall{Kind: coordination.Submit, Job: s.ID, Submit: &s}, func(r coordination.Reply) {
+			w.Jobs[s.ID] = &fake.Job{Submission: s, RunTime: 100 * time.Millisecond, Saved: map[int]time.Duration{}, DoneTasks: map[int]bool{}}
+			w.Controllers[0].Request(coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}, func(r coordination.Reply) {
 				answers++
 				slowest = max(slowest, w.Now-asked)
-				if r.Status == 503 && r.RetryAfter > 0 {
+				if r.Status == 503 && r.RetryAfterS > 0 {
 					refused++
 				}
 			})
@@ -58,18 +58,18 @@
 			w.CancelJob(after)
 		}
 		if w.Now-from > 12*time.Second { // longer than a worker's lease
-			w.State.RefuseWrites = false
+			w.State.RejectWrites = false
 		}
 		if second == 14 {
 			for _, j := range append(called, after) {
-				if j.Told != protocol.StatusCancelled {
-					t.Errorf("%s is called %q a second after writes are taken again", j.Sub.ID, j.Told)
+				if j.Status != protocol.StatusCancelled {
+					t.Errorf("%s is called %q a second after writes are taken again", j.Submission.ID, j.Status)
 				}
 			}
 		}
 	}
-	if s := w.Nodes[0].Stats(); s.Terms != terms || s.Lost != lost || !w.Nodes[0].Leads() {
-		t.Errorf("%d terms, %d tasks lost", s.Terms-terms, s.Lost-lost)
+	if s := w.Controllers[0].Stats(); s.TermsTaken != terms || s.TasksLost != lost || !w.Controllers[0].Leads() {
+		t.Errorf("%d terms, %d tasks lost", s.TermsTaken-terms, s.TasksLost-lost)
 	}
 	if slowest > 3*time.Second || refused == 0 {
 		t.Errorf("the slowest answer took %v; %d of %d were refused", slowest, refused, answers)
@@ -83,8 +83,8 @@
 	if again := w.Submit(job(40, protocol.Array, 1), time.Second); !w.Until(time.Second, func() bool { return again.Accepted }) {
 		t.Error("a submission is not accepted, though writes are taken again")
 	}
-	if w.Running(standing.Sub.ID) != 2 || dependent.Told != protocol.StatusCancelled {
-		t.Errorf("%d of 2 replicas run; the dependent is called %q", w.Running(standing.Sub.ID), dependent.Told)
+	if w.Running(standing.Submission.ID) != 2 || dependent.Status != protocol.StatusCancelled {
+		t.Errorf("%d of 2 replicas run; the dependent is called %q", w.Running(standing.Submission.ID), dependent.Status)
 	}
 	check(t, w)
 }
--- a/internal/coordination/writes.go
+++ b/internal/coordination/writes.go
@@ -13,14 +13,14 @@
 		delete(e.writes, r.ID)
 		switch r.Outcome {
 		case OK:
-			e.store.Committed(f, r.Number)
+			e.store.MarkCommitted(f, r.Revision)
 		case Conflict, Invalid:
 			// An earlier copy may have been committed: the page tells by the write's id.
-			f.Refused = r.Outcome == Invalid
+			f.Rejected = r.Outcome == Invalid
 			e.checkWrite(f)
 		default:
-			n.Stats.Retries++
-			e.store.Retry(n.now.Mono, f)
+			n.Stats.WritesRetried++
+			e.store.RetryLater(n.now.Monotonic, f)
 		}
 	case forPageCheck:
 		f := e.writes[r.ID]
@@ -30,11 +30,11 @@
 			return
 		}
 		var v storage.PageValue
-		if r.Outcome == OK && protocol.Decode(r.Entry.Value, &v) == nil && v.ID == f.ID {
-			e.store.Committed(f, r.Entry.Version)
+		if r.Outcome == OK && protocol.Decode(r.Entry.Value, &v) == nil && v.WriteID == f.ID {
+			e.store.MarkCommitted(f, r.Entry.Version)
 			return
 		}
-		if f.Refused {
+		if f.Rejected {
 			// The state service has lowered its limits, and the rest of a large page
 			// was on its way. An earlier copy of it may be carried out late: only a
 			// new term, to which it doesn't belong, is safe from that. The pages are
@@ -54,7 +54,7 @@
 func (e *engine) flush() {
 	n := e.n
 	for e.raising == nil && n.certain() {
-		f := e.store.Next(n.now.Mono, e.termCondition(), !e.drain)
+		f := e.store.NextWrite(n.now.Monotonic, e.termCondition(), !e.drain)
 		if f == nil {
 			return
 		}
@@ -65,7 +65,7 @@
 // send sends a transaction.
 func (e *engine) send(w *storage.Write) {
 	n := e.n
-	n.Stats.Txns++
+	n.Stats.Writes++
 	n.state(forPageTxn, storage.StateCall{Op: storage.StateTxn, Txn: w.Txn})
 	e.writes[n.nextID] = w
 }
@@ -85,12 +85,12 @@
 // answered is certainly void.
 func (e *engine) raiseToken() {
 	n := e.n
-	now := n.now.Mono
+	now := n.now.Monotonic
 	if e.raising == nil {
 		if now < e.raisedAt+e.rules.raise || !n.certain() {
 			return
 		}
-		if e.drain = e.store.InFlight(); e.drain {
+		if e.drain = e.store.HasWritesInFlight(); e.drain {
 			return // what is under way is conditional on the token as it is
 		}
 		e.raiseRev++
@@ -119,11 +119,11 @@
 	}
 	if why == forRaise {
 		if r.Outcome == OK {
-			e.raised(r.Number)
+			e.raised(r.Revision)
 			return
 		}
 		if r.Outcome != Conflict && r.Outcome != Invalid {
-			e.raiseSent, e.raiseNext = false, n.now.Mono+e.rules.retry
+			e.raiseSent, e.raiseNext = false, n.now.Monotonic+e.rules.retry
 			return
 		}
 		n.state(forRaiseCheck, storage.StateCall{Op: storage.StateGet, Key: LeaderKey})
@@ -144,7 +144,7 @@
 func (e *engine) raised(version int64) {
 	e.raising = nil
 	e.token, e.n.term.own = version, version
-	e.n.Stats.Raised++
+	e.n.Stats.TokensAdvanced++
 	e.n.log(Info, "token raised", "token", version)
 	for _, h := range e.byName {
 		e.queueCommands(h)
--- a/internal/coordination/writes_test.go
+++ b/internal/coordination/writes_test.go
@@ -19,8 +19,8 @@
 	w := world(t)
 	w.Run(5 * time.Second)
 	lost := 0
-	w.Network = func(kind, from, _ string) fake.Fate {
-		f := fake.Well()
+	w.Network = func(kind, from, _ string) fake.Delivery {
+		f := fake.Reliable()
 		if kind == "state" && from == "n0" && w.State.PageWrites > 1 && lost < 2 {
 			lost++
 			f.LoseAnswer = true
@@ -28,9 +28,9 @@
 		return f
 	}
 	a := w.Submit(service(1, 1), 0)
-	runs(t, w, a.Sub.ID, 1)
-	if lost == 0 || !w.Nodes[0].Leads() || w.Nodes[0].Stats().Terms != 1 {
-		t.Errorf("%d answers lost, terms %d", lost, w.Nodes[0].Stats().Terms)
+	runs(t, w, a.Submission.ID, 1)
+	if lost == 0 || !w.Controllers[0].Leads() || w.Controllers[0].Stats().TermsTaken != 1 {
+		t.Errorf("%d answers lost, terms %d", lost, w.Controllers[0].Stats().TermsTaken)
 	}
 	check(t, w)
 }
@@ -39,16 +39,16 @@
 func TestManyTasksFitSmallPages(t *testing.T) {
 	w := world(t)
 	s := job(1, protocol.Array, 300)
-	s.Team, s.SaveEach = "blue", 0
+	s.Team, s.CheckpointIntervalS = "blue", 0
 	j := w.Submit(s, time.Second)
 	w.Run(25 * time.Second)
-	w.Nodes[0].Crash()
+	w.Controllers[0].Crash()
 	for range 60 {
 		w.Run(3 * time.Second)
 		w.PollAll()
 	}
-	if j.Told != protocol.StatusDone || len(j.DoneTasks) != 300 {
-		t.Errorf("told %q, %d done\n%s", j.Told, len(j.DoneTasks), strings.Join(w.Log[max(0, len(w.Log)-20):], "\n"))
+	if j.Status != protocol.StatusDone || len(j.DoneTasks) != 300 {
+		t.Errorf("told %q, %d done\n%s", j.Status, len(j.DoneTasks), strings.Join(w.Log[max(0, len(w.Log)-20):], "\n"))
 	}
 	check(t, w)
 }
@@ -58,7 +58,7 @@
 func TestFirstBlockDoneWhenTheLeaderEnds(t *testing.T) {
 	w := world(t)
 	s := job(1, protocol.Array, 30)
-	s.SaveEach, s.Team = 0, "red" // whose limit lets a block's worth run at once
+	s.CheckpointIntervalS, s.Team = 0, "red" // whose limit lets a block's worth run at once
 	j := w.Submit(s, 8*time.Second)
 	firstDone := func() bool {
 		for i := range 12 {
@@ -72,7 +72,7 @@
 		t.Fatalf("%d tasks done", len(j.DoneTasks))
 	}
 	w.Run(3 * time.Second) // that is reported and written
-	w.Nodes[0].Crash()
+	w.Controllers[0].Crash()
 	for range 20 {
 		w.Run(3 * time.Second)
 		w.PollAll()
@@ -90,22 +90,22 @@
 		settings.State.TxnOps = 1
 		w := fake.NewWorld(settings)
 		s := job(1, protocol.Array, 30)
-		s.SaveEach = 0
+		s.CheckpointIntervalS = 0
 		j := w.Submit(s, 3*time.Second)
 		if !w.Until(60*time.Second, func() bool { return len(j.DoneTasks) == 30 }) {
 			t.Fatalf("%d tasks done", len(j.DoneTasks))
 		}
 		from, ended := w.State.PageWrites, false
-		w.Network = func(kind, _, _ string) fake.Fate {
+		w.Network = func(kind, _, _ string) fake.Delivery {
 			if l := w.Leader(); kind == "state" && l != nil && !ended && w.State.PageWrites >= from+writes {
 				ended = true
 				w.After(0, l.Crash) // its next write goes unsent
-				return fake.Fate{LoseRequest: true}
+				return fake.Delivery{LoseRequest: true}
 			}
-			return fake.Well()
+			return fake.Reliable()
 		}
 		w.Run(10 * time.Second)
-		for _, n := range w.Nodes {
+		for _, n := range w.Controllers {
 			if !n.Up {
 				n.Start()
 			}
@@ -114,8 +114,8 @@
 			w.Run(3 * time.Second)
 			w.PollAll()
 		}
-		if !ended || j.Told != protocol.StatusDone {
-			t.Errorf("after %d writes: ended %t, told %q\n%s", writes, ended, j.Told, strings.Join(w.Log[max(0, len(w.Log)-10):], "\n"))
+		if !ended || j.Status != protocol.StatusDone {
+			t.Errorf("after %d writes: ended %t, told %q\n%s", writes, ended, j.Status, strings.Join(w.Log[max(0, len(w.Log)-10):], "\n"))
 		}
 		check(t, w)
 	}
@@ -126,23 +126,23 @@
 	w := world(t)
 	a := w.Submit(job(1, protocol.Array, 2), time.Second)
 	b := w.Submit(service(2, 1), 0)
-	runs(t, w, b.Sub.ID, 1)
+	runs(t, w, b.Submission.ID, 1)
 	w.CancelJob(b)
 	w.Run(10 * time.Second)
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Crash()
 	}
 	w.Run(time.Second)
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Start()
 	}
 	w.Run(10 * time.Second)
-	w.Again(a)
-	w.Again(b)
+	w.Resubmit(a)
+	w.Resubmit(b)
 	w.PollAll()
 	w.Run(5 * time.Second)
-	if a.Told != protocol.StatusDone || b.Told != protocol.StatusCancelled {
-		t.Errorf("told %q and %q", a.Told, b.Told)
+	if a.Status != protocol.StatusDone || b.Status != protocol.StatusCancelled {
+		t.Errorf("told %q and %q", a.Status, b.Status)
 	}
 	check(t, w)
 }
@@ -156,7 +156,7 @@
 	}
 	ask := func(w *fake.World, id int) *answer {
 		s, a, since := service(id, 3), &answer{}, w.Now
-		w.Nodes[0].Ask(coordination.UserCall{Kind: coordination.Submit, Job: s.ID, Submit: &s}, func(r coordination.Reply) {
+		w.Controllers[0].Request(coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}, func(r coordination.Reply) {
 			*a = answer{r.Status, w.Now - since}
 		})
 		return a
@@ -195,7 +195,7 @@
 		}
 		w.Run(4 * time.Second)
 		for i, a := range all {
-			if a.status != 503 && a.status != 201 || a.after > protocol.SubmitWaitS*time.Second*3/4 {
+			if a.status != 503 && a.status != 201 || a.after > protocol.SubmitTimeoutS*time.Second*3/4 {
 				t.Fatalf("number %d: %d after %v", i, a.status, a.after)
 			}
 		}
@@ -206,8 +206,8 @@
 	t.Run("slow", func(t *testing.T) {
 		w := world(t)
 		w.Run(5 * time.Second)
-		w.Network = func(kind, _, _ string) fake.Fate {
-			f := fake.Well()
+		w.Network = func(kind, _, _ string) fake.Delivery {
+			f := fake.Reliable()
 			if kind == "state" {
 				f.Answer = 300 * time.Millisecond
 			}
@@ -238,8 +238,8 @@
 				w := world(t)
 				writes := seed
 				until := w.Now + 60*time.Second
-				w.Network = func(kind, _, _ string) fake.Fate {
-					f := fake.Well()
+				w.Network = func(kind, _, _ string) fake.Delivery {
+					f := fake.Reliable()
 					if kind == "state" && w.Now < until {
 						if writes++; writes%m.share == 0 {
 							f.LoseAnswer = true
@@ -253,7 +253,7 @@
 					if i%3 == 0 {
 						services = append(services, w.Submit(service(i+1, 1), 0))
 					} else {
-						w.Submit(job(i+1, protocol.Shape(i%2), 1+i%3), 4*time.Second)
+						w.Submit(job(i+1, protocol.JobKind(i%2), 1+i%3), 4*time.Second)
 					}
 					w.Run(1700 * time.Millisecond)
 					w.PollAll()
@@ -270,10 +270,10 @@
 				pollFor(w, 120*time.Second)
 				check(t, w)
 				served(t, w)
-				if services[0].Told != protocol.StatusCancelled {
-					t.Errorf("told %q", services[0].Told)
+				if services[0].Status != protocol.StatusCancelled {
+					t.Errorf("told %q", services[0].Status)
 				}
-				if known, there := w.MachinesKnown(), len(w.Cloud.Rented()); !m.crashes && known != there {
+				if known, there := w.KnownMachines(), len(w.Cloud.Rented()); !m.crashes && known != there {
 					t.Errorf("%d machines known of %d", known, there)
 				}
 			}
@@ -287,9 +287,9 @@
 func TestManySmallJobsAtTheSmallestBudget(t *testing.T) {
 	s := fake.Settings()
 	s.State.WriteRPS, s.State.RPS, s.State.ValueKB = 25, 120, 4
-	s.Teams = []config.Team{{Name: "red", CPUs: 400, CPUsMax: 400}, {Name: "blue", CPUs: 400}}
+	s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 400, CPULimit: 400}, {Name: "blue", GuaranteedCPUs: 400}}
 	w := fake.NewWorld(s)
-	w.Cloud.Most = 60
+	w.Cloud.Capacity = 60
 	w.Run(2 * time.Second)
 	var jobs []*fake.Job
 	slow, never := 0, 0
@@ -331,8 +331,8 @@
 	check(t, w)
 	served(t, w)
 	for _, j := range jobs {
-		if j.Cancel && j.Told != protocol.StatusCancelled && j.Told != protocol.StatusDone {
-			t.Errorf("%s: told %q", j.Sub.ID, j.Told)
+		if j.CancelRequested && j.Status != protocol.StatusCancelled && j.Status != protocol.StatusDone {
+			t.Errorf("%s: told %q", j.Submission.ID, j.Status)
 		}
 	}
 }
@@ -344,24 +344,24 @@
 	now := coordination.Now{}
 	var replies []coordination.Reply
 	refused := 0
-	var give func(commands ...coordination.Command)
-	give = func(commands ...coordination.Command) {
-		now.Mono += time.Millisecond
+	var give func(commands ...coordination.Event)
+	give = func(commands ...coordination.Event) {
+		now.Monotonic += time.Millisecond
 		for _, effect := range n.Step(now, commands) {
 			switch c := effect.(type) {
 			case coordination.Reply:
 				replies = append(replies, c)
 			case coordination.CloudCall:
-				if c.Op == coordination.CloudTypes {
+				if c.Op == coordination.CloudListTypes {
 					give(coordination.CloudResult{ID: c.ID, Types: fake.Types()})
 				}
 			case coordination.StateCall:
-				r := storage.StateResult{ID: c.ID, Number: 7}
+				r := storage.StateResult{ID: c.ID, Revision: 7}
 				switch {
 				case c.Op == storage.StateGet && c.Key == coordination.LeaderKey:
 					r.Outcome = storage.NotFound
 				case c.Op == storage.StateGet:
-					r.Entry = protocol.Entry{Key: c.Key, Version: 9, Value: protocol.Encode(storage.PageValue{ID: "another-1"})}
+					r.Entry = protocol.Entry{Key: c.Key, Version: 9, Value: protocol.Encode(storage.PageValue{WriteID: "another-1"})}
 				case c.Op == storage.StateTxn && len(c.Txn.Then) > 0 && c.Txn.Then[0].Put != coordination.LeaderKey:
 					r.Outcome = storage.Conflict
 					refused++
@@ -371,14 +371,14 @@
 		}
 	}
 	for range 4 {
-		now.Mono += 400 * time.Millisecond
+		now.Monotonic += 400 * time.Millisecond
 		give(coordination.Tick{})
 	}
 	if n.Role() != "leader" {
 		t.Fatalf("is %s", n.Role())
 	}
 	s := service(1, 1)
-	give(coordination.UserCall{ID: 1, Kind: coordination.Submit, Job: s.ID, Submit: &s})
+	give(coordination.UserRequest{ID: 1, Kind: coordination.Submit, Job: s.ID, Submission: &s})
 	if refused == 0 || n.Role() == "leader" {
 		t.Errorf("%d writes refused, and is %s", refused, n.Role())
 	}
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -27,9 +27,9 @@
 
 func (m *metrics) record(request coordination.Request, d time.Duration) {
 	switch c := request.(type) {
-	case coordination.UserCall:
+	case coordination.UserRequest:
 		m.times.Add([...]string{"submit", "poll", "cancel"}[c.Kind], d)
-	case coordination.ReportCall:
+	case coordination.HeartbeatRequest:
 		m.times.Add("report", d)
 	}
 }
@@ -42,7 +42,7 @@
 // listener.
 func newAdmin(d *daemon, limit *transport.Limit) http.Handler {
 	mux := http.NewServeMux()
-	call := func(w http.ResponseWriter, r *http.Request, question coordination.AdminCall) {
+	call := func(w http.ResponseWriter, r *http.Request, question coordination.AdminRequest) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody))
 		if err != nil {
 			writeJSON(w, http.StatusBadRequest, map[string]string{"error": "body too large"})
@@ -50,9 +50,9 @@
 		}
 		raw := transport.Raw{Method: r.Method, Path: r.URL.Path, Body: body, FromPeer: r.Header.Get(transport.ForwardedHeader) != ""}
 		question.Body = body
-		reply := d.Do(question, raw, protocol.SubmitWaitS*time.Second)
-		if reply.RetryAfter > 0 {
-			w.Header().Set("Retry-After", strconv.Itoa(reply.RetryAfter))
+		reply := d.Do(question, raw, protocol.SubmitTimeoutS*time.Second)
+		if reply.RetryAfterS > 0 {
+			w.Header().Set("Retry-After", strconv.Itoa(reply.RetryAfterS))
 			writeJSON(w, reply.Status, map[string]string{"error": "no leader can be asked now"})
 			return
 		}
@@ -61,16 +61,16 @@
 		_, _ = w.Write(reply.Body) // the asker may have gone
 	}
 	mux.HandleFunc("GET /admin/status", func(w http.ResponseWriter, r *http.Request) {
-		call(w, r, coordination.AdminCall{Kind: coordination.AdminStatus})
+		call(w, r, coordination.AdminRequest{Kind: coordination.AdminStatus})
 	})
 	mux.HandleFunc("GET /admin/settings", func(w http.ResponseWriter, r *http.Request) {
-		call(w, r, coordination.AdminCall{Kind: coordination.AdminRead})
+		call(w, r, coordination.AdminRequest{Kind: coordination.AdminRead})
 	})
 	mux.HandleFunc("PATCH /admin/settings", func(w http.ResponseWriter, r *http.Request) {
-		call(w, r, coordination.AdminCall{Kind: coordination.AdminChange})
+		call(w, r, coordination.AdminRequest{Kind: coordination.AdminChange})
 	})
 	mux.HandleFunc("GET /admin/jobs/{id}", func(w http.ResponseWriter, r *http.Request) {
-		call(w, r, coordination.AdminCall{Kind: coordination.AdminJob, Job: r.PathValue("id")})
+		call(w, r, coordination.AdminRequest{Kind: coordination.AdminJob, Job: r.PathValue("id")})
 	})
 	mux.HandleFunc("GET /admin/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		now, inFlight := limit.Now()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -29,7 +29,7 @@
 )
 
 type item struct {
-	command coordination.Command
+	command coordination.Event
 	raw     transport.Raw
 	reply   chan coordination.Reply
 	until   time.Time // when whoever asked has been told to come back; zero: nobody asked
@@ -38,7 +38,7 @@
 // outlived tells whether an item is a question whose user has gone: to answer it would only
 // keep others waiting. What changes something is carried out all the same.
 func (it item) outlived(now time.Time) bool {
-	call, ok := it.command.(coordination.UserCall)
+	call, ok := it.command.(coordination.UserRequest)
 	return ok && call.Kind == coordination.Poll && !it.until.IsZero() && now.After(it.until)
 }
 
@@ -52,7 +52,7 @@
 type daemon struct {
 	cfg     *config.Config
 	log     *slog.Logger
-	node    *coordination.Node
+	node    *coordination.Controller
 	began   time.Time
 	queue   chan item
 	waits   map[uint64]waiter
@@ -79,10 +79,10 @@
 func Run(ctx context.Context, cfg *config.Config, extensions config.Extensions, log *slog.Logger) error {
 	s := cfg.Settings
 	runtime.GOMAXPROCS(max(1, int(s.Limits.CPU)))
-	debug.SetMemoryLimit(int64(s.Limits.MemMB * 0.7 * (1 << 20)))
+	debug.SetMemoryLimit(int64(s.Limits.MemoryMB * 0.7 * (1 << 20)))
 	debug.SetGCPercent(300)
 
-	front, err := net.Listen("tcp4", cfg.Listen)
+	front, err := net.Listen("tcp4", cfg.FrontListen)
 	if err != nil {
 		return fmt.Errorf("front: %w", err)
 	}
@@ -96,7 +96,7 @@
 	}
 	parent := ctx
 	group, ctx := errgroup.WithContext(parent)
-	report := config.Seconds(s.Workers.Report)
+	report := config.Seconds(s.Workers.HeartbeatIntervalS)
 	d := &daemon{
 		cfg: cfg, log: log, began: time.Now(), group: group, ctx: ctx,
 		node:    coordination.New(cfg, hex.EncodeToString(seed[:8]), binary.LittleEndian.Uint64(seed[8:])),
@@ -109,7 +109,7 @@
 	d.healthy.Store(true)
 	limit := transport.NewLimit(s.Limits.MaxConnections/4, report, func() { d.metrics.shed.Add(1) })
 	sockets := s.Sockets()
-	fs := transport.NewFront(d, limit, sockets.Front, config.Seconds(s.Workers.Lease))
+	fs := transport.NewFront(d, limit, sockets.Frontend, config.Seconds(s.Workers.LeaseS))
 	d.workers = transport.NewWorkers(s.Workers, func() int { return sockets.CommandsNow(fs.Open()) })
 	mounted := map[string]http.Handler{protocol.PathAdmin: newAdmin(d, limit)}
 	if extensions.Distribution != nil {
@@ -121,10 +121,10 @@
 	}
 	ps := transport.NewPeerServer(d, limit, mounted)
 	group.Go(func() error { return fs.Serve(front) })
-	group.Go(func() error { return ps.Serve(ctx, cluster, sockets.Front, 40*report) })
+	group.Go(func() error { return ps.Serve(ctx, cluster, sockets.Frontend, 40*report) })
 	group.Go(func() error { d.own(); return nil })
 	group.Go(func() error { <-ctx.Done(); _ = front.Close(); return ctx.Err() })
-	log.Info("oakpick serves", "node", cfg.Node, "front", cfg.Listen, "cluster", cfg.PeerListen)
+	log.Info("oakpick serves", "node", cfg.Node, "front", cfg.FrontListen, "cluster", cfg.PeerListen)
 	if err := group.Wait(); parent.Err() == nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 func (d *daemon) Healthy() bool { return d.healthy.Load() }
 
 // push brings an answer to the owner.
-func (d *daemon) push(command coordination.Command) {
+func (d *daemon) push(command coordination.Event) {
 	select {
 	case d.queue <- item{command: command}:
 	case <-d.ctx.Done():
@@ -166,16 +166,16 @@
 
 // own is the owner's loop.
 func (d *daemon) own() {
-	tick := time.NewTicker(config.Seconds(d.cfg.Settings.Workers.Report / 40))
+	tick := time.NewTicker(config.Seconds(d.cfg.Settings.Workers.HeartbeatIntervalS / 40))
 	defer tick.Stop()
-	commands := make([]coordination.Command, 0, batch)
+	commands := make([]coordination.Event, 0, batch)
 	for {
 		var open bool
 		if commands, open = d.next(commands[:0], tick.C); !open {
 			return
 		}
 		led := d.node.Leads()
-		now := coordination.Now{Mono: time.Since(d.began), WallMs: time.Now().UnixMilli()}
+		now := coordination.Now{Monotonic: time.Since(d.began), WallMs: time.Now().UnixMilli()}
 		for _, effect := range d.node.Step(now, commands) {
 			d.perform(effect)
 		}
@@ -187,13 +187,13 @@
 		d.metrics.longestPauseMs.Store(d.node.Stats.LongestPauseMs)
 		d.healthy.Store(d.node.Healthy())
 		if d.tracker != nil {
-			d.tracker.see(d.node.Term())
+			d.tracker.see(d.node.Leadership())
 		}
 	}
 }
 
 // next waits for a batch of commands, or for the tick; not open: the process is to end.
-func (d *daemon) next(commands []coordination.Command, tick <-chan time.Time) (_ []coordination.Command, open bool) {
+func (d *daemon) next(commands []coordination.Event, tick <-chan time.Time) (_ []coordination.Event, open bool) {
 	select {
 	case <-d.ctx.Done():
 		return commands, false
@@ -229,7 +229,7 @@
 }
 
 // accept numbers a request, so that its reply finds the way back.
-func (d *daemon) accept(it item) coordination.Command {
+func (d *daemon) accept(it item) coordination.Event {
 	request, ok := it.command.(coordination.Request)
 	if !ok {
 		return it.command
@@ -276,17 +276,17 @@
 		})
 	case coordination.CloudCall:
 		d.group.Go(func() error {
-			if d.tooLate(e.Until) {
+			if d.tooLate(e.NotAfter) {
 				d.push(coordination.CloudResult{ID: e.ID, Outcome: coordination.NotSent})
 				return nil
 			}
 			d.push(d.cloud.Do(e))
 			return nil
 		})
-	case coordination.OrdersCall:
+	case coordination.CommandsCall:
 		d.group.Go(func() error {
-			if d.tooLate(e.Until) {
-				d.push(coordination.OrdersResult{ID: e.ID, Host: e.Host, Outcome: coordination.NotSent})
+			if d.tooLate(e.NotAfter) {
+				d.push(coordination.CommandsResult{ID: e.ID, Machine: e.Machine, Outcome: coordination.NotSent})
 				return nil
 			}
 			d.push(d.workers.Send(e))
@@ -296,7 +296,7 @@
 		d.group.Go(func() error { d.push(d.peers.StepDown(d.ctx, e)); return nil })
 	case coordination.Log:
 		level := [...]slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelError}[e.Level]
-		d.log.Log(d.ctx, level, e.Text, e.Args...)
+		d.log.Log(d.ctx, level, e.Message, e.Args...)
 	}
 }
 
@@ -322,10 +322,10 @@
 	}
 	if !ok {
 		r = transport.Busy("the leader can't be reached")
-		r.Close = true
+		r.CloseConnection = true
 	}
 	w.reply <- r
 }
 
 // forwardWait is how long another controller may take for a user's request.
-const forwardWait = protocol.PollWaitS * time.Second
+const forwardWait = protocol.PollTimeoutS * time.Second
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -46,8 +46,8 @@
 		_, _ = w.Write(protocol.Encode(v))
 	}
 	switch path := r.URL.Path; {
-	case path == protocol.PathGrants, strings.HasPrefix(path, protocol.PathGrants+"/"):
-		answer(200, protocol.Grant{Lease: 1})
+	case path == protocol.PathLeases, strings.HasPrefix(path, protocol.PathLeases+"/"):
+		answer(200, protocol.LeaseGrant{Lease: 1})
 	case path == protocol.PathKV:
 		list := protocol.EntryList{Revision: s.revision, Entries: []protocol.Entry{}}
 		for k, e := range s.keys {
@@ -59,7 +59,7 @@
 	case strings.HasPrefix(path, protocol.PathKV+"/"):
 		e, ok := s.keys[strings.TrimPrefix(path, protocol.PathKV+"/")]
 		if !ok {
-			answer(404, protocol.TxnAnswer{Revision: s.revision})
+			answer(404, protocol.TxnResponse{Revision: s.revision})
 			return
 		}
 		answer(200, e)
@@ -72,12 +72,12 @@
 			} `msgpack:"then"`
 		}
 		if err := protocol.Decode(body, &txn); err != nil {
-			answer(400, protocol.TxnAnswer{Error: err.Error()})
+			answer(400, protocol.TxnResponse{Error: err.Error()})
 			return
 		}
 		for _, c := range txn.If {
 			if s.keys[c.Key].Version != c.Version {
-				answer(409, protocol.TxnAnswer{Failed: []string{c.Key}, Revision: s.revision})
+				answer(409, protocol.TxnResponse{Failed: []string{c.Key}, Revision: s.revision})
 				return
 			}
 		}
@@ -87,9 +87,9 @@
 		for _, c := range txn.Then {
 			s.keys[c.Put] = protocol.Entry{Key: c.Put, Value: c.Value, Version: s.revision, Lease: 1}
 		}
-		answer(200, protocol.TxnAnswer{Revision: s.revision})
+		answer(200, protocol.TxnResponse{Revision: s.revision})
 	default:
-		answer(404, protocol.TxnAnswer{})
+		answer(404, protocol.TxnResponse{})
 	}
 }
 
@@ -151,7 +151,7 @@
 		if err := json.Unmarshal(raw, &cfg); err != nil {
 			t.Fatal(err)
 		}
-		cfg.Node, cfg.Listen, cfg.PeerListen = name, p.fronts[i], p.clusters[i]
+		cfg.Node, cfg.FrontListen, cfg.PeerListen = name, p.fronts[i], p.clusters[i]
 		cfg.Peers = []config.Peer{{Name: names[1-i], Addr: p.clusters[1-i]}}
 		cfg.Services.State, cfg.Services.Cloud = state, cloud
 		ctx, cancel := context.WithCancel(context.Background())
@@ -198,9 +198,9 @@
 // emptyCloud has a machine type, and no machine to rent.
 func emptyCloud(w http.ResponseWriter, r *http.Request) {
 	switch {
-	case r.URL.Path == protocol.PathTypes:
+	case r.URL.Path == protocol.PathMachineTypes:
 		_, _ = w.Write(protocol.Encode(protocol.MachineTypes{Types: []protocol.MachineType{
-			{Name: "m4", CPUs: 4, MemoryGB: 16, CacheGB: 10, FetchRate: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"north"}},
+			{Name: "m4", CPUs: 4, MemoryGB: 16, CacheGB: 10, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"north"}},
 		}}))
 	case r.Method == http.MethodGet:
 		_, _ = w.Write(protocol.Encode(protocol.MachineList{}))
@@ -278,7 +278,7 @@
 	p := newPair(t)
 	const path = "/v2/runs"
 	status := func(body string) string {
-		var a protocol.JobAnswer
+		var a protocol.JobResponse
 		if protocol.Decode([]byte(body), &a) != nil {
 			return ""
 		}
--- a/internal/daemon/queue_test.go
+++ b/internal/daemon/queue_test.go
@@ -15,10 +15,10 @@
 	d := &daemon{queue: make(chan item, 8), waits: map[uint64]waiter{}, metrics: newMetrics(), ctx: ctx}
 	past, ahead := time.Now().Add(-time.Second), time.Now().Add(time.Hour)
 	for _, it := range []item{
-		{command: coordination.UserCall{Kind: coordination.Poll, Job: "old"}, until: past},
-		{command: coordination.UserCall{Kind: coordination.Submit, Job: "submitted"}, until: past},
-		{command: coordination.UserCall{Kind: coordination.Cancel, Job: "cancelled"}, until: past},
-		{command: coordination.UserCall{Kind: coordination.Poll, Job: "new"}, until: ahead},
+		{command: coordination.UserRequest{Kind: coordination.Poll, Job: "old"}, until: past},
+		{command: coordination.UserRequest{Kind: coordination.Submit, Job: "submitted"}, until: past},
+		{command: coordination.UserRequest{Kind: coordination.Cancel, Job: "cancelled"}, until: past},
+		{command: coordination.UserRequest{Kind: coordination.Poll, Job: "new"}, until: ahead},
 		{command: coordination.CloudResult{ID: 7}},
 	} {
 		d.queue <- it
@@ -26,7 +26,7 @@
 	commands, open := d.next(nil, nil)
 	var jobs []string
 	for _, c := range commands {
-		if call, ok := c.(coordination.UserCall); ok {
+		if call, ok := c.(coordination.UserRequest); ok {
 			jobs = append(jobs, call.Job)
 		}
 	}
--- a/internal/daemon/tracker.go
+++ b/internal/daemon/tracker.go
@@ -32,7 +32,7 @@
 	queue    chan trackerItem
 	waits    map[uint64]trackerItem
 	nextID   uint64
-	term     atomic.Pointer[coordination.TermView]
+	term     atomic.Pointer[coordination.LeadershipView]
 	limit    *transport.Limit
 	report   time.Duration // for which a request may take, too
 	metrics  *trackerMetrics
@@ -72,18 +72,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("distribution: %w", err)
 	}
-	report, idle := config.Seconds(settings.ReportS), config.Seconds(settings.IdleReportS)
+	report, idle := config.Seconds(settings.InventoryIntervalS), config.Seconds(settings.IdleInventoryIntervalS)
 	t := &trackerService{
 		d: d, listener: listener, queue: make(chan trackerItem, trackerQueue), waits: map[uint64]trackerItem{},
 		report: report,
 		tracker: tracker.New(tracker.Parameters{
-			Report: report, IdleReport: idle, Retry: config.Seconds(d.cfg.Settings.Workers.Report / 20), StoreSlots: settings.StoreSlots,
+			Report: report, IdleReport: idle, Retry: config.Seconds(d.cfg.Settings.Workers.HeartbeatIntervalS / 20), StoreSlots: settings.StoreFetchers,
 			Zones: d.cfg.Settings.Zones, Boot: fmt.Sprintf("%s-%x", d.cfg.Node, seed[:8]), Seed: binary.LittleEndian.Uint64(seed[8:]),
 		}),
 		metrics: newTrackerMetrics(),
 	}
 	t.limit = transport.NewLimit(settings.Connections/4, report, func() { t.metrics.shed.Inc() })
-	t.term.Store(&coordination.TermView{})
+	t.term.Store(&coordination.LeadershipView{})
 	metricsPage := fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(t.metrics.registry, promhttp.HandlerOpts{}))
 	t.server = &fasthttp.Server{
 		Concurrency: settings.Connections, MaxRequestBodySize: distribution.MaxMessageBytes,
@@ -110,7 +110,7 @@
 }
 
 // see notes the node's term. Only the daemon's owner calls it.
-func (t *trackerService) see(v coordination.TermView) {
+func (t *trackerService) see(v coordination.LeadershipView) {
 	if *t.term.Load() != v {
 		t.term.Store(&v)
 	}
@@ -219,7 +219,7 @@
 	if err != nil {
 		return trackerBusy("the answer can't be encoded", e.RetryAfter)
 	}
-	return coordination.Reply{Status: e.Status, Body: body, RetryAfter: retrySeconds(e.RetryAfter)}
+	return coordination.Reply{Status: e.Status, Body: body, RetryAfterS: retrySeconds(e.RetryAfter)}
 }
 
 // retrySeconds rounds up to the whole seconds that a header can tell.
@@ -236,7 +236,7 @@
 	if err != nil {
 		body = []byte("{}")
 	}
-	return coordination.Reply{Status: status, Body: body, RetryAfter: retryAfter}
+	return coordination.Reply{Status: status, Body: body, RetryAfterS: retryAfter}
 }
 
 // answer answers a request, whether it came straight or from a peer.
--- a/internal/daemon/tracker_http.go
+++ b/internal/daemon/tracker_http.go
@@ -69,8 +69,8 @@
 	})
 	ctx.SetStatusCode(reply.Status)
 	ctx.SetContentType("application/json")
-	if reply.RetryAfter > 0 {
-		ctx.Response.Header.Set("Retry-After", strconv.Itoa(reply.RetryAfter))
+	if reply.RetryAfterS > 0 {
+		ctx.Response.Header.Set("Retry-After", strconv.Itoa(reply.RetryAfterS))
 	}
 	if int(t.server.GetOpenConnectionsCount()) > keepAlive {
 		ctx.SetConnectionClose()
@@ -87,8 +87,8 @@
 			reply = t.answer(trackerRequest{method: r.Method, path: r.URL.Path, query: r.URL.RawQuery, body: body, fromPeer: true})
 		}
 		w.Header().Set("Content-Type", "application/json")
-		if reply.RetryAfter > 0 {
-			w.Header().Set("Retry-After", strconv.Itoa(reply.RetryAfter))
+		if reply.RetryAfterS > 0 {
+			w.Header().Set("Retry-After", strconv.Itoa(reply.RetryAfterS))
 		}
 		w.WriteHeader(reply.Status)
 		_, _ = w.Write(reply.Body) // a peer that has gone asks again
--- a/internal/daemon/tracker_test.go
+++ b/internal/daemon/tracker_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return config.Extensions{Distribution: &config.Distribution{Port: number, StoreSlots: 2, Connections: 64, ReportS: 0.2, IdleReportS: 0.4}}, address
+	return config.Extensions{Distribution: &config.Distribution{Port: number, StoreFetchers: 2, Connections: 64, InventoryIntervalS: 0.2, IdleInventoryIntervalS: 0.4}}, address
 }
 
 // tracked are two controllers that serve the tracker, at these addresses.
--- a/internal/distribution/simulation/agent.go
+++ b/internal/distribution/simulation/agent.go
@@ -52,7 +52,7 @@
 	zones := w.Options.Settings.Zones
 	return &Agent{
 		w: w, Name: fmt.Sprintf("agent-%04d", i), zone: zones[i%len(zones)], Disk: afero.NewMemMapFs(), Slots: 4,
-		endpoint: endpoint{rate: w.Options.Rate}, controller: i % len(w.Nodes), Received: map[digest.Digest]int64{}, Activated: map[string]bool{},
+		endpoint: endpoint{rate: w.Options.Rate}, controller: i % len(w.Controllers), Received: map[digest.Digest]int64{}, Activated: map[string]bool{},
 	}
 }
 
@@ -201,14 +201,14 @@
 					a.w.After(latency, func() { finish(agent.TrackerAnswered{Answer: answer}) })
 					return
 				}
-				a.controller = (controller + 1) % len(a.w.Nodes)
+				a.controller = (controller + 1) % len(a.w.Controllers)
 				a.w.After(latency, func() { finish(agent.TrackerFailed{RetryAfter: r.RetryAfter}) })
 			})
 		})
 	}
 	a.w.After(a.w.report(), func() {
 		if !answered {
-			a.controller = (a.controller + 1) % len(a.w.Nodes)
+			a.controller = (a.controller + 1) % len(a.w.Controllers)
 			finish(agent.TrackerFailed{})
 		}
 	})
--- a/internal/distribution/simulation/hard_cases_test.go
+++ b/internal/distribution/simulation/hard_cases_test.go
@@ -125,7 +125,7 @@
 func TestVersionChangesDuringTheFetch(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		network func(w *World) func(kind, from, to string) fake.Fate
+		network func(w *World) func(kind, from, to string) fake.Delivery
 		play    func(w *World, a, b, c *distribution.Manifest) *distribution.Manifest
 	}{
 		{"once", nil, func(w *World, _, b, _ *distribution.Manifest) *distribution.Manifest {
@@ -153,10 +153,10 @@
 			leader.Start()
 			return b
 		}},
-		{"the write's answer is lost", func(*World) func(kind, from, to string) fake.Fate {
+		{"the write's answer is lost", func(*World) func(kind, from, to string) fake.Delivery {
 			writes := 0
-			return func(kind, _, _ string) fake.Fate {
-				f := fake.Well()
+			return func(kind, _, _ string) fake.Delivery {
+				f := fake.Reliable()
 				if kind == "weights" {
 					writes++
 					f.LoseAnswer = writes%2 == 1
@@ -169,9 +169,9 @@
 			w.Use(weights, c.Digest)
 			return c
 		}},
-		{"a write is carried out late", func(w *World) func(kind, from, to string) fake.Fate {
-			return func(kind, _, _ string) fake.Fate {
-				f := fake.Well()
+		{"a write is carried out late", func(w *World) func(kind, from, to string) fake.Delivery {
+			return func(kind, _, _ string) fake.Delivery {
+				f := fake.Reliable()
 				if kind == "weights" {
 					f.LoseRequest, f.Copy = w.rng.IntN(2) == 0, 4*time.Second
 				}
@@ -259,7 +259,7 @@
 			w.Leader().PausedUntil = w.Now + 6*time.Second
 		}},
 		{"all end", func(w *World) {
-			for _, n := range w.Nodes {
+			for _, n := range w.Controllers {
 				n.Crash()
 				w.After(5*time.Second, n.Start)
 			}
--- a/internal/distribution/simulation/simulation_test.go
+++ b/internal/distribution/simulation/simulation_test.go
@@ -24,8 +24,8 @@
 			t.Errorf("%s had %d uploads at a time in %d slots", a.Name, a.MostUploads, a.Slots)
 		}
 	}
-	if len(w.World.Broken) > 0 {
-		t.Errorf("rules broken: %v", w.World.Broken)
+	if len(w.World.Violations) > 0 {
+		t.Errorf("rules broken: %v", w.World.Violations)
 	}
 }
 
--- a/internal/distribution/simulation/world.go
+++ b/internal/distribution/simulation/world.go
@@ -61,7 +61,7 @@
 // host is a controller's tracker, for one life of its process.
 type host struct {
 	w       *World
-	node    *fake.Node
+	node    *fake.Controller
 	life    int
 	tracker *tracker.Tracker
 	replies map[uint64]pendingReply
@@ -86,7 +86,7 @@
 		versions: map[digest.Digest][]byte{},
 	}
 	w.Store = newStore(w)
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		w.trackers = append(w.trackers, &host{w: w, node: n, replies: map[uint64]pendingReply{}})
 	}
 	for i := range o.Agents {
@@ -123,7 +123,7 @@
 
 // report is the interval of an agent's inventories.
 func (w *World) report() time.Duration {
-	return config.Seconds(w.Options.Settings.Workers.Report / 2)
+	return config.Seconds(w.Options.Settings.Workers.HeartbeatIntervalS / 2)
 }
 
 // tracker gives the tracker of the process that a node runs now; nil: it runs none.
@@ -148,7 +148,7 @@
 	}
 	var effects []tracker.Effect
 	step := func() {
-		effects = t.Step(h.node.Steady(), h.node.Coordination().Term(), []tracker.Command{c})
+		effects = t.Step(h.node.Steady(), h.node.Controller().Leadership(), []tracker.Command{c})
 	}
 	if h.w.Tracked != nil {
 		h.w.Tracked(step)
--- a/internal/distribution/tracker/messages.go
+++ b/internal/distribution/tracker/messages.go
@@ -14,7 +14,7 @@
 )
 
 // Term is what the tracker has to know of the controller's term.
-type Term = coordination.TermView
+type Term = coordination.LeadershipView
 
 // Command is what goes into Step.
 type Command interface{ command() }
--- a/internal/distribution/tracker/model_test.go
+++ b/internal/distribution/tracker/model_test.go
@@ -70,7 +70,7 @@
 			k.entries[change.Put] = protocol.Entry{Key: change.Put, Value: protocol.Encode(change.Value), Version: k.revision}
 			k.written[change.Value.(storedName).Write]++
 		}
-		r.Number = k.revision
+		r.Revision = k.revision
 	}
 	return r
 }
@@ -237,7 +237,7 @@
 	}
 	c := m.calls[0]
 	m.calls = m.calls[1:]
-	lost := StateResult{storage.StateResult{ID: c.ID, Outcome: storage.Lost}}
+	lost := StateResult{storage.StateResult{ID: c.ID, Outcome: storage.Unknown}}
 	switch rapid.IntRange(0, 5).Draw(m.T, "fate") {
 	case 0:
 		m.step(lost)
@@ -260,7 +260,7 @@
 	m.term = Term{Leader: "other"}
 	m.step(Tick{})
 	token := m.state.lead()
-	m.term = Term{Reign: token, Token: token, Until: m.now + time.Minute}
+	m.term = Term{Term: token, FencingToken: token, LeaseUntil: m.now + time.Minute}
 	m.step(Tick{})
 }
 
@@ -301,10 +301,10 @@
 			},
 			"time": func(*rapid.T) {
 				m.now += time.Duration(rapid.IntRange(1, 6000).Draw(m.T, "ms")) * time.Millisecond
-				m.term.Until = m.now + time.Minute
+				m.term.LeaseUntil = m.now + time.Minute
 				m.step(Tick{})
 			},
-			"raise":     func(*rapid.T) { m.term.Token = m.state.lead() },
+			"raise":     func(*rapid.T) { m.term.FencingToken = m.state.lead() },
 			"take over": func(*rapid.T) { m.takeOver() },
 			"status": func(*rapid.T) {
 				m.id++
@@ -330,7 +330,7 @@
 	t.Helper()
 	x, state := New(parameters()), newKeyValues()
 	token := state.lead()
-	term := Term{Reign: token, Token: token, Until: time.Hour}
+	term := Term{Term: token, FencingToken: token, LeaseUntil: time.Hour}
 	for _, e := range x.Step(0, term, []Command{Tick{}}) {
 		x.Step(0, term, []Command{StateResult{state.execute(e.(StateCall).StateCall)}})
 	}
@@ -387,7 +387,7 @@
 func TestOnlyACertainLeaderAnswers(t *testing.T) {
 	x, term, state := leading(t)
 	use(t, x, term, state, "x", manifests[0])
-	term.Until = 10 * time.Second
+	term.LeaseUntil = 10 * time.Second
 	answerTo(t, ask(t, x, 9*time.Second, term, InventoryCall{2, report("one", 1, 0)}))
 	if r := ask(t, x, 10*time.Second, term, InventoryCall{3, report("one", 2, 0)}); r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
 		t.Errorf("in doubt: %+v", r)
@@ -399,7 +399,7 @@
 	if len(effects) != 1 || effects[0] != (Forward{5, "n2"}) {
 		t.Errorf("a follower: %+v", effects)
 	}
-	if r := ask(t, x, 13*time.Second, Term{Reign: 9, Token: 9, Until: time.Hour}, NamesCall{ID: 6}); r.Status != http.StatusServiceUnavailable {
+	if r := ask(t, x, 13*time.Second, Term{Term: 9, FencingToken: 9, LeaseUntil: time.Hour}, NamesCall{ID: 6}); r.Status != http.StatusServiceUnavailable {
 		t.Errorf("before the names are read: %+v", r)
 	}
 }
@@ -410,7 +410,7 @@
 	x, term, state := leading(t)
 	effects := x.Step(0, term, []Command{UseCall{1, "x", manifests[0]}, UseCall{2, "x", manifests[0]}})
 	result := StateResult{state.execute(effects[0].(StateCall).StateCall)}
-	term.Until = time.Second
+	term.LeaseUntil = time.Second
 	statuses := map[uint64]int{}
 	for _, e := range x.Step(2*time.Second, term, []Command{result}) {
 		if r, ok := e.(Reply); ok {
--- a/internal/distribution/tracker/names.go
+++ b/internal/distribution/tracker/names.go
@@ -127,7 +127,7 @@
 func (n *names) writeFirst() {
 	c := n.queue[0]
 	n.writes++
-	n.token, n.base = n.t.term.Token, n.records[c.Name].Revision
+	n.token, n.base = n.t.term.FencingToken, n.records[c.Name].Revision
 	n.write = fmt.Sprintf("%s-%d-%d", n.t.parameters.Boot, n.t.reign, n.writes)
 	n.send(storage.StateCall{Op: storage.StateTxn, Txn: protocol.Txn{
 		If: []protocol.Condition{
@@ -164,7 +164,7 @@
 		n.take(e)
 	}
 	if r.List.More && len(r.List.Entries) > 0 {
-		n.send(storage.StateCall{Op: storage.StateList, Key: NamesPrefix, After: n.after})
+		n.send(storage.StateCall{Op: storage.StateList, Key: NamesPrefix, StartAfter: n.after})
 		return
 	}
 	n.loaded = true
@@ -189,7 +189,7 @@
 	c := n.queue[0]
 	switch r.Outcome {
 	case storage.OK:
-		n.done(distribution.NameRecord{Name: c.Name, Manifest: c.Manifest, Revision: r.Number})
+		n.done(distribution.NameRecord{Name: c.Name, Manifest: c.Manifest, Revision: r.Revision})
 	case storage.Conflict:
 		// An earlier copy of this write may have been carried out, the token may have
 		// risen, or another leads: the record tells.
@@ -217,7 +217,7 @@
 		n.repeatLater()
 		return
 	}
-	if n.token == n.t.term.Token && n.records[c.Name].Revision == n.base {
+	if n.token == n.t.term.FencingToken && n.records[c.Name].Revision == n.base {
 		// Neither has changed: this controller's term has ended, and it will hear of it.
 		n.repeatLater()
 		return
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -122,13 +122,13 @@
 
 // followTerm forgets everything when the controller stops or begins to lead.
 func (t *Tracker) followTerm() {
-	if t.term.Reign == t.reign {
+	if t.term.Term == t.reign {
 		return
 	}
 	if t.names != nil {
 		t.names.abandon()
 	}
-	t.reign, t.names, t.agents, t.swarms, t.byHeard = t.term.Reign, nil, nil, nil, nil
+	t.reign, t.names, t.agents, t.swarms, t.byHeard = t.term.Term, nil, nil, nil, nil
 	t.counts = Counts{}
 	if t.reign == 0 {
 		return
@@ -140,7 +140,7 @@
 }
 
 // certain tells whether no other controller can lead yet.
-func (t *Tracker) certain() bool { return t.reign != 0 && t.now < t.term.Until }
+func (t *Tracker) certain() bool { return t.reign != 0 && t.now < t.term.LeaseUntil }
 
 func (t *Tracker) emit(e Effect) { t.out = append(t.out, e) }
 
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -23,15 +23,15 @@
 	requests map[string][]string
 	next     int
 	Down     bool
-	// Most is how many machines there are of each kind and place.
-	Most int
-	// Late delays boots; Never keeps the next machines from coming up.
-	Late time.Duration
-	// MostOf overrides Most for a type.
-	MostOf map[string]int
+	// Capacity is how many machines there are of each kind and place.
+	Capacity int
+	// BootDelay delays boots; Never keeps the next machines from coming up.
+	BootDelay time.Duration
+	// CapacityOf overrides Most for a type.
+	CapacityOf map[string]int
 	// Address gives the address of the n-th machine; nil: one that nobody connects to.
-	Address func(n int) string
-	Never   int
+	Address       func(n int) string
+	FailNextBoots int
 }
 
 func (c *Cloud) execute(call coordination.CloudCall) coordination.CloudResult {
@@ -41,12 +41,12 @@
 		return r
 	}
 	switch call.Op {
-	case coordination.CloudTypes:
+	case coordination.CloudListTypes:
 		r.Types = c.types
-	case coordination.CloudList:
+	case coordination.CloudListMachines:
 		for _, m := range c.machines {
 			// The list lags: it shows what was so a while ago.
-			lag := time.Duration(c.w.Cfg.Settings.Cloud.ListLag * float64(time.Second))
+			lag := time.Duration(c.w.Cfg.Settings.Cloud.ListLagS * float64(time.Second))
 			if m.gone || m.rented+lag > c.w.Now {
 				continue
 			}
@@ -54,13 +54,13 @@
 			e.AgeS = (c.w.Now - m.rented).Seconds()
 			r.List.Machines = append(r.List.Machines, e)
 		}
-	case coordination.CloudRent:
-		q := call.Rental
+	case coordination.CloudScaleOut:
+		q := call.Provisioning
 		if q.Count < 1 || q.Count > 50 {
-			c.w.fail("cloud", "a rental of %d", q.Count)
+			c.w.violation("cloud", "a rental of %d", q.Count)
 		}
-		if names, ok := c.requests[q.Request]; ok {
-			r.Hosts = names
+		if names, ok := c.requests[q.RequestID]; ok {
+			r.Machines = names
 			return r
 		}
 		if !slices.ContainsFunc(c.types, func(t protocol.MachineType) bool { return t.Name == q.Type }) {
@@ -73,9 +73,9 @@
 				have++
 			}
 		}
-		most, ok := c.MostOf[q.Type]
+		most, ok := c.CapacityOf[q.Type]
 		if !ok {
-			most = c.Most
+			most = c.Capacity
 		}
 		n := min(q.Count, most-have)
 		if n <= 0 {
@@ -83,15 +83,15 @@
 			return r
 		}
 		for range n {
-			r.Hosts = append(r.Hosts, c.Add(q.Type, q.Zone, q.Spot).Host)
+			r.Machines = append(r.Machines, c.Add(q.Type, q.Zone, q.Spot).Name)
 		}
-		c.requests[q.Request] = r.Hosts
-	case coordination.CloudReturn:
-		if len(call.Hosts) > 100 {
-			c.w.fail("cloud", "%d machines returned at once", len(call.Hosts))
+		c.requests[q.RequestID] = r.Machines
+	case coordination.CloudScaleIn:
+		if len(call.Machines) > 100 {
+			c.w.violation("cloud", "%d machines returned at once", len(call.Machines))
 		}
-		for _, name := range call.Hosts {
-			c.Take(name)
+		for _, name := range call.Machines {
+			c.Reclaim(name)
 		}
 	}
 	return r
@@ -105,15 +105,15 @@
 		addr = c.Address(c.next)
 	}
 	m := &machine{rented: c.w.Now, Machine: protocol.Machine{
-		Host: fmt.Sprintf("i-%06d", c.next), Addr: addr, Type: kind, Zone: zone, Spot: spot, Status: protocol.MachineBooting,
+		Name: fmt.Sprintf("i-%06d", c.next), Addr: addr, Type: kind, Zone: zone, Spot: spot, Status: protocol.MachineBooting,
 	}}
 	c.machines = append(c.machines, m)
-	if c.Never > 0 {
-		c.Never--
+	if c.FailNextBoots > 0 {
+		c.FailNextBoots--
 		return m
 	}
 	i := slices.IndexFunc(c.types, func(t protocol.MachineType) bool { return t.Name == kind })
-	boot := time.Duration(c.types[i].BootS*float64(time.Second)) + c.Late
+	boot := time.Duration(c.types[i].BootS*float64(time.Second)) + c.BootDelay
 	c.w.After(boot, func() {
 		if !m.gone {
 			m.Status = protocol.MachineRunning
@@ -123,10 +123,10 @@
 	return m
 }
 
-// Take takes a machine and all that is on it.
-func (c *Cloud) Take(name string) {
+// Reclaim takes a machine and all that is on it.
+func (c *Cloud) Reclaim(name string) {
 	for _, m := range c.machines {
-		if m.Host == name && !m.gone {
+		if m.Name == name && !m.gone {
 			m.gone = true
 			if wk := c.w.Workers[name]; wk != nil {
 				wk.vanish()
@@ -135,13 +135,13 @@
 	}
 }
 
-// Die stops a machine; the list shows it as failed half a minute later.
-func (c *Cloud) Die(name string) {
+// Fail stops a machine; the list shows it as failed half a minute later.
+func (c *Cloud) Fail(name string) {
 	if wk := c.w.Workers[name]; wk != nil {
 		wk.vanish()
 	}
 	for _, m := range c.machines {
-		if m.Host == name {
+		if m.Name == name {
 			c.w.After(30*time.Second, func() { m.Status = protocol.MachineFailed })
 		}
 	}
@@ -155,7 +155,7 @@
 	var out []string
 	for _, m := range c.machines {
 		if !m.gone {
-			out = append(out, m.Host)
+			out = append(out, m.Name)
 		}
 	}
 	return out
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -8,11 +8,11 @@
 func (w *World) gangComplete(t *work) bool {
 	n := 0
 	for m := range t.job.on {
-		if m.Try == t.Try {
+		if m.Number == t.Number {
 			n++
 		}
 	}
-	return n == t.job.Sub.Tasks
+	return n == t.job.Submission.Tasks
 }
 
 // gangWhole tells whether no task of a running gang has been lost; a moment is
--- a/internal/fake/live.go
+++ b/internal/fake/live.go
@@ -9,16 +9,16 @@
 	"oakpick/internal/storage"
 )
 
-// Send carries a request to a controller that runs outside the world, and its reply back.
+// RemoteSend carries a request to a controller that runs outside the world, and its reply back.
 // Both are called by the world's owner.
-type Send func(request coordination.Request, reply func(coordination.Reply))
+type RemoteSend func(request coordination.Request, reply func(coordination.Reply))
 
 // NewLive makes a world whose controllers run outside it, as real processes. Its time is
 // what Advance is told. It has one owner: nothing of it may be used by two goroutines.
-func NewLive(s config.Settings, types []protocol.MachineType, controllers []string, send func(controller int) Send) *World {
+func NewLive(s config.Settings, types []protocol.MachineType, controllers []string, send func(controller int) RemoteSend) *World {
 	w := newWorld(s, types)
 	for i, name := range controllers {
-		w.Nodes = append(w.Nodes, &Node{w: w, Name: name, Index: i, remote: send(i)})
+		w.Controllers = append(w.Controllers, &Controller{w: w, Name: name, Index: i, remote: send(i)})
 	}
 	return w
 }
@@ -59,7 +59,7 @@
 	for _, name := range w.workerNames {
 		w.Workers[name].tick()
 	}
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.step(coordination.Tick{})
 	}
 	w.checkAlways()
@@ -76,10 +76,10 @@
 	serve(w, "cloud", "cloud", func() (coordination.CloudResult, bool) { return w.Cloud.execute(c), true }, answer)
 }
 
-// ServeOrders has a worker execute direct commands. A machine without power, one that
+// ServeCommands has a worker execute direct commands. A machine without power, one that
 // hangs or one that is cut off answers nothing.
-func (w *World) ServeOrders(c coordination.OrdersCall, answer func(coordination.OrdersResult)) {
-	serve(w, "orders", c.Host, func() (coordination.OrdersResult, bool) { return w.command(c) }, answer)
+func (w *World) ServeCommands(c coordination.CommandsCall, answer func(coordination.CommandsResult)) {
+	serve(w, "orders", c.Machine, func() (coordination.CommandsResult, bool) { return w.command(c) }, answer)
 }
 
 // serve has a request from outside executed and answered as the network will.
@@ -96,34 +96,34 @@
 }
 
 // command has a worker execute direct commands, when it resumes if it hangs.
-func (w *World) command(c coordination.OrdersCall) (r coordination.OrdersResult, answered bool) {
-	k := w.Workers[c.Host]
+func (w *World) command(c coordination.CommandsCall) (r coordination.CommandsResult, answered bool) {
+	k := w.Workers[c.Machine]
 	if k == nil || k.gone {
 		return r, false
 	}
 	if w.Now < k.HangUntil {
 		w.After(k.HangUntil-w.Now, func() {
 			if !k.gone {
-				k.orders(c)
+				k.execute(c)
 			}
 		})
 		return r, false
 	}
-	return k.orders(c), true
+	return k.execute(c), true
 }
 
 // Poll asks some controller about a job.
 func (w *World) Poll(j *Job) { w.poll(w.pick(), j) }
 
 // pick chooses a controller for a user's request, as the load balancer does.
-func (w *World) pick() *Node {
-	for range w.Nodes {
+func (w *World) pick() *Controller {
+	for range w.Controllers {
 		w.seq++
-		if n := w.Nodes[w.seq%len(w.Nodes)]; !n.Unhealthy {
+		if n := w.Controllers[w.seq%len(w.Controllers)]; !n.Unhealthy {
 			return n
 		}
 	}
-	return w.Nodes[w.seq%len(w.Nodes)]
+	return w.Controllers[w.seq%len(w.Controllers)]
 }
 
 // OnMachines counts the tasks that are on machines.
--- a/internal/fake/node.go
+++ b/internal/fake/node.go
@@ -25,13 +25,13 @@
 	over bool
 }
 
-// Node is a controller and its process.
-type Node struct {
+// Controller is a controller and its process.
+type Controller struct {
 	w      *World
 	Name   string
 	Index  int
 	Up     bool
-	node   *coordination.Node
+	node   *coordination.Controller
 	began  time.Duration
 	drift  float64
 	life   int
@@ -42,30 +42,30 @@
 	leader    string
 	// Paused until then: the process has no processor time.
 	PausedUntil time.Duration
-	// ClockOff is how far its time of day is ahead.
-	ClockOff time.Duration
-	// Old makes it run as the version in production would, as far as that shows in
+	// ClockOffset is how far its time of day is ahead.
+	ClockOffset time.Duration
+	// RunsProduction makes it run as the version in production would, as far as that shows in
 	// what it stores: see World.Production. It counts from the next start.
-	Old bool
-	old bool
+	RunsProduction bool
+	old            bool
 	// Unhealthy keeps the load balancer from it.
 	Unhealthy bool
 	// Stall tells for how long the process stands still before it carries an effect out;
 	// nil: never.
 	Stall func(effect coordination.Effect) time.Duration
 	// remote carries requests to the process, if it runs outside the world.
-	remote Send
+	remote RemoteSend
 }
 
 // Start starts a node's process.
-func (n *Node) Start() {
+func (n *Controller) Start() {
 	n.w.seeds++
 	cfg := *n.w.Cfg
 	cfg.Node, cfg.Peers = n.Name, nil
-	if n.old = n.Old; n.old {
+	if n.old = n.RunsProduction; n.old {
 		cfg.Settings.State.Next = nil
 	}
-	for _, p := range n.w.Nodes {
+	for _, p := range n.w.Controllers {
 		if p != n {
 			cfg.Peers = append(cfg.Peers, config.Peer{Name: p.Name})
 		}
@@ -77,26 +77,26 @@
 }
 
 // Crash kills a node's process.
-func (n *Node) Crash() { n.Up, n.node = false, nil }
+func (n *Controller) Crash() { n.Up, n.node = false, nil }
 
 // Leads tells whether the node believes that it leads.
-func (n *Node) Leads() bool { return n.Up && n.node.Role() == "leader" }
+func (n *Controller) Leads() bool { return n.Up && n.node.Role() == "leader" }
 
 // Holds tells whether the node leads, or is in doubt and still answers workers.
-func (n *Node) Holds() bool { return n.Up && n.node.Leads() }
+func (n *Controller) Holds() bool { return n.Up && n.node.Leads() }
 
 // Healthy is what the node tells the load balancer.
-func (n *Node) Healthy() bool { return n.Up && n.node.Healthy() }
+func (n *Controller) Healthy() bool { return n.Up && n.node.Healthy() }
 
 // Stats are the process's counts.
-func (n *Node) Stats() coordination.Stats { return n.node.Stats }
+func (n *Controller) Stats() coordination.Stats { return n.node.Stats }
 
-func (n *Node) deliver(request coordination.Request, reply func(coordination.Reply)) {
+func (n *Controller) deliver(request coordination.Request, reply func(coordination.Reply)) {
 	n.take(asked{request: request, reply: reply})
 }
 
 // take has a request decided.
-func (n *Node) take(a asked) {
+func (n *Controller) take(a asked) {
 	if n.remote != nil {
 		n.remote(a.request, a.reply)
 		return
@@ -118,15 +118,15 @@
 	n.step(a.request.WithID(n.nextID))
 }
 
-func (n *Node) step(command coordination.Command) {
+func (n *Controller) step(command coordination.Event) {
 	if !n.Up || n.w.Now < n.PausedUntil {
 		return
 	}
-	now := coordination.Now{Mono: n.Steady(), WallMs: (n.w.Now + n.ClockOff).Milliseconds() + 1_000_000}
-	effects := n.node.Step(now, []coordination.Command{command})
-	if n.w.Observe != nil {
+	now := coordination.Now{Monotonic: n.Steady(), WallMs: (n.w.Now + n.ClockOffset).Milliseconds() + 1_000_000}
+	effects := n.node.Step(now, []coordination.Event{command})
+	if n.w.OnEffect != nil {
 		for _, e := range effects {
-			n.w.Observe(n.Name, e)
+			n.w.OnEffect(n.Name, e)
 		}
 	}
 	n.carryOut(effects)
@@ -135,7 +135,7 @@
 
 // carryOut performs effects, unless the process stands still before one of them: then the
 // rest is late.
-func (n *Node) carryOut(effects []coordination.Effect) {
+func (n *Controller) carryOut(effects []coordination.Effect) {
 	life := n.life
 	for i, e := range effects {
 		stall := time.Duration(0)
@@ -158,10 +158,10 @@
 
 // tooLate tells whether the time is over within which an effect may be carried out, as the
 // daemon does.
-func (n *Node) tooLate(until time.Duration) bool { return until > 0 && n.Steady() >= until }
+func (n *Controller) tooLate(until time.Duration) bool { return until > 0 && n.Steady() >= until }
 
 // noteLeader has requests that are with a former leader put to the one that leads now.
-func (n *Node) noteLeader() {
+func (n *Controller) noteLeader() {
 	if !n.Up {
 		return
 	}
@@ -182,13 +182,13 @@
 }
 
 // call has a request executed and its result brought back, as the network will.
-func (n *Node) call(kind, to string, wait time.Duration, execute func() (coordination.Command, bool), lost coordination.Command) {
+func (n *Controller) call(kind, to string, wait time.Duration, execute func() (coordination.Event, bool), lost coordination.Event) {
 	life := n.life
-	exchange(n, kind, to, wait, execute, lost, func(r coordination.Command) { n.back(r, life) })
+	exchange(n, kind, to, wait, execute, lost, func(r coordination.Event) { n.back(r, life) })
 }
 
 // exchange does the same for any part of the process.
-func exchange[R any](n *Node, kind, to string, wait time.Duration, execute func() (R, bool), lost R, done func(R)) {
+func exchange[R any](n *Controller, kind, to string, wait time.Duration, execute func() (R, bool), lost R, done func(R)) {
 	w, life := n.w, n.life
 	f := w.fate(kind, n.Name, to)
 	over := false
@@ -215,28 +215,28 @@
 
 // AskState carries a request of a part of the process beside coordination to the state
 // service; kind tells it apart to the network.
-func (n *Node) AskState(kind string, c storage.StateCall, done func(storage.StateResult)) {
-	exchange(n, kind, "state", sec(n.w.Cfg.Settings.Workers.Report)/2,
+func (n *Controller) AskState(kind string, c storage.StateCall, done func(storage.StateResult)) {
+	exchange(n, kind, "state", sec(n.w.Cfg.Settings.Workers.HeartbeatIntervalS)/2,
 		func() (storage.StateResult, bool) { return n.w.State.execute(n.Name, n.old, c), true },
-		storage.StateResult{ID: c.ID, Outcome: storage.Lost}, done)
+		storage.StateResult{ID: c.ID, Outcome: storage.Unknown}, done)
 }
 
 // Life counts the starts of the node's process.
-func (n *Node) Life() int { return n.life }
+func (n *Controller) Life() int { return n.life }
 
 // Steady is the process's steady clock.
-func (n *Node) Steady() time.Duration {
+func (n *Controller) Steady() time.Duration {
 	return time.Duration(float64(n.w.Now-n.began) * (1 + n.drift))
 }
 
 // answer brings a result to the process at once.
-func (n *Node) answer(r coordination.Command) {
+func (n *Controller) answer(r coordination.Event) {
 	life := n.life
 	n.w.After(0, func() { n.back(r, life) })
 }
 
 // back brings a result to the process, once it has processor time.
-func (n *Node) back(r coordination.Command, life int) {
+func (n *Controller) back(r coordination.Event, life int) {
 	if !n.Up || n.life != life {
 		return
 	}
@@ -247,9 +247,9 @@
 	n.step(r)
 }
 
-func (n *Node) perform(effect coordination.Effect) {
+func (n *Controller) perform(effect coordination.Effect) {
 	w := n.w
-	report := sec(w.Cfg.Settings.Workers.Report)
+	report := sec(w.Cfg.Settings.Workers.HeartbeatIntervalS)
 	switch e := effect.(type) {
 	case coordination.Reply:
 		if a, ok := n.asked[e.ID]; ok {
@@ -264,46 +264,46 @@
 		}
 		old := n.old // a late request is still the old process's
 		kind := "state"
-		if len(e.Txn.Then) > 0 && e.Txn.Then[0].Put != coordination.LeaderKey && w.HoldsWrites {
+		if len(e.Txn.Then) > 0 && e.Txn.Then[0].Put != coordination.LeaderKey && w.SeparateWrites {
 			kind = "write"
 		}
-		n.call(kind, "state", report/2, func() (coordination.Command, bool) {
+		n.call(kind, "state", report/2, func() (coordination.Event, bool) {
 			return coordination.StateResult{StateResult: w.State.execute(n.Name, old, e.StateCall)}, true
 		},
-			coordination.StateResult{StateResult: storage.StateResult{ID: e.ID, Outcome: storage.Lost}})
+			coordination.StateResult{StateResult: storage.StateResult{ID: e.ID, Outcome: storage.Unknown}})
 	case coordination.CloudCall:
-		if n.tooLate(e.Until) {
+		if n.tooLate(e.NotAfter) {
 			n.answer(coordination.CloudResult{ID: e.ID, Outcome: coordination.NotSent})
 			return
 		}
-		n.call("cloud", "cloud", report, func() (coordination.Command, bool) { return w.Cloud.execute(e), true },
-			coordination.CloudResult{ID: e.ID, Outcome: coordination.Lost})
-	case coordination.OrdersCall:
-		if n.tooLate(e.Until) {
-			n.answer(coordination.OrdersResult{ID: e.ID, Host: e.Host, Outcome: coordination.NotSent})
+		n.call("cloud", "cloud", report, func() (coordination.Event, bool) { return w.Cloud.execute(e), true },
+			coordination.CloudResult{ID: e.ID, Outcome: coordination.Unknown})
+	case coordination.CommandsCall:
+		if n.tooLate(e.NotAfter) {
+			n.answer(coordination.CommandsResult{ID: e.ID, Machine: e.Machine, Outcome: coordination.NotSent})
 			return
 		}
 		for _, c := range e.Commands {
 			if j := w.Jobs[c.Attempt.Job]; c.Verb == protocol.Start && j != nil && j.Cancelled {
-				w.fail("started_cancelled", "%s sends a start of %s, which its user was told is cancelled", n.Name, c.Attempt.Job)
+				w.violation("started_cancelled", "%s sends a start of %s, which its user was told is cancelled", n.Name, c.Attempt.Job)
 			}
 		}
-		n.call("orders", e.Host, report*3/4, func() (coordination.Command, bool) {
+		n.call("orders", e.Machine, report*3/4, func() (coordination.Event, bool) {
 			return w.command(e)
-		}, coordination.OrdersResult{ID: e.ID, Host: e.Host, Outcome: coordination.Lost})
+		}, coordination.CommandsResult{ID: e.ID, Machine: e.Machine, Outcome: coordination.Unknown})
 	case coordination.PeerCall:
 		n.ask(e)
 	case coordination.Log:
-		w.Log = append(w.Log, fmt.Sprintf("%8.2f %s %s %v", w.Now.Seconds(), n.Name, e.Text, e.Args))
+		w.Log = append(w.Log, fmt.Sprintf("%8.2f %s %s %v", w.Now.Seconds(), n.Name, e.Message, e.Args))
 	}
 }
 
 // forward hands a request to another node, and its reply back.
-func (n *Node) forward(e coordination.Forward) {
+func (n *Controller) forward(e coordination.Forward) {
 	w := n.w
 	a, ok := n.asked[e.ID]
 	if !ok {
-		w.fail("forward", "%s hands on what is no request", n.Name)
+		w.violation("forward", "%s hands on what is no request", n.Name)
 		return
 	}
 	delete(n.asked, e.ID)
@@ -312,7 +312,7 @@
 		return
 	}
 	if a.fromPeer { // as the daemon does: it could go round in circles
-		a.reply(coordination.Reply{Status: 503, RetryAfter: 1})
+		a.reply(coordination.Reply{Status: 503, RetryAfterS: 1})
 		return
 	}
 	f := &forwarded{asked: a, peer: p.Name}
@@ -337,7 +337,7 @@
 }
 
 // ask asks a peer, and brings its answer to the process.
-func (n *Node) ask(e coordination.PeerCall) {
+func (n *Controller) ask(e coordination.PeerCall) {
 	w, life := n.w, n.life
 	p := w.node(e.Peer)
 	if p == nil {
@@ -348,25 +348,25 @@
 		return
 	}
 	w.After(f.Request, func() {
-		p.deliver(coordination.StepDownCall{Term: e.Term, Leader: n.Name, AsksArchive: e.AsksArchive && !p.old}, func(r coordination.Reply) {
-			var a protocol.StepDownAnswer
+		p.deliver(coordination.StepDownRequest{Term: e.Term, Leader: n.Name, AsksArchive: e.AsksArchive && !p.old}, func(r coordination.Reply) {
+			var a protocol.StepDownResponse
 			if f.LoseAnswer || r.Status != 200 || protocol.Decode(r.Body, &a) != nil {
 				return
 			}
 			w.After(f.Answer, func() {
-				n.back(coordination.PeerResult{PeerCall: e, StepDownAnswer: a}, life)
+				n.back(coordination.PeerResult{PeerCall: e, StepDownResponse: a}, life)
 			})
 		})
 	})
 }
 
-// Ask hands a node a request, and its reply to a function.
-func (n *Node) Ask(request coordination.Request, reply func(coordination.Reply)) {
+// Request hands a node a request, and its reply to a function.
+func (n *Controller) Request(request coordination.Request, reply func(coordination.Reply)) {
 	n.deliver(request, reply)
 }
 
 // Tick lets the node look at what time calls for.
-func (n *Node) Tick() { n.step(coordination.Tick{}) }
+func (n *Controller) Tick() { n.step(coordination.Tick{}) }
 
-// Coordination is what decides in the node's process; nil while it doesn't run.
-func (n *Node) Coordination() *coordination.Node { return n.node }
+// Controller is what decides in the node's process; nil while it doesn't run.
+func (n *Controller) Controller() *coordination.Controller { return n.node }
--- a/internal/fake/pipelines.go
+++ b/internal/fake/pipelines.go
@@ -10,7 +10,7 @@
 // prerequisites are the jobs that a job names.
 func (w *World) prerequisites(j *Job) []*Job {
 	var out []*Job
-	for _, id := range j.Sub.Prerequisites {
+	for _, id := range j.Submission.Prerequisites {
 		if p := w.Jobs[id]; p != nil {
 			out = append(out, p)
 		}
@@ -45,7 +45,7 @@
 
 // calledOff tells whether a user has asked to cancel a job that this one needs.
 func (w *World) calledOff(j *Job) bool {
-	return some(w.ancestors(j), func(p *Job) bool { return p.Cancel })
+	return some(w.ancestors(j), func(p *Job) bool { return p.CancelRequested })
 }
 
 // CancelledWith tells whether a user was told that a job that this one needs is
@@ -63,12 +63,12 @@
 	ancestors := w.ancestors(j)
 	if status == protocol.StatusQueued || status == protocol.StatusRunning {
 		for p := range ancestors {
-			if p.Cancelled && asked > p.CancelAt+sec(w.Cfg.Settings.Workers.Cancel) {
-				w.fail("orphaned", "%s is called %s, and %s is cancelled", j.Sub.ID, status, p.Sub.ID)
+			if p.Cancelled && asked > p.CancelledAt+sec(w.Cfg.Settings.Workers.CancelWithinS) {
+				w.violation("orphaned", "%s is called %s, and %s is cancelled", j.Submission.ID, status, p.Submission.ID)
 			}
 			// Stricter than the rule: a job that waits has nothing to be stopped.
-			if p.Cancelled && asked > p.CancelAt {
-				w.fail("orphaned", "%s is called %s after its user was told that %s is cancelled", j.Sub.ID, status, p.Sub.ID)
+			if p.Cancelled && asked > p.CancelledAt {
+				w.violation("orphaned", "%s is called %s after its user was told that %s is cancelled", j.Submission.ID, status, p.Submission.ID)
 			}
 		}
 	}
@@ -78,12 +78,12 @@
 		if !needs[j] {
 			continue
 		}
-		if status == protocol.StatusCancelled && d.Began {
-			w.fail("went_back", "%s is called cancelled, and %s, which needs it, has begun", j.Sub.ID, id)
+		if status == protocol.StatusCancelled && d.Started {
+			w.violation("went_back", "%s is called cancelled, and %s, which needs it, has begun", j.Submission.ID, id)
 		}
-		other := d.Cancel || some(needs, func(p *Job) bool { return p != j && p.Cancel })
-		if status == protocol.StatusDone && d.Told == protocol.StatusCancelled && !other {
-			w.fail("went_back", "%s is done, and %s was called cancelled with it", j.Sub.ID, id)
+		other := d.CancelRequested || some(needs, func(p *Job) bool { return p != j && p.CancelRequested })
+		if status == protocol.StatusDone && d.Status == protocol.StatusCancelled && !other {
+			w.violation("went_back", "%s is done, and %s was called cancelled with it", j.Submission.ID, id)
 		}
 	}
 }
--- a/internal/fake/rules.go
+++ b/internal/fake/rules.go
@@ -9,20 +9,20 @@
 	"oakpick/internal/protocol"
 )
 
-// Fail notes that a rule was broken.
-func (w *World) Fail(rule, format string, args ...any) { w.fail(rule, format, args...) }
+// Violation notes that a rule was broken.
+func (w *World) Violation(rule, format string, args ...any) { w.violation(rule, format, args...) }
 
-func (w *World) fail(rule, format string, args ...any) {
-	if len(w.Broken) < 20 {
-		w.Broken = append(w.Broken, fmt.Sprintf("%8.2f %s: %s", w.Now.Seconds(), rule, fmt.Sprintf(format, args...)))
+func (w *World) violation(rule, format string, args ...any) {
+	if len(w.Violations) < 20 {
+		w.Violations = append(w.Violations, fmt.Sprintf("%8.2f %s: %s", w.Now.Seconds(), rule, fmt.Sprintf(format, args...)))
 	}
 }
 
-// told checks what a user hears against what was so and what was said before.
-func (w *World) told(j *Job, r coordination.Reply, asked time.Duration) {
-	var a protocol.JobAnswer
-	if err := protocol.Decode(r.Body, &a); err != nil || a.ID != j.Sub.ID {
-		w.fail("answer", "%s: %v", j.Sub.ID, err)
+// checkStatus checks what a user hears against what was so and what was said before.
+func (w *World) checkStatus(j *Job, r coordination.Reply, asked time.Duration) {
+	var a protocol.JobResponse
+	if err := protocol.Decode(r.Body, &a); err != nil || a.ID != j.Submission.ID {
+		w.violation("answer", "%s: %v", j.Submission.ID, err)
 		return
 	}
 	j.AnsweredAt = w.Now
@@ -30,21 +30,21 @@
 	if asked < j.toldAt && a.Status != protocol.StatusDone && a.Status != protocol.StatusCancelled {
 		return // asked before the last answer was heard: the two may cross
 	}
-	if a.Status == protocol.StatusDone && len(j.DoneTasks) < j.Sub.Tasks {
-		w.fail("not_done", "%s: %d of %d", a.ID, len(j.DoneTasks), j.Sub.Tasks)
+	if a.Status == protocol.StatusDone && len(j.DoneTasks) < j.Submission.Tasks {
+		w.violation("not_done", "%s: %d of %d", a.ID, len(j.DoneTasks), j.Submission.Tasks)
 	}
-	if a.Status == protocol.StatusCancelled && !j.Cancel && !w.calledOff(j) {
-		w.fail("went_back", "%s: cancelled, and nobody asked", a.ID)
+	if a.Status == protocol.StatusCancelled && !j.CancelRequested && !w.calledOff(j) {
+		w.violation("went_back", "%s: cancelled, and nobody asked", a.ID)
 	}
-	if (j.Told == protocol.StatusDone || j.Told == protocol.StatusCancelled) && a.Status != j.Told {
-		w.fail("went_back", "%s: %s after %s", a.ID, a.Status, j.Told)
+	if (j.Status == protocol.StatusDone || j.Status == protocol.StatusCancelled) && a.Status != j.Status {
+		w.violation("went_back", "%s: %s after %s", a.ID, a.Status, j.Status)
 	}
-	if j.Told != a.Status {
+	if j.Status != a.Status {
 		w.Log = append(w.Log, fmt.Sprintf("%8.2f user is told %s is %s", w.Now.Seconds(), a.ID, a.Status))
 	}
-	j.Told, j.toldAt = a.Status, w.Now
+	j.Status, j.toldAt = a.Status, w.Now
 	if a.Status == protocol.StatusCancelled && !j.Cancelled {
-		j.Cancelled, j.CancelAt = true, w.Now
+		j.Cancelled, j.CancelledAt = true, w.Now
 		w.cancelled = append(w.cancelled, j)
 	}
 }
@@ -64,22 +64,22 @@
 			continue
 		}
 		if t2.Task == t.Task {
-			w.fail("ran_twice", "%s/%d on %s while on %s", t.Job, t.Task, k.m.Host, t2.worker.m.Host)
+			w.violation("ran_twice", "%s/%d on %s while on %s", t.Job, t.Task, k.m.Name, t2.worker.m.Name)
 		}
 		zones[t2.worker.m.Zone]++
 	}
-	s := j.Sub
+	s := j.Submission
 	if s.Types != nil && !slices.Contains(s.Types, k.m.Type) || s.Zone != "" && s.Zone != k.m.Zone || !s.Spot && k.m.Spot ||
 		s.OneZone && len(zones) > 1 || s.Spread && zones[k.m.Zone] > (s.Tasks+1)/2 {
-		w.fail("wrong_place", "%s/%d on %s (%s, %s, spot %v), zones %v", t.Job, t.Task, k.m.Host, k.m.Type, k.m.Zone, k.m.Spot, zones)
+		w.violation("wrong_place", "%s/%d on %s (%s, %s, spot %v), zones %v", t.Job, t.Task, k.m.Name, k.m.Type, k.m.Zone, k.m.Spot, zones)
 	}
-	if j.Cancelled && w.Now > j.CancelAt+sec(w.Cfg.Settings.Workers.Cancel) {
-		w.fail("ran_cancelled", "%s/%d started", t.Job, t.Task)
+	if j.Cancelled && w.Now > j.CancelledAt+sec(w.Cfg.Settings.Workers.CancelWithinS) {
+		w.violation("ran_cancelled", "%s/%d started", t.Job, t.Task)
 	}
-	j.Began = true
+	j.Started = true
 	for _, p := range w.prerequisites(j) {
-		if len(p.DoneTasks) < p.Sub.Tasks {
-			w.fail("too_early", "%s/%d started, and %s is not done", t.Job, t.Task, p.Sub.ID)
+		if len(p.DoneTasks) < p.Submission.Tasks {
+			w.violation("too_early", "%s/%d started, and %s is not done", t.Job, t.Task, p.Submission.ID)
 		}
 	}
 }
@@ -88,30 +88,30 @@
 	w.checkCancelled()
 	for _, t := range w.Cfg.Settings.Teams {
 		u := w.use[t.Name]
-		if t.CPUsMax > 0 && u[0] > t.CPUsMax+1e-6 || t.GPUsMax > 0 && u[1] > t.GPUsMax+1e-6 {
-			w.fail("quota", "%s uses %v", t.Name, u)
+		if t.CPULimit > 0 && u[0] > t.CPULimit+1e-6 || t.GPULimit > 0 && u[1] > t.GPULimit+1e-6 {
+			w.violation("quota", "%s uses %v", t.Name, u)
 		}
 	}
 	leaders := 0
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		if n.Leads() && w.Now >= n.PausedUntil {
 			leaders++
 		}
 	}
 	if leaders > 1 {
-		w.fail("term", "%d nodes are certain to lead", leaders)
+		w.violation("term", "%d nodes are certain to lead", leaders)
 	}
 }
 
 // checkCancelled looks for tasks of cancelled jobs that are still on machines.
 func (w *World) checkCancelled() {
-	within := sec(w.Cfg.Settings.Workers.Cancel)
+	within := sec(w.Cfg.Settings.Workers.CancelWithinS)
 	w.cancelled = slices.DeleteFunc(w.cancelled, func(j *Job) bool {
-		if w.Now <= j.CancelAt+within {
+		if w.Now <= j.CancelledAt+within {
 			return false
 		}
 		for t := range j.on {
-			w.fail("ran_cancelled", "%s/%d is still on a machine", t.Job, t.Task)
+			w.violation("ran_cancelled", "%s/%d is still on a machine", t.Job, t.Task)
 		}
 		return len(j.on) == 0 // what starts from now on is found by checkStart
 	})
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -34,33 +34,33 @@
 
 // State is the state service.
 type State struct {
-	w        *World
-	limits   config.State
-	keys     map[string]entry
-	names    []string // the keys in order; nil: they have changed
-	leases   map[int64]lease
-	revision int64
-	nextID   int64
-	puts     []time.Duration // within the last second
-	Down     bool
-	Cut      map[string]bool // nodes that get 503
-	// ListMost is how many entries an answer has at most: few, so that reading on is
+	w           *World
+	limits      config.State
+	keys        map[string]entry
+	names       []string // the keys in order; nil: they have changed
+	leases      map[int64]lease
+	revision    int64
+	nextID      int64
+	puts        []time.Duration // within the last second
+	Down        bool
+	Unreachable map[string]bool // nodes that get 503
+	// MaxListed is how many entries an answer has at most: few, so that reading on is
 	// exercised.
-	ListMost int
+	MaxListed int
 	// PageWrites counts transactions that wrote something.
 	PageWrites int
 	// Puts counts the keys that were written.
 	Puts int
-	// RefusedForSize counts transactions that were over the limits after these were
+	// RejectedForSize counts transactions that were over the limits after these were
 	// lowered.
-	RefusedForSize int
-	lowered        bool
-	// RefuseWrites has every write of a page refused for the rate (429).
-	RefuseWrites bool
+	RejectedForSize int
+	lowered         bool
+	// RejectWrites has every write of a page refused for the rate (429).
+	RejectWrites bool
 }
 
 func newState(w *World, limits config.State) *State {
-	return &State{w: w, limits: limits, keys: map[string]entry{}, leases: map[int64]lease{}, Cut: map[string]bool{}, ListMost: 3}
+	return &State{w: w, limits: limits, keys: map[string]entry{}, leases: map[int64]lease{}, Unreachable: map[string]bool{}, MaxListed: 3}
 }
 
 // sizeInJSON is how limits count: what is on the wire, written as JSON.
@@ -76,13 +76,13 @@
 	return len(text)
 }
 
-// Lower puts the limits to come in force: what is larger gets 400 from now on.
-func (s *State) Lower() {
+// LowerLimits puts the limits to come in force: what is larger gets 400 from now on.
+func (s *State) LowerLimits() {
 	s.limits, s.lowered = s.limits.Smallest(), true
 }
 
-// Allow sets how large a value may be.
-func (s *State) Allow(kilobytes float64) { s.limits.ValueKB = kilobytes }
+// SetMaxValueKB sets how large a value may be.
+func (s *State) SetMaxValueKB(kilobytes float64) { s.limits.ValueKB = kilobytes }
 
 // Values are the stored values by key.
 func (s *State) Values() map[string][]byte {
@@ -146,20 +146,20 @@
 
 func (s *State) execute(from string, old bool, c storage.StateCall) storage.StateResult {
 	r := storage.StateResult{ID: c.ID}
-	if s.Down || s.Cut[from] {
+	if s.Down || s.Unreachable[from] {
 		r.Outcome = storage.Refused
 		return r
 	}
 	s.expire()
 	switch c.Op {
-	case storage.StateGrant:
+	case storage.StateGrantLease:
 		if c.TTL < 100*time.Millisecond {
-			s.w.fail("state", "a lease of %v", c.TTL)
+			s.w.violation("state", "a lease of %v", c.TTL)
 		}
 		s.nextID++
 		s.leases[s.nextID] = lease{c.TTL, s.w.Now + c.TTL}
-		r.Number = s.nextID
-	case storage.StateRenew:
+		r.Revision = s.nextID
+	case storage.StateRenewLease:
 		l, ok := s.leases[c.Lease]
 		if !ok {
 			r.Outcome = storage.NotFound
@@ -167,7 +167,7 @@
 		}
 		l.ends = s.w.Now + l.ttl
 		s.leases[c.Lease] = l
-	case storage.StateRevoke:
+	case storage.StateRevokeLease:
 		if l, ok := s.leases[c.Lease]; ok {
 			l.ends = s.w.Now
 			s.leases[c.Lease] = l
@@ -181,7 +181,7 @@
 		}
 		r.Entry = protocol.Entry{Key: c.Key, Value: e.value, Version: e.version, Lease: e.lease}
 	case storage.StateList:
-		r.List.Entries, r.List.More = s.list(c.Key, c.After, c.Most)
+		r.List.Entries, r.List.More = s.list(c.Key, c.StartAfter, c.Limit)
 		r.List.Revision = s.revision
 	case storage.StateTxn:
 		return s.txn(from, old, c)
@@ -195,8 +195,8 @@
 		s.names = slices.Sorted(maps.Keys(s.keys))
 	}
 	from, _ := slices.BinarySearch(s.names, max(prefix, after))
-	if most == 0 || most > s.ListMost {
-		most = s.ListMost
+	if most == 0 || most > s.MaxListed {
+		most = s.MaxListed
 	}
 	size := 0
 	for _, k := range s.names[from:] {
@@ -222,21 +222,21 @@
 	r := storage.StateResult{ID: c.ID}
 	if why := s.tooLarge(c.Txn); why != "" {
 		if !s.lowered {
-			s.w.fail("state", "%s", why)
+			s.w.violation("state", "%s", why)
 		}
-		s.RefusedForSize++
+		s.RejectedForSize++
 		r.Outcome = storage.Invalid
 		return r
 	}
 	if len(c.Txn.Then) > s.limits.TxnOps || len(c.Txn.If) > 4*s.limits.TxnOps {
-		s.w.fail("state", "a transaction of %d changes and %d conditions", len(c.Txn.Then), len(c.Txn.If))
+		s.w.violation("state", "a transaction of %d changes and %d conditions", len(c.Txn.Then), len(c.Txn.If))
 	}
 	if n := sizeInJSON(c.Txn); n > protocol.MaxBody {
-		s.w.fail("state", "a transaction of %d bytes", n)
-		r.Outcome = storage.Lost // an answer that the protocol doesn't list
+		s.w.violation("state", "a transaction of %d bytes", n)
+		r.Outcome = storage.Unknown // an answer that the protocol doesn't list
 		return r
 	}
-	if s.RefuseWrites && len(c.Txn.Then) > 0 && c.Txn.Then[0].Put != coordination.LeaderKey {
+	if s.RejectWrites && len(c.Txn.Then) > 0 && c.Txn.Then[0].Put != coordination.LeaderKey {
 		r.Outcome = storage.Refused
 		return r
 	}
@@ -269,8 +269,8 @@
 		s.PageWrites++
 	}
 	for _, ch := range c.Txn.Then {
-		if ch.Drop != "" {
-			delete(s.keys, ch.Drop)
+		if ch.Delete != "" {
+			delete(s.keys, ch.Delete)
 			s.names = nil
 			continue
 		}
@@ -280,7 +280,7 @@
 		s.Puts++
 		s.keys[ch.Put] = entry{protocol.Encode(ch.Value), s.revision, ch.Lease, from}
 	}
-	r.Number = s.revision
+	r.Revision = s.revision
 	return r
 }
 
@@ -290,7 +290,7 @@
 		return fmt.Sprintf("a transaction of %d changes", len(txn.Then))
 	}
 	for _, change := range txn.Then {
-		if n := sizeInJSON(change.Value); change.Drop == "" && n > int(s.limits.ValueKB*1024) {
+		if n := sizeInJSON(change.Value); change.Delete == "" && n > int(s.limits.ValueKB*1024) {
 			return fmt.Sprintf("a value of %d bytes", n)
 		}
 	}
@@ -303,12 +303,12 @@
 func (s *State) checkLimitsToCome(from string, txn protocol.Txn) {
 	next := s.limits.Smallest()
 	for _, change := range txn.Then {
-		if n := sizeInJSON(change.Value); change.Drop == "" && n > int(next.ValueKB*1024) && n > s.storedSize(change.Put) {
-			s.w.fail("state", "%s writes a value of %d bytes, above the limits to come", from, n)
+		if n := sizeInJSON(change.Value); change.Delete == "" && n > int(next.ValueKB*1024) && n > s.storedSize(change.Put) {
+			s.w.violation("state", "%s writes a value of %d bytes, above the limits to come", from, n)
 		}
 	}
 	if len(txn.Then) > next.TxnOps {
-		s.w.fail("state", "%s makes %d changes at once, above the limits to come", from, len(txn.Then))
+		s.w.violation("state", "%s makes %d changes at once, above the limits to come", from, len(txn.Then))
 	}
 }
 
--- a/internal/fake/versions.go
+++ b/internal/fake/versions.go
@@ -9,12 +9,12 @@
 // asProduction is a transaction as the version in production would have written it:
 // of each value, only what that version knows.
 func (w *World) asProduction(txn protocol.Txn) protocol.Txn {
-	if w.Production == nil {
+	if w.AsProduction == nil {
 		return txn
 	}
 	changes := make([]protocol.Change, len(txn.Then))
 	for i, c := range txn.Then {
-		c.Value = msgpack.RawMessage(w.Production(c.Put, protocol.Encode(c.Value)))
+		c.Value = msgpack.RawMessage(w.AsProduction(c.Put, protocol.Encode(c.Value)))
 		changes[i] = c
 	}
 	txn.Then = changes
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -9,7 +9,7 @@
 )
 
 type work struct {
-	protocol.TaskReport
+	protocol.TaskStatus
 	job    *Job
 	worker *Worker
 	on     bool          // has its image and is on its machine, see occupy
@@ -38,16 +38,16 @@
 
 	// Hang stops it until the time; its lease goes on.
 	HangUntil time.Duration
-	// Sick makes every task fail that it starts.
-	Sick bool
+	// FailsTasks makes every task fail that it starts.
+	FailsTasks bool
 }
 
 func (w *World) addWorker(m *machine, mt protocol.MachineType) {
 	wk := &Worker{w: w, m: m, mt: mt, session: 1, leaseFrom: w.Now, images: map[string]time.Duration{}, nextReport: w.Now}
-	w.Workers[m.Host] = wk
-	w.workerNames = append(w.workerNames, m.Host)
-	if w.Booted != nil {
-		w.Booted(m.Machine)
+	w.Workers[m.Name] = wk
+	w.workerNames = append(w.workerNames, m.Name)
+	if w.OnBoot != nil {
+		w.OnBoot(m.Machine)
 	}
 	slices.Sort(w.workerNames)
 }
@@ -84,7 +84,7 @@
 		t.job.on = map[*work]bool{}
 	}
 	t.job.on[t] = true
-	k.w.addUse(t.job.Sub, 1)
+	k.w.addUse(t.job.Submission, 1)
 }
 
 // leave notes that a task is no longer on its machine.
@@ -94,7 +94,7 @@
 	}
 	t.on = false
 	delete(t.job.on, t)
-	k.w.addUse(t.job.Sub, -1)
+	k.w.addUse(t.job.Submission, -1)
 }
 
 func (k *Worker) find(a protocol.Attempt) *work {
@@ -106,17 +106,17 @@
 	return nil
 }
 
-func (k *Worker) report() *protocol.Report {
+func (k *Worker) report() *protocol.Heartbeat {
 	k.seq++
-	r := &protocol.Report{
-		Host: k.m.Host, Addr: k.m.Addr, Type: k.m.Type, Zone: k.m.Zone, Spot: k.m.Spot,
-		Session: k.session, Seq: k.seq, Token: k.token, Notice: -1,
+	r := &protocol.Heartbeat{
+		Machine: k.m.Name, Addr: k.m.Addr, Type: k.m.Type, Zone: k.m.Zone, Spot: k.m.Spot,
+		Incarnation: k.session, Sequence: k.seq, FencingToken: k.token, InterruptionInS: -1,
 	}
 	if k.notice > 0 {
-		r.Notice = max(0, (k.notice - k.w.Now).Seconds())
+		r.InterruptionInS = max(0, (k.notice - k.w.Now).Seconds())
 	}
 	for _, t := range k.tasks {
-		r.Tasks = append(r.Tasks, t.TaskReport)
+		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
 	return r
 }
@@ -128,10 +128,10 @@
 		return
 	}
 	if k.notice > 0 && now >= k.notice {
-		w.Cloud.Take(k.m.Host)
+		w.Cloud.Reclaim(k.m.Name)
 		return
 	}
-	if now-k.leaseFrom > sec(w.Cfg.Settings.Workers.Lease) {
+	if now-k.leaseFrom > sec(w.Cfg.Settings.Workers.LeaseS) {
 		k.session++
 		w.KilledByLease += k.onMachine()
 		k.loseTasks()
@@ -156,18 +156,18 @@
 		if now < t.ready {
 			return
 		}
-		k.images[t.job.Sub.Image] = t.ready
+		k.images[t.job.Submission.Image] = t.ready
 		k.occupy(t)
 		w.checkStart(k, t)
-		if w.OnMachine != nil {
-			w.OnMachine(t.job, t.Task)
+		if w.OnTaskPresent != nil {
+			w.OnTaskPresent(t.job, t.Task)
 		}
 		switch {
-		case k.Sick || t.job.Broken:
-			k.exit(t, protocol.Failed)
+		case k.FailsTasks || t.job.AlwaysFails:
+			k.exit(t, protocol.ExitFailed)
 		case t.job.DoneTasks[t.Task]:
-			k.exit(t, protocol.Done)
-		case t.job.Sub.Shape == protocol.Gang:
+			k.exit(t, protocol.ExitDone)
+		case t.job.Submission.Kind == protocol.Gang:
 			t.State, t.ran = protocol.Waiting, now
 			k.soon()
 		default:
@@ -178,34 +178,34 @@
 		if w.gangComplete(t) {
 			t.State, t.ran = protocol.Running, now
 			k.soon()
-		} else if now-t.ran > sec(w.Cfg.Settings.Workers.GangWait) {
-			k.exit(t, protocol.Alone)
+		} else if now-t.ran > sec(w.Cfg.Settings.Workers.GangStartTimeoutS) {
+			k.exit(t, protocol.ExitGangIncomplete)
 		}
 	case protocol.Running:
 		j := t.job
-		if j.Sub.Shape == protocol.Gang && !w.gangWhole(t) {
-			k.exit(t, protocol.PeersGone)
-		} else if j.Sub.Shape != protocol.Service && now-t.ran >= j.Run-j.Saved[t.Task] {
+		if j.Submission.Kind == protocol.Gang && !w.gangWhole(t) {
+			k.exit(t, protocol.ExitPeersGone)
+		} else if j.Submission.Kind != protocol.Service && now-t.ran >= j.RunTime-j.Saved[t.Task] {
 			j.DoneTasks[t.Task] = true
-			if j.Sub.Shape == protocol.Gang {
-				for i := range j.Sub.Tasks {
+			if j.Submission.Kind == protocol.Gang {
+				for i := range j.Submission.Tasks {
 					j.DoneTasks[i] = true
 				}
 			}
-			k.exit(t, protocol.Done)
+			k.exit(t, protocol.ExitDone)
 		}
-	case protocol.Saving:
+	case protocol.Checkpointing:
 		if now >= t.saveBy {
-			t.Saved = true
-			t.job.Saved[t.Task] = min(t.job.Run, t.job.Saved[t.Task]+t.saveBy-t.ran)
-			k.exit(t, protocol.Stopped)
+			t.Checkpointed = true
+			t.job.Saved[t.Task] = min(t.job.RunTime, t.job.Saved[t.Task]+t.saveBy-t.ran)
+			k.exit(t, protocol.ExitStopped)
 		}
 	}
 }
 
-func (k *Worker) exit(t *work, why protocol.Cause) {
+func (k *Worker) exit(t *work, why protocol.ExitCause) {
 	k.leave(t)
-	t.State, t.Cause = protocol.Exited, why
+	t.State, t.ExitCause = protocol.Exited, why
 	k.soon()
 }
 
@@ -215,33 +215,35 @@
 func (k *Worker) sendReport() {
 	w := k.w
 	r, sent, session := k.report(), w.Now, k.session
-	if w.Overheard != nil {
-		w.Overheard(*r)
+	if w.OnHeartbeat != nil {
+		w.OnHeartbeat(*r)
 	}
 	k.inFlight = true
 	k.flight++
 	flight := k.flight
-	k.nextReport = w.Now + sec(w.Cfg.Settings.Workers.Report)
+	k.nextReport = w.Now + sec(w.Cfg.Settings.Workers.HeartbeatIntervalS)
 	node := k.target
 	over := func() bool { return k.gone || k.flight != flight || !k.inFlight }
 	fail := func() {
 		if !over() {
 			k.inFlight = false
-			k.target = (node + 1) % len(w.Nodes)
+			k.target = (node + 1) % len(w.Controllers)
 			k.nextReport = w.Now + time.Second
 		}
 	}
-	f := w.fate("report", k.m.Host, w.Nodes[node].Name)
+	f := w.fate("report", k.m.Name, w.Controllers[node].Name)
 	w.After(4*time.Second, fail)
 	if f.Copy > 0 {
 		// A late copy, whose answer nobody reads.
-		w.After(f.Copy, func() { w.Nodes[node].deliver(coordination.ReportCall{Report: r}, func(coordination.Reply) {}) })
+		w.After(f.Copy, func() {
+			w.Controllers[node].deliver(coordination.HeartbeatRequest{Heartbeat: r}, func(coordination.Reply) {})
+		})
 	}
 	if f.LoseRequest {
 		return
 	}
 	w.After(f.Request, func() {
-		w.Nodes[node].deliver(coordination.ReportCall{Report: r}, func(a coordination.Reply) {
+		w.Controllers[node].deliver(coordination.HeartbeatRequest{Heartbeat: r}, func(a coordination.Reply) {
 			if f.LoseAnswer {
 				return
 			}
@@ -258,9 +260,9 @@
 				case 421:
 					k.inFlight = false
 					k.nextReport = w.Now + time.Second
-					k.target = (node + 1) % len(w.Nodes)
-					to := protocol.DecodeReportTo(a.Body)
-					for i, n := range w.Nodes {
+					k.target = (node + 1) % len(w.Controllers)
+					to := protocol.DecodeRedirect(a.Body)
+					for i, n := range w.Controllers {
 						if n.Name == to && i != node {
 							k.target, k.nextReport = i, w.Now+100*time.Millisecond
 						}
@@ -274,15 +276,15 @@
 }
 
 func (k *Worker) answered(body []byte, sent time.Duration) {
-	a, err := protocol.DecodeOrders(body)
+	a, err := protocol.DecodeCommands(body)
 	if err != nil {
-		k.w.fail("worker", "an answer that can't be read: %v", err)
+		k.w.violation("worker", "an answer that can't be read: %v", err)
 		return
 	}
-	if a.Token < k.token {
+	if a.FencingToken < k.token {
 		return
 	}
-	k.sawToken(a.Token)
+	k.sawToken(a.FencingToken)
 	k.leaseFrom = max(k.leaseFrom, sent)
 	k.run(a.Commands)
 }
@@ -294,7 +296,7 @@
 		return
 	}
 	k.token = token
-	if half := sec(k.w.Cfg.Settings.Workers.Lease) / 2; k.tokenAt == 0 || k.w.Now-k.tokenAt >= half {
+	if half := sec(k.w.Cfg.Settings.Workers.LeaseS) / 2; k.tokenAt == 0 || k.w.Now-k.tokenAt >= half {
 		k.tokenAt = k.w.Now
 		k.soon()
 	}
@@ -310,7 +312,7 @@
 			}
 		case protocol.Stop:
 			if t != nil && t.State != protocol.Exited {
-				k.stop(t, c.Grace)
+				k.stop(t, c.GracePeriodS)
 			}
 		case protocol.Forget:
 			if t != nil && t.State == protocol.Exited {
@@ -323,68 +325,68 @@
 
 // stop has a task save what it can within the grace, and exit.
 func (k *Worker) stop(t *work, grace float64) {
-	saves := t.job != nil && t.job.Sub.SaveEach > 0 && t.job.Sub.Shape != protocol.Gang && grace >= t.job.Sub.SaveTime
+	saves := t.job != nil && t.job.Submission.CheckpointIntervalS > 0 && t.job.Submission.Kind != protocol.Gang && grace >= t.job.Submission.CheckpointDurationS
 	switch {
-	case t.State == protocol.Saving:
+	case t.State == protocol.Checkpointing:
 		if grace == 0 {
-			k.exit(t, protocol.Stopped)
+			k.exit(t, protocol.ExitStopped)
 		}
 	case t.State == protocol.Running && saves:
-		t.State, t.saveBy = protocol.Saving, k.w.Now+sec(t.job.Sub.SaveTime)
+		t.State, t.saveBy = protocol.Checkpointing, k.w.Now+sec(t.job.Submission.CheckpointDurationS)
 		k.soon()
 	default:
-		k.exit(t, protocol.Stopped)
+		k.exit(t, protocol.ExitStopped)
 	}
 }
 
 func (k *Worker) start(at protocol.Attempt) {
 	w := k.w
-	t := &work{TaskReport: protocol.TaskReport{Attempt: at, State: protocol.Fetching}, job: w.Jobs[at.Job], worker: k}
+	t := &work{TaskStatus: protocol.TaskStatus{Attempt: at, State: protocol.Fetching}, job: w.Jobs[at.Job], worker: k}
 	k.tasks = append(k.tasks, t)
 	k.soon()
 	if t.job == nil {
-		k.exit(t, protocol.Unknown)
+		k.exit(t, protocol.ExitUnknownJob)
 		return
 	}
-	if w.Started != nil {
-		w.Started(t.job, t.Task)
+	if w.OnStart != nil {
+		w.OnStart(t.job, t.Task)
 	}
-	s := t.job.Sub
+	s := t.job.Submission
 	cpus, gpus, mem := s.CPUs, s.GPUs, s.MemoryGB
 	for _, x := range k.tasks {
 		if x == t || x.State == protocol.Exited {
 			continue
 		}
 		if x.Job == at.Job && x.Task == at.Task {
-			k.exit(t, protocol.Busy)
+			k.exit(t, protocol.ExitTaskAlreadyPresent)
 			return
 		}
-		cpus, gpus, mem = cpus+x.job.Sub.CPUs, gpus+x.job.Sub.GPUs, mem+x.job.Sub.MemoryGB
+		cpus, gpus, mem = cpus+x.job.Submission.CPUs, gpus+x.job.Submission.GPUs, mem+x.job.Submission.MemoryGB
 	}
 	if cpus > k.mt.CPUs+1e-6 || gpus > k.mt.GPUs+1e-6 || mem > k.mt.MemoryGB+1e-6 {
-		k.exit(t, protocol.NoRoom)
+		k.exit(t, protocol.ExitInsufficientResources)
 		return
 	}
 	t.ready = w.Now
 	if _, ok := k.images[s.Image]; !ok {
-		t.ready += sec(s.ImageGB / k.mt.FetchRate)
+		t.ready += sec(s.ImageGB / k.mt.FetchGBPerS)
 	}
 }
 
-// orders executes direct commands, however late they come.
-func (k *Worker) orders(c coordination.OrdersCall) coordination.OrdersResult {
-	r := coordination.OrdersResult{ID: c.ID, Host: c.Host}
-	if c.Token < k.token || c.Session != k.session {
+// execute executes direct commands, however late they come.
+func (k *Worker) execute(c coordination.CommandsCall) coordination.CommandsResult {
+	r := coordination.CommandsResult{ID: c.ID, Machine: c.Machine}
+	if c.FencingToken < k.token || c.Incarnation != k.session {
 		r.Outcome = coordination.Conflict
 	} else {
-		k.sawToken(c.Token)
-		o, err := protocol.DecodeOrders(protocol.EncodeOrders(c.Token, c.Session, c.Commands))
+		k.sawToken(c.FencingToken)
+		o, err := protocol.DecodeCommands(protocol.EncodeCommands(c.FencingToken, c.Incarnation, c.Commands))
 		if err != nil {
-			k.w.fail("worker", "orders that can't be read: %v", err)
+			k.w.violation("worker", "orders that can't be read: %v", err)
 			return r
 		}
 		k.run(o.Commands)
 	}
-	r.Report = k.report()
+	r.Heartbeat = k.report()
 	return r
 }
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -13,8 +13,8 @@
 
 func sec(s float64) time.Duration { return config.Seconds(s) }
 
-// Fate is what the network does to one exchange.
-type Fate struct {
+// Delivery is what the network does to one exchange.
+type Delivery struct {
 	Request, Answer         time.Duration
 	LoseRequest, LoseAnswer bool
 	Copy                    time.Duration // a second delivery of the request, so much later; 0: none
@@ -22,42 +22,42 @@
 
 // World holds everything, and checks the rules as it goes.
 type World struct {
-	Now     time.Duration
-	Cfg     *config.Config
-	State   *State
-	Cloud   *Cloud
-	Nodes   []*Node
-	Workers map[string]*Worker
-	Jobs    map[string]*Job
+	Now         time.Duration
+	Cfg         *config.Config
+	State       *State
+	Cloud       *Cloud
+	Controllers []*Controller
+	Workers     map[string]*Worker
+	Jobs        map[string]*Job
 	// Network decides what happens to each exchange; nil: all is well.
-	Network func(kind, from, to string) Fate
-	// Broken lists the rules that were broken.
-	Broken []string
+	Network func(kind, from, to string) Delivery
+	// Violations lists the rules that were broken.
+	Violations []string
 	// Log has the nodes' lines.
 	Log []string
-	// Overheard is told of every report that a worker sends, so that a test can
+	// OnHeartbeat is told of every report that a worker sends, so that a test can
 	// keep copies and hand them in later.
-	Overheard func(r protocol.Report)
+	OnHeartbeat func(r protocol.Heartbeat)
 
-	// HoldsWrites has Network tell writes of pages apart, as "write", from the other
+	// SeparateWrites has Network tell writes of pages apart, as "write", from the other
 	// calls to the state service.
-	HoldsWrites bool
-	// Production is what is left of a stored value once the version in production has
+	SeparateWrites bool
+	// AsProduction is what is left of a stored value once the version in production has
 	// read it and written it back.
-	Production func(key string, value []byte) []byte
+	AsProduction func(key string, value []byte) []byte
 
-	// Observe is told of every effect of a controller, before it is carried out.
-	Observe func(node string, effect coordination.Effect)
+	// OnEffect is told of every effect of a controller, before it is carried out.
+	OnEffect func(node string, effect coordination.Effect)
 
 	// KilledByLease counts tasks that workers ended because their lease had lapsed.
 	KilledByLease int
 	// TasksDied counts tasks that were on machines that died.
 	TasksDied int
-	// Started is told of every start that a worker executes, OnMachine of every task
+	// OnStart is told of every start that a worker executes, OnTaskPresent of every task
 	// that has its image.
-	Started, OnMachine func(j *Job, task int)
-	// Booted is told of every machine that comes up.
-	Booted func(m protocol.Machine)
+	OnStart, OnTaskPresent func(j *Job, task int)
+	// OnBoot is told of every machine that comes up.
+	OnBoot func(m protocol.Machine)
 
 	workerNames []string
 	jobNames    []string
@@ -75,21 +75,21 @@
 	return config.Settings{
 		Size: 3, Zones: []string{"a", "b"},
 		Teams: []config.Team{
-			{Name: "red", CPUs: 8, CPUsMax: 12},
-			{Name: "blue", CPUs: 4},
+			{Name: "red", GuaranteedCPUs: 8, CPULimit: 12},
+			{Name: "blue", GuaranteedCPUs: 4},
 		},
-		Workers: config.Workers{Report: 2, Lease: 10, GangWait: 15, GangPeer: 3, Cancel: 25},
+		Workers: config.Workers{HeartbeatIntervalS: 2, LeaseS: 10, GangStartTimeoutS: 15, GangPeerTimeoutS: 3, CancelWithinS: 25},
 		State:   config.State{RPS: 200, WriteRPS: 40, ValueKB: 2, TxnOps: 4},
-		Cloud:   config.Cloud{RPS: 4, ListLag: 4},
-		Limits:  config.Limits{CPU: 0.2, MemMB: 96, MaxConnections: 400},
+		Cloud:   config.Cloud{RPS: 4, ListLagS: 4},
+		Limits:  config.Limits{CPU: 0.2, MemoryMB: 96, MaxConnections: 400},
 	}
 }
 
 // Types are the machine types that the fake cloud rents.
 func Types() []protocol.MachineType {
 	return []protocol.MachineType{
-		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 100, FetchRate: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"a", "b"}},
-		{Name: "large", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchRate: 2, Price: 4.4, SpotPrice: 1.5, BootS: 8, Zones: []string{"a"}},
+		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 100, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"a", "b"}},
+		{Name: "large", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchGBPerS: 2, Price: 4.4, SpotPrice: 1.5, BootS: 8, Zones: []string{"a"}},
 	}
 }
 
@@ -99,9 +99,9 @@
 	w := newWorld(s, Types())
 	drifts := []float64{0, 0.0005, -0.0005}
 	for i := range s.Size {
-		w.Nodes = append(w.Nodes, &Node{w: w, Name: "n" + strconv.Itoa(i), Index: i, drift: drifts[i%len(drifts)]})
+		w.Controllers = append(w.Controllers, &Controller{w: w, Name: "n" + strconv.Itoa(i), Index: i, drift: drifts[i%len(drifts)]})
 	}
-	for _, n := range w.Nodes {
+	for _, n := range w.Controllers {
 		n.Start()
 	}
 	return w
@@ -111,7 +111,7 @@
 func newWorld(s config.Settings, types []protocol.MachineType) *World {
 	w := &World{Cfg: &config.Config{Settings: s}, Workers: map[string]*Worker{}, Jobs: map[string]*Job{}, use: map[string][2]float64{}}
 	w.State = newState(w, s.State)
-	w.Cloud = &Cloud{w: w, types: types, requests: map[string][]string{}, Most: 16}
+	w.Cloud = &Cloud{w: w, types: types, requests: map[string][]string{}, Capacity: 16}
 	return w
 }
 
@@ -144,19 +144,21 @@
 	return ok()
 }
 
-func (w *World) fate(kind, from, to string) Fate {
+func (w *World) fate(kind, from, to string) Delivery {
 	if w.Network != nil {
 		return w.Network(kind, from, to)
 	}
-	return Well()
+	return Reliable()
 }
 
-// Well is a network without faults.
-func Well() Fate { return Fate{Request: 2 * time.Millisecond, Answer: 2 * time.Millisecond} }
+// Reliable is a network without faults.
+func Reliable() Delivery {
+	return Delivery{Request: 2 * time.Millisecond, Answer: 2 * time.Millisecond}
+}
 
 // node finds a node by its name.
-func (w *World) node(name string) *Node {
-	for _, n := range w.Nodes {
+func (w *World) node(name string) *Controller {
+	for _, n := range w.Controllers {
 		if n.Name == name {
 			return n
 		}
@@ -165,8 +167,8 @@
 }
 
 // Leader is the node that leads, if any.
-func (w *World) Leader() *Node {
-	for _, n := range w.Nodes {
+func (w *World) Leader() *Controller {
+	for _, n := range w.Controllers {
 		if n.Leads() {
 			return n
 		}
@@ -174,15 +176,15 @@
 	return nil
 }
 
-// MachinesKnown is how many machines the leader knows of, as it tells operators; -1: nobody
+// KnownMachines is how many machines the leader knows of, as it tells operators; -1: nobody
 // leads.
-func (w *World) MachinesKnown() int {
+func (w *World) KnownMachines() int {
 	l := w.Leader()
 	if l == nil {
 		return -1
 	}
 	known := -1
-	l.Ask(coordination.AdminCall{Kind: coordination.AdminStatus}, func(r coordination.Reply) {
+	l.Request(coordination.AdminRequest{Kind: coordination.AdminStatus}, func(r coordination.Reply) {
 		var status coordination.Status
 		if json.Unmarshal(r.Body, &status) != nil || status.Leads == nil {
 			return
@@ -214,18 +216,18 @@
 	return nil
 }
 
-// On names the machines on which a job has tasks.
-func (w *World) On(id string) []string {
+// MachinesOf names the machines on which a job has tasks.
+func (w *World) MachinesOf(id string) []string {
 	var out []string
 	for t := range w.present(id) {
-		out = append(out, t.worker.m.Host)
+		out = append(out, t.worker.m.Name)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Names lists the machines that are up.
-func (w *World) Names() []string {
+// MachineNames lists the machines that are up.
+func (w *World) MachineNames() []string {
 	var out []string
 	for _, name := range w.workerNames {
 		if !w.Workers[name].gone {
@@ -243,8 +245,8 @@
 	}
 }
 
-// KindOf is a machine's type.
-func (w *World) KindOf(name string) string { return w.Workers[name].m.Type }
+// TypeOf is a machine's type.
+func (w *World) TypeOf(name string) string { return w.Workers[name].m.Type }
 
 // ZoneOf is a machine's zone.
 func (w *World) ZoneOf(name string) string { return w.Workers[name].m.Zone }
