--- a/internal/protocol/decode.go
+++ b/internal/protocol/decode.go
@@ -94,26 +94,26 @@
 
 // Submission is a job as its user describes it.
 type Submission struct {
-	ID       string
-	Class    string
-	Team     string
-	Shape    Shape
-	Priority Priority
-	Tasks    int
-	CPUs     float64
-	GPUs     float64
-	MemoryGB float64
-	Image    string
-	ImageGB  float64
-	Types    []string // nil: any
-	Zone     string   // empty: any
-	OneZone  bool
-	Spread   bool
-	Spot     bool
-	Estimate float64
-	SaveEach float64
-	SaveTime float64
-	Deadline float64 // 0: none
+	ID                  string
+	Class               string
+	Team                string
+	Kind                JobKind
+	Priority            Priority
+	Tasks               int
+	CPUs                float64
+	GPUs                float64
+	MemoryGB            float64
+	Image               string
+	ImageGB             float64
+	Types               []string // nil: any
+	Zone                string   // empty: any
+	OneZone             bool
+	Spread              bool
+	Spot                bool
+	EstimatedRunS       float64
+	CheckpointIntervalS float64
+	CheckpointDurationS float64
+	DeadlineS           float64 // 0: none
 	// Prerequisites are jobs that have to be done before any task may start.
 	Prerequisites []string
 }
@@ -229,9 +229,9 @@
 		CPUs: f.amount("vcpus", w.VCPUs), GPUs: f.amount("gpus", w.GPUs), MemoryGB: f.amount("mem_gb", w.MemGB),
 		Image: f.text("bundle", w.Bundle), ImageGB: f.amount("image_gb", w.ImageGB),
 		OneZone: f.flag("together", w.Together), Spread: f.flag("spread", w.Spread), Spot: f.flag("loaners", w.Loaners),
-		Estimate: f.amount("expected_s", w.Expected), SaveEach: f.amount("savepoint_s", w.Savepoint),
-		SaveTime: f.amount("saving_s", w.Saving), Types: f.kinds(w.Kinds),
-		Shape: wordOf(&f, "shape", shapeWords, w.Shape), Priority: wordOf(&f, "rank", priorityWords, w.Rank),
+		EstimatedRunS: f.amount("expected_s", w.Expected), CheckpointIntervalS: f.amount("savepoint_s", w.Savepoint),
+		CheckpointDurationS: f.amount("saving_s", w.Saving), Types: f.kinds(w.Kinds),
+		Kind: wordOf(&f, "shape", jobKindWords, w.Shape), Priority: wordOf(&f, "rank", priorityWords, w.Rank),
 	}
 	if f.bad == nil && !ValidJobID(s.ID) {
 		f.fail("id: not a job id")
@@ -245,7 +245,7 @@
 		s.Zone = f.text("site", w.Site)
 	}
 	if w.Due != nil {
-		s.Deadline = f.amount("due_s", w.Due)
+		s.DeadlineS = f.amount("due_s", w.Due)
 	}
 	if f.bad != nil {
 		return nil, f.bad
@@ -292,9 +292,9 @@
 
 // Attempt names one start of one task.
 type Attempt struct {
-	Job  string
-	Task int
-	Try  int64
+	Job    string
+	Task   int
+	Number int64
 }
 
 func (a Attempt) piece() string { return a.Job + "/" + strconv.Itoa(a.Task) }
@@ -311,34 +311,34 @@
 	return job, n, true
 }
 
-// TaskReport is one task of a report.
-type TaskReport struct {
+// TaskStatus is one task of a report.
+type TaskStatus struct {
 	Attempt
-	State TaskState
-	Cause Cause
-	Saved bool
+	State        TaskState
+	ExitCause    ExitCause
+	Checkpointed bool
 }
 
-// Report is a worker's account of its machine.
-type Report struct {
-	Host    string
-	Addr    string
-	Type    string
-	Zone    string
-	Spot    bool
-	Session int64
-	Seq     int64
-	Token   int64
-	Notice  float64 // seconds until the machine is taken; negative: none
-	Tasks   []TaskReport
+// Heartbeat is a worker's account of its machine.
+type Heartbeat struct {
+	Machine         string
+	Addr            string
+	Type            string
+	Zone            string
+	Spot            bool
+	Incarnation     int64
+	Sequence        int64
+	FencingToken    int64
+	InterruptionInS float64 // seconds until the machine is taken; negative: none
+	Tasks           []TaskStatus
 }
 
 // Newer tells whether the report is newer than a message numbered (session, seq).
-func (r *Report) Newer(session, seq int64) bool {
-	return r.Session > session || r.Session == session && r.Seq > seq
+func (r *Heartbeat) Newer(session, seq int64) bool {
+	return r.Incarnation > session || r.Incarnation == session && r.Sequence > seq
 }
 
-type wirePiece struct {
+type wireTask struct {
 	Piece  string `msgpack:"piece"`
 	Try    *int64 `msgpack:"try"`
 	Status string `msgpack:"status"`
@@ -346,25 +346,25 @@
 	Kept   bool   `msgpack:"kept,omitempty"`
 }
 
-type wireReport struct {
-	Host    *string      `msgpack:"host"`
-	Address *string      `msgpack:"address"`
-	Kind    *string      `msgpack:"host_kind"`
-	Site    *string      `msgpack:"site"`
-	Loaners *bool        `msgpack:"loaners"`
-	Shift   *int64       `msgpack:"shift"`
-	Tick    *int64       `msgpack:"tick"`
-	Baton   *int64       `msgpack:"baton"`
-	Recall  *float64     `msgpack:"recall_s"`
-	Pieces  *[]wirePiece `msgpack:"pieces"`
+type wireHeartbeat struct {
+	Host    *string     `msgpack:"host"`
+	Address *string     `msgpack:"address"`
+	Kind    *string     `msgpack:"host_kind"`
+	Site    *string     `msgpack:"site"`
+	Loaners *bool       `msgpack:"loaners"`
+	Shift   *int64      `msgpack:"shift"`
+	Tick    *int64      `msgpack:"tick"`
+	Baton   *int64      `msgpack:"baton"`
+	Recall  *float64    `msgpack:"recall_s"`
+	Pieces  *[]wireTask `msgpack:"pieces"`
 }
 
-// DecodeReport reads and checks a worker's report.
-func DecodeReport(body []byte) (*Report, error) {
+// DecodeHeartbeat reads and checks a worker's report.
+func DecodeHeartbeat(body []byte) (*Heartbeat, error) {
 	if err := checkBody(body); err != nil {
 		return nil, err
 	}
-	var w wireReport
+	var w wireHeartbeat
 	if err := msgpack.Unmarshal(body, &w); err != nil {
 		return nil, malformed("%v", err)
 	}
@@ -376,22 +376,22 @@
 	if *w.Shift < 0 || *w.Tick < 0 || *w.Baton < 0 {
 		return nil, malformed("a count is out of range")
 	}
-	r := &Report{
-		Host: *w.Host, Addr: *w.Address, Type: *w.Kind, Zone: *w.Site, Spot: *w.Loaners,
-		Session: *w.Shift, Seq: *w.Tick, Token: *w.Baton, Notice: -1,
+	r := &Heartbeat{
+		Machine: *w.Host, Addr: *w.Address, Type: *w.Kind, Zone: *w.Site, Spot: *w.Loaners,
+		Incarnation: *w.Shift, Sequence: *w.Tick, FencingToken: *w.Baton, InterruptionInS: -1,
 	}
 	if w.Recall != nil && !math.IsNaN(*w.Recall) {
-		r.Notice = max(0, *w.Recall)
+		r.InterruptionInS = max(0, *w.Recall)
 	}
-	r.Tasks = make([]TaskReport, 0, len(*w.Pieces))
+	r.Tasks = make([]TaskStatus, 0, len(*w.Pieces))
 	for _, p := range *w.Pieces {
 		job, idx, ok := parsePiece(p.Piece)
 		state, known := stateWords[p.Status]
 		if !ok || !known || p.Try == nil {
 			return nil, malformed("pieces: %q", p.Piece)
 		}
-		r.Tasks = append(r.Tasks, TaskReport{
-			Attempt: Attempt{Job: job, Task: idx, Try: *p.Try}, State: state, Cause: causeWords[p.Cause], Saved: p.Kept,
+		r.Tasks = append(r.Tasks, TaskStatus{
+			Attempt: Attempt{Job: job, Task: idx, Number: *p.Try}, State: state, ExitCause: causeWords[p.Cause], Checkpointed: p.Kept,
 		})
 	}
 	return r, nil
--- a/internal/protocol/decode_test.go
+++ b/internal/protocol/decode_test.go
@@ -33,14 +33,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Shape != Gang || s.Priority != High || s.Tasks != 16 || s.CPUs != 8 || s.Zone != "" || s.Deadline != 900 || len(s.Types) != 1 {
+	if s.Kind != Gang || s.Priority != High || s.Tasks != 16 || s.CPUs != 8 || s.Zone != "" || s.DeadlineS != 900 || len(s.Types) != 1 {
 		t.Errorf("read as %+v", s)
 	}
 	m := good()
 	delete(m, "kinds_of_host")
 	delete(m, "due_s")
 	m["pieces"] = uint64(100000)
-	if s, err = DecodeSubmission(body(t, m)); err != nil || s.Types != nil || s.Deadline != 0 || s.Tasks != 100000 {
+	if s, err = DecodeSubmission(body(t, m)); err != nil || s.Types != nil || s.DeadlineS != 0 || s.Tasks != 100000 {
 		t.Errorf("null and omitted differ: %+v, %v", s, err)
 	}
 }
@@ -97,14 +97,14 @@
 		"host": "i-1", "address": "10.1.0.1:9000", "host_kind": "g8", "site": "a", "loaners": true, "shift": 1, "tick": 88, "baton": 41,
 		"pieces": []any{map[string]any{"piece": "wk-000398/0", "try": 1, "status": "ended", "cause": "done"}},
 	}
-	r, err := DecodeReport(body(t, m))
-	if err != nil || r.Notice >= 0 || len(r.Tasks) != 1 || r.Tasks[0].Cause != Done || r.Tasks[0].Job != "wk-000398" {
+	r, err := DecodeHeartbeat(body(t, m))
+	if err != nil || r.InterruptionInS >= 0 || len(r.Tasks) != 1 || r.Tasks[0].ExitCause != ExitDone || r.Tasks[0].Job != "wk-000398" {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	for k := range m {
 		less := maps.Clone(m)
 		delete(less, k)
-		if _, err := DecodeReport(body(t, less)); !errors.Is(err, ErrMalformed) {
+		if _, err := DecodeHeartbeat(body(t, less)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("without %s: got %v", k, err)
 		}
 	}
@@ -117,7 +117,7 @@
 		if s, err := DecodeSubmission(b); err == nil && (s.Tasks < 1 || !ValidJobID(s.ID)) {
 			t.Errorf("took %+v", s)
 		}
-		if r, err := DecodeReport(b); err == nil && r.Host == "" {
+		if r, err := DecodeHeartbeat(b); err == nil && r.Machine == "" {
 			t.Error("took a report of nobody")
 		}
 	})
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -33,7 +33,7 @@
 type Command struct {
 	Verb Verb
 	Attempt
-	Grace float64 // of a Stop
+	GracePeriodS float64 // of a Stop
 }
 
 type wireCommand struct {
@@ -46,13 +46,13 @@
 func wireCommands(cmds []Command) []wireCommand {
 	out := make([]wireCommand, len(cmds))
 	for i, c := range cmds {
-		w := wireCommand{Piece: c.piece(), Try: c.Try}
+		w := wireCommand{Piece: c.piece(), Try: c.Number}
 		switch c.Verb {
 		case Start:
 			w.Verb = verbStart
 		case Stop:
 			w.Verb = verbStop
-			w.WindDown = &cmds[i].Grace
+			w.WindDown = &cmds[i].GracePeriodS
 		case Forget:
 			w.Verb = verbForget
 		}
@@ -61,24 +61,24 @@
 	return out
 }
 
-// EncodeReportAnswer is the 200 to a report.
-func EncodeReportAnswer(token int64, cmds []Command) []byte {
+// EncodeHeartbeatResponse is the 200 to a report.
+func EncodeHeartbeatResponse(token int64, cmds []Command) []byte {
 	return Encode(struct {
 		Baton  int64         `msgpack:"baton"`
 		Orders []wireCommand `msgpack:"orders"`
 	}{token, wireCommands(cmds)})
 }
 
-// EncodeReportTo is the 421 that sends a worker to another node.
-func EncodeReportTo(node string) []byte {
+// EncodeRedirect is the 421 that sends a worker to another node.
+func EncodeRedirect(node string) []byte {
 	if node == "" {
 		return Encode(map[string]string{})
 	}
 	return Encode(map[string]string{"foreman": node})
 }
 
-// EncodeOrders is the body of direct commands to a worker.
-func EncodeOrders(token, session int64, cmds []Command) []byte {
+// EncodeCommands is the body of direct commands to a worker.
+func EncodeCommands(token, session int64, cmds []Command) []byte {
 	return Encode(struct {
 		Baton  int64         `msgpack:"baton"`
 		Shift  int64         `msgpack:"shift"`
@@ -86,8 +86,8 @@
 	}{token, session, wireCommands(cmds)})
 }
 
-// JobAnswer tells a user about a job.
-type JobAnswer struct {
+// JobResponse tells a user about a job.
+type JobResponse struct {
 	ID      string `msgpack:"id"`
 	Status  string `msgpack:"status"`
 	Done    *int   `msgpack:"done,omitempty"`
@@ -99,16 +99,16 @@
 
 // MachineType is what the cloud offers.
 type MachineType struct {
-	Name      string   `msgpack:"sku"`
-	CPUs      float64  `msgpack:"vcpus"`
-	GPUs      float64  `msgpack:"gpus"`
-	MemoryGB  float64  `msgpack:"mem_gb"`
-	CacheGB   float64  `msgpack:"local_gb"`
-	FetchRate float64  `msgpack:"fetch_gb_per_s"`
-	Price     float64  `msgpack:"price"`
-	SpotPrice float64  `msgpack:"low_price"`
-	BootS     float64  `msgpack:"boot_s"`
-	Zones     []string `msgpack:"sites"`
+	Name        string   `msgpack:"sku"`
+	CPUs        float64  `msgpack:"vcpus"`
+	GPUs        float64  `msgpack:"gpus"`
+	MemoryGB    float64  `msgpack:"mem_gb"`
+	CacheGB     float64  `msgpack:"local_gb"`
+	FetchGBPerS float64  `msgpack:"fetch_gb_per_s"`
+	Price       float64  `msgpack:"price"`
+	SpotPrice   float64  `msgpack:"low_price"`
+	BootS       float64  `msgpack:"boot_s"`
+	Zones       []string `msgpack:"sites"`
 }
 
 // MachineTypes is the cloud's offer.
@@ -116,23 +116,23 @@
 	Types []MachineType `msgpack:"kinds_of_host"`
 }
 
-// Rental asks the cloud for machines.
-type Rental struct {
-	Request string `msgpack:"hire"`
-	Type    string `msgpack:"host_kind"`
-	Zone    string `msgpack:"site"`
-	Spot    bool   `msgpack:"loaners"`
-	Count   int    `msgpack:"how_many"`
+// ProvisioningRequest asks the cloud for machines.
+type ProvisioningRequest struct {
+	RequestID string `msgpack:"hire"`
+	Type      string `msgpack:"host_kind"`
+	Zone      string `msgpack:"site"`
+	Spot      bool   `msgpack:"loaners"`
+	Count     int    `msgpack:"how_many"`
 }
 
-// Hosts names machines: the answer to a rental, the body of a return.
-type Hosts struct {
-	Hosts []string `msgpack:"hosts"`
+// MachineNames names machines: the answer to a rental, the body of a return.
+type MachineNames struct {
+	Names []string `msgpack:"hosts"`
 }
 
 // Machine is an entry of the cloud's list.
 type Machine struct {
-	Host   string  `msgpack:"id"`
+	Name   string  `msgpack:"id"`
 	Addr   string  `msgpack:"address"`
 	Type   string  `msgpack:"host_kind"`
 	Zone   string  `msgpack:"site"`
@@ -177,10 +177,10 @@
 
 // Change writes a key, or drops one.
 type Change struct {
-	Put   string `msgpack:"write,omitempty"`
-	Value any    `msgpack:"value,omitempty"`
-	Lease int64  `msgpack:"permit,omitempty"`
-	Drop  string `msgpack:"drop,omitempty"`
+	Put    string `msgpack:"write,omitempty"`
+	Value  any    `msgpack:"value,omitempty"`
+	Lease  int64  `msgpack:"permit,omitempty"`
+	Delete string `msgpack:"drop,omitempty"`
 }
 
 // Txn is a transaction of the state service.
@@ -189,28 +189,28 @@
 	Then []Change    `msgpack:"then,omitempty"`
 }
 
-// TxnAnswer is the outcome of a transaction.
-type TxnAnswer struct {
+// TxnResponse is the outcome of a transaction.
+type TxnResponse struct {
 	Failed   []string `msgpack:"failed"`
 	Revision int64    `msgpack:"ledger"`
 	Error    string   `msgpack:"error"`
 }
 
-// Grant is a lease of the state service.
-type Grant struct {
+// LeaseGrant is a lease of the state service.
+type LeaseGrant struct {
 	Lease int64 `msgpack:"permit"`
 }
 
-// GrantRequest asks for one.
-type GrantRequest struct {
+// LeaseRequest asks for one.
+type LeaseRequest struct {
 	TTLms int64 `msgpack:"life_ms"`
 }
 
-// GrantPath is where a lease is.
-func GrantPath(lease int64) string { return fmt.Sprintf("%s/%d", PathGrants, lease) }
+// LeasePath is where a lease is.
+func LeasePath(lease int64) string { return fmt.Sprintf("%s/%d", PathLeases, lease) }
 
-// RenewPath is where a lease is renewed.
-func RenewPath(lease int64) string { return GrantPath(lease) + renewSuffix }
+// LeaseRenewalPath is where a lease is renewed.
+func LeaseRenewalPath(lease int64) string { return LeasePath(lease) + renewSuffix }
 
 // StepDown is what a new leader tells its peers: terms below Term are over, and it
 // is the one that leads. A Term of 0 is no more than a greeting.
@@ -221,11 +221,11 @@
 	ReadsArchive bool `msgpack:"reads_archive,omitempty"`
 }
 
-// StepDownAnswer says whether the node has let go of every term below.
-type StepDownAnswer struct {
-	SteppedDown bool  `msgpack:"released"`
-	Led         int64 `msgpack:"taken"` // the last term of which this process has read the records; 0: none
-	UpMs        int64 `msgpack:"up_ms"` // for how long it has been running
+// StepDownResponse says whether the node has let go of every term below.
+type StepDownResponse struct {
+	SteppedDown    bool  `msgpack:"released"`
+	LastLoadedTerm int64 `msgpack:"taken"` // the last term of which this process has read the records; 0: none
+	UptimeMs       int64 `msgpack:"up_ms"` // for how long it has been running
 	// ReadsArchive answers the question of the same name; earlier versions never do.
 	ReadsArchive bool `msgpack:"reads_archive,omitempty"`
 }
--- a/internal/protocol/standin.go
+++ b/internal/protocol/standin.go
@@ -21,37 +21,37 @@
 	return ""
 }
 
-// EncodeReport is a worker's report.
-func EncodeReport(r *Report) []byte {
-	pieces := make([]wirePiece, len(r.Tasks))
+// EncodeHeartbeat is a worker's report.
+func EncodeHeartbeat(r *Heartbeat) []byte {
+	pieces := make([]wireTask, len(r.Tasks))
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		pieces[i] = wirePiece{Piece: t.piece(), Try: &t.Try, Status: word(stateWords, t.State), Kept: t.Saved}
+		pieces[i] = wireTask{Piece: t.piece(), Try: &t.Number, Status: word(stateWords, t.State), Kept: t.Checkpointed}
 		if t.State == Exited {
-			pieces[i].Cause = word(causeWords, t.Cause)
+			pieces[i].Cause = word(causeWords, t.ExitCause)
 		}
 	}
-	w := wireReport{
-		Host: &r.Host, Address: &r.Addr, Kind: &r.Type, Site: &r.Zone, Loaners: &r.Spot,
-		Shift: &r.Session, Tick: &r.Seq, Baton: &r.Token, Pieces: &pieces,
+	w := wireHeartbeat{
+		Host: &r.Machine, Address: &r.Addr, Kind: &r.Type, Site: &r.Zone, Loaners: &r.Spot,
+		Shift: &r.Incarnation, Tick: &r.Sequence, Baton: &r.FencingToken, Pieces: &pieces,
 	}
-	if r.Notice >= 0 {
-		w.Recall = &r.Notice
+	if r.InterruptionInS >= 0 {
+		w.Recall = &r.InterruptionInS
 	}
 	return Encode(w)
 }
 
-// Orders are a worker's commands: the answer to a report, or the body of a direct command.
-type Orders struct {
-	Token    int64
-	Session  int64 // of direct commands
-	Commands []Command
+// WorkerCommands are a worker's commands: the answer to a report, or the body of a direct command.
+type WorkerCommands struct {
+	FencingToken int64
+	Incarnation  int64 // of direct commands
+	Commands     []Command
 	// Complete tells whether both token and session are there.
 	Complete bool
 }
 
-// DecodeOrders reads commands to a worker.
-func DecodeOrders(body []byte) (*Orders, error) {
+// DecodeCommands reads commands to a worker.
+func DecodeCommands(body []byte) (*WorkerCommands, error) {
 	var w struct {
 		Baton  *int64        `msgpack:"baton"`
 		Shift  *int64        `msgpack:"shift"`
@@ -60,12 +60,12 @@
 	if err := Decode(body, &w); err != nil {
 		return nil, malformed("%v", err)
 	}
-	o := &Orders{Complete: w.Baton != nil && w.Shift != nil}
+	o := &WorkerCommands{Complete: w.Baton != nil && w.Shift != nil}
 	if w.Baton != nil {
-		o.Token = *w.Baton
+		o.FencingToken = *w.Baton
 	}
 	if w.Shift != nil {
-		o.Session = *w.Shift
+		o.Incarnation = *w.Shift
 	}
 	verbs := map[string]Verb{verbStart: Start, verbStop: Stop, verbForget: Forget}
 	for _, c := range w.Orders {
@@ -74,17 +74,17 @@
 		if !ok || !known {
 			return nil, malformed("a command %q for %q", c.Verb, c.Piece)
 		}
-		command := Command{Verb: verb, Attempt: Attempt{Job: job, Task: index, Try: c.Try}}
+		command := Command{Verb: verb, Attempt: Attempt{Job: job, Task: index, Number: c.Try}}
 		if c.WindDown != nil {
-			command.Grace = *c.WindDown
+			command.GracePeriodS = *c.WindDown
 		}
 		o.Commands = append(o.Commands, command)
 	}
 	return o, nil
 }
 
-// DecodeReportTo reads which node a 421 sends a worker to; empty: none.
-func DecodeReportTo(body []byte) string {
+// DecodeRedirect reads which node a 421 sends a worker to; empty: none.
+func DecodeRedirect(body []byte) string {
 	var w struct {
 		Foreman string `msgpack:"foreman"`
 	}
@@ -96,12 +96,12 @@
 
 // EncodeSubmission is a user's submission.
 func EncodeSubmission(s *Submission) []byte {
-	shape, rank, pieces := word(shapeWords, s.Shape), word(priorityWords, s.Priority), int64(s.Tasks)
+	shape, rank, pieces := word(jobKindWords, s.Kind), word(priorityWords, s.Priority), int64(s.Tasks)
 	w := wireSubmission{
 		ID: &s.ID, JobClass: &s.Class, Owner: &s.Team, Shape: &shape, Rank: &rank, Pieces: &pieces,
 		VCPUs: &s.CPUs, GPUs: &s.GPUs, MemGB: &s.MemoryGB, Bundle: &s.Image, ImageGB: &s.ImageGB,
-		Together: &s.OneZone, Spread: &s.Spread, Loaners: &s.Spot, Expected: &s.Estimate,
-		Savepoint: &s.SaveEach, Saving: &s.SaveTime,
+		Together: &s.OneZone, Spread: &s.Spread, Loaners: &s.Spot, Expected: &s.EstimatedRunS,
+		Savepoint: &s.CheckpointIntervalS, Saving: &s.CheckpointDurationS,
 	}
 	if s.Types != nil {
 		kinds := slices.Clone(s.Types)
@@ -110,8 +110,8 @@
 	if s.Zone != "" {
 		w.Site = &s.Zone
 	}
-	if s.Deadline > 0 {
-		w.Due = &s.Deadline
+	if s.DeadlineS > 0 {
+		w.Due = &s.DeadlineS
 	}
 	if s.Prerequisites != nil {
 		needs := slices.Clone(s.Prerequisites)
@@ -149,7 +149,7 @@
 		case (c.Put == "") == (c.Drop == ""):
 			return Txn{}, malformed("a change of no key or of two")
 		case c.Drop != "":
-			txn.Then = append(txn.Then, Change{Drop: c.Drop})
+			txn.Then = append(txn.Then, Change{Delete: c.Drop})
 		default:
 			txn.Then = append(txn.Then, Change{Put: c.Put, Value: c.Value, Lease: c.Lease})
 		}
@@ -157,9 +157,9 @@
 	return txn, nil
 }
 
-// SplitGrantPath takes apart the path of a request about a lease.
-func SplitGrantPath(path string) (lease int64, renew, ok bool) {
-	rest, ok := strings.CutPrefix(path, PathGrants+"/")
+// SplitLeasePath takes apart the path of a request about a lease.
+func SplitLeasePath(path string) (lease int64, renew, ok bool) {
+	rest, ok := strings.CutPrefix(path, PathLeases+"/")
 	if !ok {
 		return 0, false, false
 	}
--- a/internal/protocol/words.go
+++ b/internal/protocol/words.go
@@ -3,19 +3,19 @@
 // word; the rest of the program uses the field's standard terms.
 package protocol
 
-// Shape says how a job's tasks belong together.
-type Shape uint8
+// JobKind says how a job's tasks belong together.
+type JobKind uint8
 
 // The three shapes.
 const (
-	Array Shape = iota
+	Array JobKind = iota
 	Gang
 	Service
 )
 
-var shapeWords = map[string]Shape{"batch": Array, "ensemble": Gang, "service": Service}
+var jobKindWords = map[string]JobKind{"batch": Array, "ensemble": Gang, "service": Service}
 
-func (s Shape) String() string { return [...]string{"array", "gang", "service"}[s] }
+func (s JobKind) String() string { return [...]string{"array", "gang", "service"}[s] }
 
 // Priority orders jobs; a higher value goes first.
 type Priority uint8
@@ -40,36 +40,36 @@
 	Fetching TaskState = iota
 	Waiting
 	Running
-	Saving
+	Checkpointing
 	Exited
 )
 
 var stateWords = map[string]TaskState{
-	"fetching": Fetching, "gathering": Waiting, "running": Running, "saving": Saving, "ended": Exited,
+	"fetching": Fetching, "gathering": Waiting, "running": Running, "saving": Checkpointing, "ended": Exited,
 }
 
-// Cause is why a task exited.
-type Cause uint8
+// ExitCause is why a task exited.
+type ExitCause uint8
 
 // Causes of an exit.
 const (
-	NoCause Cause = iota
-	Done
-	Stopped
-	PeersGone
-	Alone
-	Failed
-	NoRoom
-	Busy
-	Unknown
+	ExitNone ExitCause = iota
+	ExitDone
+	ExitStopped
+	ExitPeersGone
+	ExitGangIncomplete
+	ExitFailed
+	ExitInsufficientResources
+	ExitTaskAlreadyPresent
+	ExitUnknownJob
 )
 
-var causeWords = map[string]Cause{
-	"done": Done, "halted": Stopped, "mates_gone": PeersGone, "alone": Alone, "error": Failed,
-	"no_room": NoRoom, "busy": Busy, "unknown": Unknown,
+var causeWords = map[string]ExitCause{
+	"done": ExitDone, "halted": ExitStopped, "mates_gone": ExitPeersGone, "alone": ExitGangIncomplete, "error": ExitFailed,
+	"no_room": ExitInsufficientResources, "busy": ExitTaskAlreadyPresent, "unknown": ExitUnknownJob,
 }
 
-func (c Cause) String() string {
+func (c ExitCause) String() string {
 	return [...]string{"none", "done", "stopped", "peers gone", "alone", "failed", "no room", "busy", "unknown"}[c]
 }
 
@@ -90,18 +90,18 @@
 
 // Paths of the interfaces.
 const (
-	PathJobs    = "/v2/runs"
-	PathHealth  = "/healthz"
-	PathReport  = "/agent/beat"
-	PathOrders  = "/orders"
-	PathTypes   = "/flavors"
-	PathRent    = "/rentals"
-	PathReturn  = "/rentals/return"
-	PathKV      = "/kv"
-	PathTxn     = "/txn"
-	PathGrants  = "/grants"
-	abortSuffix = "/abort"
-	renewSuffix = "/renew"
+	PathJobs         = "/v2/runs"
+	PathHealth       = "/healthz"
+	PathHeartbeat    = "/agent/beat"
+	PathCommands     = "/orders"
+	PathMachineTypes = "/flavors"
+	PathScaleOut     = "/rentals"
+	PathScaleIn      = "/rentals/return"
+	PathKV           = "/kv"
+	PathTxn          = "/txn"
+	PathLeases       = "/grants"
+	abortSuffix      = "/abort"
+	renewSuffix      = "/renew"
 
 	// PathStepDown and PathPeerStatus are the project's own, between controllers.
 	PathStepDown = "/peer/let-go"
@@ -116,17 +116,17 @@
 
 // How long users wait for an answer, in seconds.
 const (
-	SubmitWaitS = 5
-	PollWaitS   = 2
+	SubmitTimeoutS = 5
+	PollTimeoutS   = 2
 )
 
-// MaxListed is the most machines of one answer.
-const MaxListed = 500
+// MaxMachinesListed is the most machines of one answer.
+const MaxMachinesListed = 500
 
 // The most machines of one rental and of one return.
 const (
-	MaxRented   = 50
-	MaxReturned = 100
+	MaxScaleOut = 50
+	MaxScaleIn  = 100
 )
 
 const noCapacity = "no capacity"
@@ -139,5 +139,5 @@
 	return Decode(body, &a) == nil && a.Error == noCapacity
 }
 
-// StartCountsS is how long a task has to be left alone for its start to count.
-const StartCountsS = 30
+// StableStartS is how long a task has to be left alone for its start to count.
+const StableStartS = 30
--- a/internal/scale/carrier.go
+++ b/internal/scale/carrier.go
@@ -66,43 +66,43 @@
 
 // to is how requests reach a controller. The world's owner calls it, and the replies come
 // back through it.
-func (c *carrier) to(controller int) fake.Send {
+func (c *carrier) to(controller int) fake.RemoteSend {
 	return func(request coordination.Request, reply func(coordination.Reply)) {
 		switch r := request.(type) {
-		case coordination.ReportCall:
-			c.report(controller, r.Report, reply)
-		case coordination.UserCall:
+		case coordination.HeartbeatRequest:
+			c.report(controller, r.Heartbeat, reply)
+		case coordination.UserRequest:
 			c.user(controller, r, reply)
 		}
 	}
 }
 
-func (c *carrier) report(controller int, r *protocol.Report, reply func(coordination.Reply)) {
-	link := c.workers[r.Host]
+func (c *carrier) report(controller int, r *protocol.Heartbeat, reply func(coordination.Reply)) {
+	link := c.workers[r.Machine]
 	if link == nil || link.controller != controller {
 		if link != nil {
 			link.client.CloseIdleConnections()
 		}
 		link = &workerLink{controller, c.client(c.fronts[controller], r.Addr, kindReport, 1)}
-		c.workers[r.Host] = link
+		c.workers[r.Machine] = link
 	}
 	c.meter.traffic[kindReport].messages.Add(1)
 	go func() {
-		answer := call(link.client, http.MethodPost, protocol.PathReport, protocol.EncodeReport(r), reportWait)
+		answer := call(link.client, http.MethodPost, protocol.PathHeartbeat, protocol.EncodeHeartbeat(r), reportWait)
 		c.loop.do(func() { reply(answer) })
 	}()
 }
 
-func (c *carrier) user(controller int, u coordination.UserCall, reply func(coordination.Reply)) {
+func (c *carrier) user(controller int, u coordination.UserRequest, reply func(coordination.Reply)) {
 	method, path, what := http.MethodPost, protocol.PathJobs, "submit"
-	wait := protocol.SubmitWaitS * time.Second
+	wait := protocol.SubmitTimeoutS * time.Second
 	var body []byte
 	switch u.Kind {
 	case coordination.Submit:
-		body = protocol.EncodeSubmission(u.Submit)
+		body = protocol.EncodeSubmission(u.Submission)
 	case coordination.Poll:
 		method, path, what = http.MethodGet, protocol.JobPath(u.Job, false), "poll"
-		wait = protocol.PollWaitS * time.Second
+		wait = protocol.PollTimeoutS * time.Second
 	case coordination.Cancel:
 		path, what = protocol.JobPath(u.Job, true), "cancel"
 	}
@@ -137,7 +137,7 @@
 		return coordination.Reply{}
 	}
 	return coordination.Reply{
-		Status: res.StatusCode(), Body: append([]byte(nil), res.Body()...), RetryAfter: retryAfter(res),
+		Status: res.StatusCode(), Body: append([]byte(nil), res.Body()...), RetryAfterS: retryAfter(res),
 	}
 }
 
--- a/internal/scale/controllers.go
+++ b/internal/scale/controllers.go
@@ -67,7 +67,7 @@
 func (c *controllers) settingsFile(i int) (string, error) {
 	cfg := config.Config{
 		Node: controllerName(i), Zone: c.settings.Zones[i%len(c.settings.Zones)],
-		Listen: c.addresses.front(i), PeerListen: c.addresses.cluster(i), Settings: c.settings,
+		FrontListen: c.addresses.front(i), PeerListen: c.addresses.cluster(i), Settings: c.settings,
 	}
 	cfg.Services.Cloud, cfg.Services.State = c.addresses.cloud(), c.addresses.state()
 	for p := range c.settings.Size {
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -52,7 +52,7 @@
 	"cut": {
 		begin: func(y *play) error {
 			y.loop.wait(func() {
-				for i, name := range y.world.Names() {
+				for i, name := range y.world.MachineNames() {
 					if i%cutShare == 0 {
 						y.cut[name] = true
 					}
@@ -66,9 +66,9 @@
 	"rack": {
 		begin: func(y *play) error {
 			y.loop.wait(func() {
-				names := y.world.Names()
+				names := y.world.MachineNames()
 				for _, name := range names[:min(rackMachines, len(names)/2)] {
-					y.world.Cloud.Die(name)
+					y.world.Cloud.Fail(name)
 				}
 			})
 			return nil
@@ -82,8 +82,8 @@
 				apart := time.Hour / restartsADay
 				for at := apart / 2; at < restartsWatch; at += apart {
 					y.world.After(at, func() {
-						if names := y.world.Names(); len(names) > 0 {
-							y.world.Cloud.Die(names[y.workload.rng.IntN(len(names))])
+						if names := y.world.MachineNames(); len(names) > 0 {
+							y.world.Cloud.Fail(names[y.workload.rng.IntN(len(names))])
 						}
 					})
 				}
@@ -120,7 +120,7 @@
 	y.loop.wait(func() {
 		y.meter.forget()
 		y.times.watch(y.world.Now)
-		killed, died, broken = y.world.KilledByLease, y.world.TasksDied, len(y.world.Broken)
+		killed, died, broken = y.world.KilledByLease, y.world.TasksDied, len(y.world.Violations)
 	})
 	if err := f.begin(y); err != nil {
 		return nil, fmt.Errorf("fault %s: %w", name, err)
@@ -140,7 +140,7 @@
 		r.WithoutAnswers, r.WithoutStarts = answers.Seconds(), starts.Seconds()
 		r.KilledByLease = y.world.KilledByLease - killed
 		r.TasksDied = y.world.TasksDied - died
-		r.Broken = len(y.world.Broken) - broken
+		r.Broken = len(y.world.Violations) - broken
 	})
 	return r, nil
 }
--- a/internal/scale/parameters.go
+++ b/internal/scale/parameters.go
@@ -172,7 +172,7 @@
 func (p *Parameters) types(zones []string) []protocol.MachineType {
 	slots := p.slots()
 	plain := protocol.MachineType{
-		Name: plainType, CPUs: slots, MemoryGB: 4 * slots, CacheGB: 100, FetchRate: 1, Price: 1, SpotPrice: 0.4, BootS: 3, Zones: zones,
+		Name: plainType, CPUs: slots, MemoryGB: 4 * slots, CacheGB: 100, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 3, Zones: zones,
 	}
 	accelerated := plain
 	accelerated.Name, accelerated.GPUs, accelerated.Price, accelerated.SpotPrice = acceleratedType, acceleratorsEach, 16, 5
@@ -184,18 +184,18 @@
 	zones := []string{"z1", "z2", "z3", "z4"}
 	s := config.Settings{
 		Size: p.Controllers, Zones: zones,
-		Workers: config.Workers{Report: p.ReportS, Lease: p.LeaseS, GangWait: 45, GangPeer: 4, Cancel: p.CancelS},
+		Workers: config.Workers{HeartbeatIntervalS: p.ReportS, LeaseS: p.LeaseS, GangStartTimeoutS: 45, GangPeerTimeoutS: 4, CancelWithinS: p.CancelS},
 		State:   config.State{RPS: p.RPS, WriteRPS: p.WriteRPS, ValueKB: p.ValueKB, TxnOps: 8},
-		Cloud:   config.Cloud{RPS: 12, ListLag: 6},
-		Limits:  config.Limits{CPU: p.CPU, MemMB: p.MemMB, MaxConnections: p.Sockets},
+		Cloud:   config.Cloud{RPS: 12, ListLagS: 6},
+		Limits:  config.Limits{CPU: p.CPU, MemoryMB: p.MemMB, MaxConnections: p.Sockets},
 		Objectives: []config.Objective{
-			{Kind: "wait", Class: urgentClass, Within: 2.2, Share: 0.95},
+			{Kind: "wait", Class: urgentClass, WithinS: 2.2, Share: 0.95},
 		},
 	}
 	share := float64(p.Running) / float64(p.Teams)
 	for i := range p.Teams {
 		s.Teams = append(s.Teams, config.Team{
-			Name: fmt.Sprintf("team-%02d", i), CPUs: share, CPUsMax: 2*share + float64(p.Gang) + 8,
+			Name: fmt.Sprintf("team-%02d", i), GuaranteedCPUs: share, CPULimit: 2*share + float64(p.Gang) + 8,
 		})
 	}
 	return s
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -93,14 +93,14 @@
 	y.servers = newServers(y.loop, y.meter, p.RPS)
 	y.workload = newWorkload(p, y.world, y.meter, y.times)
 	w := y.world
-	w.State.ListMost = mostListed
+	w.State.MaxListed = mostListed
 	w.State.Restore(endedPages(p.Ended, p.ValueKB))
 	w.State.Restore(archivedPages(p.Archived, p.ValueKB))
 	w.Cloud.Address = a.worker
 	accelerated := (p.accelerated() + len(s.Zones) - 1) / len(s.Zones)
 	plain := (p.Workers - p.accelerated() + len(s.Zones) - 1) / len(s.Zones)
-	w.Cloud.MostOf = map[string]int{acceleratedType: accelerated, plainType: plain}
-	w.Booted = y.servers.boot
+	w.Cloud.CapacityOf = map[string]int{acceleratedType: accelerated, plainType: plain}
+	w.OnBoot = y.servers.boot
 	w.Network = y.network()
 	return y
 }
@@ -117,10 +117,10 @@
 )
 
 // network gives the latencies, and keeps machines that are cut off from being reached.
-func (y *play) network() func(kind, from, to string) fake.Fate {
+func (y *play) network() func(kind, from, to string) fake.Delivery {
 	rng := rand.New(rand.NewPCG(y.p.Seed, 2))
-	return func(kind, from, to string) fake.Fate {
-		f := fake.Fate{}
+	return func(kind, from, to string) fake.Delivery {
+		f := fake.Delivery{}
 		switch kind {
 		case "state":
 			f.Request = stateTook / 2
@@ -157,7 +157,7 @@
 			} else {
 				failures[i] = min(2, failures[i]+1)
 			}
-			switch n := y.world.Nodes[i]; failures[i] {
+			switch n := y.world.Controllers[i]; failures[i] {
 			case 0:
 				y.loop.do(func() { n.Unhealthy = false })
 			case 2:
@@ -187,7 +187,9 @@
 		}
 		if left > often {
 			var workers, tasks, broken int
-			y.loop.wait(func() { workers, tasks, broken = len(y.world.Names()), y.world.OnMachines(), len(y.world.Broken) })
+			y.loop.wait(func() {
+				workers, tasks, broken = len(y.world.MachineNames()), y.world.OnMachines(), len(y.world.Violations)
+			})
 			y.say("  %s: %d workers up, %d tasks on machines, %d rules broken", what, workers, tasks, broken)
 		}
 	}
@@ -212,7 +214,7 @@
 		}
 	}
 	y.loop.wait(func() {
-		report.Broken = append(report.Broken, y.world.Broken...)
+		report.Broken = append(report.Broken, y.world.Violations...)
 		for _, id := range y.workload.unanswered(forgottenAfter) {
 			report.Broken = append(report.Broken, "forgotten: nobody has been told of "+id)
 		}
--- a/internal/scale/servers.go
+++ b/internal/scale/servers.go
@@ -76,9 +76,9 @@
 
 // boot opens the listener of a machine that has come up.
 func (s *servers) boot(m protocol.Machine) {
-	s.hosts.Store(m.Addr, m.Host)
+	s.hosts.Store(m.Addr, m.Name)
 	if err := s.workers.listen(m.Addr); err != nil {
-		s.loop.world.Fail("scale", "%s can't listen: %v", m.Host, err)
+		s.loop.world.Violation("scale", "%s can't listen: %v", m.Name, err)
 	}
 }
 
@@ -118,17 +118,17 @@
 func (s *servers) orders(ctx *fasthttp.RequestCtx) {
 	s.meter.traffic[kindOrders].messages.Add(1)
 	host, ok := s.hosts.Load(ctx.LocalAddr().String())
-	if !ok || string(ctx.Path()) != protocol.PathOrders {
+	if !ok || string(ctx.Path()) != protocol.PathCommands {
 		respond(ctx, http.StatusNotFound, nil)
 		return
 	}
-	o, err := protocol.DecodeOrders(ctx.PostBody())
+	o, err := protocol.DecodeCommands(ctx.PostBody())
 	if err != nil || !o.Complete {
 		respond(ctx, http.StatusBadRequest, nil)
 		return
 	}
-	call := coordination.OrdersCall{Host: host.(string), Token: o.Token, Session: o.Session, Commands: o.Commands}
-	r, ok := asked(s.loop, func(answer func(coordination.OrdersResult)) { s.loop.world.ServeOrders(call, answer) })
+	call := coordination.CommandsCall{Machine: host.(string), FencingToken: o.FencingToken, Incarnation: o.Incarnation, Commands: o.Commands}
+	r, ok := asked(s.loop, func(answer func(coordination.CommandsResult)) { s.loop.world.ServeCommands(call, answer) })
 	if !ok {
 		unanswered(ctx)
 		return
@@ -137,7 +137,7 @@
 	if r.Outcome == coordination.Conflict {
 		status = http.StatusConflict
 	}
-	respond(ctx, status, protocol.EncodeReport(r.Report))
+	respond(ctx, status, protocol.EncodeHeartbeat(r.Heartbeat))
 }
 
 // cloud serves the cloud's interface.
@@ -158,41 +158,41 @@
 		respond(ctx, http.StatusServiceUnavailable, protocol.EncodeNoCapacity())
 	case r.Outcome != coordination.OK:
 		respond(ctx, http.StatusServiceUnavailable, protocol.EncodeError("trouble"))
-	case call.Op == coordination.CloudTypes:
+	case call.Op == coordination.CloudListTypes:
 		respond(ctx, http.StatusOK, protocol.MachineTypes{Types: r.Types})
-	case call.Op == coordination.CloudList:
-		respond(ctx, http.StatusOK, pageOf(r.List, call.After, ctx.QueryArgs().GetUintOrZero("limit")))
+	case call.Op == coordination.CloudListMachines:
+		respond(ctx, http.StatusOK, pageOf(r.List, call.StartAfter, ctx.QueryArgs().GetUintOrZero("limit")))
 	default:
-		respond(ctx, http.StatusOK, protocol.Hosts{Hosts: r.Hosts})
+		respond(ctx, http.StatusOK, protocol.MachineNames{Names: r.Machines})
 	}
 }
 
 func cloudCall(ctx *fasthttp.RequestCtx) (coordination.CloudCall, bool) {
 	switch path := string(ctx.Path()); {
-	case path == protocol.PathTypes:
-		return coordination.CloudCall{Op: coordination.CloudTypes}, true
-	case path == protocol.PathRent && ctx.IsGet():
-		return coordination.CloudCall{Op: coordination.CloudList, After: string(ctx.QueryArgs().Peek("after"))}, true
-	case path == protocol.PathRent:
-		c := coordination.CloudCall{Op: coordination.CloudRent}
-		return c, protocol.Decode(ctx.PostBody(), &c.Rental) == nil
-	case path == protocol.PathReturn:
-		var hosts protocol.Hosts
+	case path == protocol.PathMachineTypes:
+		return coordination.CloudCall{Op: coordination.CloudListTypes}, true
+	case path == protocol.PathScaleOut && ctx.IsGet():
+		return coordination.CloudCall{Op: coordination.CloudListMachines, StartAfter: string(ctx.QueryArgs().Peek("after"))}, true
+	case path == protocol.PathScaleOut:
+		c := coordination.CloudCall{Op: coordination.CloudScaleOut}
+		return c, protocol.Decode(ctx.PostBody(), &c.Provisioning) == nil
+	case path == protocol.PathScaleIn:
+		var hosts protocol.MachineNames
 		err := protocol.Decode(ctx.PostBody(), &hosts)
-		return coordination.CloudCall{Op: coordination.CloudReturn, Hosts: hosts.Hosts}, err == nil
+		return coordination.CloudCall{Op: coordination.CloudScaleIn, Machines: hosts.Names}, err == nil
 	}
 	return coordination.CloudCall{}, false
 }
 
 // pageOf is the part of the machine list behind a name, as long as the limit allows.
 func pageOf(list protocol.MachineList, after string, limit int) protocol.MachineList {
-	slices.SortFunc(list.Machines, func(a, b protocol.Machine) int { return strings.Compare(a.Host, b.Host) })
-	from := slices.IndexFunc(list.Machines, func(m protocol.Machine) bool { return m.Host > after })
+	slices.SortFunc(list.Machines, func(a, b protocol.Machine) int { return strings.Compare(a.Name, b.Name) })
+	from := slices.IndexFunc(list.Machines, func(m protocol.Machine) bool { return m.Name > after })
 	if from < 0 {
 		return protocol.MachineList{}
 	}
-	if limit <= 0 || limit > protocol.MaxListed {
-		limit = protocol.MaxListed
+	if limit <= 0 || limit > protocol.MaxMachinesListed {
+		limit = protocol.MaxMachinesListed
 	}
 	rest := list.Machines[from:]
 	return protocol.MachineList{Machines: rest[:min(limit, len(rest))], More: len(rest) > limit}
@@ -228,28 +228,28 @@
 	case protocol.PathKV:
 		args := ctx.QueryArgs()
 		return storage.StateCall{
-			Op: storage.StateList, Key: string(args.Peek("starts")), After: string(args.Peek("after")), Most: args.GetUintOrZero("limit"),
+			Op: storage.StateList, Key: string(args.Peek("starts")), StartAfter: string(args.Peek("after")), Limit: args.GetUintOrZero("limit"),
 		}, true
 	case protocol.PathTxn:
 		txn, err := protocol.DecodeTxn(ctx.PostBody())
 		return storage.StateCall{Op: storage.StateTxn, Txn: txn}, err == nil
-	case protocol.PathGrants:
-		var g protocol.GrantRequest
+	case protocol.PathLeases:
+		var g protocol.LeaseRequest
 		err := protocol.Decode(ctx.PostBody(), &g)
-		return storage.StateCall{Op: storage.StateGrant, TTL: time.Duration(g.TTLms) * time.Millisecond}, err == nil
+		return storage.StateCall{Op: storage.StateGrantLease, TTL: time.Duration(g.TTLms) * time.Millisecond}, err == nil
 	}
-	lease, renew, ok := protocol.SplitGrantPath(path)
+	lease, renew, ok := protocol.SplitLeasePath(path)
 	if renew {
-		return storage.StateCall{Op: storage.StateRenew, Lease: lease}, ok
+		return storage.StateCall{Op: storage.StateRenewLease, Lease: lease}, ok
 	}
-	return storage.StateCall{Op: storage.StateRevoke, Lease: lease}, ok && ctx.IsDelete()
+	return storage.StateCall{Op: storage.StateRevokeLease, Lease: lease}, ok && ctx.IsDelete()
 }
 
 func respondState(ctx *fasthttp.RequestCtx, call storage.StateCall, r storage.StateResult) {
 	switch r.Outcome {
 	case storage.OK:
 	case storage.Conflict:
-		respond(ctx, http.StatusConflict, protocol.TxnAnswer{Revision: r.Number})
+		respond(ctx, http.StatusConflict, protocol.TxnResponse{Revision: r.Revision})
 		return
 	case storage.NotFound:
 		respond(ctx, http.StatusNotFound, nil)
@@ -267,9 +267,9 @@
 	case storage.StateList:
 		respond(ctx, http.StatusOK, r.List)
 	case storage.StateTxn:
-		respond(ctx, http.StatusOK, protocol.TxnAnswer{Revision: r.Number})
-	case storage.StateGrant:
-		respond(ctx, http.StatusOK, protocol.Grant{Lease: r.Number})
+		respond(ctx, http.StatusOK, protocol.TxnResponse{Revision: r.Revision})
+	case storage.StateGrantLease:
+		respond(ctx, http.StatusOK, protocol.LeaseGrant{Lease: r.Revision})
 	default:
 		respond(ctx, http.StatusOK, map[string]string{})
 	}
--- a/internal/scale/weights_run.go
+++ b/internal/scale/weights_run.go
@@ -155,7 +155,7 @@
 	}
 	defer file.Close()
 	return toml.NewEncoder(file).Encode(config.Extensions{Distribution: &config.Distribution{
-		Port: trackerPort, StoreSlots: p.StoreSlots, Connections: max(64, 4*p.Agents), ReportS: p.ReportS, IdleReportS: 4 * p.ReportS,
+		Port: trackerPort, StoreFetchers: p.StoreSlots, Connections: max(64, 4*p.Agents), InventoryIntervalS: p.ReportS, IdleInventoryIntervalS: 4 * p.ReportS,
 	}})
 }
 
--- a/internal/scale/workload.go
+++ b/internal/scale/workload.go
@@ -54,8 +54,8 @@
 		p: p, world: w, meter: m, times: times, rng: rand.New(rand.NewPCG(p.Seed, 1)),
 		jobs: map[string]*fake.Job{}, started: map[string]bool{},
 	}
-	w.Started = l.taskStarted
-	w.OnMachine = l.taskOnMachine
+	w.OnStart = l.taskStarted
+	w.OnTaskPresent = l.taskOnMachine
 	return l
 }
 
@@ -99,17 +99,17 @@
 	})
 }
 
-func (l *workload) job(class string, shape protocol.Shape, rank protocol.Priority, tasks int) protocol.Submission {
+func (l *workload) job(class string, shape protocol.JobKind, rank protocol.Priority, tasks int) protocol.Submission {
 	l.next++
 	return protocol.Submission{
 		ID: fmt.Sprintf("wk-%09d", l.next), Class: class, Team: fmt.Sprintf("team-%02d", l.next%l.p.Teams),
-		Shape: shape, Priority: rank, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", l.next%images), ImageGB: imageGB,
+		Kind: shape, Priority: rank, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", l.next%images), ImageGB: imageGB,
 	}
 }
 
 // submit hands a job in, asks about it until it is over, and cancels it at times.
 func (l *workload) submit(s protocol.Submission, run time.Duration) {
-	s.Estimate = run.Seconds()
+	s.EstimatedRunS = run.Seconds()
 	j := l.world.Submit(s, run)
 	l.jobs[s.ID] = j
 	l.poll(j)
@@ -119,7 +119,7 @@
 	if l.rng.Float64() < repeatedShare {
 		l.world.After(time.Duration(l.rng.Float64()*float64(20*time.Second)), func() {
 			if j.Accepted {
-				l.world.Again(j)
+				l.world.Resubmit(j)
 			}
 		})
 	}
@@ -130,7 +130,7 @@
 		if j.Accepted {
 			l.world.Poll(j)
 		}
-		if j.Told != protocol.StatusDone && j.Told != protocol.StatusCancelled {
+		if j.Status != protocol.StatusDone && j.Status != protocol.StatusCancelled {
 			l.poll(j)
 		}
 	})
@@ -156,7 +156,7 @@
 
 func (l *workload) gang() {
 	s := l.job(gangClass, protocol.Gang, protocol.Normal, max(2, l.p.Gang>>l.rng.IntN(4)))
-	s.SaveEach, s.SaveTime = 15, 2
+	s.CheckpointIntervalS, s.CheckpointDurationS = 15, 2
 	l.submit(s, gangRuns)
 }
 
@@ -167,10 +167,10 @@
 // taskStarted notes that a worker has executed a start.
 func (l *workload) taskStarted(j *fake.Job, task int) {
 	l.times.start(l.world.Now)
-	if j.Sub.Class != urgentClass {
+	if j.Submission.Class != urgentClass {
 		return
 	}
-	name := fmt.Sprintf("%s/%d", j.Sub.ID, task)
+	name := fmt.Sprintf("%s/%d", j.Submission.ID, task)
 	if !l.started[name] {
 		l.started[name] = true
 		l.meter.times.Add("urgent start received", l.world.Now-j.SubmittedAt)
@@ -179,7 +179,7 @@
 
 // taskOnMachine notes that a task has its image.
 func (l *workload) taskOnMachine(j *fake.Job, task int) {
-	if j.Sub.Class == urgentClass && l.started[fmt.Sprintf("%s/%d", j.Sub.ID, task)] {
+	if j.Submission.Class == urgentClass && l.started[fmt.Sprintf("%s/%d", j.Submission.ID, task)] {
 		l.meter.times.Add("urgent start executed", l.world.Now-j.SubmittedAt)
 	}
 }
@@ -188,7 +188,7 @@
 func (l *workload) unanswered(within time.Duration) []string {
 	var out []string
 	for id, j := range l.jobs {
-		over := j.Told == protocol.StatusDone || j.Told == protocol.StatusCancelled
+		over := j.Status == protocol.StatusDone || j.Status == protocol.StatusCancelled
 		if j.Accepted && !over && l.world.Now-max(j.AnsweredAt, j.AcceptedAt) > within {
 			out = append(out, id)
 		}
@@ -203,19 +203,19 @@
 // The ids of the jobs that ended before a run begin with these.
 const archivedPrefix, endedPrefix = "wk-8", "wk-9"
 
-func endedRecord(prefix string, i int) storage.FinalRecord {
-	return storage.FinalRecord{ID: fmt.Sprintf("%s%010d", prefix, i), Tasks: 3}
+func endedRecord(prefix string, i int) storage.TerminalRecord {
+	return storage.TerminalRecord{ID: fmt.Sprintf("%s%010d", prefix, i), Tasks: 3}
 }
 
 // archivedPages are the pages of an archive of so many ended jobs.
 func archivedPages(count int, valueKB float64) map[string][]byte {
 	pages := map[string][]byte{}
-	eachEndedPage(archivedPrefix, count, valueKB, func(end int, finals []storage.FinalRecord) {
-		bound := storage.LastBound
+	eachEndedPage(archivedPrefix, count, valueKB, func(end int, finals []storage.TerminalRecord) {
+		bound := storage.LastUpperBound
 		if end < count {
 			bound = endedRecord(archivedPrefix, end).ID
 		}
-		pages[storage.ArchivePrefix+bound] = protocol.Encode(storage.ArchiveValue{ID: "0-0", Finals: finals})
+		pages[storage.ArchivePrefix+bound] = protocol.Encode(storage.ArchiveValue{WriteID: "0-0", Terminal: finals})
 	})
 	return pages
 }
@@ -223,17 +223,17 @@
 // endedPages are the pages of a state service that has so many ended jobs on record.
 func endedPages(count int, valueKB float64) map[string][]byte {
 	pages := map[string][]byte{}
-	eachEndedPage(endedPrefix, count, valueKB, func(_ int, finals []storage.FinalRecord) {
-		pages[fmt.Sprintf("%s%06d", storage.Prefix, len(pages))] = protocol.Encode(storage.PageValue{ID: "0-0", Finals: finals})
+	eachEndedPage(endedPrefix, count, valueKB, func(_ int, finals []storage.TerminalRecord) {
+		pages[fmt.Sprintf("%s%06d", storage.PagePrefix, len(pages))] = protocol.Encode(storage.PageValue{WriteID: "0-0", Terminal: finals})
 	})
 	return pages
 }
 
 // eachEndedPage divides so many ended jobs into pages; end is the number behind a page's last.
-func eachEndedPage(prefix string, count int, valueKB float64, page func(end int, finals []storage.FinalRecord)) {
+func eachEndedPage(prefix string, count int, valueKB float64, page func(end int, finals []storage.TerminalRecord)) {
 	each := endedEach(valueKB)
 	for first := 0; first < count; first += each {
-		var finals []storage.FinalRecord
+		var finals []storage.TerminalRecord
 		for i := first; i < min(first+each, count); i++ {
 			finals = append(finals, endedRecord(prefix, i))
 		}
--- a/internal/storage/archive.go
+++ b/internal/storage/archive.go
@@ -20,73 +20,73 @@
 // reads.
 const ArchivePrefix = "oakpick/ended/"
 
-// LastBound comes behind every job id.
-const LastBound = "~"
+// LastUpperBound comes behind every job id.
+const LastUpperBound = "~"
 
 // ArchiveValue is what a page of the archive holds, sorted by job id.
 type ArchiveValue struct {
-	ID     string        `msgpack:"id"` // of the write that made it
-	Finals []FinalRecord `msgpack:"f"`
+	WriteID  string           `msgpack:"id"` // of the write that made it
+	Terminal []TerminalRecord `msgpack:"f"`
 }
 
 // ArchivePage is a page of the archive as it was read, or is to be written.
 type ArchivePage struct {
-	Bound   string // every job on it comes before
-	Version int64  // 0: it isn't there yet
-	Finals  []FinalRecord
+	UpperBound string // every job on it comes before
+	Version    int64  // 0: it isn't there yet
+	Terminal   []TerminalRecord
 }
 
 // Key is the page's in the state service.
-func (p *ArchivePage) Key() string { return ArchivePrefix + p.Bound }
+func (p *ArchivePage) Key() string { return ArchivePrefix + p.UpperBound }
 
 // ReadArchivePage decodes a page of the archive and checks it. Its bound is right also if
 // the rest is damaged and there is an error.
 func ReadArchivePage(entry protocol.Entry) (*ArchivePage, error) {
-	p := &ArchivePage{Bound: strings.TrimPrefix(entry.Key, ArchivePrefix), Version: entry.Version}
+	p := &ArchivePage{UpperBound: strings.TrimPrefix(entry.Key, ArchivePrefix), Version: entry.Version}
 	var v ArchiveValue
 	if err := protocol.Decode(entry.Value, &v); err != nil {
 		return p, fmt.Errorf("%s: %w", entry.Key, err)
 	}
-	for i, r := range v.Finals {
+	for i, r := range v.Terminal {
 		switch {
 		case r.ID == "" || r.Tasks < 0:
-			return p, damaged("the archived end of job "+r.ID, "%d tasks", r.Tasks)
-		case r.ID >= p.Bound:
-			return p, damaged("the archived end of job "+r.ID, "is on the page before %s", p.Bound)
-		case i > 0 && v.Finals[i-1].ID >= r.ID:
-			return p, damaged("the archived end of job "+r.ID, "is out of order")
+			return p, corrupt("the archived end of job "+r.ID, "%d tasks", r.Tasks)
+		case r.ID >= p.UpperBound:
+			return p, corrupt("the archived end of job "+r.ID, "is on the page before %s", p.UpperBound)
+		case i > 0 && v.Terminal[i-1].ID >= r.ID:
+			return p, corrupt("the archived end of job "+r.ID, "is out of order")
 		}
 	}
-	p.Finals = v.Finals
+	p.Terminal = v.Terminal
 	return p, nil
 }
 
-// Final finds the end of a job.
-func (p *ArchivePage) Final(id string) (FinalRecord, bool) {
-	i, ok := slices.BinarySearchFunc(p.Finals, id, func(r FinalRecord, id string) int { return cmp.Compare(r.ID, id) })
+// Lookup finds the end of a job.
+func (p *ArchivePage) Lookup(id string) (TerminalRecord, bool) {
+	i, ok := slices.BinarySearchFunc(p.Terminal, id, func(r TerminalRecord, id string) int { return cmp.Compare(r.ID, id) })
 	if !ok {
-		return FinalRecord{}, false
+		return TerminalRecord{}, false
 	}
-	return p.Finals[i], true
+	return p.Terminal[i], true
 }
 
 // size is at least what the page's value takes.
-func (p *ArchivePage) size() int { return archiveSize(p.Finals) }
+func (p *ArchivePage) size() int { return archiveSize(p.Terminal) }
 
-func archiveSize(finals []FinalRecord) int {
+func archiveSize(finals []TerminalRecord) int {
 	n := pageSize
 	for i := range finals {
-		n += finals[i].Reserve()
+		n += finals[i].ReservedSize()
 	}
 	return n
 }
 
-// With gives the pages that take this one's place once more ends are on it: itself, divided
+// Merge gives the pages that take this one's place once more ends are on it: itself, divided
 // if it would be larger than so many bytes. The last has its bound.
-func (p *ArchivePage) With(more []FinalRecord, most int) []*ArchivePage {
-	all := slices.Concat(p.Finals, more)
-	slices.SortFunc(all, func(a, b FinalRecord) int { return cmp.Compare(a.ID, b.ID) })
-	all = slices.CompactFunc(all, func(a, b FinalRecord) bool { return a.ID == b.ID })
+func (p *ArchivePage) Merge(more []TerminalRecord, most int) []*ArchivePage {
+	all := slices.Concat(p.Terminal, more)
+	slices.SortFunc(all, func(a, b TerminalRecord) int { return cmp.Compare(a.ID, b.ID) })
+	all = slices.CompactFunc(all, func(a, b TerminalRecord) bool { return a.ID == b.ID })
 	parts := 1
 	if total := archiveSize(all); total > most {
 		parts = total/(most/2) + 1
@@ -94,11 +94,11 @@
 	var pages []*ArchivePage
 	for i := range parts {
 		part := all[i*len(all)/parts : (i+1)*len(all)/parts]
-		page := &ArchivePage{Finals: part}
+		page := &ArchivePage{Terminal: part}
 		if i == parts-1 {
-			page.Bound, page.Version = p.Bound, p.Version
+			page.UpperBound, page.Version = p.UpperBound, p.Version
 		} else {
-			page.Bound = all[(i+1)*len(all)/parts].ID
+			page.UpperBound = all[(i+1)*len(all)/parts].ID
 		}
 		pages = append(pages, page)
 	}
@@ -118,56 +118,60 @@
 	return len(s.dirty) == 0 && len(s.writes) == 0 && s.budget.TokensAt(at(now)) >= float64(s.budget.Burst())/2
 }
 
-// MayWrite tells whether a transaction of so many keys could begin now.
-func (s *Store) MayWrite(now time.Duration, keys int) bool {
+// CanWrite tells whether a transaction of so many keys could begin now.
+func (s *Store) CanWrite(now time.Duration, keys int) bool {
 	return len(s.writes) < maxWrites && now >= s.resume && s.budget.TokensAt(at(now)) >= float64(keys)
 }
 
-// MoveRoom is how many pages of the archive one transaction can write beside a page of
+// MaxArchivePagesPerMove is how many pages of the archive one transaction can write beside a page of
 // records.
-func (s *Store) MoveRoom() int { return min(s.limits.ChangesPerTxn, s.budget.Burst()) - 1 }
+func (s *Store) MaxArchivePagesPerMove() int {
+	return min(s.limits.ChangesPerTxn, s.budget.Burst()) - 1
+}
 
-// MaxArchivePage is the most that a page of the archive may take: several go into one
+// MaxArchivePageSize is the most that a page of the archive may take: several go into one
 // transaction.
-func (s *Store) MaxArchivePage() int { return min(s.limits.PageBytes, protocol.MaxBody/archiveShare) }
+func (s *Store) MaxArchivePageSize() int {
+	return min(s.limits.PageBytes, protocol.MaxBody/archiveShare)
+}
 
 const archiveShare = 8
 
-// MoveBytes is what the pages of the archive that one transaction writes may take.
-func (s *Store) MoveBytes() int {
+// MaxArchiveBytesPerMove is what the pages of the archive that one transaction writes may take.
+func (s *Store) MaxArchiveBytesPerMove() int {
 	return protocol.MaxBody - txnOverhead - changeOverhead - s.limits.PageBytes
 }
 
-// TxnBytes is what the page takes of a transaction.
-func (p *ArchivePage) TxnBytes() int { return p.size() + changeOverhead }
+// TransactionSize is what the page takes of a transaction.
+func (p *ArchivePage) TransactionSize() int { return p.size() + changeOverhead }
 
 // Move makes the transaction that takes items off their page of records and writes pages of
 // the archive that have them: at any moment they are in one place or both. A page of records
 // that is empty then is dropped. It gives nothing if that can't be done now.
-func (s *Store) Move(now time.Duration, term protocol.Condition, items []Item, pages []*ArchivePage, wait *CommitWait) *Write {
+func (s *Store) Move(now time.Duration, term protocol.Condition, items []Item, pages []*ArchivePage, wait *CommitWaiter) *Write {
 	p := s.pageOf[items[0]]
-	if p == nil || p.inFlight || !s.MayWrite(now, 1+len(pages)) {
+	if p == nil || p.inFlight || !s.CanWrite(now, 1+len(pages)) {
 		return nil
 	}
 	rest := p.size()
 	for _, item := range items {
-		rest -= item.Size()
+		rest -= item.EncodedSize()
 	}
 	size := txnOverhead + rest + changeOverhead
 	for _, page := range pages {
-		size += page.TxnBytes()
+		size += page.TransactionSize()
 	}
 	if rest > s.limits.PageBytes || size > protocol.MaxBody {
 		return nil // the page has to be divided first, or fewer pages are to be written
 	}
 	for _, item := range items {
-		s.takeOff(p, item)
+		s.detach(p, item)
 	}
 	s.budget.AllowN(at(now), 1+len(pages))
 	wait.pending++
 	w := &Write{sent: true, pages: []*page{p}, archive: pages}
-	p.waits = append(p.waits, wait)
-	s.fill(w, term)
+	p.waiters = append(p.waiters, wait)
+	s.seal(w, term)
 	return w
 }
 
@@ -175,6 +179,6 @@
 func (w *Write) fillArchive() {
 	for _, p := range w.archive {
 		w.Txn.If = append(w.Txn.If, protocol.Condition{Key: p.Key(), Version: p.Version})
-		w.Txn.Then = append(w.Txn.Then, protocol.Change{Put: p.Key(), Value: &ArchiveValue{ID: w.ID, Finals: p.Finals}})
+		w.Txn.Then = append(w.Txn.Then, protocol.Change{Put: p.Key(), Value: &ArchiveValue{WriteID: w.ID, Terminal: p.Terminal}})
 	}
 }
--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -25,7 +25,7 @@
 	Invalid
 	Refused
 	NotSent
-	Lost
+	Unknown
 )
 
 // StateOp is a request to the state service.
@@ -36,37 +36,37 @@
 	StateGet StateOp = iota
 	StateList
 	StateTxn
-	StateGrant
-	StateRenew
-	StateRevoke
+	StateGrantLease
+	StateRenewLease
+	StateRevokeLease
 )
 
 // StateCall asks the state service.
 type StateCall struct {
-	ID    uint64
-	Op    StateOp
-	Key   string // of a read; a prefix for a list
-	After string // of a list
-	Most  int    // entries of a list; 0: as many as are usual
-	Lease int64  // of a renewal or a revocation
-	TTL   time.Duration
-	Txn   protocol.Txn
+	ID         uint64
+	Op         StateOp
+	Key        string // of a read; a prefix for a list
+	StartAfter string // of a list
+	Limit      int    // entries of a list; 0: as many as are usual
+	Lease      int64  // of a renewal or a revocation
+	TTL        time.Duration
+	Txn        protocol.Txn
 }
 
 // StateResult answers a StateCall.
 type StateResult struct {
-	ID      uint64
-	Outcome Outcome
-	Number  int64 // a lease, or the revision of a transaction
-	Entry   protocol.Entry
-	List    protocol.EntryList
+	ID       uint64
+	Outcome  Outcome
+	Revision int64 // a lease, or the revision of a transaction
+	Entry    protocol.Entry
+	List     protocol.EntryList
 }
 
 // Client speaks to the state service. Renewals have connections of their own,
 // so that they never wait behind other requests.
 type Client struct {
-	calls, renewals *fasthttp.HostClient
-	wait, renewWait time.Duration
+	calls, renewals         *fasthttp.HostClient
+	timeout, renewalTimeout time.Duration
 }
 
 // listEntries is how many entries a list asks for.
@@ -93,7 +93,7 @@
 // repeat is a decision of coordination, which has to know of it.
 func NoRetry(*fasthttp.Request, int, error) (bool, bool) { return false, false }
 
-// NewClient makes a client. Calls are given up after wait, renewals after renewWait.
+// NewClient makes a client. Calls are given up after wait, renewals after renewalTimeout.
 func NewClient(addr string, wait, renewWait time.Duration) *Client {
 	host := func(conns int, dial time.Duration) *fasthttp.HostClient {
 		return &fasthttp.HostClient{
@@ -102,7 +102,7 @@
 			MaxIdleConnDuration: 10 * wait,
 		}
 	}
-	return &Client{calls: host(config.StateCalls+config.StateLookups, wait/2), renewals: host(config.StateRenewals, renewWait/2), wait: wait, renewWait: renewWait}
+	return &Client{calls: host(config.StateConnections+config.ArchiveReadConnections, wait/2), renewals: host(config.StateRenewalConnections, renewWait/2), timeout: wait, renewalTimeout: renewWait}
 }
 
 // Do makes a call and waits for its outcome.
@@ -110,9 +110,9 @@
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	client, wait := c.calls, c.wait
-	if call.Op == StateRenew || call.Op == StateRevoke {
-		client, wait = c.renewals, c.renewWait
+	client, wait := c.calls, c.timeout
+	if call.Op == StateRenewLease || call.Op == StateRevokeLease {
+		client, wait = c.renewals, c.renewalTimeout
 	}
 	req.SetRequestURI("http://" + client.Addr + call.path())
 	call.write(req)
@@ -137,12 +137,12 @@
 		return protocol.PathKV + "?" + call.listQuery()
 	case StateTxn:
 		return protocol.PathTxn
-	case StateGrant:
-		return protocol.PathGrants
-	case StateRenew:
-		return protocol.RenewPath(call.Lease)
+	case StateGrantLease:
+		return protocol.PathLeases
+	case StateRenewLease:
+		return protocol.LeaseRenewalPath(call.Lease)
 	default:
-		return protocol.GrantPath(call.Lease)
+		return protocol.LeasePath(call.Lease)
 	}
 }
 
@@ -151,10 +151,10 @@
 	args := fasthttp.AcquireArgs()
 	defer fasthttp.ReleaseArgs(args)
 	args.Set("starts", call.Key)
-	if call.After != "" {
-		args.Set("after", call.After)
+	if call.StartAfter != "" {
+		args.Set("after", call.StartAfter)
 	}
-	args.Set("limit", strconv.Itoa(cmp.Or(call.Most, listEntries)))
+	args.Set("limit", strconv.Itoa(cmp.Or(call.Limit, listEntries)))
 	return args.String()
 }
 
@@ -163,13 +163,13 @@
 	switch call.Op {
 	case StateGet, StateList:
 		return
-	case StateRevoke:
+	case StateRevokeLease:
 		req.Header.SetMethod(fasthttp.MethodDelete)
 		return
 	case StateTxn:
 		req.SetBody(protocol.Encode(call.Txn))
-	case StateGrant:
-		req.SetBody(protocol.Encode(protocol.GrantRequest{TTLms: call.TTL.Milliseconds()}))
+	case StateGrantLease:
+		req.SetBody(protocol.Encode(protocol.LeaseRequest{TTLms: call.TTL.Milliseconds()}))
 	}
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetContentType(protocol.ContentType)
@@ -183,16 +183,16 @@
 	case StateList:
 		err = protocol.Decode(body, &r.List)
 	case StateTxn:
-		var a protocol.TxnAnswer
+		var a protocol.TxnResponse
 		err = protocol.Decode(body, &a)
-		r.Number = a.Revision
-	case StateGrant:
-		var g protocol.Grant
+		r.Revision = a.Revision
+	case StateGrantLease:
+		var g protocol.LeaseGrant
 		err = protocol.Decode(body, &g)
-		r.Number = g.Lease
+		r.Revision = g.Lease
 	}
 	if err != nil {
-		r.Outcome = Lost // an answer that can't be read tells nothing
+		r.Outcome = Unknown // an answer that can't be read tells nothing
 	}
 }
 
@@ -202,7 +202,7 @@
 	if errors.As(err, &dial) || errors.Is(err, fasthttp.ErrNoFreeConns) {
 		return NotSent
 	}
-	return Lost
+	return Unknown
 }
 
 func outcome(status int) Outcome {
@@ -218,5 +218,5 @@
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
 		return Refused
 	}
-	return Lost
+	return Unknown
 }
--- a/internal/storage/page.go
+++ b/internal/storage/page.go
@@ -8,27 +8,27 @@
 	"oakpick/internal/protocol"
 )
 
-// Root is the prefix of every key but the leader's.
-const Root = "oakpick/facts/"
+// RecordsPrefix is the prefix of every key but the leader's.
+const RecordsPrefix = "oakpick/facts/"
 
-// Prefix is the prefix of the pages' keys.
-const Prefix = Root + "page/"
+// PagePrefix is the prefix of the pages' keys.
+const PagePrefix = RecordsPrefix + "page/"
 
 // Item is a record, or a few that belong together, kept on one page.
 type Item interface {
-	// Emit adds the item's records to a page's value.
-	Emit(*PageValue)
-	// Size is at least what the records take now, as the state service counts.
-	Size() int
-	// Reserve is what the records are expected to grow to.
-	Reserve() int
+	// AppendTo adds the item's records to a page's value.
+	AppendTo(*PageValue)
+	// EncodedSize is at least what the records take now, as the state service counts.
+	EncodedSize() int
+	// ReservedSize is what the records are expected to grow to.
+	ReservedSize() int
 }
 
-// CommitWait runs a function once so many pages have been committed.
-type CommitWait struct {
-	pending  int
-	then     func()
-	patience int // by how many retry times its pages may be written after others
+// CommitWaiter runs a function once so many pages have been committed.
+type CommitWaiter struct {
+	pending         int
+	onCommit        func()
+	maxDelayRetries int // by how many retry times its pages may be written after others
 }
 
 // By how many retry times a page may be written later than one that somebody waits for.
@@ -42,60 +42,60 @@
 
 // OnCommit makes a wait; it is handed to Touch for every page that it waits for. A
 // user's answer depends on it.
-func OnCommit(then func()) *CommitWait { return &CommitWait{then: then} }
+func OnCommit(then func()) *CommitWaiter { return &CommitWaiter{onCommit: then} }
 
-// OnCommitStart makes a wait that the start of a task depends on. The aims for starts are
+// OnStartCommit makes a wait that the start of a task depends on. The aims for starts are
 // seconds, and those for users' answers parts of one, so that answers go first.
-func OnCommitStart(then func()) *CommitWait {
-	return &CommitWait{then: then, patience: startRetries}
+func OnStartCommit(then func()) *CommitWaiter {
+	return &CommitWaiter{onCommit: then, maxDelayRetries: startRetries}
 }
 
-// OnCommitLater makes a wait that nobody outside depends on: others go first.
-func OnCommitLater(then func()) *CommitWait {
-	return &CommitWait{then: then, patience: soonRetries}
+// OnDeferredCommit makes a wait that nobody outside depends on: others go first.
+func OnDeferredCommit(then func()) *CommitWaiter {
+	return &CommitWaiter{onCommit: then, maxDelayRetries: soonRetries}
 }
 
-// OnCommitInBackground makes a wait for something that a successor would conclude from
+// OnBackgroundCommit makes a wait for something that a successor would conclude from
 // other records. It is written with what the budget leaves, for a while.
-func OnCommitInBackground(then func()) *CommitWait {
-	return &CommitWait{then: then, patience: backgroundRetries}
+func OnBackgroundCommit(then func()) *CommitWaiter {
+	return &CommitWaiter{onCommit: then, maxDelayRetries: backgroundRetries}
 }
 
-// OnCommitLast makes a wait for what is written only when nothing else is to be, the
+// OnLowestPriorityCommit makes a wait for what is written only when nothing else is to be, the
 // oldest first.
-func OnCommitLast(then func()) *CommitWait {
-	return &CommitWait{then: then, patience: lastRetries}
+func OnLowestPriorityCommit(then func()) *CommitWaiter {
+	return &CommitWaiter{onCommit: then, maxDelayRetries: lastRetries}
 }
 
 // page is one key of the state service and what belongs on it.
 type page struct {
-	number   int
-	version  int64
-	items    []Item
-	reserved int // what its items are expected to grow to
-	dirty    bool
-	inFlight bool          // part of a transaction under way
-	dropped  bool          // by that transaction
-	since    time.Duration // it is dirty
-	due      time.Duration // pages are written in this order
-	waits    []*CommitWait
+	number     int
+	version    int64
+	items      []Item
+	reserved   int // what its items are expected to grow to
+	dirty      bool
+	inFlight   bool          // part of a transaction under way
+	deleted    bool          // by that transaction
+	dirtySince time.Duration // it is dirty
+	dueAt      time.Duration // pages are written in this order
+	waiters    []*CommitWaiter
 }
 
-func (p *page) key() string { return fmt.Sprintf("%s%06d", Prefix, p.number) }
+func (p *page) key() string { return fmt.Sprintf("%s%06d", PagePrefix, p.number) }
 
 // size is at least what the page's value takes as it is now.
 func (p *page) size() int {
 	n := pageSize
 	for _, item := range p.items {
-		n += item.Size()
+		n += item.EncodedSize()
 	}
 	return n
 }
 
 func (p *page) value(writeID string) *PageValue {
-	v := &PageValue{ID: writeID}
+	v := &PageValue{WriteID: writeID}
 	for _, item := range p.items {
-		item.Emit(v)
+		item.AppendTo(v)
 	}
 	return v
 }
@@ -107,7 +107,7 @@
 // PageNumber reads a page's number from its key.
 func PageNumber(key string) (int, bool) {
 	var n int
-	if _, err := fmt.Sscanf(key, Prefix+"%d", &n); err != nil || n < 0 || n > 1<<20 {
+	if _, err := fmt.Sscanf(key, PagePrefix+"%d", &n); err != nil || n < 0 || n > 1<<20 {
 		return 0, false
 	}
 	return n, true
--- a/internal/storage/read.go
+++ b/internal/storage/read.go
@@ -58,11 +58,11 @@
 func jobKey(r JobRecord) recordKey          { return recordKey{"job", r.ID, 0} }
 func extensionKey(r JobExtension) recordKey { return recordKey{"extension", r.Job, 0} }
 func blockKey(r BlockRecord) recordKey      { return recordKey{"block", r.Job, r.Block} }
-func finalKey(r FinalRecord) recordKey      { return recordKey{"final", r.ID, 0} }
+func finalKey(r TerminalRecord) recordKey   { return recordKey{"final", r.ID, 0} }
 func prerequisitesKey(r PrerequisitesRecord) recordKey {
 	return recordKey{"prerequisites", r.Job, r.Part}
 }
-func rentalKey(r RentalRecord) recordKey { return recordKey{"rental", r.Request, 0} }
+func rentalKey(r ProvisioningRecord) recordKey { return recordKey{"rental", r.RequestID, 0} }
 
 // copies knows the version of the page that has the newest copy of each record.
 type copies map[recordKey]int64
@@ -74,7 +74,7 @@
 	for _, p := range pages {
 		for _, k := range p.Value.keys() {
 			if c[k] == p.Version {
-				return nil, damaged(k.String(), "stands twice in revision %d", p.Version)
+				return nil, corrupt(k.String(), "stands twice in revision %d", p.Version)
 			}
 			c[k] = max(c[k], p.Version)
 		}
@@ -97,10 +97,10 @@
 	for _, r := range v.Blocks {
 		keys = append(keys, blockKey(r))
 	}
-	for _, r := range v.Finals {
+	for _, r := range v.Terminal {
 		keys = append(keys, finalKey(r))
 	}
-	for _, r := range v.Rentals {
+	for _, r := range v.Provisioning {
 		keys = append(keys, rentalKey(r))
 	}
 	if v.Options != "" {
@@ -120,8 +120,8 @@
 		return c[prerequisitesKey(r)] == p.Version && !over(r.Job)
 	})
 	v.Blocks = keep(p, v.Blocks, func(r BlockRecord) bool { return c[blockKey(r)] == p.Version })
-	v.Finals = keep(p, v.Finals, func(r FinalRecord) bool { return c[finalKey(r)] == p.Version })
-	v.Rentals = keep(p, v.Rentals, func(r RentalRecord) bool { return c[rentalKey(r)] == p.Version })
+	v.Terminal = keep(p, v.Terminal, func(r TerminalRecord) bool { return c[finalKey(r)] == p.Version })
+	v.Provisioning = keep(p, v.Provisioning, func(r ProvisioningRecord) bool { return c[rentalKey(r)] == p.Version })
 	if v.Options != "" && c[optionsKey] != p.Version {
 		v.Options, p.Stale = "", true
 	}
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -14,14 +14,14 @@
 	"oakpick/internal/protocol"
 )
 
-// Bits is a set of small numbers, written as hexadecimal text.
-type Bits []byte
+// Bitmap is a set of small numbers, written as hexadecimal text.
+type Bitmap []byte
 
 // Has tells whether i is in the set.
-func (b Bits) Has(i int) bool { return i>>3 < len(b) && b[i>>3]&(1<<(i&7)) != 0 }
+func (b Bitmap) Has(i int) bool { return i>>3 < len(b) && b[i>>3]&(1<<(i&7)) != 0 }
 
 // Set adds i.
-func (b *Bits) Set(i int) {
+func (b *Bitmap) Set(i int) {
 	for len(*b) <= i>>3 {
 		*b = append(*b, 0)
 	}
@@ -29,7 +29,7 @@
 }
 
 // Len is one more than the largest number in the set; 0: it is empty.
-func (b Bits) Len() int {
+func (b Bitmap) Len() int {
 	for i := len(b) - 1; i >= 0; i-- {
 		if b[i] != 0 {
 			return i<<3 + bits.Len8(b[i])
@@ -39,20 +39,20 @@
 }
 
 // Text is the set's durable form.
-func (b Bits) Text() string { return hex.EncodeToString(b) }
+func (b Bitmap) Text() string { return hex.EncodeToString(b) }
 
-// ParseBits reads the durable form.
-func ParseBits(s string) (Bits, error) { return hex.DecodeString(s) }
+// ParseBitmap reads the durable form.
+func ParseBitmap(s string) (Bitmap, error) { return hex.DecodeString(s) }
 
 // StartRecord is a task that was started and may be on a machine.
 type StartRecord struct {
 	//lint:ignore U1000 read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Task    int
-	Try     int64
-	Host    string
-	Session int64
+	Task        int
+	Attempt     int64
+	Machine     string
+	Incarnation int64
 }
 
 // JobRecord describes a job that isn't over.
@@ -60,21 +60,21 @@
 	//lint:ignore U1000 read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
 
-	ID, Class, Team, Image, Zone string
-	Shape                        protocol.Shape
-	Priority                     protocol.Priority
-	Tasks                        int
-	CPUs, GPUs, MemoryGB         float64
-	ImageGB                      float64
-	AnyType                      bool
-	Types                        []string
-	OneZone, Spread, Spot        bool
-	Estimate, SaveEach, SaveTime float64
-	Deadline                     float64
-	SubmittedMs                  int64
-	Cancelled                    bool
-	Try                          int64  // a gang's attempt
-	Full                         string // blocks that are wholly done
+	ID, Class, Team, Image, Zone                            string
+	Kind                                                    protocol.JobKind
+	Priority                                                protocol.Priority
+	Tasks                                                   int
+	CPUs, GPUs, MemoryGB                                    float64
+	ImageGB                                                 float64
+	AnyType                                                 bool
+	Types                                                   []string
+	OneZone, Spread, Spot                                   bool
+	EstimatedRunS, CheckpointIntervalS, CheckpointDurationS float64
+	DeadlineS                                               float64
+	SubmittedMs                                             int64
+	Cancelled                                               bool
+	GangAttempt                                             int64  // a gang's attempt
+	CompletedBlocks                                         string // blocks that are wholly done
 }
 
 // BlockRecord is what is known of a block of a job's tasks.
@@ -82,15 +82,15 @@
 	//lint:ignore U1000 read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Job    string
-	Block  int
-	Try    int64 // highest attempt given out in this block
-	Done   string
-	Starts []StartRecord
+	Job         string
+	Block       int
+	LastAttempt int64 // highest attempt given out in this block
+	Done        string
+	Starts      []StartRecord
 }
 
-// FinalRecord is all that is kept of a job that is over.
-type FinalRecord struct {
+// TerminalRecord is all that is kept of a job that is over.
+type TerminalRecord struct {
 	//lint:ignore U1000 read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -99,17 +99,17 @@
 	Tasks     int
 }
 
-// RentalRecord is a rental whose machines aren't all known from elsewhere yet.
-type RentalRecord struct {
+// ProvisioningRecord is a rental whose machines aren't all known from elsewhere yet.
+type ProvisioningRecord struct {
 	//lint:ignore U1000 read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Request, Type, Zone string
-	Spot                bool
-	Count               int
-	Answered            bool
-	Hosts               []string
-	AtMs                int64
+	RequestID, Type, Zone string
+	Spot                  bool
+	Count                 int
+	Answered              bool
+	Machines              []string
+	AtMs                  int64
 }
 
 // JobExtension is what is recorded of a job beside its JobRecord. Versions that
@@ -138,12 +138,12 @@
 
 // PageValue is what a page's key holds.
 type PageValue struct {
-	ID      string         `msgpack:"id"` // of the write that made it
-	Jobs    []JobRecord    `msgpack:"j,omitempty"`
-	Blocks  []BlockRecord  `msgpack:"b,omitempty"`
-	Finals  []FinalRecord  `msgpack:"f,omitempty"`
-	Rentals []RentalRecord `msgpack:"r,omitempty"`
-	Options string         `msgpack:"o,omitempty"` // what operators have changed, as JSON
+	WriteID      string               `msgpack:"id"` // of the write that made it
+	Jobs         []JobRecord          `msgpack:"j,omitempty"`
+	Blocks       []BlockRecord        `msgpack:"b,omitempty"`
+	Terminal     []TerminalRecord     `msgpack:"f,omitempty"`
+	Provisioning []ProvisioningRecord `msgpack:"r,omitempty"`
+	Options      string               `msgpack:"o,omitempty"` // what operators have changed, as JSON
 
 	Extensions []JobExtension `msgpack:"x,omitempty"`
 
@@ -153,9 +153,9 @@
 // NewJobRecord describes a submission.
 func NewJobRecord(s *protocol.Submission, submittedMs int64) JobRecord {
 	return JobRecord{
-		ID: s.ID, Class: s.Class, Team: s.Team, Image: s.Image, Zone: s.Zone, Shape: s.Shape, Priority: s.Priority,
+		ID: s.ID, Class: s.Class, Team: s.Team, Image: s.Image, Zone: s.Zone, Kind: s.Kind, Priority: s.Priority,
 		Tasks: s.Tasks, CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, ImageGB: s.ImageGB,
 		AnyType: s.Types == nil, Types: s.Types, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot,
-		Estimate: s.Estimate, SaveEach: s.SaveEach, SaveTime: s.SaveTime, Deadline: s.Deadline, SubmittedMs: submittedMs,
+		EstimatedRunS: s.EstimatedRunS, CheckpointIntervalS: s.CheckpointIntervalS, CheckpointDurationS: s.CheckpointDurationS, DeadlineS: s.DeadlineS, SubmittedMs: submittedMs,
 	}
 }
--- a/internal/storage/size.go
+++ b/internal/storage/size.go
@@ -10,12 +10,12 @@
 	hostSize = 40  // a machine's name, at most
 	pageSize = 128 // the page's own braces, names and write id
 
-	// StartReserve is what a start is expected to take: a task and an attempt, a
+	// StartReservedSize is what a start is expected to take: a task and an attempt, a
 	// machine's name, a session.
-	StartReserve = 46
+	StartReservedSize = 46
 
-	// OptionsReserve is the space of the operators' settings, quotes escaped.
-	OptionsReserve = 512
+	// OptionsReservedSize is the space of the operators' settings, quotes escaped.
+	OptionsReservedSize = 512
 )
 
 // textSize is the size of a string, its quotes and the comma behind it.
@@ -50,24 +50,24 @@
 // bitsSize is the size of a set of so many bits.
 func bitsSize(bits int) int { return bits/4 + 8 }
 
-// Reserve is the space a job's description may take.
-func (r *JobRecord) Reserve(blocks int) int {
+// ReservedSize is the space a job's description may take.
+func (r *JobRecord) ReservedSize(blocks int) int {
 	const brackets, bools, words, integers = 4, 5, 2, 3 // the words are the shape and the priority
 	n := brackets + bools*boolSize + words*2 + integers*intSize + bitsSize(blocks)
-	for _, f := range []float64{r.CPUs, r.GPUs, r.MemoryGB, r.ImageGB, r.Estimate, r.SaveEach, r.SaveTime, r.Deadline} {
+	for _, f := range []float64{r.CPUs, r.GPUs, r.MemoryGB, r.ImageGB, r.EstimatedRunS, r.CheckpointIntervalS, r.CheckpointDurationS, r.DeadlineS} {
 		n += floatSize(f)
 	}
 	return n + textSizes(r.ID, r.Class, r.Team, r.Image, r.Zone) + textSizes(r.Types...)
 }
 
-// Size is the space a job's extension takes.
-func (r *JobExtension) Size() int {
+// EncodedSize is the space a job's extension takes.
+func (r *JobExtension) EncodedSize() int {
 	const brackets = 6
 	return brackets + textSize(r.Job) + integerSize(int64(r.BlockTasks)) + textSizes(r.Prerequisites...)
 }
 
-// Size is the space that a part of a job's prerequisites takes.
-func (r *PrerequisitesRecord) Size() int {
+// EncodedSize is the space that a part of a job's prerequisites takes.
+func (r *PrerequisitesRecord) EncodedSize() int {
 	const brackets = 5
 	return brackets + textSize(r.Job) + integerSize(int64(r.Part)) + textSizes(r.IDs...)
 }
@@ -78,7 +78,7 @@
 	var parts []PrerequisitesRecord
 	for _, id := range ids {
 		last := len(parts) - 1
-		if last < 0 || parts[last].Size()+textSize(id) > most {
+		if last < 0 || parts[last].EncodedSize()+textSize(id) > most {
 			parts = append(parts, PrerequisitesRecord{Job: job, Part: len(parts)})
 			last++
 		}
@@ -87,10 +87,10 @@
 	return parts
 }
 
-// Size is the space that a start takes.
-func (r *StartRecord) Size() int {
+// EncodedSize is the space that a start takes.
+func (r *StartRecord) EncodedSize() int {
 	const brackets = 3
-	return brackets + integerSize(int64(r.Task)) + integerSize(r.Try) + textSize(r.Host) + integerSize(r.Session)
+	return brackets + integerSize(int64(r.Task)) + integerSize(r.Attempt) + textSize(r.Machine) + integerSize(r.Incarnation)
 }
 
 // BlockSize is the space that a block of so many tasks takes without its starts.
@@ -99,23 +99,27 @@
 	return brackets + textSize(job) + 2*intSize + bitsSize(tasks)
 }
 
-// BlockReserve is the space that a block of so many tasks may take.
-func BlockReserve(job string, tasks int) int { return BlockSize(job, tasks) + tasks*StartReserve }
+// BlockReservedSize is the space that a block of so many tasks may take.
+func BlockReservedSize(job string, tasks int) int {
+	return BlockSize(job, tasks) + tasks*StartReservedSize
+}
 
-// Reserve is the space of a finished job.
-func (r *FinalRecord) Reserve() int {
+// ReservedSize is the space of a finished job.
+func (r *TerminalRecord) ReservedSize() int {
 	const brackets = 3
 	return brackets + textSize(r.ID) + boolSize + integerSize(int64(r.Tasks))
 }
 
-// Size is the space that a rental takes as it is.
-func (r *RentalRecord) Size() int {
+// EncodedSize is the space that a rental takes as it is.
+func (r *ProvisioningRecord) EncodedSize() int {
 	const brackets = 5
-	return brackets + textSizes(r.Request, r.Type, r.Zone) + 2*boolSize + 2*intSize + textSizes(r.Hosts...)
+	return brackets + textSizes(r.RequestID, r.Type, r.Zone) + 2*boolSize + 2*intSize + textSizes(r.Machines...)
 }
 
-// Reserve is the space of a rental and its answer.
-func (r *RentalRecord) Reserve() int { return max(r.Size(), r.Size()+(r.Count-len(r.Hosts))*hostSize) }
+// ReservedSize is the space of a rental and its answer.
+func (r *ProvisioningRecord) ReservedSize() int {
+	return max(r.EncodedSize(), r.EncodedSize()+(r.Count-len(r.Machines))*hostSize)
+}
 
 // recordedStart is the size by which blocks are cut. It is part of the format: jobs
 // of earlier versions have their blocks cut by it.
--- a/internal/storage/split.go
+++ b/internal/storage/split.go
@@ -40,7 +40,7 @@
 	if !s.lowered || p.size() <= s.limits.PageBytes {
 		return false
 	}
-	movable := func(item Item) bool { return item.Size() <= s.MaxItem() }
+	movable := func(item Item) bool { return item.EncodedSize() <= s.MaxItemSize() }
 	return len(p.items) == 1 || !slices.ContainsFunc(p.items, movable)
 }
 
@@ -50,14 +50,14 @@
 	fresh := s.newPage()
 	for i := len(p.items) - 1; i >= 0 && p.size() > s.limits.PageBytes; i-- {
 		item := p.items[i]
-		full := len(fresh.items) > 0 && fresh.reserved+s.reserve(item) > s.limits.PageBytes
-		if full || s.lowered && item.Size() > s.MaxItem() {
+		full := len(fresh.items) > 0 && fresh.reserved+s.reservedSize(item) > s.limits.PageBytes
+		if full || s.lowered && item.EncodedSize() > s.MaxItemSize() {
 			continue
 		}
 		p.items = slices.Delete(p.items, i, i+1)
-		p.reserved -= s.reserve(item)
-		s.indexRoom(p)
-		s.put(fresh, item)
+		p.reserved -= s.reservedSize(item)
+		s.updateFreeSpace(p)
+		s.insert(fresh, item)
 		if len(p.items) == 1 {
 			break
 		}
@@ -80,15 +80,15 @@
 	for len(s.unchecked) > 0 {
 		p := s.unchecked[0]
 		if p.size() > s.limits.PageBytes && len(p.items) > 1 {
-			s.markDirty(now, p, nil)
+			s.markPageDirty(now, p, nil)
 			return
 		}
 		s.unchecked = s.unchecked[1:]
 	}
 }
 
-// Unsplit is how many pages may still have to be split ahead of lower limits.
-func (s *Store) Unsplit() int {
+// OversizedPages is how many pages may still have to be split ahead of lower limits.
+func (s *Store) OversizedPages() int {
 	n := 0
 	for _, p := range s.unchecked {
 		if p.size() > s.limits.PageBytes {
--- a/internal/storage/split_test.go
+++ b/internal/storage/split_test.go
@@ -56,7 +56,7 @@
 	}
 	out := map[string]int64{}
 	for _, p := range pages {
-		for _, f := range p.Value.Finals {
+		for _, f := range p.Value.Terminal {
 			if _, ok := out[f.ID]; ok {
 				k.t.Fatalf("%s is on two pages, and both count", f.ID)
 			}
@@ -74,11 +74,11 @@
 
 const recordBytes = 60
 
-func (r *record) Emit(v *PageValue) {
-	v.Finals = append(v.Finals, FinalRecord{ID: r.name, Tasks: r.changed})
+func (r *record) AppendTo(v *PageValue) {
+	v.Terminal = append(v.Terminal, TerminalRecord{ID: r.name, Tasks: r.changed})
 }
-func (r *record) Size() int    { return recordBytes }
-func (r *record) Reserve() int { return recordBytes }
+func (r *record) EncodedSize() int  { return recordBytes }
+func (r *record) ReservedSize() int { return recordBytes }
 
 // load makes a store of what is stored, as a new leader does.
 func (k *keys) load(limits Limits, records map[string]*record) *Store {
@@ -90,9 +90,9 @@
 	for _, p := range pages {
 		s.Load(p.Number, p.Version)
 		if p.Stale {
-			s.LoadStale(0, p.Number)
+			s.LoadStalePage(0, p.Number)
 		}
-		for _, f := range p.Value.Finals {
+		for _, f := range p.Value.Terminal {
 			records[f.ID] = &record{f.ID, f.Tasks}
 			s.Load(p.Number, p.Version, records[f.ID])
 		}
@@ -118,10 +118,10 @@
 			want := map[string]int64{}
 			for i := range count {
 				r := &record{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))}
-				old.Touch(0, r, nil)
+				old.MarkDirty(0, r, nil)
 				want[r.name] = 0
 			}
-			if w := old.Next(0, term, true); w == nil || k.apply(w) != OK || len(w.Txn.Then) != 1 {
+			if w := old.NextWrite(0, term, true); w == nil || k.apply(w) != OK || len(w.Txn.Then) != 1 {
 				t.Fatalf("%s: the old version's page: %+v", c.name, w)
 			}
 			limits := Limits{PageBytes(2), c.changes, 1000}
@@ -129,7 +129,7 @@
 			s := k.load(limits, records)
 			known := c.knowsLimits
 			if known {
-				s.LimitsLowered()
+				s.SetLimitsLowered()
 			}
 			written := 0
 			for i := range 60 {
@@ -140,13 +140,13 @@
 				changed := records[slices.Sorted(maps.Keys(records))[i*7%count]]
 				changed.changed++
 				committed := false
-				s.Touch(now, changed, OnCommit(func() { committed = true }))
-				for w := s.Next(now, term, true); w != nil; w = s.Next(now, term, true) {
+				s.MarkDirty(now, changed, OnCommit(func() { committed = true }))
+				for w := s.NextWrite(now, term, true); w != nil; w = s.NextWrite(now, term, true) {
 					if written == ends { // the leader ends, and the next one reads
 						records = map[string]*record{}
 						s = k.load(limits, records)
 						if known {
-							s.LimitsLowered()
+							s.SetLimitsLowered()
 						}
 						written++
 						break
@@ -154,7 +154,7 @@
 					switch k.apply(w) {
 					case OK:
 						written++
-						s.Committed(w, k.next)
+						s.MarkCommitted(w, k.next)
 					case Invalid:
 						if known {
 							t.Fatalf("%s: refused for its size again", c.name)
@@ -162,7 +162,7 @@
 						known = true
 						records = map[string]*record{}
 						s = k.load(limits, records) // a new term
-						s.LimitsLowered()
+						s.SetLimitsLowered()
 					default:
 						t.Fatalf("%s: a conflict with nobody else there", c.name)
 					}
@@ -196,31 +196,31 @@
 	k := &keys{t: t, values: map[string][]byte{}, version: map[string]int64{}, limit: 8 << 10, changes: 8}
 	old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
 	for i := range 600 {
-		old.Touch(0, &record{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))}, nil)
+		old.MarkDirty(0, &record{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))}, nil)
 	}
-	for w := old.Next(0, term, true); w != nil; w = old.Next(0, term, true) {
+	for w := old.NextWrite(0, term, true); w != nil; w = old.NextWrite(0, term, true) {
 		k.apply(w)
-		old.Committed(w, k.next)
+		old.MarkCommitted(w, k.next)
 	}
 	s := k.load(Limits{PageBytes(2), 4, 10}, map[string]*record{})
 	changes, done := 0, time.Duration(0)
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
-		for w := s.Next(now, term, true); w != nil; w = s.Next(now, term, true) {
+		for w := s.NextWrite(now, term, true); w != nil; w = s.NextWrite(now, term, true) {
 			if k.apply(w) != OK {
 				t.Fatal("not taken")
 			}
 			changes += len(w.Txn.Then)
-			s.Committed(w, k.next)
+			s.MarkCommitted(w, k.next)
 		}
 		if changes > 10+int(now.Seconds()*10) {
 			t.Fatalf("%d changes in %v", changes, now)
 		}
-		if done == 0 && s.Unsplit() == 0 {
+		if done == 0 && s.OversizedPages() == 0 {
 			done = now
 		}
 	}
 	if done == 0 || len(k.finals()) != 600 {
-		t.Errorf("%d pages are left, %d records", s.Unsplit(), len(k.finals()))
+		t.Errorf("%d pages are left, %d records", s.OversizedPages(), len(k.finals()))
 	}
 }
 
@@ -232,14 +232,14 @@
 	}
 	pages, err := ReadPages([]protocol.Entry{
 		page(0, 5, PageValue{
-			Jobs: []JobRecord{{ID: "wk-1", Tasks: 1}, {ID: "wk-2", Tasks: 9}, {ID: "wk-3", Tasks: 1}}, Blocks: []BlockRecord{{Job: "wk-1", Block: 1, Try: 1}},
-			Rentals: []RentalRecord{{Request: "r", Count: 1}}, Options: "old", Extensions: []JobExtension{{Job: "wk-1", BlockTasks: 1}},
+			Jobs: []JobRecord{{ID: "wk-1", Tasks: 1}, {ID: "wk-2", Tasks: 9}, {ID: "wk-3", Tasks: 1}}, Blocks: []BlockRecord{{Job: "wk-1", Block: 1, LastAttempt: 1}},
+			Provisioning: []ProvisioningRecord{{RequestID: "r", Count: 1}}, Options: "old", Extensions: []JobExtension{{Job: "wk-1", BlockTasks: 1}},
 		}),
 		page(1, 7, PageValue{
-			Jobs: []JobRecord{{ID: "wk-1", Tasks: 2}}, Blocks: []BlockRecord{{Job: "wk-1", Block: 1, Try: 2}, {Job: "wk-1", Block: 2}},
-			Rentals: []RentalRecord{{Request: "r", Count: 2}}, Options: "new", Extensions: []JobExtension{{Job: "wk-1", BlockTasks: 2}},
+			Jobs: []JobRecord{{ID: "wk-1", Tasks: 2}}, Blocks: []BlockRecord{{Job: "wk-1", Block: 1, LastAttempt: 2}, {Job: "wk-1", Block: 2}},
+			Provisioning: []ProvisioningRecord{{RequestID: "r", Count: 2}}, Options: "new", Extensions: []JobExtension{{Job: "wk-1", BlockTasks: 2}},
 		}),
-		page(2, 3, PageValue{Finals: []FinalRecord{{ID: "wk-2", Tasks: 9}}}), // older than the job's record
+		page(2, 3, PageValue{Terminal: []TerminalRecord{{ID: "wk-2", Tasks: 9}}}), // older than the job's record
 	})
 	if err != nil || len(pages) != 3 {
 		t.Fatal(pages, err)
@@ -249,14 +249,14 @@
 		t.Errorf("stale: %t, %t, %t", old.Stale, fresh.Stale, end.Stale)
 	}
 	v := old.Value
-	if len(v.Jobs) != 1 || v.Jobs[0].ID != "wk-3" || len(v.Blocks)+len(v.Rentals)+len(v.Extensions) != 0 || v.Options != "" {
+	if len(v.Jobs) != 1 || v.Jobs[0].ID != "wk-3" || len(v.Blocks)+len(v.Provisioning)+len(v.Extensions) != 0 || v.Options != "" {
 		t.Errorf("of the older page counts %+v", v)
 	}
 	v = fresh.Value
-	if len(v.Jobs) != 1 || len(v.Blocks) != 2 || len(v.Rentals) != 1 || len(v.Extensions) != 1 || v.Options != "new" {
+	if len(v.Jobs) != 1 || len(v.Blocks) != 2 || len(v.Provisioning) != 1 || len(v.Extensions) != 1 || v.Options != "new" {
 		t.Errorf("of the newer page counts %+v", v)
 	}
-	if len(end.Value.Finals) != 1 {
+	if len(end.Value.Terminal) != 1 {
 		t.Errorf("the end of a job does not count: %+v", end.Value)
 	}
 }
@@ -273,25 +273,25 @@
 		small = append(small, &record{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))})
 		s.Load(0, 0, small[i])
 	}
-	s.LimitsLowered()
+	s.SetLimitsLowered()
 	committed := 0
 	run := func(from time.Duration) {
 		for i := range 40 {
 			now := from + time.Duration(i)*100*time.Millisecond
-			for w := s.Next(now, term, true); w != nil; w = s.Next(now, term, true) {
+			for w := s.NextWrite(now, term, true); w != nil; w = s.NextWrite(now, term, true) {
 				if k.apply(w) != OK {
 					t.Fatalf("refused: %d changes", len(w.Txn.Then))
 				}
-				s.Committed(w, k.next)
+				s.MarkCommitted(w, k.next)
 			}
 		}
 	}
-	s.Touch(0, large, OnCommit(func() { committed += 100 }))
+	s.MarkDirty(0, large, OnCommit(func() { committed += 100 }))
 	run(0)
 	for _, r := range small {
-		s.Touch(5*time.Second, r, OnCommit(func() { committed++ }))
+		s.MarkDirty(5*time.Second, r, OnCommit(func() { committed++ }))
 	}
-	s.Touch(5*time.Second, &record{name: "another"}, OnCommit(func() { committed++ }))
+	s.MarkDirty(5*time.Second, &record{name: "another"}, OnCommit(func() { committed++ }))
 	run(5 * time.Second)
 	if committed != 21 {
 		t.Errorf("%d of 21 small records were written", committed)
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -14,7 +14,7 @@
 
 // maxWrites is how many transactions may be in flight at a time, each for pages of
 // its own. The state service's other calls keep two connections.
-const maxWrites = config.StateCalls - 2
+const maxWrites = config.StateConnections - 2
 
 // Write is a transaction in flight.
 type Write struct {
@@ -23,17 +23,17 @@
 	// Oversize tells that a value is larger than the limits to come allow: the rest
 	// of a page that is being split.
 	Oversize bool
-	// Refused tells that the state service called it malformed.
-	Refused bool
+	// Rejected tells that the state service called it malformed.
+	Rejected bool
 	// Version is the revision that it was committed with.
 	Version int64
 
 	pages   []*page
 	guard   *page          // compared, but not written
 	archive []*ArchivePage // written, too
-	waits   [][]*CommitWait
+	waiters [][]*CommitWaiter
 	sent    bool
-	again   time.Duration
+	retryAt time.Duration
 }
 
 // Key names a page that tells, by the write's id, whether the write was committed.
@@ -58,19 +58,19 @@
 // page in two transactions at a time and never changes what a retry carries: a
 // copy of the first try that arrives late is then the same write or a failed one.
 type Store struct {
-	limits  Limits
-	budget  *rate.Limiter
-	pages   []*page
-	room    roomIndex
-	pageOf  map[Item]*page
-	dirty   []*page
-	writes  []*Write
-	prefix  string
-	counter int64
-	retry   time.Duration
-	resume  time.Duration  // no new transaction before, after a refusal
-	stalled *time.Duration // when a transaction came to nothing and none was committed since
-	lowered bool           // the state service has lowered its limits for certain
+	limits    Limits
+	budget    *rate.Limiter
+	pages     []*page
+	freeSpace freeSpaceIndex
+	pageOf    map[Item]*page
+	dirty     []*page
+	writes    []*Write
+	prefix    string
+	counter   int64
+	retry     time.Duration
+	resume    time.Duration  // no new transaction before, after a refusal
+	stalled   *time.Duration // when a transaction came to nothing and none was committed since
+	lowered   bool           // the state service has lowered its limits for certain
 
 	unchecked []*page // read at the take-over, not yet known to fit the limits
 	sorted    bool
@@ -84,8 +84,8 @@
 	}
 }
 
-// SetBudget changes how many keys a second may be written.
-func (s *Store) SetBudget(writesPerS float64) {
+// SetWriteRate changes how many keys a second may be written.
+func (s *Store) SetWriteRate(writesPerS float64) {
 	s.budget.SetLimit(rate.Limit(writesPerS))
 	s.budget.SetBurst(burst(writesPerS))
 }
@@ -93,8 +93,8 @@
 // burst is how many keys may be written at once: a second's worth.
 func burst(writesPerS float64) int { return max(1, int(writesPerS)) }
 
-// LimitsLowered notes that values above the limits to come are refused by now.
-func (s *Store) LimitsLowered() { s.lowered = true }
+// SetLimitsLowered notes that values above the limits to come are refused by now.
+func (s *Store) SetLimitsLowered() { s.lowered = true }
 
 // Load notes items read from a page.
 func (s *Store) Load(number int, version int64, items ...Item) {
@@ -104,108 +104,110 @@
 	p := s.pages[number]
 	p.version = version
 	for _, item := range items {
-		s.put(p, item)
+		s.insert(p, item)
 	}
 }
 
-// LoadStale notes that a page holds records that are read from another one: it is
+// LoadStalePage notes that a page holds records that are read from another one: it is
 // written without them before long.
-func (s *Store) LoadStale(now time.Duration, number int) { s.markDirty(now, s.pages[number], nil) }
+func (s *Store) LoadStalePage(now time.Duration, number int) {
+	s.markPageDirty(now, s.pages[number], nil)
+}
 
-func (s *Store) put(p *page, item Item) {
+func (s *Store) insert(p *page, item Item) {
 	p.items = append(p.items, item)
-	p.reserved += s.reserve(item)
+	p.reserved += s.reservedSize(item)
 	s.pageOf[item] = p
-	s.indexRoom(p)
+	s.updateFreeSpace(p)
 }
 
-// reserve is what is set aside for an item: never more than a page holds. An item
+// reservedSize is what is set aside for an item: never more than a page holds. An item
 // that could outgrow its page has one of its own and is kept from growing further
-// by whoever asks MaxItem.
-func (s *Store) reserve(item Item) int { return min(item.Reserve(), s.MaxItem()) }
+// by whoever asks MaxItemSize.
+func (s *Store) reservedSize(item Item) int { return min(item.ReservedSize(), s.MaxItemSize()) }
 
-// MaxItem is the most that one item may take.
-func (s *Store) MaxItem() int { return s.limits.PageBytes - pageSize }
+// MaxItemSize is the most that one item may take.
+func (s *Store) MaxItemSize() int { return s.limits.PageBytes - pageSize }
 
 // Fits tells whether an item can be kept, whatever it grows to.
-func (s *Store) Fits(item Item) bool { return item.Reserve() <= s.MaxItem() }
+func (s *Store) Fits(item Item) bool { return item.ReservedSize() <= s.MaxItemSize() }
 
-// Touch notes that an item is new or has changed; w, if any, waits for the commit.
-func (s *Store) Touch(now time.Duration, item Item, w *CommitWait) {
+// MarkDirty notes that an item is new or has changed; w, if any, waits for the commit.
+func (s *Store) MarkDirty(now time.Duration, item Item, w *CommitWaiter) {
 	p := s.pageOf[item]
 	if p == nil {
-		p = s.pageWithRoom(s.reserve(item))
-		s.put(p, item)
+		p = s.pageWithRoom(s.reservedSize(item))
+		s.insert(p, item)
 	}
-	s.markDirty(now, p, w)
+	s.markPageDirty(now, p, w)
 }
 
-// Swap puts one item in another's place, on the same page, so that no reader
+// Replace puts one item in another's place, on the same page, so that no reader
 // ever finds both or neither.
-func (s *Store) Swap(now time.Duration, old, fresh Item, w *CommitWait) {
+func (s *Store) Replace(now time.Duration, old, fresh Item, w *CommitWaiter) {
 	p := s.pageOf[old]
 	delete(s.pageOf, old)
 	s.pageOf[fresh] = p
 	p.items[slices.Index(p.items, old)] = fresh
-	p.reserved += s.reserve(fresh) - s.reserve(old)
-	s.indexRoom(p)
-	s.markDirty(now, p, w)
+	p.reserved += s.reservedSize(fresh) - s.reservedSize(old)
+	s.updateFreeSpace(p)
+	s.markPageDirty(now, p, w)
 }
 
 // Remove drops an item.
-func (s *Store) Remove(now time.Duration, item Item, w *CommitWait) {
+func (s *Store) Remove(now time.Duration, item Item, w *CommitWaiter) {
 	p := s.pageOf[item]
 	if p == nil {
 		return
 	}
-	s.takeOff(p, item)
-	s.markDirty(now, p, w)
+	s.detach(p, item)
+	s.markPageDirty(now, p, w)
 }
 
-// takeOff takes an item off its page.
-func (s *Store) takeOff(p *page, item Item) {
+// detach takes an item off its page.
+func (s *Store) detach(p *page, item Item) {
 	delete(s.pageOf, item)
 	p.remove(item)
-	p.reserved -= s.reserve(item)
-	s.indexRoom(p)
+	p.reserved -= s.reservedSize(item)
+	s.updateFreeSpace(p)
 }
 
 func (s *Store) newPage() *page {
 	p := &page{number: len(s.pages), reserved: pageSize}
 	s.pages = append(s.pages, p)
-	s.indexRoom(p)
+	s.updateFreeSpace(p)
 	return p
 }
 
-// indexRoom notes how much room a page has, or that it takes nothing while it is written.
-func (s *Store) indexRoom(p *page) {
+// updateFreeSpace notes how much room a page has, or that it takes nothing while it is written.
+func (s *Store) updateFreeSpace(p *page) {
 	if p.inFlight {
-		s.room.set(p.number, noRoom)
+		s.freeSpace.set(p.number, noFreeSpace)
 		return
 	}
-	s.room.set(p.number, s.limits.PageBytes-p.reserved)
+	s.freeSpace.set(p.number, s.limits.PageBytes-p.reserved)
 }
 
 // setInFlight notes that a page is part of a transaction under way, or no longer.
 func (s *Store) setInFlight(p *page, inFlight bool) {
 	p.inFlight = inFlight
-	s.indexRoom(p)
+	s.updateFreeSpace(p)
 }
 
-func (s *Store) markDirty(now time.Duration, p *page, w *CommitWait) {
+func (s *Store) markPageDirty(now time.Duration, p *page, w *CommitWaiter) {
 	patience := soonRetries
 	if w != nil {
-		patience = w.patience
+		patience = w.maxDelayRetries
 	}
 	due := now + time.Duration(patience)*s.retry
 	if !p.dirty {
-		p.dirty, p.since, p.due = true, now, due
+		p.dirty, p.dirtySince, p.dueAt = true, now, due
 		s.dirty = append(s.dirty, p)
 	}
-	p.due = min(p.due, due)
+	p.dueAt = min(p.dueAt, due)
 	if w != nil {
 		w.pending++
-		p.waits = append(p.waits, w)
+		p.waiters = append(p.waiters, w)
 	}
 }
 
@@ -217,16 +219,16 @@
 			return p
 		}
 	}
-	if n := s.room.first(size); n >= 0 {
+	if n := s.freeSpace.first(size); n >= 0 {
 		return s.pages[n]
 	}
 	return s.newPage()
 }
 
-// Next gives a transaction to send now, if any: conditional on the term's key and
+// NextWrite gives a transaction to send now, if any: conditional on the term's key and
 // on every page's version. Ask again until there is none. Unless more may begin,
 // only those already in flight are sent again.
-func (s *Store) Next(now time.Duration, term protocol.Condition, more bool) *Write {
+func (s *Store) NextWrite(now time.Duration, term protocol.Condition, more bool) *Write {
 	w, due := s.nextRetry(now)
 	if due {
 		return w
@@ -239,7 +241,7 @@
 	if w == nil {
 		return nil
 	}
-	s.fill(w, term)
+	s.seal(w, term)
 	return w
 }
 
@@ -250,7 +252,7 @@
 // less than it can ever have.
 func (s *Store) nextRetry(now time.Duration) (w *Write, due bool) {
 	for _, w := range s.writes {
-		if w.sent || now < w.again {
+		if w.sent || now < w.retryAt {
 			continue
 		}
 		if !s.budget.AllowN(at(now), min(w.keys(), s.budget.Burst())) {
@@ -268,7 +270,7 @@
 	if s.budget.TokensAt(at(now)) < 1 {
 		return nil // before anything is sorted or measured for it
 	}
-	slices.SortStableFunc(s.dirty, func(a, b *page) int { return cmp.Compare(a.due, b.due) })
+	slices.SortStableFunc(s.dirty, func(a, b *page) int { return cmp.Compare(a.dueAt, b.dueAt) })
 	w := &Write{sent: true}
 	most := min(s.limits.ChangesPerTxn, max(1, int(s.budget.TokensAt(at(now)))))
 	left := protocol.MaxBody - txnOverhead
@@ -301,8 +303,8 @@
 	return w
 }
 
-// fill writes the transaction down; from here on it never changes.
-func (s *Store) fill(w *Write, term protocol.Condition) {
+// seal writes the transaction down; from here on it never changes.
+func (s *Store) seal(w *Write, term protocol.Condition) {
 	s.counter++
 	w.ID = fmt.Sprintf("%s-%d", s.prefix, s.counter)
 	w.Txn.If = append(w.Txn.If, term)
@@ -312,13 +314,13 @@
 	}
 	for _, p := range w.pages {
 		w.Txn.If = append(w.Txn.If, protocol.Condition{Key: p.key(), Version: p.version})
-		if p.dropped = len(w.archive) > 0 && len(p.items) == 0; p.dropped {
-			w.Txn.Then = append(w.Txn.Then, protocol.Change{Drop: p.key()})
+		if p.deleted = len(w.archive) > 0 && len(p.items) == 0; p.deleted {
+			w.Txn.Then = append(w.Txn.Then, protocol.Change{Delete: p.key()})
 		} else {
 			w.Txn.Then = append(w.Txn.Then, protocol.Change{Put: p.key(), Value: p.value(w.ID)})
 		}
-		w.waits = append(w.waits, p.waits)
-		p.dirty, p.waits = false, nil
+		w.waiters = append(w.waiters, p.waiters)
+		p.dirty, p.waiters = false, nil
 		s.setInFlight(p, true)
 	}
 	w.fillArchive()
@@ -328,8 +330,8 @@
 
 func at(now time.Duration) time.Time { return time.Unix(1, 0).Add(now) }
 
-// Committed notes that a transaction was committed with a version.
-func (s *Store) Committed(w *Write, version int64) {
+// MarkCommitted notes that a transaction was committed with a version.
+func (s *Store) MarkCommitted(w *Write, version int64) {
 	s.stalled = nil
 	s.writes = slices.DeleteFunc(s.writes, func(x *Write) bool { return x == w })
 	if w.guard != nil {
@@ -338,62 +340,62 @@
 	w.Version = version
 	for _, p := range w.pages {
 		p.version = version
-		if p.dropped {
-			p.version, p.dropped = 0, false
+		if p.deleted {
+			p.version, p.deleted = 0, false
 		}
 		s.setInFlight(p, false)
 	}
-	for _, waits := range w.waits {
+	for _, waits := range w.waiters {
 		for _, wait := range waits {
 			if wait.pending--; wait.pending == 0 {
-				wait.then()
+				wait.onCommit()
 			}
 		}
 	}
 }
 
-// Retry notes that a transaction wasn't executed, or that nobody knows: the same
+// RetryLater notes that a transaction wasn't executed, or that nobody knows: the same
 // one is sent again later. Nothing new is begun before that: a state service that
 // refuses writes beyond its rate must not be asked for more.
-func (s *Store) Retry(now time.Duration, w *Write) {
+func (s *Store) RetryLater(now time.Duration, w *Write) {
 	if s.stalled == nil {
 		s.stalled = &now
 	}
-	w.sent, w.again = false, now+s.retry
-	s.resume = max(s.resume, w.again)
+	w.sent, w.retryAt = false, now+s.retry
+	s.resume = max(s.resume, w.retryAt)
 }
 
-// Stalled is for how long transactions have come to nothing, refused or not answered,
+// StalledFor is for how long transactions have come to nothing, refused or not answered,
 // with none committed in between.
-func (s *Store) Stalled(now time.Duration) time.Duration {
+func (s *Store) StalledFor(now time.Duration) time.Duration {
 	if s.stalled == nil {
 		return 0
 	}
 	return now - *s.stalled
 }
 
-// InFlight tells whether a transaction is under way.
-func (s *Store) InFlight() bool { return len(s.writes) > 0 }
+// HasWritesInFlight tells whether a transaction is under way.
+func (s *Store) HasWritesInFlight() bool { return len(s.writes) > 0 }
 
 // Backlog is how many pages wait to be written, and since when the oldest does.
 func (s *Store) Backlog(now time.Duration) (pages int, oldest time.Duration) {
 	since := now
 	for _, p := range s.dirty {
-		since = min(since, p.since)
+		since = min(since, p.dirtySince)
 	}
 	return len(s.dirty), now - since
 }
 
-// Before is how many pages have to be written before one that becomes due at a time.
-func (s *Store) Before(due time.Duration) int {
+// PagesDueBefore is how many pages have to be written before one that becomes due at a time.
+func (s *Store) PagesDueBefore(due time.Duration) int {
 	n := 0
 	for _, p := range s.dirty {
-		if p.due <= due {
+		if p.dueAt <= due {
 			n++
 		}
 	}
 	return n
 }
 
-// Pages is how many there are.
-func (s *Store) Pages() int { return len(s.pages) }
+// PageCount is how many there are.
+func (s *Store) PageCount() int { return len(s.pages) }
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -28,11 +28,11 @@
 	size int
 }
 
-func (x *thing) Emit(v *PageValue) {
-	v.Finals = append(v.Finals, FinalRecord{ID: x.name})
+func (x *thing) AppendTo(v *PageValue) {
+	v.Terminal = append(v.Terminal, TerminalRecord{ID: x.name})
 }
-func (x *thing) Size() int    { return x.size }
-func (x *thing) Reserve() int { return x.size }
+func (x *thing) EncodedSize() int  { return x.size }
+func (x *thing) ReservedSize() int { return x.size }
 
 var term = protocol.Condition{Key: "leader", Version: 7}
 
@@ -43,31 +43,31 @@
 func TestWaitsRunOnCommitOnly(t *testing.T) {
 	b := newStore()
 	var done []string
-	note := func(s string) *CommitWait { return OnCommit(func() { done = append(done, s) }) }
+	note := func(s string) *CommitWaiter { return OnCommit(func() { done = append(done, s) }) }
 	x, y := &thing{"x", 50}, &thing{"y", 50}
-	b.Touch(0, x, note("x"))
-	f := b.Next(0, term, true)
+	b.MarkDirty(0, x, note("x"))
+	f := b.NextWrite(0, term, true)
 	if f == nil || len(f.Txn.Then) != 1 || f.Txn.If[0] != term {
 		t.Fatalf("got %+v", f)
 	}
-	b.Touch(0, x, note("x again"))
-	if b.Next(0, term, true) != nil {
+	b.MarkDirty(0, x, note("x again"))
+	if b.NextWrite(0, term, true) != nil {
 		t.Fatal("one page in two writes at once")
 	}
-	b.Touch(0, y, note("y")) // on a page of its own, so it needn't wait
-	g := b.Next(0, term, true)
+	b.MarkDirty(0, y, note("y")) // on a page of its own, so it needn't wait
+	g := b.NextWrite(0, term, true)
 	if g == nil || g.Key() == f.Key() {
 		t.Fatalf("got %+v", g)
 	}
 	if len(done) != 0 {
 		t.Fatalf("%v acknowledged before the commit", done)
 	}
-	b.Committed(g, 8)
-	b.Committed(f, 9)
+	b.MarkCommitted(g, 8)
+	b.MarkCommitted(f, 9)
 	if fmt.Sprint(done) != "[y x]" {
 		t.Fatalf("acknowledged %v", done)
 	}
-	f = b.Next(0, term, true)
+	f = b.NextWrite(0, term, true)
 	if f == nil || f.Txn.If[1].Version != 9 || len(f.Txn.Then) != 1 {
 		t.Fatalf("got %+v", f)
 	}
@@ -78,16 +78,16 @@
 func TestRetryNeverChanges(t *testing.T) {
 	b := newStore()
 	x, y := &thing{"x", 50}, &thing{"y", 50}
-	b.Touch(0, x, nil)
-	f := b.Next(0, term, true)
+	b.MarkDirty(0, x, nil)
+	f := b.NextWrite(0, term, true)
 	first := fmt.Sprintf("%+v", protocol.Encode(f.Txn))
-	b.Touch(0, x, nil)
-	b.Touch(0, y, nil)
-	b.Retry(0, f)
-	if b.Next(50*time.Millisecond, term, false) != nil {
+	b.MarkDirty(0, x, nil)
+	b.MarkDirty(0, y, nil)
+	b.RetryLater(0, f)
+	if b.NextWrite(50*time.Millisecond, term, false) != nil {
 		t.Fatal("sent again at once")
 	}
-	again := b.Next(time.Second, term, false)
+	again := b.NextWrite(time.Second, term, false)
 	if again != f || fmt.Sprintf("%+v", protocol.Encode(again.Txn)) != first {
 		t.Fatal("the retry differs")
 	}
@@ -98,12 +98,12 @@
 	b := newStore()
 	n := 0
 	w := OnCommit(func() { n++ })
-	b.Touch(0, &thing{"x", 800}, w)
-	b.Touch(0, &thing{"y", 800}, w)
-	b.Touch(0, &thing{"z", 800}, w) // three pages, two changes a transaction
+	b.MarkDirty(0, &thing{"x", 800}, w)
+	b.MarkDirty(0, &thing{"y", 800}, w)
+	b.MarkDirty(0, &thing{"z", 800}, w) // three pages, two changes a transaction
 	for i := range 3 {
-		if f := b.Next(time.Duration(i)*time.Second, term, true); f != nil {
-			b.Committed(f, int64(i+1))
+		if f := b.NextWrite(time.Duration(i)*time.Second, term, true); f != nil {
+			b.MarkCommitted(f, int64(i+1))
 		}
 		if i == 0 && n != 0 {
 			t.Fatal("ran after the first of two writes")
@@ -118,12 +118,12 @@
 	b := newStore() // ten keys a second, ten at once
 	written := 0
 	for i := range 100 {
-		b.Touch(0, &thing{fmt.Sprint(i), 800}, nil)
+		b.MarkDirty(0, &thing{fmt.Sprint(i), 800}, nil)
 	}
 	for i := range 300 { // three seconds
-		if f := b.Next(time.Duration(i)*10*time.Millisecond, term, true); f != nil {
+		if f := b.NextWrite(time.Duration(i)*10*time.Millisecond, term, true); f != nil {
 			written += len(f.Txn.Then)
-			b.Committed(f, int64(i))
+			b.MarkCommitted(f, int64(i))
 		}
 	}
 	if written < 35 || written > 41 {
@@ -139,25 +139,25 @@
 		s := protocol.Submission{
 			ID: "wk-" + fmt.Sprint(rapid.Uint64().Draw(t, "id")), Class: name.Draw(t, "class"), Team: name.Draw(t, "team"), Image: name.Draw(t, "image"),
 			Zone: name.Draw(t, "zone"), Types: rapid.SliceOfN(name, 0, 4).Draw(t, "types"), Tasks: rapid.IntRange(1, 100000).Draw(t, "tasks"),
-			CPUs: rapid.Float64Range(0, 1e9).Draw(t, "cpus"), MemoryGB: rapid.Float64Range(0, 1e9).Draw(t, "mem"), Estimate: 1.0 / 3,
+			CPUs: rapid.Float64Range(0, 1e9).Draw(t, "cpus"), MemoryGB: rapid.Float64Range(0, 1e9).Draw(t, "mem"), EstimatedRunS: 1.0 / 3,
 		}
 		r := NewJobRecord(&s, 1<<52)
 		blocks := s.Tasks / 56
-		full := Bits{}
+		full := Bitmap{}
 		full.Set(blocks)
-		r.Full, r.Try = full.Text(), 1<<60
-		v := PageValue{ID: "123456789-123456789", Jobs: []JobRecord{r}}
-		want := pageSize + r.Reserve(blocks)
+		r.CompletedBlocks, r.GangAttempt = full.Text(), 1<<60
+		v := PageValue{WriteID: "123456789-123456789", Jobs: []JobRecord{r}}
+		want := pageSize + r.ReservedSize(blocks)
 		n := rapid.IntRange(1, 64).Draw(t, "block")
-		br := BlockRecord{Job: s.ID, Block: 1000, Try: 1 << 60, Done: strings.Repeat("f", n/4+2)}
+		br := BlockRecord{Job: s.ID, Block: 1000, LastAttempt: 1 << 60, Done: strings.Repeat("f", n/4+2)}
 		for i := range n {
-			br.Starts = append(br.Starts, StartRecord{Task: i, Try: 99999, Host: "i-000000000000001", Session: 99999})
+			br.Starts = append(br.Starts, StartRecord{Task: i, Attempt: 99999, Machine: "i-000000000000001", Incarnation: 99999})
 		}
 		v.Blocks = append(v.Blocks, br)
-		want += BlockReserve(s.ID, n)
-		f := FinalRecord{ID: s.ID, Cancelled: true, Tasks: 100000}
-		v.Finals = append(v.Finals, f)
-		want += f.Reserve()
+		want += BlockReservedSize(s.ID, n)
+		f := TerminalRecord{ID: s.ID, Cancelled: true, Tasks: 100000}
+		v.Terminal = append(v.Terminal, f)
+		want += f.ReservedSize()
 		if n := sizeInJSON(t, v); n > want {
 			t.Fatalf("%d bytes reserved, %d taken", want, n)
 		}
@@ -184,26 +184,26 @@
 	for _, lowered := range []bool{false, true} {
 		b := NewStore(Limits{PageBytes(1), 8, 10}, "t", 100*time.Millisecond)
 		for i := range 8 {
-			b.Touch(0, &thing{fmt.Sprint("large", i), 800}, nil)
+			b.MarkDirty(0, &thing{fmt.Sprint("large", i), 800}, nil)
 		}
-		large := b.Next(0, term, true)
+		large := b.NextWrite(0, term, true)
 		if large == nil || len(large.Txn.Then) != 8 {
 			t.Fatalf("got %+v", large)
 		}
-		b.Retry(0, large)
+		b.RetryLater(0, large)
 		if lowered {
-			b.SetBudget(4)
+			b.SetWriteRate(4)
 		}
 		sentAt, small := time.Duration(0), 0
 		for now := time.Duration(0); now < 10*time.Second && sentAt == 0; now += 20 * time.Millisecond {
-			b.Touch(now, &thing{fmt.Sprint("small", now), 800}, nil)
-			switch f := b.Next(now, term, true); f {
+			b.MarkDirty(now, &thing{fmt.Sprint("small", now), 800}, nil)
+			switch f := b.NextWrite(now, term, true); f {
 			case nil:
 			case large:
 				sentAt = now
 			default:
 				small++
-				b.Committed(f, int64(now))
+				b.MarkCommitted(f, int64(now))
 			}
 		}
 		if sentAt == 0 || sentAt > 2500*time.Millisecond {
@@ -226,17 +226,17 @@
 		landed := 0
 		for i := range things {
 			name := strings.Repeat("x", whole.size-100) + fmt.Sprint(i)
-			b.Touch(0, &thing{name, whole.size}, OnCommit(func() { landed++ }))
+			b.MarkDirty(0, &thing{name, whole.size}, OnCommit(func() { landed++ }))
 		}
 		most := 0
 		for i := range 20 * things {
 			now := time.Duration(i) * 50 * time.Millisecond
-			for f := b.Next(now, term, true); f != nil; f = b.Next(now, term, true) {
+			for f := b.NextWrite(now, term, true); f != nil; f = b.NextWrite(now, term, true) {
 				if n := sizeInJSON(t, f.Txn); n > protocol.MaxBody {
 					t.Fatalf("%v KiB: a transaction of %d bytes", valueKB, n)
 				}
 				most = max(most, len(f.Txn.Then))
-				b.Committed(f, int64(i+1))
+				b.MarkCommitted(f, int64(i+1))
 			}
 		}
 		if landed != things || valueKB == 8 && most != 7 {
@@ -250,27 +250,27 @@
 // waiting for a while already; but nothing waits for ever.
 func TestPagesThatSomebodyWaitsForAreWrittenFirst(t *testing.T) {
 	s := NewStore(Limits{PageBytes(1), 1, 1}, "t", 100*time.Millisecond) // a key a second
-	s.Touch(0, &thing{"first", 800}, nil)
-	if w := s.Next(0, term, true); w == nil {
+	s.MarkDirty(0, &thing{"first", 800}, nil)
+	if w := s.NextWrite(0, term, true); w == nil {
 		t.Fatal("nothing to write")
 	} else {
-		s.Committed(w, 1)
+		s.MarkCommitted(w, 1)
 	}
 	var order []string
 	note := func(name string) func() { return func() { order = append(order, name) } }
-	s.Touch(100*time.Millisecond, &thing{"background", 800}, OnCommitInBackground(note("background")))
-	s.Touch(100*time.Millisecond, &thing{"later", 800}, OnCommitLater(note("later")))
-	s.Touch(100*time.Millisecond, &thing{"start", 800}, OnCommitStart(note("start")))
+	s.MarkDirty(100*time.Millisecond, &thing{"background", 800}, OnBackgroundCommit(note("background")))
+	s.MarkDirty(100*time.Millisecond, &thing{"later", 800}, OnDeferredCommit(note("later")))
+	s.MarkDirty(100*time.Millisecond, &thing{"start", 800}, OnStartCommit(note("start")))
 	for i := range 4 {
 		now := 200*time.Millisecond + time.Duration(i)*300*time.Millisecond
-		s.Touch(now, &thing{fmt.Sprint("soon", i), 800}, OnCommit(note(fmt.Sprint("soon", i))))
+		s.MarkDirty(now, &thing{fmt.Sprint("soon", i), 800}, OnCommit(note(fmt.Sprint("soon", i))))
 	}
 	for i := range 4 { // these come long after, and the background has its turn before them
-		s.Touch(11*time.Second, &thing{fmt.Sprint("last", i), 800}, OnCommit(note(fmt.Sprint("last", i))))
+		s.MarkDirty(11*time.Second, &thing{fmt.Sprint("last", i), 800}, OnCommit(note(fmt.Sprint("last", i))))
 	}
 	for now := time.Second; now < 20*time.Second; now += 50 * time.Millisecond {
-		if w := s.Next(now, term, true); w != nil {
-			s.Committed(w, int64(now))
+		if w := s.NextWrite(now, term, true); w != nil {
+			s.MarkCommitted(w, int64(now))
 		}
 	}
 	if got := fmt.Sprint(order); got != "[soon0 soon1 start soon2 later soon3 background last0 last1 last2 last3]" {
@@ -282,17 +282,17 @@
 // service that refuses writes beyond its rate isn't asked for more.
 func TestNothingNewIsSentRightAfterARefusal(t *testing.T) {
 	s := newStore()
-	s.Touch(0, &thing{"refused", 800}, nil)
-	w := s.Next(0, term, true)
-	s.Retry(0, w)
-	s.Touch(0, &thing{"new", 800}, nil)
-	if s.Next(50*time.Millisecond, term, true) != nil {
+	s.MarkDirty(0, &thing{"refused", 800}, nil)
+	w := s.NextWrite(0, term, true)
+	s.RetryLater(0, w)
+	s.MarkDirty(0, &thing{"new", 800}, nil)
+	if s.NextWrite(50*time.Millisecond, term, true) != nil {
 		t.Error("a new write was sent at once")
 	}
-	if again := s.Next(150*time.Millisecond, term, true); again != w {
+	if again := s.NextWrite(150*time.Millisecond, term, true); again != w {
 		t.Errorf("the refused write was not the next: %+v", again)
 	}
-	if s.Next(150*time.Millisecond, term, true) == nil {
+	if s.NextWrite(150*time.Millisecond, term, true) == nil {
 		t.Error("the new write was not sent when the refused one was")
 	}
 }
--- a/internal/storage/validate.go
+++ b/internal/storage/validate.go
@@ -7,18 +7,18 @@
 	"oakpick/internal/protocol"
 )
 
-// DamageError tells that a stored record is one that no version writes. The pages are
+// CorruptRecordError tells that a stored record is one that no version writes. The pages are
 // then not used at all: what a wrong record says about tasks on machines, or about the
 // ends of jobs, must not be acted upon.
-type DamageError struct {
+type CorruptRecordError struct {
 	Record string // which one
 	Reason string
 }
 
-func (e *DamageError) Error() string { return fmt.Sprintf("%s: %s", e.Record, e.Reason) }
+func (e *CorruptRecordError) Error() string { return fmt.Sprintf("%s: %s", e.Record, e.Reason) }
 
-func damaged(record, format string, args ...any) error {
-	return &DamageError{Record: record, Reason: fmt.Sprintf(format, args...)}
+func corrupt(record, format string, args ...any) error {
+	return &CorruptRecordError{Record: record, Reason: fmt.Sprintf(format, args...)}
 }
 
 // validate finds the first record of a page that no version writes.
@@ -33,24 +33,24 @@
 			return err
 		}
 	}
-	for _, r := range v.Finals {
+	for _, r := range v.Terminal {
 		if r.ID == "" || r.Tasks < 0 {
-			return damaged("the end of job "+r.ID, "%d tasks", r.Tasks)
+			return corrupt("the end of job "+r.ID, "%d tasks", r.Tasks)
 		}
 	}
-	for _, r := range v.Rentals {
-		if r.Request == "" || r.Count < 0 || r.Count > protocol.MaxRented {
-			return damaged("rental "+r.Request, "%d machines", r.Count)
+	for _, r := range v.Provisioning {
+		if r.RequestID == "" || r.Count < 0 || r.Count > protocol.MaxScaleOut {
+			return corrupt("rental "+r.RequestID, "%d machines", r.Count)
 		}
 	}
 	for _, r := range v.Prerequisites {
 		if r.Job == "" || r.Part < 0 {
-			return damaged("the prerequisites of job "+r.Job, "part %d", r.Part)
+			return corrupt("the prerequisites of job "+r.Job, "part %d", r.Part)
 		}
 	}
 	for _, r := range v.Extensions {
 		if r.Job == "" || r.BlockTasks < 0 || r.BlockTasks > protocol.MaxTasks {
-			return damaged("the extension of job "+r.Job, "blocks of %d tasks", r.BlockTasks)
+			return corrupt("the extension of job "+r.Job, "blocks of %d tasks", r.BlockTasks)
 		}
 	}
 	return nil
@@ -60,17 +60,17 @@
 	record := "job " + r.ID
 	switch {
 	case r.ID == "":
-		return damaged(record, "no id")
+		return corrupt(record, "no id")
 	case r.Tasks < 1 || r.Tasks > protocol.MaxTasks:
-		return damaged(record, "%d tasks", r.Tasks)
-	case r.Shape > protocol.Service:
-		return damaged(record, "an unknown shape")
+		return corrupt(record, "%d tasks", r.Tasks)
+	case r.Kind > protocol.Service:
+		return corrupt(record, "an unknown shape")
 	case r.Priority > protocol.Production:
-		return damaged(record, "an unknown priority")
+		return corrupt(record, "an unknown priority")
 	}
-	for _, amount := range []float64{r.CPUs, r.GPUs, r.MemoryGB, r.ImageGB, r.Estimate, r.SaveEach, r.SaveTime, r.Deadline} {
+	for _, amount := range []float64{r.CPUs, r.GPUs, r.MemoryGB, r.ImageGB, r.EstimatedRunS, r.CheckpointIntervalS, r.CheckpointDurationS, r.DeadlineS} {
 		if amount < 0 || math.IsNaN(amount) || math.IsInf(amount, 0) {
-			return damaged(record, "an amount of %v", amount)
+			return corrupt(record, "an amount of %v", amount)
 		}
 	}
 	return nil
@@ -79,11 +79,11 @@
 func (r *BlockRecord) validate() error {
 	record := fmt.Sprintf("block %d of job %s", r.Block, r.Job)
 	if r.Job == "" || r.Block < 0 {
-		return damaged(record, "no such block")
+		return corrupt(record, "no such block")
 	}
 	for _, s := range r.Starts {
-		if s.Task < 0 || s.Host == "" {
-			return damaged(record, "a start of task %d on machine %q", s.Task, s.Host)
+		if s.Task < 0 || s.Machine == "" {
+			return corrupt(record, "a start of task %d on machine %q", s.Task, s.Machine)
 		}
 	}
 	return nil
@@ -92,25 +92,25 @@
 // ValidateBlocks tells whether a job's records agree with its blocks having so many
 // tasks. They don't if value_kb, from which the number follows where it isn't recorded,
 // is not what it was when the job was accepted.
-func (r *JobRecord) ValidateBlocks(blockTasks int, full Bits) error {
+func (r *JobRecord) ValidateBlocks(blockTasks int, full Bitmap) error {
 	if blocks := (r.Tasks + blockTasks - 1) / blockTasks; full.Len() > blocks {
-		return damaged("job "+r.ID, "block %d of %d is done: was value_kb changed?", full.Len()-1, blocks)
+		return corrupt("job "+r.ID, "block %d of %d is done: was value_kb changed?", full.Len()-1, blocks)
 	}
 	return nil
 }
 
 // ValidateTasks tells whether the tasks that a block's record names are of this block,
 // given the number of the job's tasks and of each block's.
-func (r *BlockRecord) ValidateTasks(tasks, blockTasks int, done Bits) error {
+func (r *BlockRecord) ValidateTasks(tasks, blockTasks int, done Bitmap) error {
 	record := fmt.Sprintf("block %d of job %s", r.Block, r.Job)
 	first := r.Block * blockTasks
 	end := min(first+blockTasks, tasks)
 	if first >= tasks || done.Len() > end-first {
-		return damaged(record, "%d tasks done of tasks %d to %d of %d: was value_kb changed?", done.Len(), first, end-1, tasks)
+		return corrupt(record, "%d tasks done of tasks %d to %d of %d: was value_kb changed?", done.Len(), first, end-1, tasks)
 	}
 	for _, s := range r.Starts {
 		if s.Task < first || s.Task >= end {
-			return damaged(record, "a start of task %d, not of %d to %d: was value_kb changed?", s.Task, first, end-1)
+			return corrupt(record, "a start of task %d, not of %d to %d: was value_kb changed?", s.Task, first, end-1)
 		}
 	}
 	return nil
--- a/internal/storage/validate_test.go
+++ b/internal/storage/validate_test.go
@@ -21,7 +21,7 @@
 		return PageValue{Jobs: []JobRecord{r}}
 	}
 	block := func(change func(*BlockRecord)) PageValue {
-		r := BlockRecord{Job: "wk-1", Starts: []StartRecord{{Task: 1, Try: 1, Host: "i-1", Session: 1}}}
+		r := BlockRecord{Job: "wk-1", Starts: []StartRecord{{Task: 1, Attempt: 1, Machine: "i-1", Incarnation: 1}}}
 		change(&r)
 		return PageValue{Blocks: []BlockRecord{r}}
 	}
@@ -34,32 +34,32 @@
 		"job without id":         job(func(r *JobRecord) { r.ID = "" }),
 		"no tasks":               job(func(r *JobRecord) { r.Tasks = 0 }),
 		"too many tasks":         job(func(r *JobRecord) { r.Tasks = protocol.MaxTasks + 1 }),
-		"unknown shape":          job(func(r *JobRecord) { r.Shape = 9 }),
+		"unknown shape":          job(func(r *JobRecord) { r.Kind = 9 }),
 		"unknown priority":       job(func(r *JobRecord) { r.Priority = 9 }),
 		"negative amount":        job(func(r *JobRecord) { r.GPUs = -1 }),
 		"no number":              job(func(r *JobRecord) { r.CPUs = math.NaN() }),
-		"endless":                job(func(r *JobRecord) { r.Deadline = math.Inf(1) }),
+		"endless":                job(func(r *JobRecord) { r.DeadlineS = math.Inf(1) }),
 		"block without job":      block(func(r *BlockRecord) { r.Job = "" }),
 		"negative block":         block(func(r *BlockRecord) { r.Block = -1 }),
 		"negative task":          block(func(r *BlockRecord) { r.Starts[0].Task = -1 }),
-		"start without machine":  block(func(r *BlockRecord) { r.Starts[0].Host = "" }),
-		"end without id":         {Finals: []FinalRecord{{Tasks: 1}}},
-		"end of negative tasks":  {Finals: []FinalRecord{{ID: "wk-1", Tasks: -1}}},
-		"rental without name":    {Rentals: []RentalRecord{{Count: 1}}},
-		"rental of too many":     {Rentals: []RentalRecord{{Request: "r", Count: protocol.MaxRented + 1}}},
+		"start without machine":  block(func(r *BlockRecord) { r.Starts[0].Machine = "" }),
+		"end without id":         {Terminal: []TerminalRecord{{Tasks: 1}}},
+		"end of negative tasks":  {Terminal: []TerminalRecord{{ID: "wk-1", Tasks: -1}}},
+		"rental without name":    {Provisioning: []ProvisioningRecord{{Count: 1}}},
+		"rental of too many":     {Provisioning: []ProvisioningRecord{{RequestID: "r", Count: protocol.MaxScaleOut + 1}}},
 		"extension without job":  {Extensions: []JobExtension{{BlockTasks: 1}}},
 		"prerequisites of none":  {Prerequisites: []PrerequisitesRecord{{IDs: []string{"wk-2"}}}},
 		"negative part":          {Prerequisites: []PrerequisitesRecord{{Job: "wk-1", Part: -1}}},
 		"negative block length":  {Extensions: []JobExtension{{Job: "wk-1", BlockTasks: -1}}},
-		"a record that's double": {Finals: []FinalRecord{{ID: "wk-1", Tasks: 1}, {ID: "wk-1", Tasks: 2}}},
+		"a record that's double": {Terminal: []TerminalRecord{{ID: "wk-1", Tasks: 1}, {ID: "wk-1", Tasks: 2}}},
 	} {
 		_, err := ReadPages([]protocol.Entry{entryOf(0, 1, bad)})
-		var damage *DamageError
+		var damage *CorruptRecordError
 		if !errors.As(err, &damage) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	twice := PageValue{Finals: []FinalRecord{{ID: "wk-1", Tasks: 1}}}
+	twice := PageValue{Terminal: []TerminalRecord{{ID: "wk-1", Tasks: 1}}}
 	if _, err := ReadPages([]protocol.Entry{entryOf(0, 4, twice), entryOf(1, 4, twice)}); err == nil {
 		t.Error("one transaction wrote a record on two pages, and both count")
 	}
@@ -68,11 +68,11 @@
 // Records of blocks agree with the length of the job's blocks, or are refused.
 func TestBlocksAgreeWithTheirLength(t *testing.T) {
 	const tasks, blockTasks = 20, 8 // 8, 8 and 4 tasks
-	bit := func(i int) (b Bits) { b.Set(i); return b }
-	start := func(task int) []StartRecord { return []StartRecord{{Task: task, Host: "i-1"}} }
+	bit := func(i int) (b Bitmap) { b.Set(i); return b }
+	start := func(task int) []StartRecord { return []StartRecord{{Task: task, Machine: "i-1"}} }
 	for _, c := range []struct {
 		block  int
-		done   Bits
+		done   Bitmap
 		starts []StartRecord
 		ok     bool
 	}{
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -20,9 +20,9 @@
 
 // NewCloud makes the client.
 func NewCloud(addr string, w config.Workers) *Cloud {
-	wait := config.Seconds(w.Report * 1.5)
+	wait := config.Seconds(w.HeartbeatIntervalS * 1.5)
 	return &Cloud{wait: wait, client: &fasthttp.HostClient{
-		Addr: addr, Dial: storage.Dial(wait / 2), MaxConns: config.CloudCalls, MaxIdemponentCallAttempts: 1, RetryIfErr: storage.NoRetry,
+		Addr: addr, Dial: storage.Dial(wait / 2), MaxConns: config.CloudConnections, MaxIdemponentCallAttempts: 1, RetryIfErr: storage.NoRetry,
 		MaxResponseBodySize: 1 << 20, NoDefaultUserAgentHeader: true,
 	}}
 }
@@ -40,7 +40,7 @@
 	}
 	r.Outcome = cloudOutcome(res.StatusCode(), res.Body())
 	if r.Outcome == coordination.OK && readCloud(&r, call.Op, res.Body()) != nil {
-		r.Outcome = coordination.Lost // an answer that can't be read tells nothing
+		r.Outcome = coordination.Unknown // an answer that can't be read tells nothing
 	}
 	return r
 }
@@ -49,16 +49,16 @@
 func (c *Cloud) write(req *fasthttp.Request, call coordination.CloudCall) {
 	uri := "http://" + c.client.Addr
 	switch call.Op {
-	case coordination.CloudTypes:
-		uri += protocol.PathTypes
-	case coordination.CloudList:
-		uri += protocol.PathRent + "?" + listQuery(call.After)
-	case coordination.CloudRent:
-		uri += protocol.PathRent
-		writeBody(req, protocol.Encode(call.Rental))
-	case coordination.CloudReturn:
-		uri += protocol.PathReturn
-		writeBody(req, protocol.Encode(protocol.Hosts{Hosts: call.Hosts}))
+	case coordination.CloudListTypes:
+		uri += protocol.PathMachineTypes
+	case coordination.CloudListMachines:
+		uri += protocol.PathScaleOut + "?" + listQuery(call.StartAfter)
+	case coordination.CloudScaleOut:
+		uri += protocol.PathScaleOut
+		writeBody(req, protocol.Encode(call.Provisioning))
+	case coordination.CloudScaleIn:
+		uri += protocol.PathScaleIn
+		writeBody(req, protocol.Encode(protocol.MachineNames{Names: call.Machines}))
 	}
 	req.SetRequestURI(uri)
 }
@@ -70,7 +70,7 @@
 	if after != "" {
 		args.Set("after", after)
 	}
-	args.Set("limit", strconv.Itoa(protocol.MaxListed))
+	args.Set("limit", strconv.Itoa(protocol.MaxMachinesListed))
 	return args.String()
 }
 
@@ -95,23 +95,23 @@
 	case fasthttp.StatusTooManyRequests:
 		return coordination.Refused
 	}
-	return coordination.Lost
+	return coordination.Unknown
 }
 
 // readCloud reads what a call has brought.
 func readCloud(r *coordination.CloudResult, op coordination.CloudOp, body []byte) error {
 	switch op {
-	case coordination.CloudTypes:
+	case coordination.CloudListTypes:
 		var a protocol.MachineTypes
 		err := protocol.Decode(body, &a)
 		r.Types = a.Types
 		return err
-	case coordination.CloudList:
+	case coordination.CloudListMachines:
 		return protocol.Decode(body, &r.List)
-	case coordination.CloudRent:
-		var a protocol.Hosts
+	case coordination.CloudScaleOut:
+		var a protocol.MachineNames
 		err := protocol.Decode(body, &a)
-		r.Hosts = a.Hosts
+		r.Machines = a.Names
 		return err
 	}
 	return nil
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -43,11 +43,11 @@
 const retrySoon = 1 // seconds after which a refused request may come again
 
 // userWait leaves time for the answer's way within what users wait.
-func userWait(kind coordination.UserKind) time.Duration {
+func userWait(kind coordination.UserRequestKind) time.Duration {
 	if kind == coordination.Poll {
-		return protocol.PollWaitS * time.Second * 3 / 4
+		return protocol.PollTimeoutS * time.Second * 3 / 4
 	}
-	return protocol.SubmitWaitS * time.Second * 3 / 4
+	return protocol.SubmitTimeoutS * time.Second * 3 / 4
 }
 
 // NewFront makes the front. It holds at most so many connections, and none that
@@ -86,10 +86,10 @@
 func write(ctx *fasthttp.RequestCtx, r coordination.Reply) {
 	ctx.SetStatusCode(r.Status)
 	ctx.SetContentType(protocol.ContentType)
-	if r.RetryAfter > 0 {
-		ctx.Response.Header.Set("Retry-After", strconv.Itoa(r.RetryAfter))
+	if r.RetryAfterS > 0 {
+		ctx.Response.Header.Set("Retry-After", strconv.Itoa(r.RetryAfterS))
 	}
-	if r.Close {
+	if r.CloseConnection {
 		ctx.SetConnectionClose()
 	}
 	ctx.SetBody(r.Body)
@@ -106,17 +106,17 @@
 		} else {
 			write(ctx, Busy("not ready"))
 		}
-	case protocol.PathReport:
+	case protocol.PathHeartbeat:
 		if method != http.MethodPost {
 			write(ctx, wrongMethod)
 			return
 		}
-		r, err := protocol.DecodeReport(ctx.PostBody())
+		r, err := protocol.DecodeHeartbeat(ctx.PostBody())
 		if err != nil {
 			write(ctx, coordination.Reply{Status: 400, Body: protocol.EncodeError(err.Error())})
 			return
 		}
-		write(ctx, f.owner.Do(coordination.ReportCall{Report: r}, Raw{}, protocol.SubmitWaitS*time.Second/2))
+		write(ctx, f.owner.Do(coordination.HeartbeatRequest{Heartbeat: r}, Raw{}, protocol.SubmitTimeoutS*time.Second/2))
 	default:
 		write(ctx, serveUser(f.owner, f.limit, Raw{Method: method, Path: path, Body: ctx.PostBody()}))
 	}
@@ -130,7 +130,7 @@
 
 // Busy is the refusal of a request that may come again soon.
 func Busy(why string) coordination.Reply {
-	return coordination.Reply{Status: 503, Body: protocol.EncodeError(why), RetryAfter: retrySoon}
+	return coordination.Reply{Status: 503, Body: protocol.EncodeError(why), RetryAfterS: retrySoon}
 }
 
 // serveUser answers a user's request, whether it came straight or from a peer.
@@ -139,7 +139,7 @@
 	if !ok {
 		return notFound
 	}
-	call := coordination.UserCall{Job: id}
+	call := coordination.UserRequest{Job: id}
 	want := http.MethodPost
 	switch {
 	case id == "":
@@ -157,7 +157,7 @@
 		if err != nil {
 			return coordination.Reply{Status: 400, Body: protocol.EncodeError(err.Error())}
 		}
-		call.Submit, call.Job = s, s.ID
+		call.Submission, call.Job = s, s.ID
 	}
 	// A cancellation is never shed, nor is what a peer has already let in.
 	if call.Kind == coordination.Cancel || raw.FromPeer {
@@ -202,13 +202,13 @@
 			http.Error(w, "body", http.StatusBadRequest)
 			return
 		}
-		reply = s.owner.Do(coordination.StepDownCall{Term: m.Term, Leader: m.Leader, AsksArchive: m.ReadsArchive}, Raw{}, protocol.PollWaitS*time.Second)
+		reply = s.owner.Do(coordination.StepDownRequest{Term: m.Term, Leader: m.Leader, AsksArchive: m.ReadsArchive}, Raw{}, protocol.PollTimeoutS*time.Second)
 	} else {
 		reply = serveUser(s.owner, s.limit, Raw{Method: r.Method, Path: r.URL.Path, Body: body, FromPeer: true})
 	}
 	w.Header().Set("Content-Type", protocol.ContentType)
-	if reply.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(reply.RetryAfter))
+	if reply.RetryAfterS > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(reply.RetryAfterS))
 	}
 	w.WriteHeader(reply.Status)
 	_, _ = w.Write(reply.Body) // a peer that has gone asks again
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -124,7 +124,7 @@
 	if r := serveUser(o, limit, Raw{Method: "POST", Path: "/v2/runs/wk-1/abort"}); r.Status != 200 {
 		t.Errorf("a cancellation got %d", r.Status)
 	}
-	if r := serveUser(o, limit, Raw{Method: "GET", Path: "/v2/runs/wk-1"}); r.Status != 503 || r.RetryAfter == 0 {
+	if r := serveUser(o, limit, Raw{Method: "GET", Path: "/v2/runs/wk-1"}); r.Status != 503 || r.RetryAfterS == 0 {
 		t.Errorf("a poll got %d", r.Status)
 	}
 	close(hold)
--- a/internal/transport/limit.go
+++ b/internal/transport/limit.go
@@ -35,7 +35,7 @@
 	if !ok {
 		l.shed()
 		r := Busy("too much asked")
-		r.RetryAfter += rand.IntN(retrySpread)
+		r.RetryAfterS += rand.IntN(retrySpread)
 		return r
 	}
 	return run(permit, answer)
--- a/internal/transport/overload_test.go
+++ b/internal/transport/overload_test.go
@@ -104,8 +104,8 @@
 		got := make(chan int, 1)
 		go func() { got <- limit.RunFirst(answered).Status }()
 		synctest.Wait()
-		if r := limit.Run(answered); r.Status != 503 || r.RetryAfter < retrySoon || r.RetryAfter >= retrySoon+retrySpread {
-			t.Errorf("a question got %d, to come back after %d s", r.Status, r.RetryAfter)
+		if r := limit.Run(answered); r.Status != 503 || r.RetryAfterS < retrySoon || r.RetryAfterS >= retrySoon+retrySpread {
+			t.Errorf("a question got %d, to come back after %d s", r.Status, r.RetryAfterS)
 		}
 		hold <- struct{}{}
 		synctest.Wait()
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -27,7 +27,7 @@
 
 // NewPeers makes the client.
 func NewPeers(own string, peers []config.Peer, w config.Workers) *Peers {
-	wait := config.Seconds(w.Report / 2)
+	wait := config.Seconds(w.HeartbeatIntervalS / 2)
 	p := &Peers{own: own, addrs: map[string]string{}, wait: wait}
 	for _, x := range peers {
 		p.addrs[x.Name] = x.Addr
@@ -52,7 +52,7 @@
 		return coordination.Reply{}, false
 	}
 	after, _ := strconv.Atoi(res.Header.Get("Retry-After"))
-	return coordination.Reply{Status: res.StatusCode, Body: raw, RetryAfter: after}, true
+	return coordination.Reply{Status: res.StatusCode, Body: raw, RetryAfterS: after}, true
 }
 
 func (p *Peers) call(ctx context.Context, peer, method, path string, body []byte) (*http.Response, []byte, error) {
@@ -79,8 +79,8 @@
 	if err != nil || res.StatusCode != http.StatusOK {
 		return r
 	}
-	if protocol.Decode(raw, &r.StepDownAnswer) != nil {
-		r.StepDownAnswer = protocol.StepDownAnswer{}
+	if protocol.Decode(raw, &r.StepDownResponse) != nil {
+		r.StepDownResponse = protocol.StepDownResponse{}
 	}
 	return r
 }
--- a/internal/transport/worker_client.go
+++ b/internal/transport/worker_client.go
@@ -36,7 +36,7 @@
 
 // NewWorkers makes the client; most tells how many connections it may hold now.
 func NewWorkers(w config.Workers, most func() int) *Workers {
-	wait := config.Seconds(w.Report * 0.75)
+	wait := config.Seconds(w.HeartbeatIntervalS * 0.75)
 	return &Workers{wait: wait, most: most, dial: storage.Dial(wait * 2 / 3), idle: list.New(), by: map[string]*list.Element{}}
 }
 
@@ -81,13 +81,13 @@
 }
 
 // Send sends commands and waits for the worker's word.
-func (w *Workers) Send(c coordination.OrdersCall) coordination.OrdersResult {
+func (w *Workers) Send(c coordination.CommandsCall) coordination.CommandsResult {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	req.SetRequestURI("http://" + c.Addr + protocol.PathOrders)
-	writeBody(req, protocol.EncodeOrders(c.Token, c.Session, c.Commands))
-	r := coordination.OrdersResult{ID: c.ID, Host: c.Host}
+	req.SetRequestURI("http://" + c.Addr + protocol.PathCommands)
+	writeBody(req, protocol.EncodeCommands(c.FencingToken, c.Incarnation, c.Commands))
+	r := coordination.CommandsResult{ID: c.ID, Machine: c.Machine}
 	l := w.take(c.Addr)
 	if l == nil {
 		r.Outcome = coordination.NotSent
@@ -105,16 +105,16 @@
 	case fasthttp.StatusConflict:
 		r.Outcome = coordination.Conflict
 	default:
-		r.Outcome = coordination.Lost
+		r.Outcome = coordination.Unknown
 		return r
 	}
-	report, err := protocol.DecodeReport(res.Body())
+	report, err := protocol.DecodeHeartbeat(res.Body())
 	if err != nil {
 		if r.Outcome == coordination.OK {
-			r.Outcome = coordination.Lost
+			r.Outcome = coordination.Unknown
 		}
 		return r
 	}
-	r.Report = report
+	r.Heartbeat = report
 	return r
 }
--- a/internal/transport/workers_test.go
+++ b/internal/transport/workers_test.go
@@ -57,13 +57,13 @@
 		_ = fasthttp.Serve(m.l, func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(409) })
 	}()
 	t.Cleanup(func() { _ = m.l.Close() })
-	w := NewWorkers(config.Workers{Report: 4}, func() int { return most })
+	w := NewWorkers(config.Workers{HeartbeatIntervalS: 4}, func() int { return most })
 	w.dial = m.dial
 	return w, m
 }
 
 func send(w *Workers, addr string) coordination.Outcome {
-	return w.Send(coordination.OrdersCall{Host: addr, Addr: addr, Token: 1, Session: 1}).Outcome
+	return w.Send(coordination.CommandsCall{Machine: addr, Addr: addr, FencingToken: 1, Incarnation: 1}).Outcome
 }
 
 // More machines are told something than there may be connections: the least
