--- a/internal/coordination/admin.go
+++ b/internal/controller/admin.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"bytes"
@@ -12,6 +12,7 @@
 	"github.com/go-playground/validator/v10"
 
 	"oakpick/internal/config"
+	"oakpick/internal/message"
 	"oakpick/internal/storage"
 )
 
@@ -61,25 +62,6 @@
 	return o, nil
 }
 
-// AdminRequestKind is what an operator asks.
-type AdminRequestKind uint8
-
-// What operators ask.
-const (
-	AdminStatus AdminRequestKind = iota
-	AdminRead
-	AdminChange
-	AdminJob
-)
-
-// AdminRequest is a request of an operator; its body and its answer are JSON.
-type AdminRequest struct {
-	ID   uint64
-	Kind AdminRequestKind
-	Body []byte
-	Job  string // that AdminJob is about
-}
-
 // optionsItem keeps what operators have changed, as facts are kept.
 type optionsItem struct{ text string }
 
@@ -92,16 +74,16 @@
 // ReservedSize leaves room for every figure to be changed.
 func (o *optionsItem) ReservedSize() int { return storage.OptionsReservedSize }
 
-func (n *Controller) admin(c AdminRequest) {
+func (n *Controller) admin(c message.AdminRequest) {
 	switch {
-	case c.Kind == AdminStatus:
-		n.emit(Reply{ID: c.ID, Status: 200, Body: asJSON(n.status())})
+	case c.Kind == message.AdminStatus:
+		n.emit(message.Reply{ID: c.ID, Status: 200, Body: asJSON(n.status())})
 	case n.engine != nil && n.certain():
 		n.engine.admin(c)
 	case n.engine == nil && n.otherLeader() != "":
-		n.emit(Forward{ID: c.ID, Peer: n.otherLeader()})
+		n.emit(message.Forward{ID: c.ID, Peer: n.otherLeader()})
 	default:
-		n.emit(Reply{ID: c.ID, Status: 503, Body: asJSON(map[string]string{"error": "no leader"}), RetryAfterS: 1})
+		n.emit(message.Reply{ID: c.ID, Status: 503, Body: asJSON(map[string]string{"error": "no leader"}), RetryAfterS: 1})
 	}
 }
 
@@ -113,12 +95,12 @@
 	return append(b, '\n')
 }
 
-func (e *engine) admin(c AdminRequest) {
+func (e *engine) admin(c message.AdminRequest) {
 	switch c.Kind {
-	case AdminRead:
+	case message.AdminRead:
 		e.reply(c.ID, 200, asJSON(e.opt))
 		return
-	case AdminJob:
+	case message.AdminJob:
 		e.jobStatus(c)
 		return
 	}
@@ -137,7 +119,7 @@
 	}
 	e.optItem.text = string(text)
 	e.use(opt)
-	e.n.log(Info, "settings changed", "settings", string(text))
+	e.n.log(message.Info, "settings changed", "settings", string(text))
 	e.store.MarkDirty(e.n.now.Monotonic, e.optItem, storage.OnCommit(func() { e.reply(c.ID, 200, asJSON(opt)) }))
 }
 
@@ -155,7 +137,7 @@
 	Term   int64         `json:"term"`
 	Leader string        `json:"leader"`
 	UpS    float64       `json:"up_s"`
-	Counts Stats         `json:"counts"`
+	Counts message.Stats `json:"counts"`
 	Leads  *LeaderStatus `json:"leads,omitempty"`
 }
 
--- a/internal/coordination/admin_jobs.go
+++ b/internal/controller/admin_jobs.go
@@ -1,9 +1,10 @@
-package coordination
+package controller
 
 import (
 	"maps"
 	"slices"
 
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -33,7 +34,7 @@
 }
 
 // jobStatus answers an operator's question about a job.
-func (e *engine) jobStatus(c AdminRequest) {
+func (e *engine) jobStatus(c message.AdminRequest) {
 	j := e.jobs[c.Job]
 	if j == nil {
 		why := "no unfinished job of that name"
--- a/internal/coordination/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"oakpick/internal/coordination"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 )
 
-func admin(w *fake.World, n int, kind coordination.AdminRequestKind, body string) (status int, answer string) {
-	w.Controllers[n].Request(coordination.AdminRequest{Kind: kind, Body: []byte(body)}, func(r coordination.Reply) {
+func admin(w *fake.World, n int, kind message.AdminRequestKind, body string) (status int, answer string) {
+	w.Controllers[n].Request(message.AdminRequest{Kind: kind, Body: []byte(body)}, func(r message.Reply) {
 		status, answer = r.Status, string(r.Body)
 	})
 	w.Run(time.Second)
@@ -32,11 +32,11 @@
 		`[1]`:                    "",
 		`{"takeover_wait_s": []`: "",
 	} {
-		if status, answer := admin(w, 0, coordination.AdminChange, body); status != 400 || !strings.Contains(answer, want) {
+		if status, answer := admin(w, 0, message.AdminChange, body); status != 400 || !strings.Contains(answer, want) {
 			t.Errorf("%s: %d %s", body, status, answer)
 		}
 	}
-	if status, answer := admin(w, 1, coordination.AdminChange, `{"sample": 7, "warm_room": 0.5}`); status != 200 {
+	if status, answer := admin(w, 1, message.AdminChange, `{"sample": 7, "warm_room": 0.5}`); status != 200 {
 		t.Fatalf("through a follower: %d %s", status, answer)
 	}
 	for _, n := range w.Controllers {
@@ -47,11 +47,11 @@
 	}
 	w.Run(6 * time.Second)
 	for n := range w.Controllers {
-		status, answer := admin(w, n, coordination.AdminRead, "")
+		status, answer := admin(w, n, message.AdminRead, "")
 		if status != 200 || !strings.Contains(answer, `"sample": 7`) || !strings.Contains(answer, `"warm_room": 0.5`) {
 			t.Errorf("node %d: %d %s", n, status, answer)
 		}
-		if status, answer = admin(w, n, coordination.AdminStatus, ""); status != 200 || !strings.Contains(answer, fmt.Sprintf(`"node": "n%d"`, n)) {
+		if status, answer = admin(w, n, message.AdminStatus, ""); status != 200 || !strings.Contains(answer, fmt.Sprintf(`"node": "n%d"`, n)) {
 			t.Errorf("status of node %d: %d %s", n, status, answer)
 		}
 	}
--- a/internal/coordination/archive.go
+++ b/internal/controller/archive.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -8,7 +8,9 @@
 	"golang.org/x/time/rate"
 
 	"oakpick/internal/config"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
 )
 
@@ -56,7 +58,7 @@
 // ask is a user's request that waits for pages of the archive. After its user was refused it
 // goes on, so that what was found isn't lost when the user comes back.
 type ask struct {
-	call    UserRequest
+	call    message.UserRequest
 	waiting bool // its user
 	until   time.Duration
 	forget  time.Duration
@@ -131,8 +133,8 @@
 func (e *engine) known(id string) bool { return e.jobs[id] != nil || e.finals[id] != nil }
 
 // subjects are the jobs that a request is about.
-func (e *engine) subjects(c UserRequest) []string {
-	if c.Kind != Submit {
+func (e *engine) subjects(c message.UserRequest) []string {
+	if c.Kind != message.Submit {
 		return []string{c.Job}
 	}
 	if e.known(c.Submission.ID) {
@@ -142,7 +144,7 @@
 }
 
 // request answers a user's request, or lets it wait for what has to be looked up.
-func (a *archive) request(c UserRequest) {
+func (a *archive) request(c message.UserRequest) {
 	e := a.e
 	if !a.exists {
 		e.decide(c, nil)
@@ -176,8 +178,8 @@
 }
 
 // waitOf is how long a request waits for the archive: as long as for a commit.
-func waitOf(kind UserRequestKind) time.Duration {
-	if kind == Poll {
+func waitOf(kind message.UserRequestKind) time.Duration {
+	if kind == message.Poll {
 		return config.Seconds(protocol.PollTimeoutS / 2.0)
 	}
 	return config.Seconds(commitWithinS)
@@ -185,11 +187,11 @@
 
 // earlier is the same submission that came before. Polls and cancellations ask for one job
 // each, and needn't be remembered.
-func (a *archive) earlier(c UserRequest) *ask {
-	if c.Kind != Submit {
+func (a *archive) earlier(c message.UserRequest) *ask {
+	if c.Kind != message.Submit {
 		return nil
 	}
-	i := slices.IndexFunc(a.asks, func(x *ask) bool { return x.call.Kind == Submit && x.call.Submission.ID == c.Submission.ID })
+	i := slices.IndexFunc(a.asks, func(x *ask) bool { return x.call.Kind == message.Submit && x.call.Submission.ID == c.Submission.ID })
 	if i < 0 {
 		return nil
 	}
@@ -204,14 +206,14 @@
 // cancellations: users ask about jobs that nobody has submitted. If there are too many of
 // them, one that waits is refused in the newcomer's place, drawn so that nobody who asks
 // again and again is always the one.
-func (a *archive) admits(kind UserRequestKind) bool {
+func (a *archive) admits(kind message.UserRequestKind) bool {
 	most := max(asksLeast, int(a.e.n.cfg.Settings.State.Smallest().RPS*asksShare))
-	if kind != Poll {
+	if kind != message.Poll {
 		return len(a.asks) < most
 	}
 	var polls []*ask
 	for _, x := range a.asks {
-		if x.call.Kind == Poll {
+		if x.call.Kind == message.Poll {
 			polls = append(polls, x)
 		}
 	}
@@ -247,7 +249,7 @@
 func (a *archive) nextNeed() string {
 	var next *ask
 	for _, x := range a.asks {
-		if len(x.needs) > 0 && (next == nil || next.call.Kind == Poll && x.call.Kind != Poll) {
+		if len(x.needs) > 0 && (next == nil || next.call.Kind == message.Poll && x.call.Kind != message.Poll) {
 			next = x
 		}
 	}
@@ -260,7 +262,7 @@
 // send reads the page of a job.
 func (a *archive) send(id string) {
 	n := a.e.n
-	if !a.budget.AllowN(n.now.forLimiter(), 1) {
+	if !a.budget.AllowN(n.now.LimiterTime(), 1) {
 		return
 	}
 	a.read = &archiveRead{id: id, changes: a.changes}
@@ -274,16 +276,16 @@
 	if read == nil || read.changes != a.changes {
 		return // it may have been read before a move was carried out
 	}
-	if r.Outcome != OK || len(r.List.Entries) == 0 {
+	if r.Outcome != rpc.OK || len(r.List.Entries) == 0 {
 		a.retryAt = a.e.n.now.Monotonic + a.e.rules.retry
-		if r.Outcome == OK {
-			a.e.n.log(Error, "the last page of ended jobs is missing", "job", read.id)
+		if r.Outcome == rpc.OK {
+			a.e.n.log(message.Error, "the last page of ended jobs is missing", "job", read.id)
 		}
 		return
 	}
 	page, err := storage.ReadArchivePage(r.List.Entries[0])
 	if err != nil {
-		a.e.n.log(Error, "a page of ended jobs can't be read, its jobs get 503", "error", err.Error())
+		a.e.n.log(message.Error, "a page of ended jobs can't be read, its jobs get 503", "error", err.Error())
 	}
 	a.keep(&archivePage{ArchivePage: page, low: read.id, damaged: err != nil, used: a.e.n.now.Monotonic})
 	a.answer()
@@ -333,7 +335,7 @@
 		if x.waiting && (n.now.Monotonic >= x.until || !n.certain()) {
 			x.waiting = false
 			n.refuse(x.call.ID, "the ended jobs can't be read in time")
-			if x.call.Kind != Submit {
+			if x.call.Kind != message.Submit {
 				a.drop(x)
 			}
 		}
--- a/internal/coordination/archive_move.go
+++ b/internal/controller/archive_move.go
@@ -1,9 +1,10 @@
-package coordination
+package controller
 
 import (
 	"cmp"
 	"slices"
 
+	"oakpick/internal/message"
 	"oakpick/internal/storage"
 )
 
@@ -71,7 +72,7 @@
 		all = false
 		if asks {
 			a.askAt = n.now.Monotonic + a.e.rules.probe
-			n.emit(PeerCall{Peer: p.Name, Term: n.term.own, SentAt: n.now.Monotonic, AsksArchive: true})
+			n.emit(message.PeerCall{Peer: p.Name, Term: n.term.own, SentAt: n.now.Monotonic, AsksArchive: true})
 		}
 	}
 	return all
--- a/internal/coordination/archive_orderings_test.go
+++ b/internal/controller/archive_orderings_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"oakpick/internal/coordination"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -51,7 +51,7 @@
 			w.Run(50 * time.Millisecond)
 			continue
 		}
-		w.Leader().Request(coordination.UserRequest{Kind: coordination.Poll, Job: fmt.Sprintf("wk-%06d", 100_000+(n*37)%99_000)}, func(coordination.Reply) {})
+		w.Leader().Request(message.UserRequest{Kind: message.Poll, Job: fmt.Sprintf("wk-%06d", 100_000+(n*37)%99_000)}, func(message.Reply) {})
 		if n%4 == 0 {
 			w.QueryEverywhere(jobs[n/4%len(jobs)])
 		}
@@ -166,7 +166,7 @@
 	leader := w.Leader()
 	for n := 0; n < len(jobs); n += 15 {
 		status := 0
-		leader.Request(coordination.UserRequest{Kind: coordination.Poll, Job: jobs[n].Submission.ID}, func(r coordination.Reply) { status = r.Status })
+		leader.Request(message.UserRequest{Kind: message.Poll, Job: jobs[n].Submission.ID}, func(r message.Reply) { status = r.Status })
 		w.Run(300 * time.Millisecond)
 		if status != 200 {
 			t.Errorf("%s: %d after 0.3 s", jobs[n].Submission.ID, status)
--- a/internal/coordination/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"time"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 	"oakpick/internal/storage"
 )
@@ -254,7 +254,7 @@
 			if w.Jobs[id] != nil {
 				continue
 			}
-			w.Controllers[i%3].Request(coordination.UserRequest{Kind: coordination.Poll, Job: id}, func(r coordination.Reply) {
+			w.Controllers[i%3].Request(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply) {
 				statuses[r.Status]++
 				if r.Status == 503 && r.RetryAfterS == 0 {
 					t.Error("refused without a time to come back")
@@ -270,7 +270,7 @@
 	for n := 0; n < 100 && !other.Accepted; n++ {
 		for i := range 50 {
 			id := fmt.Sprintf("wk-%06d", 910_000+n*50+i)
-			w.Controllers[i%3].Request(coordination.UserRequest{Kind: coordination.Poll, Job: id}, func(coordination.Reply) {})
+			w.Controllers[i%3].Request(message.UserRequest{Kind: message.Poll, Job: id}, func(message.Reply) {})
 		}
 		w.Run(50 * time.Millisecond)
 	}
@@ -396,7 +396,7 @@
 	for _, j := range jobs {
 		status := 0
 		for tries := 0; tries < 10 && status != 200; tries++ {
-			leader.Request(coordination.UserRequest{Kind: coordination.Poll, Job: j.Submission.ID}, func(r coordination.Reply) { status = r.Status })
+			leader.Request(message.UserRequest{Kind: message.Poll, Job: j.Submission.ID}, func(r message.Reply) { status = r.Status })
 			w.Run(50 * time.Millisecond)
 		}
 		if want := 200; lost[j.Submission.ID] && status != 503 || !lost[j.Submission.ID] && status != want {
@@ -424,7 +424,7 @@
 		return f
 	}
 	for _, j := range jobs[:30] {
-		leader.Request(coordination.UserRequest{Kind: coordination.Poll, Job: j.Submission.ID}, func(r coordination.Reply) {
+		leader.Request(message.UserRequest{Kind: message.Poll, Job: j.Submission.ID}, func(r message.Reply) {
 			if r.Status == 404 {
 				t.Errorf("%s is called unknown", j.Submission.ID)
 			}
--- a/internal/coordination/consolidate.go
+++ b/internal/controller/consolidate.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -114,7 +115,7 @@
 		}
 		most--
 		c.h.draining = true
-		e.n.log(Info, "machine is emptied", "host", c.h.name, "type", c.h.kind, "tasks", len(c.h.tasks))
+		e.n.log(message.Info, "machine is emptied", "host", c.h.name, "type", c.h.kind, "tasks", len(c.h.tasks))
 	}
 }
 
--- a/internal/coordination/deferred.go
+++ b/internal/controller/deferred.go
@@ -1,23 +1,27 @@
-package coordination
+package controller
 
-import "time"
+import (
+	"time"
+
+	"oakpick/internal/message"
+)
 
 // deferred is a request to change something that came while nobody was known to lead, or a
 // submission that met a leader so new that it knew no machine types yet. Most changes of
 // leader are over within the term's lease, and to be told to come back takes longer than that.
 type deferred struct {
-	call  UserRequest
+	call  message.UserRequest
 	until time.Duration
 }
 
 // mayDefer tells whether a request is worth keeping until there is a leader. Questions
 // aren't: their users ask again anyway, and there may be very many of them.
-func (n *Controller) mayDefer(c UserRequest) bool {
-	return c.Kind != Poll && len(n.deferred) < n.rules.deferMost
+func (n *Controller) mayDefer(c message.UserRequest) bool {
+	return c.Kind != message.Poll && len(n.deferred) < n.rules.deferMost
 }
 
 // deferCall keeps a request.
-func (n *Controller) deferCall(c UserRequest) {
+func (n *Controller) deferCall(c message.UserRequest) {
 	n.Stats.RequestsDeferred++
 	n.deferred = append(n.deferred, deferred{c, n.now.Monotonic + n.rules.deferFor})
 }
@@ -43,9 +47,9 @@
 }
 
 // canDecide tells whether a request can be decided here or handed on.
-func (n *Controller) canDecide(c UserRequest) bool {
+func (n *Controller) canDecide(c message.UserRequest) bool {
 	if n.engine != nil {
-		return n.certain() && (c.Kind != Submit || len(n.engine.fleet.types) > 0)
+		return n.certain() && (c.Kind != message.Submit || len(n.engine.fleet.types) > 0)
 	}
 	return n.otherLeader() != ""
 }
--- a/internal/coordination/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 	"oakpick/internal/storage"
 )
@@ -169,7 +170,7 @@
 		{60, submittedMs + 60_000 - 8_000}, // it had to begin before
 	} {
 		e := &engine{
-			n:    &Controller{now: Now{WallMs: doneMs, Monotonic: 89 * time.Second}},
+			n:    &Controller{now: message.Now{WallMs: doneMs, Monotonic: 89 * time.Second}},
 			jobs: map[string]*job{}, classes: map[string]*class{}, dependencies: newDependencies(),
 		}
 		first, last := graphJob("first", protocol.Low, 0, 15), graphJob("last", protocol.High, c.deadline, 8)
--- a/internal/coordination/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"crypto/sha256"
@@ -17,8 +17,8 @@
 	"time"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -26,8 +26,8 @@
 // form of the wire and the store, with its time. A change that is not meant to change
 // behavior leaves the traces of all seeds equal:
 //
-//	go test ./internal/coordination -run TestEffectTraces -trace.seeds=300 -trace.write=before.json
-//	go test ./internal/coordination -run TestEffectTraces -trace.seeds=300 -trace.compare=before.json
+//	go test ./internal/controller -run TestEffectTraces -trace.seeds=300 -trace.write=before.json
+//	go test ./internal/controller -run TestEffectTraces -trace.seeds=300 -trace.compare=before.json
 //
 // Log lines are left out.
 var (
@@ -124,7 +124,7 @@
 		trace.out = io.MultiWriter(digest, file)
 	}
 	tw := newTraceWorld(seed)
-	tw.world.OnEffect = func(node string, effect coordination.Effect) { trace.add(tw.world.Now, node, effect) }
+	tw.world.OnEffect = func(node string, effect message.Effect) { trace.add(tw.world.Now, node, effect) }
 	tw.play()
 	if trace.effects == 0 {
 		t.Fatalf("seed %d: nothing left the controllers", seed)
@@ -142,24 +142,24 @@
 var machinesLookedAt = regexp.MustCompile(`"machines_looked_at": \d+`)
 
 // add notes an effect, as the wire or the store sees it.
-func (e *effectTrace) add(now time.Duration, node string, effect coordination.Effect) {
+func (e *effectTrace) add(now time.Duration, node string, effect message.Effect) {
 	line := ""
 	switch x := effect.(type) {
-	case coordination.Reply:
+	case message.Reply:
 		// How many machines were looked at depends on the order of a map in one place.
 		body := machinesLookedAt.ReplaceAll(x.Body, nil)
 		line = fmt.Sprintf("reply %d %d %x %d %v", x.ID, x.Status, body, x.RetryAfterS, x.CloseConnection)
-	case coordination.Forward:
+	case message.Forward:
 		line = fmt.Sprintf("forward %d %s", x.ID, x.Peer)
-	case coordination.StateCall:
+	case message.StateCall:
 		line = fmt.Sprintf("state %d %d %s %s %d %d %v %x", x.ID, x.Op, x.Key, x.StartAfter, x.Limit, x.Lease, x.TTL, protocol.Encode(x.Txn))
-	case coordination.CloudCall:
+	case message.CloudCall:
 		line = fmt.Sprintf("cloud %d %d %s %x %v %v", x.ID, x.Op, x.StartAfter, protocol.Encode(x.Provisioning), x.Machines, x.NotAfter)
-	case coordination.CommandsCall:
+	case message.CommandsCall:
 		line = fmt.Sprintf("commands %d %s %s %x %v", x.ID, x.Machine, x.Addr, protocol.EncodeCommands(x.FencingToken, x.Incarnation, x.Commands), x.NotAfter)
-	case coordination.PeerCall:
+	case message.PeerCall:
 		line = fmt.Sprintf("peer %s %d %v %v", x.Peer, x.Term, x.SentAt, x.AsksArchive)
-	case coordination.Log:
+	case message.Log:
 		return
 	default:
 		panic(fmt.Sprintf("an unknown effect %T", x))
@@ -325,7 +325,7 @@
 
 // ask has users and operators ask for something.
 func (tw *traceWorld) ask() {
-	ignore := func(coordination.Reply) {}
+	ignore := func(message.Reply) {}
 	j := tw.anyJob()
 	switch tw.random.IntN(8) {
 	case 0:
@@ -348,16 +348,16 @@
 			tw.world.CancelEverywhere(j)
 		}
 	case 5:
-		tw.node().Request(coordination.AdminRequest{Kind: coordination.AdminStatus}, ignore)
+		tw.node().Request(message.AdminRequest{Kind: message.AdminStatus}, ignore)
 	case 6:
 		change := fmt.Sprintf(`{"sample": %d, "warm_room": %d, "idle_s": %d, "moves_per_min": %d}`,
 			tw.between(1, 64), tw.random.IntN(4), tw.random.IntN(8), tw.random.IntN(300))
-		tw.node().Request(coordination.AdminRequest{Kind: coordination.AdminChange, Body: []byte(change)}, ignore)
+		tw.node().Request(message.AdminRequest{Kind: message.AdminChange, Body: []byte(change)}, ignore)
 	case 7:
 		if j != nil {
-			tw.node().Request(coordination.AdminRequest{Kind: coordination.AdminJob, Job: j.Submission.ID}, ignore)
+			tw.node().Request(message.AdminRequest{Kind: message.AdminJob, Job: j.Submission.ID}, ignore)
 		}
-		tw.node().Request(coordination.AdminRequest{Kind: coordination.AdminRead}, ignore)
+		tw.node().Request(message.AdminRequest{Kind: message.AdminRead}, ignore)
 	}
 }
 
@@ -379,7 +379,7 @@
 		n.PausedUntil = w.Now + tw.millis(100, 12_000)
 	case 4:
 		left, stall := tw.random.IntN(30), tw.millis(100, 20_000)
-		n.Stall = func(coordination.Effect) time.Duration {
+		n.Stall = func(message.Effect) time.Duration {
 			if left--; left != 0 {
 				return 0
 			}
--- a/internal/coordination/export_test.go
+++ b/internal/controller/export_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 // What the stories need to see of the inside.
 
--- a/internal/coordination/failures.go
+++ b/internal/controller/failures.go
@@ -1,8 +1,9 @@
-package coordination
+package controller
 
 import (
 	"time"
 
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -59,7 +60,7 @@
 		return
 	}
 	j.failures.jobsFault = true
-	e.n.log(Info, "job fails on every machine", "job", j.ID, "class", j.Class, "team", j.Team, "machines", len(j.failures.on))
+	e.n.log(message.Info, "job fails on every machine", "job", j.ID, "class", j.Class, "team", j.Team, "machines", len(j.failures.on))
 	for name := range j.failures.on {
 		h := e.hosts[name]
 		if h == nil {
@@ -134,7 +135,7 @@
 	}
 	if confirmed >= jobsAgainstMachine && !h.cordoned {
 		h.cordoned = true
-		e.n.log(Info, "machine cordoned", "host", h.name, "why", "jobs that run well elsewhere fail there", "jobs", confirmed)
+		e.n.log(message.Info, "machine cordoned", "host", h.name, "why", "jobs that run well elsewhere fail there", "jobs", confirmed)
 	}
 }
 
--- a/internal/coordination/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"encoding/json"
@@ -6,8 +6,9 @@
 	"testing"
 	"time"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/controller"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -176,10 +177,10 @@
 }
 
 // jobStatus is what the leader tells operators of a job.
-func jobStatus(t *testing.T, w *fake.World, id string) coordination.JobStatus {
+func jobStatus(t *testing.T, w *fake.World, id string) controller.JobStatus {
 	t.Helper()
-	var s coordination.JobStatus
-	w.Leader().Request(coordination.AdminRequest{Kind: coordination.AdminJob, Job: id}, func(r coordination.Reply) {
+	var s controller.JobStatus
+	w.Leader().Request(message.AdminRequest{Kind: message.AdminJob, Job: id}, func(r message.Reply) {
 		if err := json.Unmarshal(r.Body, &s); err != nil || r.Status != 200 {
 			t.Errorf("status %d, %v: %s", r.Status, err, r.Body)
 		}
--- a/internal/coordination/fleet.go
+++ b/internal/controller/fleet.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -8,7 +8,9 @@
 	"golang.org/x/time/rate"
 
 	"oakpick/internal/config"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
 )
 
@@ -39,7 +41,7 @@
 }
 
 type cloudCall struct {
-	op     CloudOp
+	op     message.CloudOp
 	rental *rental
 	hosts  []string
 }
@@ -64,18 +66,18 @@
 
 func size(mt *protocol.MachineType) need { return need{mt.CPUs, mt.GPUs, mt.MemoryGB} }
 
-func (e *engine) cloud(c CloudCall, cc cloudCall) bool {
+func (e *engine) cloud(c message.CloudCall, cc cloudCall) bool {
 	f, now := &e.fleet, e.n.now.Monotonic
 	if f.budget == nil {
 		rps := e.n.cfg.Settings.Cloud.RPS
 		f.budget = rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps)))
 		f.calls = map[uint64]cloudCall{}
 	}
-	if now < f.back || len(f.calls) >= config.CloudConnections || !f.budget.AllowN(e.n.now.forLimiter(), 1) {
+	if now < f.back || len(f.calls) >= config.CloudConnections || !f.budget.AllowN(e.n.now.LimiterTime(), 1) {
 		return false
 	}
 	c.ID = e.n.id()
-	if c.Op == CloudScaleOut || c.Op == CloudScaleIn {
+	if c.Op == message.CloudScaleOut || c.Op == message.CloudScaleIn {
 		// The process may stand still between here and the sending. A machine that looks
 		// idle now may have another leader's tasks by then.
 		c.NotAfter = e.n.term.until
@@ -92,7 +94,7 @@
 	}
 	f.planAt = now + e.rules.report/6
 	if f.typesAt == 0 || now > f.typesAt {
-		if e.cloud(CloudCall{Op: CloudListTypes}, cloudCall{op: CloudListTypes}) {
+		if e.cloud(message.CloudCall{Op: message.CloudListTypes}, cloudCall{op: message.CloudListTypes}) {
 			f.typesAt = now + e.rules.lease*2
 			if len(f.types) == 0 {
 				f.typesAt = now + e.rules.report
@@ -101,9 +103,9 @@
 	}
 	for _, r := range slices.Clone(f.rentals) {
 		if r.ready && !r.Answered && !r.calling && now >= r.retryAt {
-			r.calling = e.cloud(CloudCall{Op: CloudScaleOut, Provisioning: protocol.ProvisioningRequest{
+			r.calling = e.cloud(message.CloudCall{Op: message.CloudScaleOut, Provisioning: protocol.ProvisioningRequest{
 				RequestID: r.RequestID, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count,
-			}}, cloudCall{op: CloudScaleOut, rental: r})
+			}}, cloudCall{op: message.CloudScaleOut, rental: r})
 		}
 		if r.Answered && !slices.ContainsFunc(r.Machines, e.knownOnlyByRental) {
 			f.rentals = slices.DeleteFunc(f.rentals, func(x *rental) bool { return x == r })
@@ -111,7 +113,7 @@
 		}
 	}
 	if !f.listing && now >= f.listAt {
-		f.listing = e.cloud(CloudCall{Op: CloudListMachines}, cloudCall{op: CloudListMachines})
+		f.listing = e.cloud(message.CloudCall{Op: message.CloudListMachines}, cloudCall{op: message.CloudListMachines})
 		f.seen = map[string]bool{}
 	}
 	if len(f.types) == 0 || f.lists == 0 {
@@ -177,7 +179,7 @@
 	slices.Sort(kinds)
 	for _, k := range kinds {
 		s := sums[k]
-		e.n.log(Info, "fleet", "type", k, "up", s.up, "booting", s.booting, "empty", s.empty, "silent", s.silent,
+		e.n.log(message.Info, "fleet", "type", k, "up", s.up, "booting", s.booting, "empty", s.empty, "silent", s.silent,
 			"cpus", fmt.Sprintf("%.0f/%.0f", s.used.cpus, s.all.cpus), "gpus", fmt.Sprintf("%.0f/%.0f", s.used.gpus, s.all.gpus))
 	}
 }
@@ -191,29 +193,29 @@
 	return h == nil || !h.up && h.listed == 0
 }
 
-func (e *engine) cloudResult(c CloudResult) {
+func (e *engine) cloudResult(c message.CloudResult) {
 	f, now := &e.fleet, e.n.now.Monotonic
 	cc, ok := f.calls[c.ID]
 	if !ok {
 		return
 	}
 	delete(f.calls, c.ID)
-	if c.Outcome == Refused || c.Outcome == Unknown || c.Outcome == NotSent {
+	if c.Outcome == rpc.Refused || c.Outcome == rpc.Unknown || c.Outcome == rpc.NotSent {
 		f.back = now + e.rules.report/3
 	}
 	switch cc.op {
-	case CloudListTypes:
-		if c.Outcome == OK && len(c.Types) > 0 {
+	case message.CloudListTypes:
+		if c.Outcome == rpc.OK && len(c.Types) > 0 {
 			f.types = c.Types
 			f.prices++
 			e.schedule = true
 		}
-	case CloudListMachines:
+	case message.CloudListMachines:
 		e.listed(c)
-	case CloudScaleOut:
+	case message.CloudScaleOut:
 		e.rented(cc.rental, c)
-	case CloudScaleIn:
-		if c.Outcome != OK {
+	case message.CloudScaleIn:
+		if c.Outcome != rpc.OK {
 			for _, name := range cc.hosts {
 				if h := e.hosts[name]; h != nil {
 					h.returnCall = false
@@ -237,15 +239,15 @@
 	}
 }
 
-func (e *engine) rented(r *rental, c CloudResult) {
+func (e *engine) rented(r *rental, c message.CloudResult) {
 	f, now := &e.fleet, e.n.now.Monotonic
 	r.calling = false
 	f.planAt = 0 // the next may be waiting for this one's connection
 	switch c.Outcome {
-	case OK:
+	case rpc.OK:
 		r.Answered, r.Machines = true, c.Machines
 		e.n.Stats.MachinesScaledOut += int64(len(c.Machines))
-		e.n.log(Info, "machines rented", "request", r.RequestID, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(c.Machines))
+		e.n.log(message.Info, "machines rented", "request", r.RequestID, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(c.Machines))
 		for _, name := range c.Machines {
 			if _, gone := e.gone[name]; gone {
 				continue
@@ -258,9 +260,9 @@
 			e.noCapacity(r)
 		}
 		e.store.MarkDirty(now, r, r.onCommitLater())
-	case NotFound, Invalid: // no capacity, or malformed
-		if c.Outcome == Invalid {
-			e.n.log(Error, "the cloud calls a rental malformed", "type", r.Type, "zone", r.Zone, "count", r.Count)
+	case rpc.NotFound, rpc.Invalid: // no capacity, or malformed
+		if c.Outcome == rpc.Invalid {
+			e.n.log(message.Error, "the cloud calls a rental malformed", "type", r.Type, "zone", r.Zone, "count", r.Count)
 		}
 		e.noCapacity(r)
 		f.rentals = slices.DeleteFunc(f.rentals, func(x *rental) bool { return x == r })
@@ -278,10 +280,10 @@
 	e.fleet.refused[offer{r.Type, r.Zone, r.Spot}] = e.n.now.Monotonic + e.rules.lease*2
 }
 
-func (e *engine) listed(c CloudResult) {
+func (e *engine) listed(c message.CloudResult) {
 	f, now := &e.fleet, e.n.now.Monotonic
 	f.listing = false
-	if c.Outcome != OK {
+	if c.Outcome != rpc.OK {
 		f.listAt = now + e.rules.report
 		return
 	}
@@ -302,12 +304,12 @@
 		}
 		if m.Status == protocol.MachineFailed && !h.failedMachine {
 			h.failedMachine = true
-			e.n.log(Info, "machine has failed", "host", h.name, "tasks", len(h.tasks))
+			e.n.log(message.Info, "machine has failed", "host", h.name, "tasks", len(h.tasks))
 			e.schedule = true
 		}
 	}
 	if c.List.More && len(c.List.Machines) > 0 {
-		f.listing = e.cloud(CloudCall{Op: CloudListMachines, StartAfter: c.List.Machines[len(c.List.Machines)-1].Name}, cloudCall{op: CloudListMachines})
+		f.listing = e.cloud(message.CloudCall{Op: message.CloudListMachines, StartAfter: c.List.Machines[len(c.List.Machines)-1].Name}, cloudCall{op: message.CloudListMachines})
 		return
 	}
 	f.lists++
@@ -329,7 +331,7 @@
 // booted notes the first report of a machine in this term.
 func (e *engine) booted(h *host) {
 	h.emptySince = e.n.now.Monotonic
-	e.n.log(Debug, "machine is up", "host", h.name, "type", h.kind, "zone", h.zone, "spot", h.spot)
+	e.n.log(message.Debug, "machine is up", "host", h.name, "type", h.kind, "zone", h.zone, "spot", h.spot)
 }
 
 // rental is a request for machines that is being made.
--- a/internal/coordination/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -1,12 +1,12 @@
-package coordination_test
+package controller_test
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"oakpick/internal/coordination"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -62,7 +62,7 @@
 // cloud's list: it doesn't know that both are in the same zone.
 func TestUnknownZoneMayBeAnyZone(t *testing.T) {
 	w := world(t)
-	if status, answer := admin(w, 0, coordination.AdminChange, `{"warm_room": 0}`); status != 200 {
+	if status, answer := admin(w, 0, message.AdminChange, `{"warm_room": 0}`); status != 200 {
 		t.Fatal(answer)
 	}
 	first := service(1, 2)
@@ -106,7 +106,7 @@
 func TestReplicasMoveFromDearToCheapMachines(t *testing.T) {
 	w := world(t)
 	w.Run(2 * time.Second)
-	if status, answer := admin(w, 0, coordination.AdminChange, `{"warm_room": 0, "idle_s": 5}`); status != 200 {
+	if status, answer := admin(w, 0, message.AdminChange, `{"warm_room": 0, "idle_s": 5}`); status != 200 {
 		t.Fatal(answer)
 	}
 	kind := func(j *fake.Job) string { return w.TypeOf(w.MachinesOf(j.Submission.ID)[0]) }
@@ -144,7 +144,7 @@
 // machines are rented then, not when those of the first have had time to report.
 func TestFirstLeaderDoesNotWaitForItsOwnMachines(t *testing.T) {
 	w := world(t)
-	status, answer := admin(w, 0, coordination.AdminChange, `{"takeover_wait_s": 60, "warm_room": 0}`)
+	status, answer := admin(w, 0, message.AdminChange, `{"takeover_wait_s": 60, "warm_room": 0}`)
 	if status != 200 && status != 0 {
 		t.Fatal(answer)
 	}
@@ -189,7 +189,7 @@
 // ones are rented once, not again with every plan until the dear one is up.
 func TestRentedMachinesAreNotRentedAgainWhileADearOneBoots(t *testing.T) {
 	w := world(t)
-	admin(w, 0, coordination.AdminChange, `{"warm_room": 0}`)
+	admin(w, 0, message.AdminChange, `{"warm_room": 0}`)
 	w.Cloud.BootDelay = 4 * time.Second // booting takes several plans
 	dear := service(1, 1)
 	dear.GPUs, dear.CPUs = 1, 1
@@ -210,7 +210,7 @@
 // sooner than either, and the other one is returned.
 func TestRoomForALostReplicaIsRentedTwice(t *testing.T) {
 	w := world(t)
-	admin(w, 0, coordination.AdminChange, `{"warm_room": 0}`)
+	admin(w, 0, message.AdminChange, `{"warm_room": 0}`)
 	s := service(1, 1)
 	s.CPUs = 4 // all of a small machine
 	w.Submit(s, 0)
@@ -243,7 +243,7 @@
 // later, not only when the first can hardly come any more.
 func TestWaitingReplicaDoesNotCountOnALateMachine(t *testing.T) {
 	w := world(t)
-	admin(w, 0, coordination.AdminChange, `{"warm_room": 0}`)
+	admin(w, 0, message.AdminChange, `{"warm_room": 0}`)
 	w.Run(3 * time.Second)
 	w.Cloud.BootDelay = 60 * time.Second
 	s := service(1, 1)
--- a/internal/coordination/gang.go
+++ b/internal/controller/gang.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 // placeGang starts a gang if every member has a place, or replaces members of
 // an attempt that has not begun to run.
--- a/internal/coordination/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"flag"
--- a/internal/coordination/guests.go
+++ b/internal/controller/guests.go
@@ -1,10 +1,11 @@
-package coordination
+package controller
 
 import (
 	"math"
 	"time"
 
 	"oakpick/internal/config"
+	"oakpick/internal/message"
 	"oakpick/internal/storage"
 )
 
@@ -120,7 +121,7 @@
 		}
 		if !h.draining {
 			h.draining = true
-			e.n.log(Info, "machine is emptied", "host", h.name, "type", h.kind, "tasks", len(h.tasks), "why", "only guests use it")
+			e.n.log(message.Info, "machine is emptied", "host", h.name, "type", h.kind, "tasks", len(h.tasks), "why", "only guests use it")
 		}
 		for _, t := range h.tasks {
 			if t.job.saves() && !t.stopping {
--- a/internal/coordination/hold_test.go
+++ b/internal/controller/hold_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"slices"
@@ -6,8 +6,9 @@
 	"testing"
 	"time"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/controller"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -62,7 +63,7 @@
 	runs(t, w, j.Submission.ID, 2)
 	w.Run(5 * time.Second)
 	hosts := w.MachinesOf(j.Submission.ID)
-	taken := func() bool { h := w.State.Holder(coordination.LeaderKey); return h != "n0" && h != "" }
+	taken := func() bool { h := w.State.Holder(controller.LeaderKey); return h != "n0" && h != "" }
 	w.State.Unreachable["n0"] = true
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		f := fake.Reliable()
@@ -152,7 +153,7 @@
 	got := -1
 	w.After(0, func() { // the first thing that it finds
 		r := protocol.Heartbeat{Machine: host, Type: "small", Zone: "a", Incarnation: 9, Sequence: 1}
-		n0.Request(coordination.HeartbeatRequest{Heartbeat: &r}, func(a coordination.Reply) { got = a.Status })
+		n0.Request(message.HeartbeatRequest{Heartbeat: &r}, func(a message.Reply) { got = a.Status })
 	})
 	w.Run(61 * time.Second)
 	if got == 200 || got == -1 {
--- a/internal/coordination/hosts.go
+++ b/internal/controller/hosts.go
@@ -1,10 +1,11 @@
-package coordination
+package controller
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -98,7 +99,7 @@
 
 // reportCall answers a worker. Entitlement was checked: this node leads, or may
 // still answer within its hold.
-func (e *engine) reportCall(c HeartbeatRequest) {
+func (e *engine) reportCall(c message.HeartbeatRequest) {
 	n, r := e.n, c.Heartbeat
 	n.Stats.Heartbeats++
 	now := n.now.Monotonic
@@ -125,7 +126,7 @@
 		return
 	}
 	h.answered, h.wasAnswered = now, true
-	n.emit(Reply{ID: c.ID, Status: 200, Body: protocol.EncodeHeartbeatResponse(e.token, e.commands(h, false))})
+	n.emit(message.Reply{ID: c.ID, Status: 200, Body: protocol.EncodeHeartbeatResponse(e.token, e.commands(h, false))})
 }
 
 // mustRefuse tells whether a machine may hold a task of a cancelled job that
@@ -271,7 +272,7 @@
 // notice prepares for the machine being taken away.
 func (e *engine) notice(h *host) {
 	now := e.n.now.Monotonic
-	e.n.log(Info, "machine is to be taken", "host", h.name, "in", (h.noticeAt - now).String())
+	e.n.log(message.Info, "machine is to be taken", "host", h.name, "in", (h.noticeAt - now).String())
 	for _, t := range slices.Clone(h.tasks) {
 		j := t.job
 		left := (h.noticeAt - now).Seconds()
--- a/internal/coordination/job.go
+++ b/internal/controller/job.go
@@ -1,10 +1,11 @@
-package coordination
+package controller
 
 import (
-	"oakpick/internal/protocol"
-	"oakpick/internal/storage"
 	"slices"
 	"time"
+
+	"oakpick/internal/protocol"
+	"oakpick/internal/storage"
 )
 
 // job is a job that isn't over: the recorded facts, and what is rebuilt.
--- a/internal/coordination/lapse.go
+++ b/internal/controller/lapse.go
@@ -1,9 +1,11 @@
-package coordination
+package controller
 
 import (
-	"oakpick/internal/protocol"
 	"slices"
 	"time"
+
+	"oakpick/internal/message"
+	"oakpick/internal/protocol"
 )
 
 // hostsTick looks for leases that have lapsed, and for doubts to be ended.
@@ -29,7 +31,7 @@
 				h.dead = h.session
 				h.noticeAt = 0
 				if len(h.tasks) > 0 {
-					n.log(Info, "worker's lease has lapsed", "host", h.name, "tasks", len(h.tasks))
+					n.log(message.Info, "worker's lease has lapsed", "host", h.name, "tasks", len(h.tasks))
 				}
 				for _, t := range slices.Clone(h.tasks) {
 					e.lost(t, "lease lapsed")
--- a/internal/coordination/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -1,12 +1,13 @@
-package coordination_test
+package controller_test
 
 import (
 	"encoding/json"
 	"testing"
 	"time"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/controller"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 )
 
 const (
@@ -30,8 +31,8 @@
 // machinesUp is how many machines the leader says are up.
 func machinesUp(t *testing.T, w *fake.World) (up int) {
 	t.Helper()
-	var status coordination.Status
-	_, answer := admin(w, w.Leader().Index, coordination.AdminStatus, "")
+	var status controller.Status
+	_, answer := admin(w, w.Leader().Index, message.AdminStatus, "")
 	if err := json.Unmarshal([]byte(answer), &status); err != nil || status.Leads == nil {
 		t.Fatalf("%v: %s", err, answer)
 	}
@@ -91,7 +92,7 @@
 	s.State.WriteRPS = largeFleet
 	w := worldOf(t, s)
 	w.Run(2 * time.Second)
-	if status, answer := admin(w, 0, coordination.AdminChange, `{"sample": 4000}`); status != 200 {
+	if status, answer := admin(w, 0, message.AdminChange, `{"sample": 4000}`); status != 200 {
 		t.Errorf("%d %s", status, answer)
 	}
 }
--- a/internal/coordination/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"time"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 	"oakpick/internal/storage"
 )
@@ -192,7 +192,7 @@
 		for _, id := range []int{10, 10 + i} { // the first is submitted at each
 			s := job(id, protocol.Array, 1)
 			s.Prerequisites = []string{done.Submission.ID}
-			n.Request(coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}, func(r coordination.Reply) { statuses[r.Status]++ })
+			n.Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) { statuses[r.Status]++ })
 		}
 	}
 	var jobs []*fake.Job
@@ -356,7 +356,7 @@
 		}
 		return f
 	}
-	w.Controllers[0].Request(coordination.UserRequest{Kind: coordination.Submit, Job: last.ID, Submission: &last}, func(coordination.Reply) {})
+	w.Controllers[0].Request(message.UserRequest{Kind: message.Submit, Job: last.ID, Submission: &last}, func(message.Reply) {})
 	w.Run(500 * time.Millisecond)
 	if parts() == 0 {
 		t.Fatal("no part was recorded: this shows nothing")
--- a/internal/coordination/late_controller_test.go
+++ b/internal/controller/late_controller_test.go
@@ -1,12 +1,12 @@
-package coordination_test
+package controller_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"oakpick/internal/coordination"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -62,7 +62,7 @@
 	}
 	held := 0
 	for range 5 { // requests that it holds
-		old.Request(coordination.UserRequest{Kind: coordination.Poll, Job: called.Submission.ID}, func(coordination.Reply) { held++ })
+		old.Request(message.UserRequest{Kind: message.Poll, Job: called.Submission.ID}, func(message.Reply) { held++ })
 	}
 	for _, n := range w.Controllers {
 		if n != old {
--- a/internal/coordination/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"fmt"
@@ -7,9 +7,11 @@
 	"time"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
+	"oakpick/internal/controller"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
 )
 
@@ -30,54 +32,54 @@
 // term's write, comes then: it says nothing about the new term.
 func TestAnswerFromAnEarlierReign(t *testing.T) {
 	settings := fake.Settings()
-	n := coordination.New(&config.Config{Node: "n0", Settings: settings}, "boot", 1)
-	var held, renewal coordination.StateCall
+	n := controller.New(&config.Config{Node: "n0", Settings: settings}, "boot", 1)
+	var held, renewal message.StateCall
 	term, writes := int64(0), 0
-	now := coordination.Now{}
-	var give func(commands ...coordination.Event)
-	give = func(commands ...coordination.Event) {
+	now := message.Now{}
+	var give func(commands ...message.Event)
+	give = func(commands ...message.Event) {
 		now.Monotonic += time.Millisecond
 		for _, effect := range n.Step(now, commands) {
-			c, ok := effect.(coordination.StateCall)
+			c, ok := effect.(message.StateCall)
 			if !ok {
 				continue
 			}
 			r := storage.StateResult{ID: c.ID}
 			switch {
-			case c.Op == storage.StateGet && c.Key == coordination.LeaderKey:
-				r.Outcome = storage.NotFound
+			case c.Op == storage.StateGet && c.Key == controller.LeaderKey:
+				r.Outcome = rpc.NotFound
 			case c.Op == storage.StateGet:
 				held = c
 				continue
 			case c.Op == storage.StateRenewLease:
 				renewal = c
 				continue
-			case len(c.Txn.Then) > 0 && c.Txn.Then[0].Put == coordination.LeaderKey:
+			case len(c.Txn.Then) > 0 && c.Txn.Then[0].Put == controller.LeaderKey:
 				term += 10
 				r.Revision = term
 			case len(c.Txn.Then) > 0:
 				writes++
-				r.Outcome = storage.Conflict
+				r.Outcome = rpc.Conflict
 			default:
 				r.Revision = 7
 			}
-			give(coordination.StateResult{StateResult: r})
+			give(message.StateResult{StateResult: r})
 		}
 	}
 	leads := func() bool { return n.Role() == "leader" }
 	tick := func() {
 		now.Monotonic += 500 * time.Millisecond
-		give(coordination.Tick{})
+		give(message.Tick{})
 	}
 	tick()
 	if !leads() {
 		t.Fatal("does not lead")
 	}
-	give(coordination.AdminRequest{ID: 1, Kind: coordination.AdminChange, Body: []byte(`{"sample": 7}`)})
+	give(message.AdminRequest{ID: 1, Kind: message.AdminChange, Body: []byte(`{"sample": 7}`)})
 	if writes != 1 || held.ID == 0 {
 		t.Fatalf("%d writes, %+v looked at", writes, held)
 	}
-	give(coordination.StateResult{StateResult: storage.StateResult{ID: renewal.ID, Outcome: storage.NotFound}})
+	give(message.StateResult{StateResult: storage.StateResult{ID: renewal.ID, Outcome: rpc.NotFound}})
 	if leads() {
 		t.Fatal("leads without a lease")
 	}
@@ -85,7 +87,7 @@
 	if !leads() || term != 20 {
 		t.Fatalf("does not lead again, term %d", term)
 	}
-	give(coordination.StateResult{StateResult: storage.StateResult{ID: held.ID, Entry: protocol.Entry{Key: held.Key, Version: 3}}})
+	give(message.StateResult{StateResult: storage.StateResult{ID: held.ID, Entry: protocol.Entry{Key: held.Key, Version: 3}}})
 	if !leads() {
 		t.Error("the late answer ended the new term")
 	}
@@ -134,7 +136,7 @@
 	w.Run(time.Second)
 	for range 10 {
 		status := 0
-		w.Controllers[0].Request(coordination.UserRequest{Kind: coordination.Poll, Job: a.Submission.ID}, func(r coordination.Reply) { status = r.Status })
+		w.Controllers[0].Request(message.UserRequest{Kind: message.Poll, Job: a.Submission.ID}, func(r message.Reply) { status = r.Status })
 		w.Run(time.Second)
 		if status != 200 || !w.Controllers[0].Healthy() {
 			t.Fatalf("at %v status %d, healthy %t", w.Now, status, w.Controllers[0].Healthy())
--- a/internal/coordination/limits.go
+++ b/internal/controller/limits.go
@@ -1,9 +1,10 @@
-package coordination
+package controller
 
 import (
 	"cmp"
-	"oakpick/internal/protocol"
 	"slices"
+
+	"oakpick/internal/protocol"
 )
 
 // endsShare is the part of a team's limit that is left to work that ends, as long
--- a/internal/coordination/load.go
+++ b/internal/controller/load.go
@@ -1,14 +1,16 @@
-package coordination
+package controller
 
 import (
 	"cmp"
 	"fmt"
-	"oakpick/internal/config"
-	"oakpick/internal/protocol"
-	"oakpick/internal/storage"
 	"slices"
 	"strings"
 	"time"
+
+	"oakpick/internal/config"
+	"oakpick/internal/message"
+	"oakpick/internal/protocol"
+	"oakpick/internal/storage"
 )
 
 // newEngine makes a leader's picture of everything from the pages that it has read
@@ -39,7 +41,7 @@
 	for _, r := range e.fleet.rentals {
 		e.loadRentedHosts(r)
 	}
-	n.log(Info, "leading", "term", e.token, "jobs", len(e.order), "over", len(e.finals), "hosts", len(e.hosts),
+	n.log(message.Info, "leading", "term", e.token, "jobs", len(e.order), "over", len(e.finals), "hosts", len(e.hosts),
 		"pages", e.store.PageCount(), "pages above limits to come", e.store.OversizedPages())
 	return e, nil
 }
@@ -110,7 +112,7 @@
 	e.store.Load(p.Number, p.Version, e.optItem)
 	opt, err := e.opt.With([]byte(p.Value.Options))
 	if err != nil {
-		e.n.log(Error, "kept settings can't be used, defaults are in force", "error", err.Error())
+		e.n.log(message.Error, "kept settings can't be used, defaults are in force", "error", err.Error())
 		return
 	}
 	e.use(opt)
@@ -167,7 +169,7 @@
 			if f := e.finals[r.Job]; f != nil {
 				f.rest = true
 			} else {
-				e.n.log(Error, "a block of an unknown job is dropped", "job", r.Job, "block", r.Block, "starts", len(r.Starts))
+				e.n.log(message.Error, "a block of an unknown job is dropped", "job", r.Job, "block", r.Block, "starts", len(r.Starts))
 			}
 			continue
 		}
--- a/internal/coordination/model_test.go
+++ b/internal/controller/model_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"flag"
@@ -11,13 +11,13 @@
 	"pgregory.net/rapid"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
 // TestMain fixes the seed of drawn tests unless one is given, so that the same
-// sources always get the same verdict: go test ./internal/coordination
+// sources always get the same verdict: go test ./internal/controller
 // -rapid.seed=N -rapid.checks=5000 draws others.
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -226,7 +226,7 @@
 				n := node()
 				left := rapid.IntRange(0, 30).Draw(t, "effects")
 				d := time.Duration(rapid.IntRange(100, 30_000).Draw(t, "for")) * time.Millisecond
-				n.Stall = func(coordination.Effect) time.Duration {
+				n.Stall = func(message.Effect) time.Duration {
 					if left--; left != 0 {
 						return 0
 					}
@@ -297,7 +297,7 @@
 					leader = l.Name
 					for _, r := range kept { // to every controller, just as another leads
 						for _, n := range w.Controllers {
-							n.Request(coordination.HeartbeatRequest{Heartbeat: &r}, func(coordination.Reply) {})
+							n.Request(message.HeartbeatRequest{Heartbeat: &r}, func(message.Reply) {})
 						}
 					}
 					kept, w.OnHeartbeat = nil, nil
--- a/internal/coordination/node.go
+++ b/internal/controller/node.go
@@ -2,13 +2,14 @@
 // stopped, rented and returned. All of it is one deterministic state machine:
 // commands and the time go in, effects come out. It does no input or output,
 // reads no clock and starts no goroutine.
-package coordination
+package controller
 
 import (
 	"math/rand/v2"
 	"time"
 
 	"oakpick/internal/config"
+	"oakpick/internal/message"
 	"oakpick/internal/pause"
 	"oakpick/internal/protocol"
 )
@@ -17,8 +18,8 @@
 type Controller struct {
 	cfg    *config.Config
 	rules  Rules
-	now    Now
-	out    []Effect
+	now    message.Now
+	out    []message.Effect
 	nextID uint64
 	rng    *rand.Rand
 	boot   string // tells this process from earlier ones of the same node
@@ -29,36 +30,7 @@
 	deferred []deferred // requests that wait for a leader
 	// The state service has refused a value for its size: the limits to come are in force.
 	limitsLowered bool
-	Stats         Stats
-}
-
-// Stats are counts since the process began.
-type Stats struct {
-	JobsSubmitted     int64 `json:"submitted"`
-	JobsPolled        int64 `json:"polled"`
-	JobsCancelled     int64 `json:"cancelled"`
-	Heartbeats        int64 `json:"reports"`
-	StaleHeartbeats   int64 `json:"stale_reports"`
-	TasksStarted      int64 `json:"starts"`
-	TasksLost         int64 `json:"tasks_lost"`
-	TasksFinished     int64 `json:"tasks_finished"`
-	TasksPreempted    int64 `json:"tasks_preempted"`
-	ReplicasMoved     int64 `json:"replicas_moved"`
-	TasksFailed       int64 `json:"tasks_failed"`
-	TokensAdvanced    int64 `json:"tokens_raised"`
-	TermsTaken        int64 `json:"terms_taken"`
-	MachinesScaledOut int64 `json:"machines_rented"`
-	MachinesScaledIn  int64 `json:"machines_returned"`
-	Writes            int64 `json:"writes"`
-	WritesRetried     int64 `json:"writes_retried"`
-	MachinesExamined  int64 `json:"machines_looked_at"`
-	JobsExamined      int64 `json:"jobs_looked_at"`
-	// Pauses are the times that the process stood still, see pauses.go.
-	Pauses         int64 `json:"pauses"`
-	PausedMs       int64 `json:"paused_ms"`
-	LongestPauseMs int64 `json:"longest_pause_ms"`
-	// RequestsDeferred are requests that waited for a leader to be known.
-	RequestsDeferred int64 `json:"requests_deferred"`
+	Stats         message.Stats
 }
 
 // New makes a node. The seed and the boot name must differ between processes.
@@ -69,7 +41,7 @@
 }
 
 // Step takes a batch of commands and gives what is to be done about them.
-func (n *Controller) Step(now Now, commands []Event) []Effect {
+func (n *Controller) Step(now message.Now, commands []message.Event) []message.Effect {
 	n.now, n.out = now, nil
 	n.notePause()
 	if n.engine != nil && n.holdOver() {
@@ -88,50 +60,50 @@
 	return n.out
 }
 
-func (n *Controller) emit(effect Effect) { n.out = append(n.out, effect) }
+func (n *Controller) emit(effect message.Effect) { n.out = append(n.out, effect) }
 
-func (n *Controller) log(level LogLevel, text string, args ...any) {
-	n.emit(Log{Level: level, Message: text, Args: args})
+func (n *Controller) log(level message.LogLevel, text string, args ...any) {
+	n.emit(message.Log{Level: level, Message: text, Args: args})
 }
 
 func (n *Controller) id() uint64 { n.nextID++; return n.nextID }
 
 func (n *Controller) refuse(id uint64, why string) {
-	n.emit(Reply{ID: id, Status: 503, Body: protocol.EncodeError(why), RetryAfterS: 1})
+	n.emit(message.Reply{ID: id, Status: 503, Body: protocol.EncodeError(why), RetryAfterS: 1})
 }
 
-func (n *Controller) handle(c Event) {
+func (n *Controller) handle(c message.Event) {
 	switch c := c.(type) {
-	case UserRequest:
+	case message.UserRequest:
 		n.user(c)
-	case HeartbeatRequest:
+	case message.HeartbeatRequest:
 		n.report(c)
-	case StepDownRequest:
+	case message.StepDownRequest:
 		n.askedToStepDown(c)
-	case AdminRequest:
+	case message.AdminRequest:
 		n.admin(c)
-	case StateResult:
+	case message.StateResult:
 		n.stateResult(c.StateResult)
-	case CloudResult:
+	case message.CloudResult:
 		if n.engine != nil {
 			n.engine.cloudResult(c)
 		}
-	case CommandsResult:
+	case message.CommandsResult:
 		if n.engine != nil {
 			n.engine.ordersResult(c)
 		}
-	case PeerResult:
+	case message.PeerResult:
 		n.peerResult(c)
-	case Tick:
+	case message.Tick:
 	}
 }
 
-func (n *Controller) user(c UserRequest) {
+func (n *Controller) user(c message.UserRequest) {
 	switch {
 	case n.engine != nil && n.certain():
 		n.engine.user(c)
 	case n.engine == nil && n.otherLeader() != "":
-		n.emit(Forward{ID: c.ID, Peer: n.otherLeader()})
+		n.emit(message.Forward{ID: c.ID, Peer: n.otherLeader()})
 	case n.engine == nil && n.mayDefer(c):
 		n.deferCall(c)
 	default:
@@ -139,12 +111,12 @@
 	}
 }
 
-func (n *Controller) report(c HeartbeatRequest) {
+func (n *Controller) report(c message.HeartbeatRequest) {
 	if n.engine != nil {
 		n.engine.reportCall(c)
 		return
 	}
-	n.emit(Reply{ID: c.ID, Status: 421, Body: protocol.EncodeRedirect(n.otherLeader())})
+	n.emit(message.Reply{ID: c.ID, Status: 421, Body: protocol.EncodeRedirect(n.otherLeader())})
 }
 
 // otherLeader is the peer that is known to lead; empty: none is.
--- a/internal/coordination/orders.go
+++ b/internal/controller/orders.go
@@ -1,9 +1,12 @@
-package coordination
+package controller
 
 import (
 	"cmp"
-	"oakpick/internal/protocol"
 	"slices"
+
+	"oakpick/internal/message"
+	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 )
 
 // commands is what a machine is to be told. Stops go out with every answer
@@ -94,7 +97,7 @@
 			continue
 		}
 		h.call, h.callAt, h.starts = n.id(), now, starts
-		call := CommandsCall{ID: h.call, Machine: h.name, Addr: h.addr, FencingToken: e.token, Incarnation: h.session, Commands: cmds}
+		call := message.CommandsCall{ID: h.call, Machine: h.name, Addr: h.addr, FencingToken: e.token, Incarnation: h.session, Commands: cmds}
 		if len(starts) > 0 {
 			call.NotAfter = n.term.until // nothing starts in doubt
 		}
@@ -102,7 +105,7 @@
 	}
 }
 
-func (e *engine) ordersResult(c CommandsResult) {
+func (e *engine) ordersResult(c message.CommandsResult) {
 	h := e.hosts[c.Machine]
 	if h == nil || h.call != c.ID {
 		return
@@ -111,12 +114,12 @@
 	starts, at := h.starts, h.callAt
 	h.call, h.starts = 0, nil
 	switch c.Outcome {
-	case OK:
+	case rpc.OK:
 		h.fails = 0
 		for _, t := range starts {
 			t.answered = true
 		}
-	case Conflict, NotSent:
+	case rpc.Conflict, rpc.NotSent:
 		// Nothing of this call was executed. Earlier calls may be in doubt.
 		for _, t := range starts {
 			t.sentToken = t.prevToken
@@ -153,7 +156,7 @@
 		return
 	}
 	e.learn(h, c.Heartbeat)
-	if c.Outcome == OK {
+	if c.Outcome == rpc.OK {
 		for _, t := range starts {
 			if t.job.tasks[t.index] == t && !t.seen && c.Heartbeat.Incarnation == t.session && c.Heartbeat.Sequence >= h.seq {
 				e.lost(t, "executed, and yet not on the machine")
--- a/internal/coordination/pauses.go
+++ b/internal/controller/pauses.go
@@ -1,6 +1,10 @@
-package coordination
+package controller
 
-import "time"
+import (
+	"time"
+
+	"oakpick/internal/message"
+)
 
 // A controller may stand still for seconds or minutes while its clocks run on. What it
 // hasn't heard meanwhile says nothing of machines or peers: they count as silent from the
@@ -16,7 +20,7 @@
 	}
 	total := n.pauses.Totals()
 	n.Stats.Pauses, n.Stats.PausedMs, n.Stats.LongestPauseMs = total.Count, total.Sum.Milliseconds(), total.Longest.Milliseconds()
-	n.log(Info, "process stood still", "for", stood.Round(time.Millisecond).String(), "role", n.Role(), "calls", n.callsInFlight())
+	n.log(message.Info, "process stood still", "for", stood.Round(time.Millisecond).String(), "role", n.Role(), "calls", n.callsInFlight())
 	if n.term.own == 0 {
 		// Another may stand still less often: it has the first turn at a free term, so
 		// that terms don't follow one another at the pace of this node's pauses.
--- a/internal/coordination/pauses_test.go
+++ b/internal/controller/pauses_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"oakpick/internal/coordination"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 	"oakpick/internal/storage"
 )
@@ -29,9 +29,9 @@
 		w.Cloud.CapacityOf = map[string]int{"small": 1, "large": 0} // nothing else can be had
 		l := w.Leader()
 		var stalled []string
-		l.Stall = func(effect coordination.Effect) time.Duration {
-			c, ok := effect.(coordination.CloudCall)
-			if !ok || c.Op != coordination.CloudScaleIn || stalled != nil {
+		l.Stall = func(effect message.Effect) time.Duration {
+			c, ok := effect.(message.CloudCall)
+			if !ok || c.Op != message.CloudScaleIn || stalled != nil {
 				return 0
 			}
 			stalled = c.Machines
@@ -60,8 +60,8 @@
 	w := world(t)
 	spare(t, w)
 	l, stood := w.Leader(), false
-	l.Stall = func(effect coordination.Effect) time.Duration {
-		if c, ok := effect.(coordination.CommandsCall); !ok || stood || !starts(c) {
+	l.Stall = func(effect message.Effect) time.Duration {
+		if c, ok := effect.(message.CommandsCall); !ok || stood || !starts(c) {
 			return 0
 		}
 		stood = true
@@ -82,7 +82,7 @@
 	check(t, w)
 }
 
-func starts(c coordination.CommandsCall) bool {
+func starts(c message.CommandsCall) bool {
 	return slices.ContainsFunc(c.Commands, func(c protocol.Command) bool { return c.Verb == protocol.Start })
 }
 
@@ -90,11 +90,11 @@
 // a worker, a call to the cloud, a renewal or a write. It goes on within its lease, within its
 // hold, or after another has led for long. Jobs come, end and are called off all the while.
 func TestLeaderStandsStillBeforeAnEffect(t *testing.T) {
-	kinds := map[string]func(coordination.Effect) bool{
-		"answer": func(e coordination.Effect) bool { _, ok := e.(coordination.Reply); return ok },
-		"orders": func(e coordination.Effect) bool { _, ok := e.(coordination.CommandsCall); return ok },
-		"cloud":  func(e coordination.Effect) bool { _, ok := e.(coordination.CloudCall); return ok },
-		"state":  func(e coordination.Effect) bool { _, ok := e.(coordination.StateCall); return ok },
+	kinds := map[string]func(message.Effect) bool{
+		"answer": func(e message.Effect) bool { _, ok := e.(message.Reply); return ok },
+		"orders": func(e message.Effect) bool { _, ok := e.(message.CommandsCall); return ok },
+		"cloud":  func(e message.Effect) bool { _, ok := e.(message.CloudCall); return ok },
+		"state":  func(e message.Effect) bool { _, ok := e.(message.StateCall); return ok },
 	}
 	for name, is := range kinds {
 		for _, stall := range []time.Duration{600 * time.Millisecond, 2 * time.Second, 9 * time.Second, 32 * time.Second} {
@@ -108,14 +108,14 @@
 	}
 }
 
-func playStall(t *testing.T, is func(coordination.Effect) bool, skip int, stall time.Duration) {
+func playStall(t *testing.T, is func(message.Effect) bool, skip int, stall time.Duration) {
 	w := world(t)
 	w.Submit(service(1, 3), 0)
 	called := w.Submit(service(2, 2), 0)
 	w.Submit(job(3, protocol.Array, 6), 8*time.Second)
 	w.Run(12 * time.Second)
 	l, left, stood := w.Leader(), skip, false
-	l.Stall = func(effect coordination.Effect) time.Duration {
+	l.Stall = func(effect message.Effect) time.Duration {
 		if stood || !is(effect) {
 			return 0
 		}
@@ -156,8 +156,8 @@
 				w.Leader().Crash()
 				left, stood := skip, false
 				for _, n := range w.Controllers[1:] {
-					n.Stall = func(effect coordination.Effect) time.Duration {
-						if c, ok := effect.(coordination.StateCall); stood || ok && c.Op == storage.StateGet {
+					n.Stall = func(effect message.Effect) time.Duration {
+						if c, ok := effect.(message.StateCall); stood || ok && c.Op == storage.StateGet {
 							return 0 // a look at who leads
 						}
 						if left--; left >= 0 {
@@ -262,7 +262,7 @@
 	for i := range asked {
 		w.After(time.Duration(i)*60*time.Millisecond, func() {
 			s := service(100+i, 1)
-			w.Controllers[1+i%2].Request(coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}, func(r coordination.Reply) {
+			w.Controllers[1+i%2].Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) {
 				if r.Status == 201 || r.Status == 200 {
 					answers++
 				} else {
--- a/internal/coordination/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"time"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -248,8 +248,8 @@
 	d.Prerequisites = []string{p.ID}
 	l := w.Leader()
 	status := 0
-	l.Request(coordination.UserRequest{Kind: coordination.Submit, Job: p.ID, Submission: &p}, func(coordination.Reply) {})
-	l.Request(coordination.UserRequest{Kind: coordination.Submit, Job: d.ID, Submission: &d}, func(r coordination.Reply) { status = r.Status })
+	l.Request(message.UserRequest{Kind: message.Submit, Job: p.ID, Submission: &p}, func(message.Reply) {})
+	l.Request(message.UserRequest{Kind: message.Submit, Job: d.ID, Submission: &d}, func(r message.Reply) { status = r.Status })
 	w.Run(100 * time.Millisecond)
 	if status != 503 {
 		t.Errorf("needs a job that isn't durable: %d", status)
@@ -260,7 +260,7 @@
 	again := long.Submission
 	again.Prerequisites = []string{"wk-777777"}
 	l = w.Leader()
-	l.Request(coordination.UserRequest{Kind: coordination.Submit, Job: again.ID, Submission: &again}, func(r coordination.Reply) { status = r.Status })
+	l.Request(message.UserRequest{Kind: message.Submit, Job: again.ID, Submission: &again}, func(r message.Reply) { status = r.Status })
 	w.Run(100 * time.Millisecond)
 	if status != 200 {
 		t.Errorf("a repeat that names a job nobody knows: %d", status)
--- a/internal/coordination/place.go
+++ b/internal/controller/place.go
@@ -1,10 +1,11 @@
-package coordination
+package controller
 
 import (
 	"math"
 	"slices"
 
 	"oakpick/internal/config"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -93,7 +94,7 @@
 			if i < 0 {
 				break
 			}
-			e.n.log(Debug, "task placed", "job", j.ID, "class", j.Class, "task", i, "host", h.name, "image", j.Image, "fetch_s", h.fetchTime(e, j))
+			e.n.log(message.Debug, "task placed", "job", j.ID, "class", j.Class, "task", i, "host", h.name, "image", j.Image, "fetch_s", h.fetchTime(e, j))
 			e.place(j, i, h, nil)
 			e.tried(j)
 			h.virtual = h.virtual.minus(j.need)
--- a/internal/coordination/plan.go
+++ b/internal/controller/plan.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"math"
--- a/internal/coordination/preempt.go
+++ b/internal/controller/preempt.go
@@ -1,10 +1,11 @@
-package coordination
+package controller
 
 import (
 	"cmp"
 	"math"
-	"oakpick/internal/protocol"
 	"slices"
+
+	"oakpick/internal/protocol"
 )
 
 // mayPreempt tells whether a task may be stopped for a job.
--- a/internal/coordination/prerequisites.go
+++ b/internal/controller/prerequisites.go
@@ -1,8 +1,9 @@
-package coordination
+package controller
 
 import (
 	"slices"
 
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 	"oakpick/internal/storage"
 )
@@ -123,12 +124,12 @@
 		} else {
 			// Damage. The job can't start, since it may be too early, nor vanish.
 			unknown++
-			e.n.log(Error, "a prerequisite is on no page: the job waits for good", "job", j.ID, "prerequisite", id)
+			e.n.log(message.Error, "a prerequisite is on no page: the job waits for good", "job", j.ID, "prerequisite", id)
 		}
 	}
 	if !cancelled && len(needs)+unknown > 0 {
 		if cyclic := e.dependencies.add(j, needs, unknown); cyclic > 0 {
-			e.n.log(Error, "a prerequisite needs the job itself: the job waits for good", "job", j.ID)
+			e.n.log(message.Error, "a prerequisite needs the job itself: the job waits for good", "job", j.ID)
 		}
 	}
 	return cancelled
@@ -156,7 +157,7 @@
 		if j == nil || j.over {
 			continue
 		}
-		e.n.log(Debug, "job cancelled with its prerequisite", "job", j.ID, "prerequisite", id)
+		e.n.log(message.Debug, "job cancelled with its prerequisite", "job", j.ID, "prerequisite", id)
 		j.Cancelled, j.cancelKnown, j.cancelledAt = true, true, e.n.now.Monotonic
 		e.settle(j, nil)
 	}
--- a/internal/coordination/queue.go
+++ b/internal/controller/queue.go
@@ -1,9 +1,10 @@
-package coordination
+package controller
 
 import (
 	"cmp"
-	"oakpick/internal/protocol"
 	"slices"
+
+	"oakpick/internal/protocol"
 )
 
 // queue sorts the jobs that wait: by priority, then those within their team's
--- a/internal/coordination/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"oakpick/internal/coordination"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -103,7 +103,7 @@
 							continue
 						}
 						for _, n := range w.Controllers {
-							n.Request(coordination.HeartbeatRequest{Heartbeat: &r}, func(coordination.Reply) {})
+							n.Request(message.HeartbeatRequest{Heartbeat: &r}, func(message.Reply) {})
 						}
 					}
 				}
--- a/internal/coordination/resources.go
+++ b/internal/controller/resources.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 // need is an amount of a machine's resources.
 type need struct{ cpus, gpus, mem float64 }
--- a/internal/coordination/return.go
+++ b/internal/controller/return.go
@@ -1,11 +1,13 @@
-package coordination
+package controller
 
 import (
 	"cmp"
-	"oakpick/internal/config"
-	"oakpick/internal/protocol"
 	"slices"
 	"time"
+
+	"oakpick/internal/config"
+	"oakpick/internal/message"
+	"oakpick/internal/protocol"
 )
 
 // keepIdle is how long an empty machine is kept: unless operators say otherwise,
@@ -54,7 +56,7 @@
 			continue
 		}
 		if !h.returning { // once, however often it has to be asked for
-			e.n.log(Info, "machine returned", "host", h.name, "type", h.kind, "why", why)
+			e.n.log(message.Info, "machine returned", "host", h.name, "type", h.kind, "why", why)
 		}
 		back = append(back, h.name)
 	}
@@ -62,7 +64,7 @@
 		return
 	}
 	slices.SortFunc(back, cmp.Compare)
-	if e.cloud(CloudCall{Op: CloudScaleIn, Machines: back}, cloudCall{op: CloudScaleIn, hosts: back}) {
+	if e.cloud(message.CloudCall{Op: message.CloudScaleIn, Machines: back}, cloudCall{op: message.CloudScaleIn, hosts: back}) {
 		for _, name := range back {
 			e.hosts[name].returnCall = true
 		}
--- a/internal/coordination/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -1,12 +1,12 @@
-package coordination_test
+package controller_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"oakpick/internal/coordination"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -61,7 +61,7 @@
 			}
 			hosts, jobs := seen(func() {
 				for range 100 {
-					n.Request(coordination.UserRequest{Kind: coordination.Poll, Job: "wk-000001"}, func(coordination.Reply) {})
+					n.Request(message.UserRequest{Kind: message.Poll, Job: "wk-000001"}, func(message.Reply) {})
 				}
 			})
 			if hosts > int64(2*machines) || jobs > int64(2*machines) {
@@ -77,7 +77,7 @@
 				for i := range 20 {
 					s := service(500+i, 1)
 					s.Team = "red"
-					n.Request(coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}, func(coordination.Reply) {})
+					n.Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(message.Reply) {})
 				}
 			})
 			if hosts > int64(20*4*(machines+64)) || jobs > int64(20*(machines/50+20)) {
@@ -106,10 +106,10 @@
 func BenchmarkStep(b *testing.B) {
 	for _, machines := range []int{100, 400, 1600} {
 		_, n := fleetOf(b, machines)
-		run := func(name string, request func() coordination.Request) {
+		run := func(name string, request func() message.Request) {
 			b.Run(fmt.Sprintf("%s/%d", name, machines), func(b *testing.B) {
 				for range b.N {
-					n.Request(request(), func(coordination.Reply) {})
+					n.Request(request(), func(message.Reply) {})
 				}
 			})
 		}
@@ -118,19 +118,19 @@
 				n.Tick()
 			}
 		})
-		run("poll", func() coordination.Request {
-			return coordination.UserRequest{Kind: coordination.Poll, Job: "wk-000001"}
+		run("poll", func() message.Request {
+			return message.UserRequest{Kind: message.Poll, Job: "wk-000001"}
 		})
 		seq := int64(0)
-		run("report", func() coordination.Request {
+		run("report", func() message.Request {
 			seq++
-			return coordination.HeartbeatRequest{Heartbeat: &protocol.Heartbeat{Machine: "x-000001", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq}}
+			return message.HeartbeatRequest{Heartbeat: &protocol.Heartbeat{Machine: "x-000001", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq}}
 		})
-		run("submission", func() coordination.Request {
+		run("submission", func() message.Request {
 			seq++
 			s := service(100_000+int(seq), 1)
 			s.Team = "red"
-			return coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}
+			return message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}
 		})
 		w, _ := fleetOf(b, machines)
 		waiting(w, 300)
--- a/internal/coordination/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"fmt"
@@ -7,8 +7,9 @@
 	"time"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
+	"oakpick/internal/controller"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 	"oakpick/internal/storage"
 )
@@ -17,23 +18,23 @@
 // answered at once, and gives how many entries it was given.
 func takesOver(t testing.TB, w *fake.World, cfg *config.Config) (entries int) {
 	t.Helper()
-	n := coordination.New(cfg, "boot", 1)
-	now := coordination.Now{WallMs: 1_000_000}
-	var give func(command coordination.Event)
-	give = func(command coordination.Event) {
+	n := controller.New(cfg, "boot", 1)
+	now := message.Now{WallMs: 1_000_000}
+	var give func(command message.Event)
+	give = func(command message.Event) {
 		now.Monotonic += time.Millisecond
-		for _, effect := range n.Step(now, []coordination.Event{command}) {
-			if c, ok := effect.(coordination.StateCall); ok && n.Role() != "leader" {
+		for _, effect := range n.Step(now, []message.Event{command}) {
+			if c, ok := effect.(message.StateCall); ok && n.Role() != "leader" {
 				r := w.State.Execute(c.StateCall)
 				entries += len(r.List.Entries)
-				give(coordination.StateResult{StateResult: r})
+				give(message.StateResult{StateResult: r})
 			}
 		}
 	}
 	for range 10 {
 		if n.Role() != "leader" {
 			now.Monotonic += 500 * time.Millisecond
-			give(coordination.Tick{})
+			give(message.Tick{})
 		}
 	}
 	if n.Role() != "leader" {
--- a/internal/coordination/task.go
+++ b/internal/controller/task.go
@@ -1,11 +1,13 @@
-package coordination
+package controller
 
 import (
 	"cmp"
-	"oakpick/internal/protocol"
-	"oakpick/internal/storage"
 	"slices"
 	"time"
+
+	"oakpick/internal/message"
+	"oakpick/internal/protocol"
+	"oakpick/internal/storage"
 )
 
 // task is one started task that may be on a machine.
@@ -144,7 +146,7 @@
 // lost is a task that is gone without having told why.
 func (e *engine) lost(t *task, proof string) {
 	e.n.Stats.TasksLost++
-	e.n.log(Info, "task lost", "job", t.job.ID, "task", t.index, "attempt", t.try, "host", t.host.name, "proof", proof)
+	e.n.log(message.Info, "task lost", "job", t.job.ID, "task", t.index, "attempt", t.try, "host", t.host.name, "proof", proof)
 	e.drop(t)
 	e.settle(t.job, nil)
 }
@@ -178,7 +180,7 @@
 		j.gangEnding = true
 	}
 	if r.ExitCause != protocol.ExitDone {
-		e.n.log(Debug, "task ended", "job", j.ID, "task", t.index, "host", h.name, "cause", r.ExitCause.String(), "saved", r.Checkpointed)
+		e.n.log(message.Debug, "task ended", "job", j.ID, "task", t.index, "host", h.name, "cause", r.ExitCause.String(), "saved", r.Checkpointed)
 	}
 	b := t.block
 	e.drop(t)
@@ -308,7 +310,7 @@
 	if j.saves() {
 		grace = j.CheckpointDurationS + 0.5
 	}
-	e.n.log(Debug, "task stopped", "job", j.ID, "task", t.index, "host", t.host.name, "why", why)
+	e.n.log(message.Debug, "task stopped", "job", j.ID, "task", t.index, "host", t.host.name, "why", why)
 	if j.Kind != protocol.Gang {
 		e.stop(t, grace)
 		return
--- a/internal/coordination/term.go
+++ b/internal/controller/term.go
@@ -1,10 +1,12 @@
-package coordination
+package controller
 
 import (
 	"fmt"
 	"time"
 
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
 )
 
@@ -85,7 +87,7 @@
 	}
 	c.ID = n.id()
 	n.term.calls[c.ID] = pending{why, n.now.Monotonic}
-	n.emit(StateCall{c})
+	n.emit(message.StateCall{StateCall: c})
 }
 
 // holdOver tells whether workers may no longer be answered. The hold counts from
@@ -108,13 +110,13 @@
 	}
 	t.doubtAt = n.now.Monotonic + n.rules.probe
 	for _, p := range n.cfg.Peers {
-		n.emit(PeerCall{Peer: p.Name, SentAt: n.now.Monotonic})
+		n.emit(message.PeerCall{Peer: p.Name, SentAt: n.now.Monotonic})
 	}
 }
 
 // idlePeer notes a peer's word that it has not led since our lease ended. Only a
 // process that was running by then can give it: its predecessor might have.
-func (n *Controller) idlePeer(r PeerResult) {
+func (n *Controller) idlePeer(r message.PeerResult) {
 	t := &n.term
 	up := time.Duration(float64(r.UptimeMs)*(1-drift)) * time.Millisecond
 	if n.engine != nil && r.LastLoadedTerm < t.own && n.now.Monotonic-up <= t.until {
@@ -156,7 +158,7 @@
 		// To ask a peer to let go of nothing is a greeting: whether it answers
 		// tells whether users' requests could be handed to it.
 		t.greetAt = now + n.rules.probe
-		n.emit(PeerCall{Peer: t.leader, SentAt: now})
+		n.emit(message.PeerCall{Peer: t.leader, SentAt: now})
 	}
 	if !t.checkingLeader && now >= t.leaderCheckAt {
 		t.checkingLeader = true
@@ -168,7 +170,7 @@
 func (n *Controller) follow(leader string, term int64) {
 	t := &n.term
 	if t.leader != leader {
-		n.log(Info, "following", "leader", leader, "term", term)
+		n.log(message.Info, "following", "leader", leader, "term", term)
 		t.leader, t.reached = leader, n.now.Monotonic
 	}
 }
@@ -182,7 +184,7 @@
 
 func (n *Controller) stepDown(why string) {
 	t := &n.term
-	n.log(Info, "term lost", "term", t.own, "why", why)
+	n.log(message.Info, "term lost", "term", t.own, "why", why)
 	n.engine = nil
 	// An answer that is still to come belongs to this reign: the next engine of
 	// this node must not take it for one of its own.
@@ -214,7 +216,7 @@
 	}
 	delete(n.term.calls, r.ID)
 	t := &n.term
-	if r.Outcome == OK || r.Outcome == NotFound || r.Outcome == Conflict {
+	if r.Outcome == rpc.OK || r.Outcome == rpc.NotFound || r.Outcome == rpc.Conflict {
 		t.heard = n.now.Monotonic
 	}
 	switch p.why {
@@ -229,9 +231,9 @@
 			return
 		}
 		switch r.Outcome {
-		case OK:
+		case rpc.OK:
 			n.extend(p.sent)
-		case NotFound:
+		case rpc.NotFound:
 			n.stepDown("the term's lease has ended")
 		}
 	case forBarrier, forPages, forArchive:
@@ -251,10 +253,10 @@
 		return
 	}
 	switch r.Outcome {
-	case OK:
+	case rpc.OK:
 		var v leaderValue
 		if protocol.Decode(r.Entry.Value, &v) != nil {
-			n.log(Error, "leader key holds something else")
+			n.log(message.Error, "leader key holds something else")
 			n.scheduleLeaderCheck()
 			return
 		}
@@ -274,7 +276,7 @@
 			n.follow(v.Node, r.Entry.Version)
 		}
 		n.scheduleLeaderCheck()
-	case NotFound:
+	case rpc.NotFound:
 		t.seen, t.leader = 0, ""
 		if n.now.Monotonic < t.backOff {
 			n.scheduleLeaderCheck()
@@ -298,7 +300,7 @@
 
 func (n *Controller) granted(r storage.StateResult, p pending) {
 	t := &n.term
-	if t.own != 0 || r.Outcome != OK {
+	if t.own != 0 || r.Outcome != rpc.OK {
 		n.scheduleLeaderCheck()
 		return
 	}
@@ -321,11 +323,11 @@
 	if t.own != 0 || t.acquire == nil {
 		return
 	}
-	if r.Outcome == OK {
+	if r.Outcome == rpc.OK {
 		n.tookTerm(r.Revision)
 		return
 	}
-	if r.Outcome == Invalid {
+	if r.Outcome == rpc.Invalid {
 		t.acquire = nil
 	}
 	// Refused, lost to another, or not answered: the next look tells.
@@ -346,7 +348,7 @@
 	t.idle = map[string]time.Duration{}
 	t.loading = &loader{}
 	n.Stats.TermsTaken++
-	n.log(Info, "term taken", "term", version)
+	n.log(message.Info, "term taken", "term", version)
 	n.state(forBarrier, storage.StateCall{Op: storage.StateTxn, Txn: protocol.Txn{If: []protocol.Condition{{Key: LeaderKey, Version: version}}}})
 }
 
@@ -372,11 +374,11 @@
 		n.state(forPages, storage.StateCall{Op: storage.StateList, Key: storage.RecordsPrefix, StartAfter: after})
 	}
 	switch {
-	case why == forArchive && r.Outcome == OK:
+	case why == forArchive && r.Outcome == rpc.OK:
 		n.lead(l.entries, len(r.List.Entries) > 0)
-	case r.Outcome == Conflict:
+	case r.Outcome == rpc.Conflict:
 		n.stepDown("another took the term")
-	case r.Outcome != OK:
+	case r.Outcome != rpc.OK:
 		readOn()
 	case why == forBarrier:
 		l.barrier = true
@@ -394,7 +396,7 @@
 	t.loading = nil
 	e, err := newEngine(n, entries)
 	if err != nil {
-		n.log(Error, "cannot read the records", "error", err.Error())
+		n.log(message.Error, "cannot read the records", "error", err.Error())
 		n.stepDown("the records can't be read")
 		return
 	}
@@ -405,7 +407,7 @@
 
 // askedToStepDown answers a new leader: whatever term below its own this node held, it
 // no longer answers workers for it.
-func (n *Controller) askedToStepDown(c StepDownRequest) {
+func (n *Controller) askedToStepDown(c message.StepDownRequest) {
 	t := &n.term
 	news := c.Term > t.floor // no late copy of what an earlier leader said
 	t.floor = max(t.floor, c.Term-1)
@@ -417,7 +419,7 @@
 		// can go on serving its users and send its workers there.
 		n.follow(c.Leader, c.Term)
 	}
-	n.emit(Reply{ID: c.ID, Status: 200, Body: protocol.Encode(protocol.StepDownResponse{
+	n.emit(message.Reply{ID: c.ID, Status: 200, Body: protocol.Encode(protocol.StepDownResponse{
 		SteppedDown: true, LastLoadedTerm: t.led, UptimeMs: n.now.Monotonic.Milliseconds(), ReadsArchive: c.AsksArchive,
 	})})
 }
@@ -431,12 +433,12 @@
 	t.askAt = n.now.Monotonic + n.rules.report/3
 	for _, p := range n.cfg.Peers {
 		if _, ok := t.steppedDown[p.Name]; !ok {
-			n.emit(PeerCall{Peer: p.Name, Term: t.own, SentAt: n.now.Monotonic})
+			n.emit(message.PeerCall{Peer: p.Name, Term: t.own, SentAt: n.now.Monotonic})
 		}
 	}
 }
 
-func (n *Controller) peerResult(r PeerResult) {
+func (n *Controller) peerResult(r message.PeerResult) {
 	t := &n.term
 	if r.Term == 0 {
 		switch {
--- a/internal/coordination/users.go
+++ b/internal/controller/users.go
@@ -1,29 +1,30 @@
-package coordination
+package controller
 
 import (
 	"maps"
 	"slices"
 
 	"oakpick/internal/config"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 	"oakpick/internal/storage"
 )
 
-func (e *engine) user(c UserRequest) {
-	if c.Kind == Poll {
+func (e *engine) user(c message.UserRequest) {
+	if c.Kind == message.Poll {
 		e.n.Stats.JobsPolled++
 	}
 	e.archive.request(c)
 }
 
 // decide answers a request, given the ends of what it is about that are in the archive.
-func (e *engine) decide(c UserRequest, archived ends) {
+func (e *engine) decide(c message.UserRequest, archived ends) {
 	switch c.Kind {
-	case Submit:
+	case message.Submit:
 		e.submit(c, archived)
-	case Poll:
+	case message.Poll:
 		e.poll(c, archived)
-	case Cancel:
+	case message.Cancel:
 		e.cancel(c, archived)
 	}
 }
@@ -38,7 +39,7 @@
 
 func (e *engine) reply(id uint64, status int, body []byte) {
 	delete(e.asking, id)
-	e.n.emit(Reply{ID: id, Status: status, Body: body})
+	e.n.emit(message.Reply{ID: id, Status: status, Body: body})
 }
 
 func (e *engine) answerJob(id uint64, status int, j *job, counts bool) {
@@ -79,7 +80,7 @@
 	e.reply(id, 200, protocol.Encode(a))
 }
 
-func (e *engine) submit(c UserRequest, archived ends) {
+func (e *engine) submit(c message.UserRequest, archived ends) {
 	s := c.Submission
 	if f := e.final(s.ID, archived); f != nil {
 		e.answerFinal(c.ID, f, false)
@@ -125,7 +126,7 @@
 }
 
 // accept takes a new job in. Its user is told once that is durable.
-func (e *engine) accept(c UserRequest, archived ends) {
+func (e *engine) accept(c message.UserRequest, archived ends) {
 	e.n.Stats.JobsSubmitted++
 	j := e.newJob(storage.NewJobRecord(c.Submission, e.n.now.WallMs))
 	var cancelled bool
@@ -212,7 +213,7 @@
 	return ""
 }
 
-func (e *engine) poll(c UserRequest, archived ends) {
+func (e *engine) poll(c message.UserRequest, archived ends) {
 	if f := e.final(c.Job, archived); f != nil {
 		e.answerFinal(c.ID, f, true)
 	} else if j := e.jobs[c.Job]; j == nil {
@@ -224,7 +225,7 @@
 	}
 }
 
-func (e *engine) cancel(c UserRequest, archived ends) {
+func (e *engine) cancel(c message.UserRequest, archived ends) {
 	if f := e.final(c.Job, archived); f != nil {
 		e.answerFinal(c.ID, f, false)
 		return
--- a/internal/coordination/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -1,11 +1,11 @@
-package coordination_test
+package controller_test
 
 import (
 	"testing"
 	"time"
 
-	"oakpick/internal/coordination"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -42,7 +42,7 @@
 			s.CPUs = 0.1
 			// Its user asks only once, but its tasks are known to the workers.
 			w.Jobs[s.ID] = &fake.Job{Submission: s, RunTime: 100 * time.Millisecond, Saved: map[int]time.Duration{}, DoneTasks: map[int]bool{}}
-			w.Controllers[0].Request(coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}, func(r coordination.Reply) {
+			w.Controllers[0].Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) {
 				answers++
 				slowest = max(slowest, w.Now-asked)
 				if r.Status == 503 && r.RetryAfterS > 0 {
--- a/internal/coordination/writes.go
+++ b/internal/controller/writes.go
@@ -1,7 +1,9 @@
-package coordination
+package controller
 
 import (
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
 )
 
@@ -12,11 +14,11 @@
 		f := e.writes[r.ID]
 		delete(e.writes, r.ID)
 		switch r.Outcome {
-		case OK:
+		case rpc.OK:
 			e.store.MarkCommitted(f, r.Revision)
-		case Conflict, Invalid:
+		case rpc.Conflict, rpc.Invalid:
 			// An earlier copy may have been committed: the page tells by the write's id.
-			f.Rejected = r.Outcome == Invalid
+			f.Rejected = r.Outcome == rpc.Invalid
 			e.checkWrite(f)
 		default:
 			n.Stats.WritesRetried++
@@ -25,12 +27,12 @@
 	case forPageCheck:
 		f := e.writes[r.ID]
 		delete(e.writes, r.ID)
-		if r.Outcome != OK && r.Outcome != NotFound {
+		if r.Outcome != rpc.OK && r.Outcome != rpc.NotFound {
 			e.checkWrite(f)
 			return
 		}
 		var v storage.PageValue
-		if r.Outcome == OK && protocol.Decode(r.Entry.Value, &v) == nil && v.WriteID == f.ID {
+		if r.Outcome == rpc.OK && protocol.Decode(r.Entry.Value, &v) == nil && v.WriteID == f.ID {
 			e.store.MarkCommitted(f, r.Entry.Version)
 			return
 		}
@@ -118,23 +120,23 @@
 		return
 	}
 	if why == forRaise {
-		if r.Outcome == OK {
+		if r.Outcome == rpc.OK {
 			e.raised(r.Revision)
 			return
 		}
-		if r.Outcome != Conflict && r.Outcome != Invalid {
+		if r.Outcome != rpc.Conflict && r.Outcome != rpc.Invalid {
 			e.raiseSent, e.raiseNext = false, n.now.Monotonic+e.rules.retry
 			return
 		}
 		n.state(forRaiseCheck, storage.StateCall{Op: storage.StateGet, Key: LeaderKey})
 		return
 	}
-	if r.Outcome != OK && r.Outcome != NotFound {
+	if r.Outcome != rpc.OK && r.Outcome != rpc.NotFound {
 		n.state(forRaiseCheck, storage.StateCall{Op: storage.StateGet, Key: LeaderKey})
 		return
 	}
 	var v leaderValue
-	if r.Outcome == OK && protocol.Decode(r.Entry.Value, &v) == nil && v.Boot == n.boot && v.Lease == n.term.lease && v.Raise == e.raiseRev {
+	if r.Outcome == rpc.OK && protocol.Decode(r.Entry.Value, &v) == nil && v.Boot == n.boot && v.Lease == n.term.lease && v.Raise == e.raiseRev {
 		e.raised(r.Entry.Version)
 		return
 	}
@@ -145,7 +147,7 @@
 	e.raising = nil
 	e.token, e.n.term.own = version, version
 	e.n.Stats.TokensAdvanced++
-	e.n.log(Info, "token raised", "token", version)
+	e.n.log(message.Info, "token raised", "token", version)
 	for _, h := range e.byName {
 		e.queueCommands(h)
 	}
--- a/internal/coordination/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"fmt"
@@ -7,9 +7,11 @@
 	"time"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
+	"oakpick/internal/controller"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
 )
 
@@ -156,7 +158,7 @@
 	}
 	ask := func(w *fake.World, id int) *answer {
 		s, a, since := service(id, 3), &answer{}, w.Now
-		w.Controllers[0].Request(coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}, func(r coordination.Reply) {
+		w.Controllers[0].Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) {
 			*a = answer{r.Status, w.Now - since}
 		})
 		return a
@@ -318,7 +320,7 @@
 		t.Errorf("%d of %d jobs not accepted within 1.5 s, %d not within 30 s", slow, len(jobs), never)
 	}
 	old := w.Leader()
-	status, answer := admin(w, old.Index, coordination.AdminStatus, "")
+	status, answer := admin(w, old.Index, message.AdminStatus, "")
 	if status != 200 {
 		t.Fatalf("status: %d %s", status, answer)
 	}
@@ -340,45 +342,45 @@
 // A write is refused for a condition, and the page holds neither what it was nor
 // our own write: another leads. Nobody is told that what was asked is durable.
 func TestWriteThatMetAnotherLeaders(t *testing.T) {
-	n := coordination.New(&config.Config{Node: "n0", Settings: fake.Settings()}, "boot", 1)
-	now := coordination.Now{}
-	var replies []coordination.Reply
+	n := controller.New(&config.Config{Node: "n0", Settings: fake.Settings()}, "boot", 1)
+	now := message.Now{}
+	var replies []message.Reply
 	refused := 0
-	var give func(commands ...coordination.Event)
-	give = func(commands ...coordination.Event) {
+	var give func(commands ...message.Event)
+	give = func(commands ...message.Event) {
 		now.Monotonic += time.Millisecond
 		for _, effect := range n.Step(now, commands) {
 			switch c := effect.(type) {
-			case coordination.Reply:
+			case message.Reply:
 				replies = append(replies, c)
-			case coordination.CloudCall:
-				if c.Op == coordination.CloudListTypes {
-					give(coordination.CloudResult{ID: c.ID, Types: fake.Types()})
+			case message.CloudCall:
+				if c.Op == message.CloudListTypes {
+					give(message.CloudResult{ID: c.ID, Types: fake.Types()})
 				}
-			case coordination.StateCall:
+			case message.StateCall:
 				r := storage.StateResult{ID: c.ID, Revision: 7}
 				switch {
-				case c.Op == storage.StateGet && c.Key == coordination.LeaderKey:
-					r.Outcome = storage.NotFound
+				case c.Op == storage.StateGet && c.Key == controller.LeaderKey:
+					r.Outcome = rpc.NotFound
 				case c.Op == storage.StateGet:
 					r.Entry = protocol.Entry{Key: c.Key, Version: 9, Value: protocol.Encode(storage.PageValue{WriteID: "another-1"})}
-				case c.Op == storage.StateTxn && len(c.Txn.Then) > 0 && c.Txn.Then[0].Put != coordination.LeaderKey:
-					r.Outcome = storage.Conflict
+				case c.Op == storage.StateTxn && len(c.Txn.Then) > 0 && c.Txn.Then[0].Put != controller.LeaderKey:
+					r.Outcome = rpc.Conflict
 					refused++
 				}
-				give(coordination.StateResult{StateResult: r})
+				give(message.StateResult{StateResult: r})
 			}
 		}
 	}
 	for range 4 {
 		now.Monotonic += 400 * time.Millisecond
-		give(coordination.Tick{})
+		give(message.Tick{})
 	}
 	if n.Role() != "leader" {
 		t.Fatalf("is %s", n.Role())
 	}
 	s := service(1, 1)
-	give(coordination.UserRequest{ID: 1, Kind: coordination.Submit, Job: s.ID, Submission: &s})
+	give(message.UserRequest{ID: 1, Kind: message.Submit, Job: s.ID, Submission: &s})
 	if refused == 0 || n.Role() == "leader" {
 		t.Errorf("%d writes refused, and is %s", refused, n.Role())
 	}
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"oakpick/internal/coordination"
 	"oakpick/internal/latency"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 	"oakpick/internal/storage"
 	"oakpick/internal/transport"
@@ -25,11 +25,11 @@
 
 func newMetrics() *metrics { return &metrics{times: latency.NewRecorder()} }
 
-func (m *metrics) record(request coordination.Request, d time.Duration) {
+func (m *metrics) record(request message.Request, d time.Duration) {
 	switch c := request.(type) {
-	case coordination.UserRequest:
+	case message.UserRequest:
 		m.times.Add([...]string{"submit", "poll", "cancel"}[c.Kind], d)
-	case coordination.HeartbeatRequest:
+	case message.HeartbeatRequest:
 		m.times.Add("report", d)
 	}
 }
@@ -42,7 +42,7 @@
 // listener.
 func newAdmin(d *daemon, limit *transport.Limit) http.Handler {
 	mux := http.NewServeMux()
-	call := func(w http.ResponseWriter, r *http.Request, question coordination.AdminRequest) {
+	call := func(w http.ResponseWriter, r *http.Request, question message.AdminRequest) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody))
 		if err != nil {
 			writeJSON(w, http.StatusBadRequest, map[string]string{"error": "body too large"})
@@ -61,16 +61,16 @@
 		_, _ = w.Write(reply.Body) // the asker may have gone
 	}
 	mux.HandleFunc("GET /admin/status", func(w http.ResponseWriter, r *http.Request) {
-		call(w, r, coordination.AdminRequest{Kind: coordination.AdminStatus})
+		call(w, r, message.AdminRequest{Kind: message.AdminStatus})
 	})
 	mux.HandleFunc("GET /admin/settings", func(w http.ResponseWriter, r *http.Request) {
-		call(w, r, coordination.AdminRequest{Kind: coordination.AdminRead})
+		call(w, r, message.AdminRequest{Kind: message.AdminRead})
 	})
 	mux.HandleFunc("PATCH /admin/settings", func(w http.ResponseWriter, r *http.Request) {
-		call(w, r, coordination.AdminRequest{Kind: coordination.AdminChange})
+		call(w, r, message.AdminRequest{Kind: message.AdminChange})
 	})
 	mux.HandleFunc("GET /admin/jobs/{id}", func(w http.ResponseWriter, r *http.Request) {
-		call(w, r, coordination.AdminRequest{Kind: coordination.AdminJob, Job: r.PathValue("id")})
+		call(w, r, message.AdminRequest{Kind: message.AdminJob, Job: r.PathValue("id")})
 	})
 	mux.HandleFunc("GET /admin/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		now, inFlight := limit.Now()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,38 +21,40 @@
 	"golang.org/x/sync/errgroup"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
+	"oakpick/internal/controller"
 	"oakpick/internal/distribution"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
 	"oakpick/internal/transport"
 )
 
 type item struct {
-	command coordination.Event
+	command message.Event
 	raw     transport.Raw
-	reply   chan coordination.Reply
+	reply   chan message.Reply
 	until   time.Time // when whoever asked has been told to come back; zero: nobody asked
 }
 
 // outlived tells whether an item is a question whose user has gone: to answer it would only
 // keep others waiting. What changes something is carried out all the same.
 func (it item) outlived(now time.Time) bool {
-	call, ok := it.command.(coordination.UserRequest)
-	return ok && call.Kind == coordination.Poll && !it.until.IsZero() && now.After(it.until)
+	call, ok := it.command.(message.UserRequest)
+	return ok && call.Kind == message.Poll && !it.until.IsZero() && now.After(it.until)
 }
 
 type waiter struct {
-	reply   chan coordination.Reply
+	reply   chan message.Reply
 	raw     transport.Raw
-	request coordination.Request
+	request message.Request
 	until   time.Time
 }
 
 type daemon struct {
 	cfg     *config.Config
 	log     *slog.Logger
-	node    *coordination.Controller
+	node    *controller.Controller
 	began   time.Time
 	queue   chan item
 	waits   map[uint64]waiter
@@ -99,10 +101,10 @@
 	report := config.Seconds(s.Workers.HeartbeatIntervalS)
 	d := &daemon{
 		cfg: cfg, log: log, began: time.Now(), group: group, ctx: ctx,
-		node:    coordination.New(cfg, hex.EncodeToString(seed[:8]), binary.LittleEndian.Uint64(seed[8:])),
+		node:    controller.New(cfg, hex.EncodeToString(seed[:8]), binary.LittleEndian.Uint64(seed[8:])),
 		metrics: newMetrics(),
 		queue:   make(chan item, 4*batch), waits: map[uint64]waiter{},
-		state: storage.NewClient(cfg.Services.State, report/2, coordination.TermLease(s.Workers)/2),
+		state: storage.NewClient(cfg.Services.State, report/2, controller.TermLease(s.Workers)/2),
 		cloud: transport.NewCloud(cfg.Services.Cloud, s.Workers),
 		peers: transport.NewPeers(cfg.Node, cfg.Peers, s.Workers), forwards: transport.NewForwards(),
 	}
@@ -132,10 +134,10 @@
 }
 
 // Do is the way in for requests: it hands a command to the owner.
-func (d *daemon) Do(request coordination.Request, raw transport.Raw, wait time.Duration) coordination.Reply {
+func (d *daemon) Do(request message.Request, raw transport.Raw, wait time.Duration) message.Reply {
 	began := time.Now()
 	defer func() { d.metrics.record(request, time.Since(began)) }()
-	ch := make(chan coordination.Reply, 1)
+	ch := make(chan message.Reply, 1)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	// The body belongs to the server's buffers, which the next request reuses.
@@ -157,7 +159,7 @@
 func (d *daemon) Healthy() bool { return d.healthy.Load() }
 
 // push brings an answer to the owner.
-func (d *daemon) push(command coordination.Event) {
+func (d *daemon) push(command message.Event) {
 	select {
 	case d.queue <- item{command: command}:
 	case <-d.ctx.Done():
@@ -168,14 +170,14 @@
 func (d *daemon) own() {
 	tick := time.NewTicker(config.Seconds(d.cfg.Settings.Workers.HeartbeatIntervalS / 40))
 	defer tick.Stop()
-	commands := make([]coordination.Event, 0, batch)
+	commands := make([]message.Event, 0, batch)
 	for {
 		var open bool
 		if commands, open = d.next(commands[:0], tick.C); !open {
 			return
 		}
 		led := d.node.Leads()
-		now := coordination.Now{Monotonic: time.Since(d.began), WallMs: time.Now().UnixMilli()}
+		now := message.Now{Monotonic: time.Since(d.began), WallMs: time.Now().UnixMilli()}
 		for _, effect := range d.node.Step(now, commands) {
 			d.perform(effect)
 		}
@@ -193,12 +195,12 @@
 }
 
 // next waits for a batch of commands, or for the tick; not open: the process is to end.
-func (d *daemon) next(commands []coordination.Event, tick <-chan time.Time) (_ []coordination.Event, open bool) {
+func (d *daemon) next(commands []message.Event, tick <-chan time.Time) (_ []message.Event, open bool) {
 	select {
 	case <-d.ctx.Done():
 		return commands, false
 	case <-tick:
-		return append(commands, coordination.Tick{}), true
+		return append(commands, message.Tick{}), true
 	case it := <-d.queue:
 		now := time.Now()
 		for taken := 1; ; taken++ {
@@ -229,8 +231,8 @@
 }
 
 // accept numbers a request, so that its reply finds the way back.
-func (d *daemon) accept(it item) coordination.Event {
-	request, ok := it.command.(coordination.Request)
+func (d *daemon) accept(it item) message.Event {
+	request, ok := it.command.(message.Request)
 	if !ok {
 		return it.command
 	}
@@ -247,14 +249,14 @@
 	}
 }
 
-func (d *daemon) perform(effect coordination.Effect) {
+func (d *daemon) perform(effect message.Effect) {
 	switch e := effect.(type) {
-	case coordination.Reply:
+	case message.Reply:
 		if w, ok := d.waits[e.ID]; ok {
 			delete(d.waits, e.ID)
 			w.reply <- e
 		}
-	case coordination.Forward:
+	case message.Forward:
 		w, ok := d.waits[e.ID]
 		if !ok {
 			return
@@ -267,34 +269,34 @@
 			return
 		}
 		d.group.Go(func() error { d.forward(e.Peer, w); return nil })
-	case coordination.StateCall:
+	case message.StateCall:
 		d.group.Go(func() error {
 			began := time.Now()
-			d.push(coordination.StateResult{StateResult: d.state.Do(e.StateCall)})
+			d.push(message.StateResult{StateResult: d.state.Do(e.StateCall)})
 			d.metrics.state(e.Op, time.Since(began))
 			return nil
 		})
-	case coordination.CloudCall:
+	case message.CloudCall:
 		d.group.Go(func() error {
 			if d.tooLate(e.NotAfter) {
-				d.push(coordination.CloudResult{ID: e.ID, Outcome: coordination.NotSent})
+				d.push(message.CloudResult{ID: e.ID, Outcome: rpc.NotSent})
 				return nil
 			}
 			d.push(d.cloud.Do(e))
 			return nil
 		})
-	case coordination.CommandsCall:
+	case message.CommandsCall:
 		d.group.Go(func() error {
 			if d.tooLate(e.NotAfter) {
-				d.push(coordination.CommandsResult{ID: e.ID, Machine: e.Machine, Outcome: coordination.NotSent})
+				d.push(message.CommandsResult{ID: e.ID, Machine: e.Machine, Outcome: rpc.NotSent})
 				return nil
 			}
 			d.push(d.workers.Send(e))
 			return nil
 		})
-	case coordination.PeerCall:
+	case message.PeerCall:
 		d.group.Go(func() error { d.push(d.peers.StepDown(d.ctx, e)); return nil })
-	case coordination.Log:
+	case message.Log:
 		level := [...]slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelError}[e.Level]
 		d.log.Log(d.ctx, level, e.Message, e.Args...)
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -18,7 +18,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
+	"oakpick/internal/controller"
 	"oakpick/internal/protocol"
 )
 
@@ -260,7 +260,7 @@
 		return fmt.Sprintf("submitted: %d %q", status, body), status == 201 || status == 200
 	})
 	for _, cluster := range p.clusters {
-		var s coordination.JobStatus
+		var s controller.JobStatus
 		status, body := ask(t, "GET", cluster+"/admin/jobs/wk-000001", "")
 		if err := json.Unmarshal([]byte(body), &s); err != nil || status != 200 || s.Class != "c" || s.Waiting != 1 || s.Failures != nil {
 			t.Errorf("%s: %d %s", cluster, status, body)
@@ -320,7 +320,7 @@
 		called.Wait()
 	}
 	p.end[0]()
-	p.state.drop(coordination.LeaderKey) // its lease runs out
+	p.state.drop(controller.LeaderKey) // its lease runs out
 	within(t, func() (string, bool) {
 		code, body := ask(t, "GET", p.fronts[1]+path+"/wk-000003", "")
 		return body, code == 200 && status(body) == protocol.StatusCancelled
--- a/internal/daemon/queue_test.go
+++ b/internal/daemon/queue_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
 )
 
 // The owner wakes to a full queue. Questions whose users have been told to come back are
@@ -15,18 +15,18 @@
 	d := &daemon{queue: make(chan item, 8), waits: map[uint64]waiter{}, metrics: newMetrics(), ctx: ctx}
 	past, ahead := time.Now().Add(-time.Second), time.Now().Add(time.Hour)
 	for _, it := range []item{
-		{command: coordination.UserRequest{Kind: coordination.Poll, Job: "old"}, until: past},
-		{command: coordination.UserRequest{Kind: coordination.Submit, Job: "submitted"}, until: past},
-		{command: coordination.UserRequest{Kind: coordination.Cancel, Job: "cancelled"}, until: past},
-		{command: coordination.UserRequest{Kind: coordination.Poll, Job: "new"}, until: ahead},
-		{command: coordination.CloudResult{ID: 7}},
+		{command: message.UserRequest{Kind: message.Poll, Job: "old"}, until: past},
+		{command: message.UserRequest{Kind: message.Submit, Job: "submitted"}, until: past},
+		{command: message.UserRequest{Kind: message.Cancel, Job: "cancelled"}, until: past},
+		{command: message.UserRequest{Kind: message.Poll, Job: "new"}, until: ahead},
+		{command: message.CloudResult{ID: 7}},
 	} {
 		d.queue <- it
 	}
 	commands, open := d.next(nil, nil)
 	var jobs []string
 	for _, c := range commands {
-		if call, ok := c.(coordination.UserRequest); ok {
+		if call, ok := c.(message.UserRequest); ok {
 			jobs = append(jobs, call.Job)
 		}
 	}
--- a/internal/daemon/tracker.go
+++ b/internal/daemon/tracker.go
@@ -16,9 +16,10 @@
 	"github.com/valyala/fasthttp/fasthttpadaptor"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
+	"oakpick/internal/controller"
 	"oakpick/internal/distribution"
 	"oakpick/internal/distribution/tracker"
+	"oakpick/internal/message"
 	"oakpick/internal/transport"
 )
 
@@ -32,7 +33,7 @@
 	queue    chan trackerItem
 	waits    map[uint64]trackerItem
 	nextID   uint64
-	term     atomic.Pointer[coordination.LeadershipView]
+	term     atomic.Pointer[controller.LeadershipView]
 	limit    *transport.Limit
 	report   time.Duration // for which a request may take, too
 	metrics  *trackerMetrics
@@ -42,7 +43,7 @@
 type trackerItem struct {
 	command func(id uint64) tracker.Command
 	request trackerRequest
-	reply   chan coordination.Reply
+	reply   chan message.Reply
 	event   tracker.Command // an answer to an effect, instead
 }
 
@@ -83,7 +84,7 @@
 		metrics: newTrackerMetrics(),
 	}
 	t.limit = transport.NewLimit(settings.Connections/4, report, func() { t.metrics.shed.Inc() })
-	t.term.Store(&coordination.LeadershipView{})
+	t.term.Store(&controller.LeadershipView{})
 	metricsPage := fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(t.metrics.registry, promhttp.HandlerOpts{}))
 	t.server = &fasthttp.Server{
 		Concurrency: settings.Connections, MaxRequestBodySize: distribution.MaxMessageBytes,
@@ -110,7 +111,7 @@
 }
 
 // see notes the node's term. Only the daemon's owner calls it.
-func (t *trackerService) see(v coordination.LeadershipView) {
+func (t *trackerService) see(v controller.LeadershipView) {
 	if *t.term.Load() != v {
 		t.term.Store(&v)
 	}
@@ -195,7 +196,7 @@
 }
 
 // forward hands a request to the controller that leads.
-func (t *trackerService) forward(peer string, r trackerRequest) coordination.Reply {
+func (t *trackerService) forward(peer string, r trackerRequest) message.Reply {
 	ctx, cancel := context.WithTimeout(t.d.ctx, t.report)
 	defer cancel()
 	path := r.path
@@ -214,12 +215,12 @@
 }
 
 // trackerReply encodes a reply.
-func trackerReply(e tracker.Reply) coordination.Reply {
+func trackerReply(e tracker.Reply) message.Reply {
 	body, err := json.Marshal(e.Body)
 	if err != nil {
 		return trackerBusy("the answer can't be encoded", e.RetryAfter)
 	}
-	return coordination.Reply{Status: e.Status, Body: body, RetryAfterS: retrySeconds(e.RetryAfter)}
+	return message.Reply{Status: e.Status, Body: body, RetryAfterS: retrySeconds(e.RetryAfter)}
 }
 
 // retrySeconds rounds up to the whole seconds that a header can tell.
@@ -227,20 +228,20 @@
 	return int((d + time.Second - 1) / time.Second)
 }
 
-func trackerBusy(why string, after time.Duration) coordination.Reply {
+func trackerBusy(why string, after time.Duration) message.Reply {
 	return trackerError(http.StatusServiceUnavailable, why, max(1, retrySeconds(after)))
 }
 
-func trackerError(status int, why string, retryAfter int) coordination.Reply {
+func trackerError(status int, why string, retryAfter int) message.Reply {
 	body, err := json.Marshal(distribution.ErrorAnswer{Error: why})
 	if err != nil {
 		body = []byte("{}")
 	}
-	return coordination.Reply{Status: status, Body: body, RetryAfterS: retryAfter}
+	return message.Reply{Status: status, Body: body, RetryAfterS: retryAfter}
 }
 
 // answer answers a request, whether it came straight or from a peer.
-func (t *trackerService) answer(r trackerRequest) coordination.Reply {
+func (t *trackerService) answer(r trackerRequest) message.Reply {
 	command, refusal := parseTrackerRequest(r)
 	if command == nil {
 		return refusal
@@ -248,14 +249,14 @@
 	if r.fromPeer { // which has let it in
 		return t.do(command, r)
 	}
-	return t.limit.Run(func() coordination.Reply { return t.do(command, r) })
+	return t.limit.Run(func() message.Reply { return t.do(command, r) })
 }
 
 // do hands a command to the owner and waits for the reply.
-func (t *trackerService) do(command func(id uint64) tracker.Command, r trackerRequest) coordination.Reply {
+func (t *trackerService) do(command func(id uint64) tracker.Command, r trackerRequest) message.Reply {
 	timer := time.NewTimer(t.report)
 	defer timer.Stop()
-	it := trackerItem{command: command, request: r, reply: make(chan coordination.Reply, 1)}
+	it := trackerItem{command: command, request: r, reply: make(chan message.Reply, 1)}
 	select {
 	case t.queue <- it:
 	case <-timer.C:
--- a/internal/daemon/tracker_http.go
+++ b/internal/daemon/tracker_http.go
@@ -9,14 +9,14 @@
 
 	"github.com/valyala/fasthttp"
 
-	"oakpick/internal/coordination"
 	"oakpick/internal/distribution"
 	"oakpick/internal/distribution/tracker"
+	"oakpick/internal/message"
 )
 
 // parseTrackerRequest makes the command that a request asks for, or the refusal.
-func parseTrackerRequest(r trackerRequest) (func(id uint64) tracker.Command, coordination.Reply) {
-	bad := func(err error) (func(id uint64) tracker.Command, coordination.Reply) {
+func parseTrackerRequest(r trackerRequest) (func(id uint64) tracker.Command, message.Reply) {
+	bad := func(err error) (func(id uint64) tracker.Command, message.Reply) {
 		return nil, trackerError(http.StatusBadRequest, err.Error(), 0)
 	}
 	name, named := strings.CutPrefix(r.path, distribution.PathWeights+"/")
@@ -34,7 +34,7 @@
 		if err := inventory.Check(); err != nil {
 			return bad(err)
 		}
-		return func(id uint64) tracker.Command { return tracker.InventoryCall{ID: id, Inventory: inventory} }, coordination.Reply{}
+		return func(id uint64) tracker.Command { return tracker.InventoryCall{ID: id, Inventory: inventory} }, message.Reply{}
 	case (named || r.path == distribution.PathWeights) && r.method == http.MethodGet:
 		query, err := url.ParseQuery(r.query)
 		if err != nil {
@@ -42,9 +42,9 @@
 		}
 		after := query.Get("after")
 		if named {
-			return func(id uint64) tracker.Command { return tracker.StatusCall{ID: id, Name: name, After: after} }, coordination.Reply{}
+			return func(id uint64) tracker.Command { return tracker.StatusCall{ID: id, Name: name, After: after} }, message.Reply{}
 		}
-		return func(id uint64) tracker.Command { return tracker.NamesCall{ID: id, After: after} }, coordination.Reply{}
+		return func(id uint64) tracker.Command { return tracker.NamesCall{ID: id, After: after} }, message.Reply{}
 	case named && r.method == http.MethodPut:
 		var use distribution.UseRequest
 		if err := distribution.Decode(r.body, &use); err != nil {
@@ -52,7 +52,7 @@
 		}
 		return func(id uint64) tracker.Command {
 			return tracker.UseCall{ID: id, Name: name, Manifest: use.Manifest}
-		}, coordination.Reply{}
+		}, message.Reply{}
 	case named || r.path == distribution.PathWeights || r.path == distribution.PathInventory:
 		return nil, trackerError(http.StatusMethodNotAllowed, "method: not for this path", 0)
 	}
--- a/internal/distribution/tracker/model_test.go
+++ b/internal/distribution/tracker/model_test.go
@@ -13,9 +13,10 @@
 	"github.com/opencontainers/go-digest"
 	"pgregory.net/rapid"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/controller"
 	"oakpick/internal/distribution"
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
 )
 
@@ -39,7 +40,7 @@
 // lead gives the leader's key to a new token.
 func (k *keyValues) lead() int64 {
 	k.revision++
-	k.entries[coordination.LeaderKey] = protocol.Entry{Key: coordination.LeaderKey, Version: k.revision}
+	k.entries[controller.LeaderKey] = protocol.Entry{Key: controller.LeaderKey, Version: k.revision}
 	return k.revision
 }
 
@@ -55,13 +56,13 @@
 	case storage.StateGet:
 		e, ok := k.entries[c.Key]
 		if !ok {
-			r.Outcome = storage.NotFound
+			r.Outcome = rpc.NotFound
 		}
 		r.Entry = e
 	case storage.StateTxn:
 		for _, condition := range c.Txn.If {
 			if k.entries[condition.Key].Version != condition.Version {
-				r.Outcome = storage.Conflict
+				r.Outcome = rpc.Conflict
 				return r
 			}
 		}
@@ -237,7 +238,7 @@
 	}
 	c := m.calls[0]
 	m.calls = m.calls[1:]
-	lost := StateResult{storage.StateResult{ID: c.ID, Outcome: storage.Unknown}}
+	lost := StateResult{storage.StateResult{ID: c.ID, Outcome: rpc.Unknown}}
 	switch rapid.IntRange(0, 5).Draw(m.T, "fate") {
 	case 0:
 		m.step(lost)
--- a/internal/distribution/tracker/names.go
+++ b/internal/distribution/tracker/names.go
@@ -10,9 +10,10 @@
 
 	"github.com/opencontainers/go-digest"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/controller"
 	"oakpick/internal/distribution"
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
 )
 
@@ -131,7 +132,7 @@
 	n.write = fmt.Sprintf("%s-%d-%d", n.t.parameters.Boot, n.t.reign, n.writes)
 	n.send(storage.StateCall{Op: storage.StateTxn, Txn: protocol.Txn{
 		If: []protocol.Condition{
-			{Key: coordination.LeaderKey, Version: n.token},
+			{Key: controller.LeaderKey, Version: n.token},
 			{Key: NamesPrefix + c.Name, Version: n.base},
 		},
 		Then: []protocol.Change{{Put: NamesPrefix + c.Name, Value: storedName{c.Manifest.String(), n.write}}},
@@ -155,7 +156,7 @@
 
 // listed takes in a part of all names.
 func (n *names) listed(r StateResult) {
-	if r.Outcome != storage.OK {
+	if r.Outcome != rpc.OK {
 		n.repeatLater()
 		return
 	}
@@ -188,13 +189,13 @@
 func (n *names) written(r StateResult) {
 	c := n.queue[0]
 	switch r.Outcome {
-	case storage.OK:
+	case rpc.OK:
 		n.done(distribution.NameRecord{Name: c.Name, Manifest: c.Manifest, Revision: r.Revision})
-	case storage.Conflict:
+	case rpc.Conflict:
 		// An earlier copy of this write may have been carried out, the token may have
 		// risen, or another leads: the record tells.
 		n.send(storage.StateCall{Op: storage.StateGet, Key: NamesPrefix + c.Name})
-	case storage.Invalid:
+	case rpc.Invalid:
 		n.t.refuse(c.ID, http.StatusInternalServerError, "the state service calls the write malformed")
 		n.next()
 	default:
@@ -206,12 +207,12 @@
 func (n *names) looked(r StateResult) {
 	c := n.queue[0]
 	switch r.Outcome {
-	case storage.OK:
+	case rpc.OK:
 		if n.take(r.Entry) == n.write {
 			n.done(n.records[c.Name])
 			return
 		}
-	case storage.NotFound:
+	case rpc.NotFound:
 		n.records[c.Name] = distribution.NameRecord{Name: c.Name}
 	default:
 		n.repeatLater()
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -5,8 +5,9 @@
 	"slices"
 	"time"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 )
 
 type machine struct {
@@ -34,16 +35,16 @@
 	FailNextBoots int
 }
 
-func (c *Cloud) execute(call coordination.CloudCall) coordination.CloudResult {
-	r := coordination.CloudResult{ID: call.ID}
+func (c *Cloud) execute(call message.CloudCall) message.CloudResult {
+	r := message.CloudResult{ID: call.ID}
 	if c.Down {
-		r.Outcome = coordination.Refused
+		r.Outcome = rpc.Refused
 		return r
 	}
 	switch call.Op {
-	case coordination.CloudListTypes:
+	case message.CloudListTypes:
 		r.Types = c.types
-	case coordination.CloudListMachines:
+	case message.CloudListMachines:
 		for _, m := range c.machines {
 			// The list lags: it shows what was so a while ago.
 			lag := time.Duration(c.w.Cfg.Settings.Cloud.ListLagS * float64(time.Second))
@@ -54,7 +55,7 @@
 			e.AgeS = (c.w.Now - m.rented).Seconds()
 			r.List.Machines = append(r.List.Machines, e)
 		}
-	case coordination.CloudScaleOut:
+	case message.CloudScaleOut:
 		q := call.Provisioning
 		if q.Count < 1 || q.Count > 50 {
 			c.w.violation("cloud", "a rental of %d", q.Count)
@@ -64,7 +65,7 @@
 			return r
 		}
 		if !slices.ContainsFunc(c.types, func(t protocol.MachineType) bool { return t.Name == q.Type }) {
-			r.Outcome = coordination.Invalid
+			r.Outcome = rpc.Invalid
 			return r
 		}
 		have := 0
@@ -79,14 +80,14 @@
 		}
 		n := min(q.Count, most-have)
 		if n <= 0 {
-			r.Outcome = coordination.NotFound
+			r.Outcome = rpc.NotFound
 			return r
 		}
 		for range n {
 			r.Machines = append(r.Machines, c.Add(q.Type, q.Zone, q.Spot).Name)
 		}
 		c.requests[q.RequestID] = r.Machines
-	case coordination.CloudScaleIn:
+	case message.CloudScaleIn:
 		if len(call.Machines) > 100 {
 			c.w.violation("cloud", "%d machines returned at once", len(call.Machines))
 		}
--- a/internal/fake/live.go
+++ b/internal/fake/live.go
@@ -4,14 +4,14 @@
 	"time"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 	"oakpick/internal/storage"
 )
 
 // RemoteSend carries a request to a controller that runs outside the world, and its reply back.
 // Both are called by the world's owner.
-type RemoteSend func(request coordination.Request, reply func(coordination.Reply))
+type RemoteSend func(request message.Request, reply func(message.Reply))
 
 // NewLive makes a world whose controllers run outside it, as real processes. Its time is
 // what Advance is told. It has one owner: nothing of it may be used by two goroutines.
@@ -60,7 +60,7 @@
 		w.Workers[name].tick()
 	}
 	for _, n := range w.Controllers {
-		n.step(coordination.Tick{})
+		n.step(message.Tick{})
 	}
 	w.checkAlways()
 }
@@ -72,14 +72,14 @@
 }
 
 // ServeCloud executes a request to the cloud.
-func (w *World) ServeCloud(c coordination.CloudCall, answer func(coordination.CloudResult)) {
-	serve(w, "cloud", "cloud", func() (coordination.CloudResult, bool) { return w.Cloud.execute(c), true }, answer)
+func (w *World) ServeCloud(c message.CloudCall, answer func(message.CloudResult)) {
+	serve(w, "cloud", "cloud", func() (message.CloudResult, bool) { return w.Cloud.execute(c), true }, answer)
 }
 
 // ServeCommands has a worker execute direct commands. A machine without power, one that
 // hangs or one that is cut off answers nothing.
-func (w *World) ServeCommands(c coordination.CommandsCall, answer func(coordination.CommandsResult)) {
-	serve(w, "orders", c.Machine, func() (coordination.CommandsResult, bool) { return w.command(c) }, answer)
+func (w *World) ServeCommands(c message.CommandsCall, answer func(message.CommandsResult)) {
+	serve(w, "orders", c.Machine, func() (message.CommandsResult, bool) { return w.command(c) }, answer)
 }
 
 // serve has a request from outside executed and answered as the network will.
@@ -96,7 +96,7 @@
 }
 
 // command has a worker execute direct commands, when it resumes if it hangs.
-func (w *World) command(c coordination.CommandsCall) (r coordination.CommandsResult, answered bool) {
+func (w *World) command(c message.CommandsCall) (r message.CommandsResult, answered bool) {
 	k := w.Workers[c.Machine]
 	if k == nil || k.gone {
 		return r, false
--- a/internal/fake/node.go
+++ b/internal/fake/node.go
@@ -6,15 +6,17 @@
 	"time"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
+	"oakpick/internal/controller"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
 )
 
 // asked is a request that waits for its reply.
 type asked struct {
-	request  coordination.Request
-	reply    func(coordination.Reply)
+	request  message.Request
+	reply    func(message.Reply)
 	fromPeer bool
 }
 
@@ -31,7 +33,7 @@
 	Name   string
 	Index  int
 	Up     bool
-	node   *coordination.Controller
+	node   *controller.Controller
 	began  time.Duration
 	drift  float64
 	life   int
@@ -52,7 +54,7 @@
 	Unhealthy bool
 	// Stall tells for how long the process stands still before it carries an effect out;
 	// nil: never.
-	Stall func(effect coordination.Effect) time.Duration
+	Stall func(effect message.Effect) time.Duration
 	// remote carries requests to the process, if it runs outside the world.
 	remote RemoteSend
 }
@@ -73,7 +75,7 @@
 	n.Up, n.began, n.asked = true, n.w.Now, map[uint64]asked{}
 	n.forwarded, n.leader = nil, ""
 	n.life++
-	n.node = coordination.New(&cfg, fmt.Sprintf("%s-%d", n.Name, n.life), n.w.seeds)
+	n.node = controller.New(&cfg, fmt.Sprintf("%s-%d", n.Name, n.life), n.w.seeds)
 }
 
 // Crash kills a node's process.
@@ -89,9 +91,9 @@
 func (n *Controller) Healthy() bool { return n.Up && n.node.Healthy() }
 
 // Stats are the process's counts.
-func (n *Controller) Stats() coordination.Stats { return n.node.Stats }
+func (n *Controller) Stats() message.Stats { return n.node.Stats }
 
-func (n *Controller) deliver(request coordination.Request, reply func(coordination.Reply)) {
+func (n *Controller) deliver(request message.Request, reply func(message.Reply)) {
 	n.take(asked{request: request, reply: reply})
 }
 
@@ -118,12 +120,12 @@
 	n.step(a.request.WithID(n.nextID))
 }
 
-func (n *Controller) step(command coordination.Event) {
+func (n *Controller) step(command message.Event) {
 	if !n.Up || n.w.Now < n.PausedUntil {
 		return
 	}
-	now := coordination.Now{Monotonic: n.Steady(), WallMs: (n.w.Now + n.ClockOffset).Milliseconds() + 1_000_000}
-	effects := n.node.Step(now, []coordination.Event{command})
+	now := message.Now{Monotonic: n.Steady(), WallMs: (n.w.Now + n.ClockOffset).Milliseconds() + 1_000_000}
+	effects := n.node.Step(now, []message.Event{command})
 	if n.w.OnEffect != nil {
 		for _, e := range effects {
 			n.w.OnEffect(n.Name, e)
@@ -135,7 +137,7 @@
 
 // carryOut performs effects, unless the process stands still before one of them: then the
 // rest is late.
-func (n *Controller) carryOut(effects []coordination.Effect) {
+func (n *Controller) carryOut(effects []message.Effect) {
 	life := n.life
 	for i, e := range effects {
 		stall := time.Duration(0)
@@ -182,9 +184,9 @@
 }
 
 // call has a request executed and its result brought back, as the network will.
-func (n *Controller) call(kind, to string, wait time.Duration, execute func() (coordination.Event, bool), lost coordination.Event) {
+func (n *Controller) call(kind, to string, wait time.Duration, execute func() (message.Event, bool), lost message.Event) {
 	life := n.life
-	exchange(n, kind, to, wait, execute, lost, func(r coordination.Event) { n.back(r, life) })
+	exchange(n, kind, to, wait, execute, lost, func(r message.Event) { n.back(r, life) })
 }
 
 // exchange does the same for any part of the process.
@@ -218,7 +220,7 @@
 func (n *Controller) AskState(kind string, c storage.StateCall, done func(storage.StateResult)) {
 	exchange(n, kind, "state", sec(n.w.Cfg.Settings.Workers.HeartbeatIntervalS)/2,
 		func() (storage.StateResult, bool) { return n.w.State.execute(n.Name, n.old, c), true },
-		storage.StateResult{ID: c.ID, Outcome: storage.Unknown}, done)
+		storage.StateResult{ID: c.ID, Outcome: rpc.Unknown}, done)
 }
 
 // Life counts the starts of the node's process.
@@ -230,13 +232,13 @@
 }
 
 // answer brings a result to the process at once.
-func (n *Controller) answer(r coordination.Event) {
+func (n *Controller) answer(r message.Event) {
 	life := n.life
 	n.w.After(0, func() { n.back(r, life) })
 }
 
 // back brings a result to the process, once it has processor time.
-func (n *Controller) back(r coordination.Event, life int) {
+func (n *Controller) back(r message.Event, life int) {
 	if !n.Up || n.life != life {
 		return
 	}
@@ -247,40 +249,40 @@
 	n.step(r)
 }
 
-func (n *Controller) perform(effect coordination.Effect) {
+func (n *Controller) perform(effect message.Effect) {
 	w := n.w
 	report := sec(w.Cfg.Settings.Workers.HeartbeatIntervalS)
 	switch e := effect.(type) {
-	case coordination.Reply:
+	case message.Reply:
 		if a, ok := n.asked[e.ID]; ok {
 			delete(n.asked, e.ID)
 			a.reply(e)
 		}
-	case coordination.Forward:
+	case message.Forward:
 		n.forward(e)
-	case coordination.StateCall:
+	case message.StateCall:
 		if n.old {
 			e.Txn = w.asProduction(e.Txn)
 		}
 		old := n.old // a late request is still the old process's
 		kind := "state"
-		if len(e.Txn.Then) > 0 && e.Txn.Then[0].Put != coordination.LeaderKey && w.SeparateWrites {
+		if len(e.Txn.Then) > 0 && e.Txn.Then[0].Put != controller.LeaderKey && w.SeparateWrites {
 			kind = "write"
 		}
-		n.call(kind, "state", report/2, func() (coordination.Event, bool) {
-			return coordination.StateResult{StateResult: w.State.execute(n.Name, old, e.StateCall)}, true
+		n.call(kind, "state", report/2, func() (message.Event, bool) {
+			return message.StateResult{StateResult: w.State.execute(n.Name, old, e.StateCall)}, true
 		},
-			coordination.StateResult{StateResult: storage.StateResult{ID: e.ID, Outcome: storage.Unknown}})
-	case coordination.CloudCall:
+			message.StateResult{StateResult: storage.StateResult{ID: e.ID, Outcome: rpc.Unknown}})
+	case message.CloudCall:
 		if n.tooLate(e.NotAfter) {
-			n.answer(coordination.CloudResult{ID: e.ID, Outcome: coordination.NotSent})
+			n.answer(message.CloudResult{ID: e.ID, Outcome: rpc.NotSent})
 			return
 		}
-		n.call("cloud", "cloud", report, func() (coordination.Event, bool) { return w.Cloud.execute(e), true },
-			coordination.CloudResult{ID: e.ID, Outcome: coordination.Unknown})
-	case coordination.CommandsCall:
+		n.call("cloud", "cloud", report, func() (message.Event, bool) { return w.Cloud.execute(e), true },
+			message.CloudResult{ID: e.ID, Outcome: rpc.Unknown})
+	case message.CommandsCall:
 		if n.tooLate(e.NotAfter) {
-			n.answer(coordination.CommandsResult{ID: e.ID, Machine: e.Machine, Outcome: coordination.NotSent})
+			n.answer(message.CommandsResult{ID: e.ID, Machine: e.Machine, Outcome: rpc.NotSent})
 			return
 		}
 		for _, c := range e.Commands {
@@ -288,18 +290,18 @@
 				w.violation("started_cancelled", "%s sends a start of %s, which its user was told is cancelled", n.Name, c.Attempt.Job)
 			}
 		}
-		n.call("orders", e.Machine, report*3/4, func() (coordination.Event, bool) {
+		n.call("orders", e.Machine, report*3/4, func() (message.Event, bool) {
 			return w.command(e)
-		}, coordination.CommandsResult{ID: e.ID, Machine: e.Machine, Outcome: coordination.Unknown})
-	case coordination.PeerCall:
+		}, message.CommandsResult{ID: e.ID, Machine: e.Machine, Outcome: rpc.Unknown})
+	case message.PeerCall:
 		n.ask(e)
-	case coordination.Log:
+	case message.Log:
 		w.Log = append(w.Log, fmt.Sprintf("%8.2f %s %s %v", w.Now.Seconds(), n.Name, e.Message, e.Args))
 	}
 }
 
 // forward hands a request to another node, and its reply back.
-func (n *Controller) forward(e coordination.Forward) {
+func (n *Controller) forward(e message.Forward) {
 	w := n.w
 	a, ok := n.asked[e.ID]
 	if !ok {
@@ -312,7 +314,7 @@
 		return
 	}
 	if a.fromPeer { // as the daemon does: it could go round in circles
-		a.reply(coordination.Reply{Status: 503, RetryAfterS: 1})
+		a.reply(message.Reply{Status: 503, RetryAfterS: 1})
 		return
 	}
 	f := &forwarded{asked: a, peer: p.Name}
@@ -322,7 +324,7 @@
 		return
 	}
 	w.After(fate.Request, func() {
-		p.take(asked{request: a.request, fromPeer: true, reply: func(r coordination.Reply) {
+		p.take(asked{request: a.request, fromPeer: true, reply: func(r message.Reply) {
 			if fate.LoseAnswer {
 				return
 			}
@@ -337,7 +339,7 @@
 }
 
 // ask asks a peer, and brings its answer to the process.
-func (n *Controller) ask(e coordination.PeerCall) {
+func (n *Controller) ask(e message.PeerCall) {
 	w, life := n.w, n.life
 	p := w.node(e.Peer)
 	if p == nil {
@@ -348,25 +350,25 @@
 		return
 	}
 	w.After(f.Request, func() {
-		p.deliver(coordination.StepDownRequest{Term: e.Term, Leader: n.Name, AsksArchive: e.AsksArchive && !p.old}, func(r coordination.Reply) {
+		p.deliver(message.StepDownRequest{Term: e.Term, Leader: n.Name, AsksArchive: e.AsksArchive && !p.old}, func(r message.Reply) {
 			var a protocol.StepDownResponse
 			if f.LoseAnswer || r.Status != 200 || protocol.Decode(r.Body, &a) != nil {
 				return
 			}
 			w.After(f.Answer, func() {
-				n.back(coordination.PeerResult{PeerCall: e, StepDownResponse: a}, life)
+				n.back(message.PeerResult{PeerCall: e, StepDownResponse: a}, life)
 			})
 		})
 	})
 }
 
 // Request hands a node a request, and its reply to a function.
-func (n *Controller) Request(request coordination.Request, reply func(coordination.Reply)) {
+func (n *Controller) Request(request message.Request, reply func(message.Reply)) {
 	n.deliver(request, reply)
 }
 
 // Tick lets the node look at what time calls for.
-func (n *Controller) Tick() { n.step(coordination.Tick{}) }
+func (n *Controller) Tick() { n.step(message.Tick{}) }
 
 // Controller is what decides in the node's process; nil while it doesn't run.
-func (n *Controller) Controller() *coordination.Controller { return n.node }
+func (n *Controller) Controller() *controller.Controller { return n.node }
--- a/internal/fake/rules.go
+++ b/internal/fake/rules.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -19,7 +19,7 @@
 }
 
 // checkStatus checks what a user hears against what was so and what was said before.
-func (w *World) checkStatus(j *Job, r coordination.Reply, asked time.Duration) {
+func (w *World) checkStatus(j *Job, r message.Reply, asked time.Duration) {
 	var a protocol.JobResponse
 	if err := protocol.Decode(r.Body, &a); err != nil || a.ID != j.Submission.ID {
 		w.violation("answer", "%s: %v", j.Submission.ID, err)
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -15,8 +15,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
+	"oakpick/internal/controller"
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
 )
 
@@ -147,7 +148,7 @@
 func (s *State) execute(from string, old bool, c storage.StateCall) storage.StateResult {
 	r := storage.StateResult{ID: c.ID}
 	if s.Down || s.Unreachable[from] {
-		r.Outcome = storage.Refused
+		r.Outcome = rpc.Refused
 		return r
 	}
 	s.expire()
@@ -162,7 +163,7 @@
 	case storage.StateRenewLease:
 		l, ok := s.leases[c.Lease]
 		if !ok {
-			r.Outcome = storage.NotFound
+			r.Outcome = rpc.NotFound
 			return r
 		}
 		l.ends = s.w.Now + l.ttl
@@ -176,7 +177,7 @@
 	case storage.StateGet:
 		e, ok := s.keys[c.Key]
 		if !ok {
-			r.Outcome = storage.NotFound
+			r.Outcome = rpc.NotFound
 			return r
 		}
 		r.Entry = protocol.Entry{Key: c.Key, Value: e.value, Version: e.version, Lease: e.lease}
@@ -225,7 +226,7 @@
 			s.w.violation("state", "%s", why)
 		}
 		s.RejectedForSize++
-		r.Outcome = storage.Invalid
+		r.Outcome = rpc.Invalid
 		return r
 	}
 	if len(c.Txn.Then) > s.limits.TxnOps || len(c.Txn.If) > 4*s.limits.TxnOps {
@@ -233,17 +234,17 @@
 	}
 	if n := sizeInJSON(c.Txn); n > protocol.MaxBody {
 		s.w.violation("state", "a transaction of %d bytes", n)
-		r.Outcome = storage.Unknown // an answer that the protocol doesn't list
+		r.Outcome = rpc.Unknown // an answer that the protocol doesn't list
 		return r
 	}
-	if s.RejectWrites && len(c.Txn.Then) > 0 && c.Txn.Then[0].Put != coordination.LeaderKey {
-		r.Outcome = storage.Refused
+	if s.RejectWrites && len(c.Txn.Then) > 0 && c.Txn.Then[0].Put != controller.LeaderKey {
+		r.Outcome = rpc.Refused
 		return r
 	}
 	// The write rate counts puts, with a burst of one second's worth.
 	s.puts = slices.DeleteFunc(s.puts, func(at time.Duration) bool { return s.w.Now-at >= time.Second })
 	if len(s.puts)+len(c.Txn.Then) > int(2*s.limits.WriteRPS) {
-		r.Outcome = storage.Refused
+		r.Outcome = rpc.Refused
 		return r
 	}
 	for range c.Txn.Then {
@@ -251,7 +252,7 @@
 	}
 	for _, cond := range c.Txn.If {
 		if s.keys[cond.Key].version != cond.Version {
-			r.Outcome = storage.Conflict
+			r.Outcome = rpc.Conflict
 			return r
 		}
 	}
@@ -260,7 +261,7 @@
 	}
 	for _, ch := range c.Txn.Then {
 		if _, ok := s.leases[ch.Lease]; ch.Lease != 0 && !ok {
-			r.Outcome = storage.Invalid
+			r.Outcome = rpc.Invalid
 			return r
 		}
 	}
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -14,7 +14,7 @@
 	status := ""
 	w.Until(5*time.Second, func() bool {
 		if l := w.Leader(); l != nil {
-			l.Request(coordination.UserRequest{Kind: coordination.Poll, Job: id}, func(r coordination.Reply) {
+			l.Request(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply) {
 				var a protocol.JobResponse
 				if r.Status == 200 && protocol.Decode(r.Body, &a) == nil {
 					status = a.Status
@@ -63,7 +63,7 @@
 
 func (w *World) submit(j *Job) {
 	s, asked := j.Submission, w.Now
-	w.ask(coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}, func(r coordination.Reply, ok bool) {
+	w.ask(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, ok bool) {
 		switch {
 		case ok && (r.Status == 200 || r.Status == 201):
 			if !j.Accepted {
@@ -85,19 +85,19 @@
 func (w *World) Resubmit(j *Job) { w.submit(j) }
 
 // ask sends a user's request to some node.
-func (w *World) ask(c coordination.UserRequest, done func(coordination.Reply, bool)) {
+func (w *World) ask(c message.UserRequest, done func(message.Reply, bool)) {
 	w.askAt(w.pick(), c, done)
 }
 
-func (w *World) askAt(n *Controller, c coordination.UserRequest, done func(coordination.Reply, bool)) {
+func (w *World) askAt(n *Controller, c message.UserRequest, done func(message.Reply, bool)) {
 	over := false
 	w.After(5*time.Second, func() {
 		if !over {
 			over = true
-			done(coordination.Reply{}, false)
+			done(message.Reply{}, false)
 		}
 	})
-	n.deliver(c, func(r coordination.Reply) {
+	n.deliver(c, func(r message.Reply) {
 		if !over {
 			over = true
 			done(r, true)
@@ -115,7 +115,7 @@
 
 // PollEnded asks about a job that ended before the world began.
 func (w *World) PollEnded(id string) {
-	w.ask(coordination.UserRequest{Kind: coordination.Poll, Job: id}, func(r coordination.Reply, ok bool) {
+	w.ask(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply, ok bool) {
 		var a protocol.JobResponse
 		if ok && (r.Status == 404 || r.Status == 200 && (protocol.Decode(r.Body, &a) != nil || a.Status != protocol.StatusDone)) {
 			w.violation("forgotten", "%s, which is done: %d %s", id, r.Status, a.Status)
@@ -125,7 +125,7 @@
 
 // PollUnknown asks about a job that nobody has submitted.
 func (w *World) PollUnknown() {
-	w.ask(coordination.UserRequest{Kind: coordination.Poll, Job: "wk-999999"}, func(r coordination.Reply, ok bool) {
+	w.ask(message.UserRequest{Kind: message.Poll, Job: "wk-999999"}, func(r message.Reply, ok bool) {
 		if ok && r.Status == 200 {
 			w.violation("invented", "a job that nobody submitted")
 		}
@@ -134,7 +134,7 @@
 
 func (w *World) poll(n *Controller, j *Job) {
 	was, asked := j.Accepted || j.AnsweredAt > 0, w.Now
-	w.askAt(n, coordination.UserRequest{Kind: coordination.Poll, Job: j.Submission.ID}, func(r coordination.Reply, ok bool) {
+	w.askAt(n, message.UserRequest{Kind: message.Poll, Job: j.Submission.ID}, func(r message.Reply, ok bool) {
 		if ok && r.Status == 404 && was {
 			w.violation("forgotten", "%s", j.Submission.ID)
 		}
@@ -149,7 +149,7 @@
 	for _, n := range w.Controllers {
 		w.poll(n, j)
 		s, asked, was := j.Submission, w.Now, j.Accepted || j.AnsweredAt > 0
-		w.askAt(n, coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}, func(r coordination.Reply, ok bool) {
+		w.askAt(n, message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, ok bool) {
 			switch {
 			case ok && (r.Status == 400 || r.Status == 422):
 				w.violation("forgotten", "%s: a repeat got %d", s.ID, r.Status)
@@ -175,7 +175,7 @@
 	} {
 		s := protocol.Submission{ID: fmt.Sprintf("wk-9%05d", i), Class: "odd", Team: "blue", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img"}
 		change(&s)
-		w.ask(coordination.UserRequest{Kind: coordination.Submit, Job: s.ID, Submission: &s}, func(r coordination.Reply, ok bool) {
+		w.ask(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, ok bool) {
 			if ok && r.Status != 422 && r.Status != 503 {
 				w.violation("accepted", "%s, which can't run: %d", s.ID, r.Status)
 			}
@@ -199,7 +199,7 @@
 func (w *World) cancelAt(n *Controller, j *Job) {
 	j.CancelRequested = true
 	asked := w.Now
-	w.askAt(n, coordination.UserRequest{Kind: coordination.Cancel, Job: j.Submission.ID}, func(r coordination.Reply, ok bool) {
+	w.askAt(n, message.UserRequest{Kind: message.Cancel, Job: j.Submission.ID}, func(r message.Reply, ok bool) {
 		if ok && r.Status == 200 {
 			w.checkStatus(j, r, asked)
 			return
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -4,8 +4,9 @@
 	"slices"
 	"time"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 )
 
 type work struct {
@@ -236,14 +237,14 @@
 	if f.Copy > 0 {
 		// A late copy, whose answer nobody reads.
 		w.After(f.Copy, func() {
-			w.Controllers[node].deliver(coordination.HeartbeatRequest{Heartbeat: r}, func(coordination.Reply) {})
+			w.Controllers[node].deliver(message.HeartbeatRequest{Heartbeat: r}, func(message.Reply) {})
 		})
 	}
 	if f.LoseRequest {
 		return
 	}
 	w.After(f.Request, func() {
-		w.Controllers[node].deliver(coordination.HeartbeatRequest{Heartbeat: r}, func(a coordination.Reply) {
+		w.Controllers[node].deliver(message.HeartbeatRequest{Heartbeat: r}, func(a message.Reply) {
 			if f.LoseAnswer {
 				return
 			}
@@ -374,10 +375,10 @@
 }
 
 // execute executes direct commands, however late they come.
-func (k *Worker) execute(c coordination.CommandsCall) coordination.CommandsResult {
-	r := coordination.CommandsResult{ID: c.ID, Machine: c.Machine}
+func (k *Worker) execute(c message.CommandsCall) message.CommandsResult {
+	r := message.CommandsResult{ID: c.ID, Machine: c.Machine}
 	if c.FencingToken < k.token || c.Incarnation != k.session {
-		r.Outcome = coordination.Conflict
+		r.Outcome = rpc.Conflict
 	} else {
 		k.sawToken(c.FencingToken)
 		o, err := protocol.DecodeCommands(protocol.EncodeCommands(c.FencingToken, c.Incarnation, c.Commands))
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -7,7 +7,8 @@
 	"time"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
+	"oakpick/internal/controller"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -47,7 +48,7 @@
 	AsProduction func(key string, value []byte) []byte
 
 	// OnEffect is told of every effect of a controller, before it is carried out.
-	OnEffect func(node string, effect coordination.Effect)
+	OnEffect func(node string, effect message.Effect)
 
 	// KilledByLease counts tasks that workers ended because their lease had lapsed.
 	KilledByLease int
@@ -184,8 +185,8 @@
 		return -1
 	}
 	known := -1
-	l.Request(coordination.AdminRequest{Kind: coordination.AdminStatus}, func(r coordination.Reply) {
-		var status coordination.Status
+	l.Request(message.AdminRequest{Kind: message.AdminStatus}, func(r message.Reply) {
+		var status controller.Status
 		if json.Unmarshal(r.Body, &status) != nil || status.Leads == nil {
 			return
 		}
--- a/internal/coordination/messages.go
+++ b/internal/message/messages.go
@@ -1,9 +1,13 @@
-package coordination
+// Package message defines what goes into the controller's state machine and what comes out
+// of it: events and effects. The machine itself does no input or output; the process round
+// it turns requests and results into events and carries the effects out.
+package message
 
 import (
 	"time"
 
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
 )
 
@@ -14,22 +18,8 @@
 	WallMs    int64
 }
 
-// forLimiter is the steady clock as rate limiters take it.
-func (n Now) forLimiter() time.Time { return time.Unix(1, 0).Add(n.Monotonic) }
-
-// Outcome is how a call to another component ended.
-type Outcome = storage.Outcome
-
-// Outcomes.
-const (
-	OK       = storage.OK
-	Conflict = storage.Conflict
-	NotFound = storage.NotFound
-	Invalid  = storage.Invalid
-	Refused  = storage.Refused
-	NotSent  = storage.NotSent
-	Unknown  = storage.Unknown
-)
+// LimiterTime is the steady clock as rate limiters take it.
+func (n Now) LimiterTime() time.Time { return time.Unix(1, 0).Add(n.Monotonic) }
 
 // Event is what goes into Step: a request, an answer to an effect, or time.
 type Event interface{ event() }
@@ -69,7 +59,7 @@
 	// CloudResult answers a CloudCall.
 	CloudResult struct {
 		ID       uint64
-		Outcome  Outcome
+		Outcome  rpc.Outcome
 		Types    []protocol.MachineType
 		List     protocol.MachineList
 		Machines []string
@@ -78,7 +68,7 @@
 	CommandsResult struct {
 		ID        uint64
 		Machine   string
-		Outcome   Outcome
+		Outcome   rpc.Outcome
 		Heartbeat *protocol.Heartbeat
 	}
 	// PeerResult answers a PeerCall.
@@ -205,3 +195,22 @@
 	Info
 	Error
 )
+
+// AdminRequestKind is what an operator asks.
+type AdminRequestKind uint8
+
+// What operators ask.
+const (
+	AdminStatus AdminRequestKind = iota
+	AdminRead
+	AdminChange
+	AdminJob
+)
+
+// AdminRequest is a request of an operator; its body and its answer are JSON.
+type AdminRequest struct {
+	ID   uint64
+	Kind AdminRequestKind
+	Body []byte
+	Job  string // that AdminJob is about
+}
--- /dev/null
+++ b/internal/message/stats.go
@@ -0,0 +1,30 @@
+package message
+
+// Stats are counts since the process began.
+type Stats struct {
+	JobsSubmitted     int64 `json:"submitted"`
+	JobsPolled        int64 `json:"polled"`
+	JobsCancelled     int64 `json:"cancelled"`
+	Heartbeats        int64 `json:"reports"`
+	StaleHeartbeats   int64 `json:"stale_reports"`
+	TasksStarted      int64 `json:"starts"`
+	TasksLost         int64 `json:"tasks_lost"`
+	TasksFinished     int64 `json:"tasks_finished"`
+	TasksPreempted    int64 `json:"tasks_preempted"`
+	ReplicasMoved     int64 `json:"replicas_moved"`
+	TasksFailed       int64 `json:"tasks_failed"`
+	TokensAdvanced    int64 `json:"tokens_raised"`
+	TermsTaken        int64 `json:"terms_taken"`
+	MachinesScaledOut int64 `json:"machines_rented"`
+	MachinesScaledIn  int64 `json:"machines_returned"`
+	Writes            int64 `json:"writes"`
+	WritesRetried     int64 `json:"writes_retried"`
+	MachinesExamined  int64 `json:"machines_looked_at"`
+	JobsExamined      int64 `json:"jobs_looked_at"`
+	// Pauses are the times that the process stood still, see pauses.go.
+	Pauses         int64 `json:"pauses"`
+	PausedMs       int64 `json:"paused_ms"`
+	LongestPauseMs int64 `json:"longest_pause_ms"`
+	// RequestsDeferred are requests that waited for a leader to be known.
+	RequestsDeferred int64 `json:"requests_deferred"`
+}
--- a/internal/scale/carrier.go
+++ b/internal/scale/carrier.go
@@ -8,10 +8,10 @@
 
 	"github.com/valyala/fasthttp"
 
-	"oakpick/internal/coordination"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
-	"oakpick/internal/storage"
+	"oakpick/internal/rpc"
 )
 
 // carrier brings requests of workers and users to the controllers, each worker over a
@@ -52,7 +52,7 @@
 		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(host)}
 	}
 	return &fasthttp.HostClient{
-		Addr: to, MaxConns: conns, MaxIdemponentCallAttempts: 1, RetryIfErr: storage.NoRetry, NoDefaultUserAgentHeader: true,
+		Addr: to, MaxConns: conns, MaxIdemponentCallAttempts: 1, RetryIfErr: rpc.NeverRetry, NoDefaultUserAgentHeader: true,
 		MaxIdleConnDuration: time.Hour, ReadBufferSize: 4096, WriteBufferSize: 1024,
 		Dial: func(addr string) (net.Conn, error) {
 			conn, err := dialer.Dial("tcp4", addr)
@@ -67,17 +67,17 @@
 // to is how requests reach a controller. The world's owner calls it, and the replies come
 // back through it.
 func (c *carrier) to(controller int) fake.RemoteSend {
-	return func(request coordination.Request, reply func(coordination.Reply)) {
+	return func(request message.Request, reply func(message.Reply)) {
 		switch r := request.(type) {
-		case coordination.HeartbeatRequest:
+		case message.HeartbeatRequest:
 			c.report(controller, r.Heartbeat, reply)
-		case coordination.UserRequest:
+		case message.UserRequest:
 			c.user(controller, r, reply)
 		}
 	}
 }
 
-func (c *carrier) report(controller int, r *protocol.Heartbeat, reply func(coordination.Reply)) {
+func (c *carrier) report(controller int, r *protocol.Heartbeat, reply func(message.Reply)) {
 	link := c.workers[r.Machine]
 	if link == nil || link.controller != controller {
 		if link != nil {
@@ -93,17 +93,17 @@
 	}()
 }
 
-func (c *carrier) user(controller int, u coordination.UserRequest, reply func(coordination.Reply)) {
+func (c *carrier) user(controller int, u message.UserRequest, reply func(message.Reply)) {
 	method, path, what := http.MethodPost, protocol.PathJobs, "submit"
 	wait := protocol.SubmitTimeoutS * time.Second
 	var body []byte
 	switch u.Kind {
-	case coordination.Submit:
+	case message.Submit:
 		body = protocol.EncodeSubmission(u.Submission)
-	case coordination.Poll:
+	case message.Poll:
 		method, path, what = http.MethodGet, protocol.JobPath(u.Job, false), "poll"
 		wait = protocol.PollTimeoutS * time.Second
-	case coordination.Cancel:
+	case message.Cancel:
 		path, what = protocol.JobPath(u.Job, true), "cancel"
 	}
 	c.meter.traffic[kindUser].messages.Add(1)
@@ -123,7 +123,7 @@
 }
 
 // call makes a request; a status of 0 says that there was no answer.
-func call(client *fasthttp.HostClient, method, path string, body []byte, wait time.Duration) coordination.Reply {
+func call(client *fasthttp.HostClient, method, path string, body []byte, wait time.Duration) message.Reply {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
@@ -134,9 +134,9 @@
 		req.SetBody(body)
 	}
 	if err := client.DoTimeout(req, res, wait); err != nil {
-		return coordination.Reply{}
+		return message.Reply{}
 	}
-	return coordination.Reply{
+	return message.Reply{
 		Status: res.StatusCode(), Body: append([]byte(nil), res.Body()...), RetryAfterS: retryAfter(res),
 	}
 }
--- a/internal/scale/servers.go
+++ b/internal/scale/servers.go
@@ -11,8 +11,9 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/time/rate"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
 	"oakpick/internal/transport"
 )
@@ -127,14 +128,14 @@
 		respond(ctx, http.StatusBadRequest, nil)
 		return
 	}
-	call := coordination.CommandsCall{Machine: host.(string), FencingToken: o.FencingToken, Incarnation: o.Incarnation, Commands: o.Commands}
-	r, ok := asked(s.loop, func(answer func(coordination.CommandsResult)) { s.loop.world.ServeCommands(call, answer) })
+	call := message.CommandsCall{Machine: host.(string), FencingToken: o.FencingToken, Incarnation: o.Incarnation, Commands: o.Commands}
+	r, ok := asked(s.loop, func(answer func(message.CommandsResult)) { s.loop.world.ServeCommands(call, answer) })
 	if !ok {
 		unanswered(ctx)
 		return
 	}
 	status := http.StatusOK
-	if r.Outcome == coordination.Conflict {
+	if r.Outcome == rpc.Conflict {
 		status = http.StatusConflict
 	}
 	respond(ctx, status, protocol.EncodeHeartbeat(r.Heartbeat))
@@ -148,40 +149,40 @@
 		respond(ctx, http.StatusBadRequest, nil)
 		return
 	}
-	r, ok := asked(s.loop, func(answer func(coordination.CloudResult)) { s.loop.world.ServeCloud(call, answer) })
+	r, ok := asked(s.loop, func(answer func(message.CloudResult)) { s.loop.world.ServeCloud(call, answer) })
 	switch {
 	case !ok:
 		unanswered(ctx)
-	case r.Outcome == coordination.Invalid:
+	case r.Outcome == rpc.Invalid:
 		respond(ctx, http.StatusBadRequest, nil)
-	case r.Outcome == coordination.NotFound:
+	case r.Outcome == rpc.NotFound:
 		respond(ctx, http.StatusServiceUnavailable, protocol.EncodeNoCapacity())
-	case r.Outcome != coordination.OK:
+	case r.Outcome != rpc.OK:
 		respond(ctx, http.StatusServiceUnavailable, protocol.EncodeError("trouble"))
-	case call.Op == coordination.CloudListTypes:
+	case call.Op == message.CloudListTypes:
 		respond(ctx, http.StatusOK, protocol.MachineTypes{Types: r.Types})
-	case call.Op == coordination.CloudListMachines:
+	case call.Op == message.CloudListMachines:
 		respond(ctx, http.StatusOK, pageOf(r.List, call.StartAfter, ctx.QueryArgs().GetUintOrZero("limit")))
 	default:
 		respond(ctx, http.StatusOK, protocol.MachineNames{Names: r.Machines})
 	}
 }
 
-func cloudCall(ctx *fasthttp.RequestCtx) (coordination.CloudCall, bool) {
+func cloudCall(ctx *fasthttp.RequestCtx) (message.CloudCall, bool) {
 	switch path := string(ctx.Path()); {
 	case path == protocol.PathMachineTypes:
-		return coordination.CloudCall{Op: coordination.CloudListTypes}, true
+		return message.CloudCall{Op: message.CloudListTypes}, true
 	case path == protocol.PathScaleOut && ctx.IsGet():
-		return coordination.CloudCall{Op: coordination.CloudListMachines, StartAfter: string(ctx.QueryArgs().Peek("after"))}, true
+		return message.CloudCall{Op: message.CloudListMachines, StartAfter: string(ctx.QueryArgs().Peek("after"))}, true
 	case path == protocol.PathScaleOut:
-		c := coordination.CloudCall{Op: coordination.CloudScaleOut}
+		c := message.CloudCall{Op: message.CloudScaleOut}
 		return c, protocol.Decode(ctx.PostBody(), &c.Provisioning) == nil
 	case path == protocol.PathScaleIn:
 		var hosts protocol.MachineNames
 		err := protocol.Decode(ctx.PostBody(), &hosts)
-		return coordination.CloudCall{Op: coordination.CloudScaleIn, Machines: hosts.Names}, err == nil
+		return message.CloudCall{Op: message.CloudScaleIn, Machines: hosts.Names}, err == nil
 	}
-	return coordination.CloudCall{}, false
+	return message.CloudCall{}, false
 }
 
 // pageOf is the part of the machine list behind a name, as long as the limit allows.
@@ -247,14 +248,14 @@
 
 func respondState(ctx *fasthttp.RequestCtx, call storage.StateCall, r storage.StateResult) {
 	switch r.Outcome {
-	case storage.OK:
-	case storage.Conflict:
+	case rpc.OK:
+	case rpc.Conflict:
 		respond(ctx, http.StatusConflict, protocol.TxnResponse{Revision: r.Revision})
 		return
-	case storage.NotFound:
+	case rpc.NotFound:
 		respond(ctx, http.StatusNotFound, nil)
 		return
-	case storage.Invalid:
+	case rpc.Invalid:
 		respond(ctx, http.StatusBadRequest, protocol.EncodeError("refused"))
 		return
 	default:
--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -2,8 +2,6 @@
 
 import (
 	"cmp"
-	"errors"
-	"net"
 	"strconv"
 	"time"
 
@@ -11,21 +9,7 @@
 
 	"oakpick/internal/config"
 	"oakpick/internal/protocol"
-)
-
-// Outcome is how a call to another component ended.
-type Outcome uint8
-
-// Outcomes. NotSent and Refused prove that nothing was executed; after Lost it
-// may have been, or may yet be.
-const (
-	OK Outcome = iota
-	Conflict
-	NotFound
-	Invalid
-	Refused
-	NotSent
-	Unknown
+	"oakpick/internal/rpc"
 )
 
 // StateOp is a request to the state service.
@@ -56,7 +40,7 @@
 // StateResult answers a StateCall.
 type StateResult struct {
 	ID       uint64
-	Outcome  Outcome
+	Outcome  rpc.Outcome
 	Revision int64 // a lease, or the revision of a transaction
 	Entry    protocol.Entry
 	List     protocol.EntryList
@@ -72,32 +56,11 @@
 // listEntries is how many entries a list asks for.
 const listEntries = 200
 
-// DialError marks a connection that was never made: nothing was sent on it.
-type DialError struct{ Err error }
-
-func (e *DialError) Error() string { return "dial: " + e.Err.Error() }
-func (e *DialError) Unwrap() error { return e.Err }
-
-// Dial connects within a time, and marks failures as such.
-func Dial(wait time.Duration) fasthttp.DialFunc {
-	return func(addr string) (net.Conn, error) {
-		c, err := net.DialTimeout("tcp4", addr, wait)
-		if err != nil {
-			return nil, &DialError{err}
-		}
-		return c, nil
-	}
-}
-
-// NoRetry keeps the HTTP library from sending anything twice by itself: every
-// repeat is a decision of coordination, which has to know of it.
-func NoRetry(*fasthttp.Request, int, error) (bool, bool) { return false, false }
-
 // NewClient makes a client. Calls are given up after wait, renewals after renewalTimeout.
 func NewClient(addr string, wait, renewWait time.Duration) *Client {
 	host := func(conns int, dial time.Duration) *fasthttp.HostClient {
 		return &fasthttp.HostClient{
-			Addr: addr, Dial: Dial(dial), MaxConns: conns, MaxIdemponentCallAttempts: 1, RetryIfErr: NoRetry,
+			Addr: addr, Dial: rpc.Dial(dial), MaxConns: conns, MaxIdemponentCallAttempts: 1, RetryIfErr: rpc.NeverRetry,
 			MaxResponseBodySize: 1 << 20, NoDefaultUserAgentHeader: true, MaxConnWaitTimeout: dial,
 			MaxIdleConnDuration: 10 * wait,
 		}
@@ -106,24 +69,24 @@
 }
 
 // Do makes a call and waits for its outcome.
-func (c *Client) Do(call StateCall) StateResult {
+func (c *Client) Do(request StateCall) StateResult {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
 	client, wait := c.calls, c.timeout
-	if call.Op == StateRenewLease || call.Op == StateRevokeLease {
+	if request.Op == StateRenewLease || request.Op == StateRevokeLease {
 		client, wait = c.renewals, c.renewalTimeout
 	}
-	req.SetRequestURI("http://" + client.Addr + call.path())
-	call.write(req)
-	r := StateResult{ID: call.ID}
+	req.SetRequestURI("http://" + client.Addr + request.path())
+	request.write(req)
+	r := StateResult{ID: request.ID}
 	if err := client.DoTimeout(req, res, wait); err != nil {
-		r.Outcome = Failure(err)
+		r.Outcome = rpc.OutcomeOfError(err)
 		return r
 	}
-	r.Outcome = outcome(res.StatusCode())
-	if r.Outcome == OK {
-		r.read(call.Op, res.Body())
+	r.Outcome = rpc.OutcomeOfStatus(res.StatusCode())
+	if r.Outcome == rpc.OK {
+		r.read(request.Op, res.Body())
 	}
 	return r
 }
@@ -192,31 +155,6 @@
 		r.Revision = g.Lease
 	}
 	if err != nil {
-		r.Outcome = Unknown // an answer that can't be read tells nothing
-	}
-}
-
-// Failure tells whether a call that brought no answer was sent at all.
-func Failure(err error) Outcome {
-	var dial *DialError
-	if errors.As(err, &dial) || errors.Is(err, fasthttp.ErrNoFreeConns) {
-		return NotSent
-	}
-	return Unknown
-}
-
-func outcome(status int) Outcome {
-	switch status {
-	case fasthttp.StatusOK:
-		return OK
-	case fasthttp.StatusConflict:
-		return Conflict
-	case fasthttp.StatusNotFound:
-		return NotFound
-	case fasthttp.StatusBadRequest:
-		return Invalid
-	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
-		return Refused
+		r.Outcome = rpc.Unknown // an answer that can't be read tells nothing
 	}
-	return Unknown
 }
--- a/internal/storage/split_test.go
+++ b/internal/storage/split_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
 )
 
 // keys is a state service's content, as far as pages go.
@@ -22,22 +23,22 @@
 }
 
 // apply carries a transaction out, if its conditions hold and it is within the limits.
-func (k *keys) apply(w *Write) Outcome {
+func (k *keys) apply(w *Write) rpc.Outcome {
 	for _, c := range w.Txn.Then {
 		if sizeInJSON(k.t, c.Value) > k.limit || len(w.Txn.Then) > k.changes {
-			return Invalid
+			return rpc.Invalid
 		}
 	}
 	for _, c := range w.Txn.If {
 		if c.Key != term.Key && k.version[c.Key] != c.Version {
-			return Conflict
+			return rpc.Conflict
 		}
 	}
 	k.next++
 	for _, c := range w.Txn.Then {
 		k.values[c.Put], k.version[c.Put] = protocol.Encode(c.Value), k.next
 	}
-	return OK
+	return rpc.OK
 }
 
 func (k *keys) entries() []protocol.Entry {
@@ -121,7 +122,7 @@
 				old.MarkDirty(0, r, nil)
 				want[r.name] = 0
 			}
-			if w := old.NextWrite(0, term, true); w == nil || k.apply(w) != OK || len(w.Txn.Then) != 1 {
+			if w := old.NextWrite(0, term, true); w == nil || k.apply(w) != rpc.OK || len(w.Txn.Then) != 1 {
 				t.Fatalf("%s: the old version's page: %+v", c.name, w)
 			}
 			limits := Limits{PageBytes(2), c.changes, 1000}
@@ -152,10 +153,10 @@
 						break
 					}
 					switch k.apply(w) {
-					case OK:
+					case rpc.OK:
 						written++
 						s.MarkCommitted(w, k.next)
-					case Invalid:
+					case rpc.Invalid:
 						if known {
 							t.Fatalf("%s: refused for its size again", c.name)
 						}
@@ -206,7 +207,7 @@
 	changes, done := 0, time.Duration(0)
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
 		for w := s.NextWrite(now, term, true); w != nil; w = s.NextWrite(now, term, true) {
-			if k.apply(w) != OK {
+			if k.apply(w) != rpc.OK {
 				t.Fatal("not taken")
 			}
 			changes += len(w.Txn.Then)
@@ -279,7 +280,7 @@
 		for i := range 40 {
 			now := from + time.Duration(i)*100*time.Millisecond
 			for w := s.NextWrite(now, term, true); w != nil; w = s.NextWrite(now, term, true) {
-				if k.apply(w) != OK {
+				if k.apply(w) != rpc.OK {
 					t.Fatalf("refused: %d changes", len(w.Txn.Then))
 				}
 				s.MarkCommitted(w, k.next)
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -7,9 +7,9 @@
 	"github.com/valyala/fasthttp"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
-	"oakpick/internal/storage"
+	"oakpick/internal/rpc"
 )
 
 // Cloud speaks to the cloud.
@@ -22,41 +22,41 @@
 func NewCloud(addr string, w config.Workers) *Cloud {
 	wait := config.Seconds(w.HeartbeatIntervalS * 1.5)
 	return &Cloud{wait: wait, client: &fasthttp.HostClient{
-		Addr: addr, Dial: storage.Dial(wait / 2), MaxConns: config.CloudConnections, MaxIdemponentCallAttempts: 1, RetryIfErr: storage.NoRetry,
+		Addr: addr, Dial: rpc.Dial(wait / 2), MaxConns: config.CloudConnections, MaxIdemponentCallAttempts: 1, RetryIfErr: rpc.NeverRetry,
 		MaxResponseBodySize: 1 << 20, NoDefaultUserAgentHeader: true,
 	}}
 }
 
 // Do makes a call and waits for its outcome.
-func (c *Cloud) Do(call coordination.CloudCall) coordination.CloudResult {
+func (c *Cloud) Do(call message.CloudCall) message.CloudResult {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
 	c.write(req, call)
-	r := coordination.CloudResult{ID: call.ID}
+	r := message.CloudResult{ID: call.ID}
 	if err := c.client.DoTimeout(req, res, c.wait); err != nil {
-		r.Outcome = storage.Failure(err)
+		r.Outcome = rpc.OutcomeOfError(err)
 		return r
 	}
 	r.Outcome = cloudOutcome(res.StatusCode(), res.Body())
-	if r.Outcome == coordination.OK && readCloud(&r, call.Op, res.Body()) != nil {
-		r.Outcome = coordination.Unknown // an answer that can't be read tells nothing
+	if r.Outcome == rpc.OK && readCloud(&r, call.Op, res.Body()) != nil {
+		r.Outcome = rpc.Unknown // an answer that can't be read tells nothing
 	}
 	return r
 }
 
 // write makes the request of a call.
-func (c *Cloud) write(req *fasthttp.Request, call coordination.CloudCall) {
+func (c *Cloud) write(req *fasthttp.Request, call message.CloudCall) {
 	uri := "http://" + c.client.Addr
 	switch call.Op {
-	case coordination.CloudListTypes:
+	case message.CloudListTypes:
 		uri += protocol.PathMachineTypes
-	case coordination.CloudListMachines:
+	case message.CloudListMachines:
 		uri += protocol.PathScaleOut + "?" + listQuery(call.StartAfter)
-	case coordination.CloudScaleOut:
+	case message.CloudScaleOut:
 		uri += protocol.PathScaleOut
 		writeBody(req, protocol.Encode(call.Provisioning))
-	case coordination.CloudScaleIn:
+	case message.CloudScaleIn:
 		uri += protocol.PathScaleIn
 		writeBody(req, protocol.Encode(protocol.MachineNames{Names: call.Machines}))
 	}
@@ -81,34 +81,34 @@
 }
 
 // cloudOutcome tells what an answer's status means.
-func cloudOutcome(status int, body []byte) coordination.Outcome {
+func cloudOutcome(status int, body []byte) rpc.Outcome {
 	switch status {
 	case fasthttp.StatusOK:
-		return coordination.OK
+		return rpc.OK
 	case fasthttp.StatusBadRequest:
-		return coordination.Invalid
+		return rpc.Invalid
 	case fasthttp.StatusServiceUnavailable:
 		if protocol.NoCapacity(body) {
-			return coordination.NotFound
+			return rpc.NotFound
 		}
-		return coordination.Refused
+		return rpc.Refused
 	case fasthttp.StatusTooManyRequests:
-		return coordination.Refused
+		return rpc.Refused
 	}
-	return coordination.Unknown
+	return rpc.Unknown
 }
 
 // readCloud reads what a call has brought.
-func readCloud(r *coordination.CloudResult, op coordination.CloudOp, body []byte) error {
+func readCloud(r *message.CloudResult, op message.CloudOp, body []byte) error {
 	switch op {
-	case coordination.CloudListTypes:
+	case message.CloudListTypes:
 		var a protocol.MachineTypes
 		err := protocol.Decode(body, &a)
 		r.Types = a.Types
 		return err
-	case coordination.CloudListMachines:
+	case message.CloudListMachines:
 		return protocol.Decode(body, &r.List)
-	case coordination.CloudScaleOut:
+	case message.CloudScaleOut:
 		var a protocol.MachineNames
 		err := protocol.Decode(body, &a)
 		r.Machines = a.Names
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -15,14 +15,14 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/net/http2"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
 // Owner is the one goroutine that owns all state. Do hands it a command and
 // waits for the reply, for so long at most.
 type Owner interface {
-	Do(request coordination.Request, raw Raw, wait time.Duration) coordination.Reply
+	Do(request message.Request, raw Raw, wait time.Duration) message.Reply
 	Healthy() bool
 }
 
@@ -43,8 +43,8 @@
 const retrySoon = 1 // seconds after which a refused request may come again
 
 // userWait leaves time for the answer's way within what users wait.
-func userWait(kind coordination.UserRequestKind) time.Duration {
-	if kind == coordination.Poll {
+func userWait(kind message.UserRequestKind) time.Duration {
+	if kind == message.Poll {
 		return protocol.PollTimeoutS * time.Second * 3 / 4
 	}
 	return protocol.SubmitTimeoutS * time.Second * 3 / 4
@@ -62,7 +62,7 @@
 		NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true, DisablePreParseMultipartForm: true,
 		Logger: Quiet{},
 		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
-			write(ctx, coordination.Reply{Status: 400, Body: protocol.EncodeError("malformed request")})
+			write(ctx, message.Reply{Status: 400, Body: protocol.EncodeError("malformed request")})
 			if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 				ctx.SetConnectionClose()
 			}
@@ -83,7 +83,7 @@
 // Serve serves a listener until it is closed.
 func (f *Front) Serve(l net.Listener) error { return f.server.Serve(l) }
 
-func write(ctx *fasthttp.RequestCtx, r coordination.Reply) {
+func write(ctx *fasthttp.RequestCtx, r message.Reply) {
 	ctx.SetStatusCode(r.Status)
 	ctx.SetContentType(protocol.ContentType)
 	if r.RetryAfterS > 0 {
@@ -102,7 +102,7 @@
 		if method != http.MethodGet {
 			write(ctx, wrongMethod)
 		} else if f.owner.Healthy() {
-			write(ctx, coordination.Reply{Status: 200, Body: healthy})
+			write(ctx, message.Reply{Status: 200, Body: healthy})
 		} else {
 			write(ctx, Busy("not ready"))
 		}
@@ -113,10 +113,10 @@
 		}
 		r, err := protocol.DecodeHeartbeat(ctx.PostBody())
 		if err != nil {
-			write(ctx, coordination.Reply{Status: 400, Body: protocol.EncodeError(err.Error())})
+			write(ctx, message.Reply{Status: 400, Body: protocol.EncodeError(err.Error())})
 			return
 		}
-		write(ctx, f.owner.Do(coordination.HeartbeatRequest{Heartbeat: r}, Raw{}, protocol.SubmitTimeoutS*time.Second/2))
+		write(ctx, f.owner.Do(message.HeartbeatRequest{Heartbeat: r}, Raw{}, protocol.SubmitTimeoutS*time.Second/2))
 	default:
 		write(ctx, serveUser(f.owner, f.limit, Raw{Method: method, Path: path, Body: ctx.PostBody()}))
 	}
@@ -124,47 +124,47 @@
 
 var (
 	healthy     = protocol.Encode(map[string]bool{"ok": true})
-	wrongMethod = coordination.Reply{Status: 405, Body: protocol.EncodeError("wrong method")}
-	notFound    = coordination.Reply{Status: 404, Body: protocol.EncodeError("no such path")}
+	wrongMethod = message.Reply{Status: 405, Body: protocol.EncodeError("wrong method")}
+	notFound    = message.Reply{Status: 404, Body: protocol.EncodeError("no such path")}
 )
 
 // Busy is the refusal of a request that may come again soon.
-func Busy(why string) coordination.Reply {
-	return coordination.Reply{Status: 503, Body: protocol.EncodeError(why), RetryAfterS: retrySoon}
+func Busy(why string) message.Reply {
+	return message.Reply{Status: 503, Body: protocol.EncodeError(why), RetryAfterS: retrySoon}
 }
 
 // serveUser answers a user's request, whether it came straight or from a peer.
-func serveUser(owner Owner, limit *Limit, raw Raw) coordination.Reply {
+func serveUser(owner Owner, limit *Limit, raw Raw) message.Reply {
 	id, cancel, ok := protocol.SplitJobPath(raw.Path)
 	if !ok {
 		return notFound
 	}
-	call := coordination.UserRequest{Job: id}
+	call := message.UserRequest{Job: id}
 	want := http.MethodPost
 	switch {
 	case id == "":
-		call.Kind = coordination.Submit
+		call.Kind = message.Submit
 	case cancel:
-		call.Kind = coordination.Cancel
+		call.Kind = message.Cancel
 	default:
-		call.Kind, want = coordination.Poll, http.MethodGet
+		call.Kind, want = message.Poll, http.MethodGet
 	}
 	if raw.Method != want {
 		return wrongMethod
 	}
-	if call.Kind == coordination.Submit {
+	if call.Kind == message.Submit {
 		s, err := protocol.DecodeSubmission(raw.Body)
 		if err != nil {
-			return coordination.Reply{Status: 400, Body: protocol.EncodeError(err.Error())}
+			return message.Reply{Status: 400, Body: protocol.EncodeError(err.Error())}
 		}
 		call.Submission, call.Job = s, s.ID
 	}
 	// A cancellation is never shed, nor is what a peer has already let in.
-	if call.Kind == coordination.Cancel || raw.FromPeer {
+	if call.Kind == message.Cancel || raw.FromPeer {
 		return owner.Do(call, raw, userWait(call.Kind))
 	}
-	answer := func() coordination.Reply { return owner.Do(call, raw, userWait(call.Kind)) }
-	if call.Kind == coordination.Submit {
+	answer := func() message.Reply { return owner.Do(call, raw, userWait(call.Kind)) }
+	if call.Kind == message.Submit {
 		return limit.RunFirst(answer)
 	}
 	return limit.Run(answer)
@@ -195,14 +195,14 @@
 		http.Error(w, "body", http.StatusBadRequest)
 		return
 	}
-	var reply coordination.Reply
+	var reply message.Reply
 	if r.URL.Path == protocol.PathStepDown {
 		var m protocol.StepDown
 		if protocol.Decode(body, &m) != nil {
 			http.Error(w, "body", http.StatusBadRequest)
 			return
 		}
-		reply = s.owner.Do(coordination.StepDownRequest{Term: m.Term, Leader: m.Leader, AsksArchive: m.ReadsArchive}, Raw{}, protocol.PollTimeoutS*time.Second)
+		reply = s.owner.Do(message.StepDownRequest{Term: m.Term, Leader: m.Leader, AsksArchive: m.ReadsArchive}, Raw{}, protocol.PollTimeoutS*time.Second)
 	} else {
 		reply = serveUser(s.owner, s.limit, Raw{Method: r.Method, Path: r.URL.Path, Body: body, FromPeer: true})
 	}
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -9,18 +9,18 @@
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fasthttp/fasthttputil"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
 type owner struct {
-	reply coordination.Reply
+	reply message.Reply
 	wait  time.Duration
 	got   []any
 	well  bool
 }
 
-func (o *owner) Do(c coordination.Request, _ Raw, _ time.Duration) coordination.Reply {
+func (o *owner) Do(c message.Request, _ Raw, _ time.Duration) message.Reply {
 	o.got = append(o.got, c)
 	time.Sleep(o.wait)
 	return o.reply
@@ -51,7 +51,7 @@
 }
 
 func TestFrontSortsRequests(t *testing.T) {
-	o := &owner{reply: coordination.Reply{Status: 200}, well: true}
+	o := &owner{reply: message.Reply{Status: 200}, well: true}
 	c := serve(t, o, NewLimit(64, time.Second, func() {}))
 	big := make([]byte, protocol.MaxBody+1)
 	for _, x := range []struct {
@@ -100,10 +100,10 @@
 	done := make(chan int, 100)
 	for range 100 {
 		go func() {
-			done <- limit.Run(func() coordination.Reply {
+			done <- limit.Run(func() message.Reply {
 				in <- struct{}{}
 				<-hold
-				return coordination.Reply{Status: 200}
+				return message.Reply{Status: 200}
 			}).Status
 		}()
 	}
@@ -120,7 +120,7 @@
 	if int(shed.Load()) != refused {
 		t.Errorf("%d counted as shed, %d were", shed.Load(), refused)
 	}
-	o := &owner{reply: coordination.Reply{Status: 200}}
+	o := &owner{reply: message.Reply{Status: 200}}
 	if r := serveUser(o, limit, Raw{Method: "POST", Path: "/v2/runs/wk-1/abort"}); r.Status != 200 {
 		t.Errorf("a cancellation got %d", r.Status)
 	}
--- a/internal/transport/limit.go
+++ b/internal/transport/limit.go
@@ -7,7 +7,7 @@
 
 	"github.com/failsafe-go/failsafe-go/adaptivelimiter"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
 )
 
 // Limit bounds the users' requests in progress. It learns from measured times:
@@ -30,7 +30,7 @@
 
 // Run answers a request if it may be let in, and refuses it at once if not. What is
 // refused so had better come back at a time of its own.
-func (l *Limit) Run(answer func() coordination.Reply) coordination.Reply {
+func (l *Limit) Run(answer func() message.Reply) message.Reply {
 	permit, ok := l.limiter.TryAcquirePermit()
 	if !ok {
 		l.shed()
@@ -43,7 +43,7 @@
 
 // RunFirst answers a request that goes before others: if it can't be let in at once it
 // waits for a while, and is let in before any that comes to Run.
-func (l *Limit) RunFirst(answer func() coordination.Reply) coordination.Reply {
+func (l *Limit) RunFirst(answer func() message.Reply) message.Reply {
 	permit, err := l.limiter.AcquirePermitWithMaxWait(context.Background(), l.patience)
 	if err != nil {
 		l.shed()
@@ -52,7 +52,7 @@
 	return run(permit, answer)
 }
 
-func run(permit adaptivelimiter.Permit, answer func() coordination.Reply) coordination.Reply {
+func run(permit adaptivelimiter.Permit, answer func() message.Reply) message.Reply {
 	r := answer()
 	if r.Status == 503 {
 		permit.Drop() // a refusal's time says nothing of the load
--- a/internal/transport/overload_test.go
+++ b/internal/transport/overload_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
 )
 
 // slowOwner takes ten milliseconds for each command, one after the other, also
@@ -28,12 +28,12 @@
 	return o
 }
 
-func (o *slowOwner) Do(_ coordination.Request, _ Raw, wait time.Duration) coordination.Reply {
+func (o *slowOwner) Do(_ message.Request, _ Raw, wait time.Duration) message.Reply {
 	done := make(chan struct{})
 	o.queue <- done
 	select {
 	case <-done:
-		return coordination.Reply{Status: 200}
+		return message.Reply{Status: 200}
 	case <-time.After(wait):
 		return Busy("not decided in time")
 	}
@@ -91,10 +91,10 @@
 func TestSubmissionsGoBeforeQuestions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := NewLimit(8, 2*time.Second, func() {})
-		answered := func() coordination.Reply { return coordination.Reply{Status: 200} }
+		answered := func() message.Reply { return message.Reply{Status: 200} }
 		hold, asked := make(chan struct{}), 0
 		for limit.limiter.CanAcquirePermit() {
-			go limit.Run(func() coordination.Reply { <-hold; return answered() })
+			go limit.Run(func() message.Reply { <-hold; return answered() })
 			asked++
 			synctest.Wait()
 		}
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -13,7 +13,7 @@
 	"golang.org/x/net/http2"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -46,13 +46,13 @@
 const ForwardedHeader = "Oakpick-Forwarded"
 
 // Forward hands a user's request to a peer and brings back its answer.
-func (p *Peers) Forward(ctx context.Context, peer, method, path string, body []byte) (coordination.Reply, bool) {
+func (p *Peers) Forward(ctx context.Context, peer, method, path string, body []byte) (message.Reply, bool) {
 	res, raw, err := p.call(ctx, peer, method, path, body)
 	if err != nil {
-		return coordination.Reply{}, false
+		return message.Reply{}, false
 	}
 	after, _ := strconv.Atoi(res.Header.Get("Retry-After"))
-	return coordination.Reply{Status: res.StatusCode, Body: raw, RetryAfterS: after}, true
+	return message.Reply{Status: res.StatusCode, Body: raw, RetryAfterS: after}, true
 }
 
 func (p *Peers) call(ctx context.Context, peer, method, path string, body []byte) (*http.Response, []byte, error) {
@@ -71,10 +71,10 @@
 }
 
 // StepDown asks a peer to let go of older terms.
-func (p *Peers) StepDown(ctx context.Context, c coordination.PeerCall) coordination.PeerResult {
+func (p *Peers) StepDown(ctx context.Context, c message.PeerCall) message.PeerResult {
 	ctx, cancel := context.WithTimeout(ctx, p.wait)
 	defer cancel()
-	r := coordination.PeerResult{PeerCall: c}
+	r := message.PeerResult{PeerCall: c}
 	res, raw, err := p.call(ctx, c.Peer, http.MethodPost, protocol.PathStepDown, protocol.Encode(protocol.StepDown{Term: c.Term, Leader: p.own, ReadsArchive: c.AsksArchive}))
 	if err != nil || res.StatusCode != http.StatusOK {
 		return r
--- a/internal/transport/worker_client.go
+++ b/internal/transport/worker_client.go
@@ -8,9 +8,9 @@
 	"github.com/valyala/fasthttp"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
-	"oakpick/internal/storage"
+	"oakpick/internal/rpc"
 )
 
 // Workers sends direct commands to workers, over a bounded number of connections.
@@ -37,7 +37,7 @@
 // NewWorkers makes the client; most tells how many connections it may hold now.
 func NewWorkers(w config.Workers, most func() int) *Workers {
 	wait := config.Seconds(w.HeartbeatIntervalS * 0.75)
-	return &Workers{wait: wait, most: most, dial: storage.Dial(wait * 2 / 3), idle: list.New(), by: map[string]*list.Element{}}
+	return &Workers{wait: wait, most: most, dial: rpc.Dial(wait * 2 / 3), idle: list.New(), by: map[string]*list.Element{}}
 }
 
 // take gives the worker's idle connection, or room for a new one, or nil.
@@ -56,7 +56,7 @@
 	}
 	w.open++
 	return &link{addr, &fasthttp.HostClient{
-		Addr: addr, Dial: w.dial, MaxConns: 1, MaxIdemponentCallAttempts: 1, RetryIfErr: storage.NoRetry,
+		Addr: addr, Dial: w.dial, MaxConns: 1, MaxIdemponentCallAttempts: 1, RetryIfErr: rpc.NeverRetry,
 		MaxResponseBodySize: protocol.MaxBody, NoDefaultUserAgentHeader: true,
 		MaxIdleConnDuration: w.wait * 24,
 	}}
@@ -81,37 +81,37 @@
 }
 
 // Send sends commands and waits for the worker's word.
-func (w *Workers) Send(c coordination.CommandsCall) coordination.CommandsResult {
+func (w *Workers) Send(c message.CommandsCall) message.CommandsResult {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
 	req.SetRequestURI("http://" + c.Addr + protocol.PathCommands)
 	writeBody(req, protocol.EncodeCommands(c.FencingToken, c.Incarnation, c.Commands))
-	r := coordination.CommandsResult{ID: c.ID, Machine: c.Machine}
+	r := message.CommandsResult{ID: c.ID, Machine: c.Machine}
 	l := w.take(c.Addr)
 	if l == nil {
-		r.Outcome = coordination.NotSent
+		r.Outcome = rpc.NotSent
 		return r
 	}
 	err := l.client.DoTimeout(req, res, w.wait)
 	w.put(l, err == nil)
 	if err != nil {
-		r.Outcome = storage.Failure(err)
+		r.Outcome = rpc.OutcomeOfError(err)
 		return r
 	}
 	switch res.StatusCode() {
 	case fasthttp.StatusOK:
-		r.Outcome = coordination.OK
+		r.Outcome = rpc.OK
 	case fasthttp.StatusConflict:
-		r.Outcome = coordination.Conflict
+		r.Outcome = rpc.Conflict
 	default:
-		r.Outcome = coordination.Unknown
+		r.Outcome = rpc.Unknown
 		return r
 	}
 	report, err := protocol.DecodeHeartbeat(res.Body())
 	if err != nil {
-		if r.Outcome == coordination.OK {
-			r.Outcome = coordination.Unknown
+		if r.Outcome == rpc.OK {
+			r.Outcome = rpc.Unknown
 		}
 		return r
 	}
--- a/internal/transport/workers_test.go
+++ b/internal/transport/workers_test.go
@@ -10,7 +10,8 @@
 	"github.com/valyala/fasthttp/fasthttputil"
 
 	"oakpick/internal/config"
-	"oakpick/internal/coordination"
+	"oakpick/internal/message"
+	"oakpick/internal/rpc"
 )
 
 // machines are workers in memory; those that hang accept and never answer.
@@ -62,8 +63,8 @@
 	return w, m
 }
 
-func send(w *Workers, addr string) coordination.Outcome {
-	return w.Send(coordination.CommandsCall{Machine: addr, Addr: addr, FencingToken: 1, Incarnation: 1}).Outcome
+func send(w *Workers, addr string) rpc.Outcome {
+	return w.Send(message.CommandsCall{Machine: addr, Addr: addr, FencingToken: 1, Incarnation: 1}).Outcome
 }
 
 // More machines are told something than there may be connections: the least
@@ -71,7 +72,7 @@
 func TestCommandsShareTheirConnections(t *testing.T) {
 	w, m := pool(t, 3)
 	for _, addr := range []string{"a:1", "b:1", "a:1", "c:1", "a:1", "d:1", "a:1", "b:1"} {
-		if o := send(w, addr); o != coordination.Conflict {
+		if o := send(w, addr); o != rpc.Conflict {
 			t.Fatalf("%s: outcome %d", addr, o)
 		}
 	}
@@ -89,20 +90,20 @@
 	w, m := pool(t, 2)
 	gate := make(chan struct{})
 	m.hang["x:1"], m.hang["y:1"] = gate, gate
-	out := make(chan coordination.Outcome, 2)
+	out := make(chan rpc.Outcome, 2)
 	for addr := range m.hang {
 		go func() { out <- send(w, addr) }()
 	}
 	<-m.begun
 	<-m.begun
-	if o := send(w, "a:1"); o != coordination.NotSent {
+	if o := send(w, "a:1"); o != rpc.NotSent {
 		t.Errorf("outcome %d while no connection was free", o)
 	}
 	close(gate)
 	for range 2 {
 		<-out
 	}
-	if o := send(w, "a:1"); o != coordination.Conflict {
+	if o := send(w, "a:1"); o != rpc.Conflict {
 		t.Errorf("outcome %d after room was made", o)
 	}
 }
