--- /dev/null
+++ b/internal/cluster/images.go
@@ -0,0 +1,82 @@
+package cluster
+
+import (
+	"slices"
+	"time"
+
+	"oakpick/internal/protocol"
+)
+
+// ImageCache is what is known of the images on a machine, least recently used first.
+type ImageCache struct{ images []image }
+
+// image is one that a machine has or fetches.
+type image struct {
+	name    string
+	sizeGB  float64
+	readyAt time.Duration // when its fetch should be over
+}
+
+func (c *ImageCache) index(name string) int {
+	return slices.IndexFunc(c.images, func(i image) bool { return i.name == name })
+}
+
+// busyUntil is when the fetches under way should be over.
+func (c *ImageCache) busyUntil() time.Duration {
+	var until time.Duration
+	for _, i := range c.images {
+		until = max(until, i.readyAt)
+	}
+	return until
+}
+
+// fetch notes that an image will be on a machine of a type.
+func (c *ImageCache) fetch(now time.Duration, name string, sizeGB float64, machineType *protocol.MachineType) {
+	if i := c.index(name); i >= 0 {
+		used := c.images[i]
+		c.images = append(slices.Delete(c.images, i, i+1), used)
+		return
+	}
+	if machineType == nil || machineType.FetchGBPerS <= 0 {
+		return
+	}
+	readyAt := max(now, c.busyUntil()) + time.Duration(sizeGB/machineType.FetchGBPerS*float64(time.Second))
+	c.evict(sizeGB, machineType.CacheGB)
+	c.images = append(c.images, image{name, sizeGB, readyAt})
+}
+
+// evict makes room for an image.
+func (c *ImageCache) evict(sizeGB, capacityGB float64) {
+	total := sizeGB
+	for _, i := range c.images {
+		total += i.sizeGB
+	}
+	for len(c.images) > 0 && total > capacityGB {
+		total -= c.images[0].sizeGB
+		c.images = c.images[1:]
+	}
+}
+
+// NoteArrived notes that a task with an image runs, so that the image is there.
+func (c *ImageCache) NoteArrived(now time.Duration, name string, sizeGB float64) {
+	if i := c.index(name); i >= 0 {
+		c.images[i].readyAt = min(c.images[i].readyAt, now)
+		return
+	}
+	c.images = append(c.images, image{name, sizeGB, now})
+}
+
+// Clear forgets all images.
+func (c *ImageCache) Clear() { c.images = nil }
+
+// fetchTimeS is how many seconds an image would take to be on a machine of a type.
+func (c *ImageCache) fetchTimeS(now time.Duration, name string, sizeGB float64, machineType *protocol.MachineType) float64 {
+	if i := c.index(name); i >= 0 {
+		return max(0, (c.images[i].readyAt - now).Seconds())
+	}
+	if machineType == nil || machineType.FetchGBPerS <= 0 {
+		return 0
+	}
+	busy := max(0, c.busyUntil()-now)
+	return sizeGB/machineType.FetchGBPerS + busy.Seconds()
+}
