--- /dev/null
+++ b/internal/jobs/prerequisites.go
@@ -0,0 +1,117 @@
+package jobs
+
+import (
+	"oakpick/internal/cluster"
+	"oakpick/internal/dependency"
+	"oakpick/internal/message"
+	"oakpick/internal/storage"
+)
+
+const msPerS = 1000
+
+// SplitPrerequisites puts the prerequisites of a new job into records of their own if the
+// job's page can't take them.
+func (m *Manager) SplitPrerequisites(j *cluster.Job) {
+	if j.MinRecordSize() <= m.store.MaxItemSize() {
+		return
+	}
+	for _, record := range storage.SplitPrerequisites(j.ID, j.Prerequisites.IDs, m.store.MaxItemSize()) {
+		j.Prerequisites.Parts = append(j.Prerequisites.Parts, &cluster.PrerequisitesPart{PrerequisitesRecord: record})
+	}
+}
+
+// RecordPrerequisites writes the records of a job's prerequisites, and goes on once all of
+// them are durable: so the job is never found with only some of its prerequisites.
+func (m *Manager) RecordPrerequisites(j *cluster.Job, onCommit func()) {
+	if len(j.Prerequisites.Parts) == 0 {
+		onCommit()
+		return
+	}
+	j.Prerequisites.PartsPending = true
+	waiter := storage.OnDeferredCommit(func() {
+		j.Prerequisites.PartsPending = false
+		onCommit()
+	})
+	for _, part := range j.Prerequisites.Parts {
+		m.markDirty(part, waiter)
+	}
+}
+
+// LinkPrerequisites puts a job into the dependency graph. It reports whether the job is
+// cancelled because one that it needs is, durably.
+func (m *Manager) LinkPrerequisites(j *cluster.Job) (cancelled bool) {
+	var unfinished []*cluster.Job
+	unknown := 0
+	for _, id := range j.Prerequisites.IDs {
+		prerequisite := m.state.Jobs[id]
+		switch end := m.state.EndedJobs[id]; {
+		case end != nil:
+			cancelled = cancelled || end.Cancelled
+		case prerequisite != nil:
+			cancelled = cancelled || prerequisite.IsCancelled()
+			unfinished = append(unfinished, prerequisite)
+		default:
+			// Damage. The job can't start, since it may be too early, nor vanish.
+			unknown++
+			m.context.Log(message.Error, "prerequisite has no record: the job is blocked for good", "job", j.ID, "prerequisite", id)
+		}
+	}
+	if !cancelled && len(unfinished)+unknown > 0 {
+		m.addEdges(j, unfinished, unknown)
+	}
+	return cancelled
+}
+
+func (m *Manager) addEdges(j *cluster.Job, prerequisites []*cluster.Job, unknown int) {
+	node := m.dependencyNode(j)
+	nodes := make([]*dependency.Node, len(prerequisites))
+	for i, prerequisite := range prerequisites {
+		nodes[i] = m.dependencyNode(prerequisite)
+	}
+	if cyclic := m.state.Dependencies.AddEdges(node, nodes, unknown); cyclic > 0 {
+		m.context.Log(message.Error, "prerequisite needs the job itself: the job is blocked for good", "job", j.ID)
+	}
+}
+
+// dependencyNode finds or adds a job's node of the dependency graph.
+func (m *Manager) dependencyNode(j *cluster.Job) *dependency.Node {
+	if node := m.state.Dependencies.Node(j.ID); node != nil {
+		return node
+	}
+	job := dependency.Job{
+		ID: j.ID, Priority: j.Priority, DeadlineMs: dependency.NoDeadline, ExpectedRunMs: int64(m.state.ExpectedRunS(j) * msPerS),
+	}
+	if j.DeadlineS > 0 {
+		job.DeadlineMs = j.SubmittedMs + int64(j.DeadlineS*msPerS)
+	}
+	j.Prerequisites.Node = m.state.Dependencies.Insert(job)
+	return j.Prerequisites.Node
+}
+
+// prerequisiteDone lets the jobs begin that have waited for this one only. It has to be
+// durable that it is done: a successor that didn't know could cancel it still.
+func (m *Manager) prerequisiteDone(id string) {
+	for _, ready := range m.state.Dependencies.Complete(id) {
+		j := m.state.Jobs[ready]
+		j.ReadyMs = m.context.Now.WallMs
+		j.Placement.IdleSince = m.context.Monotonic()
+		m.state.NoteArrival(j)
+		m.state.MoveJobToEnd(j)
+		m.state.NeedsScheduling = true
+	}
+}
+
+// CancelDependents cancels all that need a job whose cancellation is durable. None of them
+// has begun, and nothing is recorded for them but their end: until that is, a successor comes
+// to the same result by the edges.
+func (m *Manager) CancelDependents(id string) {
+	for _, dependent := range m.state.Dependencies.Cancel(id) {
+		j := m.state.Jobs[dependent]
+		if j == nil || j.Lifecycle.Ended {
+			continue
+		}
+		m.context.Log(message.Debug, "job cancelled with its prerequisite", "job", j.ID, "prerequisite", id)
+		Cancel(j, m.context.Monotonic(), true)
+		m.EndIfOver(j, nil)
+	}
+}
