--- /dev/null
+++ b/internal/workers/reconcile.go
@@ -0,0 +1,109 @@
+package workers
+
+import (
+	"slices"
+
+	"oakpick/internal/cluster"
+	"oakpick/internal/protocol"
+)
+
+// reconcileTasks squares the tasks that a worker reports with the records.
+func (m *Manager) reconcileTasks(machine *cluster.Machine, heartbeat *protocol.Heartbeat) {
+	worker := &machine.Worker
+	worker.UnknownTasks = worker.UnknownTasks[:0]
+	reported := make(map[protocol.Attempt]bool, len(heartbeat.Tasks))
+	for _, status := range heartbeat.Tasks {
+		reported[status.Attempt] = true
+		if t := m.findTask(machine, status.Attempt); t != nil {
+			m.reconcileKnown(t, status)
+		} else {
+			m.reconcileUnknown(machine, status)
+		}
+	}
+	for attempt := range worker.FinishedAttempts {
+		if !reported[attempt] {
+			delete(worker.FinishedAttempts, attempt)
+		}
+	}
+	for _, t := range slices.Clone(machine.Tasks) {
+		if t.Incarnation == heartbeat.Incarnation && !reported[t.AttemptName()] && t.Active() {
+			m.reconcileUnreported(t, heartbeat)
+		}
+	}
+}
+
+// findTask finds a reported task among the records.
+func (m *Manager) findTask(machine *cluster.Machine, attempt protocol.Attempt) *cluster.Task {
+	j := m.state.Jobs[attempt.Job]
+	if j == nil || j.Lifecycle.Ended {
+		return nil
+	}
+	t := j.ActiveTasks[attempt.Task]
+	if t == nil || t.Machine != machine || t.Attempt != attempt.Number || t.Incarnation != machine.Worker.Incarnation {
+		return nil
+	}
+	return t
+}
+
+// reconcileUnknown handles a task that is on a machine, but not in the records: it is stopped
+// or, if it has ended, forgotten.
+func (m *Manager) reconcileUnknown(machine *cluster.Machine, status protocol.TaskStatus) {
+	worker := &machine.Worker
+	worker.UnknownTasks = append(worker.UnknownTasks, status)
+	if status.State != protocol.Exited {
+		m.state.QueueCommands(machine)
+		return
+	}
+	if _, ok := worker.FinishedAttempts[status.Attempt]; !ok {
+		// An earlier leader's, or its end was recorded long ago.
+		worker.FinishedAttempts[status.Attempt] = cluster.FinishedAttempt{
+			Committed: true, FencingToken: m.leadership.Token(), EndedAt: m.context.Monotonic(),
+		}
+	}
+}
+
+// reconcileKnown takes in the state of a task that is in the records.
+func (m *Manager) reconcileKnown(t *cluster.Task, status protocol.TaskStatus) {
+	if t.SentToken == 0 && !t.Inherited {
+		return // reported under a number that is only now being given out: impossible, and harmless
+	}
+	if !t.Reported {
+		t.Reported, t.Confirmed = true, true
+	}
+	if status.State == protocol.Exited {
+		m.jobs.HandleExit(t, status)
+		return
+	}
+	if status.State == protocol.Running && !t.Runs() {
+		m.noteStarted(t)
+	}
+	t.State = status.State
+	m.jobs.NoteRunning(t)
+}
+
+// noteStarted notes that a task was seen running for the first time.
+func (m *Manager) noteStarted(t *cluster.Task) {
+	now, j := m.context.Monotonic(), t.Job
+	t.RanSince = now
+	j.HasRun = true
+	t.Machine.Images.NoteArrived(now, j.Image, j.ImageGB)
+	if j.Kind == protocol.Gang {
+		j.Gang.Ran = true
+	}
+}
+
+// reconcileUnreported decides whether a heartbeat that doesn't name a task proves that it is
+// not there and never will be. It does only if the worker had seen a token that voids every
+// start that may still be on its way.
+func (m *Manager) reconcileUnreported(t *cluster.Task, heartbeat *protocol.Heartbeat) {
+	callInFlight := t.Machine.Commands.CallID != 0
+	switch {
+	case t.Inherited && heartbeat.FencingToken >= m.leadership.FirstToken():
+		m.jobs.Lose(t, "heartbeat with this term's token")
+	case t.Inherited || t.SentToken == 0:
+	case heartbeat.FencingToken > t.SentToken && !callInFlight:
+		m.jobs.Lose(t, "heartbeat with a token advanced since")
+	case t.Confirmed && !callInFlight && t.Reported:
+		m.jobs.Lose(t, "the worker no longer names it")
+	}
+}
