--- /dev/null
+++ b/internal/scheduling/gang.go
@@ -0,0 +1,102 @@
+package scheduling
+
+import (
+	"oakpick/internal/cluster"
+)
+
+// scheduleGang starts a gang if every member has a place, or replaces members of an attempt
+// that has not begun to run.
+func (s *Scheduler) scheduleGang(j *cluster.Job) {
+	if j.Gang.Ending {
+		return
+	}
+	idle := j.IdleTasks()
+	if idle < j.Tasks-j.DoneTasks && j.Gang.Ran {
+		return
+	}
+	if j.TasksAwaitingRecord(idle) > 0 {
+		s.noteUnplaced(j, s.withinLimit(j, idle))
+		return
+	}
+	if left := s.withinLimit(j, idle); left < idle {
+		s.preemptWithinLimit(j, idle-left)
+		return
+	}
+	machines := s.machinesForGang(j, idle)
+	switch {
+	case machines != nil:
+		s.startGang(j, machines)
+	case j.Failures.JobAtFault:
+		s.noteFailingUnplaced(j, idle)
+	default:
+		s.noteUnplaced(j, idle)
+		s.makeRoom(j, idle, j.TasksPerZone())
+	}
+}
+
+// machinesForGang finds a machine for each of so many members, or none at all.
+func (s *Scheduler) machinesForGang(j *cluster.Job, members int) []*cluster.Machine {
+	if !j.OneZone || len(j.ActiveTasks) > 0 {
+		return s.machinesInZone(j, members, "")
+	}
+	for _, zone := range s.zones {
+		if machines := s.machinesInZone(j, members, zone); machines != nil {
+			return machines
+		}
+	}
+	return nil
+}
+
+// machinesInZone is machinesForGang within a zone; empty: in any.
+func (s *Scheduler) machinesInZone(j *cluster.Job, members int, zone string) []*cluster.Machine {
+	perZone := j.TasksPerZone()
+	var machines []*cluster.Machine
+	before := reservations{}
+	for range members {
+		machine := s.chooseInZone(j, perZone, zone)
+		if machine == nil {
+			s.undo(before)
+			return nil
+		}
+		before.remember(machine)
+		assign(machine, j, perZone)
+		machines = append(machines, machine)
+	}
+	return machines
+}
+
+// chooseInZone is chooseMachine within a zone; empty: in any.
+func (s *Scheduler) chooseInZone(j *cluster.Job, perZone map[string]int, zone string) *cluster.Machine {
+	if zone == "" {
+		return s.chooseMachine(j, perZone)
+	}
+	own := j.Zone
+	if own != "" && own != zone {
+		return nil
+	}
+	j.Zone = zone
+	machine := s.chooseMachine(j, perZone)
+	j.Zone = own
+	return machine
+}
+
+// startGang records the starts of all members that are missing. None is sent before all are
+// durable.
+func (s *Scheduler) startGang(j *cluster.Job, machines []*cluster.Machine) {
+	if len(j.ActiveTasks) == 0 {
+		j.GangAttempt++
+		j.Gang.Ran = false
+		s.store.MarkDirty(s.context.Monotonic(), j.Blocks[0], nil)
+	}
+	var members []*cluster.Task
+	waiter := j.StartWaiter(func() {
+		for _, t := range members {
+			s.jobs.StartCommitted(t)
+		}
+	})
+	s.noteAttempt(j)
+	for _, machine := range machines {
+		index := j.NextIdle(s.store.MaxItemSize())
+		members = append(members, s.jobs.Start(j, index, machine, waiter))
+	}
+}
