--- a/internal/controller/archive_orderings_test.go
+++ b/internal/controller/archive_orderings_test.go
@@ -137,7 +137,7 @@
 	pollFor(w, 40*time.Second)
 	w.Leader().Crash()
 	pollFor(w, 40*time.Second)
-	notLogged(t, w, "a block of an unknown job is dropped")
+	notLogged(t, w, "block of an unknown job dropped")
 	check(t, w)
 	for _, j := range jobs {
 		if j.Status != protocol.StatusDone {
--- a/internal/controller/deferred.go
+++ b/internal/controller/deferred.go
@@ -6,50 +6,56 @@
 	"oakpick/internal/message"
 )
 
-// deferred is a request to change something that came while nobody was known to lead, or a
-// submission that met a leader so new that it knew no machine types yet. Most changes of
-// leader are over within the term's lease, and to be told to come back takes longer than that.
-type deferred struct {
-	call  message.UserRequest
-	until time.Duration
+// noLeader is why a request is refused that nobody can decide.
+const noLeader = "no leader"
+
+// deferredRequest is a request to change something that came while nobody was known to lead,
+// or a submission that met a leader so new that it knew no machine types yet. Most failovers
+// are over within the leader's lease, and to be told to come back takes longer than that.
+type deferredRequest struct {
+	request  message.UserRequest
+	refuseAt time.Duration
 }
 
-// mayDefer tells whether a request is worth keeping until there is a leader. Questions
-// aren't: their users ask again anyway, and there may be very many of them.
-func (n *Controller) mayDefer(c message.UserRequest) bool {
-	return c.Kind != message.Poll && len(n.deferred) < n.rules.deferMost
+// deferredRequests wait for a leader, in the order in which they came.
+type deferredRequests []deferredRequest
+
+// mayDefer reports whether a request is worth keeping until there is a leader. Polls aren't:
+// their users ask again anyway, and there may be very many of them.
+func (c *Controller) mayDefer(request message.UserRequest) bool {
+	return request.Kind != message.Poll && len(c.deferred) < c.timing.Requests.MaxDeferred
 }
 
-// deferCall keeps a request.
-func (n *Controller) deferCall(c message.UserRequest) {
-	n.Stats.RequestsDeferred++
-	n.deferred = append(n.deferred, deferred{c, n.now.Monotonic + n.rules.deferFor})
+// deferRequest keeps a request.
+func (c *Controller) deferRequest(request message.UserRequest) {
+	c.context.Stats.RequestsDeferred++
+	c.deferred = append(c.deferred, deferredRequest{request, c.context.Monotonic() + c.timing.Requests.DeferTimeout})
 }
 
 // resumeDeferred hands the requests on once there is a leader, and refuses those that have
 // waited for too long.
-func (n *Controller) resumeDeferred() {
-	if len(n.deferred) == 0 {
+func (c *Controller) resumeDeferred() {
+	if len(c.deferred) == 0 {
 		return
 	}
-	waiting := n.deferred
-	n.deferred = nil
+	waiting := c.deferred
+	c.deferred = nil
 	for _, d := range waiting {
 		switch {
-		case n.canDecide(d.call):
-			n.user(d.call)
-		case n.now.Monotonic < d.until:
-			n.deferred = append(n.deferred, d)
+		case c.canHandle(d.request):
+			c.handleUserRequest(d.request)
+		case c.context.Monotonic() < d.refuseAt:
+			c.deferred = append(c.deferred, d)
 		default:
-			n.refuse(d.call.ID, "no leader")
+			c.context.Refuse(d.request.ID, noLeader)
 		}
 	}
 }
 
-// canDecide tells whether a request can be decided here or handed on.
-func (n *Controller) canDecide(c message.UserRequest) bool {
-	if n.engine != nil {
-		return n.certain() && (c.Kind != message.Submit || len(n.engine.fleet.types) > 0)
+// canHandle reports whether a request can be decided here or forwarded.
+func (c *Controller) canHandle(request message.UserRequest) bool {
+	if c.leader != nil {
+		return c.elector.HoldsLease() && (request.Kind != message.Submit || c.leader.autoscaler.KnowsTypes())
 	}
-	return n.otherLeader() != ""
+	return c.elector.OtherLeader() != ""
 }
--- a/internal/controller/early_start_test.go
+++ b/internal/controller/early_start_test.go
@@ -124,7 +124,7 @@
 // blocks pass, and the leader ends. The successor knows no such job, its user submits it
 // again, and the machines that could have been told of the first acceptance can't be
 // asked. Nothing of a job starts before its record is durable (seen on an enlarged bench
-// day as "a block of an unknown job is dropped", with its starts).
+// day as "block of an unknown job dropped", with its starts).
 func TestNothingStartsBeforeItsJobIsDurable(t *testing.T) {
 	for _, shape := range []protocol.JobKind{protocol.Array, protocol.Gang, protocol.Service} {
 		for _, write := range []string{"lost", "late", "refused"} {
@@ -174,7 +174,7 @@
 	pollFor(w, 60*time.Second)
 	check(t, w)
 	for _, line := range w.Log {
-		if strings.Contains(line, "a block of an unknown job is dropped") {
+		if strings.Contains(line, "block of an unknown job dropped") {
 			t.Error(line)
 		}
 	}
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -1,26 +1,25 @@
 package controller
 
-// What the stories need to see of the inside.
-
 import "fmt"
 
 // CheckCounts compares the counts that a leader keeps of each job with its tasks.
-func (n *Controller) CheckCounts() error {
-	if n.engine == nil {
+func (c *Controller) CheckCounts() error {
+	if c.leader == nil {
 		return nil
 	}
-	for _, j := range n.engine.order {
+	for _, j := range c.leader.state.JobOrder {
 		unfinished, stopping := 0, 0
-		for _, t := range j.tasks {
-			if !j.isDone(t.index) {
+		for _, t := range j.ActiveTasks {
+			if !j.IsDone(t.Index) {
 				unfinished++
 			}
-			if t.stopping {
+			if t.Stopping {
 				stopping++
 			}
 		}
-		if unfinished != j.unfinished || stopping != j.stopping {
-			return fmt.Errorf("%s: %d unfinished and %d stopping tasks, counted as %d and %d", j.ID, unfinished, stopping, j.unfinished, j.stopping)
+		if unfinished != j.UnfinishedTasks() || stopping != j.StoppingTasks() {
+			return fmt.Errorf("%s: %d unfinished and %d stopping tasks, counted as %d and %d",
+				j.ID, unfinished, stopping, j.UnfinishedTasks(), j.StoppingTasks())
 		}
 	}
 	return nil
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -146,7 +146,7 @@
 			t.Errorf("another machine is set aside: %s", line)
 		}
 	}
-	if !logged(w, "machine cordoned [host "+faulty) {
+	if !logged(w, "machine cordoned [machine "+faulty) {
 		t.Error("the faulty machine isn't set aside")
 	}
 	check(t, w)
@@ -165,7 +165,7 @@
 		t.Fatal("it isn't taken for the job's fault")
 	}
 	status := jobStatus(t, w, s.ID)
-	if status.Failures == nil || status.Failures.Fault != "job" || len(status.Failures.Machines) < 3 || status.Failures.Why == "" {
+	if status.Failures == nil || status.Failures.Fault != "job" || len(status.Failures.Machines) < 3 || status.Failures.Reason == "" {
 		t.Errorf("operators are told %+v", status.Failures)
 	}
 	j.AlwaysFails = false
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -50,7 +50,7 @@
 	}
 	w.Controllers[0].Crash()
 	w.Run(25 * time.Second)
-	if log := strings.Join(w.Log, "\n"); strings.Contains(log, "machine returned [host "+hosts[0]) {
+	if log := strings.Join(w.Log, "\n"); strings.Contains(log, "machine released [machine "+hosts[0]) {
 		t.Errorf("given back\n%s", log)
 	}
 	check(t, w)
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"oakpick/internal/controller"
+	"oakpick/internal/election"
 	"oakpick/internal/fake"
 	"oakpick/internal/protocol"
 	"oakpick/internal/storage"
@@ -134,7 +134,7 @@
 // asProduction is what is left of a stored value once the version in production has
 // read it and written it back.
 func asProduction(key string, value []byte) []byte {
-	if key == controller.LeaderKey {
+	if key == election.LeaderKey {
 		return writtenBack[productionLeader](value)
 	}
 	return writtenBack[productionPage](value)
@@ -142,7 +142,7 @@
 
 // asPipelines is the same for the first version with prerequisites.
 func asPipelines(key string, value []byte) []byte {
-	if key == controller.LeaderKey {
+	if key == election.LeaderKey {
 		return writtenBack[productionLeader](value)
 	}
 	return writtenBack[pipelinesPage](value)
@@ -233,7 +233,7 @@
 				for kind, n := range recordKinds(t, value) {
 					kinds[kind] += n
 				}
-			case key == controller.LeaderKey:
+			case key == election.LeaderKey:
 				again = writtenBack[productionLeader](value)
 			default:
 				t.Errorf("%s: an unknown key %s", c.file, key)
--- a/internal/controller/hold_test.go
+++ b/internal/controller/hold_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"oakpick/internal/controller"
+	"oakpick/internal/election"
 	"oakpick/internal/fake"
 	"oakpick/internal/message"
 	"oakpick/internal/protocol"
@@ -63,7 +63,7 @@
 	runs(t, w, j.Submission.ID, 2)
 	w.Run(5 * time.Second)
 	hosts := w.MachinesOf(j.Submission.ID)
-	taken := func() bool { h := w.State.Holder(controller.LeaderKey); return h != "n0" && h != "" }
+	taken := func() bool { h := w.State.Holder(election.LeaderKey); return h != "n0" && h != "" }
 	w.State.Unreachable["n0"] = true
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		f := fake.Reliable()
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -8,6 +8,7 @@
 
 	"oakpick/internal/config"
 	"oakpick/internal/controller"
+	"oakpick/internal/election"
 	"oakpick/internal/fake"
 	"oakpick/internal/message"
 	"oakpick/internal/protocol"
@@ -46,7 +47,7 @@
 			}
 			r := storage.StateResult{ID: c.ID}
 			switch {
-			case c.Op == storage.StateGet && c.Key == controller.LeaderKey:
+			case c.Op == storage.StateGet && c.Key == election.LeaderKey:
 				r.Outcome = rpc.NotFound
 			case c.Op == storage.StateGet:
 				held = c
@@ -54,7 +55,7 @@
 			case c.Op == storage.StateRenewLease:
 				renewal = c
 				continue
-			case len(c.Txn.Then) > 0 && c.Txn.Then[0].Put == controller.LeaderKey:
+			case len(c.Txn.Then) > 0 && c.Txn.Then[0].Put == election.LeaderKey:
 				term += 10
 				r.Revision = term
 			case len(c.Txn.Then) > 0:
--- /dev/null
+++ b/internal/controller/options.go
@@ -0,0 +1,109 @@
+package controller
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"sync"
+
+	"github.com/go-playground/validator/v10"
+
+	"oakpick/internal/autoscaling"
+	"oakpick/internal/config"
+	"oakpick/internal/scheduling"
+	"oakpick/internal/storage"
+)
+
+// Options are the figures that operators may change while it runs. Their ranges keep out what
+// makes no sense; none of them bounds the size of a fleet.
+type Options struct {
+	WriteShare   float64 `json:"write_share" validate:"gte=0.05,lte=0.95"`
+	Sample       int     `json:"sample" validate:"gte=1,lte=1000000"`
+	IdleS        float64 `json:"idle_s" validate:"gte=0,lte=86400"`
+	WarmRoom     float64 `json:"warm_room" validate:"gte=0,lte=20"`
+	PreemptMostS float64 `json:"preempt_most_s" validate:"gte=0,lte=1000000"`
+	GiveUpBoots  float64 `json:"give_up_boots" validate:"gte=1.5,lte=1000"`
+	TakeoverS    float64 `json:"takeover_wait_s" validate:"gte=0,lte=3600"`
+	MovesPerMin  float64 `json:"moves_per_min" validate:"gte=0,lte=60000000"`
+}
+
+// DefaultOptions derives them from the settings.
+func DefaultOptions(cfg *config.Config) Options {
+	w := cfg.Settings.Workers
+	return Options{
+		WriteShare: 0.95, Sample: 64, IdleS: 0, WarmRoom: 3,
+		PreemptMostS: 50 * w.LeaseS, GiveUpBoots: 4, TakeoverS: 1.5 * w.HeartbeatIntervalS, MovesPerMin: 6 * cfg.Settings.State.Smallest().WriteRPS,
+	}
+}
+
+var optionsValidator = sync.OnceValue(func() *validator.Validate { return config.NewValidator("json") })
+
+// With changes the figures that a JSON object names, and checks them.
+func (o Options) With(patch []byte) (Options, error) {
+	decoder := json.NewDecoder(bytes.NewReader(patch))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&o); err != nil {
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) {
+			return o, fmt.Errorf("%s: a %s where a %s belongs", typeError.Field, typeError.Value, typeError.Type)
+		}
+		return o, fmt.Errorf("not a JSON object of settings: %w", err)
+	}
+	var fields validator.ValidationErrors
+	if err := optionsValidator().Struct(o); errors.As(err, &fields) {
+		return o, &OptionsError{fields}
+	}
+	return o, nil
+}
+
+// OptionsError names the figures that are out of their ranges.
+type OptionsError struct{ fields validator.ValidationErrors }
+
+func (e *OptionsError) Error() string {
+	text := ""
+	for i, f := range e.fields {
+		if i > 0 {
+			text += "; "
+		}
+		text += fmt.Sprintf("%s: out of range (%s %s)", f.Field(), f.Tag(), f.Param())
+	}
+	return text
+}
+
+func (o Options) scheduling() scheduling.Options {
+	return scheduling.Options{SampleSize: o.Sample, MaxPreemptionCostS: o.PreemptMostS}
+}
+
+func (o Options) autoscaling() autoscaling.Options {
+	return autoscaling.Options{
+		IdleS: o.IdleS, WarmRoom: o.WarmRoom, GiveUpBoots: o.GiveUpBoots, TakeoverS: o.TakeoverS, MovesPerMin: o.MovesPerMin,
+	}
+}
+
+// optionsHolder is the options in force, and their record if operators have changed any.
+type optionsHolder struct {
+	Options
+	record *optionsRecord
+}
+
+// useOptions puts figures in force.
+func (l *leader) useOptions(options Options) {
+	l.options.Options = options
+	l.store.SetWriteRate(l.controller.config.Settings.State.Smallest().WriteRPS * options.WriteShare)
+	l.scheduler.SetOptions(options.scheduling())
+	l.autoscaler.SetOptions(options.autoscaling())
+	l.state.NeedsScheduling = true
+}
+
+// optionsRecord keeps what operators have changed, as facts are kept.
+type optionsRecord struct{ text string }
+
+// AppendTo writes it.
+func (o *optionsRecord) AppendTo(page *storage.PageValue) { page.Options = o.text }
+
+// EncodedSize is the space that every figure together may take.
+func (o *optionsRecord) EncodedSize() int { return storage.OptionsReservedSize }
+
+// ReservedSize leaves room for every figure to be changed.
+func (o *optionsRecord) ReservedSize() int { return storage.OptionsReservedSize }
--- a/internal/controller/pauses_test.go
+++ b/internal/controller/pauses_test.go
@@ -215,7 +215,7 @@
 	if !l.Leads() || after.TermsTaken != before.TermsTaken {
 		t.Errorf("the term is lost: %s", strings.Join(w.Log[mark:], "\n"))
 	}
-	if after.Pauses != 1 || after.LongestPauseMs < 5000 || !logged(w, "process stood still [for 5") {
+	if after.Pauses != 1 || after.LongestPauseMs < 5000 || !logged(w, "process was paused [for 5") {
 		t.Errorf("%d pauses, the longest %d ms", after.Pauses, after.LongestPauseMs)
 	}
 	if after.MachinesScaledOut != before.MachinesScaledOut || after.MachinesScaledIn != before.MachinesScaledIn || after.ReplicasMoved != before.ReplicasMoved || after.TasksLost != before.TasksLost {
--- a/internal/controller/starts_test.go
+++ b/internal/controller/starts_test.go
@@ -119,7 +119,7 @@
 		w.Run(2 * time.Second)
 		w.PollAll()
 	}
-	if !strings.Contains(strings.Join(w.Log, "\n"), "machine cordoned [host "+sick) {
+	if !strings.Contains(strings.Join(w.Log, "\n"), "machine cordoned [machine "+sick) {
 		t.Errorf("not set aside\n%s", strings.Join(w.Log, "\n"))
 	}
 	served(t, w)
--- /dev/null
+++ b/internal/controller/status.go
@@ -0,0 +1,160 @@
+package controller
+
+import (
+	"oakpick/internal/archive"
+	"oakpick/internal/cluster"
+	"oakpick/internal/message"
+)
+
+// Status is what a node says of itself.
+type Status struct {
+	Node   string        `json:"node"`
+	Role   string        `json:"role"`
+	Term   int64         `json:"term"`
+	Leader string        `json:"leader"`
+	UpS    float64       `json:"up_s"`
+	Counts message.Stats `json:"counts"`
+	Leads  *LeaderStatus `json:"leads,omitempty"`
+}
+
+// LeaderStatus is what only the leader knows.
+type LeaderStatus struct {
+	SinceS              float64             `json:"since_s"`
+	LeaseForS           float64             `json:"certain_for_s"`
+	Jobs                int                 `json:"jobs"`
+	EndedJobs           int                 `json:"over"` // in memory, that is not in the archive
+	Archive             archive.Status      `json:"archive"`
+	Classes             map[string]Queue    `json:"classes"`
+	Teams               map[string]TeamUse  `json:"teams"`
+	Machines            map[string]Machines `json:"machines"`
+	UnconfirmedMachines []string            `json:"machines_in_doubt"` // starts may still arrive there
+	CordonedMachines    []string            `json:"machines_set_aside"`
+	FailingJobs         []string            `json:"jobs_failing_everywhere"`
+	Backlog             int                 `json:"pages_to_write"`
+	BacklogS            float64             `json:"oldest_page_waits_s"`
+	Pages               int                 `json:"pages"`
+	OversizedPages      int                 `json:"pages_above_limits_to_come"`
+	SteppedDownPeers    []string            `json:"peers_let_go"`
+}
+
+// Queue is a class's tasks.
+type Queue struct {
+	Jobs        int `json:"jobs"`
+	Waiting     int `json:"waiting"`
+	Placed      int `json:"placed"`
+	Running     int `json:"running"`
+	BlockedJobs int `json:"waiting_for_prerequisites"`
+}
+
+// TeamUse is a team's use and quota.
+type TeamUse struct {
+	Waiting        int     `json:"waiting"` // tasks
+	CPUs           float64 `json:"cpus"`
+	GuaranteedCPUs float64 `json:"cpus_guaranteed"`
+	CPULimit       float64 `json:"cpus_at_most"`
+	GPUs           float64 `json:"gpus"`
+	GuaranteedGPUs float64 `json:"gpus_guaranteed"`
+	GPULimit       float64 `json:"gpus_at_most"`
+}
+
+// Machines counts a type's machines.
+type Machines struct {
+	Booting int `json:"booting"`
+	Up      int `json:"up"`
+	Silent  int `json:"silent"`
+	Spot    int `json:"spot"`
+	Empty   int `json:"empty"`
+}
+
+func (c *Controller) status() Status {
+	s := Status{
+		Node: c.config.Node, Role: c.Role(), Term: c.elector.Token(), Leader: c.elector.KnownLeader(),
+		UpS: c.context.Monotonic().Seconds(), Counts: c.context.Stats,
+	}
+	if c.leader != nil {
+		s.Leads = c.leader.status()
+	}
+	return s
+}
+
+func (l *leader) status() *LeaderStatus {
+	now, elector := l.controller.context.Monotonic(), l.controller.elector
+	pages, oldest := l.store.Backlog(now)
+	s := &LeaderStatus{
+		SinceS: (now - elector.LeadingSince()).Seconds(), LeaseForS: max(0, elector.LeaseUntil()-now).Seconds(),
+		Jobs: len(l.state.JobOrder), EndedJobs: len(l.state.EndedJobs), Archive: l.archive.Status(),
+		Classes: map[string]Queue{}, Teams: map[string]TeamUse{}, Machines: map[string]Machines{},
+		UnconfirmedMachines: []string{}, CordonedMachines: []string{}, FailingJobs: l.failingJobs(),
+		Backlog: pages, BacklogS: oldest.Seconds(), Pages: l.store.PageCount(), OversizedPages: l.store.OversizedPages(),
+		SteppedDownPeers: elector.SteppedDownPeers(),
+	}
+	for name, t := range l.state.Teams {
+		s.Teams[name] = TeamUse{
+			CPUs: t.Used.CPUs, GuaranteedCPUs: t.GuaranteedCPUs, CPULimit: t.CPULimit,
+			GPUs: t.Used.GPUs, GuaranteedGPUs: t.GuaranteedGPUs, GPULimit: t.GPULimit,
+		}
+	}
+	for _, j := range l.state.JobOrder {
+		s.addJob(j)
+	}
+	for _, machine := range l.state.MachinesByName {
+		l.addMachine(s, machine)
+	}
+	return s
+}
+
+func (s *LeaderStatus) addJob(j *cluster.Job) {
+	queue, team := s.Classes[j.Class], s.Teams[j.Team.Name]
+	queue.Jobs++
+	if j.Blocked() {
+		queue.BlockedJobs++
+	} else {
+		queue.Waiting += j.IdleTasks()
+		team.Waiting += j.IdleTasks()
+	}
+	for _, t := range j.ActiveTasks {
+		queue.Placed++
+		if t.Runs() {
+			queue.Running++
+		}
+	}
+	s.Classes[j.Class], s.Teams[j.Team.Name] = queue, team
+}
+
+func (l *leader) addMachine(s *LeaderStatus, machine *cluster.Machine) {
+	c := l.controller
+	worker := &machine.Worker
+	counts := s.Machines[machine.Type]
+	switch {
+	case !worker.Registered:
+		counts.Booting++
+	case worker.Expired() || c.context.Monotonic()-worker.HeardAt > c.timing.Workers.Lease:
+		counts.Silent++
+	default:
+		counts.Up++
+	}
+	if machine.Spot {
+		counts.Spot++
+	}
+	if worker.Registered && len(machine.Tasks) == 0 {
+		counts.Empty++
+	}
+	s.Machines[machine.Type] = counts
+	if machine.Commands.UnconfirmedToken >= c.elector.Token() {
+		s.UnconfirmedMachines = append(s.UnconfirmedMachines, machine.Name)
+	}
+	if machine.Health.Cordoned {
+		s.CordonedMachines = append(s.CordonedMachines, machine.Name)
+	}
+}
+
+// failingJobs lists the jobs that fail on every machine.
+func (l *leader) failingJobs() []string {
+	ids := []string{}
+	for _, j := range l.state.JobOrder {
+		if j.Failures.JobAtFault && !j.Cancelled {
+			ids = append(ids, j.ID)
+		}
+	}
+	return ids
+}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -237,7 +237,7 @@
 		var task int
 		var host string
 		if _, after, ok := strings.Cut(line, "task placed [job wk-000001 class c task "); ok {
-			if n, _ := fmt.Sscanf(after, "%d host %s", &task, &host); n == 2 && task < 24 {
+			if n, _ := fmt.Sscanf(after, "%d machine %s", &task, &host); n == 2 && task < 24 {
 				w.Workers[host].HangUntil = w.Now + 7500*time.Millisecond
 				first = append(first, host)
 			}
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -8,6 +8,7 @@
 
 	"oakpick/internal/config"
 	"oakpick/internal/controller"
+	"oakpick/internal/election"
 	"oakpick/internal/fake"
 	"oakpick/internal/message"
 	"oakpick/internal/protocol"
@@ -360,11 +361,11 @@
 			case message.StateCall:
 				r := storage.StateResult{ID: c.ID, Revision: 7}
 				switch {
-				case c.Op == storage.StateGet && c.Key == controller.LeaderKey:
+				case c.Op == storage.StateGet && c.Key == election.LeaderKey:
 					r.Outcome = rpc.NotFound
 				case c.Op == storage.StateGet:
 					r.Entry = protocol.Entry{Key: c.Key, Version: 9, Value: protocol.Encode(storage.PageValue{WriteID: "another-1"})}
-				case c.Op == storage.StateTxn && len(c.Txn.Then) > 0 && c.Txn.Then[0].Put != controller.LeaderKey:
+				case c.Op == storage.StateTxn && len(c.Txn.Then) > 0 && c.Txn.Then[0].Put != election.LeaderKey:
 					r.Outcome = rpc.Conflict
 					refused++
 				}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -27,6 +27,7 @@
 	"oakpick/internal/protocol"
 	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
+	"oakpick/internal/timing"
 	"oakpick/internal/transport"
 )
 
@@ -104,7 +105,7 @@
 		node:    controller.New(cfg, hex.EncodeToString(seed[:8]), binary.LittleEndian.Uint64(seed[8:])),
 		metrics: newMetrics(),
 		queue:   make(chan item, 4*batch), waits: map[uint64]waiter{},
-		state: storage.NewClient(cfg.Services.State, report/2, controller.TermLease(s.Workers)/2),
+		state: storage.NewClient(cfg.Services.State, report/2, timing.LeaderLease(s.Workers)/2),
 		cloud: transport.NewCloud(cfg.Services.Cloud, s.Workers),
 		peers: transport.NewPeers(cfg.Node, cfg.Peers, s.Workers), forwards: transport.NewForwards(),
 	}
@@ -185,8 +186,8 @@
 			d.dropWaits()
 		}
 		d.noteLeader()
-		d.metrics.pauses.Store(d.node.Stats.Pauses)
-		d.metrics.longestPauseMs.Store(d.node.Stats.LongestPauseMs)
+		d.metrics.pauses.Store(d.node.Stats().Pauses)
+		d.metrics.longestPauseMs.Store(d.node.Stats().LongestPauseMs)
 		d.healthy.Store(d.node.Healthy())
 		if d.tracker != nil {
 			d.tracker.see(d.node.Leadership())
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -19,6 +19,7 @@
 
 	"oakpick/internal/config"
 	"oakpick/internal/controller"
+	"oakpick/internal/election"
 	"oakpick/internal/protocol"
 )
 
@@ -320,7 +321,7 @@
 		called.Wait()
 	}
 	p.end[0]()
-	p.state.drop(controller.LeaderKey) // its lease runs out
+	p.state.drop(election.LeaderKey) // its lease runs out
 	within(t, func() (string, bool) {
 		code, body := ask(t, "GET", p.fronts[1]+path+"/wk-000003", "")
 		return body, code == 200 && status(body) == protocol.StatusCancelled
--- a/internal/daemon/tracker.go
+++ b/internal/daemon/tracker.go
@@ -16,9 +16,9 @@
 	"github.com/valyala/fasthttp/fasthttpadaptor"
 
 	"oakpick/internal/config"
-	"oakpick/internal/controller"
 	"oakpick/internal/distribution"
 	"oakpick/internal/distribution/tracker"
+	"oakpick/internal/election"
 	"oakpick/internal/message"
 	"oakpick/internal/transport"
 )
@@ -33,7 +33,7 @@
 	queue    chan trackerItem
 	waits    map[uint64]trackerItem
 	nextID   uint64
-	term     atomic.Pointer[controller.LeadershipView]
+	term     atomic.Pointer[election.View]
 	limit    *transport.Limit
 	report   time.Duration // for which a request may take, too
 	metrics  *trackerMetrics
@@ -84,7 +84,7 @@
 		metrics: newTrackerMetrics(),
 	}
 	t.limit = transport.NewLimit(settings.Connections/4, report, func() { t.metrics.shed.Inc() })
-	t.term.Store(&controller.LeadershipView{})
+	t.term.Store(&election.View{})
 	metricsPage := fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(t.metrics.registry, promhttp.HandlerOpts{}))
 	t.server = &fasthttp.Server{
 		Concurrency: settings.Connections, MaxRequestBodySize: distribution.MaxMessageBytes,
@@ -111,7 +111,7 @@
 }
 
 // see notes the node's term. Only the daemon's owner calls it.
-func (t *trackerService) see(v controller.LeadershipView) {
+func (t *trackerService) see(v election.View) {
 	if *t.term.Load() != v {
 		t.term.Store(&v)
 	}
--- a/internal/daemon/tracker_test.go
+++ b/internal/daemon/tracker_test.go
@@ -18,12 +18,12 @@
 	"github.com/opencontainers/go-digest"
 
 	"oakpick/internal/config"
-	"oakpick/internal/controller"
 	"oakpick/internal/distribution"
 	"oakpick/internal/distribution/agent"
 	"oakpick/internal/distribution/operator"
 	"oakpick/internal/distribution/registry"
 	"oakpick/internal/distribution/tracker"
+	"oakpick/internal/election"
 )
 
 // trackerOn switches the tracker on at some address.
@@ -110,7 +110,7 @@
 		t.Errorf("an inventory that was taken before: %d %s", status, body)
 	}
 	p.end[0]()
-	p.state.drop(controller.LeaderKey) // its lease runs out
+	p.state.drop(election.LeaderKey) // its lease runs out
 	within(t, func() (string, bool) {
 		status, body := ask(t, "GET", trackers[1]+distribution.PathWeights+"/models/a", "")
 		if status != 200 && status != 503 && status != 0 {
@@ -218,7 +218,7 @@
 	second, secondSum := publish(t, store, "second")
 	use(second)
 	p.end[0]()
-	p.state.drop(controller.LeaderKey) // its lease runs out
+	p.state.drop(election.LeaderKey) // its lease runs out
 	for _, s := range agents[1:] {
 		serves(s, secondSum)
 	}
--- a/internal/distribution/tracker/messages.go
+++ b/internal/distribution/tracker/messages.go
@@ -8,13 +8,13 @@
 
 	"github.com/opencontainers/go-digest"
 
-	"oakpick/internal/controller"
 	"oakpick/internal/distribution"
+	"oakpick/internal/election"
 	"oakpick/internal/storage"
 )
 
 // Term is what the tracker has to know of the controller's term.
-type Term = controller.LeadershipView
+type Term = election.View
 
 // Command is what goes into Step.
 type Command interface{ command() }
--- a/internal/distribution/tracker/model_test.go
+++ b/internal/distribution/tracker/model_test.go
@@ -13,8 +13,8 @@
 	"github.com/opencontainers/go-digest"
 	"pgregory.net/rapid"
 
-	"oakpick/internal/controller"
 	"oakpick/internal/distribution"
+	"oakpick/internal/election"
 	"oakpick/internal/protocol"
 	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
@@ -40,7 +40,7 @@
 // lead gives the leader's key to a new token.
 func (k *keyValues) lead() int64 {
 	k.revision++
-	k.entries[controller.LeaderKey] = protocol.Entry{Key: controller.LeaderKey, Version: k.revision}
+	k.entries[election.LeaderKey] = protocol.Entry{Key: election.LeaderKey, Version: k.revision}
 	return k.revision
 }
 
--- a/internal/distribution/tracker/names.go
+++ b/internal/distribution/tracker/names.go
@@ -10,8 +10,8 @@
 
 	"github.com/opencontainers/go-digest"
 
-	"oakpick/internal/controller"
 	"oakpick/internal/distribution"
+	"oakpick/internal/election"
 	"oakpick/internal/protocol"
 	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
@@ -132,7 +132,7 @@
 	n.write = fmt.Sprintf("%s-%d-%d", n.t.parameters.Boot, n.t.reign, n.writes)
 	n.send(storage.StateCall{Op: storage.StateTxn, Txn: protocol.Txn{
 		If: []protocol.Condition{
-			{Key: controller.LeaderKey, Version: n.token},
+			{Key: election.LeaderKey, Version: n.token},
 			{Key: NamesPrefix + c.Name, Version: n.base},
 		},
 		Then: []protocol.Change{{Put: NamesPrefix + c.Name, Value: storedName{c.Manifest.String(), n.write}}},
--- a/internal/fake/node.go
+++ b/internal/fake/node.go
@@ -7,6 +7,7 @@
 
 	"oakpick/internal/config"
 	"oakpick/internal/controller"
+	"oakpick/internal/election"
 	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 	"oakpick/internal/rpc"
@@ -91,7 +92,7 @@
 func (n *Controller) Healthy() bool { return n.Up && n.node.Healthy() }
 
 // Stats are the process's counts.
-func (n *Controller) Stats() message.Stats { return n.node.Stats }
+func (n *Controller) Stats() message.Stats { return n.node.Stats() }
 
 func (n *Controller) deliver(request message.Request, reply func(message.Reply)) {
 	n.take(asked{request: request, reply: reply})
@@ -266,7 +267,7 @@
 		}
 		old := n.old // a late request is still the old process's
 		kind := "state"
-		if len(e.Txn.Then) > 0 && e.Txn.Then[0].Put != controller.LeaderKey && w.SeparateWrites {
+		if len(e.Txn.Then) > 0 && e.Txn.Then[0].Put != election.LeaderKey && w.SeparateWrites {
 			kind = "write"
 		}
 		n.call(kind, "state", report/2, func() (message.Event, bool) {
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -15,7 +15,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"oakpick/internal/config"
-	"oakpick/internal/controller"
+	"oakpick/internal/election"
 	"oakpick/internal/protocol"
 	"oakpick/internal/rpc"
 	"oakpick/internal/storage"
@@ -237,7 +237,7 @@
 		r.Outcome = rpc.Unknown // an answer that the protocol doesn't list
 		return r
 	}
-	if s.RejectWrites && len(c.Txn.Then) > 0 && c.Txn.Then[0].Put != controller.LeaderKey {
+	if s.RejectWrites && len(c.Txn.Then) > 0 && c.Txn.Then[0].Put != election.LeaderKey {
 		r.Outcome = rpc.Refused
 		return r
 	}
