--- a/internal/cluster/task.go
+++ b/internal/cluster/task.go
@@ -54,8 +54,8 @@
 	return storage.StartRecord{Task: t.Index, Attempt: t.Attempt, Machine: t.Machine.Name, Incarnation: t.Incarnation}
 }
 
-// AddTask counts a task that may be on its machine from now on.
-func (s *State) AddTask(t *Task) {
+// Attach counts a task that may be on its machine from now on.
+func (t *Task) Attach() {
 	j, m := t.Job, t.Machine
 	t.Block.Starts = append(t.Block.Starts, t)
 	j.ActiveTasks[t.Index] = t
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -23,7 +23,7 @@
 // processes that run beside these, read what these write, and write it back.
 type (
 	productionStart struct {
-		//lint:ignore U1000 read by the MessagePack library
+		//nolint:unused // read by the MessagePack library
 		_msgpack struct{} `msgpack:",as_array"`
 
 		Task    int
@@ -32,7 +32,7 @@
 		Session int64
 	}
 	productionJob struct {
-		//lint:ignore U1000 read by the MessagePack library
+		//nolint:unused // read by the MessagePack library
 		_msgpack struct{} `msgpack:",as_array"`
 
 		ID, Class, Team, Image, Zone string
@@ -52,7 +52,7 @@
 		Full                         string
 	}
 	productionBlock struct {
-		//lint:ignore U1000 read by the MessagePack library
+		//nolint:unused // read by the MessagePack library
 		_msgpack struct{} `msgpack:",as_array"`
 
 		Job    string
@@ -62,7 +62,7 @@
 		Starts []productionStart
 	}
 	productionFinal struct {
-		//lint:ignore U1000 read by the MessagePack library
+		//nolint:unused // read by the MessagePack library
 		_msgpack struct{} `msgpack:",as_array"`
 
 		ID        string
@@ -70,7 +70,7 @@
 		Tasks     int
 	}
 	productionRental struct {
-		//lint:ignore U1000 read by the MessagePack library
+		//nolint:unused // read by the MessagePack library
 		_msgpack struct{} `msgpack:",as_array"`
 
 		Request, Type, Zone string
@@ -90,7 +90,7 @@
 	}
 	// The first version with prerequisites has one more field of a page.
 	pipelinesExtension struct {
-		//lint:ignore U1000 read by the MessagePack library
+		//nolint:unused // read by the MessagePack library
 		_msgpack struct{} `msgpack:",as_array"`
 
 		Job           string
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -183,10 +183,11 @@
 
 func (l *loading) loadStart(b *cluster.Block, start storage.StartRecord) {
 	machine := l.state.Machine(start.Machine)
-	l.state.AddTask(&cluster.Task{
+	t := &cluster.Task{
 		Job: b.Job, Block: b, Index: start.Task, Attempt: start.Attempt, Machine: machine, Incarnation: start.Incarnation,
 		Inherited: true, Committed: true, RanSince: cluster.NotRunning,
-	})
+	}
+	t.Attach()
 	machine.Worker.Incarnation = max(machine.Worker.Incarnation, start.Incarnation)
 }
 
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -103,7 +103,7 @@
 func (o *optionsRecord) AppendTo(page *storage.PageValue) { page.Options = o.text }
 
 // EncodedSize is the space that every figure together may take.
-func (o *optionsRecord) EncodedSize() int { return storage.OptionsReservedSize }
+func (*optionsRecord) EncodedSize() int { return storage.OptionsReservedSize }
 
 // ReservedSize leaves room for every figure to be changed.
-func (o *optionsRecord) ReservedSize() int { return storage.OptionsReservedSize }
+func (*optionsRecord) ReservedSize() int { return storage.OptionsReservedSize }
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -77,7 +77,7 @@
 	t := &cluster.Task{
 		Job: j, Block: b, Index: index, Attempt: attempt, Machine: machine, Incarnation: machine.Worker.Incarnation, RanSince: cluster.NotRunning,
 	}
-	m.state.AddTask(t)
+	t.Attach()
 	machine.Provisioning.EmptySince = 0
 	m.state.AssignImage(j, machine)
 	if waiter == nil {
--- a/internal/scheduling/gang.go
+++ b/internal/scheduling/gang.go
@@ -15,10 +15,10 @@
 		return
 	}
 	if j.TasksAwaitingRecord(idle) > 0 {
-		s.noteUnplaced(j, s.withinLimit(j, idle))
+		s.noteUnplaced(j, withinLimit(j, idle))
 		return
 	}
-	if left := s.withinLimit(j, idle); left < idle {
+	if left := withinLimit(j, idle); left < idle {
 		s.preemptWithinLimit(j, idle-left)
 		return
 	}
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -117,13 +117,13 @@
 	// Within a cycle room only shrinks: what was found for no job is found for none that may
 	// stop the same. A zone's limit is the job's own affair, and so are the places that its
 	// other tasks have been promised.
-	comparable := first && !j.Spread && !j.OneZone && !j.Failures.JobAtFault
-	if comparable && s.cycle.noRoomByPreemption[c] {
+	isCacheable := first && !j.Spread && !j.OneZone && !j.Failures.JobAtFault
+	if isCacheable && s.cycle.noRoomByPreemption[c] {
 		return nil, nil
 	}
 	best, victims, cost := s.cheapestVictims(p, s.machinesWithTasksBelow(c.rank))
 	if cost > s.options.MaxPreemptionCostS {
-		if comparable && best == nil {
+		if isCacheable && best == nil {
 			s.cycle.noRoomByPreemption[c] = true
 		}
 		return nil, nil
--- a/internal/scheduling/quota.go
+++ b/internal/scheduling/quota.go
@@ -26,7 +26,7 @@
 }
 
 // withinLimit is how many more tasks the team's limit lets a job start, at most so many.
-func (s *Scheduler) withinLimit(j *cluster.Job, most int) int {
+func withinLimit(j *cluster.Job, most int) int {
 	t := j.Team
 	left := resources.Unlimited()
 	reserved := reservedFrom(j)
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -134,9 +134,9 @@
 		s.noteFailingUnplaced(j, min(idle, 1))
 		return
 	}
-	left := s.withinLimit(j, idle)
+	left := withinLimit(j, idle)
 	if left+awaiting > 0 {
-		s.noteUnplaced(j, s.withinLimit(j, idle+awaiting))
+		s.noteUnplaced(j, withinLimit(j, idle+awaiting))
 	}
 	if left > 0 {
 		s.makeRoom(j, left, perZone)
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -46,7 +46,7 @@
 
 // StartRecord is a task that was started and may be on a machine.
 type StartRecord struct {
-	//lint:ignore U1000 read by the MessagePack library
+	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Task        int
@@ -57,7 +57,7 @@
 
 // JobRecord describes a job that isn't over.
 type JobRecord struct {
-	//lint:ignore U1000 read by the MessagePack library
+	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
 
 	ID, Class, Team, Image, Zone                            string
@@ -79,7 +79,7 @@
 
 // BlockRecord is what is known of a block of a job's tasks.
 type BlockRecord struct {
-	//lint:ignore U1000 read by the MessagePack library
+	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Job         string
@@ -91,7 +91,7 @@
 
 // TerminalRecord is all that is kept of a job that is over.
 type TerminalRecord struct {
-	//lint:ignore U1000 read by the MessagePack library
+	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
 
 	ID        string
@@ -101,7 +101,7 @@
 
 // ProvisioningRecord is a rental whose machines aren't all known from elsewhere yet.
 type ProvisioningRecord struct {
-	//lint:ignore U1000 read by the MessagePack library
+	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
 
 	RequestID, Type, Zone string
@@ -115,7 +115,7 @@
 // JobExtension is what is recorded of a job beside its JobRecord. Versions that
 // don't know it ignore it, and drop it when they write the page.
 type JobExtension struct {
-	//lint:ignore U1000 read by the MessagePack library
+	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Job string
@@ -128,7 +128,7 @@
 // PrerequisitesRecord is a part of the prerequisites of a job that has more of them than
 // fit its page: its extension has none then. The parts are written before the job is.
 type PrerequisitesRecord struct {
-	//lint:ignore U1000 read by the MessagePack library
+	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Job  string
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -216,13 +216,13 @@
 
 // Serve serves HTTP/2 in clear text, and HTTP/1.1 for operators' tools.
 func (s *PeerServer) Serve(ctx context.Context, l net.Listener, connections int, idle time.Duration) error {
-	//lint:ignore SA1019 its limits were measured; the standard library's way is still to be
+	//nolint:staticcheck // SA1019: its limits were measured; the standard library's way is still to be
 	h2 := &http2.Server{IdleTimeout: idle, MaxConcurrentStreams: uint32(connections)}
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
 	server := &http.Server{Handler: s, Protocols: protocols, IdleTimeout: idle, ReadHeaderTimeout: idle, MaxHeaderBytes: 8 << 10}
-	//lint:ignore SA1019 as above
+	//nolint:staticcheck // SA1019: as above
 	if err := http2.ConfigureServer(server, h2); err != nil {
 		return err
 	}
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -36,7 +36,7 @@
 		d := net.Dialer{Timeout: wait / 2}
 		return d.DialContext(ctx, "tcp4", addr)
 	}
-	//lint:ignore SA1019 how it pings was measured; the standard library's way is still to be
+	//nolint:staticcheck // SA1019: how it pings was measured; the standard library's way is still to be
 	streams := &http2.Transport{AllowHTTP: true, DialTLSContext: dial, ReadIdleTimeout: wait, PingTimeout: wait / 2, DisableCompression: true}
 	p.client = &http.Client{Transport: streams}
 	return p
