--- /dev/null
+++ b/internal/protocol/cloud.go
@@ -0,0 +1,77 @@
+package protocol
+
+// MaxMachinesListed is the most machines of one answer.
+const MaxMachinesListed = 500
+
+// The most machines of one rental and of one return.
+const (
+	MaxScaleOut = 50
+	MaxScaleIn  = 100
+)
+
+// MachineType is what the cloud offers.
+type MachineType struct {
+	Name        string   `msgpack:"sku"`
+	CPUs        float64  `msgpack:"vcpus"`
+	GPUs        float64  `msgpack:"gpus"`
+	MemoryGB    float64  `msgpack:"mem_gb"`
+	CacheGB     float64  `msgpack:"local_gb"`
+	FetchGBPerS float64  `msgpack:"fetch_gb_per_s"`
+	Price       float64  `msgpack:"price"`
+	SpotPrice   float64  `msgpack:"low_price"`
+	BootS       float64  `msgpack:"boot_s"`
+	Zones       []string `msgpack:"sites"`
+}
+
+// MachineTypes is the cloud's offer.
+type MachineTypes struct {
+	Types []MachineType `msgpack:"kinds_of_host"`
+}
+
+// ProvisioningRequest asks the cloud for machines.
+type ProvisioningRequest struct {
+	RequestID string `msgpack:"hire"`
+	Type      string `msgpack:"host_kind"`
+	Zone      string `msgpack:"site"`
+	Spot      bool   `msgpack:"loaners"`
+	Count     int    `msgpack:"how_many"`
+}
+
+// MachineNames names machines: the answer to a rental, the body of a return.
+type MachineNames struct {
+	Names []string `msgpack:"hosts"`
+}
+
+// Machine is an entry of the cloud's list.
+type Machine struct {
+	Name   string  `msgpack:"id"`
+	Addr   string  `msgpack:"address"`
+	Type   string  `msgpack:"host_kind"`
+	Zone   string  `msgpack:"site"`
+	Spot   bool    `msgpack:"loaners"`
+	Status string  `msgpack:"status"`
+	AgeS   float64 `msgpack:"age_s"`
+}
+
+// Words of a listed machine's status.
+const (
+	MachineBooting = "booting"
+	MachineRunning = "running"
+	MachineFailed  = "failed"
+)
+
+// MachineList is one page of the cloud's list.
+type MachineList struct {
+	Machines []Machine `msgpack:"hosts"`
+	More     bool      `msgpack:"has_next"`
+}
+
+const noCapacity = "no capacity"
+
+// NoCapacity tells a refusal for want of machines from the cloud's troubles.
+func NoCapacity(body []byte) bool {
+	var a struct {
+		Error string `msgpack:"error"`
+	}
+	return Decode(body, &a) == nil && a.Error == noCapacity
+}
