--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -20,9 +20,9 @@
 // Decode reads an answer of the state service, the cloud or a peer.
 func Decode(b []byte, v any) error { return msgpack.Unmarshal(b, v) }
 
-const maxDepth = 8
+const maxNesting = 8
 
-// checkBody walks a body without recursion deeper than maxDepth, so that
+// checkBody walks a body without recursion deeper than maxNesting, so that
 // neither nesting nor huge declared lengths cost memory, and insists on one
 // map with nothing behind it.
 func checkBody(body []byte) error {
@@ -35,7 +35,7 @@
 	if err != nil || !(msgpcode.IsFixedMap(c) || c == msgpcode.Map16 || c == msgpcode.Map32) {
 		return malformed("body is not a map")
 	}
-	if err := walk(d, r, maxDepth); err != nil {
+	if err := checkValue(d, r, maxNesting); err != nil {
 		return err
 	}
 	if _, err := d.PeekCode(); err == nil {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-func walk(d *msgpack.Decoder, r *bytes.Reader, depth int) error {
+func checkValue(d *msgpack.Decoder, r *bytes.Reader, depth int) error {
 	if depth == 0 {
 		return malformed("nested too deeply")
 	}
@@ -76,7 +76,7 @@
 		return malformed("cut short")
 	}
 	for range items {
-		if err := walk(d, r, depth-1); err != nil {
+		if err := checkValue(d, r, depth-1); err != nil {
 			return err
 		}
 	}
--- a/internal/protocol/commands.go
+++ b/internal/protocol/commands.go
@@ -25,22 +25,22 @@
 }
 
 type wireCommand struct {
-	Verb     string   `msgpack:"verb"`
-	Piece    string   `msgpack:"piece"`
-	Try      int64    `msgpack:"try"`
-	WindDown *float64 `msgpack:"wind_down_s,omitempty"`
+	Verb         string   `msgpack:"verb"`
+	Task         string   `msgpack:"piece"`
+	Attempt      int64    `msgpack:"try"`
+	GracePeriodS *float64 `msgpack:"wind_down_s,omitempty"`
 }
 
 func wireCommands(cmds []Command) []wireCommand {
 	out := make([]wireCommand, len(cmds))
 	for i, c := range cmds {
-		w := wireCommand{Piece: c.piece(), Try: c.Number}
+		w := wireCommand{Task: c.taskID(), Attempt: c.Number}
 		switch c.Verb {
 		case Start:
 			w.Verb = verbStart
 		case Stop:
 			w.Verb = verbStop
-			w.WindDown = &cmds[i].GracePeriodS
+			w.GracePeriodS = &cmds[i].GracePeriodS
 		case Forget:
 			w.Verb = verbForget
 		}
--- a/internal/protocol/counterparts.go
+++ b/internal/protocol/counterparts.go
@@ -11,8 +11,8 @@
 // This file is the other components' side of the interfaces, for stand-ins: what workers,
 // users, the state service and the cloud read and write.
 
-// word finds the wire word of a value.
-func word[V comparable](words map[string]V, value V) string {
+// wordFor finds the wire word of a value.
+func wordFor[V comparable](words map[string]V, value V) string {
 	for w, v := range words {
 		if v == value {
 			return w
@@ -26,17 +26,17 @@
 	pieces := make([]wireTask, len(r.Tasks))
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		pieces[i] = wireTask{Piece: t.piece(), Try: &t.Number, Status: word(stateWords, t.State), Kept: t.Checkpointed}
+		pieces[i] = wireTask{Task: t.taskID(), Attempt: &t.Number, State: wordFor(taskStateWords, t.State), Checkpointed: t.Checkpointed}
 		if t.State == Exited {
-			pieces[i].Cause = word(causeWords, t.ExitCause)
+			pieces[i].ExitCause = wordFor(exitCauseWords, t.ExitCause)
 		}
 	}
 	w := wireHeartbeat{
-		Host: &r.Machine, Address: &r.Addr, Kind: &r.Type, Site: &r.Zone, Loaners: &r.Spot,
-		Shift: &r.Incarnation, Tick: &r.Sequence, Baton: &r.FencingToken, Pieces: &pieces,
+		Machine: &r.Machine, Addr: &r.Addr, Type: &r.Type, Zone: &r.Zone, Spot: &r.Spot,
+		Incarnation: &r.Incarnation, Sequence: &r.Sequence, FencingToken: &r.FencingToken, Tasks: &pieces,
 	}
 	if r.InterruptionInS >= 0 {
-		w.Recall = &r.InterruptionInS
+		w.InterruptionInS = &r.InterruptionInS
 	}
 	return Encode(w)
 }
@@ -69,14 +69,14 @@
 	}
 	verbs := map[string]Verb{verbStart: Start, verbStop: Stop, verbForget: Forget}
 	for _, c := range w.Orders {
-		job, index, ok := parsePiece(c.Piece)
+		job, index, ok := parseTaskID(c.Task)
 		verb, known := verbs[c.Verb]
 		if !ok || !known {
-			return nil, malformed("a command %q for %q", c.Verb, c.Piece)
+			return nil, malformed("a command %q for %q", c.Verb, c.Task)
 		}
-		command := Command{Verb: verb, Attempt: Attempt{Job: job, Task: index, Number: c.Try}}
-		if c.WindDown != nil {
-			command.GracePeriodS = *c.WindDown
+		command := Command{Verb: verb, Attempt: Attempt{Job: job, Task: index, Number: c.Attempt}}
+		if c.GracePeriodS != nil {
+			command.GracePeriodS = *c.GracePeriodS
 		}
 		o.Commands = append(o.Commands, command)
 	}
@@ -96,26 +96,26 @@
 
 // EncodeSubmission is a user's submission.
 func EncodeSubmission(s *Submission) []byte {
-	shape, rank, pieces := word(jobKindWords, s.Kind), word(priorityWords, s.Priority), int64(s.Tasks)
+	shape, rank, pieces := wordFor(jobKindWords, s.Kind), wordFor(priorityWords, s.Priority), int64(s.Tasks)
 	w := wireSubmission{
-		ID: &s.ID, JobClass: &s.Class, Owner: &s.Team, Shape: &shape, Rank: &rank, Pieces: &pieces,
-		VCPUs: &s.CPUs, GPUs: &s.GPUs, MemGB: &s.MemoryGB, Bundle: &s.Image, ImageGB: &s.ImageGB,
-		Together: &s.OneZone, Spread: &s.Spread, Loaners: &s.Spot, Expected: &s.EstimatedRunS,
-		Savepoint: &s.CheckpointIntervalS, Saving: &s.CheckpointDurationS,
+		ID: &s.ID, Class: &s.Class, Team: &s.Team, Kind: &shape, Priority: &rank, Tasks: &pieces,
+		CPUs: &s.CPUs, GPUs: &s.GPUs, MemoryGB: &s.MemoryGB, Image: &s.Image, ImageGB: &s.ImageGB,
+		OneZone: &s.OneZone, Spread: &s.Spread, Spot: &s.Spot, EstimatedRunS: &s.EstimatedRunS,
+		CheckpointIntervalS: &s.CheckpointIntervalS, CheckpointDurationS: &s.CheckpointDurationS,
 	}
 	if s.Types != nil {
 		kinds := slices.Clone(s.Types)
-		w.Kinds = &kinds
+		w.Types = &kinds
 	}
 	if s.Zone != "" {
-		w.Site = &s.Zone
+		w.Zone = &s.Zone
 	}
 	if s.DeadlineS > 0 {
-		w.Due = &s.DeadlineS
+		w.DeadlineS = &s.DeadlineS
 	}
 	if s.Prerequisites != nil {
 		needs := slices.Clone(s.Prerequisites)
-		w.Prereqs = &needs
+		w.Prerequisites = &needs
 	}
 	return Encode(w)
 }
--- a/internal/protocol/enums.go
+++ b/internal/protocol/enums.go
@@ -44,7 +44,7 @@
 	Exited
 )
 
-var stateWords = map[string]TaskState{
+var taskStateWords = map[string]TaskState{
 	"fetching": Fetching, "gathering": Waiting, "running": Running, "saving": Checkpointing, "ended": Exited,
 }
 
@@ -64,7 +64,7 @@
 	ExitUnknownJob
 )
 
-var causeWords = map[string]ExitCause{
+var exitCauseWords = map[string]ExitCause{
 	"done": ExitDone, "halted": ExitStopped, "mates_gone": ExitPeersGone, "alone": ExitGangIncomplete, "error": ExitFailed,
 	"no_room": ExitInsufficientResources, "busy": ExitTaskAlreadyPresent, "unknown": ExitUnknownJob,
 }
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -15,9 +15,9 @@
 	Number int64
 }
 
-func (a Attempt) piece() string { return a.Job + "/" + strconv.Itoa(a.Task) }
+func (a Attempt) taskID() string { return a.Job + "/" + strconv.Itoa(a.Task) }
 
-func parsePiece(s string) (string, int, bool) {
+func parseTaskID(s string) (string, int, bool) {
 	job, idx, ok := strings.Cut(s, "/")
 	if !ok {
 		return "", 0, false
@@ -57,24 +57,24 @@
 }
 
 type wireTask struct {
-	Piece  string `msgpack:"piece"`
-	Try    *int64 `msgpack:"try"`
-	Status string `msgpack:"status"`
-	Cause  string `msgpack:"cause,omitempty"`
-	Kept   bool   `msgpack:"kept,omitempty"`
+	Task         string `msgpack:"piece"`
+	Attempt      *int64 `msgpack:"try"`
+	State        string `msgpack:"status"`
+	ExitCause    string `msgpack:"cause,omitempty"`
+	Checkpointed bool   `msgpack:"kept,omitempty"`
 }
 
 type wireHeartbeat struct {
-	Host    *string     `msgpack:"host"`
-	Address *string     `msgpack:"address"`
-	Kind    *string     `msgpack:"host_kind"`
-	Site    *string     `msgpack:"site"`
-	Loaners *bool       `msgpack:"loaners"`
-	Shift   *int64      `msgpack:"shift"`
-	Tick    *int64      `msgpack:"tick"`
-	Baton   *int64      `msgpack:"baton"`
-	Recall  *float64    `msgpack:"recall_s"`
-	Pieces  *[]wireTask `msgpack:"pieces"`
+	Machine         *string     `msgpack:"host"`
+	Addr            *string     `msgpack:"address"`
+	Type            *string     `msgpack:"host_kind"`
+	Zone            *string     `msgpack:"site"`
+	Spot            *bool       `msgpack:"loaners"`
+	Incarnation     *int64      `msgpack:"shift"`
+	Sequence        *int64      `msgpack:"tick"`
+	FencingToken    *int64      `msgpack:"baton"`
+	InterruptionInS *float64    `msgpack:"recall_s"`
+	Tasks           *[]wireTask `msgpack:"pieces"`
 }
 
 // DecodeHeartbeat reads and checks a worker's report.
@@ -86,30 +86,30 @@
 	if err := msgpack.Unmarshal(body, &w); err != nil {
 		return nil, malformed("%v", err)
 	}
-	if w.Host == nil || *w.Host == "" || len(*w.Host) > maxName || w.Address == nil || *w.Address == "" ||
-		w.Kind == nil || w.Site == nil || w.Loaners == nil || w.Shift == nil || w.Tick == nil ||
-		w.Baton == nil || w.Pieces == nil {
+	if w.Machine == nil || *w.Machine == "" || len(*w.Machine) > maxNameBytes || w.Addr == nil || *w.Addr == "" ||
+		w.Type == nil || w.Zone == nil || w.Spot == nil || w.Incarnation == nil || w.Sequence == nil ||
+		w.FencingToken == nil || w.Tasks == nil {
 		return nil, malformed("a field is missing")
 	}
-	if *w.Shift < 0 || *w.Tick < 0 || *w.Baton < 0 {
+	if *w.Incarnation < 0 || *w.Sequence < 0 || *w.FencingToken < 0 {
 		return nil, malformed("a count is out of range")
 	}
 	r := &Heartbeat{
-		Machine: *w.Host, Addr: *w.Address, Type: *w.Kind, Zone: *w.Site, Spot: *w.Loaners,
-		Incarnation: *w.Shift, Sequence: *w.Tick, FencingToken: *w.Baton, InterruptionInS: -1,
+		Machine: *w.Machine, Addr: *w.Addr, Type: *w.Type, Zone: *w.Zone, Spot: *w.Spot,
+		Incarnation: *w.Incarnation, Sequence: *w.Sequence, FencingToken: *w.FencingToken, InterruptionInS: -1,
 	}
-	if w.Recall != nil && !math.IsNaN(*w.Recall) {
-		r.InterruptionInS = max(0, *w.Recall)
+	if w.InterruptionInS != nil && !math.IsNaN(*w.InterruptionInS) {
+		r.InterruptionInS = max(0, *w.InterruptionInS)
 	}
-	r.Tasks = make([]TaskStatus, 0, len(*w.Pieces))
-	for _, p := range *w.Pieces {
-		job, idx, ok := parsePiece(p.Piece)
-		state, known := stateWords[p.Status]
-		if !ok || !known || p.Try == nil {
-			return nil, malformed("pieces: %q", p.Piece)
+	r.Tasks = make([]TaskStatus, 0, len(*w.Tasks))
+	for _, p := range *w.Tasks {
+		job, idx, ok := parseTaskID(p.Task)
+		state, known := taskStateWords[p.State]
+		if !ok || !known || p.Attempt == nil {
+			return nil, malformed("pieces: %q", p.Task)
 		}
 		r.Tasks = append(r.Tasks, TaskStatus{
-			Attempt: Attempt{Job: job, Task: idx, Number: *p.Try}, State: state, ExitCause: causeWords[p.Cause], Checkpointed: p.Kept,
+			Attempt: Attempt{Job: job, Task: idx, Number: *p.Attempt}, State: state, ExitCause: exitCauseWords[p.ExitCause], Checkpointed: p.Checkpointed,
 		})
 	}
 	return r, nil
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -10,9 +10,9 @@
 const MaxTasks = 100_000
 
 const (
-	maxAmount = 1e9
-	maxName   = 128
-	maxTypes  = 16
+	maxAmount       = 1e9
+	maxNameBytes    = 128
+	maxMachineTypes = 16
 )
 
 // Submission is a job as its user describes it.
@@ -42,27 +42,27 @@
 }
 
 type wireSubmission struct {
-	ID        *string   `msgpack:"id"`
-	JobClass  *string   `msgpack:"jobclass"`
-	Owner     *string   `msgpack:"owner"`
-	Shape     *string   `msgpack:"shape"`
-	Rank      *string   `msgpack:"rank"`
-	Pieces    *int64    `msgpack:"pieces"`
-	VCPUs     *float64  `msgpack:"vcpus"`
-	GPUs      *float64  `msgpack:"gpus"`
-	MemGB     *float64  `msgpack:"mem_gb"`
-	Bundle    *string   `msgpack:"bundle"`
-	ImageGB   *float64  `msgpack:"image_gb"`
-	Kinds     *[]string `msgpack:"kinds_of_host"`
-	Site      *string   `msgpack:"site"`
-	Together  *bool     `msgpack:"together"`
-	Spread    *bool     `msgpack:"spread"`
-	Loaners   *bool     `msgpack:"loaners"`
-	Expected  *float64  `msgpack:"expected_s"`
-	Savepoint *float64  `msgpack:"savepoint_s"`
-	Saving    *float64  `msgpack:"saving_s"`
-	Due       *float64  `msgpack:"due_s"`
-	Prereqs   *[]string `msgpack:"prereqs"`
+	ID                  *string   `msgpack:"id"`
+	Class               *string   `msgpack:"jobclass"`
+	Team                *string   `msgpack:"owner"`
+	Kind                *string   `msgpack:"shape"`
+	Priority            *string   `msgpack:"rank"`
+	Tasks               *int64    `msgpack:"pieces"`
+	CPUs                *float64  `msgpack:"vcpus"`
+	GPUs                *float64  `msgpack:"gpus"`
+	MemoryGB            *float64  `msgpack:"mem_gb"`
+	Image               *string   `msgpack:"bundle"`
+	ImageGB             *float64  `msgpack:"image_gb"`
+	Types               *[]string `msgpack:"kinds_of_host"`
+	Zone                *string   `msgpack:"site"`
+	OneZone             *bool     `msgpack:"together"`
+	Spread              *bool     `msgpack:"spread"`
+	Spot                *bool     `msgpack:"loaners"`
+	EstimatedRunS       *float64  `msgpack:"expected_s"`
+	CheckpointIntervalS *float64  `msgpack:"savepoint_s"`
+	CheckpointDurationS *float64  `msgpack:"saving_s"`
+	DeadlineS           *float64  `msgpack:"due_s"`
+	Prerequisites       *[]string `msgpack:"prereqs"`
 }
 
 // DecodeSubmission reads and checks the body of a submission.
@@ -74,36 +74,36 @@
 	if err := msgpack.Unmarshal(body, &w); err != nil {
 		return nil, malformed("%v", err)
 	}
-	var f fields
+	var f fieldReader
 	s := &Submission{
-		ID: f.text("id", w.ID), Class: f.text("jobclass", w.JobClass), Team: f.text("owner", w.Owner),
-		CPUs: f.amount("vcpus", w.VCPUs), GPUs: f.amount("gpus", w.GPUs), MemoryGB: f.amount("mem_gb", w.MemGB),
-		Image: f.text("bundle", w.Bundle), ImageGB: f.amount("image_gb", w.ImageGB),
-		OneZone: f.flag("together", w.Together), Spread: f.flag("spread", w.Spread), Spot: f.flag("loaners", w.Loaners),
-		EstimatedRunS: f.amount("expected_s", w.Expected), CheckpointIntervalS: f.amount("savepoint_s", w.Savepoint),
-		CheckpointDurationS: f.amount("saving_s", w.Saving), Types: f.kinds(w.Kinds),
-		Kind: wordOf(&f, "shape", jobKindWords, w.Shape), Priority: wordOf(&f, "rank", priorityWords, w.Rank),
+		ID: f.requiredString("id", w.ID), Class: f.requiredString("jobclass", w.Class), Team: f.requiredString("owner", w.Team),
+		CPUs: f.requiredNumber("vcpus", w.CPUs), GPUs: f.requiredNumber("gpus", w.GPUs), MemoryGB: f.requiredNumber("mem_gb", w.MemoryGB),
+		Image: f.requiredString("bundle", w.Image), ImageGB: f.requiredNumber("image_gb", w.ImageGB),
+		OneZone: f.requiredBool("together", w.OneZone), Spread: f.requiredBool("spread", w.Spread), Spot: f.requiredBool("loaners", w.Spot),
+		EstimatedRunS: f.requiredNumber("expected_s", w.EstimatedRunS), CheckpointIntervalS: f.requiredNumber("savepoint_s", w.CheckpointIntervalS),
+		CheckpointDurationS: f.requiredNumber("saving_s", w.CheckpointDurationS), Types: f.machineTypes(w.Types),
+		Kind: requiredWord(&f, "shape", jobKindWords, w.Kind), Priority: requiredWord(&f, "rank", priorityWords, w.Priority),
 	}
-	if f.bad == nil && !ValidJobID(s.ID) {
+	if f.err == nil && !ValidJobID(s.ID) {
 		f.fail("id: not a job id")
 	}
-	if w.Pieces == nil || *w.Pieces < 1 || *w.Pieces > MaxTasks {
+	if w.Tasks == nil || *w.Tasks < 1 || *w.Tasks > MaxTasks {
 		f.fail("pieces: missing or out of range")
 	} else {
-		s.Tasks = int(*w.Pieces)
+		s.Tasks = int(*w.Tasks)
 	}
-	if w.Site != nil {
-		s.Zone = f.text("site", w.Site)
+	if w.Zone != nil {
+		s.Zone = f.requiredString("site", w.Zone)
 	}
-	if w.Due != nil {
-		s.DeadlineS = f.amount("due_s", w.Due)
+	if w.DeadlineS != nil {
+		s.DeadlineS = f.requiredNumber("due_s", w.DeadlineS)
 	}
-	if f.bad != nil {
-		return nil, f.bad
+	if f.err != nil {
+		return nil, f.err
 	}
-	if w.Prereqs != nil {
+	if w.Prerequisites != nil {
 		var err error
-		if s.Prerequisites, err = prerequisites(*w.Prereqs); err != nil {
+		if s.Prerequisites, err = prerequisites(*w.Prerequisites); err != nil {
 			return nil, err
 		}
 	}
