--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,15 +1,15 @@
 package protocol
 
-// MaxMachinesListed is the most machines of one answer.
+// MaxMachinesListed is the most machines on one page of the cloud's list.
 const MaxMachinesListed = 500
 
-// The most machines of one rental and of one return.
+// The most machines that one request provisions, and that one request releases.
 const (
 	MaxScaleOut = 50
 	MaxScaleIn  = 100
 )
 
-// MachineType is what the cloud offers.
+// MachineType is a type of machines that the cloud offers.
 type MachineType struct {
 	Name        string   `msgpack:"sku"`
 	CPUs        float64  `msgpack:"vcpus"`
@@ -30,14 +30,14 @@
 
 // ProvisioningRequest asks the cloud for machines.
 type ProvisioningRequest struct {
-	RequestID string `msgpack:"hire"`
+	RequestID string `msgpack:"hire"` // idempotency key: a repeat brings the same machines
 	Type      string `msgpack:"host_kind"`
 	Zone      string `msgpack:"site"`
 	Spot      bool   `msgpack:"loaners"`
 	Count     int    `msgpack:"how_many"`
 }
 
-// MachineNames names machines: the answer to a rental, the body of a return.
+// MachineNames names machines: those that were provisioned, or are to be released.
 type MachineNames struct {
 	Names []string `msgpack:"hosts"`
 }
@@ -66,12 +66,11 @@
 	More     bool      `msgpack:"has_next"`
 }
 
+// noCapacity is the text of the cloud's refusal for want of machines.
 const noCapacity = "no capacity"
 
-// NoCapacity tells a refusal for want of machines from the cloud's troubles.
+// NoCapacity tells a refusal for want of machines from the cloud's other failures.
 func NoCapacity(body []byte) bool {
-	var a struct {
-		Error string `msgpack:"error"`
-	}
-	return Decode(body, &a) == nil && a.Error == noCapacity
+	var refusal wireError
+	return Decode(body, &refusal) == nil && refusal.Text == noCapacity
 }
--- a/internal/protocol/commands.go
+++ b/internal/protocol/commands.go
@@ -1,11 +1,7 @@
 package protocol
 
-// Words of the commands to workers.
-const (
-	verbStart  = "start"
-	verbStop   = "halt"
-	verbForget = "forget"
-)
+// StableStartS is for how many seconds a task has to run undisturbed for its start to count.
+const StableStartS = 30
 
 // Verb is what a command tells a worker to do.
 type Verb uint8
@@ -14,16 +10,20 @@
 const (
 	Start Verb = iota
 	Stop
-	Forget
+	Forget // drop the record of a task that has exited
 )
 
-// Command is one order to a worker.
+// verbWords are the wire words, by verb.
+var verbWords = [...]string{Start: "start", Stop: "halt", Forget: "forget"}
+
+// Command is one command to a worker.
 type Command struct {
 	Verb Verb
 	Attempt
-	GracePeriodS float64 // of a Stop
+	GracePeriodS float64 // of a Stop, in seconds
 }
 
+// wireCommand is a command as it is sent.
 type wireCommand struct {
 	Verb         string   `msgpack:"verb"`
 	Task         string   `msgpack:"piece"`
@@ -31,48 +31,40 @@
 	GracePeriodS *float64 `msgpack:"wind_down_s,omitempty"`
 }
 
-func wireCommands(cmds []Command) []wireCommand {
-	out := make([]wireCommand, len(cmds))
-	for i, c := range cmds {
-		w := wireCommand{Task: c.taskID(), Attempt: c.Number}
-		switch c.Verb {
-		case Start:
-			w.Verb = verbStart
-		case Stop:
-			w.Verb = verbStop
-			w.GracePeriodS = &cmds[i].GracePeriodS
-		case Forget:
-			w.Verb = verbForget
+func wireCommands(commands []Command) []wireCommand {
+	wire := make([]wireCommand, len(commands))
+	for i := range commands {
+		command := &commands[i]
+		wire[i] = wireCommand{Verb: verbWords[command.Verb], Task: command.taskID(), Attempt: command.Number}
+		if command.Verb == Stop {
+			wire[i].GracePeriodS = &command.GracePeriodS
 		}
-		out[i] = w
 	}
-	return out
+	return wire
 }
 
-// EncodeHeartbeatResponse is the 200 to a report.
-func EncodeHeartbeatResponse(token int64, cmds []Command) []byte {
+// EncodeHeartbeatResponse is the body of the 200 to a heartbeat: the leader's fencing token and
+// the commands that are due.
+func EncodeHeartbeatResponse(fencingToken int64, commands []Command) []byte {
 	return Encode(struct {
-		Baton  int64         `msgpack:"baton"`
-		Orders []wireCommand `msgpack:"orders"`
-	}{token, wireCommands(cmds)})
+		FencingToken int64         `msgpack:"baton"`
+		Commands     []wireCommand `msgpack:"orders"`
+	}{fencingToken, wireCommands(commands)})
 }
 
-// EncodeRedirect is the 421 that sends a worker to another node.
-func EncodeRedirect(node string) []byte {
-	if node == "" {
-		return Encode(map[string]string{})
-	}
-	return Encode(map[string]string{"foreman": node})
+// wireRedirect sends a worker to the leader's node; empty: the leader isn't known.
+type wireRedirect struct {
+	Leader string `msgpack:"foreman,omitempty"`
 }
 
-// EncodeCommands is the body of direct commands to a worker.
-func EncodeCommands(token, session int64, cmds []Command) []byte {
+// EncodeRedirect is the body of the 421 that sends a worker to another node; empty: none.
+func EncodeRedirect(node string) []byte { return Encode(wireRedirect{Leader: node}) }
+
+// EncodeCommands is the body of direct commands to a worker's incarnation.
+func EncodeCommands(fencingToken, incarnation int64, commands []Command) []byte {
 	return Encode(struct {
-		Baton  int64         `msgpack:"baton"`
-		Shift  int64         `msgpack:"shift"`
-		Orders []wireCommand `msgpack:"orders"`
-	}{token, session, wireCommands(cmds)})
+		FencingToken int64         `msgpack:"baton"`
+		Incarnation  int64         `msgpack:"shift"`
+		Commands     []wireCommand `msgpack:"orders"`
+	}{fencingToken, incarnation, wireCommands(commands)})
 }
-
-// StableStartS is how long a task has to be left alone for its start to count.
-const StableStartS = 30
--- a/internal/protocol/counterparts.go
+++ b/internal/protocol/counterparts.go
@@ -21,142 +21,162 @@
 	return ""
 }
 
-// EncodeHeartbeat is a worker's report.
-func EncodeHeartbeat(r *Heartbeat) []byte {
-	pieces := make([]wireTask, len(r.Tasks))
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		pieces[i] = wireTask{Task: t.taskID(), Attempt: &t.Number, State: wordFor(taskStateWords, t.State), Checkpointed: t.Checkpointed}
-		if t.State == Exited {
-			pieces[i].ExitCause = wordFor(exitCauseWords, t.ExitCause)
+// EncodeHeartbeat is the body of a worker's heartbeat.
+func EncodeHeartbeat(h *Heartbeat) []byte {
+	tasks := make([]wireTask, len(h.Tasks))
+	for i := range h.Tasks {
+		task := &h.Tasks[i]
+		tasks[i] = wireTask{
+			Task: task.taskID(), Attempt: &task.Number,
+			State: wordFor(taskStateWords, task.State), Checkpointed: task.Checkpointed,
+		}
+		if task.State == Exited {
+			tasks[i].ExitCause = wordFor(exitCauseWords, task.ExitCause)
 		}
 	}
-	w := wireHeartbeat{
-		Machine: &r.Machine, Addr: &r.Addr, Type: &r.Type, Zone: &r.Zone, Spot: &r.Spot,
-		Incarnation: &r.Incarnation, Sequence: &r.Sequence, FencingToken: &r.FencingToken, Tasks: &pieces,
+	wire := wireHeartbeat{
+		Machine: &h.Machine, Addr: &h.Addr, Type: &h.Type, Zone: &h.Zone, Spot: &h.Spot,
+		Incarnation: &h.Incarnation, Sequence: &h.Sequence, FencingToken: &h.FencingToken, Tasks: &tasks,
 	}
-	if r.InterruptionInS >= 0 {
-		w.InterruptionInS = &r.InterruptionInS
+	if h.InterruptionInS >= 0 {
+		wire.InterruptionInS = &h.InterruptionInS
 	}
-	return Encode(w)
+	return Encode(wire)
 }
 
-// WorkerCommands are a worker's commands: the answer to a report, or the body of a direct command.
+// WorkerCommands are the commands to a worker: the answer to a heartbeat, or the body of a
+// request with direct commands.
 type WorkerCommands struct {
 	FencingToken int64
 	Incarnation  int64 // of direct commands
 	Commands     []Command
-	// Complete tells whether both token and session are there.
+	// Complete tells whether both the fencing token and the incarnation are there.
 	Complete bool
 }
 
-// DecodeCommands reads commands to a worker.
+// DecodeCommands reads the commands to a worker.
 func DecodeCommands(body []byte) (*WorkerCommands, error) {
-	var w struct {
-		Baton  *int64        `msgpack:"baton"`
-		Shift  *int64        `msgpack:"shift"`
-		Orders []wireCommand `msgpack:"orders"`
-	}
-	if err := Decode(body, &w); err != nil {
-		return nil, malformed("%v", err)
-	}
-	o := &WorkerCommands{Complete: w.Baton != nil && w.Shift != nil}
-	if w.Baton != nil {
-		o.FencingToken = *w.Baton
-	}
-	if w.Shift != nil {
-		o.Incarnation = *w.Shift
-	}
-	verbs := map[string]Verb{verbStart: Start, verbStop: Stop, verbForget: Forget}
-	for _, c := range w.Orders {
-		job, index, ok := parseTaskID(c.Task)
-		verb, known := verbs[c.Verb]
-		if !ok || !known {
-			return nil, malformed("a command %q for %q", c.Verb, c.Task)
-		}
-		command := Command{Verb: verb, Attempt: Attempt{Job: job, Task: index, Number: c.Attempt}}
-		if c.GracePeriodS != nil {
-			command.GracePeriodS = *c.GracePeriodS
+	var wire struct {
+		FencingToken *int64        `msgpack:"baton"`
+		Incarnation  *int64        `msgpack:"shift"`
+		Commands     []wireCommand `msgpack:"orders"`
+	}
+	if err := Decode(body, &wire); err != nil {
+		return nil, malformedBy(err)
+	}
+	commands := &WorkerCommands{Complete: wire.FencingToken != nil && wire.Incarnation != nil}
+	if wire.FencingToken != nil {
+		commands.FencingToken = *wire.FencingToken
+	}
+	if wire.Incarnation != nil {
+		commands.Incarnation = *wire.Incarnation
+	}
+	for i := range wire.Commands {
+		command, err := wire.Commands[i].command()
+		if err != nil {
+			return nil, err
 		}
-		o.Commands = append(o.Commands, command)
+		commands.Commands = append(commands.Commands, command)
 	}
-	return o, nil
+	return commands, nil
+}
+
+// command reads one command.
+func (w *wireCommand) command() (Command, error) {
+	job, index, ok := parseTaskID(w.Task)
+	verb := slices.Index(verbWords[:], w.Verb)
+	if !ok || verb < 0 {
+		return Command{}, malformed("a command %q for %q", w.Verb, w.Task)
+	}
+	command := Command{Verb: Verb(verb), Attempt: Attempt{Job: job, Task: index, Number: w.Attempt}}
+	if w.GracePeriodS != nil {
+		command.GracePeriodS = *w.GracePeriodS
+	}
+	return command, nil
 }
 
 // DecodeRedirect reads which node a 421 sends a worker to; empty: none.
 func DecodeRedirect(body []byte) string {
-	var w struct {
-		Foreman string `msgpack:"foreman"`
-	}
-	if Decode(body, &w) != nil {
+	var redirect wireRedirect
+	if Decode(body, &redirect) != nil {
 		return ""
 	}
-	return w.Foreman
+	return redirect.Leader
 }
 
-// EncodeSubmission is a user's submission.
+// EncodeSubmission is the body of a user's submission.
 func EncodeSubmission(s *Submission) []byte {
-	shape, rank, pieces := wordFor(jobKindWords, s.Kind), wordFor(priorityWords, s.Priority), int64(s.Tasks)
-	w := wireSubmission{
-		ID: &s.ID, Class: &s.Class, Team: &s.Team, Kind: &shape, Priority: &rank, Tasks: &pieces,
+	kind, priority, tasks := wordFor(jobKindWords, s.Kind), wordFor(priorityWords, s.Priority), int64(s.Tasks)
+	wire := wireSubmission{
+		ID: &s.ID, Class: &s.Class, Team: &s.Team, Kind: &kind, Priority: &priority, Tasks: &tasks,
 		CPUs: &s.CPUs, GPUs: &s.GPUs, MemoryGB: &s.MemoryGB, Image: &s.Image, ImageGB: &s.ImageGB,
 		OneZone: &s.OneZone, Spread: &s.Spread, Spot: &s.Spot, EstimatedRunS: &s.EstimatedRunS,
 		CheckpointIntervalS: &s.CheckpointIntervalS, CheckpointDurationS: &s.CheckpointDurationS,
 	}
 	if s.Types != nil {
-		kinds := slices.Clone(s.Types)
-		w.Types = &kinds
+		types := slices.Clone(s.Types)
+		wire.Types = &types
 	}
 	if s.Zone != "" {
-		w.Zone = &s.Zone
+		wire.Zone = &s.Zone
 	}
 	if s.DeadlineS > 0 {
-		w.DeadlineS = &s.DeadlineS
+		wire.DeadlineS = &s.DeadlineS
 	}
 	if s.Prerequisites != nil {
-		needs := slices.Clone(s.Prerequisites)
-		w.Prerequisites = &needs
+		prerequisites := slices.Clone(s.Prerequisites)
+		wire.Prerequisites = &prerequisites
 	}
-	return Encode(w)
+	return Encode(wire)
 }
 
-// JobPath is where a job is, and with cancel where it is cancelled.
+// JobPath is the path of a job, and with cancel the one for cancelling it.
 func JobPath(id string, cancel bool) string {
 	path := PathJobs + "/" + id
 	if cancel {
-		path += abortSuffix
+		path += cancelSuffix
 	}
 	return path
 }
 
-// DecodeTxn reads a transaction as the state service gets it. Values stay as they came.
+// DecodeTxn reads a transaction as the state service gets it. Values stay encoded.
 func DecodeTxn(body []byte) (Txn, error) {
-	var w struct {
-		If   []Condition `msgpack:"if"`
-		Then []struct {
-			Put   string             `msgpack:"write"`
-			Value msgpack.RawMessage `msgpack:"value"`
-			Lease int64              `msgpack:"permit"`
-			Drop  string             `msgpack:"drop"`
-		} `msgpack:"then"`
-	}
-	if err := Decode(body, &w); err != nil {
-		return Txn{}, malformed("%v", err)
-	}
-	txn := Txn{If: w.If}
-	for _, c := range w.Then {
-		switch {
-		case (c.Put == "") == (c.Drop == ""):
-			return Txn{}, malformed("a change of no key or of two")
-		case c.Drop != "":
-			txn.Then = append(txn.Then, Change{Delete: c.Drop})
-		default:
-			txn.Then = append(txn.Then, Change{Put: c.Put, Value: c.Value, Lease: c.Lease})
+	var wire struct {
+		If   []Condition  `msgpack:"if"`
+		Then []wireChange `msgpack:"then"`
+	}
+	if err := Decode(body, &wire); err != nil {
+		return Txn{}, malformedBy(err)
+	}
+	txn := Txn{If: wire.If}
+	for i := range wire.Then {
+		change, err := wire.Then[i].change()
+		if err != nil {
+			return Txn{}, err
 		}
+		txn.Then = append(txn.Then, change)
 	}
 	return txn, nil
 }
 
+// wireChange is a change as it is sent, its value still encoded.
+type wireChange struct {
+	Put    string             `msgpack:"write"`
+	Value  msgpack.RawMessage `msgpack:"value"`
+	Lease  int64              `msgpack:"permit"`
+	Delete string             `msgpack:"drop"`
+}
+
+func (w *wireChange) change() (Change, error) {
+	if (w.Put == "") == (w.Delete == "") {
+		return Change{}, malformed("a change of no key or of two")
+	}
+	if w.Delete != "" {
+		return Change{Delete: w.Delete}, nil
+	}
+	return Change{Put: w.Put, Value: w.Value, Lease: w.Lease}, nil
+}
+
 // SplitLeasePath takes apart the path of a request about a lease.
 func SplitLeasePath(path string) (lease int64, renew, ok bool) {
 	rest, ok := strings.CutPrefix(path, PathLeases+"/")
--- a/internal/protocol/enums.go
+++ b/internal/protocol/enums.go
@@ -1,12 +1,9 @@
-// Package protocol holds the wire words of every interface, their types, and
-// the validation of what arrives. Nothing outside this package spells a wire
-// word; the rest of the program uses the field's standard terms.
 package protocol
 
 // JobKind says how a job's tasks belong together.
 type JobKind uint8
 
-// The three shapes.
+// The kinds of jobs.
 const (
 	Array JobKind = iota
 	Gang
@@ -15,12 +12,12 @@
 
 var jobKindWords = map[string]JobKind{"batch": Array, "ensemble": Gang, "service": Service}
 
-func (s JobKind) String() string { return [...]string{"array", "gang", "service"}[s] }
+func (k JobKind) String() string { return [...]string{"array", "gang", "service"}[k] }
 
 // Priority orders jobs; a higher value goes first.
 type Priority uint8
 
-// The four priorities.
+// The priorities, from the lowest.
 const (
 	Low Priority = iota
 	Normal
@@ -35,10 +32,10 @@
 // TaskState is what a worker says of a task on its machine.
 type TaskState uint8
 
-// Task states of reports.
+// Task states of heartbeats.
 const (
-	Fetching TaskState = iota
-	Waiting
+	Fetching TaskState = iota // the image
+	Waiting                   // for the other tasks of the gang
 	Running
 	Checkpointing
 	Exited
@@ -56,12 +53,12 @@
 	ExitNone ExitCause = iota
 	ExitDone
 	ExitStopped
-	ExitPeersGone
-	ExitGangIncomplete
-	ExitFailed
-	ExitInsufficientResources
-	ExitTaskAlreadyPresent
-	ExitUnknownJob
+	ExitPeersGone             // another task of the gang is gone
+	ExitGangIncomplete        // the gang never was complete
+	ExitFailed                // by itself
+	ExitInsufficientResources // the machine has no room for it
+	ExitTaskAlreadyPresent    // another attempt of the task is on the machine
+	ExitUnknownJob            // the worker doesn't know the job
 )
 
 var exitCauseWords = map[string]ExitCause{
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -4,40 +4,40 @@
 	"math"
 	"strconv"
 	"strings"
-
-	"github.com/vmihailenco/msgpack/v5"
 )
 
 // Attempt names one start of one task.
 type Attempt struct {
 	Job    string
-	Task   int
-	Number int64
+	Task   int   // index within the job, from 0
+	Number int64 // of the task's starts
 }
 
+// taskID is the task as messages name it: the job and the task's index.
 func (a Attempt) taskID() string { return a.Job + "/" + strconv.Itoa(a.Task) }
 
-func parseTaskID(s string) (string, int, bool) {
-	job, idx, ok := strings.Cut(s, "/")
+func parseTaskID(id string) (job string, index int, ok bool) {
+	job, digits, ok := strings.Cut(id, "/")
 	if !ok {
 		return "", 0, false
 	}
-	n, err := strconv.Atoi(idx)
-	if err != nil || n < 0 || n >= MaxTasks {
+	index, err := strconv.Atoi(digits)
+	if err != nil || index < 0 || index >= MaxTasks {
 		return "", 0, false
 	}
-	return job, n, true
+	return job, index, true
 }
 
-// TaskStatus is one task of a report.
+// TaskStatus is what a heartbeat says of one task.
 type TaskStatus struct {
 	Attempt
 	State        TaskState
-	ExitCause    ExitCause
-	Checkpointed bool
+	ExitCause    ExitCause // of an Exited task
+	Checkpointed bool      // there is a checkpoint to go on from
 }
 
-// Heartbeat is a worker's account of its machine.
+// Heartbeat is a worker's status of its machine and the tasks on it. Of two heartbeats of a
+// machine the one with the higher (Incarnation, Sequence) is the newer.
 type Heartbeat struct {
 	Machine         string
 	Addr            string
@@ -46,16 +46,17 @@
 	Spot            bool
 	Incarnation     int64
 	Sequence        int64
-	FencingToken    int64
+	FencingToken    int64   // the highest that the worker has seen
 	InterruptionInS float64 // seconds until the machine is taken; negative: none
 	Tasks           []TaskStatus
 }
 
-// Newer tells whether the report is newer than a message numbered (session, seq).
-func (r *Heartbeat) Newer(session, seq int64) bool {
-	return r.Incarnation > session || r.Incarnation == session && r.Sequence > seq
+// Newer tells whether the heartbeat is newer than a message numbered (incarnation, sequence).
+func (h *Heartbeat) Newer(incarnation, sequence int64) bool {
+	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Sequence > sequence
 }
 
+// wireTask is a task of a heartbeat as it is sent.
 type wireTask struct {
 	Task         string `msgpack:"piece"`
 	Attempt      *int64 `msgpack:"try"`
@@ -64,6 +65,7 @@
 	Checkpointed bool   `msgpack:"kept,omitempty"`
 }
 
+// wireHeartbeat is a heartbeat as it is sent; nil: the field is absent or null.
 type wireHeartbeat struct {
 	Machine         *string     `msgpack:"host"`
 	Addr            *string     `msgpack:"address"`
@@ -77,40 +79,55 @@
 	Tasks           *[]wireTask `msgpack:"pieces"`
 }
 
-// DecodeHeartbeat reads and checks a worker's report.
+// DecodeHeartbeat reads and checks a worker's heartbeat.
 func DecodeHeartbeat(body []byte) (*Heartbeat, error) {
-	if err := checkBody(body); err != nil {
+	var wire wireHeartbeat
+	if err := decodeRequest(body, &wire); err != nil {
+		return nil, err
+	}
+	if err := wire.check(); err != nil {
 		return nil, err
 	}
-	var w wireHeartbeat
-	if err := msgpack.Unmarshal(body, &w); err != nil {
-		return nil, malformed("%v", err)
+	heartbeat := &Heartbeat{
+		Machine: *wire.Machine, Addr: *wire.Addr, Type: *wire.Type, Zone: *wire.Zone, Spot: *wire.Spot,
+		Incarnation: *wire.Incarnation, Sequence: *wire.Sequence, FencingToken: *wire.FencingToken,
+		InterruptionInS: -1, Tasks: make([]TaskStatus, 0, len(*wire.Tasks)),
+	}
+	if wire.InterruptionInS != nil && !math.IsNaN(*wire.InterruptionInS) {
+		heartbeat.InterruptionInS = max(0, *wire.InterruptionInS)
 	}
+	for _, task := range *wire.Tasks {
+		status, ok := task.status()
+		if !ok {
+			return nil, &FieldError{Field: "pieces", Problem: strconv.Quote(task.Task)}
+		}
+		heartbeat.Tasks = append(heartbeat.Tasks, status)
+	}
+	return heartbeat, nil
+}
+
+// check insists on every field but the interruption notice.
+func (w *wireHeartbeat) check() error {
 	if w.Machine == nil || *w.Machine == "" || len(*w.Machine) > maxNameBytes || w.Addr == nil || *w.Addr == "" ||
 		w.Type == nil || w.Zone == nil || w.Spot == nil || w.Incarnation == nil || w.Sequence == nil ||
 		w.FencingToken == nil || w.Tasks == nil {
-		return nil, malformed("a field is missing")
+		return malformed("a field is missing")
 	}
 	if *w.Incarnation < 0 || *w.Sequence < 0 || *w.FencingToken < 0 {
-		return nil, malformed("a count is out of range")
-	}
-	r := &Heartbeat{
-		Machine: *w.Machine, Addr: *w.Addr, Type: *w.Type, Zone: *w.Zone, Spot: *w.Spot,
-		Incarnation: *w.Incarnation, Sequence: *w.Sequence, FencingToken: *w.FencingToken, InterruptionInS: -1,
-	}
-	if w.InterruptionInS != nil && !math.IsNaN(*w.InterruptionInS) {
-		r.InterruptionInS = max(0, *w.InterruptionInS)
+		return malformed("a count is out of range")
 	}
-	r.Tasks = make([]TaskStatus, 0, len(*w.Tasks))
-	for _, p := range *w.Tasks {
-		job, idx, ok := parseTaskID(p.Task)
-		state, known := taskStateWords[p.State]
-		if !ok || !known || p.Attempt == nil {
-			return nil, malformed("pieces: %q", p.Task)
-		}
-		r.Tasks = append(r.Tasks, TaskStatus{
-			Attempt: Attempt{Job: job, Task: idx, Number: *p.Attempt}, State: state, ExitCause: exitCauseWords[p.ExitCause], Checkpointed: p.Checkpointed,
-		})
+	return nil
+}
+
+// status reads a task. An exit cause that this version doesn't know is ExitNone.
+func (w *wireTask) status() (_ TaskStatus, ok bool) {
+	job, index, ok := parseTaskID(w.Task)
+	state, known := taskStateWords[w.State]
+	if !ok || !known || w.Attempt == nil {
+		return TaskStatus{}, false
 	}
-	return r, nil
+	return TaskStatus{
+		Attempt: Attempt{Job: job, Task: index, Number: *w.Attempt},
+		State:   state, ExitCause: exitCauseWords[w.ExitCause], Checkpointed: w.Checkpointed,
+	}, true
 }
--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -17,10 +17,11 @@
 	PathKV           = "/kv"
 	PathTxn          = "/txn"
 	PathLeases       = "/grants"
-	abortSuffix      = "/abort"
+	cancelSuffix     = "/abort"
 	renewSuffix      = "/renew"
 
-	// PathStepDown and PathPeerStatus are the project's own, between controllers.
+	// PathStepDown and the paths under PathAdmin are the project's own, on the listener for
+	// peers and operators.
 	PathStepDown = "/peer/let-go"
 	PathAdmin    = "/admin/"
 )
@@ -35,15 +36,15 @@
 	if !ok || rest == "" {
 		return "", false, false
 	}
-	rest, cancel = strings.CutSuffix(rest, abortSuffix)
+	rest, cancel = strings.CutSuffix(rest, cancelSuffix)
 	if rest == "" || strings.Contains(rest, "/") {
 		return "", false, false
 	}
 	return rest, cancel, true
 }
 
-// LeasePath is where a lease is.
+// LeasePath is the path of a lease.
 func LeasePath(lease int64) string { return fmt.Sprintf("%s/%d", PathLeases, lease) }
 
-// LeaseRenewalPath is where a lease is renewed.
+// LeaseRenewalPath is the path for renewing a lease.
 func LeaseRenewalPath(lease int64) string { return LeasePath(lease) + renewSuffix }
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -1,15 +1,15 @@
 package protocol
 
 // StepDown is what a new leader tells its peers: terms below Term are over, and it
-// is the one that leads. A Term of 0 is no more than a greeting.
+// is the one that leads. A Term of 0 only probes the peer.
 type StepDown struct {
 	Term   int64  `msgpack:"term"`
 	Leader string `msgpack:"leader"`
-	// ReadsArchive asks whether the peer looks ended jobs up in the archive, too.
+	// ReadsArchive asks whether the peer looks ended jobs up in the archive.
 	ReadsArchive bool `msgpack:"reads_archive,omitempty"`
 }
 
-// StepDownResponse says whether the node has let go of every term below.
+// StepDownResponse says whether the node has stepped down from every term below.
 type StepDownResponse struct {
 	SteppedDown    bool  `msgpack:"released"`
 	LastLoadedTerm int64 `msgpack:"taken"` // the last term of which this process has read the records; 0: none
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -1,6 +1,6 @@
 package protocol
 
-// What users are told of a job.
+// Statuses of a job, as users are told.
 const (
 	StatusQueued    = "queued"
 	StatusRunning   = "running"
@@ -12,9 +12,14 @@
 type JobResponse struct {
 	ID      string `msgpack:"id"`
 	Status  string `msgpack:"status"`
-	Done    *int   `msgpack:"done,omitempty"`
-	Running *int   `msgpack:"running,omitempty"`
+	Done    *int   `msgpack:"done,omitempty"`    // tasks; nil: not told
+	Running *int   `msgpack:"running,omitempty"` // tasks; nil: not told
+}
+
+// wireError is the body of a refusal.
+type wireError struct {
+	Text string `msgpack:"error"`
 }
 
 // EncodeError is the body of a refusal.
-func EncodeError(text string) []byte { return Encode(map[string]string{"error": text}) }
+func EncodeError(text string) []byte { return Encode(wireError{Text: text}) }
