--- a/internal/message/messages.go
+++ b/internal/message/messages.go
@@ -1,6 +1,8 @@
 // Package message defines what goes into the controller's state machine and what comes out
-// of it: events and effects. The machine itself does no input or output; the process round
-// it turns requests and results into events and carries the effects out.
+// of it: events and effects. The state machine itself does no input or output; the process
+// around it turns requests and results into events and carries the effects out.
+//
+// Nobody changes an event or an effect, or what it points to, after handing it over.
 package message
 
 import (
@@ -11,30 +13,30 @@
 	"oakpick/internal/storage"
 )
 
-// Now is the time of a step: the steady clock since the process began, and the
-// time of day in milliseconds.
+// Now is the time of a step.
 type Now struct {
-	Monotonic time.Duration
-	WallMs    int64
+	Monotonic time.Duration // monotonic clock, since the process began
+	WallMs    int64         // wall clock, in milliseconds since 1970
 }
 
-// LimiterTime is the steady clock as rate limiters take it.
+// LimiterTime is the monotonic clock as rate limiters take it.
 func (n Now) LimiterTime() time.Time { return time.Unix(1, 0).Add(n.Monotonic) }
 
 // Event is what goes into Step: a request, an answer to an effect, or time.
 type Event interface{ event() }
 
-// Request is a command that is answered with a Reply of its ID.
+// Request is an event that is answered with a Reply of its ID, or handed to the leader with a
+// Forward of its ID.
 type Request interface {
 	Event
-	// WithID gives the same request under such a number.
+	// WithID gives the same request with this ID.
 	WithID(id uint64) Request
 }
 
-// Effect is what comes out of Step, to be carried out by the process round it.
+// Effect is what comes out of Step, to be carried out by the process around it.
 type Effect interface{ effect() }
 
-// Commands that go into Step.
+// Events that go into Step.
 type (
 	// UserRequest is a request of a user.
 	UserRequest struct {
@@ -43,12 +45,12 @@
 		Job        string
 		Submission *protocol.Submission
 	}
-	// HeartbeatRequest is a report of a worker.
+	// HeartbeatRequest is a heartbeat of a worker.
 	HeartbeatRequest struct {
 		ID        uint64
 		Heartbeat *protocol.Heartbeat
 	}
-	// StepDownRequest is a new leader's question.
+	// StepDownRequest is a new leader's request to step down from older terms.
 	StepDownRequest struct {
 		ID     uint64
 		Term   int64
@@ -64,21 +66,21 @@
 		List     protocol.MachineList
 		Machines []string
 	}
-	// CommandsResult answers an CommandsCall: OK, Conflict (nothing executed), NotSent or Lost.
+	// CommandsResult answers a CommandsCall: OK, Conflict (nothing executed), NotSent or Unknown.
 	CommandsResult struct {
 		ID        uint64
 		Machine   string
 		Outcome   rpc.Outcome
-		Heartbeat *protocol.Heartbeat
+		Heartbeat *protocol.Heartbeat // the worker's answer; nil: none, or it can't be read
 	}
-	// PeerResult answers a PeerCall.
+	// PeerResult answers a PeerCall. If the peer didn't answer, the response is its zero value.
 	PeerResult struct {
 		PeerCall
 		protocol.StepDownResponse
 	}
 	// StateResult answers a StateCall.
 	StateResult struct{ storage.StateResult }
-	// Tick lets time pass.
+	// Tick says that time has passed.
 	Tick struct{}
 )
 
@@ -92,22 +94,22 @@
 func (PeerResult) event()       {}
 func (Tick) event()             {}
 
-// WithID gives the same request under such a number.
+// WithID gives the same request with this ID.
 func (c UserRequest) WithID(id uint64) Request { c.ID = id; return c }
 
-// WithID gives the same request under such a number.
+// WithID gives the same request with this ID.
 func (c HeartbeatRequest) WithID(id uint64) Request { c.ID = id; return c }
 
-// WithID gives the same request under such a number.
+// WithID gives the same request with this ID.
 func (c StepDownRequest) WithID(id uint64) Request { c.ID = id; return c }
 
-// WithID gives the same request under such a number.
+// WithID gives the same request with this ID.
 func (c AdminRequest) WithID(id uint64) Request { c.ID = id; return c }
 
-// UserRequestKind is what a user asks.
+// UserRequestKind is what a user asks for.
 type UserRequestKind uint8
 
-// What users ask.
+// What users ask for.
 const (
 	Submit UserRequestKind = iota
 	Poll
@@ -116,13 +118,13 @@
 
 // Effects that come out of Step.
 type (
-	// Reply answers a UserRequest, HeartbeatRequest or StepDownRequest.
+	// Reply answers a Request.
 	Reply struct {
 		ID              uint64
 		Status          int
 		Body            []byte
-		RetryAfterS     int  // seconds; 0: not said
-		CloseConnection bool // the user had better come back on a new connection, which may lead elsewhere
+		RetryAfterS     int  // seconds; 0: no such header
+		CloseConnection bool // a retry on a new connection may reach another controller
 	}
 	// Forward hands a UserRequest to the leader.
 	Forward struct {
@@ -138,11 +140,11 @@
 		StartAfter   string
 		Provisioning protocol.ProvisioningRequest
 		Machines     []string
-		// NotAfter is until when it may be sent, by the steady clock: after that another
+		// NotAfter is until when it may be sent, by the monotonic clock: after that another
 		// controller may lead. 0: at any time.
 		NotAfter time.Duration
 	}
-	// CommandsCall sends commands straight to a worker.
+	// CommandsCall sends commands directly to a worker.
 	CommandsCall struct {
 		ID                        uint64
 		Machine, Addr             string
@@ -151,15 +153,15 @@
 		// NotAfter is until when it may be sent, as with CloudCall.
 		NotAfter time.Duration
 	}
-	// PeerCall asks a peer to let go of terms below Term.
+	// PeerCall asks a peer to step down from terms below Term.
 	PeerCall struct {
 		Peer   string
 		Term   int64
-		SentAt time.Duration // when
+		SentAt time.Duration // by the monotonic clock
 		// AsksArchive asks whether the peer reads the archive of ended jobs.
 		AsksArchive bool
 	}
-	// Log is a line for the operator.
+	// Log is a log line.
 	Log struct {
 		Level   LogLevel
 		Message string
@@ -186,7 +188,7 @@
 	CloudScaleIn
 )
 
-// LogLevel is how much a line matters.
+// LogLevel is the level of a log line.
 type LogLevel uint8
 
 // Levels.
@@ -196,10 +198,10 @@
 	Error
 )
 
-// AdminRequestKind is what an operator asks.
+// AdminRequestKind is what an operator asks for.
 type AdminRequestKind uint8
 
-// What operators ask.
+// What operators ask for.
 const (
 	AdminStatus AdminRequestKind = iota
 	AdminRead
