--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -40,7 +40,7 @@
 
 // newAdmin is the administration API: JSON over HTTP, on the controllers' own
 // listener.
-func newAdmin(d *daemon, limit *transport.Limit) http.Handler {
+func newAdmin(d *daemon, limit *transport.ConcurrencyLimit) http.Handler {
 	mux := http.NewServeMux()
 	call := func(w http.ResponseWriter, r *http.Request, question message.AdminRequest) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody))
@@ -48,9 +48,9 @@
 			writeJSON(w, http.StatusBadRequest, map[string]string{"error": "body too large"})
 			return
 		}
-		raw := transport.Raw{Method: r.Method, Path: r.URL.Path, Body: body, FromPeer: r.Header.Get(transport.ForwardedHeader) != ""}
+		raw := transport.RawRequest{Method: r.Method, Path: r.URL.Path, Body: body, FromPeer: r.Header.Get(transport.ForwardedHeader) != ""}
 		question.Body = body
-		reply := d.Do(question, raw, protocol.SubmitTimeoutS*time.Second)
+		reply := d.Handle(question, raw, protocol.SubmitTimeoutS*time.Second)
 		if reply.RetryAfterS > 0 {
 			w.Header().Set("Retry-After", strconv.Itoa(reply.RetryAfterS))
 			writeJSON(w, reply.Status, map[string]string{"error": "no leader can be asked now"})
@@ -73,7 +73,7 @@
 		call(w, r, message.AdminRequest{Kind: message.AdminJob, Job: r.PathValue("id")})
 	})
 	mux.HandleFunc("GET /admin/metrics", func(w http.ResponseWriter, _ *http.Request) {
-		now, inFlight := limit.Now()
+		now, inFlight := limit.Usage()
 		writeJSON(w, http.StatusOK, map[string]any{
 			"latency": d.metrics.times.Summaries(), "requests_limit": now, "requests_in_progress": inFlight, "requests_shed": d.metrics.shed.Load(),
 			"questions_outlived": d.metrics.outlived.Load(), "pauses": d.metrics.pauses.Load(), "longest_pause_ms": d.metrics.longestPauseMs.Load(),
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -32,7 +32,7 @@
 
 type item struct {
 	command message.Event
-	raw     transport.Raw
+	raw     transport.RawRequest
 	reply   chan message.Reply
 	until   time.Time // when whoever asked has been told to come back; zero: nobody asked
 }
@@ -46,7 +46,7 @@
 
 type waiter struct {
 	reply   chan message.Reply
-	raw     transport.Raw
+	raw     transport.RawRequest
 	request message.Request
 	until   time.Time
 }
@@ -63,11 +63,11 @@
 	metrics *metrics
 
 	state   *storage.Client
-	workers *transport.Workers
-	cloud   *transport.Cloud
-	peers   *transport.Peers
+	workers *transport.WorkerClient
+	cloud   *transport.CloudClient
+	peers   *transport.PeerClient
 	// Requests that are with other controllers, and who was last known to lead.
-	forwards *transport.Forwards
+	forwards *transport.ForwardedRequests
 	leader   string
 	group    *errgroup.Group
 	ctx      context.Context
@@ -105,14 +105,14 @@
 		metrics: newMetrics(),
 		queue:   make(chan item, 4*batch), waits: map[uint64]waiter{},
 		state: storage.NewClient(cfg.Services.State, report/2, controller.TermLease(s.Workers)/2),
-		cloud: transport.NewCloud(cfg.Services.Cloud, s.Workers),
-		peers: transport.NewPeers(cfg.Node, cfg.Peers, s.Workers), forwards: transport.NewForwards(),
+		cloud: transport.NewCloudClient(cfg.Services.Cloud, s.Workers),
+		peers: transport.NewPeerClient(cfg.Node, cfg.Peers, s.Workers), forwards: transport.NewForwardedRequests(),
 	}
 	d.healthy.Store(true)
-	limit := transport.NewLimit(s.Limits.MaxConnections/4, report, func() { d.metrics.shed.Add(1) })
+	limit := transport.NewConcurrencyLimit(s.Limits.MaxConnections/4, report, func() { d.metrics.shed.Add(1) })
 	sockets := s.Sockets()
-	fs := transport.NewFront(d, limit, sockets.Frontend, config.Seconds(s.Workers.LeaseS))
-	d.workers = transport.NewWorkers(s.Workers, func() int { return sockets.CommandsNow(fs.Open()) })
+	fs := transport.NewAPIServer(d, limit, sockets.Frontend, config.Seconds(s.Workers.LeaseS))
+	d.workers = transport.NewWorkerClient(s.Workers, func() int { return sockets.CommandsNow(fs.OpenConnections()) })
 	mounted := map[string]http.Handler{protocol.PathAdmin: newAdmin(d, limit)}
 	if extensions.Distribution != nil {
 		if d.tracker, err = newTrackerService(d, extensions.Distribution, seed); err != nil {
@@ -133,8 +133,8 @@
 	return nil // what the servers say of being closed is no failure
 }
 
-// Do is the way in for requests: it hands a command to the owner.
-func (d *daemon) Do(request message.Request, raw transport.Raw, wait time.Duration) message.Reply {
+// Handle is the way in for requests: it hands a command to the owner.
+func (d *daemon) Handle(request message.Request, raw transport.RawRequest, wait time.Duration) message.Reply {
 	began := time.Now()
 	defer func() { d.metrics.record(request, time.Since(began)) }()
 	ch := make(chan message.Reply, 1)
@@ -145,13 +145,13 @@
 	select {
 	case d.queue <- item{request, raw, ch, began.Add(wait)}:
 	case <-timer.C:
-		return transport.Busy("too busy")
+		return transport.Unavailable("too busy")
 	}
 	select {
 	case r := <-ch:
 		return r
 	case <-timer.C:
-		return transport.Busy("not decided in time")
+		return transport.Unavailable("not decided in time")
 	}
 }
 
@@ -226,7 +226,7 @@
 	leader := d.node.KnownLeader()
 	if leader != "" && leader != d.leader {
 		d.leader = leader
-		d.forwards.LeaderIs(leader)
+		d.forwards.CancelExcept(leader)
 	}
 }
 
@@ -244,7 +244,7 @@
 // dropWaits refuses what a former leader had not answered yet.
 func (d *daemon) dropWaits() {
 	for id, w := range d.waits {
-		w.reply <- transport.Busy("the leader has changed")
+		w.reply <- transport.Unavailable("the leader has changed")
 		delete(d.waits, id)
 	}
 }
@@ -265,7 +265,7 @@
 		if w.raw.FromPeer {
 			// The peer holds us for the leader, and we know of another: it will
 			// learn. To hand it on could go round in circles.
-			w.reply <- transport.Busy("not the leader")
+			w.reply <- transport.Unavailable("not the leader")
 			return
 		}
 		d.group.Go(func() error { d.forward(e.Peer, w); return nil })
@@ -323,7 +323,7 @@
 		return
 	}
 	if !ok {
-		r = transport.Busy("the leader can't be reached")
+		r = transport.Unavailable("the leader can't be reached")
 		r.CloseConnection = true
 	}
 	w.reply <- r
--- a/internal/daemon/tracker.go
+++ b/internal/daemon/tracker.go
@@ -34,7 +34,7 @@
 	waits    map[uint64]trackerItem
 	nextID   uint64
 	term     atomic.Pointer[controller.LeadershipView]
-	limit    *transport.Limit
+	limit    *transport.ConcurrencyLimit
 	report   time.Duration // for which a request may take, too
 	metrics  *trackerMetrics
 }
@@ -83,14 +83,14 @@
 		}),
 		metrics: newTrackerMetrics(),
 	}
-	t.limit = transport.NewLimit(settings.Connections/4, report, func() { t.metrics.shed.Inc() })
+	t.limit = transport.NewConcurrencyLimit(settings.Connections/4, report, func() { t.metrics.shed.Inc() })
 	t.term.Store(&controller.LeadershipView{})
 	metricsPage := fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(t.metrics.registry, promhttp.HandlerOpts{}))
 	t.server = &fasthttp.Server{
 		Concurrency: settings.Connections, MaxRequestBodySize: distribution.MaxMessageBytes,
 		ReadTimeout: trackerIdleReports * idle, IdleTimeout: trackerIdleReports * idle, WriteTimeout: idle,
 		ReadBufferSize: 4096, WriteBufferSize: 4096, ReduceMemoryUsage: true, NoDefaultServerHeader: true, CloseOnShutdown: true,
-		Logger: transport.Quiet{},
+		Logger: transport.DiscardLogger{},
 		Handler: func(ctx *fasthttp.RequestCtx) {
 			if string(ctx.Path()) == "/metrics" {
 				metricsPage(ctx)
--- a/internal/scale/servers.go
+++ b/internal/scale/servers.go
@@ -59,7 +59,7 @@
 }
 
 func (s *servers) serve(l net.Listener, handle fasthttp.RequestHandler) {
-	server := &fasthttp.Server{Handler: handle, Logger: transport.Quiet{}, NoDefaultServerHeader: true, NoDefaultDate: true, Concurrency: 1 << 20, ReduceMemoryUsage: true}
+	server := &fasthttp.Server{Handler: handle, Logger: transport.DiscardLogger{}, NoDefaultServerHeader: true, NoDefaultDate: true, Concurrency: 1 << 20, ReduceMemoryUsage: true}
 	s.servers = append(s.servers, server)
 	go func() { _ = server.Serve(l) }() // it ends with the listener
 }
--- a/internal/transport/front.go
+++ b/internal/transport/api_server.go
@@ -19,50 +19,50 @@
 	"oakpick/internal/protocol"
 )
 
-// Owner is the one goroutine that owns all state. Do hands it a command and
+// RequestHandler is the one goroutine that owns all state. Do hands it a command and
 // waits for the reply, for so long at most.
-type Owner interface {
-	Do(request message.Request, raw Raw, wait time.Duration) message.Reply
+type RequestHandler interface {
+	Handle(request message.Request, raw RawRequest, wait time.Duration) message.Reply
 	Healthy() bool
 }
 
-// Raw is a user's request as it came, for handing it on.
-type Raw struct {
+// RawRequest is a user's request as it came, for handing it on.
+type RawRequest struct {
 	Method, Path string
 	Body         []byte
 	FromPeer     bool
 }
 
-// Front serves users, workers and health checks.
-type Front struct {
-	owner  Owner
-	limit  *Limit
-	server *fasthttp.Server
+// APIServer serves users, workers and health checks.
+type APIServer struct {
+	handler RequestHandler
+	limit   *ConcurrencyLimit
+	server  *fasthttp.Server
 }
 
-const retrySoon = 1 // seconds after which a refused request may come again
+const retryAfterS = 1 // seconds after which a refused request may come again
 
-// userWait leaves time for the answer's way within what users wait.
-func userWait(kind message.UserRequestKind) time.Duration {
+// userTimeout leaves time for the answer's way within what users wait.
+func userTimeout(kind message.UserRequestKind) time.Duration {
 	if kind == message.Poll {
 		return protocol.PollTimeoutS * time.Second * 3 / 4
 	}
 	return protocol.SubmitTimeoutS * time.Second * 3 / 4
 }
 
-// NewFront makes the front. It holds at most so many connections, and none that
+// NewAPIServer makes the front. It holds at most so many connections, and none that
 // has been idle for so long: a worker that was silent for its lease has lost it,
 // and the connections of machines that were cut off must not take others' places.
-func NewFront(owner Owner, limit *Limit, connections int, idle time.Duration) *Front {
-	f := &Front{owner: owner, limit: limit}
+func NewAPIServer(owner RequestHandler, limit *ConcurrencyLimit, connections int, idle time.Duration) *APIServer {
+	f := &APIServer{handler: owner, limit: limit}
 	f.server = &fasthttp.Server{
 		Handler: f.handle, Concurrency: connections, MaxRequestBodySize: protocol.MaxBody,
 		ReadTimeout: idle, IdleTimeout: idle, WriteTimeout: idle,
 		ReadBufferSize: 4096, WriteBufferSize: 4096, ReduceMemoryUsage: true,
 		NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true, DisablePreParseMultipartForm: true,
-		Logger: Quiet{},
+		Logger: DiscardLogger{},
 		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
-			write(ctx, message.Reply{Status: 400, Body: protocol.EncodeError("malformed request")})
+			writeReply(ctx, message.Reply{Status: 400, Body: protocol.EncodeError("malformed request")})
 			if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 				ctx.SetConnectionClose()
 			}
@@ -71,19 +71,19 @@
 	return f
 }
 
-// Quiet keeps the HTTP library from writing to the log.
-type Quiet struct{}
+// DiscardLogger keeps the HTTP library from writing to the log.
+type DiscardLogger struct{}
 
 // Printf writes nothing.
-func (Quiet) Printf(string, ...any) {}
+func (DiscardLogger) Printf(string, ...any) {}
 
-// Open is how many connections there are.
-func (f *Front) Open() int { return int(f.server.GetOpenConnectionsCount()) }
+// OpenConnections is how many connections there are.
+func (f *APIServer) OpenConnections() int { return int(f.server.GetOpenConnectionsCount()) }
 
 // Serve serves a listener until it is closed.
-func (f *Front) Serve(l net.Listener) error { return f.server.Serve(l) }
+func (f *APIServer) Serve(l net.Listener) error { return f.server.Serve(l) }
 
-func write(ctx *fasthttp.RequestCtx, r message.Reply) {
+func writeReply(ctx *fasthttp.RequestCtx, r message.Reply) {
 	ctx.SetStatusCode(r.Status)
 	ctx.SetContentType(protocol.ContentType)
 	if r.RetryAfterS > 0 {
@@ -95,46 +95,46 @@
 	ctx.SetBody(r.Body)
 }
 
-func (f *Front) handle(ctx *fasthttp.RequestCtx) {
+func (f *APIServer) handle(ctx *fasthttp.RequestCtx) {
 	method, path := string(ctx.Method()), string(ctx.Path())
 	switch path {
 	case protocol.PathHealth:
 		if method != http.MethodGet {
-			write(ctx, wrongMethod)
-		} else if f.owner.Healthy() {
-			write(ctx, message.Reply{Status: 200, Body: healthy})
+			writeReply(ctx, methodNotAllowed)
+		} else if f.handler.Healthy() {
+			writeReply(ctx, message.Reply{Status: 200, Body: healthyBody})
 		} else {
-			write(ctx, Busy("not ready"))
+			writeReply(ctx, Unavailable("not ready"))
 		}
 	case protocol.PathHeartbeat:
 		if method != http.MethodPost {
-			write(ctx, wrongMethod)
+			writeReply(ctx, methodNotAllowed)
 			return
 		}
 		r, err := protocol.DecodeHeartbeat(ctx.PostBody())
 		if err != nil {
-			write(ctx, message.Reply{Status: 400, Body: protocol.EncodeError(err.Error())})
+			writeReply(ctx, message.Reply{Status: 400, Body: protocol.EncodeError(err.Error())})
 			return
 		}
-		write(ctx, f.owner.Do(message.HeartbeatRequest{Heartbeat: r}, Raw{}, protocol.SubmitTimeoutS*time.Second/2))
+		writeReply(ctx, f.handler.Handle(message.HeartbeatRequest{Heartbeat: r}, RawRequest{}, protocol.SubmitTimeoutS*time.Second/2))
 	default:
-		write(ctx, serveUser(f.owner, f.limit, Raw{Method: method, Path: path, Body: ctx.PostBody()}))
+		writeReply(ctx, handleUserRequest(f.handler, f.limit, RawRequest{Method: method, Path: path, Body: ctx.PostBody()}))
 	}
 }
 
 var (
-	healthy     = protocol.Encode(map[string]bool{"ok": true})
-	wrongMethod = message.Reply{Status: 405, Body: protocol.EncodeError("wrong method")}
-	notFound    = message.Reply{Status: 404, Body: protocol.EncodeError("no such path")}
+	healthyBody      = protocol.Encode(map[string]bool{"ok": true})
+	methodNotAllowed = message.Reply{Status: 405, Body: protocol.EncodeError("wrong method")}
+	notFound         = message.Reply{Status: 404, Body: protocol.EncodeError("no such path")}
 )
 
-// Busy is the refusal of a request that may come again soon.
-func Busy(why string) message.Reply {
-	return message.Reply{Status: 503, Body: protocol.EncodeError(why), RetryAfterS: retrySoon}
+// Unavailable is the refusal of a request that may come again soon.
+func Unavailable(why string) message.Reply {
+	return message.Reply{Status: 503, Body: protocol.EncodeError(why), RetryAfterS: retryAfterS}
 }
 
-// serveUser answers a user's request, whether it came straight or from a peer.
-func serveUser(owner Owner, limit *Limit, raw Raw) message.Reply {
+// handleUserRequest answers a user's request, whether it came straight or from a peer.
+func handleUserRequest(owner RequestHandler, limit *ConcurrencyLimit, raw RawRequest) message.Reply {
 	id, cancel, ok := protocol.SplitJobPath(raw.Path)
 	if !ok {
 		return notFound
@@ -150,7 +150,7 @@
 		call.Kind, want = message.Poll, http.MethodGet
 	}
 	if raw.Method != want {
-		return wrongMethod
+		return methodNotAllowed
 	}
 	if call.Kind == message.Submit {
 		s, err := protocol.DecodeSubmission(raw.Body)
@@ -161,24 +161,24 @@
 	}
 	// A cancellation is never shed, nor is what a peer has already let in.
 	if call.Kind == message.Cancel || raw.FromPeer {
-		return owner.Do(call, raw, userWait(call.Kind))
+		return owner.Handle(call, raw, userTimeout(call.Kind))
 	}
-	answer := func() message.Reply { return owner.Do(call, raw, userWait(call.Kind)) }
+	answer := func() message.Reply { return owner.Handle(call, raw, userTimeout(call.Kind)) }
 	if call.Kind == message.Submit {
-		return limit.RunFirst(answer)
+		return limit.RunWithPriority(answer)
 	}
 	return limit.Run(answer)
 }
 
 // PeerServer serves the other controllers, and what is mounted beside them.
 type PeerServer struct {
-	owner   Owner
-	limit   *Limit
+	handler RequestHandler
+	limit   *ConcurrencyLimit
 	mounted map[string]http.Handler
 }
 
 // NewPeerServer makes it. Each handler serves the paths that begin with its prefix.
-func NewPeerServer(owner Owner, limit *Limit, mounted map[string]http.Handler) *PeerServer {
+func NewPeerServer(owner RequestHandler, limit *ConcurrencyLimit, mounted map[string]http.Handler) *PeerServer {
 	return &PeerServer{owner, limit, mounted}
 }
 
@@ -202,9 +202,9 @@
 			http.Error(w, "body", http.StatusBadRequest)
 			return
 		}
-		reply = s.owner.Do(message.StepDownRequest{Term: m.Term, Leader: m.Leader, AsksArchive: m.ReadsArchive}, Raw{}, protocol.PollTimeoutS*time.Second)
+		reply = s.handler.Handle(message.StepDownRequest{Term: m.Term, Leader: m.Leader, AsksArchive: m.ReadsArchive}, RawRequest{}, protocol.PollTimeoutS*time.Second)
 	} else {
-		reply = serveUser(s.owner, s.limit, Raw{Method: r.Method, Path: r.URL.Path, Body: body, FromPeer: true})
+		reply = handleUserRequest(s.handler, s.limit, RawRequest{Method: r.Method, Path: r.URL.Path, Body: body, FromPeer: true})
 	}
 	w.Header().Set("Content-Type", protocol.ContentType)
 	if reply.RetryAfterS > 0 {
--- a/internal/transport/front_test.go
+++ b/internal/transport/api_server_test.go
@@ -13,30 +13,30 @@
 	"oakpick/internal/protocol"
 )
 
-type owner struct {
-	reply message.Reply
-	wait  time.Duration
-	got   []any
-	well  bool
+type fakeHandler struct {
+	reply    message.Reply
+	delay    time.Duration
+	requests []any
+	healthy  bool
 }
 
-func (o *owner) Do(c message.Request, _ Raw, _ time.Duration) message.Reply {
-	o.got = append(o.got, c)
-	time.Sleep(o.wait)
+func (o *fakeHandler) Handle(c message.Request, _ RawRequest, _ time.Duration) message.Reply {
+	o.requests = append(o.requests, c)
+	time.Sleep(o.delay)
 	return o.reply
 }
-func (o *owner) Healthy() bool { return o.well }
+func (o *fakeHandler) Healthy() bool { return o.healthy }
 
-func serve(t *testing.T, o *owner, limit *Limit) *fasthttp.HostClient {
+func startAPIServer(t *testing.T, o *fakeHandler, limit *ConcurrencyLimit) *fasthttp.HostClient {
 	t.Helper()
 	l := fasthttputil.NewInmemoryListener()
-	f := NewFront(o, limit, 100, time.Second)
+	f := NewAPIServer(o, limit, 100, time.Second)
 	go func() { _ = f.Serve(l) }()
 	t.Cleanup(func() { _ = l.Close() })
 	return &fasthttp.HostClient{Addr: "x", Dial: func(string) (net.Conn, error) { return l.Dial() }}
 }
 
-func ask(t *testing.T, c *fasthttp.HostClient, method, path string, body []byte) *fasthttp.Response {
+func call(t *testing.T, c *fasthttp.HostClient, method, path string, body []byte) *fasthttp.Response {
 	t.Helper()
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -51,8 +51,8 @@
 }
 
 func TestFrontSortsRequests(t *testing.T) {
-	o := &owner{reply: message.Reply{Status: 200}, well: true}
-	c := serve(t, o, NewLimit(64, time.Second, func() {}))
+	o := &fakeHandler{reply: message.Reply{Status: 200}, healthy: true}
+	c := startAPIServer(t, o, NewConcurrencyLimit(64, time.Second, func() {}))
 	big := make([]byte, protocol.MaxBody+1)
 	for _, x := range []struct {
 		method, path string
@@ -70,23 +70,23 @@
 		{"DELETE", "/v2/runs/wk-1", nil, 405},
 		{"POST", "/v2/runs/wk-1/abort", nil, 200},
 	} {
-		if res := ask(t, c, x.method, x.path, x.body); res.StatusCode() != x.want {
+		if res := call(t, c, x.method, x.path, x.body); res.StatusCode() != x.want {
 			t.Errorf("%s %s: %d, not %d", x.method, x.path, res.StatusCode(), x.want)
 		}
 	}
-	if len(o.got) != 2 {
-		t.Errorf("%d commands reached the owner, not 2", len(o.got))
+	if len(o.requests) != 2 {
+		t.Errorf("%d commands reached the owner, not 2", len(o.requests))
 	}
 }
 
 func TestRefusalsSayWhenToComeBack(t *testing.T) {
-	o := &owner{reply: Busy("no leader")}
-	c := serve(t, o, NewLimit(64, time.Second, func() {}))
-	res := ask(t, c, "GET", "/v2/runs/wk-1", nil)
+	o := &fakeHandler{reply: Unavailable("no leader")}
+	c := startAPIServer(t, o, NewConcurrencyLimit(64, time.Second, func() {}))
+	res := call(t, c, "GET", "/v2/runs/wk-1", nil)
 	if res.StatusCode() != 503 || string(res.Header.Peek("Retry-After")) != "1" {
 		t.Errorf("%d, Retry-After %q", res.StatusCode(), res.Header.Peek("Retry-After"))
 	}
-	if res = ask(t, c, "GET", "/healthz", nil); res.StatusCode() != 503 {
+	if res = call(t, c, "GET", "/healthz", nil); res.StatusCode() != 503 {
 		t.Errorf("an unhealthy node answers %d", res.StatusCode())
 	}
 }
@@ -95,7 +95,7 @@
 // gets through all the same.
 func TestBurstIsShedAndCancellationsAreNot(t *testing.T) {
 	var shed atomic.Int64
-	limit := NewLimit(8, time.Second, func() { shed.Add(1) })
+	limit := NewConcurrencyLimit(8, time.Second, func() { shed.Add(1) })
 	hold, in := make(chan struct{}), make(chan struct{}, 100)
 	done := make(chan int, 100)
 	for range 100 {
@@ -120,11 +120,11 @@
 	if int(shed.Load()) != refused {
 		t.Errorf("%d counted as shed, %d were", shed.Load(), refused)
 	}
-	o := &owner{reply: message.Reply{Status: 200}}
-	if r := serveUser(o, limit, Raw{Method: "POST", Path: "/v2/runs/wk-1/abort"}); r.Status != 200 {
+	o := &fakeHandler{reply: message.Reply{Status: 200}}
+	if r := handleUserRequest(o, limit, RawRequest{Method: "POST", Path: "/v2/runs/wk-1/abort"}); r.Status != 200 {
 		t.Errorf("a cancellation got %d", r.Status)
 	}
-	if r := serveUser(o, limit, Raw{Method: "GET", Path: "/v2/runs/wk-1"}); r.Status != 503 || r.RetryAfterS == 0 {
+	if r := handleUserRequest(o, limit, RawRequest{Method: "GET", Path: "/v2/runs/wk-1"}); r.Status != 503 || r.RetryAfterS == 0 {
 		t.Errorf("a poll got %d", r.Status)
 	}
 	close(hold)
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -12,41 +12,41 @@
 	"oakpick/internal/rpc"
 )
 
-// Cloud speaks to the cloud.
-type Cloud struct {
-	client *fasthttp.HostClient
-	wait   time.Duration
+// CloudClient speaks to the cloud.
+type CloudClient struct {
+	client  *fasthttp.HostClient
+	timeout time.Duration
 }
 
-// NewCloud makes the client.
-func NewCloud(addr string, w config.Workers) *Cloud {
+// NewCloudClient makes the client.
+func NewCloudClient(addr string, w config.Workers) *CloudClient {
 	wait := config.Seconds(w.HeartbeatIntervalS * 1.5)
-	return &Cloud{wait: wait, client: &fasthttp.HostClient{
+	return &CloudClient{timeout: wait, client: &fasthttp.HostClient{
 		Addr: addr, Dial: rpc.Dial(wait / 2), MaxConns: config.CloudConnections, MaxIdemponentCallAttempts: 1, RetryIfErr: rpc.NeverRetry,
 		MaxResponseBodySize: 1 << 20, NoDefaultUserAgentHeader: true,
 	}}
 }
 
 // Do makes a call and waits for its outcome.
-func (c *Cloud) Do(call message.CloudCall) message.CloudResult {
+func (c *CloudClient) Do(call message.CloudCall) message.CloudResult {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	c.write(req, call)
+	c.writeRequest(req, call)
 	r := message.CloudResult{ID: call.ID}
-	if err := c.client.DoTimeout(req, res, c.wait); err != nil {
+	if err := c.client.DoTimeout(req, res, c.timeout); err != nil {
 		r.Outcome = rpc.OutcomeOfError(err)
 		return r
 	}
 	r.Outcome = cloudOutcome(res.StatusCode(), res.Body())
-	if r.Outcome == rpc.OK && readCloud(&r, call.Op, res.Body()) != nil {
+	if r.Outcome == rpc.OK && decodeCloudResponse(&r, call.Op, res.Body()) != nil {
 		r.Outcome = rpc.Unknown // an answer that can't be read tells nothing
 	}
 	return r
 }
 
-// write makes the request of a call.
-func (c *Cloud) write(req *fasthttp.Request, call message.CloudCall) {
+// writeRequest makes the request of a call.
+func (c *CloudClient) writeRequest(req *fasthttp.Request, call message.CloudCall) {
 	uri := "http://" + c.client.Addr
 	switch call.Op {
 	case message.CloudListTypes:
@@ -55,10 +55,10 @@
 		uri += protocol.PathScaleOut + "?" + listQuery(call.StartAfter)
 	case message.CloudScaleOut:
 		uri += protocol.PathScaleOut
-		writeBody(req, protocol.Encode(call.Provisioning))
+		setPostBody(req, protocol.Encode(call.Provisioning))
 	case message.CloudScaleIn:
 		uri += protocol.PathScaleIn
-		writeBody(req, protocol.Encode(protocol.MachineNames{Names: call.Machines}))
+		setPostBody(req, protocol.Encode(protocol.MachineNames{Names: call.Machines}))
 	}
 	req.SetRequestURI(uri)
 }
@@ -74,7 +74,7 @@
 	return args.String()
 }
 
-func writeBody(req *fasthttp.Request, body []byte) {
+func setPostBody(req *fasthttp.Request, body []byte) {
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetContentType(protocol.ContentType)
 	req.SetBody(body)
@@ -98,8 +98,8 @@
 	return rpc.Unknown
 }
 
-// readCloud reads what a call has brought.
-func readCloud(r *message.CloudResult, op message.CloudOp, body []byte) error {
+// decodeCloudResponse reads what a call has brought.
+func decodeCloudResponse(r *message.CloudResult, op message.CloudOp, body []byte) error {
 	switch op {
 	case message.CloudListTypes:
 		var a protocol.MachineTypes
--- a/internal/transport/overload_test.go
+++ b/internal/transport/concurrency_limit_test.go
@@ -9,15 +9,15 @@
 	"oakpick/internal/message"
 )
 
-// slowOwner takes ten milliseconds for each command, one after the other, also
+// slowHandler takes ten milliseconds for each command, one after the other, also
 // for those whose askers have given up.
-type slowOwner struct {
+type slowHandler struct {
 	queue chan chan struct{}
 	over  chan struct{}
 }
 
-func newSlowOwner() *slowOwner {
-	o := &slowOwner{queue: make(chan chan struct{}, 10_000), over: make(chan struct{})}
+func newSlowHandler() *slowHandler {
+	o := &slowHandler{queue: make(chan chan struct{}, 10_000), over: make(chan struct{})}
 	go func() {
 		for done := range o.queue {
 			time.Sleep(10 * time.Millisecond)
@@ -28,35 +28,35 @@
 	return o
 }
 
-func (o *slowOwner) Do(_ message.Request, _ Raw, wait time.Duration) message.Reply {
+func (o *slowHandler) Handle(_ message.Request, _ RawRequest, wait time.Duration) message.Reply {
 	done := make(chan struct{})
 	o.queue <- done
 	select {
 	case <-done:
 		return message.Reply{Status: 200}
 	case <-time.After(wait):
-		return Busy("not decided in time")
+		return Unavailable("not decided in time")
 	}
 }
 
-func (o *slowOwner) Healthy() bool { return true }
+func (o *slowHandler) Healthy() bool { return true }
 
-// burst has three hundred users ask for twenty seconds, each again a second
+// answersInBurst has three hundred users ask for twenty seconds, each again a second
 // after an answer, and counts the answers that were of use.
-func burst(t *testing.T, limited bool) int64 {
+func answersInBurst(t *testing.T, limited bool) int64 {
 	t.Helper()
 	var good atomic.Int64
 	synctest.Test(t, func(*testing.T) {
-		o := newSlowOwner()
-		limit := NewLimit(75, 2*time.Second, func() {})
+		o := newSlowHandler()
+		limit := NewConcurrencyLimit(75, 2*time.Second, func() {})
 		end := time.Now().Add(20 * time.Second)
 		left := make(chan struct{}, 300)
 		for range 300 {
 			go func() {
 				for time.Now().Before(end) {
 					// What a peer has let in isn't limited again.
-					raw := Raw{Method: "GET", Path: "/v2/runs/wk-1", FromPeer: !limited}
-					if serveUser(o, limit, raw).Status == 200 {
+					raw := RawRequest{Method: "GET", Path: "/v2/runs/wk-1", FromPeer: !limited}
+					if handleUserRequest(o, limit, raw).Status == 200 {
 						good.Add(1)
 					}
 					time.Sleep(time.Second)
@@ -77,8 +77,8 @@
 // grows until whatever is answered comes too late; with it, nearly all that can
 // be done is of use. The owner could do 2000 in the time.
 func TestLimitKeepsAnswersOfUseInABurst(t *testing.T) {
-	with := burst(t, true)
-	without := burst(t, false)
+	with := answersInBurst(t, true)
+	without := answersInBurst(t, false)
 	t.Logf("answers in time: %d with the limit, %d without", with, without)
 	if with < 1500 || without > with/2 {
 		t.Errorf("%d answers in time with the limit, %d without", with, without)
@@ -90,7 +90,7 @@
 // none is given back in time is told to come back.
 func TestSubmissionsGoBeforeQuestions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limit := NewLimit(8, 2*time.Second, func() {})
+		limit := NewConcurrencyLimit(8, 2*time.Second, func() {})
 		answered := func() message.Reply { return message.Reply{Status: 200} }
 		hold, asked := make(chan struct{}), 0
 		for limit.limiter.CanAcquirePermit() {
@@ -98,13 +98,13 @@
 			asked++
 			synctest.Wait()
 		}
-		if r := limit.RunFirst(answered); r.Status != 503 {
+		if r := limit.RunWithPriority(answered); r.Status != 503 {
 			t.Errorf("a submission got %d while every permit was held", r.Status)
 		}
 		got := make(chan int, 1)
-		go func() { got <- limit.RunFirst(answered).Status }()
+		go func() { got <- limit.RunWithPriority(answered).Status }()
 		synctest.Wait()
-		if r := limit.Run(answered); r.Status != 503 || r.RetryAfterS < retrySoon || r.RetryAfterS >= retrySoon+retrySpread {
+		if r := limit.Run(answered); r.Status != 503 || r.RetryAfterS < retryAfterS || r.RetryAfterS >= retryAfterS+retryJitterS {
 			t.Errorf("a question got %d, to come back after %d s", r.Status, r.RetryAfterS)
 		}
 		hold <- struct{}{}
--- /dev/null
+++ b/internal/transport/forwarded_requests.go
@@ -0,0 +1,59 @@
+package transport
+
+import (
+	"context"
+	"errors"
+	"sync"
+)
+
+// ErrLeaderChanged is the cause with which a forwarded request ends early: another
+// controller leads by now, and the request is better put to that one.
+var ErrLeaderChanged = errors.New("another controller leads")
+
+// ForwardedRequests are the users' requests that are with other controllers. One that stands still
+// takes requests and answers none; whoever waits for it need not wait any longer than
+// until another leads.
+type ForwardedRequests struct {
+	mu       sync.Mutex
+	lastID   uint64
+	inFlight map[uint64]forwardedRequest
+}
+
+type forwardedRequest struct {
+	peer   string
+	cancel context.CancelCauseFunc
+}
+
+// NewForwardedRequests makes an empty set.
+func NewForwardedRequests() *ForwardedRequests {
+	return &ForwardedRequests{inFlight: map[uint64]forwardedRequest{}}
+}
+
+// Begin notes that a request goes to a peer. The context that it gives ends with
+// ErrLeaderChanged as its cause if another is found to lead; done is to be called when
+// the request is over.
+func (f *ForwardedRequests) Begin(ctx context.Context, peer string) (_ context.Context, done func()) {
+	ctx, end := context.WithCancelCause(ctx)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.lastID++
+	id := f.lastID
+	f.inFlight[id] = forwardedRequest{peer, end}
+	return ctx, func() {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		delete(f.inFlight, id)
+		end(nil)
+	}
+}
+
+// CancelExcept ends the requests that are with any other controller.
+func (f *ForwardedRequests) CancelExcept(leader string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, w := range f.inFlight {
+		if w.peer != leader {
+			w.cancel(ErrLeaderChanged)
+		}
+	}
+}
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -17,18 +17,18 @@
 	"oakpick/internal/protocol"
 )
 
-// Peers speaks to the other controllers over HTTP/2 streams, one connection a peer.
-type Peers struct {
-	client *http.Client
-	own    string // our own name
-	addrs  map[string]string
-	wait   time.Duration
+// PeerClient speaks to the other controllers over HTTP/2 streams, one connection a peer.
+type PeerClient struct {
+	client  *http.Client
+	node    string // our own name
+	addrs   map[string]string
+	timeout time.Duration
 }
 
-// NewPeers makes the client.
-func NewPeers(own string, peers []config.Peer, w config.Workers) *Peers {
+// NewPeerClient makes the client.
+func NewPeerClient(own string, peers []config.Peer, w config.Workers) *PeerClient {
 	wait := config.Seconds(w.HeartbeatIntervalS / 2)
-	p := &Peers{own: own, addrs: map[string]string{}, wait: wait}
+	p := &PeerClient{node: own, addrs: map[string]string{}, timeout: wait}
 	for _, x := range peers {
 		p.addrs[x.Name] = x.Addr
 	}
@@ -46,7 +46,7 @@
 const ForwardedHeader = "Oakpick-Forwarded"
 
 // Forward hands a user's request to a peer and brings back its answer.
-func (p *Peers) Forward(ctx context.Context, peer, method, path string, body []byte) (message.Reply, bool) {
+func (p *PeerClient) Forward(ctx context.Context, peer, method, path string, body []byte) (message.Reply, bool) {
 	res, raw, err := p.call(ctx, peer, method, path, body)
 	if err != nil {
 		return message.Reply{}, false
@@ -55,7 +55,7 @@
 	return message.Reply{Status: res.StatusCode, Body: raw, RetryAfterS: after}, true
 }
 
-func (p *Peers) call(ctx context.Context, peer, method, path string, body []byte) (*http.Response, []byte, error) {
+func (p *PeerClient) call(ctx context.Context, peer, method, path string, body []byte) (*http.Response, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.addrs[peer]+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, nil, err
@@ -71,11 +71,11 @@
 }
 
 // StepDown asks a peer to let go of older terms.
-func (p *Peers) StepDown(ctx context.Context, c message.PeerCall) message.PeerResult {
-	ctx, cancel := context.WithTimeout(ctx, p.wait)
+func (p *PeerClient) StepDown(ctx context.Context, c message.PeerCall) message.PeerResult {
+	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
 	r := message.PeerResult{PeerCall: c}
-	res, raw, err := p.call(ctx, c.Peer, http.MethodPost, protocol.PathStepDown, protocol.Encode(protocol.StepDown{Term: c.Term, Leader: p.own, ReadsArchive: c.AsksArchive}))
+	res, raw, err := p.call(ctx, c.Peer, http.MethodPost, protocol.PathStepDown, protocol.Encode(protocol.StepDown{Term: c.Term, Leader: p.node, ReadsArchive: c.AsksArchive}))
 	if err != nil || res.StatusCode != http.StatusOK {
 		return r
 	}
--- a/internal/transport/worker_client.go
+++ b/internal/transport/worker_client.go
@@ -13,88 +13,88 @@
 	"oakpick/internal/rpc"
 )
 
-// Workers sends direct commands to workers, over a bounded number of connections.
+// WorkerClient sends direct commands to workers, over a bounded number of connections.
 // One that is idle stays open until another machine needs its place, the least
 // recently used first. When all are in use, a command isn't sent: machines that
 // hang can't keep it from the others for longer than a call takes.
-type Workers struct {
-	wait time.Duration
-	most func() int
-	dial fasthttp.DialFunc
+type WorkerClient struct {
+	timeout        time.Duration
+	maxConnections func() int
+	dial           fasthttp.DialFunc
 
-	mu   sync.Mutex
-	open int // idle and in use
-	idle *list.List
-	by   map[string]*list.Element // of the idle, by address
+	mu     sync.Mutex
+	open   int // idle and in use
+	idle   *list.List
+	byAddr map[string]*list.Element // of the idle, by address
 }
 
-// link is a connection to one worker.
-type link struct {
+// workerConnection is a connection to one worker.
+type workerConnection struct {
 	addr   string
 	client *fasthttp.HostClient
 }
 
-// NewWorkers makes the client; most tells how many connections it may hold now.
-func NewWorkers(w config.Workers, most func() int) *Workers {
+// NewWorkerClient makes the client; most tells how many connections it may hold now.
+func NewWorkerClient(w config.Workers, most func() int) *WorkerClient {
 	wait := config.Seconds(w.HeartbeatIntervalS * 0.75)
-	return &Workers{wait: wait, most: most, dial: rpc.Dial(wait * 2 / 3), idle: list.New(), by: map[string]*list.Element{}}
+	return &WorkerClient{timeout: wait, maxConnections: most, dial: rpc.Dial(wait * 2 / 3), idle: list.New(), byAddr: map[string]*list.Element{}}
 }
 
-// take gives the worker's idle connection, or room for a new one, or nil.
-func (w *Workers) take(addr string) *link {
+// acquire gives the worker's idle connection, or room for a new one, or nil.
+func (w *WorkerClient) acquire(addr string) *workerConnection {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if e := w.by[addr]; e != nil {
-		return w.drop(e)
+	if e := w.byAddr[addr]; e != nil {
+		return w.removeIdle(e)
 	}
-	for most := w.most(); w.open >= most; w.open-- {
+	for most := w.maxConnections(); w.open >= most; w.open-- {
 		e := w.idle.Front()
 		if e == nil {
 			return nil
 		}
-		w.drop(e).client.CloseIdleConnections()
+		w.removeIdle(e).client.CloseIdleConnections()
 	}
 	w.open++
-	return &link{addr, &fasthttp.HostClient{
+	return &workerConnection{addr, &fasthttp.HostClient{
 		Addr: addr, Dial: w.dial, MaxConns: 1, MaxIdemponentCallAttempts: 1, RetryIfErr: rpc.NeverRetry,
 		MaxResponseBodySize: protocol.MaxBody, NoDefaultUserAgentHeader: true,
-		MaxIdleConnDuration: w.wait * 24,
+		MaxIdleConnDuration: w.timeout * 24,
 	}}
 }
 
-func (w *Workers) drop(e *list.Element) *link {
-	l := w.idle.Remove(e).(*link)
-	delete(w.by, l.addr)
+func (w *WorkerClient) removeIdle(e *list.Element) *workerConnection {
+	l := w.idle.Remove(e).(*workerConnection)
+	delete(w.byAddr, l.addr)
 	return l
 }
 
-// put keeps a connection for the next command, or closes it after a failure.
-func (w *Workers) put(l *link, well bool) {
+// release keeps a connection for the next command, or closes it after a failure.
+func (w *WorkerClient) release(l *workerConnection, well bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !well || w.by[l.addr] != nil {
+	if !well || w.byAddr[l.addr] != nil {
 		l.client.CloseIdleConnections()
 		w.open--
 		return
 	}
-	w.by[l.addr] = w.idle.PushBack(l)
+	w.byAddr[l.addr] = w.idle.PushBack(l)
 }
 
 // Send sends commands and waits for the worker's word.
-func (w *Workers) Send(c message.CommandsCall) message.CommandsResult {
+func (w *WorkerClient) Send(c message.CommandsCall) message.CommandsResult {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
 	req.SetRequestURI("http://" + c.Addr + protocol.PathCommands)
-	writeBody(req, protocol.EncodeCommands(c.FencingToken, c.Incarnation, c.Commands))
+	setPostBody(req, protocol.EncodeCommands(c.FencingToken, c.Incarnation, c.Commands))
 	r := message.CommandsResult{ID: c.ID, Machine: c.Machine}
-	l := w.take(c.Addr)
+	l := w.acquire(c.Addr)
 	if l == nil {
 		r.Outcome = rpc.NotSent
 		return r
 	}
-	err := l.client.DoTimeout(req, res, w.wait)
-	w.put(l, err == nil)
+	err := l.client.DoTimeout(req, res, w.timeout)
+	w.release(l, err == nil)
 	if err != nil {
 		r.Outcome = rpc.OutcomeOfError(err)
 		return r
