--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -314,15 +314,15 @@
 	defer cancel()
 	ctx, done := d.forwards.Begin(ctx, peer)
 	defer done()
-	r, ok := d.peers.Forward(ctx, peer, w.raw.Method, w.raw.Path, w.raw.Body)
-	if !ok && errors.Is(context.Cause(ctx), transport.ErrLeaderChanged) {
+	r, err := d.peers.Forward(ctx, peer, w.raw.Method, w.raw.Path, w.raw.Body)
+	if err != nil && errors.Is(context.Cause(ctx), transport.ErrLeaderChanged) {
 		select {
 		case d.queue <- item{command: w.request, raw: w.raw, reply: w.reply, until: w.until}:
 		case <-d.ctx.Done():
 		}
 		return
 	}
-	if !ok {
+	if err != nil {
 		r = transport.Unavailable("the leader can't be reached")
 		r.CloseConnection = true
 	}
--- a/internal/daemon/tracker.go
+++ b/internal/daemon/tracker.go
@@ -203,8 +203,8 @@
 	if r.query != "" {
 		path += "?" + r.query
 	}
-	reply, ok := t.d.peers.Forward(ctx, peer, r.method, path, r.body)
-	if !ok {
+	reply, err := t.d.peers.Forward(ctx, peer, r.method, path, r.body)
+	if err != nil {
 		return trackerBusy("the leader can't be reached", t.report)
 	}
 	if !json.Valid(reply.Body) {
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -12,19 +12,21 @@
 	"oakpick/internal/rpc"
 )
 
-// CloudClient speaks to the cloud.
+// maxCloudResponseBytes is the limit on the cloud's answers; its lists are long.
+const maxCloudResponseBytes = 1 << 20
+
+// CloudClient sends requests to the cloud.
 type CloudClient struct {
 	client  *fasthttp.HostClient
 	timeout time.Duration
 }
 
-// NewCloudClient makes the client.
-func NewCloudClient(addr string, w config.Workers) *CloudClient {
-	wait := config.Seconds(w.HeartbeatIntervalS * 1.5)
-	return &CloudClient{timeout: wait, client: &fasthttp.HostClient{
-		Addr: addr, Dial: rpc.Dial(wait / 2), MaxConns: config.CloudConnections, MaxIdemponentCallAttempts: 1, RetryIfErr: rpc.NeverRetry,
-		MaxResponseBodySize: 1 << 20, NoDefaultUserAgentHeader: true,
-	}}
+// NewCloudClient makes a client of the cloud at addr, whose timeout follows from the heartbeat
+// interval.
+func NewCloudClient(addr string, workers config.Workers) *CloudClient {
+	timeout := config.Seconds(workers.HeartbeatIntervalS * 1.5)
+	client := newHostClient(addr, rpc.Dial(timeout/2), config.CloudConnections, maxCloudResponseBytes)
+	return &CloudClient{client: client, timeout: timeout}
 }
 
 // Do makes a call and waits for its outcome.
@@ -33,16 +35,16 @@
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
 	c.writeRequest(req, call)
-	r := message.CloudResult{ID: call.ID}
+	result := message.CloudResult{ID: call.ID}
 	if err := c.client.DoTimeout(req, res, c.timeout); err != nil {
-		r.Outcome = rpc.OutcomeOfError(err)
-		return r
+		result.Outcome = rpc.OutcomeOfError(err)
+		return result
 	}
-	r.Outcome = cloudOutcome(res.StatusCode(), res.Body())
-	if r.Outcome == rpc.OK && decodeCloudResponse(&r, call.Op, res.Body()) != nil {
-		r.Outcome = rpc.Unknown // an answer that can't be read tells nothing
+	result.Outcome = cloudOutcome(res.StatusCode(), res.Body())
+	if result.Outcome == rpc.OK && decodeCloudResponse(&result, call.Op, res.Body()) != nil {
+		result.Outcome = rpc.Unknown // an answer that can't be read tells nothing
 	}
-	return r
+	return result
 }
 
 // writeRequest makes the request of a call.
@@ -63,23 +65,17 @@
 	req.SetRequestURI(uri)
 }
 
-// listQuery asks for the page of machines behind one.
-func listQuery(after string) string {
+// listQuery asks for the page of machines that follows one; empty: the first page.
+func listQuery(startAfter string) string {
 	args := fasthttp.AcquireArgs()
 	defer fasthttp.ReleaseArgs(args)
-	if after != "" {
-		args.Set("after", after)
+	if startAfter != "" {
+		args.Set("after", startAfter)
 	}
 	args.Set("limit", strconv.Itoa(protocol.MaxMachinesListed))
 	return args.String()
 }
 
-func setPostBody(req *fasthttp.Request, body []byte) {
-	req.Header.SetMethod(fasthttp.MethodPost)
-	req.Header.SetContentType(protocol.ContentType)
-	req.SetBody(body)
-}
-
 // cloudOutcome tells what an answer's status means.
 func cloudOutcome(status int, body []byte) rpc.Outcome {
 	switch status {
@@ -99,20 +95,20 @@
 }
 
 // decodeCloudResponse reads what a call has brought.
-func decodeCloudResponse(r *message.CloudResult, op message.CloudOp, body []byte) error {
+func decodeCloudResponse(result *message.CloudResult, op message.CloudOp, body []byte) error {
 	switch op {
 	case message.CloudListTypes:
-		var a protocol.MachineTypes
-		err := protocol.Decode(body, &a)
-		r.Types = a.Types
+		var response protocol.MachineTypes
+		err := protocol.Decode(body, &response)
+		result.Types = response.Types
 		return err
 	case message.CloudListMachines:
-		return protocol.Decode(body, &r.List)
+		return protocol.Decode(body, &result.List)
 	case message.CloudScaleOut:
-		var a protocol.MachineNames
-		err := protocol.Decode(body, &a)
-		r.Machines = a.Names
+		var response protocol.MachineNames
+		err := protocol.Decode(body, &response)
+		result.Machines = response.Names
 		return err
 	}
-	return nil
+	return nil // the answer to a scale-in says no more than its status
 }
--- a/internal/transport/forwarded_requests.go
+++ b/internal/transport/forwarded_requests.go
@@ -10,9 +10,9 @@
 // controller leads by now, and the request is better put to that one.
 var ErrLeaderChanged = errors.New("another controller leads")
 
-// ForwardedRequests are the users' requests that are with other controllers. One that stands still
-// takes requests and answers none; whoever waits for it need not wait any longer than
-// until another leads.
+// ForwardedRequests are the users' requests that are in flight to other controllers. A peer that
+// is paused takes requests and answers none; nobody has to wait for it any longer than until
+// another controller leads.
 type ForwardedRequests struct {
 	mu       sync.Mutex
 	lastID   uint64
@@ -30,30 +30,30 @@
 }
 
 // Begin notes that a request goes to a peer. The context that it gives ends with
-// ErrLeaderChanged as its cause if another is found to lead; done is to be called when
+// ErrLeaderChanged as its cause if another is found to lead; done has to be called when
 // the request is over.
 func (f *ForwardedRequests) Begin(ctx context.Context, peer string) (_ context.Context, done func()) {
-	ctx, end := context.WithCancelCause(ctx)
+	ctx, cancel := context.WithCancelCause(ctx)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastID++
 	id := f.lastID
-	f.inFlight[id] = forwardedRequest{peer, end}
+	f.inFlight[id] = forwardedRequest{peer, cancel}
 	return ctx, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		delete(f.inFlight, id)
-		end(nil)
+		cancel(nil)
 	}
 }
 
-// CancelExcept ends the requests that are with any other controller.
+// CancelExcept ends the requests that are in flight to any controller but the leader.
 func (f *ForwardedRequests) CancelExcept(leader string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, w := range f.inFlight {
-		if w.peer != leader {
-			w.cancel(ErrLeaderChanged)
+	for _, request := range f.inFlight {
+		if request.peer != leader {
+			request.cancel(ErrLeaderChanged)
 		}
 	}
 }
--- /dev/null
+++ b/internal/transport/http_client.go
@@ -0,0 +1,23 @@
+package transport
+
+import (
+	"github.com/valyala/fasthttp"
+
+	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
+)
+
+// newHostClient makes a client that sends every request at most once.
+func newHostClient(addr string, dial fasthttp.DialFunc, maxConnections, maxResponseBytes int) *fasthttp.HostClient {
+	return &fasthttp.HostClient{
+		Addr: addr, Dial: dial, MaxConns: maxConnections, MaxResponseBodySize: maxResponseBytes,
+		MaxIdemponentCallAttempts: 1, RetryIfErr: rpc.NeverRetry, NoDefaultUserAgentHeader: true,
+	}
+}
+
+// setPostBody makes a request a POST of this body.
+func setPostBody(req *fasthttp.Request, body []byte) {
+	req.Header.SetMethod(fasthttp.MethodPost)
+	req.Header.SetContentType(protocol.ContentType)
+	req.SetBody(body)
+}
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"crypto/tls"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -17,70 +18,82 @@
 	"oakpick/internal/protocol"
 )
 
-// PeerClient speaks to the other controllers over HTTP/2 streams, one connection a peer.
+// ForwardedHeader marks what a peer hands on, which is not handed on again.
+const ForwardedHeader = "Oakpick-Forwarded"
+
+// PeerClient sends requests to the other controllers over HTTP/2 streams, one connection a peer.
 type PeerClient struct {
 	client  *http.Client
-	node    string // our own name
-	addrs   map[string]string
-	timeout time.Duration
+	node    string            // our own name
+	addrs   map[string]string // by peer
+	timeout time.Duration     // of a request to step down
 }
 
-// NewPeerClient makes the client.
-func NewPeerClient(own string, peers []config.Peer, w config.Workers) *PeerClient {
-	wait := config.Seconds(w.HeartbeatIntervalS / 2)
-	p := &PeerClient{node: own, addrs: map[string]string{}, timeout: wait}
-	for _, x := range peers {
-		p.addrs[x.Name] = x.Addr
+// NewPeerClient makes the client of a node, whose timeouts follow from the heartbeat interval.
+func NewPeerClient(node string, peers []config.Peer, workers config.Workers) *PeerClient {
+	timeout := config.Seconds(workers.HeartbeatIntervalS / 2)
+	addrs := make(map[string]string, len(peers))
+	for _, peer := range peers {
+		addrs[peer.Name] = peer.Addr
 	}
 	dial := func(ctx context.Context, _, addr string, _ *tls.Config) (net.Conn, error) {
-		d := net.Dialer{Timeout: wait / 2}
-		return d.DialContext(ctx, "tcp4", addr)
+		dialer := net.Dialer{Timeout: timeout / 2}
+		return dialer.DialContext(ctx, "tcp4", addr)
 	}
 	//lint:ignore SA1019 how it pings was measured; the standard library's way is still to be
-	streams := &http2.Transport{AllowHTTP: true, DialTLSContext: dial, ReadIdleTimeout: wait, PingTimeout: wait / 2, DisableCompression: true}
-	p.client = &http.Client{Transport: streams}
-	return p
+	streams := &http2.Transport{AllowHTTP: true, DialTLSContext: dial, ReadIdleTimeout: timeout, PingTimeout: timeout / 2, DisableCompression: true}
+	return &PeerClient{client: &http.Client{Transport: streams}, node: node, addrs: addrs, timeout: timeout}
 }
 
-// ForwardedHeader marks what a peer hands on, which is not handed on again.
-const ForwardedHeader = "Oakpick-Forwarded"
-
-// Forward hands a user's request to a peer and brings back its answer.
-func (p *PeerClient) Forward(ctx context.Context, peer, method, path string, body []byte) (message.Reply, bool) {
-	res, raw, err := p.call(ctx, peer, method, path, body)
+// Forward hands a user's request to a peer and brings back its answer. An error says that the
+// peer gave none before the context ended; it may have got the request all the same.
+func (c *PeerClient) Forward(ctx context.Context, peer, method, path string, body []byte) (message.Reply, error) {
+	response, err := c.call(ctx, peer, method, path, body)
 	if err != nil {
-		return message.Reply{}, false
+		return message.Reply{}, err
 	}
-	after, _ := strconv.Atoi(res.Header.Get("Retry-After"))
-	return message.Reply{Status: res.StatusCode, Body: raw, RetryAfterS: after}, true
+	return message.Reply{Status: response.status, Body: response.body, RetryAfterS: response.retryAfterS}, nil
 }
 
-func (p *PeerClient) call(ctx context.Context, peer, method, path string, body []byte) (*http.Response, []byte, error) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.addrs[peer]+path, bytes.NewReader(body))
-	if err != nil {
-		return nil, nil, err
+// StepDown asks a peer to step down from older terms. Without an answer the result's response
+// is zero: nothing is known of the peer.
+func (c *PeerClient) StepDown(ctx context.Context, call message.PeerCall) message.PeerResult {
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
+	defer cancel()
+	result := message.PeerResult{PeerCall: call}
+	body := protocol.Encode(protocol.StepDown{Term: call.Term, Leader: c.node, ReadsArchive: call.AsksArchive})
+	response, err := c.call(ctx, call.Peer, http.MethodPost, protocol.PathStepDown, body)
+	if err != nil || response.status != http.StatusOK {
+		return result
 	}
-	req.Header.Set(ForwardedHeader, "1")
-	res, err := p.client.Do(req)
-	if err != nil {
-		return nil, nil, err
+	if protocol.Decode(response.body, &result.StepDownResponse) != nil {
+		result.StepDownResponse = protocol.StepDownResponse{}
 	}
-	defer res.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(res.Body, protocol.MaxBody))
-	return res, raw, err
+	return result
 }
 
-// StepDown asks a peer to let go of older terms.
-func (p *PeerClient) StepDown(ctx context.Context, c message.PeerCall) message.PeerResult {
-	ctx, cancel := context.WithTimeout(ctx, p.timeout)
-	defer cancel()
-	r := message.PeerResult{PeerCall: c}
-	res, raw, err := p.call(ctx, c.Peer, http.MethodPost, protocol.PathStepDown, protocol.Encode(protocol.StepDown{Term: c.Term, Leader: p.node, ReadsArchive: c.AsksArchive}))
-	if err != nil || res.StatusCode != http.StatusOK {
-		return r
+// peerResponse is a peer's answer, read to its end.
+type peerResponse struct {
+	status      int
+	retryAfterS int // 0: no such header
+	body        []byte
+}
+
+func (c *PeerClient) call(ctx context.Context, peer, method, path string, body []byte) (peerResponse, error) {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.addrs[peer]+path, bytes.NewReader(body))
+	if err != nil {
+		return peerResponse{}, fmt.Errorf("request to peer %q: %w", peer, err)
+	}
+	request.Header.Set(ForwardedHeader, "1")
+	response, err := c.client.Do(request)
+	if err != nil {
+		return peerResponse{}, fmt.Errorf("peer %q: %w", peer, err)
 	}
-	if protocol.Decode(raw, &r.StepDownResponse) != nil {
-		r.StepDownResponse = protocol.StepDownResponse{}
+	defer func() { _ = response.Body.Close() }() // what was read is all that counts
+	content, err := io.ReadAll(io.LimitReader(response.Body, protocol.MaxBody))
+	if err != nil {
+		return peerResponse{}, fmt.Errorf("answer of peer %q: %w", peer, err)
 	}
-	return r
+	retryAfterS, _ := strconv.Atoi(response.Header.Get(headerRetryAfter)) // absent or malformed: 0
+	return peerResponse{status: response.StatusCode, retryAfterS: retryAfterS, body: content}, nil
 }
--- /dev/null
+++ b/internal/transport/user_requests.go
@@ -0,0 +1,63 @@
+package transport
+
+import (
+	"net/http"
+	"time"
+
+	"oakpick/internal/message"
+	"oakpick/internal/protocol"
+)
+
+// userTimeout leaves time for the answer's way within what users wait.
+func userTimeout(kind message.UserRequestKind) time.Duration {
+	if kind == message.Poll {
+		return protocol.PollTimeoutS * time.Second * 3 / 4
+	}
+	return protocol.SubmitTimeoutS * time.Second * 3 / 4
+}
+
+// handleUserRequest answers a user's request, whether it came directly or from a peer.
+func handleUserRequest(handler RequestHandler, limit *ConcurrencyLimit, raw RawRequest) message.Reply {
+	request, refusal, ok := parseUserRequest(raw)
+	if !ok {
+		return refusal
+	}
+	// A cancellation is never shed, nor is what a peer has already let in.
+	if request.Kind == message.Cancel || raw.FromPeer {
+		return handler.Handle(request, raw, userTimeout(request.Kind))
+	}
+	answer := func() message.Reply { return handler.Handle(request, raw, userTimeout(request.Kind)) }
+	if request.Kind == message.Submit {
+		return limit.RunWithPriority(answer)
+	}
+	return limit.Run(answer)
+}
+
+// parseUserRequest finds what a request asks for; if it isn't one, the refusal and false.
+func parseUserRequest(raw RawRequest) (request message.UserRequest, refusal message.Reply, ok bool) {
+	job, cancel, ok := protocol.SplitJobPath(raw.Path)
+	if !ok {
+		return request, notFound, false
+	}
+	request.Job = job
+	method := http.MethodPost
+	switch {
+	case job == "":
+		request.Kind = message.Submit
+	case cancel:
+		request.Kind = message.Cancel
+	default:
+		request.Kind, method = message.Poll, http.MethodGet
+	}
+	if raw.Method != method {
+		return request, methodNotAllowed, false
+	}
+	if request.Kind == message.Submit {
+		submission, err := protocol.DecodeSubmission(raw.Body)
+		if err != nil {
+			return request, badRequest(err.Error()), false
+		}
+		request.Submission, request.Job = submission, submission.ID
+	}
+	return request, message.Reply{}, true
+}
--- a/internal/transport/worker_client.go
+++ b/internal/transport/worker_client.go
@@ -1,8 +1,6 @@
 package transport
 
 import (
-	"container/list"
-	"sync"
 	"time"
 
 	"github.com/valyala/fasthttp"
@@ -13,108 +11,62 @@
 	"oakpick/internal/rpc"
 )
 
+// idleTimeouts is for how many of its timeouts the worker client keeps an idle connection.
+const idleTimeouts = 24
+
 // WorkerClient sends direct commands to workers, over a bounded number of connections.
-// One that is idle stays open until another machine needs its place, the least
-// recently used first. When all are in use, a command isn't sent: machines that
-// hang can't keep it from the others for longer than a call takes.
+// When all are in use, commands aren't sent: machines that hang can't keep them from the
+// others for longer than a call takes.
 type WorkerClient struct {
-	timeout        time.Duration
-	maxConnections func() int
-	dial           fasthttp.DialFunc
-
-	mu     sync.Mutex
-	open   int // idle and in use
-	idle   *list.List
-	byAddr map[string]*list.Element // of the idle, by address
-}
-
-// workerConnection is a connection to one worker.
-type workerConnection struct {
-	addr   string
-	client *fasthttp.HostClient
+	timeout time.Duration
+	pool    *connectionPool
 }
 
-// NewWorkerClient makes the client; most tells how many connections it may hold now.
-func NewWorkerClient(w config.Workers, most func() int) *WorkerClient {
-	wait := config.Seconds(w.HeartbeatIntervalS * 0.75)
-	return &WorkerClient{timeout: wait, maxConnections: most, dial: rpc.Dial(wait * 2 / 3), idle: list.New(), byAddr: map[string]*list.Element{}}
-}
-
-// acquire gives the worker's idle connection, or room for a new one, or nil.
-func (w *WorkerClient) acquire(addr string) *workerConnection {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if e := w.byAddr[addr]; e != nil {
-		return w.removeIdle(e)
+// NewWorkerClient makes the client, whose timeout follows from the heartbeat interval.
+// maxConnections tells how many connections it may hold now.
+func NewWorkerClient(workers config.Workers, maxConnections func() int) *WorkerClient {
+	timeout := config.Seconds(workers.HeartbeatIntervalS * 0.75)
+	return &WorkerClient{
+		timeout: timeout,
+		pool:    newConnectionPool(rpc.Dial(timeout*2/3), timeout*idleTimeouts, maxConnections),
 	}
-	for most := w.maxConnections(); w.open >= most; w.open-- {
-		e := w.idle.Front()
-		if e == nil {
-			return nil
-		}
-		w.removeIdle(e).client.CloseIdleConnections()
-	}
-	w.open++
-	return &workerConnection{addr, &fasthttp.HostClient{
-		Addr: addr, Dial: w.dial, MaxConns: 1, MaxIdemponentCallAttempts: 1, RetryIfErr: rpc.NeverRetry,
-		MaxResponseBodySize: protocol.MaxBody, NoDefaultUserAgentHeader: true,
-		MaxIdleConnDuration: w.timeout * 24,
-	}}
 }
 
-func (w *WorkerClient) removeIdle(e *list.Element) *workerConnection {
-	l := w.idle.Remove(e).(*workerConnection)
-	delete(w.byAddr, l.addr)
-	return l
-}
-
-// release keeps a connection for the next command, or closes it after a failure.
-func (w *WorkerClient) release(l *workerConnection, well bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !well || w.byAddr[l.addr] != nil {
-		l.client.CloseIdleConnections()
-		w.open--
-		return
-	}
-	w.byAddr[l.addr] = w.idle.PushBack(l)
-}
-
-// Send sends commands and waits for the worker's word.
-func (w *WorkerClient) Send(c message.CommandsCall) message.CommandsResult {
+// Send sends commands and waits for the worker's answer.
+func (c *WorkerClient) Send(call message.CommandsCall) message.CommandsResult {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	req.SetRequestURI("http://" + c.Addr + protocol.PathCommands)
-	setPostBody(req, protocol.EncodeCommands(c.FencingToken, c.Incarnation, c.Commands))
-	r := message.CommandsResult{ID: c.ID, Machine: c.Machine}
-	l := w.acquire(c.Addr)
-	if l == nil {
-		r.Outcome = rpc.NotSent
-		return r
+	req.SetRequestURI("http://" + call.Addr + protocol.PathCommands)
+	setPostBody(req, protocol.EncodeCommands(call.FencingToken, call.Incarnation, call.Commands))
+	result := message.CommandsResult{ID: call.ID, Machine: call.Machine}
+	connection := c.pool.acquire(call.Addr)
+	if connection == nil {
+		result.Outcome = rpc.NotSent
+		return result
 	}
-	err := l.client.DoTimeout(req, res, w.timeout)
-	w.release(l, err == nil)
+	err := connection.client.DoTimeout(req, res, c.timeout)
+	c.pool.release(connection, err == nil)
 	if err != nil {
-		r.Outcome = rpc.OutcomeOfError(err)
-		return r
+		result.Outcome = rpc.OutcomeOfError(err)
+		return result
 	}
-	switch res.StatusCode() {
-	case fasthttp.StatusOK:
-		r.Outcome = rpc.OK
-	case fasthttp.StatusConflict:
-		r.Outcome = rpc.Conflict
-	default:
-		r.Outcome = rpc.Unknown
-		return r
+	result.Outcome, result.Heartbeat = decodeCommandsResponse(res.StatusCode(), res.Body())
+	return result
+}
+
+// decodeCommandsResponse reads a worker's answer: whether it has executed the commands, and its
+// heartbeat. A conflict counts without one; an execution that can't be read doesn't.
+func decodeCommandsResponse(status int, body []byte) (rpc.Outcome, *protocol.Heartbeat) {
+	if status != fasthttp.StatusOK && status != fasthttp.StatusConflict {
+		return rpc.Unknown, nil
 	}
-	report, err := protocol.DecodeHeartbeat(res.Body())
-	if err != nil {
-		if r.Outcome == rpc.OK {
-			r.Outcome = rpc.Unknown
-		}
-		return r
+	heartbeat, err := protocol.DecodeHeartbeat(body)
+	switch {
+	case status == fasthttp.StatusConflict:
+		return rpc.Conflict, heartbeat
+	case err != nil:
+		return rpc.Unknown, nil
 	}
-	r.Heartbeat = report
-	return r
+	return rpc.OK, heartbeat
 }
--- a/internal/transport/worker_client_test.go
+++ b/internal/transport/worker_client_test.go
@@ -59,7 +59,7 @@
 	}()
 	t.Cleanup(func() { _ = m.listener.Close() })
 	w := NewWorkerClient(config.Workers{HeartbeatIntervalS: 4}, func() int { return most })
-	w.dial = m.dial
+	w.pool.dial = m.dial
 	return w, m
 }
 
