--- a/internal/transport/api_server_test.go
+++ b/internal/transport/api_server_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"net"
+	"net/http"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -13,30 +14,33 @@
 	"oakpick/internal/protocol"
 )
 
+// fakeHandler answers every request with the same reply, after a delay, and keeps the requests.
 type fakeHandler struct {
 	reply    message.Reply
 	delay    time.Duration
-	requests []any
+	requests []message.Request
 	healthy  bool
 }
 
-func (o *fakeHandler) Handle(c message.Request, _ RawRequest, _ time.Duration) message.Reply {
-	o.requests = append(o.requests, c)
-	time.Sleep(o.delay)
-	return o.reply
+func (h *fakeHandler) Handle(request message.Request, _ RawRequest, _ time.Duration) message.Reply {
+	h.requests = append(h.requests, request)
+	time.Sleep(h.delay)
+	return h.reply
 }
-func (o *fakeHandler) Healthy() bool { return o.healthy }
 
-func startAPIServer(t *testing.T, o *fakeHandler, limit *ConcurrencyLimit) *fasthttp.HostClient {
+func (h *fakeHandler) Healthy() bool { return h.healthy }
+
+// startAPIServer serves in memory, and gives a client.
+func startAPIServer(t *testing.T, handler RequestHandler, limit *ConcurrencyLimit) *fasthttp.HostClient {
 	t.Helper()
-	l := fasthttputil.NewInmemoryListener()
-	f := NewAPIServer(o, limit, 100, time.Second)
-	go func() { _ = f.Serve(l) }()
-	t.Cleanup(func() { _ = l.Close() })
-	return &fasthttp.HostClient{Addr: "x", Dial: func(string) (net.Conn, error) { return l.Dial() }}
+	listener := fasthttputil.NewInmemoryListener()
+	server := NewAPIServer(handler, limit, 100, time.Second)
+	go func() { _ = server.Serve(listener) }() // ends with the listener
+	t.Cleanup(func() { _ = listener.Close() })
+	return &fasthttp.HostClient{Addr: "x", Dial: func(string) (net.Conn, error) { return listener.Dial() }}
 }
 
-func call(t *testing.T, c *fasthttp.HostClient, method, path string, body []byte) *fasthttp.Response {
+func call(t *testing.T, client *fasthttp.HostClient, method, path string, body []byte) *fasthttp.Response {
 	t.Helper()
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -44,91 +48,103 @@
 	req.Header.SetMethod(method)
 	req.SetRequestURI("http://x" + path)
 	req.SetBody(body)
-	if err := c.Do(req, res); err != nil {
+	if err := client.Do(req, res); err != nil {
 		t.Fatal(err)
 	}
 	return res
 }
 
-func TestFrontSortsRequests(t *testing.T) {
-	o := &fakeHandler{reply: message.Reply{Status: 200}, healthy: true}
-	c := startAPIServer(t, o, NewConcurrencyLimit(64, time.Second, func() {}))
-	big := make([]byte, protocol.MaxBody+1)
-	for _, x := range []struct {
-		method, path string
-		body         []byte
-		want         int
+func TestAPIServerRoutesRequests(t *testing.T) {
+	handler := &fakeHandler{reply: message.Reply{Status: http.StatusOK}, healthy: true}
+	client := startAPIServer(t, handler, NewConcurrencyLimit(64, time.Second, func() {}))
+	for _, c := range []struct {
+		name, method, path string
+		body               []byte
+		want               int
 	}{
-		{"GET", "/healthz", nil, 200},
-		{"POST", "/healthz", nil, 405},
-		{"GET", "/nothing", nil, 404},
-		{"GET", "/v2/runs", nil, 405},
-		{"POST", "/v2/runs", []byte{0x90}, 400},
-		{"POST", "/v2/runs", big, 400},
-		{"POST", "/agent/beat", []byte{0x80}, 400},
-		{"GET", "/v2/runs/wk-1", nil, 200},
-		{"DELETE", "/v2/runs/wk-1", nil, 405},
-		{"POST", "/v2/runs/wk-1/abort", nil, 200},
+		{"health", "GET", "/healthz", nil, http.StatusOK},
+		{"health by another method", "POST", "/healthz", nil, http.StatusMethodNotAllowed},
+		{"unknown path", "GET", "/nothing", nil, http.StatusNotFound},
+		{"submission by another method", "GET", "/v2/runs", nil, http.StatusMethodNotAllowed},
+		{"malformed submission", "POST", "/v2/runs", []byte{0x90}, http.StatusBadRequest},
+		{"body over the limit", "POST", "/v2/runs", make([]byte, protocol.MaxBody+1), http.StatusBadRequest},
+		{"malformed heartbeat", "POST", "/agent/beat", []byte{0x80}, http.StatusBadRequest},
+		{"poll", "GET", "/v2/runs/wk-1", nil, http.StatusOK},
+		{"poll by another method", "DELETE", "/v2/runs/wk-1", nil, http.StatusMethodNotAllowed},
+		{"cancellation", "POST", "/v2/runs/wk-1/abort", nil, http.StatusOK},
 	} {
-		if res := call(t, c, x.method, x.path, x.body); res.StatusCode() != x.want {
-			t.Errorf("%s %s: %d, not %d", x.method, x.path, res.StatusCode(), x.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if res := call(t, client, c.method, c.path, c.body); res.StatusCode() != c.want {
+				t.Errorf("%s %s: %d, not %d", c.method, c.path, res.StatusCode(), c.want)
+			}
+		})
 	}
-	if len(o.requests) != 2 {
-		t.Errorf("%d commands reached the owner, not 2", len(o.requests))
+	if len(handler.requests) != 2 {
+		t.Errorf("%d requests reached the handler, not 2", len(handler.requests))
 	}
 }
 
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
-	o := &fakeHandler{reply: Unavailable("no leader")}
-	c := startAPIServer(t, o, NewConcurrencyLimit(64, time.Second, func() {}))
-	res := call(t, c, "GET", "/v2/runs/wk-1", nil)
+func TestRefusalsCarryRetryAfter(t *testing.T) {
+	handler := &fakeHandler{reply: Unavailable("no leader")}
+	client := startAPIServer(t, handler, NewConcurrencyLimit(64, time.Second, func() {}))
+	res := call(t, client, "GET", "/v2/runs/wk-1", nil)
 	if res.StatusCode() != 503 || string(res.Header.Peek("Retry-After")) != "1" {
 		t.Errorf("%d, Retry-After %q", res.StatusCode(), res.Header.Peek("Retry-After"))
 	}
-	if res = call(t, c, "GET", "/healthz", nil); res.StatusCode() != 503 {
+	if res = call(t, client, "GET", "/healthz", nil); res.StatusCode() != 503 {
 		t.Errorf("an unhealthy node answers %d", res.StatusCode())
 	}
 }
 
-// In a burst the limit refuses at once what it can't take, and a cancellation
-// gets through all the same.
-func TestBurstIsShedAndCancellationsAreNot(t *testing.T) {
-	var shed atomic.Int64
-	limit := NewConcurrencyLimit(8, time.Second, func() { shed.Add(1) })
-	hold, in := make(chan struct{}), make(chan struct{}, 100)
-	done := make(chan int, 100)
-	for range 100 {
+// occupy sends a hundred requests to a limit, and returns once each is refused or in progress.
+// Those in progress are answered on release, which waits for them.
+func occupy(t *testing.T, limit *ConcurrencyLimit) (inProgress, refused int, release func()) {
+	t.Helper()
+	const requests = 100
+	hold, admitted, statuses := make(chan struct{}), make(chan struct{}, requests), make(chan int, requests)
+	for range requests {
 		go func() {
-			done <- limit.Run(func() message.Reply {
-				in <- struct{}{}
+			statuses <- limit.Run(func() message.Reply {
+				admitted <- struct{}{}
 				<-hold
-				return message.Reply{Status: 200}
+				return message.Reply{Status: http.StatusOK}
 			}).Status
 		}()
 	}
-	refused := 0
-	for refused+len(in) < 100 {
-		if s := <-done; s != 503 {
-			t.Fatalf("answered %d while all were held", s)
+	for refused+len(admitted) < requests {
+		if status := <-statuses; status != http.StatusServiceUnavailable {
+			t.Fatalf("answered %d while all were held", status)
 		}
 		refused++
 	}
-	if len(in) > 8 || refused < 92 {
-		t.Errorf("%d let in, %d refused", len(in), refused)
+	return len(admitted), refused, func() {
+		close(hold)
+		for range requests - refused {
+			<-statuses
+		}
+	}
+}
+
+// In a burst the limit refuses at once what it can't take, and a cancellation
+// gets through all the same.
+func TestLimitShedsBurstButNotCancellations(t *testing.T) {
+	var shed atomic.Int64
+	limit := NewConcurrencyLimit(8, time.Second, func() { shed.Add(1) })
+	inProgress, refused, release := occupy(t, limit)
+	if inProgress > 8 || refused < 92 {
+		t.Errorf("%d let in, %d refused", inProgress, refused)
 	}
 	if int(shed.Load()) != refused {
 		t.Errorf("%d counted as shed, %d were", shed.Load(), refused)
 	}
-	o := &fakeHandler{reply: message.Reply{Status: 200}}
-	if r := handleUserRequest(o, limit, RawRequest{Method: "POST", Path: "/v2/runs/wk-1/abort"}); r.Status != 200 {
-		t.Errorf("a cancellation got %d", r.Status)
-	}
-	if r := handleUserRequest(o, limit, RawRequest{Method: "GET", Path: "/v2/runs/wk-1"}); r.Status != 503 || r.RetryAfterS == 0 {
-		t.Errorf("a poll got %d", r.Status)
+	handler := &fakeHandler{reply: message.Reply{Status: http.StatusOK}}
+	cancellation := RawRequest{Method: http.MethodPost, Path: "/v2/runs/wk-1/abort"}
+	if reply := handleUserRequest(handler, limit, cancellation); reply.Status != http.StatusOK {
+		t.Errorf("a cancellation got %d", reply.Status)
 	}
-	close(hold)
-	for range 100 - refused {
-		<-done
+	poll := RawRequest{Method: http.MethodGet, Path: "/v2/runs/wk-1"}
+	if reply := handleUserRequest(handler, limit, poll); reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 {
+		t.Errorf("a poll got %d", reply.Status)
 	}
+	release()
 }
--- a/internal/transport/forwarded_requests_test.go
+++ b/internal/transport/forwarded_requests_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// Requests are with a leader that stands still when another is found to lead: they end, and
+// Requests are in flight to a leader that is paused when another is found to lead: they end, and
 // say why. Those that are with the new leader, or are over, are left alone.
-func TestForwardsEndWhenAnotherLeads(t *testing.T) {
-	f := NewForwardedRequests()
-	old, endOld := f.Begin(t.Context(), "a")
+func TestForwardedRequestsEndWhenAnotherLeads(t *testing.T) {
+	forwarded := NewForwardedRequests()
+	old, endOld := forwarded.Begin(t.Context(), "a")
 	defer endOld()
-	fresh, endFresh := f.Begin(t.Context(), "b")
+	fresh, endFresh := forwarded.Begin(t.Context(), "b")
 	defer endFresh()
-	over, endOver := f.Begin(t.Context(), "a")
+	over, endOver := forwarded.Begin(t.Context(), "a")
 	endOver()
-	f.CancelExcept("b")
+	forwarded.CancelExcept("b")
 	if !errors.Is(context.Cause(old), ErrLeaderChanged) {
 		t.Errorf("the request to the old leader ends with %v", context.Cause(old))
 	}
--- a/internal/transport/worker_client_test.go
+++ b/internal/transport/worker_client_test.go
@@ -11,99 +11,135 @@
 
 	"oakpick/internal/config"
 	"oakpick/internal/message"
+	"oakpick/internal/protocol"
 	"oakpick/internal/rpc"
 )
 
-// fakeWorkers are workers in memory; those that hang accept and never answer.
+// fakeWorkers are workers in memory that answer every command with a conflict; connections to
+// those that hang are never made.
 type fakeWorkers struct {
-	mu       sync.Mutex
-	open     int
-	maxOpen  int
-	dials    int
 	listener *fasthttputil.InmemoryListener
-	hanging  map[string]chan struct{}
-	dialing  chan struct{} // a dial that hangs has begun
+	hanging  map[string]chan struct{} // by address; closed: the connection fails
+	dialing  chan struct{}            // a dial that hangs has begun
+
+	mu      sync.Mutex
+	open    int // connections
+	maxOpen int
+	dials   int
 }
 
+// countedConnection calls onClose when it is closed for the first time.
 type countedConnection struct {
 	net.Conn
 	once    sync.Once
 	onClose func()
 }
 
-func (c *countedConnection) Close() error { c.once.Do(c.onClose); return c.Conn.Close() }
+func (c *countedConnection) Close() error {
+	c.once.Do(c.onClose)
+	return c.Conn.Close()
+}
 
-func (m *fakeWorkers) dial(addr string) (net.Conn, error) {
-	m.mu.Lock()
-	m.open++
-	m.dials++
-	m.maxOpen = max(m.maxOpen, m.open)
-	hang := m.hanging[addr]
-	m.mu.Unlock()
-	done := func() { m.mu.Lock(); m.open--; m.mu.Unlock() }
-	if hang != nil {
-		m.dialing <- struct{}{}
-		<-hang
-		done()
+func (w *fakeWorkers) dial(addr string) (net.Conn, error) {
+	w.mu.Lock()
+	w.open++
+	w.dials++
+	w.maxOpen = max(w.maxOpen, w.open)
+	hanging := w.hanging[addr]
+	w.mu.Unlock()
+	if hanging != nil {
+		w.dialing <- struct{}{}
+		<-hanging
+		w.connectionClosed()
 		return nil, errors.New("gave up")
 	}
-	c, err := m.listener.Dial()
-	return &countedConnection{Conn: c, onClose: done}, err
+	connection, err := w.listener.Dial()
+	return &countedConnection{Conn: connection, onClose: w.connectionClosed}, err
+}
+
+func (w *fakeWorkers) connectionClosed() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.open--
 }
 
-func newWorkerClientWithFakes(t *testing.T, most int) (*WorkerClient, *fakeWorkers) {
+func newWorkerClientWithFakes(t *testing.T, maxConnections int) (*WorkerClient, *fakeWorkers) {
 	t.Helper()
-	m := &fakeWorkers{listener: fasthttputil.NewInmemoryListener(), hanging: map[string]chan struct{}{}, dialing: make(chan struct{})}
-	go func() {
-		_ = fasthttp.Serve(m.listener, func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(409) })
+	workers := &fakeWorkers{listener: fasthttputil.NewInmemoryListener(), hanging: map[string]chan struct{}{}, dialing: make(chan struct{})}
+	go func() { // ends with the listener
+		_ = fasthttp.Serve(workers.listener, func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(fasthttp.StatusConflict) })
 	}()
-	t.Cleanup(func() { _ = m.listener.Close() })
-	w := NewWorkerClient(config.Workers{HeartbeatIntervalS: 4}, func() int { return most })
-	w.pool.dial = m.dial
-	return w, m
+	t.Cleanup(func() { _ = workers.listener.Close() })
+	client := NewWorkerClient(config.Workers{HeartbeatIntervalS: 4}, func() int { return maxConnections })
+	client.pool.dial = workers.dial
+	return client, workers
 }
 
-func sendCommands(w *WorkerClient, addr string) rpc.Outcome {
-	return w.Send(message.CommandsCall{Machine: addr, Addr: addr, FencingToken: 1, Incarnation: 1}).Outcome
+func sendCommands(client *WorkerClient, addr string) rpc.Outcome {
+	return client.Send(message.CommandsCall{Machine: addr, Addr: addr, FencingToken: 1, Incarnation: 1}).Outcome
 }
 
-// More machines are told something than there may be connections: the least
+// More machines get commands than there may be connections: the least
 // recently used make place, and one that is used again stays.
 func TestCommandsShareTheirConnections(t *testing.T) {
-	w, m := newWorkerClientWithFakes(t, 3)
+	client, workers := newWorkerClientWithFakes(t, 3)
 	for _, addr := range []string{"a:1", "b:1", "a:1", "c:1", "a:1", "d:1", "a:1", "b:1"} {
-		if o := sendCommands(w, addr); o != rpc.Conflict {
-			t.Fatalf("%s: outcome %d", addr, o)
+		if outcome := sendCommands(client, addr); outcome != rpc.Conflict {
+			t.Fatalf("%s: outcome %d", addr, outcome)
 		}
 	}
-	if m.maxOpen > 3 {
-		t.Errorf("%d connections at once, 3 were allowed", m.maxOpen)
+	if workers.maxOpen > 3 {
+		t.Errorf("%d connections at once, 3 were allowed", workers.maxOpen)
 	}
-	if m.dials != 5 { // a, b, c, d, and b anew
-		t.Errorf("%d connections were made, not 5", m.dials)
+	if workers.dials != 5 { // a, b, c, d, and b anew
+		t.Errorf("%d connections were made, not 5", workers.dials)
 	}
 }
 
 // Machines that hang take every connection: others' commands aren't sent, which
 // is a proof that nothing was executed, and go out once there is room again.
 func TestHangingMachinesDoNotQueueOthers(t *testing.T) {
-	w, m := newWorkerClientWithFakes(t, 2)
+	client, workers := newWorkerClientWithFakes(t, 2)
 	gate := make(chan struct{})
-	m.hanging["x:1"], m.hanging["y:1"] = gate, gate
-	out := make(chan rpc.Outcome, 2)
-	for addr := range m.hanging {
-		go func() { out <- sendCommands(w, addr) }()
+	workers.hanging["x:1"], workers.hanging["y:1"] = gate, gate
+	outcomes := make(chan rpc.Outcome, 2)
+	for addr := range workers.hanging {
+		go func() { outcomes <- sendCommands(client, addr) }()
 	}
-	<-m.dialing
-	<-m.dialing
-	if o := sendCommands(w, "a:1"); o != rpc.NotSent {
-		t.Errorf("outcome %d while no connection was free", o)
+	<-workers.dialing
+	<-workers.dialing
+	if outcome := sendCommands(client, "a:1"); outcome != rpc.NotSent {
+		t.Errorf("outcome %d while no connection was free", outcome)
 	}
 	close(gate)
 	for range 2 {
-		<-out
+		<-outcomes
 	}
-	if o := sendCommands(w, "a:1"); o != rpc.Conflict {
-		t.Errorf("outcome %d after room was made", o)
+	if outcome := sendCommands(client, "a:1"); outcome != rpc.Conflict {
+		t.Errorf("outcome %d after room was made", outcome)
+	}
+}
+
+// A conflict counts without a heartbeat; an execution whose heartbeat can't be read doesn't.
+func TestCommandsResponseOutcome(t *testing.T) {
+	heartbeat := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "i-1", Addr: "a:1"})
+	for name, c := range map[string]struct {
+		status  int
+		body    []byte
+		outcome rpc.Outcome
+		read    bool
+	}{
+		"executed":             {fasthttp.StatusOK, heartbeat, rpc.OK, true},
+		"executed, unreadable": {fasthttp.StatusOK, nil, rpc.Unknown, false},
+		"conflict":             {fasthttp.StatusConflict, heartbeat, rpc.Conflict, true},
+		"conflict, unreadable": {fasthttp.StatusConflict, nil, rpc.Conflict, false},
+		"another status":       {fasthttp.StatusInternalServerError, heartbeat, rpc.Unknown, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			outcome, got := decodeCommandsResponse(c.status, c.body)
+			if outcome != c.outcome || (got != nil) != c.read {
+				t.Errorf("outcome %d, heartbeat %+v", outcome, got)
+			}
+		})
 	}
 }
