--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -17,30 +17,30 @@
 
 // metrics are latency histograms and counts of this process.
 type metrics struct {
-	times *latency.Recorder
-	shed  atomic.Int64
+	latencies *latency.Recorder
+	shed      atomic.Int64
 	// Questions dropped since their users had gone, and pauses of the process.
-	outlived, pauses, longestPauseMs atomic.Int64
+	expired, pauses, longestPauseMs atomic.Int64
 }
 
-func newMetrics() *metrics { return &metrics{times: latency.NewRecorder()} }
+func newMetrics() *metrics { return &metrics{latencies: latency.NewRecorder()} }
 
-func (m *metrics) record(request message.Request, d time.Duration) {
+func (m *metrics) recordRequest(request message.Request, d time.Duration) {
 	switch c := request.(type) {
 	case message.UserRequest:
-		m.times.Add([...]string{"submit", "poll", "cancel"}[c.Kind], d)
+		m.latencies.Add([...]string{"submit", "poll", "cancel"}[c.Kind], d)
 	case message.HeartbeatRequest:
-		m.times.Add("report", d)
+		m.latencies.Add("report", d)
 	}
 }
 
-func (m *metrics) state(op storage.StateOp, d time.Duration) {
-	m.times.Add([...]string{"state_get", "state_list", "state_write", "state_grant", "state_renew", "state_revoke"}[op], d)
+func (m *metrics) recordStateCall(op storage.StateOp, d time.Duration) {
+	m.latencies.Add([...]string{"state_get", "state_list", "state_write", "state_grant", "state_renew", "state_revoke"}[op], d)
 }
 
-// newAdmin is the administration API: JSON over HTTP, on the controllers' own
+// newAdminHandler is the administration API: JSON over HTTP, on the controllers' own
 // listener.
-func newAdmin(d *daemon, limit *transport.ConcurrencyLimit) http.Handler {
+func newAdminHandler(d *daemon, limit *transport.ConcurrencyLimit) http.Handler {
 	mux := http.NewServeMux()
 	call := func(w http.ResponseWriter, r *http.Request, question message.AdminRequest) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody))
@@ -75,8 +75,8 @@
 	mux.HandleFunc("GET /admin/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		now, inFlight := limit.Usage()
 		writeJSON(w, http.StatusOK, map[string]any{
-			"latency": d.metrics.times.Summaries(), "requests_limit": now, "requests_in_progress": inFlight, "requests_shed": d.metrics.shed.Load(),
-			"questions_outlived": d.metrics.outlived.Load(), "pauses": d.metrics.pauses.Load(), "longest_pause_ms": d.metrics.longestPauseMs.Load(),
+			"latency": d.metrics.latencies.Summaries(), "requests_limit": now, "requests_in_progress": inFlight, "requests_shed": d.metrics.shed.Load(),
+			"questions_outlived": d.metrics.expired.Load(), "pauses": d.metrics.pauses.Load(), "longest_pause_ms": d.metrics.longestPauseMs.Load(),
 		})
 	})
 	return mux
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-func addr(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -103,7 +103,7 @@
 	return l.Addr().String()
 }
 
-func ask(t *testing.T, method, url, body string) (int, string) {
+func request(t *testing.T, method, url, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+url, strings.NewReader(body))
 	if err != nil {
@@ -118,31 +118,31 @@
 	return res.StatusCode, string(b)
 }
 
-// pair is two whole processes' worth on loopback; the first leads.
-type pair struct {
-	fronts, clusters []string
-	state            *stateService
-	end              []context.CancelFunc // each ends one
+// controllerPair is two whole processes' worth on loopback; the first leads.
+type controllerPair struct {
+	apiAddresses, peerAddresses []string
+	state                       *stateService
+	stops                       []context.CancelFunc // each ends one
 }
 
-func newPair(t *testing.T) *pair {
+func newControllerPair(t *testing.T) *controllerPair {
 	t.Helper()
-	return newPairWith(t, config.Extensions{}, config.Extensions{})
+	return newControllerPairWith(t, config.Extensions{}, config.Extensions{})
 }
 
-// newPairWith has each of them switch something on.
-func newPairWith(t *testing.T, extensions ...config.Extensions) *pair {
+// newControllerPairWith has each of them switch something on.
+func newControllerPairWith(t *testing.T, extensions ...config.Extensions) *controllerPair {
 	t.Helper()
 	raw, err := os.ReadFile("../../testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &pair{
-		fronts: []string{addr(t), addr(t)}, clusters: []string{addr(t), addr(t)},
+	p := &controllerPair{
+		apiAddresses: []string{freeAddress(t), freeAddress(t)}, peerAddresses: []string{freeAddress(t), freeAddress(t)},
 		state: &stateService{keys: map[string]protocol.Entry{}},
 	}
-	state := serve(t, p.state)
-	cloud := serve(t, http.HandlerFunc(emptyCloud))
+	state := startHTTPServer(t, p.state)
+	cloud := startHTTPServer(t, http.HandlerFunc(emptyCloud))
 	names := []string{"ctl-0", "ctl-1"}
 	var group sync.WaitGroup
 	t.Cleanup(group.Wait)
@@ -151,27 +151,27 @@
 		if err := json.Unmarshal(raw, &cfg); err != nil {
 			t.Fatal(err)
 		}
-		cfg.Node, cfg.FrontListen, cfg.PeerListen = name, p.fronts[i], p.clusters[i]
-		cfg.Peers = []config.Peer{{Name: names[1-i], Addr: p.clusters[1-i]}}
+		cfg.Node, cfg.FrontListen, cfg.PeerListen = name, p.apiAddresses[i], p.peerAddresses[i]
+		cfg.Peers = []config.Peer{{Name: names[1-i], Addr: p.peerAddresses[1-i]}}
 		cfg.Services.State, cfg.Services.Cloud = state, cloud
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
-		p.end = append(p.end, cancel)
+		p.stops = append(p.stops, cancel)
 		group.Go(func() {
 			if err := Run(ctx, &cfg, extensions[i], slog.New(slog.DiscardHandler)); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 		})
 		// The first leads before the second begins.
-		within(t, func() (string, bool) {
-			status, _ := ask(t, "GET", p.clusters[i]+"/admin/settings", "")
+		eventually(t, func() (string, bool) {
+			status, _ := request(t, "GET", p.peerAddresses[i]+"/admin/settings", "")
 			return fmt.Sprintf("%s answers with %d", name, status), status == 200
 		})
 	}
 	return p
 }
 
-func serve(t *testing.T, h http.Handler) string {
+func startHTTPServer(t *testing.T, h http.Handler) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -183,8 +183,8 @@
 	return l.Addr().String()
 }
 
-// within asks again and again until it is so, for twenty seconds at most.
-func within(t *testing.T, so func() (string, bool)) {
+// eventually asks again and again until it is so, for twenty seconds at most.
+func eventually(t *testing.T, so func() (string, bool)) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		if what, ok := so(); ok {
@@ -213,32 +213,32 @@
 // One leads, the other hands users' requests and operators' settings on over its
 // HTTP/2 stream.
 func TestTwoControllersOnLoopback(t *testing.T) {
-	p := newPair(t)
-	fronts, clusters := p.fronts, p.clusters
+	p := newControllerPair(t)
+	fronts, clusters := p.apiAddresses, p.peerAddresses
 	for _, front := range fronts {
-		if status, _ := ask(t, "GET", front+"/healthz", ""); status != 200 {
+		if status, _ := request(t, "GET", front+"/healthz", ""); status != 200 {
 			t.Errorf("healthz: %d", status)
 		}
-		if status, body := ask(t, "GET", front+"/v2/runs/wk-000001", ""); status != 404 {
+		if status, body := request(t, "GET", front+"/v2/runs/wk-000001", ""); status != 404 {
 			t.Errorf("a job that nobody knows: %d %q", status, body)
 		}
-		if status, _ := ask(t, "POST", front+"/v2/runs", "\x90"); status != 400 {
+		if status, _ := request(t, "POST", front+"/v2/runs", "\x90"); status != 400 {
 			t.Errorf("a list for a job: %d", status)
 		}
 	}
-	if status, body := ask(t, "PATCH", clusters[1]+"/admin/settings", `{"sample": 3}`); status != 200 {
+	if status, body := request(t, "PATCH", clusters[1]+"/admin/settings", `{"sample": 3}`); status != 200 {
 		t.Errorf("settings through the follower: %d %s", status, body)
 	}
-	if status, body := ask(t, "PATCH", clusters[1]+"/admin/settings", `{"sample": -3}`); status != 400 || !strings.Contains(body, "sample") {
+	if status, body := request(t, "PATCH", clusters[1]+"/admin/settings", `{"sample": -3}`); status != 400 || !strings.Contains(body, "sample") {
 		t.Errorf("bad settings through the follower: %d %s", status, body)
 	}
-	if _, body := ask(t, "GET", clusters[0]+"/admin/settings", ""); !strings.Contains(body, `"sample": 3`) {
+	if _, body := request(t, "GET", clusters[0]+"/admin/settings", ""); !strings.Contains(body, `"sample": 3`) {
 		t.Errorf("the leader's settings: %s", body)
 	}
-	if status, body := ask(t, "GET", clusters[0]+"/admin/metrics", ""); status != 200 || !strings.Contains(body, "state_write") {
+	if status, body := request(t, "GET", clusters[0]+"/admin/metrics", ""); status != 200 || !strings.Contains(body, "state_write") {
 		t.Errorf("metrics: %d %s", status, body)
 	}
-	if _, body := ask(t, "GET", clusters[1]+"/admin/status", ""); !strings.Contains(body, `"role": "follower"`) {
+	if _, body := request(t, "GET", clusters[1]+"/admin/status", ""); !strings.Contains(body, `"role": "follower"`) {
 		t.Errorf("the follower's status: %s", body)
 	}
 }
@@ -254,18 +254,18 @@
 
 // Operators ask about a job at the leader and at a follower.
 func TestOperatorsAskAboutAJob(t *testing.T) {
-	p := newPair(t)
-	within(t, func() (string, bool) {
-		status, body := ask(t, "POST", p.fronts[1]+"/v2/runs", submission(1))
+	p := newControllerPair(t)
+	eventually(t, func() (string, bool) {
+		status, body := request(t, "POST", p.apiAddresses[1]+"/v2/runs", submission(1))
 		return fmt.Sprintf("submitted: %d %q", status, body), status == 201 || status == 200
 	})
-	for _, cluster := range p.clusters {
+	for _, cluster := range p.peerAddresses {
 		var s controller.JobStatus
-		status, body := ask(t, "GET", cluster+"/admin/jobs/wk-000001", "")
+		status, body := request(t, "GET", cluster+"/admin/jobs/wk-000001", "")
 		if err := json.Unmarshal([]byte(body), &s); err != nil || status != 200 || s.Class != "c" || s.Waiting != 1 || s.Failures != nil {
 			t.Errorf("%s: %d %s", cluster, status, body)
 		}
-		if status, body := ask(t, "GET", cluster+"/admin/jobs/wk-000002", ""); status != 404 {
+		if status, body := request(t, "GET", cluster+"/admin/jobs/wk-000002", ""); status != 404 {
 			t.Errorf("a job that nobody knows: %d %s", status, body)
 		}
 	}
@@ -275,7 +275,7 @@
 // accepted, while it is called off, and after the leader has ended. Whoever asks
 // after an answer was heard gets none that is older.
 func TestCloseLooksOnLoopback(t *testing.T) {
-	p := newPair(t)
+	p := newControllerPair(t)
 	const path = "/v2/runs"
 	status := func(body string) string {
 		var a protocol.JobResponse
@@ -288,9 +288,9 @@
 		var all sync.WaitGroup
 		for n := range 12 {
 			all.Go(func() {
-				code, body := ask(t, "GET", p.fronts[n%2]+path+"/"+job, "")
+				code, body := request(t, "GET", p.apiAddresses[n%2]+path+"/"+job, "")
 				if n%3 == 0 {
-					code, body = ask(t, "POST", p.fronts[n%2]+path, submission(i))
+					code, body = request(t, "POST", p.apiAddresses[n%2]+path, submission(i))
 				}
 				if code != 503 && (code != 200 || !slices.Contains(allowed, status(body))) {
 					t.Errorf("%s at node %d: %d %q, allowed %v", job, n%2, code, status(body), allowed)
@@ -299,34 +299,34 @@
 		}
 		all.Wait()
 	}
-	within(t, func() (string, bool) {
-		code, body := ask(t, "POST", p.fronts[0]+path, submission(1))
+	eventually(t, func() (string, bool) {
+		code, body := request(t, "POST", p.apiAddresses[0]+path, submission(1))
 		return body, code == 201 || code == 200
 	})
 	for i := 1; i <= 8; i++ {
 		job := fmt.Sprintf("wk-%06d", i)
-		within(t, func() (string, bool) {
-			code, body := ask(t, "POST", p.fronts[i%2]+path, submission(i))
+		eventually(t, func() (string, bool) {
+			code, body := request(t, "POST", p.apiAddresses[i%2]+path, submission(i))
 			return body, code == 201 || code == 200
 		})
 		look(job, i, protocol.StatusQueued)
 		var called sync.WaitGroup
 		called.Go(func() { look(job, i, protocol.StatusQueued, protocol.StatusCancelled) })
-		within(t, func() (string, bool) {
-			code, body := ask(t, "POST", p.fronts[(i+1)%2]+path+"/"+job+"/abort", "")
+		eventually(t, func() (string, bool) {
+			code, body := request(t, "POST", p.apiAddresses[(i+1)%2]+path+"/"+job+"/abort", "")
 			return body, code == 200 && status(body) == protocol.StatusCancelled
 		})
 		look(job, i, protocol.StatusCancelled)
 		called.Wait()
 	}
-	p.end[0]()
+	p.stops[0]()
 	p.state.drop(controller.LeaderKey) // its lease runs out
-	within(t, func() (string, bool) {
-		code, body := ask(t, "GET", p.fronts[1]+path+"/wk-000003", "")
+	eventually(t, func() (string, bool) {
+		code, body := request(t, "GET", p.apiAddresses[1]+path+"/wk-000003", "")
 		return body, code == 200 && status(body) == protocol.StatusCancelled
 	})
 	for n := range 12 {
-		if code, body := ask(t, "GET", p.fronts[1]+path+fmt.Sprintf("/wk-%06d", 1+n%8), ""); code != 503 && status(body) != protocol.StatusCancelled {
+		if code, body := request(t, "GET", p.apiAddresses[1]+path+fmt.Sprintf("/wk-%06d", 1+n%8), ""); code != 503 && status(body) != protocol.StatusCancelled {
 			t.Errorf("after the leader has ended: %d %q", code, status(body))
 		}
 	}
--- a/internal/daemon/tracker.go
+++ b/internal/daemon/tracker.go
@@ -26,25 +26,25 @@
 // trackerService serves the tracker of weights: an owner of its state with a queue of its
 // own, so that nothing of it waits behind the scheduler's or holds that up.
 type trackerService struct {
-	d        *daemon
-	tracker  *tracker.Tracker
-	listener net.Listener
-	server   *fasthttp.Server
-	queue    chan trackerItem
-	waits    map[uint64]trackerItem
-	nextID   uint64
-	term     atomic.Pointer[controller.LeadershipView]
-	limit    *transport.ConcurrencyLimit
-	report   time.Duration // for which a request may take, too
-	metrics  *trackerMetrics
+	d          *daemon
+	tracker    *tracker.Tracker
+	listener   net.Listener
+	server     *fasthttp.Server
+	queue      chan trackerEvent
+	pending    map[uint64]trackerEvent
+	lastID     uint64
+	leadership atomic.Pointer[controller.LeadershipView]
+	limit      *transport.ConcurrencyLimit
+	timeout    time.Duration // for which a request may take, too
+	metrics    *trackerMetrics
 }
 
-// trackerItem is a command with the way back for its reply.
-type trackerItem struct {
-	command func(id uint64) tracker.Command
-	request trackerRequest
-	reply   chan message.Reply
-	event   tracker.Command // an answer to an effect, instead
+// trackerEvent is a command with the way back for its reply.
+type trackerEvent struct {
+	newCommand func(id uint64) tracker.Command
+	request    trackerRequest
+	reply      chan message.Reply
+	result     tracker.Command // an answer to an effect, instead
 }
 
 // trackerRequest is a request as it came, for handing it on.
@@ -55,17 +55,17 @@
 }
 
 const (
-	trackerBatch       = 64
-	trackerQueue       = 4 * trackerBatch
-	trackerTicks       = 8 // a report
-	trackerIdleReports = 3 // for which an idle connection is kept
+	trackerBatch           = 64
+	trackerQueue           = 4 * trackerBatch
+	ticksPerInterval       = 8 // a report
+	idleInventoryIntervals = 3 // for which an idle connection is kept
 	// keepAliveShare is the part of the connections from which on each is closed with its
 	// answer, so that a fleet of any size is served in turns.
 	keepAliveShare = 0.75
 )
 
 func newTrackerService(d *daemon, settings *config.Distribution, seed [16]byte) (*trackerService, error) {
-	address, err := settings.TrackerAddress(d.cfg.PeerListen)
+	address, err := settings.TrackerAddress(d.config.PeerListen)
 	if err != nil {
 		return nil, err
 	}
@@ -75,20 +75,20 @@
 	}
 	report, idle := config.Seconds(settings.InventoryIntervalS), config.Seconds(settings.IdleInventoryIntervalS)
 	t := &trackerService{
-		d: d, listener: listener, queue: make(chan trackerItem, trackerQueue), waits: map[uint64]trackerItem{},
-		report: report,
+		d: d, listener: listener, queue: make(chan trackerEvent, trackerQueue), pending: map[uint64]trackerEvent{},
+		timeout: report,
 		tracker: tracker.New(tracker.Parameters{
-			Report: report, IdleReport: idle, Retry: config.Seconds(d.cfg.Settings.Workers.HeartbeatIntervalS / 20), StoreSlots: settings.StoreFetchers,
-			Zones: d.cfg.Settings.Zones, Boot: fmt.Sprintf("%s-%x", d.cfg.Node, seed[:8]), Seed: binary.LittleEndian.Uint64(seed[8:]),
+			Report: report, IdleReport: idle, Retry: config.Seconds(d.config.Settings.Workers.HeartbeatIntervalS / 20), StoreSlots: settings.StoreFetchers,
+			Zones: d.config.Settings.Zones, Boot: fmt.Sprintf("%s-%x", d.config.Node, seed[:8]), Seed: binary.LittleEndian.Uint64(seed[8:]),
 		}),
 		metrics: newTrackerMetrics(),
 	}
 	t.limit = transport.NewConcurrencyLimit(settings.Connections/4, report, func() { t.metrics.shed.Inc() })
-	t.term.Store(&controller.LeadershipView{})
+	t.leadership.Store(&controller.LeadershipView{})
 	metricsPage := fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(t.metrics.registry, promhttp.HandlerOpts{}))
 	t.server = &fasthttp.Server{
 		Concurrency: settings.Connections, MaxRequestBodySize: distribution.MaxMessageBytes,
-		ReadTimeout: trackerIdleReports * idle, IdleTimeout: trackerIdleReports * idle, WriteTimeout: idle,
+		ReadTimeout: idleInventoryIntervals * idle, IdleTimeout: idleInventoryIntervals * idle, WriteTimeout: idle,
 		ReadBufferSize: 4096, WriteBufferSize: 4096, ReduceMemoryUsage: true, NoDefaultServerHeader: true, CloseOnShutdown: true,
 		Logger: transport.DiscardLogger{},
 		Handler: func(ctx *fasthttp.RequestCtx) {
@@ -104,22 +104,22 @@
 
 // start serves until the daemon's context ends.
 func (t *trackerService) start() {
-	t.d.group.Go(func() error { return t.server.Serve(t.listener) })
-	t.d.group.Go(func() error { t.own(); return nil })
-	t.d.group.Go(func() error { <-t.d.ctx.Done(); return errors.Join(t.d.ctx.Err(), t.listener.Close()) })
+	t.d.goroutines.Go(func() error { return t.server.Serve(t.listener) })
+	t.d.goroutines.Go(func() error { t.runEventLoop(); return nil })
+	t.d.goroutines.Go(func() error { <-t.d.ctx.Done(); return errors.Join(t.d.ctx.Err(), t.listener.Close()) })
 	t.d.log.Info("tracker of weights serves", "listen", t.listener.Addr().String())
 }
 
-// see notes the node's term. Only the daemon's owner calls it.
-func (t *trackerService) see(v controller.LeadershipView) {
-	if *t.term.Load() != v {
-		t.term.Store(&v)
+// observeLeadership notes the node's term. Only the daemon's owner calls it.
+func (t *trackerService) observeLeadership(v controller.LeadershipView) {
+	if *t.leadership.Load() != v {
+		t.leadership.Store(&v)
 	}
 }
 
-// own is the owner's loop.
-func (t *trackerService) own() {
-	tick := time.NewTicker(t.report / trackerTicks)
+// runEventLoop is the owner's loop.
+func (t *trackerService) runEventLoop() {
+	tick := time.NewTicker(t.timeout / ticksPerInterval)
 	defer tick.Stop()
 	for {
 		commands := make([]tracker.Command, 0, trackerBatch)
@@ -133,10 +133,10 @@
 		}
 		commands = t.drain(commands)
 		began := time.Now()
-		effects := t.tracker.Step(time.Since(t.d.began), *t.term.Load(), commands)
-		t.metrics.stepped(time.Since(began), t.tracker)
+		effects := t.tracker.Step(time.Since(t.d.startedAt), *t.leadership.Load(), commands)
+		t.metrics.recordStep(time.Since(began), t.tracker)
 		for _, e := range effects {
-			t.perform(e)
+			t.performEffect(e)
 		}
 	}
 }
@@ -154,38 +154,38 @@
 }
 
 // accept numbers a request, so that its reply finds the way back.
-func (t *trackerService) accept(it trackerItem) tracker.Command {
-	if it.event != nil {
-		return it.event
+func (t *trackerService) accept(it trackerEvent) tracker.Command {
+	if it.result != nil {
+		return it.result
 	}
-	t.nextID++
-	t.waits[t.nextID] = it
-	return it.command(t.nextID)
+	t.lastID++
+	t.pending[t.lastID] = it
+	return it.newCommand(t.lastID)
 }
 
-func (t *trackerService) perform(effect tracker.Effect) {
+func (t *trackerService) performEffect(effect tracker.Effect) {
 	switch e := effect.(type) {
 	case tracker.Reply:
-		if it, ok := t.waits[e.ID]; ok {
-			delete(t.waits, e.ID)
+		if it, ok := t.pending[e.ID]; ok {
+			delete(t.pending, e.ID)
 			it.reply <- trackerReply(e)
 		}
 	case tracker.Forward:
-		it, ok := t.waits[e.ID]
+		it, ok := t.pending[e.ID]
 		if !ok {
 			return
 		}
-		delete(t.waits, e.ID)
+		delete(t.pending, e.ID)
 		if it.request.fromPeer {
-			it.reply <- trackerBusy("not the leader", t.report) // to hand it on could go round in circles
+			it.reply <- trackerUnavailable("not the leader", t.timeout) // to hand it on could go round in circles
 			return
 		}
-		t.d.group.Go(func() error { it.reply <- t.forward(e.Peer, it.request); return nil })
+		t.d.goroutines.Go(func() error { it.reply <- t.forward(e.Peer, it.request); return nil })
 	case tracker.StateCall:
-		t.d.group.Go(func() error {
+		t.d.goroutines.Go(func() error {
 			result := tracker.StateResult{StateResult: t.d.state.Do(e.StateCall)}
 			select {
-			case t.queue <- trackerItem{event: result}:
+			case t.queue <- trackerEvent{result: result}:
 			case <-t.d.ctx.Done():
 			}
 			return nil
@@ -197,7 +197,7 @@
 
 // forward hands a request to the controller that leads.
 func (t *trackerService) forward(peer string, r trackerRequest) message.Reply {
-	ctx, cancel := context.WithTimeout(t.d.ctx, t.report)
+	ctx, cancel := context.WithTimeout(t.d.ctx, t.timeout)
 	defer cancel()
 	path := r.path
 	if r.query != "" {
@@ -205,11 +205,11 @@
 	}
 	reply, err := t.d.peers.Forward(ctx, peer, r.method, path, r.body)
 	if err != nil {
-		return trackerBusy("the leader can't be reached", t.report)
+		return trackerUnavailable("the leader can't be reached", t.timeout)
 	}
 	if !json.Valid(reply.Body) {
 		// It doesn't track weights: another version, or not switched on there.
-		return trackerBusy("the leader does not track weights", t.report)
+		return trackerUnavailable("the leader does not track weights", t.timeout)
 	}
 	return reply
 }
@@ -218,7 +218,7 @@
 func trackerReply(e tracker.Reply) message.Reply {
 	body, err := json.Marshal(e.Body)
 	if err != nil {
-		return trackerBusy("the answer can't be encoded", e.RetryAfter)
+		return trackerUnavailable("the answer can't be encoded", e.RetryAfter)
 	}
 	return message.Reply{Status: e.Status, Body: body, RetryAfterS: retrySeconds(e.RetryAfter)}
 }
@@ -228,7 +228,7 @@
 	return int((d + time.Second - 1) / time.Second)
 }
 
-func trackerBusy(why string, after time.Duration) message.Reply {
+func trackerUnavailable(why string, after time.Duration) message.Reply {
 	return trackerError(http.StatusServiceUnavailable, why, max(1, retrySeconds(after)))
 }
 
@@ -247,25 +247,25 @@
 		return refusal
 	}
 	if r.fromPeer { // which has let it in
-		return t.do(command, r)
+		return t.submit(command, r)
 	}
-	return t.limit.Run(func() message.Reply { return t.do(command, r) })
+	return t.limit.Run(func() message.Reply { return t.submit(command, r) })
 }
 
-// do hands a command to the owner and waits for the reply.
-func (t *trackerService) do(command func(id uint64) tracker.Command, r trackerRequest) message.Reply {
-	timer := time.NewTimer(t.report)
+// submit hands a command to the owner and waits for the reply.
+func (t *trackerService) submit(command func(id uint64) tracker.Command, r trackerRequest) message.Reply {
+	timer := time.NewTimer(t.timeout)
 	defer timer.Stop()
-	it := trackerItem{command: command, request: r, reply: make(chan message.Reply, 1)}
+	it := trackerEvent{newCommand: command, request: r, reply: make(chan message.Reply, 1)}
 	select {
 	case t.queue <- it:
 	case <-timer.C:
-		return trackerBusy("too busy", t.report)
+		return trackerUnavailable("too busy", t.timeout)
 	}
 	select {
 	case reply := <-it.reply:
 		return reply
 	case <-timer.C:
-		return trackerBusy("not decided in time", t.report)
+		return trackerUnavailable("not decided in time", t.timeout)
 	}
 }
--- a/internal/daemon/tracker_metrics.go
+++ b/internal/daemon/tracker_metrics.go
@@ -43,7 +43,7 @@
 	return m
 }
 
-func (m *trackerMetrics) stepped(d time.Duration, t *tracker.Tracker) {
+func (m *trackerMetrics) recordStep(d time.Duration, t *tracker.Tracker) {
 	m.step.Observe(d.Seconds())
 	counts := t.Counts()
 	m.agents.Set(float64(t.Agents()))
--- a/internal/daemon/tracker_test.go
+++ b/internal/daemon/tracker_test.go
@@ -26,10 +26,10 @@
 	"oakpick/internal/distribution/tracker"
 )
 
-// trackerOn switches the tracker on at some address.
-func trackerOn(t *testing.T) (config.Extensions, string) {
+// trackerExtension switches the tracker on at some address.
+func trackerExtension(t *testing.T) (config.Extensions, string) {
 	t.Helper()
-	address := addr(t)
+	address := freeAddress(t)
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
 		t.Fatal(err)
@@ -41,15 +41,15 @@
 	return config.Extensions{Distribution: &config.Distribution{Port: number, StoreFetchers: 2, Connections: 64, InventoryIntervalS: 0.2, IdleInventoryIntervalS: 0.4}}, address
 }
 
-// tracked are two controllers that serve the tracker, at these addresses.
-func tracked(t *testing.T) (*pair, []string) {
+// newControllersWithTrackers are two controllers that serve the tracker, at these addresses.
+func newControllersWithTrackers(t *testing.T) (*controllerPair, []string) {
 	t.Helper()
-	first, firstAddress := trackerOn(t)
-	second, secondAddress := trackerOn(t)
-	return newPairWith(t, first, second), []string{firstAddress, secondAddress}
+	first, firstAddress := trackerExtension(t)
+	second, secondAddress := trackerExtension(t)
+	return newControllerPairWith(t, first, second), []string{firstAddress, secondAddress}
 }
 
-func inventoryText(t *testing.T, spoil func(*distribution.Inventory)) string {
+func inventoryJSON(t *testing.T, spoil func(*distribution.Inventory)) string {
 	t.Helper()
 	i := distribution.Inventory{Agent: "one", Zone: "north", Address: "127.0.0.1:1", Session: 1, Sequence: 1, Wants: []string{"models/a"}}
 	if spoil != nil {
@@ -65,10 +65,10 @@
 // Either controller takes requests, and the leader answers; what is malformed gets 4xx with
 // the field's name at both. A name outlives the leader, and is told by the next one only.
 func TestTrackerOnLoopback(t *testing.T) {
-	p, trackers := tracked(t)
+	p, trackers := newControllersWithTrackers(t)
 	d := digest.FromString("version").String()
-	within(t, func() (string, bool) {
-		status, body := ask(t, "PUT", trackers[1]+distribution.PathWeights+"/models/a", `{"manifest":"`+d+`"}`)
+	eventually(t, func() (string, bool) {
+		status, body := request(t, "PUT", trackers[1]+distribution.PathWeights+"/models/a", `{"manifest":"`+d+`"}`)
 		return body, status == 200
 	})
 	for _, address := range trackers {
@@ -87,32 +87,32 @@
 			{"GET", distribution.PathInventory, "", 405, "method"},
 			{"GET", "/elsewhere", "", 404, "path"},
 			{"POST", distribution.PathInventory, `{}`, 400, "agent"},
-			{"POST", distribution.PathInventory, inventoryText(t, func(i *distribution.Inventory) { i.Zone = "nowhere" }), 400, "zone"},
-			{"POST", distribution.PathInventory, inventoryText(t, func(i *distribution.Inventory) { i.Agent = "store" }), 400, "agent"},
+			{"POST", distribution.PathInventory, inventoryJSON(t, func(i *distribution.Inventory) { i.Zone = "nowhere" }), 400, "zone"},
+			{"POST", distribution.PathInventory, inventoryJSON(t, func(i *distribution.Inventory) { i.Agent = "store" }), 400, "agent"},
 			{"GET", "/metrics", "", 200, "oakpick_tracker_agents"},
 		} {
-			if status, body := ask(t, c.method, address+c.path, c.body); status != c.status || !strings.Contains(body, c.says) {
+			if status, body := request(t, c.method, address+c.path, c.body); status != c.status || !strings.Contains(body, c.says) {
 				t.Errorf("%s %s %.60s at %s: %d %s", c.method, c.path, c.body, address, status, body)
 			}
 		}
-		if status, _ := ask(t, "POST", address+distribution.PathInventory, strings.Repeat(" ", 2*distribution.MaxMessageBytes)); status == 200 || status == 503 {
+		if status, _ := request(t, "POST", address+distribution.PathInventory, strings.Repeat(" ", 2*distribution.MaxMessageBytes)); status == 200 || status == 503 {
 			t.Errorf("a body that is too long: %d", status)
 		}
 	}
 	for n, address := range trackers { // the second through the follower, which knows nothing itself
-		status, body := ask(t, "POST", address+distribution.PathInventory, inventoryText(t, func(i *distribution.Inventory) { i.Sequence = int64(n + 1) }))
+		status, body := request(t, "POST", address+distribution.PathInventory, inventoryJSON(t, func(i *distribution.Inventory) { i.Sequence = int64(n + 1) }))
 		var answer distribution.Answer
 		if status != 200 || json.Unmarshal([]byte(body), &answer) != nil || len(answer.Names) != 1 || answer.Names[0].Manifest.String() != d {
 			t.Errorf("%d %s", status, body)
 		}
 	}
-	if status, body := ask(t, "POST", trackers[1]+distribution.PathInventory, inventoryText(t, nil)); status != 409 {
+	if status, body := request(t, "POST", trackers[1]+distribution.PathInventory, inventoryJSON(t, nil)); status != 409 {
 		t.Errorf("an inventory that was taken before: %d %s", status, body)
 	}
-	p.end[0]()
+	p.stops[0]()
 	p.state.drop(controller.LeaderKey) // its lease runs out
-	within(t, func() (string, bool) {
-		status, body := ask(t, "GET", trackers[1]+distribution.PathWeights+"/models/a", "")
+	eventually(t, func() (string, bool) {
+		status, body := request(t, "GET", trackers[1]+distribution.PathWeights+"/models/a", "")
 		if status != 200 && status != 503 && status != 0 {
 			t.Errorf("%d %s", status, body)
 		}
@@ -123,21 +123,21 @@
 // A leader that doesn't track weights, because it is of another version or has it switched
 // off, answers users as ever; the other says that it can't serve agents.
 func TestTrackerIsSwitchedOnAtTheFollowerOnly(t *testing.T) {
-	on, address := trackerOn(t)
-	p := newPairWith(t, config.Extensions{}, on)
-	within(t, func() (string, bool) {
-		status, body := ask(t, "GET", address+distribution.PathWeights, "")
+	on, address := trackerExtension(t)
+	p := newControllerPairWith(t, config.Extensions{}, on)
+	eventually(t, func() (string, bool) {
+		status, body := request(t, "GET", address+distribution.PathWeights, "")
 		return body, status == 503 && strings.Contains(body, "does not track weights")
 	})
-	for _, front := range p.fronts {
-		if status, _ := ask(t, "GET", front+"/v2/runs/wk-000001", ""); status != 404 {
+	for _, front := range p.apiAddresses {
+		if status, _ := request(t, "GET", front+"/v2/runs/wk-000001", ""); status != 404 {
 			t.Errorf("a user: %d", status)
 		}
 	}
 }
 
-// publish has a store make a version, and gives the sum of its bytes.
-func publish(t *testing.T, store *registry.Memory, version string) (*distribution.Manifest, [sha256.Size]byte) {
+// publishVersion has a store make a version, and gives the sum of its bytes.
+func publishVersion(t *testing.T, store *registry.Memory, version string) (*distribution.Manifest, [sha256.Size]byte) {
 	t.Helper()
 	var chunks [][]byte
 	for i := range 12 {
@@ -154,9 +154,9 @@
 // ends meanwhile. What each serves is read to the last byte. One that starts again has what
 // it had.
 func TestAgentsOnLoopback(t *testing.T) {
-	p, trackers := tracked(t)
+	p, trackers := newControllersWithTrackers(t)
 	store := registry.NewMemory()
-	storeAddress := serve(t, &registry.Handler{Content: store, Slots: registry.NewSlots(2)})
+	storeAddress := startHTTPServer(t, &registry.Handler{Content: store, Slots: registry.NewSlots(2)})
 	var group sync.WaitGroup
 	t.Cleanup(group.Wait)
 	settings := agent.Defaults()
@@ -175,21 +175,21 @@
 	var ends []context.CancelFunc
 	for i := range 4 {
 		s := settings
-		s.Agent, s.Zone, s.Listen, s.Directory = fmt.Sprint("agent-", i), []string{"north", "south"}[i%2], addr(t), t.TempDir()
+		s.Agent, s.Zone, s.Listen, s.Directory = fmt.Sprint("agent-", i), []string{"north", "south"}[i%2], freeAddress(t), t.TempDir()
 		agents, ends = append(agents, s), append(ends, start(s))
 	}
-	first, firstSum := publish(t, store, "first")
+	first, firstSum := publishVersion(t, store, "first")
 	client := &operator.Client{Controllers: trackers}
 	use := func(m *distribution.Manifest) {
 		t.Helper()
-		within(t, func() (string, bool) {
+		eventually(t, func() (string, bool) {
 			_, err := client.Use(context.Background(), "models/a", m.Digest)
 			return fmt.Sprint(err), err == nil
 		})
 	}
 	serves := func(s agent.Settings, sum [sha256.Size]byte) {
 		t.Helper()
-		within(t, func() (string, bool) {
+		eventually(t, func() (string, bool) {
 			res, err := http.Get("http://" + s.Listen + agent.PathActive + "models/a")
 			if err != nil {
 				return err.Error(), false
@@ -204,7 +204,7 @@
 		serves(s, firstSum)
 	}
 	var status tracker.Status
-	within(t, func() (string, bool) {
+	eventually(t, func() (string, bool) {
 		var err error
 		status, err = client.Status(context.Background(), "models/a")
 		return fmt.Sprintf("%+v %v", status, err), err == nil && status.Complete == 4 && status.Active == 4
@@ -215,22 +215,22 @@
 	}
 
 	ends[0]()
-	second, secondSum := publish(t, store, "second")
+	second, secondSum := publishVersion(t, store, "second")
 	use(second)
-	p.end[0]()
+	p.stops[0]()
 	p.state.drop(controller.LeaderKey) // its lease runs out
 	for _, s := range agents[1:] {
 		serves(s, secondSum)
 	}
-	agents[0].Listen = addr(t)
+	agents[0].Listen = freeAddress(t)
 	start(agents[0])
 	serves(agents[0], secondSum)
 	for path, want := range map[string]int{"models/b": 404, "Models": 400} {
-		if status, _ := ask(t, "GET", agents[1].Listen+agent.PathActive+path, ""); status != want {
+		if status, _ := request(t, "GET", agents[1].Listen+agent.PathActive+path, ""); status != want {
 			t.Errorf("%s: %d", path, status)
 		}
 	}
-	if status, body := ask(t, "GET", agents[1].Listen+"/metrics", ""); status != 200 || !strings.Contains(body, "oakpick_agent_activations 2") {
+	if status, body := request(t, "GET", agents[1].Listen+"/metrics", ""); status != 200 || !strings.Contains(body, "oakpick_agent_activations 2") {
 		t.Errorf("%d %.2000s", status, body)
 	}
 }
