--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -5,87 +5,87 @@
 	"io"
 	"net/http"
 	"strconv"
-	"sync/atomic"
 	"time"
 
 	"oakpick/internal/latency"
 	"oakpick/internal/message"
 	"oakpick/internal/protocol"
-	"oakpick/internal/storage"
 	"oakpick/internal/transport"
 )
 
-// metrics are latency histograms and counts of this process.
-type metrics struct {
-	latencies *latency.Recorder
-	shed      atomic.Int64
-	// Questions dropped since their users had gone, and pauses of the process.
-	expired, pauses, longestPauseMs atomic.Int64
-}
+const jsonContentType = "application/json"
 
-func newMetrics() *metrics { return &metrics{latencies: latency.NewRecorder()} }
+// adminTimeout is how long an operator's request may take.
+const adminTimeout = protocol.SubmitTimeoutS * time.Second
 
-func (m *metrics) recordRequest(request message.Request, d time.Duration) {
-	switch c := request.(type) {
-	case message.UserRequest:
-		m.latencies.Add([...]string{"submit", "poll", "cancel"}[c.Kind], d)
-	case message.HeartbeatRequest:
-		m.latencies.Add("report", d)
-	}
+// adminHandler serves the administration API: JSON over HTTP, on the listener for peers.
+type adminHandler struct {
+	loop  *eventLoop
+	limit *transport.ConcurrencyLimit
+}
+
+// adminError is the body of a refusal.
+type adminError struct {
+	Error string `json:"error"`
 }
 
-func (m *metrics) recordStateCall(op storage.StateOp, d time.Duration) {
-	m.latencies.Add([...]string{"state_get", "state_list", "state_write", "state_grant", "state_renew", "state_revoke"}[op], d)
+// processMetrics is the answer about this process. Its fields are in the order of their names.
+type processMetrics struct {
+	Latency            map[string]latency.Summary `json:"latency"`
+	LongestPauseMs     int64                      `json:"longest_pause_ms"`
+	Pauses             int64                      `json:"pauses"`
+	PollsExpired       int64                      `json:"questions_outlived"`
+	RequestsInProgress int                        `json:"requests_in_progress"`
+	RequestsLimit      int                        `json:"requests_limit"`
+	RequestsShed       int64                      `json:"requests_shed"`
 }
 
-// newAdminHandler is the administration API: JSON over HTTP, on the controllers' own
-// listener.
-func newAdminHandler(d *daemon, limit *transport.ConcurrencyLimit) http.Handler {
+func newAdminHandler(loop *eventLoop, limit *transport.ConcurrencyLimit) http.Handler {
+	h := &adminHandler{loop: loop, limit: limit}
 	mux := http.NewServeMux()
-	call := func(w http.ResponseWriter, r *http.Request, question message.AdminRequest) {
+	mux.HandleFunc("GET /admin/status", h.forKind(message.AdminStatus))
+	mux.HandleFunc("GET /admin/settings", h.forKind(message.AdminRead))
+	mux.HandleFunc("PATCH /admin/settings", h.forKind(message.AdminChange))
+	mux.HandleFunc("GET /admin/jobs/{id}", h.forKind(message.AdminJob))
+	mux.HandleFunc("GET /admin/metrics", h.metrics)
+	return mux
+}
+
+// forKind gives the handler of a kind of requests, which the controller answers.
+func (h *adminHandler) forKind(kind message.AdminRequestKind) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody))
 		if err != nil {
-			writeJSON(w, http.StatusBadRequest, map[string]string{"error": "body too large"})
+			writeJSON(w, http.StatusBadRequest, adminError{"body too large"})
 			return
 		}
-		raw := transport.RawRequest{Method: r.Method, Path: r.URL.Path, Body: body, FromPeer: r.Header.Get(transport.ForwardedHeader) != ""}
-		question.Body = body
-		reply := d.Handle(question, raw, protocol.SubmitTimeoutS*time.Second)
+		fromPeer := r.Header.Get(transport.ForwardedHeader) != ""
+		raw := transport.RawRequest{Method: r.Method, Path: r.URL.Path, Body: body, FromPeer: fromPeer}
+		request := message.AdminRequest{Kind: kind, Body: body, Job: r.PathValue("id")} // no id but of a job
+		reply := h.loop.Handle(request, raw, adminTimeout)
 		if reply.RetryAfterS > 0 {
 			w.Header().Set("Retry-After", strconv.Itoa(reply.RetryAfterS))
-			writeJSON(w, reply.Status, map[string]string{"error": "no leader can be asked now"})
+			writeJSON(w, reply.Status, adminError{"no leader can be asked now"})
 			return
 		}
-		w.Header().Set("Content-Type", "application/json")
-		w.WriteHeader(reply.Status)
-		_, _ = w.Write(reply.Body) // the asker may have gone
+		transport.WriteReply(w, jsonContentType, reply)
 	}
-	mux.HandleFunc("GET /admin/status", func(w http.ResponseWriter, r *http.Request) {
-		call(w, r, message.AdminRequest{Kind: message.AdminStatus})
-	})
-	mux.HandleFunc("GET /admin/settings", func(w http.ResponseWriter, r *http.Request) {
-		call(w, r, message.AdminRequest{Kind: message.AdminRead})
-	})
-	mux.HandleFunc("PATCH /admin/settings", func(w http.ResponseWriter, r *http.Request) {
-		call(w, r, message.AdminRequest{Kind: message.AdminChange})
-	})
-	mux.HandleFunc("GET /admin/jobs/{id}", func(w http.ResponseWriter, r *http.Request) {
-		call(w, r, message.AdminRequest{Kind: message.AdminJob, Job: r.PathValue("id")})
-	})
-	mux.HandleFunc("GET /admin/metrics", func(w http.ResponseWriter, _ *http.Request) {
-		now, inFlight := limit.Usage()
-		writeJSON(w, http.StatusOK, map[string]any{
-			"latency": d.metrics.latencies.Summaries(), "requests_limit": now, "requests_in_progress": inFlight, "requests_shed": d.metrics.shed.Load(),
-			"questions_outlived": d.metrics.expired.Load(), "pauses": d.metrics.pauses.Load(), "longest_pause_ms": d.metrics.longestPauseMs.Load(),
-		})
+}
+
+func (h *adminHandler) metrics(w http.ResponseWriter, _ *http.Request) {
+	limit, inProgress := h.limit.Usage()
+	m := h.loop.metrics
+	writeJSON(w, http.StatusOK, processMetrics{
+		Latency:        m.latencies.Summaries(),
+		LongestPauseMs: m.longestPauseMs.Load(), Pauses: m.pauses.Load(), PollsExpired: m.expired.Load(),
+		RequestsInProgress: inProgress, RequestsLimit: limit, RequestsShed: m.shed.Load(),
 	})
-	return mux
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
-	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Type", jsonContentType)
 	w.WriteHeader(status)
-	enc := json.NewEncoder(w)
-	enc.SetIndent("", "  ")
-	_ = enc.Encode(v) // the asker may have gone
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	_ = encoder.Encode(v) // the sender may have gone
 }
--- /dev/null
+++ b/internal/daemon/event_loop_test.go
@@ -0,0 +1,47 @@
+package daemon
+
+import (
+	"context"
+	"slices"
+	"testing"
+	"time"
+
+	"oakpick/internal/message"
+)
+
+// The event loop finds a full queue. Polls whose users have been told to come back are
+// dropped; what changes something, and results of effects, are not.
+func TestEventLoopDropsExpiredPolls(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	loop := &eventLoop{
+		process: &process{ctx: ctx}, queue: make(chan queuedEvent, 8),
+		pending: newPendingRequests[queuedEvent](), metrics: newMetrics(),
+	}
+	past, ahead := time.Now().Add(-time.Second), time.Now().Add(time.Hour)
+	for _, event := range []queuedEvent{
+		{event: message.UserRequest{Kind: message.Poll, Job: "old"}, deadline: past},
+		{event: message.UserRequest{Kind: message.Submit, Job: "submitted"}, deadline: past},
+		{event: message.UserRequest{Kind: message.Cancel, Job: "cancelled"}, deadline: past},
+		{event: message.UserRequest{Kind: message.Poll, Job: "new"}, deadline: ahead},
+		{event: message.CloudResult{ID: 7}},
+	} {
+		loop.queue <- event
+	}
+	events, open := loop.nextBatch(nil, nil)
+	var jobs []string
+	for _, event := range events {
+		if request, ok := event.(message.UserRequest); ok {
+			jobs = append(jobs, request.Job)
+		}
+	}
+	if !open || len(events) != 4 || !slices.Equal(jobs, []string{"submitted", "cancelled", "new"}) {
+		t.Errorf("open %t, %d events, of users %v", open, len(events), jobs)
+	}
+	if n := loop.metrics.expired.Load(); n != 1 {
+		t.Errorf("%d polls dropped", n)
+	}
+	cancel()
+	if _, open := loop.nextBatch(nil, nil); open {
+		t.Error("open after the end")
+	}
+}
--- /dev/null
+++ b/internal/daemon/tracker_loop.go
@@ -0,0 +1,190 @@
+package daemon
+
+import (
+	"context"
+	"encoding/json"
+	"sync/atomic"
+	"time"
+
+	"oakpick/internal/config"
+	"oakpick/internal/controller"
+	"oakpick/internal/distribution/tracker"
+	"oakpick/internal/message"
+)
+
+const (
+	trackerBatch         = 64 // commands of a step
+	trackerQueueCapacity = 4 * trackerBatch
+	// ticksPerInventory is how many ticks there are in an inventory interval.
+	ticksPerInventory = 8
+	// trackerRetries is how many retries of the tracker there are in a heartbeat interval.
+	trackerRetries = 20
+)
+
+// trackerLoop is the event loop of the tracker. Its queue is its own, so that nothing of it
+// waits behind the scheduler's or holds that up.
+type trackerLoop struct {
+	process    *process
+	clients    *clients
+	queue      chan trackerEvent
+	leadership atomic.Pointer[controller.LeadershipView]
+	metrics    *trackerMetrics
+	timeout    time.Duration // of a request
+
+	// What follows belongs to the goroutine of run.
+
+	tracker *tracker.Tracker
+	pending *pendingRequests[trackerEvent]
+}
+
+// trackerEvent is a request's command with the way back for its reply, or the result of an
+// effect.
+type trackerEvent struct {
+	newCommand commandMaker
+	request    trackerRequest
+	reply      chan message.Reply // takes one reply without blocking
+	result     tracker.Command    // nil: it is a request
+}
+
+func newTrackerLoop(p *process, clients *clients, settings *config.Distribution) *trackerLoop {
+	cfg := p.config
+	interval := config.Seconds(settings.InventoryIntervalS)
+	l := &trackerLoop{
+		process: p, clients: clients, timeout: interval, metrics: newTrackerMetrics(),
+		queue: make(chan trackerEvent, trackerQueueCapacity), pending: newPendingRequests[trackerEvent](),
+		tracker: tracker.New(tracker.Parameters{
+			Report: interval, IdleReport: config.Seconds(settings.IdleInventoryIntervalS),
+			Retry:      config.Seconds(cfg.Settings.Workers.HeartbeatIntervalS / trackerRetries),
+			StoreSlots: settings.StoreFetchers, Zones: cfg.Settings.Zones,
+			Boot: cfg.Node + "-" + p.identity.incarnation, Seed: p.identity.seed,
+		}),
+	}
+	l.leadership.Store(&controller.LeadershipView{})
+	return l
+}
+
+// observeLeadership notes who leads. Only the controller's event loop calls it.
+func (l *trackerLoop) observeLeadership(view controller.LeadershipView) {
+	if *l.leadership.Load() != view {
+		l.leadership.Store(&view)
+	}
+}
+
+// submit hands a command to the tracker and waits for the reply. Any goroutine may call it.
+func (l *trackerLoop) submit(newCommand commandMaker, request trackerRequest) message.Reply {
+	event := trackerEvent{newCommand: newCommand, request: request, reply: make(chan message.Reply, 1)}
+	reply, err := submit(l.queue, event, event.reply, l.timeout)
+	if err != nil {
+		return trackerUnavailable(err.Error(), l.timeout)
+	}
+	return reply
+}
+
+// run steps the tracker until the process ends.
+func (l *trackerLoop) run() {
+	ticker := time.NewTicker(l.timeout / ticksPerInventory)
+	defer ticker.Stop()
+	for {
+		commands := make([]tracker.Command, 0, trackerBatch)
+		select {
+		case <-l.process.ctx.Done():
+			return
+		case <-ticker.C:
+			commands = append(commands, tracker.Tick{})
+		case event := <-l.queue:
+			commands = append(commands, l.accept(event))
+		}
+		l.step(l.drainQueue(commands))
+	}
+}
+
+// drainQueue appends what is queued, up to a batch.
+func (l *trackerLoop) drainQueue(commands []tracker.Command) []tracker.Command {
+	for len(commands) < trackerBatch {
+		select {
+		case event := <-l.queue:
+			commands = append(commands, l.accept(event))
+		default:
+			return commands
+		}
+	}
+	return commands
+}
+
+// step takes commands in and carries the effects out.
+func (l *trackerLoop) step(commands []tracker.Command) {
+	startedAt := time.Now()
+	effects := l.tracker.Step(l.process.uptime(), *l.leadership.Load(), commands)
+	l.metrics.recordStep(time.Since(startedAt), l.tracker)
+	for _, effect := range effects {
+		l.performEffect(effect)
+	}
+}
+
+// accept makes a request pending, under an ID of its own.
+func (l *trackerLoop) accept(event trackerEvent) tracker.Command {
+	if event.result != nil {
+		return event.result
+	}
+	return event.newCommand(l.pending.add(event))
+}
+
+// performEffect carries an effect out, in a goroutine of its own if it has to wait.
+func (l *trackerLoop) performEffect(effect tracker.Effect) {
+	switch e := effect.(type) {
+	case tracker.Reply:
+		if event, ok := l.pending.take(e.ID); ok {
+			event.reply <- encodeTrackerReply(e)
+		}
+	case tracker.Forward:
+		l.forward(e)
+	case tracker.StateCall:
+		l.process.goroutines.Go(func() error {
+			result := tracker.StateResult{StateResult: l.clients.state.Do(e.StateCall)}
+			enqueue(l.process.ctx, l.queue, trackerEvent{result: result})
+			return nil
+		})
+	case tracker.Log:
+		l.process.log.Info(e.Text, e.Args...)
+	}
+}
+
+// forward hands a pending request to the controller that leads.
+func (l *trackerLoop) forward(forward tracker.Forward) {
+	event, ok := l.pending.take(forward.ID)
+	if !ok {
+		return
+	}
+	if event.request.fromPeer {
+		event.reply <- trackerUnavailable("not the leader", l.timeout) // to hand it on could go round in circles
+		return
+	}
+	l.process.goroutines.Go(func() error { event.reply <- l.forwardTo(forward.Peer, event.request); return nil })
+}
+
+// forwardTo puts a request to the leader and waits for its answer.
+func (l *trackerLoop) forwardTo(peer string, request trackerRequest) message.Reply {
+	ctx, cancel := context.WithTimeout(l.process.ctx, l.timeout)
+	defer cancel()
+	path := request.path
+	if request.query != "" {
+		path += "?" + request.query
+	}
+	reply, err := l.clients.peers.Forward(ctx, peer, request.method, path, request.body)
+	if err != nil {
+		return trackerUnavailable("the leader can't be reached", l.timeout)
+	}
+	if !json.Valid(reply.Body) {
+		// It doesn't track weights: another version, or not switched on there.
+		return trackerUnavailable("the leader does not track weights", l.timeout)
+	}
+	return reply
+}
+
+func encodeTrackerReply(reply tracker.Reply) message.Reply {
+	body, err := json.Marshal(reply.Body)
+	if err != nil {
+		return trackerUnavailable("the answer can't be encoded", reply.RetryAfter)
+	}
+	return message.Reply{Status: reply.Status, Body: body, RetryAfterS: retrySeconds(reply.RetryAfter)}
+}
