--- a/cmd/oakpick/main.go
+++ b/cmd/oakpick/main.go
@@ -3,6 +3,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"runtime/debug"
@@ -14,9 +15,37 @@
 	"oakpick/internal/logging"
 )
 
-type serve struct{}
+// errNoConfig is what every command says that needs the settings.
+var errNoConfig = errors.New("--config FILE is missing")
 
-func (serve) Run(cli *commandLine) error {
+// commandLine is read by kong; each command is a field whose Run does it.
+type commandLine struct {
+	Config     string `help:"Settings file (JSON) of this node." placeholder:"FILE"`
+	Extensions string `help:"File (TOML) of what is to be switched on beyond the scheduler." placeholder:"FILE"`
+
+	Serve       serveCommand       `cmd:"" default:"1" help:"Serve as a controller until killed (the default)."`
+	CheckConfig checkConfigCommand `cmd:"" name:"check-config" help:"Check a settings file and name every problem."`
+	Version     versionCommand     `cmd:"" help:"Print the version."`
+	Weights     weights            `cmd:"" help:"Ask and steer the distribution of weights, through any controller."`
+}
+
+// load reads and checks the settings and, if their file is given, the extensions.
+func (c *commandLine) load() (*config.Config, config.Extensions, error) {
+	if c.Config == "" {
+		return nil, config.Extensions{}, errNoConfig
+	}
+	cfg, err := config.Load(c.Config)
+	if err != nil || c.Extensions == "" {
+		return cfg, config.Extensions{}, err
+	}
+	extensions, err := config.LoadExtensions(c.Extensions, cfg)
+	return cfg, extensions, err
+}
+
+// serveCommand serves until the process is killed: it has no orderly end, and needs none.
+type serveCommand struct{}
+
+func (serveCommand) Run(cli *commandLine) error {
 	cfg, extensions, err := cli.load()
 	if err != nil {
 		return err
@@ -24,50 +53,29 @@
 	return daemon.Run(context.Background(), cfg, extensions, logging.New(os.Stderr))
 }
 
-type checkConfig struct{}
+type checkConfigCommand struct{}
 
-func (checkConfig) Run(cli *commandLine) error {
+func (checkConfigCommand) Run(cli *commandLine) error {
 	cfg, _, err := cli.load()
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: settings are in order for node %s of %d\n", cli.Config, cfg.Node, len(cfg.Peers)+1)
+	controllers := len(cfg.Peers) + 1
+	fmt.Printf("%s: settings are in order for node %s of %d\n", cli.Config, cfg.Node, controllers)
 	return nil
 }
 
-type version struct{}
+type versionCommand struct{}
 
-func (version) Run(*commandLine) error {
-	v := "unknown"
+func (versionCommand) Run(*commandLine) error {
+	version := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
-		v = info.Main.Version + " " + info.GoVersion
+		version = info.Main.Version + " " + info.GoVersion
 	}
-	fmt.Println("oakpick", v)
+	fmt.Println("oakpick", version)
 	return nil
 }
 
-type commandLine struct {
-	Config     string `help:"Settings file (JSON) of this node." placeholder:"FILE"`
-	Extensions string `help:"File (TOML) of what is to be switched on beyond the scheduler." placeholder:"FILE"`
-
-	Serve       serve       `cmd:"" default:"1" help:"Serve as a controller until killed (the default)."`
-	CheckConfig checkConfig `cmd:"" name:"check-config" help:"Check a settings file and name every problem."`
-	Version     version     `cmd:"" help:"Print the version."`
-	Weights     weights     `cmd:"" help:"Ask and steer the distribution of weights, through any controller."`
-}
-
-func (c *commandLine) load() (*config.Config, config.Extensions, error) {
-	if c.Config == "" {
-		return nil, config.Extensions{}, fmt.Errorf("--config FILE is missing")
-	}
-	cfg, err := config.Load(c.Config)
-	if err != nil || c.Extensions == "" {
-		return cfg, config.Extensions{}, err
-	}
-	extensions, err := config.LoadExtensions(c.Extensions, cfg)
-	return cfg, extensions, err
-}
-
 func main() {
 	var cli commandLine
 	ctx := kong.Parse(&cli, kong.Name("oakpick"),
