--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -68,7 +68,7 @@
 	l.enqueue(l.clients.workers.Send(call))
 }
 
-// forward hands a pending request to the leader.
+// forward sends a pending request on to the leader.
 func (l *eventLoop) forward(forward message.Forward) {
 	request, ok := l.pending.take(forward.ID)
 	if !ok {
@@ -76,7 +76,7 @@
 	}
 	if request.raw.FromPeer {
 		// The peer holds us for the leader, and we know of another: it will
-		// learn. To hand it on could go round in circles.
+		// learn. Forwarding it again could go round in circles.
 		request.reply <- transport.Unavailable("not the leader")
 		return
 	}
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -11,7 +11,7 @@
 	"oakpick/internal/protocol"
 )
 
-// One leads, the other hands users' requests and operators' settings on over its
+// One leads, the other forwards users' requests and operators' settings over its
 // HTTP/2 stream.
 func TestFollowerForwardsToLeader(t *testing.T) {
 	p := newControllerPair(t)
@@ -33,7 +33,8 @@
 		if status, body := request(t, "PATCH", follower+"/admin/settings", `{"sample": 3}`); status != 200 {
 			t.Errorf("settings through the follower: %d %s", status, body)
 		}
-		if status, body := request(t, "PATCH", follower+"/admin/settings", `{"sample": -3}`); status != 400 || !strings.Contains(body, "sample") {
+		status, body := request(t, "PATCH", follower+"/admin/settings", `{"sample": -3}`)
+		if status != 400 || !strings.Contains(body, "sample") {
 			t.Errorf("bad settings through the follower: %d %s", status, body)
 		}
 		if _, body := request(t, "GET", leader+"/admin/settings", ""); !strings.Contains(body, `"sample": 3`) {
@@ -59,7 +60,8 @@
 		t.Run([]string{"leader", "follower"}[i], func(t *testing.T) {
 			var job controller.JobStatus
 			status, body := request(t, "GET", address+"/admin/jobs/wk-000001", "")
-			if err := json.Unmarshal([]byte(body), &job); err != nil || status != 200 || job.Class != "c" || job.Waiting != 1 || job.Failures != nil {
+			err := json.Unmarshal([]byte(body), &job)
+			if err != nil || status != 200 || job.Class != "c" || job.Waiting != 1 || job.Failures != nil {
 				t.Errorf("%d %s", status, body)
 			}
 			if status, body := request(t, "GET", address+"/admin/jobs/wk-000002", ""); status != 404 {
--- a/internal/daemon/tracker_loop.go
+++ b/internal/daemon/tracker_loop.go
@@ -149,14 +149,14 @@
 	}
 }
 
-// forward hands a pending request to the controller that leads.
+// forward sends a pending request on to the leader.
 func (l *trackerLoop) forward(forward tracker.Forward) {
 	event, ok := l.pending.take(forward.ID)
 	if !ok {
 		return
 	}
 	if event.request.fromPeer {
-		event.reply <- trackerUnavailable("not the leader", l.timeout) // to hand it on could go round in circles
+		event.reply <- trackerUnavailable("not the leader", l.timeout) // forwarding it again could go round in circles
 		return
 	}
 	l.process.goroutines.Go(func() error { event.reply <- l.forwardTo(forward.Peer, event.request); return nil })
--- a/internal/daemon/tracker_requests.go
+++ b/internal/daemon/tracker_requests.go
@@ -10,11 +10,11 @@
 	"oakpick/internal/message"
 )
 
-// trackerRequest is a request as it came, for handing it on to the leader.
+// trackerRequest is a request as it came, for forwarding it to the leader.
 type trackerRequest struct {
 	method, path, query string
 	body                []byte
-	fromPeer            bool // it was handed on once, and isn't again
+	fromPeer            bool // it was forwarded once, and isn't again
 }
 
 // commandMaker makes the command of a request, under the request's ID.
--- a/internal/daemon/tracker_service.go
+++ b/internal/daemon/tracker_service.go
@@ -105,7 +105,7 @@
 	transport.WriteFastHTTPReply(ctx, jsonContentType, reply)
 }
 
-// peerHandler answers what other controllers hand on.
+// peerHandler answers what other controllers forward.
 func (s *trackerService) peerHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, distribution.MaxMessageBytes))
@@ -124,7 +124,7 @@
 	if newCommand == nil {
 		return refusal
 	}
-	if request.fromPeer { // which has let it in
+	if request.fromPeer { // which has admitted it
 		return s.loop.submit(newCommand, request)
 	}
 	return s.limit.Run(func() message.Reply { return s.loop.submit(newCommand, request) })
--- a/internal/message/messages.go
+++ b/internal/message/messages.go
@@ -126,7 +126,7 @@
 		RetryAfterS     int  // seconds; 0: no such header
 		CloseConnection bool // a retry on a new connection may reach another controller
 	}
-	// Forward hands a UserRequest to the leader.
+	// Forward has a UserRequest or an AdminRequest sent on to the leader.
 	Forward struct {
 		ID   uint64
 		Peer string
--- a/internal/protocol/fields.go
+++ b/internal/protocol/fields.go
@@ -57,7 +57,8 @@
 }
 
 // machineTypes reads the allowed machine types; nil: any.
-func (f *fieldReader) machineTypes(field string, v *[]string) []string {
+func (f *fieldReader) machineTypes(v *[]string) []string {
+	const field = "kinds_of_host"
 	if v == nil {
 		return nil
 	}
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -102,7 +102,7 @@
 		EstimatedRunS:       f.requiredNumber("expected_s", w.EstimatedRunS),
 		CheckpointIntervalS: f.requiredNumber("savepoint_s", w.CheckpointIntervalS),
 		CheckpointDurationS: f.requiredNumber("saving_s", w.CheckpointDurationS),
-		Types:               f.machineTypes("kinds_of_host", w.Types),
+		Types:               f.machineTypes(w.Types),
 		Kind:                requiredWord(&f, "shape", jobKindWords, w.Kind),
 		Priority:            requiredWord(&f, "rank", priorityWords, w.Priority),
 	}
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -20,11 +20,11 @@
 	}
 }
 
-func encodeMap(t testing.TB, fields map[string]any) []byte {
-	t.Helper()
+func encodeMap(tb testing.TB, fields map[string]any) []byte {
+	tb.Helper()
 	body, err := msgpack.Marshal(fields)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return body
 }
--- a/internal/transport/api_server_test.go
+++ b/internal/transport/api_server_test.go
@@ -132,7 +132,7 @@
 	limit := NewConcurrencyLimit(8, time.Second, func() { shed.Add(1) })
 	inProgress, refused, release := occupy(t, limit)
 	if inProgress > 8 || refused < 92 {
-		t.Errorf("%d let in, %d refused", inProgress, refused)
+		t.Errorf("%d admitted, %d refused", inProgress, refused)
 	}
 	if int(shed.Load()) != refused {
 		t.Errorf("%d counted as shed, %d were", shed.Load(), refused)
--- a/internal/transport/concurrency_limit_test.go
+++ b/internal/transport/concurrency_limit_test.go
@@ -52,7 +52,7 @@
 		handler := newSlowHandler()
 		limit := NewConcurrencyLimit(75, 2*time.Second, func() {})
 		end := time.Now().Add(20 * time.Second)
-		// What a peer has let in isn't limited again.
+		// What a peer has admitted isn't limited again.
 		poll := RawRequest{Method: http.MethodGet, Path: "/v2/runs/wk-1", FromPeer: !limited}
 		var users sync.WaitGroup
 		for range 300 {
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -18,7 +18,7 @@
 	"oakpick/internal/protocol"
 )
 
-// ForwardedHeader marks what a peer hands on, which is not handed on again.
+// ForwardedHeader marks what a peer forwards, which is not forwarded again.
 const ForwardedHeader = "Oakpick-Forwarded"
 
 // PeerClient sends requests to the other controllers over HTTP/2 streams, one connection a peer.
@@ -45,7 +45,7 @@
 	return &PeerClient{client: &http.Client{Transport: streams}, node: node, addrs: addrs, timeout: timeout}
 }
 
-// Forward hands a user's request to a peer and brings back its answer. An error says that the
+// Forward sends a user's request on to a peer and brings back its answer. An error says that the
 // peer gave none before the context ended; it may have got the request all the same.
 func (c *PeerClient) Forward(ctx context.Context, peer, method, path string, body []byte) (message.Reply, error) {
 	response, err := c.call(ctx, peer, method, path, body)
--- a/internal/transport/request_handler.go
+++ b/internal/transport/request_handler.go
@@ -15,9 +15,9 @@
 	Healthy() bool
 }
 
-// RawRequest is a user's or an operator's request as it came, for handing it on to the leader.
+// RawRequest is a user's or an operator's request as it came, for forwarding it to the leader.
 type RawRequest struct {
 	Method, Path string
 	Body         []byte
-	FromPeer     bool // it was handed on once, and isn't again
+	FromPeer     bool // it was forwarded once, and isn't again
 }
--- a/internal/transport/user_requests.go
+++ b/internal/transport/user_requests.go
@@ -22,7 +22,7 @@
 	if !ok {
 		return refusal
 	}
-	// A cancellation is never shed, nor is what a peer has already let in.
+	// A cancellation is never shed, nor is what a peer has already admitted.
 	if request.Kind == message.Cancel || raw.FromPeer {
 		return handler.Handle(request, raw, userTimeout(request.Kind))
 	}
--- a/internal/transport/worker_client_test.go
+++ b/internal/transport/worker_client_test.go
@@ -65,7 +65,9 @@
 
 func newWorkerClientWithFakes(t *testing.T, maxConnections int) (*WorkerClient, *fakeWorkers) {
 	t.Helper()
-	workers := &fakeWorkers{listener: fasthttputil.NewInmemoryListener(), hanging: map[string]chan struct{}{}, dialing: make(chan struct{})}
+	workers := &fakeWorkers{
+		listener: fasthttputil.NewInmemoryListener(), hanging: map[string]chan struct{}{}, dialing: make(chan struct{}),
+	}
 	go func() { // ends with the listener
 		_ = fasthttp.Serve(workers.listener, func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(fasthttp.StatusConflict) })
 	}()
