--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -12,41 +12,43 @@
 	"oakpick/internal/rpc"
 )
 
-// Cloud speaks to the cloud.
-type Cloud struct {
-	client *fasthttp.HostClient
-	wait   time.Duration
+// maxCloudResponseBytes is the limit on the cloud's answers; its lists are long.
+const maxCloudResponseBytes = 1 << 20
+
+// CloudClient sends requests to the cloud.
+type CloudClient struct {
+	client  *fasthttp.HostClient
+	timeout time.Duration
 }
 
-// NewCloud makes the client.
-func NewCloud(addr string, w config.Workers) *Cloud {
-	wait := config.Seconds(w.HeartbeatIntervalS * 1.5)
-	return &Cloud{wait: wait, client: &fasthttp.HostClient{
-		Addr: addr, Dial: rpc.Dial(wait / 2), MaxConns: config.CloudConnections, MaxIdemponentCallAttempts: 1, RetryIfErr: rpc.NeverRetry,
-		MaxResponseBodySize: 1 << 20, NoDefaultUserAgentHeader: true,
-	}}
+// NewCloudClient makes a client of the cloud at addr, whose timeout follows from the heartbeat
+// interval.
+func NewCloudClient(addr string, workers config.Workers) *CloudClient {
+	timeout := config.Seconds(workers.HeartbeatIntervalS * 1.5)
+	client := newHostClient(addr, rpc.Dial(timeout/2), config.CloudConnections, maxCloudResponseBytes)
+	return &CloudClient{client: client, timeout: timeout}
 }
 
 // Do makes a call and waits for its outcome.
-func (c *Cloud) Do(call message.CloudCall) message.CloudResult {
+func (c *CloudClient) Do(call message.CloudCall) message.CloudResult {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	c.write(req, call)
-	r := message.CloudResult{ID: call.ID}
-	if err := c.client.DoTimeout(req, res, c.wait); err != nil {
-		r.Outcome = rpc.OutcomeOfError(err)
-		return r
+	c.writeRequest(req, call)
+	result := message.CloudResult{ID: call.ID}
+	if err := c.client.DoTimeout(req, res, c.timeout); err != nil {
+		result.Outcome = rpc.OutcomeOfError(err)
+		return result
 	}
-	r.Outcome = cloudOutcome(res.StatusCode(), res.Body())
-	if r.Outcome == rpc.OK && readCloud(&r, call.Op, res.Body()) != nil {
-		r.Outcome = rpc.Unknown // an answer that can't be read tells nothing
+	result.Outcome = cloudOutcome(res.StatusCode(), res.Body())
+	if result.Outcome == rpc.OK && decodeCloudResponse(&result, call.Op, res.Body()) != nil {
+		result.Outcome = rpc.Unknown // an answer that can't be read tells nothing
 	}
-	return r
+	return result
 }
 
-// write makes the request of a call.
-func (c *Cloud) write(req *fasthttp.Request, call message.CloudCall) {
+// writeRequest makes the request of a call.
+func (c *CloudClient) writeRequest(req *fasthttp.Request, call message.CloudCall) {
 	uri := "http://" + c.client.Addr
 	switch call.Op {
 	case message.CloudListTypes:
@@ -55,31 +57,25 @@
 		uri += protocol.PathScaleOut + "?" + listQuery(call.StartAfter)
 	case message.CloudScaleOut:
 		uri += protocol.PathScaleOut
-		writeBody(req, protocol.Encode(call.Provisioning))
+		setPostBody(req, protocol.Encode(call.Provisioning))
 	case message.CloudScaleIn:
 		uri += protocol.PathScaleIn
-		writeBody(req, protocol.Encode(protocol.MachineNames{Names: call.Machines}))
+		setPostBody(req, protocol.Encode(protocol.MachineNames{Names: call.Machines}))
 	}
 	req.SetRequestURI(uri)
 }
 
-// listQuery asks for the page of machines behind one.
-func listQuery(after string) string {
+// listQuery asks for the page of machines that follows one; empty: the first page.
+func listQuery(startAfter string) string {
 	args := fasthttp.AcquireArgs()
 	defer fasthttp.ReleaseArgs(args)
-	if after != "" {
-		args.Set("after", after)
+	if startAfter != "" {
+		args.Set("after", startAfter)
 	}
 	args.Set("limit", strconv.Itoa(protocol.MaxMachinesListed))
 	return args.String()
 }
 
-func writeBody(req *fasthttp.Request, body []byte) {
-	req.Header.SetMethod(fasthttp.MethodPost)
-	req.Header.SetContentType(protocol.ContentType)
-	req.SetBody(body)
-}
-
 // cloudOutcome tells what an answer's status means.
 func cloudOutcome(status int, body []byte) rpc.Outcome {
 	switch status {
@@ -98,21 +94,21 @@
 	return rpc.Unknown
 }
 
-// readCloud reads what a call has brought.
-func readCloud(r *message.CloudResult, op message.CloudOp, body []byte) error {
+// decodeCloudResponse reads what a call has brought.
+func decodeCloudResponse(result *message.CloudResult, op message.CloudOp, body []byte) error {
 	switch op {
 	case message.CloudListTypes:
-		var a protocol.MachineTypes
-		err := protocol.Decode(body, &a)
-		r.Types = a.Types
+		var response protocol.MachineTypes
+		err := protocol.Decode(body, &response)
+		result.Types = response.Types
 		return err
 	case message.CloudListMachines:
-		return protocol.Decode(body, &r.List)
+		return protocol.Decode(body, &result.List)
 	case message.CloudScaleOut:
-		var a protocol.MachineNames
-		err := protocol.Decode(body, &a)
-		r.Machines = a.Names
+		var response protocol.MachineNames
+		err := protocol.Decode(body, &response)
+		result.Machines = response.Names
 		return err
 	}
-	return nil
+	return nil // the answer to a scale-in says no more than its status
 }
