--- /dev/null
+++ b/internal/scale/testbed/world_loop.go
@@ -0,0 +1,85 @@
+package testbed
+
+import (
+	"context"
+	"time"
+
+	"oakpick/internal/fake"
+)
+
+// worldLoop is the goroutine that owns the simulated world: everything that reads or changes
+// it is a function that the loop calls.
+type worldLoop struct {
+	world   *fake.World
+	calls   chan func()
+	stopped chan struct{}
+}
+
+// maxQueuedCalls is how many calls wait for the loop before the callers do.
+const maxQueuedCalls = 4096
+
+func newWorldLoop() *worldLoop {
+	return &worldLoop{calls: make(chan func(), maxQueuedCalls), stopped: make(chan struct{})}
+}
+
+// run advances the world's clock with the real one until the context ends.
+func (l *worldLoop) run(ctx context.Context) {
+	defer close(l.stopped)
+	startedAt := time.Now()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case call := <-l.calls:
+			l.world.Advance(time.Since(startedAt))
+			call()
+		case <-timer.C:
+			l.world.Advance(time.Since(startedAt))
+		}
+		timer.Reset(max(0, l.world.NextAt()-time.Since(startedAt)))
+	}
+}
+
+// do queues a function for the loop; it is dropped once the loop has stopped.
+func (l *worldLoop) do(call func()) {
+	select {
+	case l.calls <- call:
+	case <-l.stopped:
+	}
+}
+
+// doAndWait queues a function, and returns once it has been called or the loop has stopped.
+func (l *worldLoop) doAndWait(call func()) {
+	called := make(chan struct{})
+	l.do(func() {
+		call()
+		close(called)
+	})
+	select {
+	case <-called:
+	case <-l.stopped:
+	}
+}
+
+// request hands a request to the world and waits for its answer; false: there was none within
+// requestTimeout.
+func request[Result any](l *worldLoop, serve func(answer func(Result))) (Result, bool) {
+	answers := make(chan Result, 1)
+	l.do(func() { serve(func(result Result) { answers <- result }) })
+	timer := time.NewTimer(requestTimeout)
+	defer timer.Stop()
+	select {
+	case result := <-answers:
+		return result, true
+	case <-timer.C:
+	case <-l.stopped:
+	}
+	var none Result
+	return none, false
+}
+
+// requestTimeout is for how long a connection is held that gets no answer. Its client has given
+// up long before.
+const requestTimeout = 30 * time.Second
