--- a/cmd/oakpick-scale/main.go
+++ b/cmd/oakpick-scale/main.go
@@ -13,6 +13,7 @@
 
 	"oakpick/internal/logging"
 	"oakpick/internal/scale"
+	"oakpick/internal/scale/distributionrun"
 )
 
 type scheduler struct {
@@ -22,7 +23,7 @@
 }
 
 type distribution struct {
-	scale.WeightsParameters
+	distributionrun.Parameters
 	Deploy string `help:"Deploy file whose run command starts a controller. Build it first." default:"deploy/service.toml" type:"existingfile"`
 	Agent  string `help:"The agent's program. Build it first." default:"target/oakpick-agent" type:"existingfile"`
 	JSON   string `name:"json" help:"Write the report as JSON to this file, too." type:"path"`
@@ -76,7 +77,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	report, failed := scale.RunWeights(ctx, d.WeightsParameters, command, []string{d.Agent}, os.Stderr)
+	report, failed := distributionrun.Run(ctx, d.Parameters, distributionrun.Commands{Controller: command, Agent: []string{d.Agent}}, os.Stderr)
 	if report == nil {
 		return failed
 	}
--- /dev/null
+++ b/internal/scale/distributionrun/agent_process.go
@@ -0,0 +1,90 @@
+package distributionrun
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"sync/atomic"
+	"time"
+
+	"github.com/BurntSushi/toml"
+	"golang.org/x/sync/errgroup"
+
+	"oakpick/internal/distribution/agent"
+	"oakpick/internal/scale/testbed"
+)
+
+// agentProcess is a real agent, and a client of what it serves.
+type agentProcess struct {
+	settings     agent.Settings
+	settingsFile string
+	logFile      string
+	command      []string
+	client       *http.Client
+	process      *testbed.Process // nil before the first start
+	failed       atomic.Bool      // killed or hanging for good: it need not become ready
+}
+
+// newAgentProcess writes an agent's settings to the directory. The command starts an agent if
+// its arguments are added.
+func newAgentProcess(command []string, directory string, settings agent.Settings) (*agentProcess, error) {
+	a := &agentProcess{
+		settings: settings, command: command, client: &http.Client{},
+		settingsFile: filepath.Join(directory, settings.Agent+".toml"), logFile: filepath.Join(directory, settings.Agent+".log"),
+	}
+	var text bytes.Buffer
+	if err := toml.NewEncoder(&text).Encode(settings); err != nil {
+		return nil, fmt.Errorf("settings of %s: %w", settings.Agent, err)
+	}
+	return a, os.WriteFile(a.settingsFile, text.Bytes(), 0o600)
+}
+
+// startPollInterval is the time between questions whether an agent serves.
+const startPollInterval = 20 * time.Millisecond
+
+// AgentExitError says that an agent ended by itself while it started.
+type AgentExitError struct{ Agent string }
+
+// Error names the agent.
+func (e *AgentExitError) Error() string { return e.Agent + " ended by itself, see its log" }
+
+// start starts the process, and returns once it serves.
+func (a *agentProcess) start(ctx context.Context) error {
+	command := append(a.command[:len(a.command):len(a.command)], "--config", a.settingsFile)
+	process, err := testbed.StartProcess(command, a.logFile)
+	if err != nil {
+		return fmt.Errorf("start of %s: %w", a.settings.Agent, err)
+	}
+	a.process = process
+	for !a.serves(ctx) {
+		select {
+		case <-process.Exited():
+			return &AgentExitError{Agent: a.settings.Agent}
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(startPollInterval):
+		}
+	}
+	return nil
+}
+
+// kill ends the process, if it was started, with a signal that it can't handle.
+func (a *agentProcess) kill() {
+	if a.process != nil {
+		a.process.Kill()
+	}
+}
+
+// forEachWorking calls a function for all agents that haven't failed for good, at once.
+func forEachWorking(agents []*agentProcess, do func(a *agentProcess) error) error {
+	var group errgroup.Group
+	for _, a := range agents {
+		if !a.failed.Load() {
+			group.Go(func() error { return do(a) })
+		}
+	}
+	return group.Wait()
+}
--- /dev/null
+++ b/internal/scale/distributionrun/fleet.go
@@ -0,0 +1,203 @@
+package distributionrun
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"path/filepath"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"oakpick/internal/distribution"
+	"oakpick/internal/distribution/agent"
+)
+
+// Names of the weights of a run: one agent alone fetches the first, the fleet the second.
+const (
+	aloneName = "models/alone"
+	fleetName = "models/fleet"
+)
+
+// A run is given up after minFetchTimeout and so many times what one agent alone took.
+const (
+	fetchTimeoutFactor = 20
+	minFetchTimeout    = time.Minute
+)
+
+// Settings of agents.
+const (
+	minimumRateDivisor = 64 // the least rate of a source is this part of the link's
+	stallIntervals     = 3  // between inventories, until a fetch has stalled
+)
+
+// newAgent writes the settings of the i-th agent that fetches a name.
+func (e *experiment) newAgent(i int, name string) (*agentProcess, error) {
+	p, addresses := e.parameters, e.testbed.Addresses
+	zones := e.testbed.Settings.Zones[:p.Zones]
+	zone := i % len(zones)
+	rate := p.linkBytesPerS()
+	if zone == 0 && name == fleetName {
+		rate *= p.SlowZone
+	}
+	settings := agent.Defaults()
+	settings.Agent, settings.Zone = fmt.Sprintf("%s-%03d", filepath.Base(name), i), zones[zone]
+	settings.Listen, settings.Directory = addresses.Worker(i), filepath.Join(e.directory, settings.Agent)
+	settings.Store, settings.Names = addresses.WeightStore(), []string{name}
+	settings.UploadSlots, settings.ReportS, settings.StallS = p.UploadSlots, p.InventoryIntervalS, stallIntervals*p.InventoryIntervalS
+	settings.UploadBytes, settings.DownloadBytes = int64(rate), int64(rate)
+	settings.MinimumRate = max(1, int64(rate/minimumRateDivisor))
+	for c := range p.Controllers {
+		settings.Trackers = append(settings.Trackers, addresses.Tracker((c+i)%p.Controllers))
+	}
+	return newAgentProcess(e.commands.Agent, e.directory, settings)
+}
+
+func (e *experiment) killAgents() {
+	for _, a := range e.agents {
+		a.kill()
+	}
+}
+
+// useVersion has a name refer to a version, however often that has to be asked.
+func (e *experiment) useVersion(ctx context.Context, name string, version *distribution.Manifest) error {
+	return waitUntil(ctx, controlTimeout, "the name can't be changed", func() bool {
+		_, err := e.operator.Use(ctx, name, version.Digest)
+		return err == nil
+	})
+}
+
+// runAlone times one agent that fetches everything from the store.
+func (e *experiment) runAlone(ctx context.Context) (time.Duration, error) {
+	count, size := e.parameters.chunks()
+	version, err := e.store.publish(count, size)
+	if err != nil {
+		return 0, err
+	}
+	a, err := e.newAgent(0, aloneName)
+	if err != nil {
+		return 0, err
+	}
+	defer a.kill()
+	if err := a.start(ctx); err != nil {
+		return 0, err
+	}
+	startedAt := time.Now()
+	if err := e.useVersion(ctx, aloneName, version); err != nil {
+		return 0, err
+	}
+	expected := e.parameters.SizeMB / e.parameters.RateMB
+	timeout := minFetchTimeout + time.Duration(fetchTimeoutFactor*expected*float64(time.Second))
+	err = waitUntil(ctx, timeout, "it is not ready", func() bool { return a.activeManifest(ctx, aloneName) == version.Digest })
+	return time.Since(startedAt), err
+}
+
+// fleetFetch is the fleet's fetch of a version while it lasts.
+type fleetFetch struct {
+	version    *distribution.Manifest // the first; a fault may change it
+	startedAt  time.Time
+	sentBefore int64 // bytes that the store sent before
+}
+
+// runFleet times all agents, with faults at their times, and verifies what they serve.
+func (e *experiment) runFleet(ctx context.Context, alone time.Duration) error {
+	faults, err := parseFaults(e.parameters.Faults)
+	if err != nil {
+		return err
+	}
+	if err := e.startFleet(ctx); err != nil {
+		return err
+	}
+	fetch := fleetFetch{version: e.wantedVersion(), startedAt: time.Now(), sentBefore: e.store.sentBytes.Load()}
+	fetching, stop := context.WithCancel(ctx)
+	defer stop()
+	var background errgroup.Group
+	background.Go(func() error { e.recordProgress(fetching, fetch); return nil })
+	if err := e.useVersion(ctx, fleetName, fetch.version); err != nil {
+		stop()
+		return errors.Join(err, background.Wait())
+	}
+	for _, fault := range faults {
+		background.Go(func() error { return e.injectFault(fetching, fault, alone) })
+	}
+	err = waitUntil(ctx, minFetchTimeout+fetchTimeoutFactor*alone, "not all are ready", func() bool { return e.fleetReady(ctx, fetch) })
+	e.reportFetch(fetch, alone)
+	stop()
+	return errors.Join(err, background.Wait(), e.verify(ctx), e.measure(ctx, fetch.version))
+}
+
+// startFleet publishes the fleet's version and starts its agents.
+func (e *experiment) startFleet(ctx context.Context) error {
+	count, size := e.parameters.chunks()
+	version, err := e.store.publish(count, size)
+	if err != nil {
+		return err
+	}
+	e.version = version
+	for i := range e.parameters.Agents {
+		a, err := e.newAgent(i, fleetName)
+		if err != nil {
+			return err
+		}
+		e.agents = append(e.agents, a)
+	}
+	return forEachWorking(e.agents, func(a *agentProcess) error { return a.start(ctx) })
+}
+
+// wantedVersion is what the fleet is to serve.
+func (e *experiment) wantedVersion() *distribution.Manifest {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.version
+}
+
+// fleetReady tells whether every agent that can serves the wanted version, and records when each
+// did first.
+func (e *experiment) fleetReady(ctx context.Context, fetch fleetFetch) bool {
+	wanted := e.wantedVersion()
+	var notReady atomic.Bool
+	_ = forEachWorking(e.agents, func(a *agentProcess) error { // the function returns no error
+		if a.activeManifest(ctx, fleetName) != wanted.Digest {
+			notReady.Store(true)
+			return nil
+		}
+		e.record(func(report *RunReport) { report.setReady(a.settings.Agent, time.Since(fetch.startedAt)) })
+		return nil
+	})
+	return !notReady.Load() && wanted == e.wantedVersion()
+}
+
+func (e *experiment) reportFetch(fetch fleetFetch, alone time.Duration) {
+	e.record(func(report *RunReport) {
+		report.FleetS = time.Since(fetch.startedAt).Seconds()
+		report.Ratio = report.FleetS / alone.Seconds()
+		report.StoreCopies = float64(e.store.sentBytes.Load()-fetch.sentBefore) / float64(fetch.version.Size)
+	})
+}
+
+// progressInterval is the time between records of how far the agents are.
+const progressInterval = 200 * time.Millisecond
+
+// recordProgress records how far the agents are and what the store has sent, until the context
+// ends.
+func (e *experiment) recordProgress(ctx context.Context, fetch fleetFetch) {
+	ticker := time.NewTicker(progressInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		progress := Progress{
+			AtS: time.Since(fetch.startedAt).Seconds(), StoreMB: float64(e.store.sentBytes.Load()-fetch.sentBefore) / mebibyte, Chunks: map[string]int{},
+		}
+		if status, err := e.operator.Status(ctx, fleetName); err == nil {
+			for _, member := range status.Members {
+				progress.Chunks[member.Agent] = member.Chunks
+			}
+		}
+		e.record(func(report *RunReport) { report.Progress = append(report.Progress, progress) })
+	}
+}
--- /dev/null
+++ b/internal/scale/distributionrun/report_plots.go
@@ -0,0 +1,124 @@
+package distributionrun
+
+import (
+	"bytes"
+	"html/template"
+	"image/color"
+	"maps"
+	"slices"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/vg"
+	"gonum.org/v1/plot/vg/draw"
+	"gonum.org/v1/plot/vg/vgsvg"
+)
+
+const (
+	plotWidth  = 16 * vg.Centimeter
+	plotHeight = 8 * vg.Centimeter
+	barsShare  = 0.8  // of the width; the rest is between the bars
+	legendRoom = 1.25 // of the height that the bars take
+)
+
+var (
+	blue   = color.RGBA{R: 30, G: 90, B: 180, A: 255}
+	orange = color.RGBA{R: 230, G: 120, B: 20, A: 255}
+	faint  = color.NRGBA{R: 30, G: 90, B: 180, A: 90}
+)
+
+// drawSVG returns a plot for a page.
+func drawSVG(p *plot.Plot) (template.HTML, error) {
+	canvas := vgsvg.New(plotWidth, plotHeight)
+	p.Draw(draw.New(canvas))
+	var out bytes.Buffer
+	if _, err := canvas.WriteTo(&out); err != nil {
+		return "", err
+	}
+	// Nothing in it comes from outside: numbers, and the texts here.
+	return template.HTML(out.String()), nil
+}
+
+// newPlot makes a plot whose axes begin at 0.
+func newPlot(title, x, y string) *plot.Plot {
+	p := plot.New()
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
+	p.X.Min, p.Y.Min = 0, 0
+	return p
+}
+
+// plotProgress draws a line an agent: the chunks that it holds.
+func plotProgress(run RunReport) (*plot.Plot, error) {
+	p := newPlot("Progress by agent, as the leader knew it", "seconds", "chunks")
+	for _, name := range slices.Sorted(maps.Keys(run.ReadyS)) {
+		var points plotter.XYs
+		for _, at := range run.Progress {
+			if n, known := at.Chunks[name]; known {
+				points = append(points, plotter.XY{X: at.AtS, Y: float64(n)})
+			}
+		}
+		if len(points) == 0 {
+			continue
+		}
+		line, err := plotter.NewLine(points)
+		if err != nil {
+			return nil, err
+		}
+		line.Color = faint
+		p.Add(line)
+	}
+	return p, nil
+}
+
+// plotSources draws a bar an agent: what came from peers, and from the store on top.
+func plotSources(run RunReport) (*plot.Plot, error) {
+	p := newPlot("Bytes by source", "agents, in the order of their names", "MiB")
+	var peers, store plotter.Values
+	for _, name := range slices.Sorted(maps.Keys(run.FromPeersMB)) {
+		peers = append(peers, run.FromPeersMB[name])
+		store = append(store, run.FromStoreMB[name])
+	}
+	if len(peers) == 0 {
+		return p, nil
+	}
+	width := vg.Length(float64(plotWidth) * barsShare / float64(len(peers)))
+	peerBars, err := plotter.NewBarChart(peers, width)
+	if err != nil {
+		return nil, err
+	}
+	storeBars, err := plotter.NewBarChart(store, width)
+	if err != nil {
+		return nil, err
+	}
+	peerBars.Color, storeBars.Color = blue, orange
+	storeBars.StackOn(peerBars)
+	p.Add(peerBars, storeBars)
+	p.Legend.Add("from peers", peerBars)
+	p.Legend.Add("from the store", storeBars)
+	p.Y.Max *= legendRoom
+	p.Legend.Top, p.Legend.XOffs = true, -plotWidth/40
+	return p, nil
+}
+
+// plotStore draws what the store sent each second.
+func plotStore(run RunReport) (*plot.Plot, error) {
+	p := newPlot("Load on the store", "seconds", "MiB a second")
+	var points plotter.XYs
+	var before Progress
+	for _, at := range run.Progress {
+		if at.AtS > before.AtS {
+			points = append(points, plotter.XY{X: at.AtS, Y: (at.StoreMB - before.StoreMB) / (at.AtS - before.AtS)})
+		}
+		before = at
+	}
+	if len(points) == 0 {
+		return p, nil
+	}
+	line, err := plotter.NewLine(points)
+	if err != nil {
+		return nil, err
+	}
+	line.Color = orange
+	p.Add(line)
+	return p, nil
+}
--- a/internal/scale/parameters.go
+++ b/internal/scale/parameters.go
@@ -14,6 +14,7 @@
 
 	"oakpick/internal/config"
 	"oakpick/internal/protocol"
+	"oakpick/internal/scale/testbed"
 )
 
 // Parameters are the size of a run at its full step, and how it is played. The tags hold
@@ -57,7 +58,7 @@
 // is too small for the rest.
 func (p *Parameters) Check() error {
 	p.derive()
-	problems := outOfRange(p)
+	problems := testbed.CheckFlags(p)
 	if p.Accelerators > p.Workers*acceleratorsEach {
 		problems = append(problems, fmt.Errorf("--accelerators: %d are more than %d workers hold", p.Accelerators, p.Workers))
 	}
