--- a/cmd/oakpick-scale/main.go
+++ b/cmd/oakpick-scale/main.go
@@ -1,10 +1,11 @@
-// Command oakpick-scale plays real controllers beside stand-ins for everything else on one
+// Command oakpick-scale runs real controllers beside a simulation of everything else on one
 // machine, at several sizes and through faults, and reports what each role takes.
 package main
 
 import (
 	"context"
 	"errors"
+	"io"
 	"os"
 	"os/signal"
 	"syscall"
@@ -14,15 +15,16 @@
 	"oakpick/internal/logging"
 	"oakpick/internal/scale"
 	"oakpick/internal/scale/distributionrun"
+	"oakpick/internal/scale/testbed"
 )
 
-type scheduler struct {
+type schedulerCommand struct {
 	scale.Parameters
 	Deploy string `help:"Deploy file whose run command starts a controller. Build it first." default:"deploy/service.toml" type:"existingfile"`
 	JSON   string `name:"json" help:"Write the report as JSON to this file, too." type:"path"`
 }
 
-type distribution struct {
+type distributionCommand struct {
 	distributionrun.Parameters
 	Deploy string `help:"Deploy file whose run command starts a controller. Build it first." default:"deploy/service.toml" type:"existingfile"`
 	Agent  string `help:"The agent's program. Build it first." default:"target/oakpick-agent" type:"existingfile"`
@@ -31,12 +33,12 @@
 }
 
 type commandLine struct {
-	Scheduler    scheduler    `cmd:"" default:"withargs" help:"Real controllers beside hollow workers, users, state service and cloud: a size after the other, then faults (the default)."`
-	Distribution distribution `cmd:"" help:"Real controllers and real agents that fetch weights, beside a stand-in for the store."`
+	Scheduler    schedulerCommand    `cmd:"" default:"withargs" help:"Real controllers beside hollow workers, users, state service and cloud: a size after the other, then faults (the default)."`
+	Distribution distributionCommand `cmd:"" help:"Real controllers and real agents that fetch weights, beside a stand-in for the store."`
 }
 
-// errUnsound says that the report shows something that must not be.
-var errUnsound = errors.New("the report is not sound: see above")
+// errNotSound says that the report shows a broken rule, a crash or a part that is missing.
+var errNotSound = errors.New("the report is not sound: see above")
 
 func main() {
 	var cli commandLine
@@ -48,57 +50,63 @@
 	}
 }
 
-// Run plays the scheduler.
-func (s *scheduler) Run() error {
+// Run runs the scale experiment of the controllers.
+func (s *schedulerCommand) Run() error {
 	if err := s.Check(); err != nil {
 		return err
 	}
-	command, err := scale.RunCommand(s.Deploy)
+	controller, err := testbed.ControllerCommand(s.Deploy)
 	if err != nil {
 		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	ctx, stop := interruptible()
 	defer stop()
-	report, err := scale.Run(ctx, s.Parameters, command, os.Stderr)
+	report, err := scale.Run(ctx, s.Parameters, controller, os.Stderr)
 	if err != nil {
 		return err
 	}
-	return errors.Join(report.WriteTable(os.Stdout), writeTo(s.JSON, func(f *os.File) error { return report.WriteJSON(f) }), verdict(report.Sound()))
+	return errors.Join(report.WriteTable(os.Stdout), writeFile(s.JSON, report.WriteJSON), verdict(report.Sound()))
 }
 
-// Run plays the distribution of weights.
-func (d *distribution) Run() error {
+// Run runs the experiment of the distribution of weights. A run that failed is reported as far
+// as it came.
+func (d *distributionCommand) Run() error {
 	if err := d.Check(); err != nil {
 		return err
 	}
-	command, err := scale.RunCommand(d.Deploy)
+	controller, err := testbed.ControllerCommand(d.Deploy)
 	if err != nil {
 		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	ctx, stop := interruptible()
 	defer stop()
-	report, failed := distributionrun.Run(ctx, d.Parameters, distributionrun.Commands{Controller: command, Agent: []string{d.Agent}}, os.Stderr)
+	commands := distributionrun.Commands{Controller: controller, Agent: []string{d.Agent}}
+	report, runErr := distributionrun.Run(ctx, d.Parameters, commands, os.Stderr)
 	if report == nil {
-		return failed
+		return runErr
 	}
-	return errors.Join(failed, report.WriteTable(os.Stdout),
-		writeTo(d.JSON, func(f *os.File) error { return report.WriteJSON(f) }),
-		writeTo(d.HTML, func(f *os.File) error { return report.WriteHTML(f) }), verdict(report.Sound()))
+	return errors.Join(runErr, report.WriteTable(os.Stdout),
+		writeFile(d.JSON, report.WriteJSON), writeFile(d.HTML, report.WriteHTML), verdict(report.Sound()))
+}
+
+// interruptible returns a context that ends when the program is asked to.
+func interruptible() (ctx context.Context, stop context.CancelFunc) {
+	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
 func verdict(sound bool) error {
 	if sound {
 		return nil
 	}
-	return errUnsound
+	return errNotSound
 }
 
-// writeTo writes a file, if one is named.
-func writeTo(name string, write func(*os.File) error) error {
-	if name == "" {
+// writeFile writes a file, if one is named.
+func writeFile(path string, write func(io.Writer) error) error {
+	if path == "" {
 		return nil
 	}
-	file, err := os.Create(name)
+	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
--- /dev/null
+++ b/internal/scale/ended_jobs.go
@@ -0,0 +1,69 @@
+package scale
+
+import (
+	"fmt"
+
+	"oakpick/internal/protocol"
+	"oakpick/internal/storage"
+)
+
+// The ids of the jobs that ended before a run begin with these.
+const archivedPrefix, endedPrefix = "wk-8", "wk-9"
+
+// endedJobTasks is how many tasks such a job had.
+const endedJobTasks = 3
+
+// endedJobBytes is what an ended job takes in JSON, which is what the limit on values counts.
+const endedJobBytes = 40
+
+// usedShareOfPage leaves room in a page for what isn't an ended job.
+const usedShareOfPage = 0.9
+
+// writeIDBeforeRun is the id of writes that no controller of the run has made.
+const writeIDBeforeRun = "0-0"
+
+// endedJobsPerPage is how many ended jobs a value of so many KiB holds.
+func endedJobsPerPage(valueKB float64) int {
+	return max(1, int(valueKB*1024*usedShareOfPage/endedJobBytes))
+}
+
+func endedRecord(prefix string, number int) storage.TerminalRecord {
+	return storage.TerminalRecord{ID: fmt.Sprintf("%s%010d", prefix, number), Tasks: endedJobTasks}
+}
+
+// archivedPages returns the pages, by key, of an archive of so many ended jobs.
+func archivedPages(count int, valueKB float64) map[string][]byte {
+	pages := map[string][]byte{}
+	forEachEndedPage(archivedPrefix, count, valueKB, func(next int, records []storage.TerminalRecord) {
+		bound := storage.LastUpperBound
+		if next < count {
+			bound = endedRecord(archivedPrefix, next).ID
+		}
+		pages[storage.ArchivePrefix+bound] = protocol.Encode(storage.ArchiveValue{WriteID: writeIDBeforeRun, Terminal: records})
+	})
+	return pages
+}
+
+// endedPages returns the pages, by key, of a state service that has so many ended jobs on record.
+func endedPages(count int, valueKB float64) map[string][]byte {
+	pages := map[string][]byte{}
+	forEachEndedPage(endedPrefix, count, valueKB, func(_ int, records []storage.TerminalRecord) {
+		key := fmt.Sprintf("%s%06d", storage.PagePrefix, len(pages))
+		pages[key] = protocol.Encode(storage.PageValue{WriteID: writeIDBeforeRun, Terminal: records})
+	})
+	return pages
+}
+
+// forEachEndedPage divides so many ended jobs into pages; next is the number of the job after a
+// page's last.
+func forEachEndedPage(prefix string, count int, valueKB float64, page func(next int, records []storage.TerminalRecord)) {
+	perPage := endedJobsPerPage(valueKB)
+	for first := 0; first < count; first += perPage {
+		next := min(first+perPage, count)
+		var records []storage.TerminalRecord
+		for number := first; number < next; number++ {
+			records = append(records, endedRecord(prefix, number))
+		}
+		page(next, records)
+	}
+}
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -2,145 +2,180 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"time"
 
 	"oakpick/internal/config"
+	"oakpick/internal/scale/testbed"
 )
 
-// fault is a trouble: what it does, and for how long until it is undone.
+// fault is something that is injected, and undone after a while.
 type fault struct {
-	begin  func(*play) error
-	lasts  time.Duration
-	leases float64 // how much longer it lasts, in workers' leases
-	end    func(*play) error
+	inject   func(context.Context, *experiment) error
+	duration time.Duration
+	leases   float64                 // how much longer it lasts, in workers' leases
+	heal     func(*experiment) error // nil: nothing is to be undone
 }
 
 // How long and how far faults go.
 const (
-	restartDelay  = 5 * time.Second
-	outageLasts   = 20 * time.Second
-	cutShare      = 10 // one worker of so many
-	rackMachines  = 40
-	restartsADay  = 210
-	restartsWatch = time.Minute
+	restartDelay       = 5 * time.Second // of killed controllers
+	outageDuration     = 20 * time.Second
+	partitionDivisor   = 10 // one worker of so many
+	partitionLeases    = 1.5
+	rackMachines       = 40
+	restartsPerDay     = 210
+	restartsInjectedIn = time.Minute
 )
 
+// faults by their names on the command line.
 var faults = map[string]fault{
-	"leader": {
-		begin: func(y *play) error {
-			y.restarted = y.controllers.leader()
-			if y.restarted < 0 {
-				return fmt.Errorf("nobody leads")
+	"leader":          {inject: killLeader, duration: restartDelay, heal: restartLeader},
+	"all-controllers": {inject: killControllers, duration: restartDelay, heal: restartControllers},
+	"state":           {inject: beginOutage, duration: outageDuration, heal: endOutage},
+	"cut":             {inject: partitionWorkers, leases: partitionLeases, heal: healPartition},
+	"rack":            {inject: failRack},
+	"restarts":        {inject: restartMachines, duration: restartsInjectedIn},
+}
+
+// errNoLeader says that there is no leader that could be killed.
+var errNoLeader = errors.New("nobody leads")
+
+func killLeader(ctx context.Context, e *experiment) error {
+	e.killedLeader = e.testbed.Controllers.Leader(ctx)
+	if e.killedLeader == testbed.NoLeader {
+		return errNoLeader
+	}
+	e.testbed.Controllers.Kill(e.killedLeader)
+	return nil
+}
+
+func restartLeader(e *experiment) error { return e.testbed.Controllers.Start(e.killedLeader) }
+
+func killControllers(_ context.Context, e *experiment) error {
+	e.testbed.Controllers.KillAll()
+	return nil
+}
+
+func restartControllers(e *experiment) error { return e.testbed.Controllers.StartAll() }
+
+func beginOutage(_ context.Context, e *experiment) error {
+	e.testbed.DoAndWait(func() { e.testbed.World.State.Outage(true) })
+	return nil
+}
+
+func endOutage(e *experiment) error {
+	e.testbed.DoAndWait(func() { e.testbed.World.State.Outage(false) })
+	return nil
+}
+
+func partitionWorkers(_ context.Context, e *experiment) error {
+	e.testbed.DoAndWait(func() {
+		var machines []string
+		for i, name := range e.testbed.World.MachineNames() {
+			if i%partitionDivisor == 0 {
+				machines = append(machines, name)
 			}
-			y.controllers.kill(y.restarted)
-			return nil
-		},
-		lasts: restartDelay,
-		end:   func(y *play) error { return y.controllers.start(y.restarted) },
-	},
-	"all-controllers": {
-		begin: func(y *play) error { y.controllers.killAll(); return nil },
-		lasts: restartDelay,
-		end:   func(y *play) error { return y.controllers.startAll() },
-	},
-	"state": {
-		begin: func(y *play) error { y.loop.wait(func() { y.world.State.Outage(true) }); return nil },
-		lasts: outageLasts,
-		end:   func(y *play) error { y.loop.wait(func() { y.world.State.Outage(false) }); return nil },
-	},
-	"cut": {
-		begin: func(y *play) error {
-			y.loop.wait(func() {
-				for i, name := range y.world.MachineNames() {
-					if i%cutShare == 0 {
-						y.cut[name] = true
-					}
-				}
-			})
-			return nil
-		},
-		leases: 1.5,
-		end:    func(y *play) error { y.loop.wait(func() { clear(y.cut) }); return nil },
-	},
-	"rack": {
-		begin: func(y *play) error {
-			y.loop.wait(func() {
-				names := y.world.MachineNames()
-				for _, name := range names[:min(rackMachines, len(names)/2)] {
-					y.world.Cloud.Fail(name)
-				}
-			})
-			return nil
-		},
-		end: func(*play) error { return nil },
-	},
-	// As many restarts in a minute as a bad hour has if it has all that a day has.
-	"restarts": {
-		begin: func(y *play) error {
-			y.loop.wait(func() {
-				apart := time.Hour / restartsADay
-				for at := apart / 2; at < restartsWatch; at += apart {
-					y.world.After(at, func() {
-						if names := y.world.MachineNames(); len(names) > 0 {
-							y.world.Cloud.Fail(names[y.workload.rng.IntN(len(names))])
-						}
-					})
-				}
-			})
-			return nil
-		},
-		lasts: restartsWatch,
-		end:   func(*play) error { return nil },
-	},
+		}
+		e.testbed.Partition(machines)
+	})
+	return nil
 }
 
-// lasting is how long a fault lasts with these settings.
-func (y *play) lasting(f fault) time.Duration {
-	return f.lasts + config.Seconds(f.leases*y.p.LeaseS)
+func healPartition(e *experiment) error {
+	e.testbed.DoAndWait(e.testbed.HealPartition)
+	return nil
+}
+
+// failRack ends many machines at once, but no more than half of them.
+func failRack(_ context.Context, e *experiment) error {
+	e.testbed.DoAndWait(func() {
+		names := e.testbed.World.MachineNames()
+		for _, name := range names[:min(rackMachines, len(names)/2)] {
+			e.testbed.World.Cloud.Fail(name)
+		}
+	})
+	return nil
+}
+
+// restartMachines ends as many machines in a minute as a bad hour has if it has all that a day
+// has.
+func restartMachines(_ context.Context, e *experiment) error {
+	const interval = time.Hour / restartsPerDay
+	e.testbed.DoAndWait(func() {
+		for at := interval / 2; at < restartsInjectedIn; at += interval {
+			e.testbed.World.After(at, e.failRandomMachine)
+		}
+	})
+	return nil
 }
 
-// faults injects the faults one after the other.
-func (y *play) faults(ctx context.Context, report *Report) error {
-	for _, name := range y.p.Faults {
-		r, err := y.fault(ctx, name)
+// failRandomMachine ends a machine. The testbed's loop calls it.
+func (e *experiment) failRandomMachine() {
+	if names := e.testbed.World.MachineNames(); len(names) > 0 {
+		e.testbed.World.Cloud.Fail(names[e.workload.random.IntN(len(names))])
+	}
+}
+
+// runFaults injects the faults one after the other.
+func (e *experiment) runFaults(ctx context.Context) error {
+	for _, name := range e.parameters.Faults {
+		r, err := e.runFault(ctx, name)
 		if err != nil {
 			return err
 		}
-		report.Faults = append(report.Faults, *r)
-		y.say("fault %s: %.1f s without answers, %.1f s without starts, %d tasks killed by lease, %d died, %d rules broken",
-			name, r.WithoutAnswers, r.WithoutStarts, r.KilledByLease, r.TasksDied, r.Broken)
+		e.report.Faults = append(e.report.Faults, *r)
+		e.logf("fault %s: %.1f s without answers, %.1f s without starts, %d tasks killed by lease, %d died, %d rules broken",
+			name, r.WithoutAnswersS, r.WithoutStartsS, r.KilledByLease, r.TasksDied, r.Violations)
 	}
 	return nil
 }
 
-func (y *play) fault(ctx context.Context, name string) (*FaultReport, error) {
-	f := faults[name]
-	var killed, died, broken int
-	y.loop.wait(func() {
-		y.meter.forget()
-		y.times.watch(y.world.Now)
-		killed, died, broken = y.world.KilledByLease, y.world.TasksDied, len(y.world.Violations)
+// runFault injects a fault, undoes it, and reports what came of it until the system has had the
+// time to recover.
+func (e *experiment) runFault(ctx context.Context, name string) (*FaultReport, error) {
+	fault := faults[name]
+	var before faultCounts
+	e.testbed.DoAndWait(func() {
+		e.resetMeasurement()
+		before = e.countFaultEffects()
 	})
-	if err := f.begin(y); err != nil {
+	if err := fault.inject(ctx, e); err != nil {
 		return nil, fmt.Errorf("fault %s: %w", name, err)
 	}
-	if err := y.sleep(ctx, "fault "+name, y.lasting(f)); err != nil {
+	if err := e.sleep(ctx, "fault "+name, fault.duration+config.Seconds(fault.leases*e.parameters.LeaseS)); err != nil {
 		return nil, err
 	}
-	if err := f.end(y); err != nil {
-		return nil, fmt.Errorf("the end of fault %s: %w", name, err)
+	if fault.heal != nil {
+		if err := fault.heal(e); err != nil {
+			return nil, fmt.Errorf("the end of fault %s: %w", name, err)
+		}
 	}
-	if err := y.sleep(ctx, "after fault "+name, y.p.Recover); err != nil {
+	if err := e.sleep(ctx, "after fault "+name, e.parameters.Recover); err != nil {
 		return nil, err
 	}
-	r := &FaultReport{Fault: name, Urgent: y.meter.times.Summaries()["urgent start received"]}
-	y.loop.wait(func() {
-		answers, starts := y.times.seen(y.world.Now)
-		r.WithoutAnswers, r.WithoutStarts = answers.Seconds(), starts.Seconds()
-		r.KilledByLease = y.world.KilledByLease - killed
-		r.TasksDied = y.world.TasksDied - died
-		r.Broken = len(y.world.Violations) - broken
+	return e.reportFault(name, before), nil
+}
+
+// faultCounts are what the simulated world has counted since the start of the step.
+type faultCounts struct{ killedByLease, tasksDied, violations int }
+
+// countFaultEffects is called by the testbed's loop.
+func (e *experiment) countFaultEffects() faultCounts {
+	world := e.testbed.World
+	return faultCounts{killedByLease: world.KilledByLease, tasksDied: world.TasksDied, violations: len(world.Violations)}
+}
+
+func (e *experiment) reportFault(name string, before faultCounts) *FaultReport {
+	r := &FaultReport{Fault: name, Urgent: e.testbed.Meter.Latencies.Summaries()[urgentStartReceived]}
+	e.testbed.DoAndWait(func() {
+		now, after := e.testbed.World.Now, e.countFaultEffects()
+		r.WithoutAnswersS = e.gaps.answers.until(now).Seconds()
+		r.WithoutStartsS = e.gaps.starts.until(now).Seconds()
+		r.KilledByLease = after.killedByLease - before.killedByLease
+		r.TasksDied = after.tasksDied - before.tasksDied
+		r.Violations = after.violations - before.violations
 	})
-	return r, nil
+	return r
 }
--- /dev/null
+++ b/internal/scale/main_test.go
@@ -0,0 +1,33 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"os"
+	"testing"
+
+	"oakpick/internal/config"
+	"oakpick/internal/daemon"
+)
+
+// asProcess has the test's own program run as a controller, so that no other has to be built
+// first.
+const asProcess = "OAKPICK_TEST_AS_PROCESS"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(asProcess) == "" {
+		os.Exit(m.Run())
+	}
+	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
+	fmt.Fprintln(os.Stderr, runController(os.Args[1], log))
+	os.Exit(1)
+}
+
+func runController(settingsFile string, log *slog.Logger) error {
+	settings, err := config.Load(settingsFile)
+	if err != nil {
+		return err
+	}
+	return daemon.Run(context.Background(), settings, config.Extensions{}, log)
+}
--- /dev/null
+++ b/internal/scale/progress.go
@@ -0,0 +1,43 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"time"
+)
+
+// logf writes a line of progress.
+func (e *experiment) logf(format string, args ...any) {
+	_, _ = fmt.Fprintf(e.progress, format+"\n", args...) // the run goes on without its progress
+}
+
+// progressInterval is the time between lines of progress while nothing else happens.
+const progressInterval = 10 * time.Second
+
+// sleep waits, and writes progress now and then. The phase names what is waited for.
+func (e *experiment) sleep(ctx context.Context, phase string, duration time.Duration) error {
+	for end := time.Now().Add(duration); ; {
+		left := time.Until(end)
+		if left <= 0 {
+			return nil
+		}
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(min(left, progressInterval)):
+		}
+		if left > progressInterval {
+			e.logState(phase)
+		}
+	}
+}
+
+// logState writes how many workers and tasks there are.
+func (e *experiment) logState(phase string) {
+	var workers, tasks, violations int
+	e.testbed.DoAndWait(func() {
+		world := e.testbed.World
+		workers, tasks, violations = len(world.MachineNames()), world.OnMachines(), len(world.Violations)
+	})
+	e.logf("  %s: %d workers up, %d tasks on machines, %d rules broken", phase, workers, tasks, violations)
+}
--- /dev/null
+++ b/internal/scale/regression.go
@@ -0,0 +1,114 @@
+package scale
+
+import (
+	"math"
+
+	"gonum.org/v1/gonum/stat"
+
+	"oakpick/internal/scale/testbed"
+)
+
+// Line is a straight line through measured points.
+type Line struct {
+	Of        string  `json:"of"`
+	Against   string  `json:"against"`
+	Intercept float64 `json:"intercept"`
+	Slope     float64 `json:"slope"`
+	// Error is the slope's standard error.
+	Error  float64 `json:"error"`
+	Points int     `json:"points"`
+	// R2 is the share of the variance that the line explains.
+	R2 float64 `json:"r2"`
+}
+
+// at is the line's value at a size.
+func (l Line) at(x float64) float64 { return l.Intercept + l.Slope*x }
+
+// minPoints is how many points a line needs for a standard error.
+const minPoints = 3
+
+// fitLine fits a line by least squares; false: there are too few points, or all have the same x.
+func fitLine(of, against string, xs, ys []float64) (Line, bool) {
+	points := float64(len(xs))
+	spread := stat.Variance(xs, nil) * (points - 1)
+	if len(xs) < minPoints || spread == 0 {
+		return Line{}, false
+	}
+	line := Line{Of: of, Against: against, Points: len(xs)}
+	line.Intercept, line.Slope = stat.LinearRegression(xs, ys, nil, false)
+	line.R2 = stat.RSquared(xs, ys, nil, line.Intercept, line.Slope)
+	if math.IsNaN(line.R2) {
+		line.R2 = 1 // every point has the same y
+	}
+	residuals := 0.0
+	for i, x := range xs {
+		residual := ys[i] - line.at(x)
+		residuals += residual * residual
+	}
+	line.Error = math.Sqrt(residuals / (points - 2) / spread)
+	return line, true
+}
+
+// variable is a figure of a window.
+type variable struct {
+	name  string
+	value func(window) float64
+}
+
+// sizes are what figures may grow with.
+func sizes() []variable {
+	return []variable{
+		{"workers", func(w window) float64 { return w.workers }},
+		{"tasks running", func(w window) float64 { return w.running }},
+		{"starts/s", func(w window) float64 { return w.starts }},
+	}
+}
+
+// costs are the figures that may grow with a size.
+func costs() []variable {
+	return []variable{
+		{"leader cores", func(w window) float64 { return w.cores[w.leader] }},
+		{"leader MB", func(w window) float64 { return w.usage[w.leader].MemoryMB }},
+		{"leader sockets", func(w window) float64 { return float64(w.usage[w.leader].Sockets) }},
+		{"follower cores", window.followerCores},
+		{"follower MB", window.followerMemoryMB},
+		{"state requests/s", func(w window) float64 { return w.traffic[testbed.StateTraffic].messages }},
+		{"state bytes/s", func(w window) float64 { return w.traffic[testbed.StateTraffic].bytes }},
+		{"keys written/s", func(w window) float64 { return w.puts }},
+		{"reports/s", func(w window) float64 { return w.traffic[testbed.HeartbeatTraffic].messages }},
+		{"commands/s", func(w window) float64 { return w.traffic[testbed.CommandTraffic].messages }},
+		{"workers' bytes/s", window.workerBytes},
+		{"cloud calls/s", func(w window) float64 { return w.traffic[testbed.CloudTraffic].messages }},
+	}
+}
+
+// fitLines fits every cost against every size, over the windows of all steps in which the same
+// controller led throughout.
+func fitLines(steps []StepReport) []Line {
+	var windows []window
+	for _, step := range steps {
+		for _, w := range step.windows {
+			if w.sameLeader {
+				windows = append(windows, w)
+			}
+		}
+	}
+	var lines []Line
+	for _, size := range sizes() {
+		xs := valuesOf(size, windows)
+		for _, cost := range costs() {
+			if line, ok := fitLine(cost.name, size.name, xs, valuesOf(cost, windows)); ok {
+				lines = append(lines, line)
+			}
+		}
+	}
+	return lines
+}
+
+func valuesOf(v variable, windows []window) []float64 {
+	values := make([]float64, len(windows))
+	for i, w := range windows {
+		values[i] = v.value(w)
+	}
+	return values
+}
--- /dev/null
+++ b/internal/scale/regression_test.go
@@ -0,0 +1,29 @@
+package scale
+
+import (
+	"math"
+	"testing"
+)
+
+const tolerance = 1e-9
+
+// A line through points that lie on one is that line, and its error is nothing.
+func TestFitLineThroughPointsOnALine(t *testing.T) {
+	line, ok := fitLine("y", "x", []float64{1, 2, 4}, []float64{5, 7, 11})
+	if !ok || math.Abs(line.Slope-2) > tolerance || math.Abs(line.Intercept-3) > tolerance || line.Error > tolerance {
+		t.Errorf("%+v", line)
+	}
+}
+
+func TestFitLineNeedsPointsOfSeveralSizes(t *testing.T) {
+	if _, ok := fitLine("y", "x", []float64{2, 2, 2}, []float64{1, 2, 3}); ok {
+		t.Error("a line through points of one size")
+	}
+}
+
+func TestFitLineGivesStandardErrorOfSlope(t *testing.T) {
+	line, _ := fitLine("y", "x", []float64{0, 1, 2, 3}, []float64{0, 1.2, 1.8, 3})
+	if math.Abs(line.Error-math.Sqrt(0.072/2/5)) > tolerance { // worked out by hand
+		t.Errorf("the error is %v", line.Error)
+	}
+}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -5,23 +5,23 @@
 	"errors"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"os"
 	"time"
 
-	"oakpick/internal/fake"
+	"oakpick/internal/scale/testbed"
 )
 
-// Run plays the steps one after the other and the faults after the last, and says on
-// progress what it is at. It ends every process that it has started, also when the context
-// ends; then the report is partial.
+// Run runs the steps one after the other and the faults after the last. It writes its progress,
+// a line at a time. The command starts a controller. Run ends every process that it has started,
+// also when the context ends; then the report is partial.
 func Run(ctx context.Context, p Parameters, command []string, progress io.Writer) (*Report, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
-	report := &Report{Parameters: p, Broken: []string{}, Ended: []string{}}
+	report := &Report{Parameters: p, Violations: []string{}, Crashed: []string{}}
 	for i, part := range p.Steps {
-		err := playStep(ctx, p, part, i == len(p.Steps)-1, command, report, progress)
+		e := experiment{parameters: p.step(part), part: part, command: command, report: report, progress: progress, injectFaults: i == len(p.Steps)-1}
+		err := e.run(ctx)
 		if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
 			report.Partial = fmt.Sprintf("interrupted in step %g", part)
 			break
@@ -30,214 +30,120 @@
 			return report, err
 		}
 	}
-	report.Lines = lines(report.Steps)
+	report.Lines = fitLines(report.Steps)
 	return report, nil
 }
 
-// play is one step while it runs.
-type play struct {
-	p           Parameters
-	loop        *loop
-	world       *fake.World
-	meter       *meter
-	times       *answerTimes
-	servers     *servers
-	controllers *controllers
-	workload    *workload
-	progress    io.Writer
-	cut         map[string]bool // hosts that are cut off
-	restarted   int             // the controller that was ended last
+// experiment is one step of a run.
+type experiment struct {
+	parameters   Parameters // at this step's size
+	part         float64    // of the full size
+	command      []string   // starts a controller
+	injectFaults bool
+	report       *Report
+	progress     io.Writer
+
+	testbed      *testbed.Testbed
+	workload     *workload
+	gaps         *serviceGaps // the testbed's loop owns it
+	killedLeader int          // by the fault that kills the leader
 }
 
-func playStep(ctx context.Context, p Parameters, part float64, last bool, command []string, report *Report, progress io.Writer) error {
-	dir, err := os.MkdirTemp("", "oakpick-scale-")
+// run builds the testbed, measures and removes it.
+func (e *experiment) run(ctx context.Context) error {
+	directory, err := os.MkdirTemp("", "oakpick-scale-")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(directory) }() // a temporary directory left behind does no harm
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	y := newPlay(p.step(part), command, dir, progress)
-	if err := y.servers.open(y.controllers.addresses); err != nil {
-		y.servers.close()
+	e.build(directory)
+	defer e.testbed.Close()
+	if err := e.testbed.Start(ctx); err != nil {
 		return err
 	}
-	go y.loop.run(ctx)
-	defer func() { // the processes first: they speak to the rest
-		y.controllers.killAll()
-		cancel()
-		<-y.loop.over
-		y.servers.close()
-	}()
-	if err := y.controllers.startAll(); err != nil {
+	if err := e.testbed.Controllers.StartAll(); err != nil {
 		return err
 	}
-	go y.probe(ctx)
-	y.loop.do(y.workload.begin)
-	return y.measure(ctx, part, last, report)
-}
-
-func newPlay(p Parameters, command []string, dir string, progress io.Writer) *play {
-	s := p.settings()
-	a := newAddresses()
-	y := &play{p: p, loop: newLoop(), meter: newMeter(), times: &answerTimes{}, progress: progress, cut: map[string]bool{}}
-	var names, fronts []string
-	for i := range p.Controllers {
-		names = append(names, controllerName(i))
-		fronts = append(fronts, a.front(i))
+	e.testbed.ProbeHealth(ctx)
+	e.testbed.Do(e.workload.begin)
+	if err := e.settle(ctx); err != nil {
+		return err
 	}
-	carrier := newCarrier(y.loop, y.meter, fronts, p.userConnections(), y.times)
-	y.world = fake.NewLive(s, p.types(s.Zones), names, carrier.to)
-	y.loop.world = y.world
-	y.controllers = newControllers(command, a, s, dir)
-	y.servers = newServers(y.loop, y.meter, p.RPS)
-	y.workload = newWorkload(p, y.world, y.meter, y.times)
-	w := y.world
-	w.State.MaxListed = mostListed
-	w.State.Restore(endedPages(p.Ended, p.ValueKB))
-	w.State.Restore(archivedPages(p.Archived, p.ValueKB))
-	w.Cloud.Address = a.worker
-	accelerated := (p.accelerated() + len(s.Zones) - 1) / len(s.Zones)
-	plain := (p.Workers - p.accelerated() + len(s.Zones) - 1) / len(s.Zones)
-	w.Cloud.CapacityOf = map[string]int{acceleratedType: accelerated, plainType: plain}
-	w.OnBoot = y.servers.boot
-	w.Network = y.network()
-	return y
+	err = e.measure(ctx)
+	e.collectViolations()
+	return err
 }
 
-// mostListed is how many entries the state service lists at a time.
-const mostListed = 1000
-
-// The latencies of the components outside, beside those of the machine itself.
-const (
-	stateTook    = 6 * time.Millisecond
-	stateTookNow = 200 * time.Millisecond // now and then
-	stateRarely  = 0.002
-	cloudTook    = 200 * time.Millisecond
-)
-
-// network gives the latencies, and keeps machines that are cut off from being reached.
-func (y *play) network() func(kind, from, to string) fake.Delivery {
-	rng := rand.New(rand.NewPCG(y.p.Seed, 2))
-	return func(kind, from, to string) fake.Delivery {
-		f := fake.Delivery{}
-		switch kind {
-		case "state":
-			f.Request = stateTook / 2
-			f.Answer = f.Request
-			if rng.Float64() < stateRarely {
-				f.Answer = stateTookNow
-			}
-		case "cloud":
-			f.Request = cloudTook / 2
-			f.Answer = f.Request
-		case "report":
-			f.LoseRequest = y.cut[from]
-		case "orders":
-			f.LoseRequest = y.cut[to]
-		}
-		return f
-	}
+// build makes the testbed, with the ended jobs on record, and its workload.
+func (e *experiment) build(directory string) {
+	p := e.parameters
+	e.gaps = &serviceGaps{}
+	e.testbed = testbed.New(p.testbed(), e.command, directory)
+	e.testbed.OnUserAnswer(e.gaps.answered)
+	e.testbed.World.State.Restore(endedPages(p.Ended, p.StateValueKB))
+	e.testbed.World.State.Restore(archivedPages(p.Archived, p.StateValueKB))
+	e.workload = newWorkload(p, e.testbed.World, e.testbed.Meter, e.gaps)
 }
 
-// probe has the load balancer's health checks made.
-func (y *play) probe(ctx context.Context) {
-	failures := make([]int, y.p.Controllers)
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-		}
-		for i := range failures {
-			if y.controllers.healthy(i) {
-				failures[i] = max(0, failures[i]-1)
-			} else {
-				failures[i] = min(2, failures[i]+1)
-			}
-			switch n := y.world.Controllers[i]; failures[i] {
-			case 0:
-				y.loop.do(func() { n.Unhealthy = false })
-			case 2:
-				y.loop.do(func() { n.Unhealthy = true })
-			}
-		}
+// settle waits until the step is about to be measured, and has a rule broken if that is asked
+// for.
+func (e *experiment) settle(ctx context.Context) error {
+	p := e.parameters
+	e.logf("step %g: %d workers, %d tasks, %.0f starts/s, %d ended jobs, %d controllers", e.part, p.Workers, p.Running, p.Starts, p.Ended, p.Controllers)
+	if err := e.sleep(ctx, "settles", p.Settle); err != nil {
+		return err
 	}
-}
-
-// say writes a line of progress.
-func (y *play) say(format string, args ...any) {
-	fmt.Fprintf(y.progress, format+"\n", args...)
-}
-
-// sleep waits, and says now and then what there is.
-func (y *play) sleep(ctx context.Context, what string, d time.Duration) error {
-	const often = 10 * time.Second
-	for end := time.Now().Add(d); ; {
-		left := time.Until(end)
-		if left <= 0 {
-			return nil
-		}
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-time.After(min(left, often)):
-		}
-		if left > often {
-			var workers, tasks, broken int
-			y.loop.wait(func() {
-				workers, tasks, broken = len(y.world.MachineNames()), y.world.OnMachines(), len(y.world.Violations)
-			})
-			y.say("  %s: %d workers up, %d tasks on machines, %d rules broken", what, workers, tasks, broken)
-		}
+	if p.BreakRule {
+		return e.duplicateStart(ctx)
 	}
+	return nil
 }
 
-func (y *play) measure(ctx context.Context, part float64, last bool, report *Report) error {
-	y.say("step %g: %d workers, %d tasks, %.0f starts/s, %d ended jobs, %d controllers", part, y.p.Workers, y.p.Running, y.p.Starts, y.p.Ended, y.p.Controllers)
-	if err := y.sleep(ctx, "settles", y.p.Settle); err != nil {
+// measure measures the step and injects the faults.
+func (e *experiment) measure(ctx context.Context) error {
+	step, err := e.measureStep(ctx)
+	if err != nil {
 		return err
 	}
-	if y.p.Provoke {
-		if err := y.provoke(ctx); err != nil {
-			return err
-		}
-	}
-	step, err := y.step(ctx, part)
-	if err == nil {
-		report.Steps = append(report.Steps, *step)
-		y.say("%s", step.Summary())
-		if last {
-			err = y.faults(ctx, report)
-		}
+	e.report.Steps = append(e.report.Steps, *step)
+	e.logf("%s", step.Summary())
+	if !e.injectFaults {
+		return nil
 	}
-	y.loop.wait(func() {
-		report.Broken = append(report.Broken, y.world.Violations...)
-		for _, id := range y.workload.unanswered(forgottenAfter) {
-			report.Broken = append(report.Broken, "forgotten: nobody has been told of "+id)
+	return e.runFaults(ctx)
+}
+
+// unansweredTimeout is for how long questions about an accepted job may go unanswered.
+const unansweredTimeout = 75 * time.Second
+
+// collectViolations adds to the report what was against the rules in this step.
+func (e *experiment) collectViolations() {
+	e.testbed.DoAndWait(func() {
+		e.report.Violations = append(e.report.Violations, e.testbed.World.Violations...)
+		for _, job := range e.workload.unansweredJobs(unansweredTimeout) {
+			e.report.Violations = append(e.report.Violations, "forgotten: nobody has been told of "+job)
 		}
 	})
-	report.Ended = append(report.Ended, y.controllers.failed()...)
-	return err
+	e.report.Crashed = append(e.report.Crashed, e.testbed.Controllers.Crashed()...)
 }
 
-// provoke has a task started twice, as soon as one runs.
-func (y *play) provoke(ctx context.Context) error {
-	const tries, apart = 60, 500 * time.Millisecond
-	for range tries {
+// errNothingToDuplicate says that no task ran while a rule was to be broken.
+var errNothingToDuplicate = errors.New("no task runs that could be started twice")
+
+// duplicateStart has a task started twice, as soon as one runs.
+func (e *experiment) duplicateStart(ctx context.Context) error {
+	const attempts, interval = 60, 500 * time.Millisecond
+	for range attempts {
 		started := false
-		y.loop.wait(func() { started = y.world.DuplicateStart() })
+		e.testbed.DoAndWait(func() { started = e.testbed.World.DuplicateStart() })
 		if started {
 			return nil
 		}
-		if err := y.sleep(ctx, "nothing runs yet", apart); err != nil {
+		if err := e.sleep(ctx, "nothing runs yet", interval); err != nil {
 			return err
 		}
 	}
-	return errors.New("no task runs that could be started twice")
+	return errNothingToDuplicate
 }
-
-// forgottenAfter is for how long a question about an accepted job may go unanswered.
-const forgottenAfter = 75 * time.Second
--- /dev/null
+++ b/internal/scale/run_test.go
@@ -0,0 +1,101 @@
+package scale
+
+import (
+	"bytes"
+	"context"
+	"net"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"oakpick/internal/scale/testbed"
+)
+
+// smallParameters are those of a run of some tens of workers and a few seconds. The command
+// starts a controller.
+func smallParameters(t *testing.T) (p Parameters, command []string) {
+	t.Helper()
+	t.Setenv(asProcess, "1")
+	return Parameters{
+		Load: Load{
+			Workers: 30, Accelerators: 48, Running: 150, Starts: 15, Jobs: 2, Teams: 5, LargestGang: 8, Urgent: 1, Cancelled: 0.1, Ended: 500, Archived: 2000,
+			Controllers: 3,
+		},
+		Procedure: Procedure{
+			Steps: []float64{0.5, 1}, Vary: "all", Settle: 9 * time.Second, Measure: 3 * time.Second, Windows: 3,
+			Recover: 6 * time.Second, Seed: 1,
+		},
+		Limits: Limits{
+			HeartbeatIntervalS: 2, LeaseS: 10, CancelWithinS: 25, StateRPS: 200, StateWriteRPS: 40, StateValueKB: 4, CPU: 0.5, MemoryMB: 128, Sockets: 400,
+		},
+	}, []string{os.Args[0]}
+}
+
+// runSmall runs, and fails the test if that is refused.
+func runSmall(ctx context.Context, t *testing.T, p Parameters, command []string) *Report {
+	t.Helper()
+	var progress bytes.Buffer
+	report, err := Run(ctx, p, command, &progress)
+	if err != nil {
+		t.Fatalf("%v\n%s", err, progress.String())
+	}
+	return report
+}
+
+// checkControllersGone fails if a controller still listens.
+func checkControllersGone(t *testing.T, p Parameters) {
+	t.Helper()
+	for controller := range p.Controllers {
+		var config net.ListenConfig
+		listener, err := config.Listen(t.Context(), "tcp4", testbed.NewAddresses().API(controller))
+		if err != nil {
+			t.Errorf("%s was left behind: %v", testbed.ControllerName(controller), err)
+			continue
+		}
+		_ = listener.Close() // that it could listen is enough
+	}
+}
+
+// Real controllers start tasks on simulated workers, keep the rules while the leader is killed,
+// and are gone afterwards. Times have no part in the verdict.
+func TestRunKeepsRulesWhenLeaderIsKilled(t *testing.T) {
+	p, command := smallParameters(t)
+	p.Faults = []string{"leader"}
+	report := runSmall(t.Context(), t, p, command)
+	if !report.Sound() {
+		t.Errorf("rules broken %v, ended %v, partial %q", report.Violations, report.Crashed, report.Partial)
+	}
+	if len(report.Steps) != 2 || len(report.Faults) != 1 {
+		t.Fatalf("%d steps and %d faults", len(report.Steps), len(report.Faults))
+	}
+	for _, s := range report.Steps {
+		if s.Starts == 0 || s.Workers == 0 || s.Times["submit"].Count == 0 || s.MessagesPerS["report"] == 0 || s.WorkerBytesPerS == 0 || s.Leader.MemoryMB == 0 || s.StateKeys == 0 {
+			t.Errorf("nothing was measured: %+v", s)
+		}
+	}
+	if len(report.Lines) == 0 {
+		t.Error("no lines were fitted")
+	}
+	checkControllersGone(t, p)
+}
+
+func TestRunFindsTaskStartedTwice(t *testing.T) {
+	p, command := smallParameters(t)
+	p.Steps, p.BreakRule = []float64{1}, true
+	report := runSmall(t.Context(), t, p, command)
+	if report.Sound() || !strings.Contains(strings.Join(report.Violations, "\n"), "ran_twice") {
+		t.Errorf("rules broken: %v", report.Violations)
+	}
+}
+
+func TestInterruptedRunIsPartialAndLeavesNoProcess(t *testing.T) {
+	p, command := smallParameters(t)
+	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
+	defer cancel()
+	report := runSmall(ctx, t, p, command)
+	if report.Partial == "" || report.Sound() {
+		t.Error("an interrupted run is called whole")
+	}
+	checkControllersGone(t, p)
+}
--- a/internal/scale/workload.go
+++ b/internal/scale/workload.go
@@ -8,235 +8,235 @@
 
 	"oakpick/internal/fake"
 	"oakpick/internal/protocol"
-	"oakpick/internal/storage"
+	"oakpick/internal/scale/testbed"
 )
 
-// workload is what the hollow users ask for: replicas that stay, arrays that make the starts,
-// gangs, and urgent jobs. The world's owner calls it.
+// workload is what the simulated users submit: replicas that stay, arrays that make up the
+// starts, gangs, and urgent jobs. The testbed's loop owns it.
 type workload struct {
-	p     Parameters
-	world *fake.World
-	rng   *rand.Rand
-	meter *meter
-	times *answerTimes
-	next  int
+	parameters Parameters
+	world      *fake.World
+	random     *rand.Rand
+	meter      *testbed.Meter
+	gaps       *serviceGaps
 
-	jobs    map[string]*fake.Job
-	started map[string]bool // tasks of urgent jobs whose start has been executed
+	submitted     int // jobs so far
+	jobs          map[string]*fake.Job
+	urgentStarted map[taskID]bool // tasks of urgent jobs whose start has been executed
 }
 
-// The classes of jobs.
+// taskID names a task of a job.
+type taskID struct {
+	job  string
+	task int
+}
+
+// Names of the latencies of urgent starts in reports.
+const (
+	urgentStartReceived = "urgent start received"
+	urgentStartExecuted = "urgent start executed"
+)
+
+// The classes of jobs, next to testbed.UrgentClass.
 const (
 	serviceClass = "replicas"
 	arrayClass   = "short-array"
 	gangClass    = "large-gang"
-	urgentClass  = "urgent"
 )
 
-// How the running tasks are shared out, and how often users ask.
+// How the running tasks are shared out, and how often users submit and ask.
 const (
-	servicesShare   = 0.25 // of the running tasks are replicas
-	replicasEach    = 8
-	gpusEach        = 2
-	pollEvery       = 5 * time.Second
-	gangEvery       = 20 * time.Second
-	gangRuns        = 30 * time.Second
-	urgentRuns      = 5 * time.Second
-	urgentTasksMost = 4
-	repeatedShare   = 0.02
-	imageGB         = 0.1
-	images          = 6
-	rampUp          = 10 * time.Second
+	servicesShare       = 0.25 // of the running tasks are replicas
+	replicasPerService  = 8
+	gpusPerReplica      = 2
+	pollInterval        = 5 * time.Second
+	oddPollInterval     = time.Second
+	gangInterval        = 20 * time.Second
+	gangRunTime         = 30 * time.Second
+	gangSizes           = 4 // halvings of the largest
+	minGangTasks        = 2
+	checkpointIntervalS = 15
+	checkpointDurationS = 2
+	urgentRunTime       = 5 * time.Second
+	maxUrgentTasks      = 4
+	repeatedShare       = 0.02             // of the jobs are submitted again
+	repeatWithin        = 20 * time.Second // after the submission; and the cancellations
+	imageGB             = 0.1
+	images              = 6
+	rampUp              = 10 * time.Second
+	submissionTimeout   = 5 * time.Second // a submission that isn't accepted by then counts as such
 )
 
-func newWorkload(p Parameters, w *fake.World, m *meter, times *answerTimes) *workload {
-	l := &workload{
-		p: p, world: w, meter: m, times: times, rng: rand.New(rand.NewPCG(p.Seed, 1)),
-		jobs: map[string]*fake.Job{}, started: map[string]bool{},
+// workloadStream is the stream of random numbers; the network draws from another.
+const workloadStream = 1
+
+func newWorkload(p Parameters, world *fake.World, meter *testbed.Meter, gaps *serviceGaps) *workload {
+	w := &workload{
+		parameters: p, world: world, meter: meter, gaps: gaps, random: rand.New(rand.NewPCG(p.Seed, workloadStream)),
+		jobs: map[string]*fake.Job{}, urgentStarted: map[taskID]bool{},
 	}
-	w.OnStart = l.taskStarted
-	w.OnTaskPresent = l.taskOnMachine
-	return l
-}
-
-// begin hands in the replicas over a while, and the rest from then on.
-func (l *workload) begin() {
-	accelerated := l.p.accelerated() * acceleratorsEach / gpusEach
-	plain := max(0, int(float64(l.p.Running)*servicesShare)-accelerated)
-	count := (accelerated + plain + replicasEach - 1) / replicasEach
-	for i := range count {
-		l.world.After(rampUp*time.Duration(i)/time.Duration(count), func() { l.service(i*replicasEach < accelerated) })
+	world.OnStart = w.taskStarted
+	world.OnTaskPresent = w.taskPresent
+	return w
+}
+
+// begin submits the replicas over a while, and the rest from then on.
+func (w *workload) begin() {
+	accelerated := w.parameters.testbed().AcceleratedMachines() * testbed.AcceleratorsPerMachine / gpusPerReplica
+	plain := max(0, int(float64(w.parameters.Running)*servicesShare)-accelerated)
+	services := (accelerated + plain + replicasPerService - 1) / replicasPerService
+	for i := range services {
+		w.world.After(rampUp*time.Duration(i)/time.Duration(services), func() { w.submitService(i*replicasPerService < accelerated) })
 	}
-	l.world.After(rampUp, func() {
-		l.every(func() time.Duration { return l.apart(l.p.Jobs) }, l.array)
-		if l.p.Urgent > 0 {
-			l.every(func() time.Duration { return l.apart(l.p.Urgent) }, l.urgent)
-		}
-		if l.p.Gang > 1 {
-			l.every(func() time.Duration { return gangEvery }, l.gang)
-		}
-		l.every(func() time.Duration { return time.Second }, l.odd)
-	})
+	w.world.After(rampUp, w.beginArrivals)
 }
 
-// odd asks about a job that nobody submitted, and about one that ended long ago.
-func (l *workload) odd() {
-	l.world.PollUnknown()
-	if l.p.Archived > 0 {
-		l.world.PollEnded(endedRecord(archivedPrefix, l.rng.IntN(l.p.Archived)).ID)
+// beginArrivals begins what goes on until the end.
+func (w *workload) beginArrivals() {
+	p := w.parameters
+	w.repeat(func() time.Duration { return w.interarrivalTime(p.Jobs) }, w.submitArray)
+	if p.Urgent > 0 {
+		w.repeat(func() time.Duration { return w.interarrivalTime(p.Urgent) }, w.submitUrgent)
+	}
+	if p.LargestGang > 1 {
+		w.repeat(func() time.Duration { return gangInterval }, w.submitGang)
 	}
+	w.repeat(func() time.Duration { return oddPollInterval }, w.pollUnknownAndEnded)
 }
 
-// apart is a time between two arrivals at so many a second.
-func (l *workload) apart(rate float64) time.Duration {
-	return time.Duration(l.rng.ExpFloat64() / rate * float64(time.Second))
+// interarrivalTime draws the time between two arrivals at a rate per second.
+func (w *workload) interarrivalTime(rate float64) time.Duration {
+	return time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-func (l *workload) every(after func() time.Duration, do func()) {
-	l.world.After(after(), func() {
-		do()
-		l.every(after, do)
+func (w *workload) repeat(interval func() time.Duration, action func()) {
+	w.world.After(interval(), func() {
+		action()
+		w.repeat(interval, action)
 	})
 }
 
-func (l *workload) job(class string, shape protocol.JobKind, rank protocol.Priority, tasks int) protocol.Submission {
-	l.next++
+// pollUnknownAndEnded asks about a job that nobody submitted, and about one that ended long ago.
+func (w *workload) pollUnknownAndEnded() {
+	w.world.PollUnknown()
+	if w.parameters.Archived > 0 {
+		w.world.PollEnded(endedRecord(archivedPrefix, w.random.IntN(w.parameters.Archived)).ID)
+	}
+}
+
+func (w *workload) newJob(class string, kind protocol.JobKind, priority protocol.Priority, tasks int) protocol.Submission {
+	w.submitted++
 	return protocol.Submission{
-		ID: fmt.Sprintf("wk-%09d", l.next), Class: class, Team: fmt.Sprintf("team-%02d", l.next%l.p.Teams),
-		Kind: shape, Priority: rank, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", l.next%images), ImageGB: imageGB,
+		ID: fmt.Sprintf("wk-%09d", w.submitted), Class: class, Team: testbed.TeamName(w.submitted % w.parameters.Teams),
+		Kind: kind, Priority: priority, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", w.submitted%images), ImageGB: imageGB,
 	}
 }
 
-// submit hands a job in, asks about it until it is over, and cancels it at times.
-func (l *workload) submit(s protocol.Submission, run time.Duration) {
-	s.EstimatedRunS = run.Seconds()
-	j := l.world.Submit(s, run)
-	l.jobs[s.ID] = j
-	l.poll(j)
-	if s.Class != serviceClass && l.rng.Float64() < l.p.Cancelled {
-		l.world.After(time.Duration(l.rng.Float64()*float64(20*time.Second)), func() { l.world.CancelJob(j) })
+// submit submits a job and asks about it until it has ended. Some jobs are cancelled, and some
+// submitted again.
+func (w *workload) submit(submission protocol.Submission, runTime time.Duration) {
+	submission.EstimatedRunS = runTime.Seconds()
+	job := w.world.Submit(submission, runTime)
+	w.jobs[submission.ID] = job
+	w.poll(job)
+	if submission.Class != serviceClass && w.random.Float64() < w.parameters.Cancelled {
+		w.world.After(w.soon(), func() { w.world.CancelJob(job) })
 	}
-	if l.rng.Float64() < repeatedShare {
-		l.world.After(time.Duration(l.rng.Float64()*float64(20*time.Second)), func() {
-			if j.Accepted {
-				l.world.Resubmit(j)
+	if w.random.Float64() < repeatedShare {
+		w.world.After(w.soon(), func() {
+			if job.Accepted {
+				w.world.Resubmit(job)
 			}
 		})
 	}
 }
 
-func (l *workload) poll(j *fake.Job) {
-	l.world.After(pollEvery, func() {
-		if j.Accepted {
-			l.world.Poll(j)
+// soon draws a time after a submission.
+func (w *workload) soon() time.Duration {
+	return time.Duration(w.random.Float64() * float64(repeatWithin))
+}
+
+func (w *workload) poll(job *fake.Job) {
+	w.world.After(pollInterval, func() {
+		if job.Accepted {
+			w.world.Poll(job)
 		}
-		if j.Status != protocol.StatusDone && j.Status != protocol.StatusCancelled {
-			l.poll(j)
+		if !ended(job) {
+			w.poll(job)
 		}
 	})
 }
 
-func (l *workload) service(accelerated bool) {
-	s := l.job(serviceClass, protocol.Service, protocol.Production, replicasEach)
-	s.Types = []string{plainType}
+func ended(job *fake.Job) bool {
+	return job.Status == protocol.StatusDone || job.Status == protocol.StatusCancelled
+}
+
+func (w *workload) submitService(accelerated bool) {
+	service := w.newJob(serviceClass, protocol.Service, protocol.Production, replicasPerService)
+	service.Types = []string{testbed.PlainType}
 	if accelerated {
-		s.Types, s.GPUs = []string{acceleratedType}, gpusEach
+		service.Types, service.GPUs = []string{testbed.AcceleratedType}, gpusPerReplica
 	}
-	l.submit(s, 0)
+	w.submit(service, 0)
 }
 
-// array has about as many tasks as make the starts, each of which runs for so long that
-// about as many run as there should.
-func (l *workload) array() {
-	mean := l.p.Starts / l.p.Jobs
-	tasks := max(1, int(math.Round(mean*(0.5+l.rng.Float64()))))
-	run := float64(l.p.Running) * (1 - servicesShare) / l.p.Starts * (0.7 + 0.6*l.rng.Float64())
-	l.submit(l.job(arrayClass, protocol.Array, protocol.Low, tasks), time.Duration(run*float64(time.Second)))
+// submitArray submits an array with the tasks that make up the starts, on average, each of which
+// runs for so long that as many run as there should, on average.
+func (w *workload) submitArray() {
+	p := w.parameters
+	meanTasks := p.Starts / p.Jobs
+	tasks := max(1, int(math.Round(meanTasks*(0.5+w.random.Float64()))))
+	runSeconds := float64(p.Running) * (1 - servicesShare) / p.Starts * (0.7 + 0.6*w.random.Float64())
+	w.submit(w.newJob(arrayClass, protocol.Array, protocol.Low, tasks), time.Duration(runSeconds*float64(time.Second)))
 }
 
-func (l *workload) gang() {
-	s := l.job(gangClass, protocol.Gang, protocol.Normal, max(2, l.p.Gang>>l.rng.IntN(4)))
-	s.CheckpointIntervalS, s.CheckpointDurationS = 15, 2
-	l.submit(s, gangRuns)
+func (w *workload) submitGang() {
+	tasks := max(minGangTasks, w.parameters.LargestGang>>w.random.IntN(gangSizes))
+	gang := w.newJob(gangClass, protocol.Gang, protocol.Normal, tasks)
+	gang.CheckpointIntervalS, gang.CheckpointDurationS = checkpointIntervalS, checkpointDurationS
+	w.submit(gang, gangRunTime)
 }
 
-func (l *workload) urgent() {
-	l.submit(l.job(urgentClass, protocol.Array, protocol.High, 1+l.rng.IntN(urgentTasksMost)), urgentRuns)
+func (w *workload) submitUrgent() {
+	w.submit(w.newJob(testbed.UrgentClass, protocol.Array, protocol.High, 1+w.random.IntN(maxUrgentTasks)), urgentRunTime)
 }
 
-// taskStarted notes that a worker has executed a start.
-func (l *workload) taskStarted(j *fake.Job, task int) {
-	l.times.start(l.world.Now)
-	if j.Submission.Class != urgentClass {
-		return
-	}
-	name := fmt.Sprintf("%s/%d", j.Submission.ID, task)
-	if !l.started[name] {
-		l.started[name] = true
-		l.meter.times.Add("urgent start received", l.world.Now-j.SubmittedAt)
+// taskStarted records that a worker has executed a start.
+func (w *workload) taskStarted(job *fake.Job, task int) {
+	w.gaps.started(w.world.Now)
+	id := taskID{job.Submission.ID, task}
+	if job.Submission.Class == testbed.UrgentClass && !w.urgentStarted[id] {
+		w.urgentStarted[id] = true
+		w.meter.Latencies.Add(urgentStartReceived, w.world.Now-job.SubmittedAt)
 	}
 }
 
-// taskOnMachine notes that a task has its image.
-func (l *workload) taskOnMachine(j *fake.Job, task int) {
-	if j.Submission.Class == urgentClass && l.started[fmt.Sprintf("%s/%d", j.Submission.ID, task)] {
-		l.meter.times.Add("urgent start executed", l.world.Now-j.SubmittedAt)
+// taskPresent records that a task has its image.
+func (w *workload) taskPresent(job *fake.Job, task int) {
+	if job.Submission.Class == testbed.UrgentClass && w.urgentStarted[taskID{job.Submission.ID, task}] {
+		w.meter.Latencies.Add(urgentStartExecuted, w.world.Now-job.SubmittedAt)
 	}
 }
 
-// unanswered names accepted jobs about which nobody has been told anything for so long.
-func (l *workload) unanswered(within time.Duration) []string {
-	var out []string
-	for id, j := range l.jobs {
-		over := j.Status == protocol.StatusDone || j.Status == protocol.StatusCancelled
-		if j.Accepted && !over && l.world.Now-max(j.AnsweredAt, j.AcceptedAt) > within {
-			out = append(out, id)
+// unansweredJobs returns the ids of accepted jobs that haven't ended and about which nobody has
+// been told anything for so long.
+func (w *workload) unansweredJobs(timeout time.Duration) []string {
+	var ids []string
+	for id, job := range w.jobs {
+		if job.Accepted && !ended(job) && w.world.Now-max(job.AnsweredAt, job.AcceptedAt) > timeout {
+			ids = append(ids, id)
 		}
 	}
-	return out
-}
-
-// endedEach is how many ended jobs a page takes: in JSON, which is what counts, one takes
-// about forty bytes.
-func endedEach(valueKB float64) int { return max(1, int(valueKB*1024*0.9/40)) }
-
-// The ids of the jobs that ended before a run begin with these.
-const archivedPrefix, endedPrefix = "wk-8", "wk-9"
-
-func endedRecord(prefix string, i int) storage.TerminalRecord {
-	return storage.TerminalRecord{ID: fmt.Sprintf("%s%010d", prefix, i), Tasks: 3}
-}
-
-// archivedPages are the pages of an archive of so many ended jobs.
-func archivedPages(count int, valueKB float64) map[string][]byte {
-	pages := map[string][]byte{}
-	eachEndedPage(archivedPrefix, count, valueKB, func(end int, finals []storage.TerminalRecord) {
-		bound := storage.LastUpperBound
-		if end < count {
-			bound = endedRecord(archivedPrefix, end).ID
-		}
-		pages[storage.ArchivePrefix+bound] = protocol.Encode(storage.ArchiveValue{WriteID: "0-0", Terminal: finals})
-	})
-	return pages
-}
-
-// endedPages are the pages of a state service that has so many ended jobs on record.
-func endedPages(count int, valueKB float64) map[string][]byte {
-	pages := map[string][]byte{}
-	eachEndedPage(endedPrefix, count, valueKB, func(_ int, finals []storage.TerminalRecord) {
-		pages[fmt.Sprintf("%s%06d", storage.PagePrefix, len(pages))] = protocol.Encode(storage.PageValue{WriteID: "0-0", Terminal: finals})
-	})
-	return pages
+	return ids
 }
 
-// eachEndedPage divides so many ended jobs into pages; end is the number behind a page's last.
-func eachEndedPage(prefix string, count int, valueKB float64, page func(end int, finals []storage.TerminalRecord)) {
-	each := endedEach(valueKB)
-	for first := 0; first < count; first += each {
-		var finals []storage.TerminalRecord
-		for i := first; i < min(first+each, count); i++ {
-			finals = append(finals, endedRecord(prefix, i))
+// overdueSubmissions is how many jobs should have been accepted and aren't.
+func (w *workload) overdueSubmissions() int {
+	overdue := 0
+	for _, job := range w.jobs {
+		if !job.Accepted && w.world.Now-job.SubmittedAt > submissionTimeout {
+			overdue++
 		}
-		page(first+len(finals), finals)
 	}
+	return overdue
 }
