--- a/internal/scale/distributionrun/agent_process.go
+++ b/internal/scale/distributionrun/agent_process.go
@@ -7,6 +7,7 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"slices"
 	"sync/atomic"
 	"time"
 
@@ -53,7 +54,7 @@
 
 // start starts the process, and returns once it serves.
 func (a *agentProcess) start(ctx context.Context) error {
-	command := append(a.command[:len(a.command):len(a.command)], "--config", a.settingsFile)
+	command := slices.Concat(a.command, []string{"--config", a.settingsFile})
 	process, err := testbed.StartProcess(command, a.logFile)
 	if err != nil {
 		return fmt.Errorf("start of %s: %w", a.settings.Agent, err)
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -87,7 +87,7 @@
 }
 
 // Summary is the step in one line of progress.
-func (s *StepReport) Summary() string {
+func (r *StepReport) Summary() string {
 	return fmt.Sprintf("%.2f: %.0f workers, %.0f tasks, %.0f starts/s; leader %.3f cores, %.0f MB; submit p99 %.0f ms, urgent start p99 %.0f ms",
-		s.Part, s.Workers, s.Running, s.Starts, s.Leader.Cores, s.Leader.MemoryMB, s.Times["submit"].P99, s.Times[urgentStartReceived].P99)
+		r.Part, r.Workers, r.Running, r.Starts, r.Leader.Cores, r.Leader.MemoryMB, r.Times["submit"].P99, r.Times[urgentStartReceived].P99)
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -20,7 +20,10 @@
 	}
 	report := &Report{Parameters: p, Violations: []string{}, Crashed: []string{}}
 	for i, part := range p.Steps {
-		e := experiment{parameters: p.step(part), part: part, command: command, report: report, progress: progress, injectFaults: i == len(p.Steps)-1}
+		e := experiment{
+			parameters: p.step(part), part: part, injectFaults: i == len(p.Steps)-1,
+			command: command, report: report, progress: progress,
+		}
 		err := e.run(ctx)
 		if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
 			report.Partial = fmt.Sprintf("interrupted in step %g", part)
--- a/internal/scale/testbed/controllers.go
+++ b/internal/scale/testbed/controllers.go
@@ -8,6 +8,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -68,7 +69,7 @@
 	if err != nil {
 		return fmt.Errorf("settings of %s: %w", ControllerName(controller), err)
 	}
-	command := append(c.command[:len(c.command):len(c.command)], settingsFile)
+	command := slices.Concat(c.command, []string{settingsFile})
 	process, err := StartProcess(command, c.logFile(controller))
 	if err != nil {
 		return fmt.Errorf("start of %s: %w", ControllerName(controller), err)
--- a/internal/scale/testbed/multi_listener.go
+++ b/internal/scale/testbed/multi_listener.go
@@ -71,4 +71,4 @@
 }
 
 // Addr is the loopback network: the listener has no single address.
-func (m *multiListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 0)} }
+func (*multiListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 0)} }
--- a/internal/scale/testbed/request_sender.go
+++ b/internal/scale/testbed/request_sender.go
@@ -63,7 +63,7 @@
 		Addr: to, MaxConns: connections, MaxIdemponentCallAttempts: 1, RetryIfErr: rpc.NeverRetry, NoDefaultUserAgentHeader: true,
 		MaxIdleConnDuration: idleTimeout, ReadBufferSize: readBufferBytes, WriteBufferSize: writeBufferBytes,
 		Dial: func(address string) (net.Conn, error) {
-			connection, err := dialer.Dial("tcp4", address) //nolint:noctx // fasthttp gives no context; the dialer has a timeout
+			connection, err := dialer.Dial("tcp4", address) // fasthttp gives no context; the dialer has a timeout
 			if err != nil {
 				return nil, err
 			}
