--- /dev/null
+++ b/internal/scale/distributionrun/fault_schedule_test.go
@@ -0,0 +1,42 @@
+package distributionrun
+
+import (
+	"errors"
+	"testing"
+	"time"
+)
+
+func TestParseFault(t *testing.T) {
+	for _, test := range []struct {
+		name, text string
+		want       scheduledFault
+	}{
+		{"whole part", "kill@1", scheduledFault{killAgentFault, 1}},
+		{"fraction", "cut@0.25", scheduledFault{brokenAnswersFault, 0.25}},
+		{"at once", "version@0", scheduledFault{newVersionFault, 0}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			got, err := parseFault(test.text)
+			if err != nil || got != test.want {
+				t.Errorf("%v and %v, not %v", got, err, test.want)
+			}
+			if got.String() != test.text {
+				t.Errorf("it is written as %s", got)
+			}
+		})
+	}
+	for _, text := range []string{"", "kill", "kill@", "kill@soon", "kill@-1", "kill@11", "kill@NaN@1", "flood@1", "@1"} {
+		t.Run("refused "+text, func(t *testing.T) {
+			var syntax *FaultSyntaxError
+			if _, err := parseFault(text); !errors.As(err, &syntax) || syntax.Text != text {
+				t.Errorf("%v", err)
+			}
+		})
+	}
+}
+
+func TestFaultIsAfterPartOfTimeAlone(t *testing.T) {
+	if got := (scheduledFault{killLeaderFault, 0.5}).after(3 * time.Second); got != 1500*time.Millisecond {
+		t.Errorf("%v", got)
+	}
+}
--- /dev/null
+++ b/internal/scale/testbed/world_loop_test.go
@@ -0,0 +1,40 @@
+package testbed
+
+import (
+	"context"
+	"testing"
+
+	"oakpick/internal/config"
+	"oakpick/internal/fake"
+)
+
+// startLoop runs a loop over a world without controllers until the context ends.
+func startLoop(ctx context.Context) *worldLoop {
+	loop := newWorldLoop()
+	loop.world = fake.NewLive(config.Settings{}, nil, nil, nil)
+	go loop.run(ctx)
+	return loop
+}
+
+func TestRequestReturnsAnswer(t *testing.T) {
+	loop := startLoop(t.Context())
+	if got, ok := request(loop, func(answer func(int)) { answer(3) }); !ok || got != 3 {
+		t.Errorf("%d, answered: %v", got, ok)
+	}
+}
+
+func TestStoppedLoopLetsCallersGo(t *testing.T) {
+	ctx, stop := context.WithCancel(t.Context())
+	loop := startLoop(ctx)
+	called := false
+	loop.doAndWait(func() { called = true })
+	if !called {
+		t.Error("a running loop dropped a call")
+	}
+	stop()
+	<-loop.stopped
+	loop.doAndWait(func() { t.Error("a stopped loop called") })
+	if _, ok := request(loop, func(func(int)) {}); ok {
+		t.Error("a stopped loop answered")
+	}
+}
