--- a/internal/scale/distributionrun/run.go
+++ b/internal/scale/distributionrun/run.go
@@ -57,7 +57,6 @@
 type experiment struct {
 	parameters Parameters
 	commands   Commands
-	progress   io.Writer
 	directory  string
 
 	testbed  *testbed.Testbed
@@ -65,9 +64,10 @@
 	operator *operator.Client
 	agents   []*agentProcess // of the fleet
 
-	mu      sync.Mutex
-	report  *RunReport
-	version *distribution.Manifest // that the fleet is to serve
+	mu       sync.Mutex
+	progress io.Writer
+	report   *RunReport
+	version  *distribution.Manifest // that the fleet is to serve
 }
 
 // runOnce builds the testbed, runs the experiment and removes it. There is no report if the
@@ -168,8 +168,10 @@
 	return err
 }
 
-// logf writes a line of progress.
+// logf writes a line of progress. Faults do so beside the run.
 func (e *experiment) logf(format string, args ...any) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	_, _ = fmt.Fprintf(e.progress, format+"\n", args...) // the run goes on without its progress
 }
 
