--- a/internal/scale/testbed/cloud_server.go
+++ b/internal/scale/testbed/cloud_server.go
@@ -20,7 +20,7 @@
 		respondInvalid(ctx)
 		return
 	}
-	result, ok := request(s.loop, func(answer func(message.CloudResult)) { s.loop.world.ServeCloud(call, answer) })
+	result, ok := callWorld(s.loop, func(answer func(message.CloudResult)) { s.loop.world.ServeCloud(call, answer) })
 	if !ok {
 		dropConnection(ctx)
 		return
--- a/internal/scale/testbed/state_server.go
+++ b/internal/scale/testbed/state_server.go
@@ -25,7 +25,7 @@
 		respondInvalid(ctx)
 		return
 	}
-	result, ok := request(s.loop, func(answer func(storage.StateResult)) { s.loop.world.ServeState(call, answer) })
+	result, ok := callWorld(s.loop, func(answer func(storage.StateResult)) { s.loop.world.ServeState(call, answer) })
 	if !ok {
 		dropConnection(ctx)
 		return
--- a/internal/scale/testbed/testbed.go
+++ b/internal/scale/testbed/testbed.go
@@ -114,9 +114,11 @@
 	slowStateAnswer = 200 * time.Millisecond
 	slowStateShare  = 0.002 // of the state service's answers
 	cloudLatency    = 200 * time.Millisecond
-	networkStream   = 2 // of random numbers; the workload draws from another
 )
 
+// networkStream is the stream of random numbers; the workload draws from another.
+const networkStream = 2
+
 // network returns the simulated network: latencies and partitioned machines.
 func (t *Testbed) network(seed uint64) func(kind, from, to string) fake.Delivery {
 	random := rand.New(rand.NewPCG(seed, networkStream))
--- a/internal/scale/testbed/worker_server.go
+++ b/internal/scale/testbed/worker_server.go
@@ -26,7 +26,7 @@
 	call := message.CommandsCall{
 		Machine: machine.(string), FencingToken: commands.FencingToken, Incarnation: commands.Incarnation, Commands: commands.Commands,
 	}
-	result, ok := request(s.loop, func(answer func(message.CommandsResult)) { s.loop.world.ServeCommands(call, answer) })
+	result, ok := callWorld(s.loop, func(answer func(message.CommandsResult)) { s.loop.world.ServeCommands(call, answer) })
 	if !ok {
 		dropConnection(ctx)
 		return
--- a/internal/scale/testbed/world_loop.go
+++ b/internal/scale/testbed/world_loop.go
@@ -63,12 +63,12 @@
 	}
 }
 
-// request hands a request to the world and waits for its answer; false: there was none within
-// requestTimeout.
-func request[Result any](l *worldLoop, serve func(answer func(Result))) (Result, bool) {
+// callWorld hands a request to the world and waits for its answer; false: there was none within
+// worldCallTimeout.
+func callWorld[Result any](l *worldLoop, serve func(answer func(Result))) (Result, bool) {
 	answers := make(chan Result, 1)
 	l.do(func() { serve(func(result Result) { answers <- result }) })
-	timer := time.NewTimer(requestTimeout)
+	timer := time.NewTimer(worldCallTimeout)
 	defer timer.Stop()
 	select {
 	case result := <-answers:
@@ -80,6 +80,6 @@
 	return none, false
 }
 
-// requestTimeout is for how long a connection is held that gets no answer. Its client has given
+// worldCallTimeout is for how long a connection is held that gets no answer. Its client has given
 // up long before.
-const requestTimeout = 30 * time.Second
+const worldCallTimeout = 30 * time.Second
--- a/internal/scale/testbed/world_loop_test.go
+++ b/internal/scale/testbed/world_loop_test.go
@@ -16,9 +16,9 @@
 	return loop
 }
 
-func TestRequestReturnsAnswer(t *testing.T) {
+func TestCallWorldReturnsAnswer(t *testing.T) {
 	loop := startLoop(t.Context())
-	if got, ok := request(loop, func(answer func(int)) { answer(3) }); !ok || got != 3 {
+	if got, ok := callWorld(loop, func(answer func(int)) { answer(3) }); !ok || got != 3 {
 		t.Errorf("%d, answered: %v", got, ok)
 	}
 }
@@ -34,7 +34,7 @@
 	stop()
 	<-loop.stopped
 	loop.doAndWait(func() { t.Error("a stopped loop called") })
-	if _, ok := request(loop, func(func(int)) {}); ok {
+	if _, ok := callWorld(loop, func(func(int)) {}); ok {
 		t.Error("a stopped loop answered")
 	}
 }
--- a/internal/scale/workload.go
+++ b/internal/scale/workload.go
@@ -50,7 +50,7 @@
 	replicasPerService  = 8
 	gpusPerReplica      = 2
 	pollInterval        = 5 * time.Second
-	oddPollInterval     = time.Second
+	otherPollInterval   = time.Second // about unknown and long ended jobs
 	gangInterval        = 20 * time.Second
 	gangRunTime         = 30 * time.Second
 	gangSizes           = 4 // halvings of the largest
@@ -60,7 +60,7 @@
 	urgentRunTime       = 5 * time.Second
 	maxUrgentTasks      = 4
 	repeatedShare       = 0.02             // of the jobs are submitted again
-	repeatWithin        = 20 * time.Second // after the submission; and the cancellations
+	changeWithin        = 20 * time.Second // after a submission it is repeated or cancelled, if at all
 	imageGB             = 0.1
 	images              = 6
 	rampUp              = 10 * time.Second
@@ -101,7 +101,7 @@
 	if p.LargestGang > 1 {
 		w.repeat(func() time.Duration { return gangInterval }, w.submitGang)
 	}
-	w.repeat(func() time.Duration { return oddPollInterval }, w.pollUnknownAndEnded)
+	w.repeat(func() time.Duration { return otherPollInterval }, w.pollUnknownAndEnded)
 }
 
 // interarrivalTime draws the time between two arrivals at a rate per second.
@@ -140,10 +140,10 @@
 	w.jobs[submission.ID] = job
 	w.poll(job)
 	if submission.Class != serviceClass && w.random.Float64() < w.parameters.Cancelled {
-		w.world.After(w.soon(), func() { w.world.CancelJob(job) })
+		w.world.After(w.changeDelay(), func() { w.world.CancelJob(job) })
 	}
 	if w.random.Float64() < repeatedShare {
-		w.world.After(w.soon(), func() {
+		w.world.After(w.changeDelay(), func() {
 			if job.Accepted {
 				w.world.Resubmit(job)
 			}
@@ -151,9 +151,9 @@
 	}
 }
 
-// soon draws a time after a submission.
-func (w *workload) soon() time.Duration {
-	return time.Duration(w.random.Float64() * float64(repeatWithin))
+// changeDelay draws the time from a submission until it is repeated or cancelled.
+func (w *workload) changeDelay() time.Duration {
+	return time.Duration(w.random.Float64() * float64(changeWithin))
 }
 
 func (w *workload) poll(job *fake.Job) {
