--- a/internal/scale/distributionrun/faults.go
+++ b/internal/scale/distributionrun/faults.go
@@ -26,7 +26,7 @@
 	if sleep(ctx, fault.after(alone)) != nil {
 		return nil // all agents are ready
 	}
-	e.logf("fault: %s", fault.kind)
+	e.progress.Logf("fault: %s", fault.kind)
 	if err := e.applyFault(ctx, fault.kind, alone); err != nil {
 		return fmt.Errorf("fault %s: %w", fault.kind, err)
 	}
--- a/internal/scale/distributionrun/measurement.go
+++ b/internal/scale/distributionrun/measurement.go
@@ -73,6 +73,9 @@
 		byAgent[a.settings.Agent] = metrics
 		return err
 	})
+	if errors.Is(err, context.DeadlineExceeded) { // which is not an interrupted run
+		return byAgent, &TimeoutError{After: metricsTimeout, Problem: "an agent doesn't tell its metrics"}
+	}
 	return byAgent, err
 }
 
--- a/internal/scale/distributionrun/run.go
+++ b/internal/scale/distributionrun/run.go
@@ -37,11 +37,11 @@
 		one := p
 		one.Seed += uint64(n)
 		one.FromStore = p.FromStore && n == 0
-		run, err := runOnce(ctx, one, commands, progress)
+		run, err := runOnce(ctx, one, commands, testbed.NewProgressLog(progress))
 		if run != nil {
 			report.Runs = append(report.Runs, *run)
 		}
-		if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
+		if testbed.Interrupted(err) {
 			report.Partial = fmt.Sprintf("interrupted in run %d", n+1)
 			break
 		}
@@ -58,21 +58,21 @@
 	parameters Parameters
 	commands   Commands
 	directory  string
+	progress   *testbed.ProgressLog
 
 	testbed  *testbed.Testbed
 	store    *simulatedStore
 	operator *operator.Client
 	agents   []*agentProcess // of the fleet
 
-	mu       sync.Mutex
-	progress io.Writer
-	report   *RunReport
-	version  *distribution.Manifest // that the fleet is to serve
+	mu      sync.Mutex
+	report  *RunReport
+	version *distribution.Manifest // that the fleet is to serve
 }
 
 // runOnce builds the testbed, runs the experiment and removes it. There is no report if the
 // testbed could not be built.
-func runOnce(ctx context.Context, p Parameters, commands Commands, progress io.Writer) (*RunReport, error) {
+func runOnce(ctx context.Context, p Parameters, commands Commands, progress *testbed.ProgressLog) (*RunReport, error) {
 	directory, err := os.MkdirTemp("", "oakpick-weights-")
 	if err != nil {
 		return nil, err
@@ -154,27 +154,20 @@
 		return fmt.Errorf("one agent alone: %w", err)
 	}
 	e.report.AloneS = alone.Seconds()
-	e.logf("one alone: %.2f s", alone.Seconds())
+	e.progress.Logf("one alone: %.2f s", alone.Seconds())
 	if err := e.runFleet(ctx, alone); err != nil {
 		return fmt.Errorf("the fleet: %w", err)
 	}
-	e.logf("%d agents: %.2f s, %.2f times as long; the store sent %.2f copies", e.parameters.Agents, e.report.FleetS, e.report.Ratio, e.report.StoreCopies)
+	e.progress.Logf("%d agents: %.2f s, %.2f times as long; the store sent %.2f copies", e.parameters.Agents, e.report.FleetS, e.report.Ratio, e.report.StoreCopies)
 	if !e.parameters.FromStore {
 		return nil
 	}
 	took, err := e.runFromStore(ctx)
 	e.report.FromStoreS = took.Seconds()
-	e.logf("%d clients from the store: %.2f s", e.parameters.Agents, took.Seconds())
+	e.progress.Logf("%d clients from the store: %.2f s", e.parameters.Agents, took.Seconds())
 	return err
 }
 
-// logf writes a line of progress. Faults do so beside the run.
-func (e *experiment) logf(format string, args ...any) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	_, _ = fmt.Fprintf(e.progress, format+"\n", args...) // the run goes on without its progress
-}
-
 // record changes the report while several goroutines do.
 func (e *experiment) record(change func(report *RunReport)) {
 	e.mu.Lock()
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -126,7 +126,7 @@
 			return err
 		}
 		e.report.Faults = append(e.report.Faults, *r)
-		e.logf("fault %s: %.1f s without answers, %.1f s without starts, %d tasks killed by lease, %d died, %d rules broken",
+		e.progress.Logf("fault %s: %.1f s without answers, %.1f s without starts, %d tasks killed by lease, %d died, %d rules broken",
 			name, r.WithoutAnswersS, r.WithoutStartsS, r.KilledByLease, r.TasksDied, r.Violations)
 	}
 	return nil
--- a/internal/scale/progress.go
+++ b/internal/scale/progress.go
@@ -2,15 +2,9 @@
 
 import (
 	"context"
-	"fmt"
 	"time"
 )
 
-// logf writes a line of progress.
-func (e *experiment) logf(format string, args ...any) {
-	_, _ = fmt.Fprintf(e.progress, format+"\n", args...) // the run goes on without its progress
-}
-
 // progressInterval is the time between lines of progress while nothing else happens.
 const progressInterval = 10 * time.Second
 
@@ -39,5 +33,5 @@
 		world := e.testbed.World
 		workers, tasks, violations = len(world.MachineNames()), world.OnMachines(), len(world.Violations)
 	})
-	e.logf("  %s: %d workers up, %d tasks on machines, %d rules broken", phase, workers, tasks, violations)
+	e.progress.Logf("  %s: %d workers up, %d tasks on machines, %d rules broken", phase, workers, tasks, violations)
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -22,10 +22,10 @@
 	for i, part := range p.Steps {
 		e := experiment{
 			parameters: p.step(part), part: part, injectFaults: i == len(p.Steps)-1,
-			command: command, report: report, progress: progress,
+			command: command, report: report, progress: testbed.NewProgressLog(progress),
 		}
 		err := e.run(ctx)
-		if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
+		if testbed.Interrupted(err) {
 			report.Partial = fmt.Sprintf("interrupted in step %g", part)
 			break
 		}
@@ -44,7 +44,7 @@
 	command      []string   // starts a controller
 	injectFaults bool
 	report       *Report
-	progress     io.Writer
+	progress     *testbed.ProgressLog
 
 	testbed      *testbed.Testbed
 	workload     *workload
@@ -94,7 +94,7 @@
 // for.
 func (e *experiment) settle(ctx context.Context) error {
 	p := e.parameters
-	e.logf("step %g: %d workers, %d tasks, %.0f starts/s, %d ended jobs, %d controllers", e.part, p.Workers, p.Running, p.Starts, p.Ended, p.Controllers)
+	e.progress.Logf("step %g: %d workers, %d tasks, %.0f starts/s, %d ended jobs, %d controllers", e.part, p.Workers, p.Running, p.Starts, p.Ended, p.Controllers)
 	if err := e.sleep(ctx, "settles", p.Settle); err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 		return err
 	}
 	e.report.Steps = append(e.report.Steps, *step)
-	e.logf("%s", step.Summary())
+	e.progress.Logf("%s", step.Summary())
 	if !e.injectFaults {
 		return nil
 	}
--- a/internal/scale/testbed/process_test.go
+++ b/internal/scale/testbed/process_test.go
@@ -3,6 +3,7 @@
 import (
 	"path/filepath"
 	"testing"
+	"time"
 )
 
 // startShell starts a shell script, which is killed at the end of the test.
@@ -32,10 +33,7 @@
 }
 
 func TestKilledProcessHasNotCrashed(t *testing.T) {
-	process, _ := startShell(t, "sleep 600")
-	if usage, running := process.usage(); !running || usage.MemoryMB <= 0 {
-		t.Errorf("it takes nothing: %+v", usage)
-	}
+	process, _ := startShell(t, "exec sleep 600")
 	process.Hang()
 	process.Kill()
 	if process.crashed() {
@@ -43,6 +41,24 @@
 	}
 }
 
+// A process that has only just started has no resident memory yet.
+func TestUsageHasResidentMemoryOnceProcessRuns(t *testing.T) {
+	const wait, interval = 10 * time.Second, time.Millisecond
+	process, _ := startShell(t, "exec sleep 600")
+	for deadline := time.Now().Add(wait); ; time.Sleep(interval) {
+		usage, running := process.usage()
+		if !running {
+			t.Fatal("it has ended")
+		}
+		if usage.MemoryMB > 0 {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatalf("after %v it takes nothing: %+v", wait, usage)
+		}
+	}
+}
+
 func TestStartProcessThatDoesNotExist(t *testing.T) {
 	if _, err := StartProcess([]string{"/nothing/that/could/start"}, filepath.Join(t.TempDir(), "log")); err == nil {
 		t.Error("it started")
