--- /dev/null
+++ b/internal/scale/testbed/process_test.go
@@ -0,0 +1,66 @@
+package testbed
+
+import (
+	"path/filepath"
+	"testing"
+	"time"
+)
+
+// startShell starts a shell script, which is killed at the end of the test.
+func startShell(t *testing.T, script string) (process *Process, logFile string) {
+	t.Helper()
+	logFile = filepath.Join(t.TempDir(), "log")
+	process, err := StartProcess([]string{"sh", "-c", script}, logFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(process.Kill)
+	return process, logFile
+}
+
+func TestProcessThatExitsByItselfHasCrashed(t *testing.T) {
+	process, logFile := startShell(t, "echo first; echo last >&2")
+	<-process.Exited()
+	if !process.crashed() {
+		t.Error("it isn't called crashed")
+	}
+	if last := lastLine(logFile); last != "last" {
+		t.Errorf("the last line is %q", last)
+	}
+	if _, running := process.usage(); running {
+		t.Error("it takes something still")
+	}
+}
+
+func TestKilledProcessHasNotCrashed(t *testing.T) {
+	process, _ := startShell(t, "exec sleep 600")
+	process.Hang()
+	process.Kill()
+	if process.crashed() {
+		t.Error("it is called crashed")
+	}
+}
+
+// A process that has only just started has no resident memory yet.
+func TestUsageHasResidentMemoryOnceProcessRuns(t *testing.T) {
+	const wait, interval = 10 * time.Second, time.Millisecond
+	process, _ := startShell(t, "exec sleep 600")
+	for deadline := time.Now().Add(wait); ; time.Sleep(interval) {
+		usage, running := process.usage()
+		if !running {
+			t.Fatal("it has ended")
+		}
+		if usage.MemoryMB > 0 {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatalf("after %v it takes nothing: %+v", wait, usage)
+		}
+	}
+}
+
+func TestStartProcessThatDoesNotExist(t *testing.T) {
+	if _, err := StartProcess([]string{"/nothing/that/could/start"}, filepath.Join(t.TempDir(), "log")); err == nil {
+		t.Error("it started")
+	}
+}
