--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -203,7 +202,12 @@
 
 // SortedTasks are the active tasks by index.
 func (j *Job) SortedTasks() []*Task {
-	return slices.SortedFunc(maps.Values(j.ActiveTasks), func(a, b *Task) int { return cmp.Compare(a.Index, b.Index) })
+	tasks := make([]*Task, 0, len(j.ActiveTasks))
+	for _, t := range j.ActiveTasks {
+		tasks = append(tasks, t)
+	}
+	slices.SortFunc(tasks, func(a, b *Task) int { return cmp.Compare(a.Index, b.Index) })
+	return tasks
 }
 
 // EndUncertain reports whether the job is over, but its user can't be told: a successor might
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"maps"
 	"math"
 	"slices"
 
@@ -29,13 +28,15 @@
 // preemption is the search for room for the tasks of one job.
 type preemption struct {
 	job     *cluster.Job
-	perZone map[string]int
 	victims []*cluster.Task
-	taken   map[*cluster.Task]bool
-	freed   map[*cluster.Machine]resources.Amount // what the victims leave
+	taken   map[*cluster.Task]bool                // nil: none yet
+	freed   map[*cluster.Machine]resources.Amount // what the victims leave; nil: nothing yet
 }
 
 func (p *preemption) take(machine *cluster.Machine, victims []*cluster.Task) {
+	if p.taken == nil {
+		p.taken, p.freed = map[*cluster.Task]bool{}, map[*cluster.Machine]resources.Amount{}
+	}
 	for _, t := range victims {
 		p.taken[t] = true
 		p.freed[machine] = p.freed[machine].Plus(t.Job.Request)
@@ -54,10 +55,10 @@
 	if j.BestEffort() {
 		return // best-effort work gets what is idle
 	}
-	p := &preemption{job: j, perZone: perZone, taken: map[*cluster.Task]bool{}, freed: map[*cluster.Machine]resources.Amount{}}
+	p := &preemption{job: j}
 	before := reservations{}
 	for n := range tasks {
-		machine := s.findRoom(p, n == 0)
+		machine := s.findRoom(p, perZone, n == 0)
 		if machine == nil && j.Kind == protocol.Gang {
 			s.undo(before)
 			return
@@ -79,11 +80,11 @@
 
 // findRoom finds a machine that has room for one more task, at the latest once further victims
 // have left it.
-func (s *Scheduler) findRoom(p *preemption, first bool) *cluster.Machine {
-	if machine := s.machineAboutToFree(p); machine != nil {
+func (s *Scheduler) findRoom(p *preemption, perZone map[string]int, first bool) *cluster.Machine {
+	if machine := s.machineAboutToFree(p, perZone); machine != nil {
 		return machine
 	}
-	machine, victims := s.chooseVictims(p, first)
+	machine, victims := s.chooseVictims(p, perZone, first)
 	if machine != nil {
 		p.take(machine, victims)
 	}
@@ -91,27 +92,39 @@
 }
 
 // machineAboutToFree finds a machine whose stopping tasks will leave room for a task.
-func (s *Scheduler) machineAboutToFree(p *preemption) *cluster.Machine {
-	fits := func(machine *cluster.Machine) bool {
-		s.context.Stats.MachinesExamined++
-		return s.fits(p.job, machine, p.projected(machine), p.perZone)
+func (s *Scheduler) machineAboutToFree(p *preemption, perZone map[string]int) *cluster.Machine {
+	if machine := s.firstThatFits(p, perZone, s.machinesWithRoom(p.job)); machine != nil {
+		return machine
 	}
-	for _, list := range [][]*cluster.Machine{s.machinesWithRoom(p.job), s.cycle.freeing} {
-		if i := slices.IndexFunc(list, fits); i >= 0 {
-			return list[i]
-		}
+	if machine := s.firstThatFits(p, perZone, s.cycle.freeing); machine != nil {
+		return machine
+	}
+	if len(p.freed) == 0 {
+		return nil
 	}
 	// Of those with victims of this very job the first by name.
-	byName := slices.SortedFunc(maps.Keys(p.freed), func(a, b *cluster.Machine) int { return cmp.Compare(a.Name, b.Name) })
-	if i := slices.IndexFunc(byName, fits); i >= 0 {
-		return byName[i]
+	byName := make([]*cluster.Machine, 0, len(p.freed))
+	for machine := range p.freed {
+		byName = append(byName, machine)
+	}
+	slices.SortFunc(byName, func(a, b *cluster.Machine) int { return cmp.Compare(a.Name, b.Name) })
+	return s.firstThatFits(p, perZone, byName)
+}
+
+// firstThatFits finds the first machine of a list that will have room for a task.
+func (s *Scheduler) firstThatFits(p *preemption, perZone map[string]int, list []*cluster.Machine) *cluster.Machine {
+	for _, machine := range list {
+		s.context.Stats.MachinesExamined++
+		if s.fits(p.job, machine, p.projected(machine), perZone) {
+			return machine
+		}
 	}
 	return nil
 }
 
 // chooseVictims finds the tasks whose loss costs least, on one machine, so that a task of the
 // job fits there without them.
-func (s *Scheduler) chooseVictims(p *preemption, first bool) (*cluster.Machine, []*cluster.Task) {
+func (s *Scheduler) chooseVictims(p *preemption, perZone map[string]int, first bool) (*cluster.Machine, []*cluster.Task) {
 	j := p.job
 	c := claim{s.RequestClass(j), rank(j), j.Placement.WithinQuota, j.Team}
 	// Within a cycle room only shrinks: what was found for no job is found for none that may
@@ -121,7 +134,7 @@
 	if isCacheable && s.cycle.noRoomByPreemption[c] {
 		return nil, nil
 	}
-	best, victims, cost := s.cheapestVictims(p, s.machinesWithTasksBelow(c.rank))
+	best, victims, cost := s.cheapestVictims(p, perZone, s.machinesWithTasksBelow(c.rank))
 	if cost > s.options.MaxPreemptionCostS {
 		if isCacheable && best == nil {
 			s.cycle.noRoomByPreemption[c] = true
@@ -132,14 +145,16 @@
 }
 
 // cheapestVictims compares a few machines, drawn at random from a list that it shuffles.
-func (s *Scheduler) cheapestVictims(p *preemption, list []*cluster.Machine) (best *cluster.Machine, victims []*cluster.Task, bestCost float64) {
+func (s *Scheduler) cheapestVictims(
+	p *preemption, perZone map[string]int, list []*cluster.Machine,
+) (best *cluster.Machine, victims []*cluster.Task, bestCost float64) {
 	bestCost = math.Inf(1)
 	for i, found := 0, 0; i < len(list) && found < s.options.SampleSize; i++ {
 		s.context.Stats.MachinesExamined++
 		drawn := i + s.context.Random.IntN(len(list)-i)
 		list[i], list[drawn] = list[drawn], list[i]
 		machine := list[i]
-		if !s.Schedulable(machine) || !p.job.AllowedOn(machine.Offering()) || !p.job.AllowsZone(machine.Zone, p.perZone) {
+		if !s.Schedulable(machine) || !p.job.AllowedOn(machine.Offering()) || !p.job.AllowsZone(machine.Zone, perZone) {
 			continue
 		}
 		chosen, cost := s.victimsOn(p, machine)
