--- a/internal/storage/archive.go
+++ b/internal/storage/archive.go
@@ -71,10 +71,10 @@
 }
 
 // size is at least what the page's value takes.
-func (p *ArchivePage) size() int { return archiveSize(p.Terminal) }
+func (p *ArchivePage) size() int { return terminalRecordsSize(p.Terminal) }
 
-func archiveSize(finals []TerminalRecord) int {
-	n := pageSize
+func terminalRecordsSize(finals []TerminalRecord) int {
+	n := pageOverhead
 	for i := range finals {
 		n += finals[i].ReservedSize()
 	}
@@ -88,7 +88,7 @@
 	slices.SortFunc(all, func(a, b TerminalRecord) int { return cmp.Compare(a.ID, b.ID) })
 	all = slices.CompactFunc(all, func(a, b TerminalRecord) bool { return a.ID == b.ID })
 	parts := 1
-	if total := archiveSize(all); total > most {
+	if total := terminalRecordsSize(all); total > most {
 		parts = total/(most/2) + 1
 	}
 	var pages []*ArchivePage
@@ -115,12 +115,12 @@
 
 // Idle tells whether the budget is at least half unused and nothing waits to be written.
 func (s *Store) Idle(now time.Duration) bool {
-	return len(s.dirty) == 0 && len(s.writes) == 0 && s.budget.TokensAt(at(now)) >= float64(s.budget.Burst())/2
+	return len(s.dirty) == 0 && len(s.writes) == 0 && s.budget.TokensAt(limiterTime(now)) >= float64(s.budget.Burst())/2
 }
 
 // CanWrite tells whether a transaction of so many keys could begin now.
 func (s *Store) CanWrite(now time.Duration, keys int) bool {
-	return len(s.writes) < maxWrites && now >= s.resume && s.budget.TokensAt(at(now)) >= float64(keys)
+	return len(s.writes) < maxWrites && now >= s.resumeAt && s.budget.TokensAt(limiterTime(now)) >= float64(keys)
 }
 
 // MaxArchivePagesPerMove is how many pages of the archive one transaction can write beside a page of
@@ -132,10 +132,10 @@
 // MaxArchivePageSize is the most that a page of the archive may take: several go into one
 // transaction.
 func (s *Store) MaxArchivePageSize() int {
-	return min(s.limits.PageBytes, protocol.MaxBody/archiveShare)
+	return min(s.limits.PageBytes, protocol.MaxBody/archivePagesPerTransaction)
 }
 
-const archiveShare = 8
+const archivePagesPerTransaction = 8
 
 // MaxArchiveBytesPerMove is what the pages of the archive that one transaction writes may take.
 func (s *Store) MaxArchiveBytesPerMove() int {
@@ -167,17 +167,17 @@
 	for _, item := range items {
 		s.detach(p, item)
 	}
-	s.budget.AllowN(at(now), 1+len(pages))
+	s.budget.AllowN(limiterTime(now), 1+len(pages))
 	wait.pending++
-	w := &Write{sent: true, pages: []*page{p}, archive: pages}
+	w := &Write{sent: true, pages: []*page{p}, archivePages: pages}
 	p.waiters = append(p.waiters, wait)
-	s.seal(w, term)
+	s.buildTransaction(w, term)
 	return w
 }
 
-// fillArchive adds the archive's pages to a transaction.
-func (w *Write) fillArchive() {
-	for _, p := range w.archive {
+// addArchivePages adds the archive's pages to a transaction.
+func (w *Write) addArchivePages() {
+	for _, p := range w.archivePages {
 		w.Txn.If = append(w.Txn.If, protocol.Condition{Key: p.Key(), Version: p.Version})
 		w.Txn.Then = append(w.Txn.Then, protocol.Change{Put: p.Key(), Value: &ArchiveValue{WriteID: w.ID, Terminal: p.Terminal}})
 	}
--- a/internal/storage/archive_test.go
+++ b/internal/storage/archive_page_test.go
@@ -11,7 +11,7 @@
 )
 
 // The first page with room is the one that a look at every page finds.
-func TestFirstPageWithRoom(t *testing.T) {
+func TestFreeSpaceIndexFindsFirstPageThatFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var index freeSpaceIndex
 		rooms := []int{}
@@ -40,7 +40,7 @@
 
 // Pages that take a page's place hold every end once, in order, each before its page's bound
 // and not before the bound of the page before, and none is larger than allowed.
-func TestArchivePagesAreDivided(t *testing.T) {
+func TestMergeSplitsArchivePagesWithinTheSizeLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfNDistinct(rapid.IntRange(0, 99_999), 0, 300, rapid.ID[int]).Draw(t, "ids")
 		p := &ArchivePage{UpperBound: LastUpperBound, Version: 7}
@@ -84,7 +84,7 @@
 }
 
 // A page that no version writes is refused, with its key.
-func TestDamagedArchivePagesAreRefused(t *testing.T) {
+func TestReadArchivePageRejectsCorruptPages(t *testing.T) {
 	key := ArchivePrefix + "wk-5"
 	for name, value := range map[string]any{
 		"no page":          "text",
--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -49,12 +49,12 @@
 // Client speaks to the state service. Renewals have connections of their own,
 // so that they never wait behind other requests.
 type Client struct {
-	calls, renewals         *fasthttp.HostClient
+	requests, renewals      *fasthttp.HostClient
 	timeout, renewalTimeout time.Duration
 }
 
-// listEntries is how many entries a list asks for.
-const listEntries = 200
+// defaultListLimit is how many entries a list asks for.
+const defaultListLimit = 200
 
 // NewClient makes a client. Calls are given up after wait, renewals after renewalTimeout.
 func NewClient(addr string, wait, renewWait time.Duration) *Client {
@@ -65,7 +65,7 @@
 			MaxIdleConnDuration: 10 * wait,
 		}
 	}
-	return &Client{calls: host(config.StateConnections+config.ArchiveReadConnections, wait/2), renewals: host(config.StateRenewalConnections, renewWait/2), timeout: wait, renewalTimeout: renewWait}
+	return &Client{requests: host(config.StateConnections+config.ArchiveReadConnections, wait/2), renewals: host(config.StateRenewalConnections, renewWait/2), timeout: wait, renewalTimeout: renewWait}
 }
 
 // Do makes a call and waits for its outcome.
@@ -73,7 +73,7 @@
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	client, wait := c.calls, c.timeout
+	client, wait := c.requests, c.timeout
 	if request.Op == StateRenewLease || request.Op == StateRevokeLease {
 		client, wait = c.renewals, c.renewalTimeout
 	}
@@ -117,7 +117,7 @@
 	if call.StartAfter != "" {
 		args.Set("after", call.StartAfter)
 	}
-	args.Set("limit", strconv.Itoa(cmp.Or(call.Limit, listEntries)))
+	args.Set("limit", strconv.Itoa(cmp.Or(call.Limit, defaultListLimit)))
 	return args.String()
 }
 
--- a/internal/storage/page.go
+++ b/internal/storage/page.go
@@ -34,10 +34,10 @@
 // By how many retry times a page may be written later than one that somebody waits for.
 // What comes to it meanwhile shares its write.
 const (
-	startRetries      = 5
-	soonRetries       = 10
-	backgroundRetries = 100
-	lastRetries       = 100_000
+	startDelayRetries          = 5
+	deferredDelayRetries       = 10
+	backgroundDelayRetries     = 100
+	lowestPriorityDelayRetries = 100_000
 )
 
 // OnCommit makes a wait; it is handed to Touch for every page that it waits for. A
@@ -47,45 +47,45 @@
 // OnStartCommit makes a wait that the start of a task depends on. The aims for starts are
 // seconds, and those for users' answers parts of one, so that answers go first.
 func OnStartCommit(then func()) *CommitWaiter {
-	return &CommitWaiter{onCommit: then, maxDelayRetries: startRetries}
+	return &CommitWaiter{onCommit: then, maxDelayRetries: startDelayRetries}
 }
 
 // OnDeferredCommit makes a wait that nobody outside depends on: others go first.
 func OnDeferredCommit(then func()) *CommitWaiter {
-	return &CommitWaiter{onCommit: then, maxDelayRetries: soonRetries}
+	return &CommitWaiter{onCommit: then, maxDelayRetries: deferredDelayRetries}
 }
 
 // OnBackgroundCommit makes a wait for something that a successor would conclude from
 // other records. It is written with what the budget leaves, for a while.
 func OnBackgroundCommit(then func()) *CommitWaiter {
-	return &CommitWaiter{onCommit: then, maxDelayRetries: backgroundRetries}
+	return &CommitWaiter{onCommit: then, maxDelayRetries: backgroundDelayRetries}
 }
 
 // OnLowestPriorityCommit makes a wait for what is written only when nothing else is to be, the
 // oldest first.
 func OnLowestPriorityCommit(then func()) *CommitWaiter {
-	return &CommitWaiter{onCommit: then, maxDelayRetries: lastRetries}
+	return &CommitWaiter{onCommit: then, maxDelayRetries: lowestPriorityDelayRetries}
 }
 
 // page is one key of the state service and what belongs on it.
 type page struct {
-	number     int
-	version    int64
-	items      []Item
-	reserved   int // what its items are expected to grow to
-	dirty      bool
-	inFlight   bool          // part of a transaction under way
-	deleted    bool          // by that transaction
-	dirtySince time.Duration // it is dirty
-	dueAt      time.Duration // pages are written in this order
-	waiters    []*CommitWaiter
+	number         int
+	version        int64
+	items          []Item
+	reserved       int // what its items are expected to grow to
+	dirty          bool
+	inFlight       bool          // part of a transaction under way
+	deleteOnCommit bool          // by that transaction
+	dirtySince     time.Duration // it is dirty
+	dueAt          time.Duration // pages are written in this order
+	waiters        []*CommitWaiter
 }
 
 func (p *page) key() string { return fmt.Sprintf("%s%06d", PagePrefix, p.number) }
 
 // size is at least what the page's value takes as it is now.
 func (p *page) size() int {
-	n := pageSize
+	n := pageOverhead
 	for _, item := range p.items {
 		n += item.EncodedSize()
 	}
--- a/internal/storage/read.go
+++ b/internal/storage/read.go
@@ -36,7 +36,7 @@
 		}
 		pages = append(pages, p)
 	}
-	latest, err := newestCopies(pages)
+	latest, err := findNewestVersions(pages)
 	if err != nil {
 		return nil, err
 	}
@@ -55,24 +55,24 @@
 
 func (k recordKey) String() string { return fmt.Sprintf("%s %s/%d", k.kind, k.name, k.block) }
 
-func jobKey(r JobRecord) recordKey          { return recordKey{"job", r.ID, 0} }
-func extensionKey(r JobExtension) recordKey { return recordKey{"extension", r.Job, 0} }
-func blockKey(r BlockRecord) recordKey      { return recordKey{"block", r.Job, r.Block} }
-func finalKey(r TerminalRecord) recordKey   { return recordKey{"final", r.ID, 0} }
+func jobKey(r JobRecord) recordKey           { return recordKey{"job", r.ID, 0} }
+func extensionKey(r JobExtension) recordKey  { return recordKey{"extension", r.Job, 0} }
+func blockKey(r BlockRecord) recordKey       { return recordKey{"block", r.Job, r.Block} }
+func terminalKey(r TerminalRecord) recordKey { return recordKey{"final", r.ID, 0} }
 func prerequisitesKey(r PrerequisitesRecord) recordKey {
 	return recordKey{"prerequisites", r.Job, r.Part}
 }
-func rentalKey(r ProvisioningRecord) recordKey { return recordKey{"rental", r.RequestID, 0} }
+func provisioningKey(r ProvisioningRecord) recordKey { return recordKey{"rental", r.RequestID, 0} }
 
-// copies knows the version of the page that has the newest copy of each record.
-type copies map[recordKey]int64
+// newestVersions knows the version of the page that has the newest copy of each record.
+type newestVersions map[recordKey]int64
 
-// newestCopies finds these versions. No transaction writes a record twice, so two
+// findNewestVersions finds these versions. No transaction writes a record twice, so two
 // copies of one version are damage.
-func newestCopies(pages []LoadedPage) (copies, error) {
-	c := copies{}
+func findNewestVersions(pages []LoadedPage) (newestVersions, error) {
+	c := newestVersions{}
 	for _, p := range pages {
-		for _, k := range p.Value.keys() {
+		for _, k := range p.Value.recordKeys() {
 			if c[k] == p.Version {
 				return nil, corrupt(k.String(), "stands twice in revision %d", p.Version)
 			}
@@ -82,8 +82,8 @@
 	return c, nil
 }
 
-// keys tell what records a page has.
-func (v *PageValue) keys() []recordKey {
+// recordKeys tell what records a page has.
+func (v *PageValue) recordKeys() []recordKey {
 	var keys []recordKey
 	for _, r := range v.Jobs {
 		keys = append(keys, jobKey(r))
@@ -98,10 +98,10 @@
 		keys = append(keys, blockKey(r))
 	}
 	for _, r := range v.Terminal {
-		keys = append(keys, finalKey(r))
+		keys = append(keys, terminalKey(r))
 	}
 	for _, r := range v.Provisioning {
-		keys = append(keys, rentalKey(r))
+		keys = append(keys, provisioningKey(r))
 	}
 	if v.Options != "" {
 		keys = append(keys, optionsKey)
@@ -111,24 +111,24 @@
 
 var optionsKey = recordKey{kind: "options"}
 
-func (c copies) dropStale(p *LoadedPage) {
+func (c newestVersions) dropStale(p *LoadedPage) {
 	v := &p.Value
 	over := func(job string) bool { return c[recordKey{"final", job, 0}] > 0 }
-	v.Jobs = keep(p, v.Jobs, func(r JobRecord) bool { return c[jobKey(r)] == p.Version && !over(r.ID) })
-	v.Extensions = keep(p, v.Extensions, func(r JobExtension) bool { return c[extensionKey(r)] == p.Version && !over(r.Job) })
-	v.Prerequisites = keep(p, v.Prerequisites, func(r PrerequisitesRecord) bool {
+	v.Jobs = keepCurrent(p, v.Jobs, func(r JobRecord) bool { return c[jobKey(r)] == p.Version && !over(r.ID) })
+	v.Extensions = keepCurrent(p, v.Extensions, func(r JobExtension) bool { return c[extensionKey(r)] == p.Version && !over(r.Job) })
+	v.Prerequisites = keepCurrent(p, v.Prerequisites, func(r PrerequisitesRecord) bool {
 		return c[prerequisitesKey(r)] == p.Version && !over(r.Job)
 	})
-	v.Blocks = keep(p, v.Blocks, func(r BlockRecord) bool { return c[blockKey(r)] == p.Version })
-	v.Terminal = keep(p, v.Terminal, func(r TerminalRecord) bool { return c[finalKey(r)] == p.Version })
-	v.Provisioning = keep(p, v.Provisioning, func(r ProvisioningRecord) bool { return c[rentalKey(r)] == p.Version })
+	v.Blocks = keepCurrent(p, v.Blocks, func(r BlockRecord) bool { return c[blockKey(r)] == p.Version })
+	v.Terminal = keepCurrent(p, v.Terminal, func(r TerminalRecord) bool { return c[terminalKey(r)] == p.Version })
+	v.Provisioning = keepCurrent(p, v.Provisioning, func(r ProvisioningRecord) bool { return c[provisioningKey(r)] == p.Version })
 	if v.Options != "" && c[optionsKey] != p.Version {
 		v.Options, p.Stale = "", true
 	}
 }
 
-// keep leaves out what is stale, and notes that on the page.
-func keep[T any](p *LoadedPage, records []T, current func(T) bool) []T {
+// keepCurrent leaves out what is stale, and notes that on the page.
+func keepCurrent[T any](p *LoadedPage, records []T, current func(T) bool) []T {
 	before := len(records)
 	records = slices.DeleteFunc(records, func(r T) bool { return !current(r) })
 	p.Stale = p.Stale || len(records) < before
--- a/internal/storage/size.go
+++ b/internal/storage/record_size.go
@@ -5,10 +5,10 @@
 // Sizes of records in JSON, which is how the state service counts, never less than
 // the true ones.
 const (
-	intSize  = 21 // any integer, and the comma behind it
-	boolSize = 6
-	hostSize = 40  // a machine's name, at most
-	pageSize = 128 // the page's own braces, names and write id
+	maxIntegerSize     = 21 // any integer, and the comma behind it
+	boolSize           = 6
+	maxMachineNameSize = 40  // a machine's name, at most
+	pageOverhead       = 128 // the page's own braces, names and write id
 
 	// StartReservedSize is what a start is expected to take: a task and an attempt, a
 	// machine's name, a session.
@@ -47,13 +47,13 @@
 
 func integerSize(i int64) int { return len(strconv.FormatInt(i, 10)) + 1 }
 
-// bitsSize is the size of a set of so many bits.
-func bitsSize(bits int) int { return bits/4 + 8 }
+// bitmapSize is the size of a set of so many bits.
+func bitmapSize(bits int) int { return bits/4 + 8 }
 
 // ReservedSize is the space a job's description may take.
 func (r *JobRecord) ReservedSize(blocks int) int {
 	const brackets, bools, words, integers = 4, 5, 2, 3 // the words are the shape and the priority
-	n := brackets + bools*boolSize + words*2 + integers*intSize + bitsSize(blocks)
+	n := brackets + bools*boolSize + words*2 + integers*maxIntegerSize + bitmapSize(blocks)
 	for _, f := range []float64{r.CPUs, r.GPUs, r.MemoryGB, r.ImageGB, r.EstimatedRunS, r.CheckpointIntervalS, r.CheckpointDurationS, r.DeadlineS} {
 		n += floatSize(f)
 	}
@@ -96,7 +96,7 @@
 // BlockSize is the space that a block of so many tasks takes without its starts.
 func BlockSize(job string, tasks int) int {
 	const brackets = 6
-	return brackets + textSize(job) + 2*intSize + bitsSize(tasks)
+	return brackets + textSize(job) + 2*maxIntegerSize + bitmapSize(tasks)
 }
 
 // BlockReservedSize is the space that a block of so many tasks may take.
@@ -113,18 +113,18 @@
 // EncodedSize is the space that a rental takes as it is.
 func (r *ProvisioningRecord) EncodedSize() int {
 	const brackets = 5
-	return brackets + textSizes(r.RequestID, r.Type, r.Zone) + 2*boolSize + 2*intSize + textSizes(r.Machines...)
+	return brackets + textSizes(r.RequestID, r.Type, r.Zone) + 2*boolSize + 2*maxIntegerSize + textSizes(r.Machines...)
 }
 
 // ReservedSize is the space of a rental and its answer.
 func (r *ProvisioningRecord) ReservedSize() int {
-	return max(r.EncodedSize(), r.EncodedSize()+(r.Count-len(r.Machines))*hostSize)
+	return max(r.EncodedSize(), r.EncodedSize()+(r.Count-len(r.Machines))*maxMachineNameSize)
 }
 
-// recordedStart is the size by which blocks are cut. It is part of the format: jobs
+// blockStartSize is the size by which blocks are cut. It is part of the format: jobs
 // of earlier versions have their blocks cut by it.
-const recordedStart = 82
+const blockStartSize = 82
 
 // BlockTasks is how many tasks a block holds: as many as let it fill at most
 // half a page.
-func BlockTasks(pageBytes int) int { return max(4, min(64, pageBytes/2/recordedStart)) }
+func BlockTasks(pageBytes int) int { return max(4, min(64, pageBytes/2/blockStartSize)) }
--- a/internal/storage/split.go
+++ b/internal/storage/split.go
@@ -21,37 +21,37 @@
 func (s *Store) split(p *page, w *Write) {
 	most := max(1, s.limits.ChangesPerTxn-1) // the page itself takes a change
 	var fresh []*page
-	for len(fresh) < most && p.size() > s.limits.PageBytes && len(p.items) > 1 && !s.tooLarge(p) {
-		fresh = append(fresh, s.moveSome(p))
+	for len(fresh) < most && p.size() > s.limits.PageBytes && len(p.items) > 1 && !s.unwritable(p) {
+		fresh = append(fresh, s.moveItemsToNewPage(p))
 	}
 	fits := p.size() <= s.limits.PageBytes
-	if alone := s.limits.ChangesPerTxn == 1; alone || !fits && s.lowered {
+	if alone := s.limits.ChangesPerTxn == 1; alone || !fits && s.limitsLowered {
 		// The page stays dirty, and has its turn once the copies are committed.
-		w.pages, w.guard = fresh, p
+		w.pages, w.compareOnly = fresh, p
 		return
 	}
 	w.pages, w.Oversize = append([]*page{p}, fresh...), !fits
 }
 
-// tooLarge tells whether a page can't be written for now: what is left on it are items
+// unwritable tells whether a page can't be written for now: what is left on it are items
 // that grew under larger limits than are in force, each too large for a page. They have
 // to shrink first, as a job's tasks end.
-func (s *Store) tooLarge(p *page) bool {
-	if !s.lowered || p.size() <= s.limits.PageBytes {
+func (s *Store) unwritable(p *page) bool {
+	if !s.limitsLowered || p.size() <= s.limits.PageBytes {
 		return false
 	}
 	movable := func(item Item) bool { return item.EncodedSize() <= s.MaxItemSize() }
 	return len(p.items) == 1 || !slices.ContainsFunc(p.items, movable)
 }
 
-// moveSome fills a new page with items of another, last ones first. The waits stay
+// moveItemsToNewPage fills a new page with items of another, last ones first. The waits stay
 // with the old page: it is written by the same transaction or a later one.
-func (s *Store) moveSome(p *page) *page {
+func (s *Store) moveItemsToNewPage(p *page) *page {
 	fresh := s.newPage()
 	for i := len(p.items) - 1; i >= 0 && p.size() > s.limits.PageBytes; i-- {
 		item := p.items[i]
 		full := len(fresh.items) > 0 && fresh.reserved+s.reservedSize(item) > s.limits.PageBytes
-		if full || s.lowered && item.EncodedSize() > s.MaxItemSize() {
+		if full || s.limitsLowered && item.EncodedSize() > s.MaxItemSize() {
 			continue
 		}
 		p.items = slices.Delete(p.items, i, i+1)
@@ -65,32 +65,32 @@
 	return fresh
 }
 
-// splitAhead marks one page that is too large to be written again, the one that
+// scheduleSplit marks one page that is too large to be written again, the one that
 // was written longest ago first, when nothing else waits: large pages should be
 // gone before lower limits come.
-func (s *Store) splitAhead(now time.Duration) {
-	if !s.sorted {
-		s.sorted = true
-		s.unchecked = slices.Clone(s.pages)
-		slices.SortFunc(s.unchecked, func(a, b *page) int { return cmp.Compare(a.version, b.version) })
+func (s *Store) scheduleSplit(now time.Duration) {
+	if !s.candidatesSorted {
+		s.candidatesSorted = true
+		s.splitCandidates = slices.Clone(s.pages)
+		slices.SortFunc(s.splitCandidates, func(a, b *page) int { return cmp.Compare(a.version, b.version) })
 	}
-	if len(s.unchecked) == 0 || len(s.dirty) > 0 || len(s.writes) > 0 || s.budget.TokensAt(at(now)) < float64(s.budget.Burst())/2 {
+	if len(s.splitCandidates) == 0 || len(s.dirty) > 0 || len(s.writes) > 0 || s.budget.TokensAt(limiterTime(now)) < float64(s.budget.Burst())/2 {
 		return
 	}
-	for len(s.unchecked) > 0 {
-		p := s.unchecked[0]
+	for len(s.splitCandidates) > 0 {
+		p := s.splitCandidates[0]
 		if p.size() > s.limits.PageBytes && len(p.items) > 1 {
 			s.markPageDirty(now, p, nil)
 			return
 		}
-		s.unchecked = s.unchecked[1:]
+		s.splitCandidates = s.splitCandidates[1:]
 	}
 }
 
 // OversizedPages is how many pages may still have to be split ahead of lower limits.
 func (s *Store) OversizedPages() int {
 	n := 0
-	for _, p := range s.unchecked {
+	for _, p := range s.splitCandidates {
 		if p.size() > s.limits.PageBytes {
 			n++
 		}
--- a/internal/storage/split_test.go
+++ b/internal/storage/split_test.go
@@ -12,8 +12,8 @@
 	"oakpick/internal/rpc"
 )
 
-// keys is a state service's content, as far as pages go.
-type keys struct {
+// fakeStateService is a state service's content, as far as pages go.
+type fakeStateService struct {
 	t       *testing.T
 	values  map[string][]byte
 	version map[string]int64
@@ -23,7 +23,7 @@
 }
 
 // apply carries a transaction out, if its conditions hold and it is within the limits.
-func (k *keys) apply(w *Write) rpc.Outcome {
+func (k *fakeStateService) apply(w *Write) rpc.Outcome {
 	for _, c := range w.Txn.Then {
 		if sizeInJSON(k.t, c.Value) > k.limit || len(w.Txn.Then) > k.changes {
 			return rpc.Invalid
@@ -41,7 +41,7 @@
 	return rpc.OK
 }
 
-func (k *keys) entries() []protocol.Entry {
+func (k *fakeStateService) entries() []protocol.Entry {
 	var out []protocol.Entry
 	for _, key := range slices.Sorted(maps.Keys(k.values)) {
 		out = append(out, protocol.Entry{Key: key, Value: k.values[key], Version: k.version[key]})
@@ -49,8 +49,8 @@
 	return out
 }
 
-// finals reads what a new leader finds, and fails if a record is there twice.
-func (k *keys) finals() map[string]int64 {
+// terminalRecords reads what a new leader finds, and fails if a record is there twice.
+func (k *fakeStateService) terminalRecords() map[string]int64 {
 	pages, err := ReadPages(k.entries())
 	if err != nil {
 		k.t.Fatal(err)
@@ -67,22 +67,22 @@
 	return out
 }
 
-// record is an item whose records say how often it was changed.
-type record struct {
+// countedItem is an item whose records say how often it was changed.
+type countedItem struct {
 	name    string
 	changed int
 }
 
 const recordBytes = 60
 
-func (r *record) AppendTo(v *PageValue) {
+func (r *countedItem) AppendTo(v *PageValue) {
 	v.Terminal = append(v.Terminal, TerminalRecord{ID: r.name, Tasks: r.changed})
 }
-func (r *record) EncodedSize() int  { return recordBytes }
-func (r *record) ReservedSize() int { return recordBytes }
+func (r *countedItem) EncodedSize() int  { return recordBytes }
+func (r *countedItem) ReservedSize() int { return recordBytes }
 
 // load makes a store of what is stored, as a new leader does.
-func (k *keys) load(limits Limits, records map[string]*record) *Store {
+func (k *fakeStateService) load(limits Limits, records map[string]*countedItem) *Store {
 	s := NewStore(limits, fmt.Sprint("t", k.next), 100*time.Millisecond)
 	pages, err := ReadPages(k.entries())
 	if err != nil {
@@ -94,7 +94,7 @@
 			s.LoadStalePage(0, p.Number)
 		}
 		for _, f := range p.Value.Terminal {
-			records[f.ID] = &record{f.ID, f.Tasks}
+			records[f.ID] = &countedItem{f.ID, f.Tasks}
 			s.Load(p.Number, p.Version, records[f.ID])
 		}
 	}
@@ -104,7 +104,7 @@
 // A page that was written under larger limits is divided, before the lower ones come
 // or after. The leader ends after every single write, and its successor finds every
 // record exactly once and none older than what was committed.
-func TestLargePageIsDividedAndEveryRecordIsKept(t *testing.T) {
+func TestOversizedPageIsSplitWithoutLosingRecords(t *testing.T) {
 	const count = 120
 	for _, c := range []struct {
 		name        string
@@ -114,11 +114,11 @@
 	}{{"never lowered", 1000, 4, false}, {"lowered first, unknown", 0, 4, false}, {"lowered first, known", 0, 4, true},
 		{"lowered half way", 1, 4, false}, {"one change a transaction", 1000, 1, false}, {"two changes, lowered", 0, 2, true}} {
 		for ends := range 14 { // after so many writes
-			k := &keys{t: t, values: map[string][]byte{}, version: map[string]int64{}, limit: 8 << 10, changes: 8}
+			k := &fakeStateService{t: t, values: map[string][]byte{}, version: map[string]int64{}, limit: 8 << 10, changes: 8}
 			old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
 			want := map[string]int64{}
 			for i := range count {
-				r := &record{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))}
+				r := &countedItem{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))}
 				old.MarkDirty(0, r, nil)
 				want[r.name] = 0
 			}
@@ -126,7 +126,7 @@
 				t.Fatalf("%s: the old version's page: %+v", c.name, w)
 			}
 			limits := Limits{PageBytes(2), c.changes, 1000}
-			records := map[string]*record{}
+			records := map[string]*countedItem{}
 			s := k.load(limits, records)
 			known := c.knowsLimits
 			if known {
@@ -144,7 +144,7 @@
 				s.MarkDirty(now, changed, OnCommit(func() { committed = true }))
 				for w := s.NextWrite(now, term, true); w != nil; w = s.NextWrite(now, term, true) {
 					if written == ends { // the leader ends, and the next one reads
-						records = map[string]*record{}
+						records = map[string]*countedItem{}
 						s = k.load(limits, records)
 						if known {
 							s.SetLimitsLowered()
@@ -161,7 +161,7 @@
 							t.Fatalf("%s: refused for its size again", c.name)
 						}
 						known = true
-						records = map[string]*record{}
+						records = map[string]*countedItem{}
 						s = k.load(limits, records) // a new term
 						s.SetLimitsLowered()
 					default:
@@ -170,7 +170,7 @@
 					if committed {
 						want[changed.name] = int64(changed.changed)
 					}
-					got := k.finals()
+					got := k.terminalRecords()
 					for name, least := range want {
 						if is, ok := got[name]; !ok || is < least {
 							t.Fatalf("%s, ends after %d: %s is at %d (%t), committed was %d", c.name, ends, name, is, ok, least)
@@ -193,17 +193,17 @@
 
 // Large pages are divided ahead of the lower limits although nothing on them changes,
 // the one that was written longest ago first, and within the write budget.
-func TestLargePagesAreDividedAhead(t *testing.T) {
-	k := &keys{t: t, values: map[string][]byte{}, version: map[string]int64{}, limit: 8 << 10, changes: 8}
+func TestOversizedPagesAreSplitBeforeLimitsAreLowered(t *testing.T) {
+	k := &fakeStateService{t: t, values: map[string][]byte{}, version: map[string]int64{}, limit: 8 << 10, changes: 8}
 	old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
 	for i := range 600 {
-		old.MarkDirty(0, &record{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))}, nil)
+		old.MarkDirty(0, &countedItem{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))}, nil)
 	}
 	for w := old.NextWrite(0, term, true); w != nil; w = old.NextWrite(0, term, true) {
 		k.apply(w)
 		old.MarkCommitted(w, k.next)
 	}
-	s := k.load(Limits{PageBytes(2), 4, 10}, map[string]*record{})
+	s := k.load(Limits{PageBytes(2), 4, 10}, map[string]*countedItem{})
 	changes, done := 0, time.Duration(0)
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
 		for w := s.NextWrite(now, term, true); w != nil; w = s.NextWrite(now, term, true) {
@@ -220,14 +220,14 @@
 			done = now
 		}
 	}
-	if done == 0 || len(k.finals()) != 600 {
-		t.Errorf("%d pages are left, %d records", s.OversizedPages(), len(k.finals()))
+	if done == 0 || len(k.terminalRecords()) != 600 {
+		t.Errorf("%d pages are left, %d records", s.OversizedPages(), len(k.terminalRecords()))
 	}
 }
 
 // Of two copies the one on the page that was written last counts, for every kind of
 // record, and the end of a job more than any other record of it, wherever it is.
-func TestNewerCopyOfARecordCounts(t *testing.T) {
+func TestReadPagesKeepsNewestCopyOfEachRecord(t *testing.T) {
 	page := func(number int, version int64, v PageValue) protocol.Entry {
 		return protocol.Entry{Key: (&page{number: number}).key(), Version: version, Value: protocol.Encode(v)}
 	}
@@ -264,14 +264,14 @@
 
 // One record on a large page has grown beyond what any page may take now. The others on
 // it are written all the same, and so is this one once it has shrunk.
-func TestRecordTooLargeForAnyPageKeepsNoOtherBack(t *testing.T) {
+func TestOversizedRecordDoesNotBlockOthers(t *testing.T) {
 	s := NewStore(Limits{PageBytes(2), 4, 1000}, "t", 100*time.Millisecond)
-	k := &keys{t: t, values: map[string][]byte{}, version: map[string]int64{}, limit: 2 << 10, changes: 4}
-	large := &thing{strings.Repeat("x", 2900), 3000}
+	k := &fakeStateService{t: t, values: map[string][]byte{}, version: map[string]int64{}, limit: 2 << 10, changes: 4}
+	large := &testItem{strings.Repeat("x", 2900), 3000}
 	s.Load(0, 0, large)
-	var small []*record
+	var small []*countedItem
 	for i := range 20 {
-		small = append(small, &record{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))})
+		small = append(small, &countedItem{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))})
 		s.Load(0, 0, small[i])
 	}
 	s.SetLimitsLowered()
@@ -292,7 +292,7 @@
 	for _, r := range small {
 		s.MarkDirty(5*time.Second, r, OnCommit(func() { committed++ }))
 	}
-	s.MarkDirty(5*time.Second, &record{name: "another"}, OnCommit(func() { committed++ }))
+	s.MarkDirty(5*time.Second, &countedItem{name: "another"}, OnCommit(func() { committed++ }))
 	run(5 * time.Second)
 	if committed != 21 {
 		t.Errorf("%d of 21 small records were written", committed)
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -28,24 +28,24 @@
 	// Version is the revision that it was committed with.
 	Version int64
 
-	pages   []*page
-	guard   *page          // compared, but not written
-	archive []*ArchivePage // written, too
-	waiters [][]*CommitWaiter
-	sent    bool
-	retryAt time.Duration
+	pages        []*page
+	compareOnly  *page          // compared, but not written
+	archivePages []*ArchivePage // written, too
+	waiters      [][]*CommitWaiter
+	sent         bool
+	retryAt      time.Duration
 }
 
 // Key names a page that tells, by the write's id, whether the write was committed.
 func (w *Write) Key() string {
-	if len(w.archive) > 0 {
-		return w.archive[0].Key() // the other may be dropped
+	if len(w.archivePages) > 0 {
+		return w.archivePages[0].Key() // the other may be dropped
 	}
 	return w.pages[0].key()
 }
 
-// keys is how many the write changes.
-func (w *Write) keys() int { return len(w.pages) + len(w.archive) }
+// keyCount is how many the write changes.
+func (w *Write) keyCount() int { return len(w.pages) + len(w.archivePages) }
 
 // Limits are what the state service bears, now and after any change to come.
 type Limits struct {
@@ -58,28 +58,28 @@
 // page in two transactions at a time and never changes what a retry carries: a
 // copy of the first try that arrives late is then the same write or a failed one.
 type Store struct {
-	limits    Limits
-	budget    *rate.Limiter
-	pages     []*page
-	freeSpace freeSpaceIndex
-	pageOf    map[Item]*page
-	dirty     []*page
-	writes    []*Write
-	prefix    string
-	counter   int64
-	retry     time.Duration
-	resume    time.Duration  // no new transaction before, after a refusal
-	stalled   *time.Duration // when a transaction came to nothing and none was committed since
-	lowered   bool           // the state service has lowered its limits for certain
-
-	unchecked []*page // read at the take-over, not yet known to fit the limits
-	sorted    bool
+	limits        Limits
+	budget        *rate.Limiter
+	pages         []*page
+	freeSpace     freeSpaceIndex
+	pageOf        map[Item]*page
+	dirty         []*page
+	writes        []*Write
+	prefix        string
+	counter       int64
+	retryInterval time.Duration
+	resumeAt      time.Duration  // no new transaction before, after a refusal
+	stalledSince  *time.Duration // when a transaction came to nothing and none was committed since
+	limitsLowered bool           // the state service has lowered its limits for certain
+
+	splitCandidates  []*page // read at the take-over, not yet known to fit the limits
+	candidatesSorted bool
 }
 
 // NewStore makes an empty store. Writes are named by prefix and a counter.
 func NewStore(limits Limits, prefix string, retry time.Duration) *Store {
 	return &Store{
-		limits: limits, pageOf: map[Item]*page{}, prefix: prefix, retry: retry,
+		limits: limits, pageOf: map[Item]*page{}, prefix: prefix, retryInterval: retry,
 		budget: rate.NewLimiter(rate.Limit(limits.WritesPerS), burst(limits.WritesPerS)),
 	}
 }
@@ -94,7 +94,7 @@
 func burst(writesPerS float64) int { return max(1, int(writesPerS)) }
 
 // SetLimitsLowered notes that values above the limits to come are refused by now.
-func (s *Store) SetLimitsLowered() { s.lowered = true }
+func (s *Store) SetLimitsLowered() { s.limitsLowered = true }
 
 // Load notes items read from a page.
 func (s *Store) Load(number int, version int64, items ...Item) {
@@ -127,7 +127,7 @@
 func (s *Store) reservedSize(item Item) int { return min(item.ReservedSize(), s.MaxItemSize()) }
 
 // MaxItemSize is the most that one item may take.
-func (s *Store) MaxItemSize() int { return s.limits.PageBytes - pageSize }
+func (s *Store) MaxItemSize() int { return s.limits.PageBytes - pageOverhead }
 
 // Fits tells whether an item can be kept, whatever it grows to.
 func (s *Store) Fits(item Item) bool { return item.ReservedSize() <= s.MaxItemSize() }
@@ -173,7 +173,7 @@
 }
 
 func (s *Store) newPage() *page {
-	p := &page{number: len(s.pages), reserved: pageSize}
+	p := &page{number: len(s.pages), reserved: pageOverhead}
 	s.pages = append(s.pages, p)
 	s.updateFreeSpace(p)
 	return p
@@ -195,11 +195,11 @@
 }
 
 func (s *Store) markPageDirty(now time.Duration, p *page, w *CommitWaiter) {
-	patience := soonRetries
+	patience := deferredDelayRetries
 	if w != nil {
 		patience = w.maxDelayRetries
 	}
-	due := now + time.Duration(patience)*s.retry
+	due := now + time.Duration(patience)*s.retryInterval
 	if !p.dirty {
 		p.dirty, p.dirtySince, p.dueAt = true, now, due
 		s.dirty = append(s.dirty, p)
@@ -233,15 +233,15 @@
 	if due {
 		return w
 	}
-	if !more || len(s.writes) >= maxWrites || now < s.resume {
+	if !more || len(s.writes) >= maxWrites || now < s.resumeAt {
 		return nil
 	}
-	s.splitAhead(now)
-	w = s.collect(now)
+	s.scheduleSplit(now)
+	w = s.collectDirtyPages(now)
 	if w == nil {
 		return nil
 	}
-	s.seal(w, term)
+	s.buildTransaction(w, term)
 	return w
 }
 
@@ -255,7 +255,7 @@
 		if w.sent || now < w.retryAt {
 			continue
 		}
-		if !s.budget.AllowN(at(now), min(w.keys(), s.budget.Burst())) {
+		if !s.budget.AllowN(limiterTime(now), min(w.keyCount(), s.budget.Burst())) {
 			return nil, true
 		}
 		w.sent = true
@@ -264,18 +264,18 @@
 	return nil, false
 }
 
-// collect picks dirty pages for one transaction, by when they are due, and takes its
+// collectDirtyPages picks dirty pages for one transaction, by when they are due, and takes its
 // budget.
-func (s *Store) collect(now time.Duration) *Write {
-	if s.budget.TokensAt(at(now)) < 1 {
+func (s *Store) collectDirtyPages(now time.Duration) *Write {
+	if s.budget.TokensAt(limiterTime(now)) < 1 {
 		return nil // before anything is sorted or measured for it
 	}
 	slices.SortStableFunc(s.dirty, func(a, b *page) int { return cmp.Compare(a.dueAt, b.dueAt) })
 	w := &Write{sent: true}
-	most := min(s.limits.ChangesPerTxn, max(1, int(s.budget.TokensAt(at(now)))))
+	most := min(s.limits.ChangesPerTxn, max(1, int(s.budget.TokensAt(limiterTime(now)))))
 	left := protocol.MaxBody - txnOverhead
 	for _, p := range s.dirty {
-		if p.inFlight || s.tooLarge(p) {
+		if p.inFlight || s.unwritable(p) {
 			continue
 		}
 		size := p.size()
@@ -297,24 +297,24 @@
 			left -= need
 		}
 	}
-	if len(w.pages) == 0 || !s.budget.AllowN(at(now), min(len(w.pages), s.budget.Burst())) {
+	if len(w.pages) == 0 || !s.budget.AllowN(limiterTime(now), min(len(w.pages), s.budget.Burst())) {
 		return nil
 	}
 	return w
 }
 
-// seal writes the transaction down; from here on it never changes.
-func (s *Store) seal(w *Write, term protocol.Condition) {
+// buildTransaction writes the transaction down; from here on it never changes.
+func (s *Store) buildTransaction(w *Write, term protocol.Condition) {
 	s.counter++
 	w.ID = fmt.Sprintf("%s-%d", s.prefix, s.counter)
 	w.Txn.If = append(w.Txn.If, term)
-	if w.guard != nil {
-		w.Txn.If = append(w.Txn.If, protocol.Condition{Key: w.guard.key(), Version: w.guard.version})
-		s.setInFlight(w.guard, true)
+	if w.compareOnly != nil {
+		w.Txn.If = append(w.Txn.If, protocol.Condition{Key: w.compareOnly.key(), Version: w.compareOnly.version})
+		s.setInFlight(w.compareOnly, true)
 	}
 	for _, p := range w.pages {
 		w.Txn.If = append(w.Txn.If, protocol.Condition{Key: p.key(), Version: p.version})
-		if p.deleted = len(w.archive) > 0 && len(p.items) == 0; p.deleted {
+		if p.deleteOnCommit = len(w.archivePages) > 0 && len(p.items) == 0; p.deleteOnCommit {
 			w.Txn.Then = append(w.Txn.Then, protocol.Change{Delete: p.key()})
 		} else {
 			w.Txn.Then = append(w.Txn.Then, protocol.Change{Put: p.key(), Value: p.value(w.ID)})
@@ -323,25 +323,25 @@
 		p.dirty, p.waiters = false, nil
 		s.setInFlight(p, true)
 	}
-	w.fillArchive()
+	w.addArchivePages()
 	s.dirty = slices.DeleteFunc(s.dirty, func(p *page) bool { return !p.dirty })
 	s.writes = append(s.writes, w)
 }
 
-func at(now time.Duration) time.Time { return time.Unix(1, 0).Add(now) }
+func limiterTime(now time.Duration) time.Time { return time.Unix(1, 0).Add(now) }
 
 // MarkCommitted notes that a transaction was committed with a version.
 func (s *Store) MarkCommitted(w *Write, version int64) {
-	s.stalled = nil
+	s.stalledSince = nil
 	s.writes = slices.DeleteFunc(s.writes, func(x *Write) bool { return x == w })
-	if w.guard != nil {
-		s.setInFlight(w.guard, false)
+	if w.compareOnly != nil {
+		s.setInFlight(w.compareOnly, false)
 	}
 	w.Version = version
 	for _, p := range w.pages {
 		p.version = version
-		if p.deleted {
-			p.version, p.deleted = 0, false
+		if p.deleteOnCommit {
+			p.version, p.deleteOnCommit = 0, false
 		}
 		s.setInFlight(p, false)
 	}
@@ -358,20 +358,20 @@
 // one is sent again later. Nothing new is begun before that: a state service that
 // refuses writes beyond its rate must not be asked for more.
 func (s *Store) RetryLater(now time.Duration, w *Write) {
-	if s.stalled == nil {
-		s.stalled = &now
+	if s.stalledSince == nil {
+		s.stalledSince = &now
 	}
-	w.sent, w.retryAt = false, now+s.retry
-	s.resume = max(s.resume, w.retryAt)
+	w.sent, w.retryAt = false, now+s.retryInterval
+	s.resumeAt = max(s.resumeAt, w.retryAt)
 }
 
 // StalledFor is for how long transactions have come to nothing, refused or not answered,
 // with none committed in between.
 func (s *Store) StalledFor(now time.Duration) time.Duration {
-	if s.stalled == nil {
+	if s.stalledSince == nil {
 		return 0
 	}
-	return now - *s.stalled
+	return now - *s.stalledSince
 }
 
 // HasWritesInFlight tells whether a transaction is under way.
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -23,16 +23,16 @@
 	os.Exit(m.Run())
 }
 
-type thing struct {
+type testItem struct {
 	name string
 	size int
 }
 
-func (x *thing) AppendTo(v *PageValue) {
+func (x *testItem) AppendTo(v *PageValue) {
 	v.Terminal = append(v.Terminal, TerminalRecord{ID: x.name})
 }
-func (x *thing) EncodedSize() int  { return x.size }
-func (x *thing) ReservedSize() int { return x.size }
+func (x *testItem) EncodedSize() int  { return x.size }
+func (x *testItem) ReservedSize() int { return x.size }
 
 var term = protocol.Condition{Key: "leader", Version: 7}
 
@@ -40,11 +40,11 @@
 
 // Nothing is acknowledged before the write that carries it is committed, and
 // what comes meanwhile goes into the next one.
-func TestWaitsRunOnCommitOnly(t *testing.T) {
+func TestWaitersRunOnlyOnCommit(t *testing.T) {
 	b := newStore()
 	var done []string
 	note := func(s string) *CommitWaiter { return OnCommit(func() { done = append(done, s) }) }
-	x, y := &thing{"x", 50}, &thing{"y", 50}
+	x, y := &testItem{"x", 50}, &testItem{"y", 50}
 	b.MarkDirty(0, x, note("x"))
 	f := b.NextWrite(0, term, true)
 	if f == nil || len(f.Txn.Then) != 1 || f.Txn.If[0] != term {
@@ -75,9 +75,9 @@
 
 // A retry carries what the first try carried, under the same id: its copy may
 // still land, and must then be the same write.
-func TestRetryNeverChanges(t *testing.T) {
+func TestRetryRepeatsTheSameTransaction(t *testing.T) {
 	b := newStore()
-	x, y := &thing{"x", 50}, &thing{"y", 50}
+	x, y := &testItem{"x", 50}, &testItem{"y", 50}
 	b.MarkDirty(0, x, nil)
 	f := b.NextWrite(0, term, true)
 	first := fmt.Sprintf("%+v", protocol.Encode(f.Txn))
@@ -94,13 +94,13 @@
 }
 
 // A page that is in flight and changed again waits for the next write's commit.
-func TestOneWaitForSeveralPages(t *testing.T) {
+func TestWaiterRunsOnceAllItsPagesAreCommitted(t *testing.T) {
 	b := newStore()
 	n := 0
 	w := OnCommit(func() { n++ })
-	b.MarkDirty(0, &thing{"x", 800}, w)
-	b.MarkDirty(0, &thing{"y", 800}, w)
-	b.MarkDirty(0, &thing{"z", 800}, w) // three pages, two changes a transaction
+	b.MarkDirty(0, &testItem{"x", 800}, w)
+	b.MarkDirty(0, &testItem{"y", 800}, w)
+	b.MarkDirty(0, &testItem{"z", 800}, w) // three pages, two changes a transaction
 	for i := range 3 {
 		if f := b.NextWrite(time.Duration(i)*time.Second, term, true); f != nil {
 			b.MarkCommitted(f, int64(i+1))
@@ -114,11 +114,11 @@
 	}
 }
 
-func TestBudgetCountsKeys(t *testing.T) {
+func TestWriteBudgetCountsKeys(t *testing.T) {
 	b := newStore() // ten keys a second, ten at once
 	written := 0
 	for i := range 100 {
-		b.MarkDirty(0, &thing{fmt.Sprint(i), 800}, nil)
+		b.MarkDirty(0, &testItem{fmt.Sprint(i), 800}, nil)
 	}
 	for i := range 300 { // three seconds
 		if f := b.NextWrite(time.Duration(i)*10*time.Millisecond, term, true); f != nil {
@@ -133,7 +133,7 @@
 
 // What is reserved for a record is never less than the record takes, whatever
 // its names, so that a page never outgrows its limit.
-func TestReserveIsEnough(t *testing.T) {
+func TestReservedSizeCoversEncodedRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringN(0, 20, 40)
 		s := protocol.Submission{
@@ -147,7 +147,7 @@
 		full.Set(blocks)
 		r.CompletedBlocks, r.GangAttempt = full.Text(), 1<<60
 		v := PageValue{WriteID: "123456789-123456789", Jobs: []JobRecord{r}}
-		want := pageSize + r.ReservedSize(blocks)
+		want := pageOverhead + r.ReservedSize(blocks)
 		n := rapid.IntRange(1, 64).Draw(t, "block")
 		br := BlockRecord{Job: s.ID, Block: 1000, LastAttempt: 1 << 60, Done: strings.Repeat("f", n/4+2)}
 		for i := range n {
@@ -184,7 +184,7 @@
 	for _, lowered := range []bool{false, true} {
 		b := NewStore(Limits{PageBytes(1), 8, 10}, "t", 100*time.Millisecond)
 		for i := range 8 {
-			b.MarkDirty(0, &thing{fmt.Sprint("large", i), 800}, nil)
+			b.MarkDirty(0, &testItem{fmt.Sprint("large", i), 800}, nil)
 		}
 		large := b.NextWrite(0, term, true)
 		if large == nil || len(large.Txn.Then) != 8 {
@@ -196,7 +196,7 @@
 		}
 		sentAt, small := time.Duration(0), 0
 		for now := time.Duration(0); now < 10*time.Second && sentAt == 0; now += 20 * time.Millisecond {
-			b.MarkDirty(now, &thing{fmt.Sprint("small", now), 800}, nil)
+			b.MarkDirty(now, &testItem{fmt.Sprint("small", now), 800}, nil)
 			switch f := b.NextWrite(now, term, true); f {
 			case nil:
 			case large:
@@ -215,18 +215,18 @@
 // Many large pages wait, and a transaction may change more of them than fit its
 // size: each goes out in one that the state service takes. A value alone is
 // bounded by that size too.
-func TestTransactionsStayWithinTheirSize(t *testing.T) {
+func TestTransactionsStayWithinTheRequestLimit(t *testing.T) {
 	for _, valueKB := range []float64{8, 31, 64, 128} {
 		b := NewStore(Limits{PageBytes(valueKB), 32, 100}, "t", 100*time.Millisecond)
-		whole := &thing{"", PageBytes(valueKB) - pageSize}
-		if big := (&thing{"", PageBytes(valueKB)}); !b.Fits(whole) || b.Fits(big) {
+		whole := &testItem{"", PageBytes(valueKB) - pageOverhead}
+		if big := (&testItem{"", PageBytes(valueKB)}); !b.Fits(whole) || b.Fits(big) {
 			t.Fatalf("%v KiB: a page's worth fits %t, more %t", valueKB, b.Fits(whole), b.Fits(big))
 		}
 		const things = 40
 		landed := 0
 		for i := range things {
 			name := strings.Repeat("x", whole.size-100) + fmt.Sprint(i)
-			b.MarkDirty(0, &thing{name, whole.size}, OnCommit(func() { landed++ }))
+			b.MarkDirty(0, &testItem{name, whole.size}, OnCommit(func() { landed++ }))
 		}
 		most := 0
 		for i := range 20 * things {
@@ -248,9 +248,9 @@
 // Pages that a user waits for are written before those of starts, these before what nobody
 // waits for, and that before the ends of cancelled jobs, even if the others have been
 // waiting for a while already; but nothing waits for ever.
-func TestPagesThatSomebodyWaitsForAreWrittenFirst(t *testing.T) {
+func TestPagesAreWrittenByPriority(t *testing.T) {
 	s := NewStore(Limits{PageBytes(1), 1, 1}, "t", 100*time.Millisecond) // a key a second
-	s.MarkDirty(0, &thing{"first", 800}, nil)
+	s.MarkDirty(0, &testItem{"first", 800}, nil)
 	if w := s.NextWrite(0, term, true); w == nil {
 		t.Fatal("nothing to write")
 	} else {
@@ -258,15 +258,15 @@
 	}
 	var order []string
 	note := func(name string) func() { return func() { order = append(order, name) } }
-	s.MarkDirty(100*time.Millisecond, &thing{"background", 800}, OnBackgroundCommit(note("background")))
-	s.MarkDirty(100*time.Millisecond, &thing{"later", 800}, OnDeferredCommit(note("later")))
-	s.MarkDirty(100*time.Millisecond, &thing{"start", 800}, OnStartCommit(note("start")))
+	s.MarkDirty(100*time.Millisecond, &testItem{"background", 800}, OnBackgroundCommit(note("background")))
+	s.MarkDirty(100*time.Millisecond, &testItem{"later", 800}, OnDeferredCommit(note("later")))
+	s.MarkDirty(100*time.Millisecond, &testItem{"start", 800}, OnStartCommit(note("start")))
 	for i := range 4 {
 		now := 200*time.Millisecond + time.Duration(i)*300*time.Millisecond
-		s.MarkDirty(now, &thing{fmt.Sprint("soon", i), 800}, OnCommit(note(fmt.Sprint("soon", i))))
+		s.MarkDirty(now, &testItem{fmt.Sprint("soon", i), 800}, OnCommit(note(fmt.Sprint("soon", i))))
 	}
 	for i := range 4 { // these come long after, and the background has its turn before them
-		s.MarkDirty(11*time.Second, &thing{fmt.Sprint("last", i), 800}, OnCommit(note(fmt.Sprint("last", i))))
+		s.MarkDirty(11*time.Second, &testItem{fmt.Sprint("last", i), 800}, OnCommit(note(fmt.Sprint("last", i))))
 	}
 	for now := time.Second; now < 20*time.Second; now += 50 * time.Millisecond {
 		if w := s.NextWrite(now, term, true); w != nil {
@@ -280,12 +280,12 @@
 
 // After a refusal nothing new is sent before the refused write is due again: a state
 // service that refuses writes beyond its rate isn't asked for more.
-func TestNothingNewIsSentRightAfterARefusal(t *testing.T) {
+func TestNoNewTransactionBeforeTheRetryOfARefusedOne(t *testing.T) {
 	s := newStore()
-	s.MarkDirty(0, &thing{"refused", 800}, nil)
+	s.MarkDirty(0, &testItem{"refused", 800}, nil)
 	w := s.NextWrite(0, term, true)
 	s.RetryLater(0, w)
-	s.MarkDirty(0, &thing{"new", 800}, nil)
+	s.MarkDirty(0, &testItem{"new", 800}, nil)
 	if s.NextWrite(50*time.Millisecond, term, true) != nil {
 		t.Error("a new write was sent at once")
 	}
--- a/internal/storage/validate_test.go
+++ b/internal/storage/validate_test.go
@@ -14,7 +14,7 @@
 
 // Records that no version writes are refused with the record named, each for itself; what
 // they are made from is read.
-func TestRecordsThatNoVersionWritesAreRefused(t *testing.T) {
+func TestReadPagesRejectsCorruptRecords(t *testing.T) {
 	job := func(change func(*JobRecord)) PageValue {
 		r := JobRecord{ID: "wk-1", Tasks: 10, CPUs: 1}
 		change(&r)
@@ -66,7 +66,7 @@
 }
 
 // Records of blocks agree with the length of the job's blocks, or are refused.
-func TestBlocksAgreeWithTheirLength(t *testing.T) {
+func TestBlockRecordsMatchTheBlockLength(t *testing.T) {
 	const tasks, blockTasks = 20, 8 // 8, 8 and 4 tasks
 	bit := func(i int) (b Bitmap) { b.Set(i); return b }
 	start := func(task int) []StartRecord { return []StartRecord{{Task: task, Machine: "i-1"}} }
