--- /dev/null
+++ b/internal/storage/bitmap.go
@@ -0,0 +1,36 @@
+package storage
+
+import (
+	"encoding/hex"
+	"math/bits"
+)
+
+// Bitmap is a set of small numbers, written as hexadecimal text.
+type Bitmap []byte
+
+// Has tells whether i is in the set.
+func (b Bitmap) Has(i int) bool { return i>>3 < len(b) && b[i>>3]&(1<<(i&7)) != 0 }
+
+// Set adds i.
+func (b *Bitmap) Set(i int) {
+	for len(*b) <= i>>3 {
+		*b = append(*b, 0)
+	}
+	(*b)[i>>3] |= 1 << (i & 7)
+}
+
+// Len is one more than the largest number in the set; 0: it is empty.
+func (b Bitmap) Len() int {
+	for i := len(b) - 1; i >= 0; i-- {
+		if b[i] != 0 {
+			return i<<3 + bits.Len8(b[i])
+		}
+	}
+	return 0
+}
+
+// Text is the set's durable form.
+func (b Bitmap) Text() string { return hex.EncodeToString(b) }
+
+// ParseBitmap reads the durable form.
+func ParseBitmap(s string) (Bitmap, error) { return hex.DecodeString(s) }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -1,49 +1,9 @@
-// Package storage keeps what cannot be recomputed: its records, how they are
-// packed into versioned pages of the state service, the write budget, and the
-// client that carries them there.
-//
-// The records are read by every version that may run beside this one. Their types
-// only change by optional fields of PageValue that are absent while unused; the
-// order of a record's fields and the names in tags are part of the format.
 package storage
 
 import (
-	"encoding/hex"
-	"math/bits"
-
 	"oakpick/internal/protocol"
 )
 
-// Bitmap is a set of small numbers, written as hexadecimal text.
-type Bitmap []byte
-
-// Has tells whether i is in the set.
-func (b Bitmap) Has(i int) bool { return i>>3 < len(b) && b[i>>3]&(1<<(i&7)) != 0 }
-
-// Set adds i.
-func (b *Bitmap) Set(i int) {
-	for len(*b) <= i>>3 {
-		*b = append(*b, 0)
-	}
-	(*b)[i>>3] |= 1 << (i & 7)
-}
-
-// Len is one more than the largest number in the set; 0: it is empty.
-func (b Bitmap) Len() int {
-	for i := len(b) - 1; i >= 0; i-- {
-		if b[i] != 0 {
-			return i<<3 + bits.Len8(b[i])
-		}
-	}
-	return 0
-}
-
-// Text is the set's durable form.
-func (b Bitmap) Text() string { return hex.EncodeToString(b) }
-
-// ParseBitmap reads the durable form.
-func ParseBitmap(s string) (Bitmap, error) { return hex.DecodeString(s) }
-
 // StartRecord is a task that was started and may be on a machine.
 type StartRecord struct {
 	//lint:ignore U1000 read by the MessagePack library
--- a/internal/storage/split_test.go
+++ b/internal/storage/split_test.go
@@ -12,95 +12,6 @@
 	"oakpick/internal/rpc"
 )
 
-// fakeStateService is a state service's content, as far as pages go.
-type fakeStateService struct {
-	t       *testing.T
-	values  map[string][]byte
-	version map[string]int64
-	next    int64
-	limit   int // of a value
-	changes int // of a transaction
-}
-
-// apply carries a transaction out, if its conditions hold and it is within the limits.
-func (k *fakeStateService) apply(w *Write) rpc.Outcome {
-	for _, c := range w.Txn.Then {
-		if sizeInJSON(k.t, c.Value) > k.limit || len(w.Txn.Then) > k.changes {
-			return rpc.Invalid
-		}
-	}
-	for _, c := range w.Txn.If {
-		if c.Key != term.Key && k.version[c.Key] != c.Version {
-			return rpc.Conflict
-		}
-	}
-	k.next++
-	for _, c := range w.Txn.Then {
-		k.values[c.Put], k.version[c.Put] = protocol.Encode(c.Value), k.next
-	}
-	return rpc.OK
-}
-
-func (k *fakeStateService) entries() []protocol.Entry {
-	var out []protocol.Entry
-	for _, key := range slices.Sorted(maps.Keys(k.values)) {
-		out = append(out, protocol.Entry{Key: key, Value: k.values[key], Version: k.version[key]})
-	}
-	return out
-}
-
-// terminalRecords reads what a new leader finds, and fails if a record is there twice.
-func (k *fakeStateService) terminalRecords() map[string]int64 {
-	pages, err := ReadPages(k.entries())
-	if err != nil {
-		k.t.Fatal(err)
-	}
-	out := map[string]int64{}
-	for _, p := range pages {
-		for _, f := range p.Value.Terminal {
-			if _, ok := out[f.ID]; ok {
-				k.t.Fatalf("%s is on two pages, and both count", f.ID)
-			}
-			out[f.ID] = int64(f.Tasks)
-		}
-	}
-	return out
-}
-
-// countedItem is an item whose records say how often it was changed.
-type countedItem struct {
-	name    string
-	changed int
-}
-
-const recordBytes = 60
-
-func (r *countedItem) AppendTo(v *PageValue) {
-	v.Terminal = append(v.Terminal, TerminalRecord{ID: r.name, Tasks: r.changed})
-}
-func (r *countedItem) EncodedSize() int  { return recordBytes }
-func (r *countedItem) ReservedSize() int { return recordBytes }
-
-// load makes a store of what is stored, as a new leader does.
-func (k *fakeStateService) load(limits Limits, records map[string]*countedItem) *Store {
-	s := NewStore(limits, fmt.Sprint("t", k.next), 100*time.Millisecond)
-	pages, err := ReadPages(k.entries())
-	if err != nil {
-		k.t.Fatal(err)
-	}
-	for _, p := range pages {
-		s.Load(p.Number, p.Version)
-		if p.Stale {
-			s.LoadStalePage(0, p.Number)
-		}
-		for _, f := range p.Value.Terminal {
-			records[f.ID] = &countedItem{f.ID, f.Tasks}
-			s.Load(p.Number, p.Version, records[f.ID])
-		}
-	}
-	return s
-}
-
 // A page that was written under larger limits is divided, before the lower ones come
 // or after. The leader ends after every single write, and its successor finds every
 // record exactly once and none older than what was committed.
@@ -225,43 +136,6 @@
 	}
 }
 
-// Of two copies the one on the page that was written last counts, for every kind of
-// record, and the end of a job more than any other record of it, wherever it is.
-func TestReadPagesKeepsNewestCopyOfEachRecord(t *testing.T) {
-	page := func(number int, version int64, v PageValue) protocol.Entry {
-		return protocol.Entry{Key: (&page{number: number}).key(), Version: version, Value: protocol.Encode(v)}
-	}
-	pages, err := ReadPages([]protocol.Entry{
-		page(0, 5, PageValue{
-			Jobs: []JobRecord{{ID: "wk-1", Tasks: 1}, {ID: "wk-2", Tasks: 9}, {ID: "wk-3", Tasks: 1}}, Blocks: []BlockRecord{{Job: "wk-1", Block: 1, LastAttempt: 1}},
-			Provisioning: []ProvisioningRecord{{RequestID: "r", Count: 1}}, Options: "old", Extensions: []JobExtension{{Job: "wk-1", BlockTasks: 1}},
-		}),
-		page(1, 7, PageValue{
-			Jobs: []JobRecord{{ID: "wk-1", Tasks: 2}}, Blocks: []BlockRecord{{Job: "wk-1", Block: 1, LastAttempt: 2}, {Job: "wk-1", Block: 2}},
-			Provisioning: []ProvisioningRecord{{RequestID: "r", Count: 2}}, Options: "new", Extensions: []JobExtension{{Job: "wk-1", BlockTasks: 2}},
-		}),
-		page(2, 3, PageValue{Terminal: []TerminalRecord{{ID: "wk-2", Tasks: 9}}}), // older than the job's record
-	})
-	if err != nil || len(pages) != 3 {
-		t.Fatal(pages, err)
-	}
-	old, fresh, end := pages[0], pages[1], pages[2]
-	if !old.Stale || fresh.Stale || end.Stale {
-		t.Errorf("stale: %t, %t, %t", old.Stale, fresh.Stale, end.Stale)
-	}
-	v := old.Value
-	if len(v.Jobs) != 1 || v.Jobs[0].ID != "wk-3" || len(v.Blocks)+len(v.Provisioning)+len(v.Extensions) != 0 || v.Options != "" {
-		t.Errorf("of the older page counts %+v", v)
-	}
-	v = fresh.Value
-	if len(v.Jobs) != 1 || len(v.Blocks) != 2 || len(v.Provisioning) != 1 || len(v.Extensions) != 1 || v.Options != "new" {
-		t.Errorf("of the newer page counts %+v", v)
-	}
-	if len(end.Value.Terminal) != 1 {
-		t.Errorf("the end of a job does not count: %+v", end.Value)
-	}
-}
-
 // One record on a large page has grown beyond what any page may take now. The others on
 // it are written all the same, and so is this one once it has shrunk.
 func TestOversizedRecordDoesNotBlockOthers(t *testing.T) {
