--- a/internal/storage/record_size.go
+++ b/internal/storage/record_size.go
@@ -99,11 +99,6 @@
 	return brackets + textSize(job) + 2*maxIntegerSize + bitmapSize(tasks)
 }
 
-// BlockReservedSize is the space that a block of so many tasks may take.
-func BlockReservedSize(job string, tasks int) int {
-	return BlockSize(job, tasks) + tasks*StartReservedSize
-}
-
 // ReservedSize is the space of a finished job.
 func (r *TerminalRecord) ReservedSize() int {
 	const brackets = 3
--- a/internal/storage/record_size_test.go
+++ b/internal/storage/record_size_test.go
@@ -34,7 +34,7 @@
 			br.Starts = append(br.Starts, StartRecord{Task: i, Attempt: 99999, Machine: "i-000000000000001", Incarnation: 99999})
 		}
 		v.Blocks = append(v.Blocks, br)
-		want += BlockReservedSize(s.ID, n)
+		want += BlockSize(s.ID, n) + n*StartReservedSize
 		f := TerminalRecord{ID: s.ID, Cancelled: true, Tasks: 100000}
 		v.Terminal = append(v.Terminal, f)
 		want += f.ReservedSize()
--- a/internal/storage/split.go
+++ b/internal/storage/split.go
@@ -30,7 +30,7 @@
 		w.pages, w.compareOnly = fresh, p
 		return
 	}
-	w.pages, w.Oversize = append([]*page{p}, fresh...), !fits
+	w.pages = append([]*page{p}, fresh...)
 }
 
 // unwritable tells whether a page can't be written for now: what is left on it are items
--- a/internal/storage/write.go
+++ b/internal/storage/write.go
@@ -18,9 +18,6 @@
 type Write struct {
 	ID  string // in the value of every page that it writes
 	Txn protocol.Txn
-	// Oversize tells that a value is larger than the limits to come allow: the rest
-	// of a page that is being split.
-	Oversize bool
 	// Rejected tells that the state service called it malformed.
 	Rejected bool
 	// Version is the revision that it was committed with.
