--- a/internal/storage/archive_move.go
+++ b/internal/storage/archive_move.go
@@ -6,59 +6,59 @@
 	"oakpick/internal/protocol"
 )
 
-// MaxArchivePagesPerMove is how many pages of the archive one transaction can write beside a page of
-// records.
-func (s *Store) MaxArchivePagesPerMove() int {
-	return min(s.limits.ChangesPerTxn, s.budget.Burst()) - 1
-}
+// archivePagesPerTxn is how many pages of the archive fit one transaction, by their size.
+const archivePagesPerTxn = 8
 
-// MaxArchivePageSize is the most that a page of the archive may take: several go into one
-// transaction.
+// MaxArchivePageSize is the most bytes that a page of the archive may take: several go
+// into one transaction.
 func (s *Store) MaxArchivePageSize() int {
-	return min(s.limits.PageBytes, protocol.MaxBody/archivePagesPerTransaction)
+	return min(s.limits.PageBytes, protocol.MaxBody/archivePagesPerTxn)
 }
 
-const archivePagesPerTransaction = 8
+// MaxArchivePagesPerMove is how many pages of the archive one transaction can write beside
+// a page of records.
+func (s *Store) MaxArchivePagesPerMove() int {
+	return min(s.limits.ChangesPerTxn, s.budget.capacity()) - 1
+}
 
-// MaxArchiveBytesPerMove is what the pages of the archive that one transaction writes may take.
+// MaxArchiveBytesPerMove is the most that the pages of the archive that one transaction
+// writes may take, as the sum of their TransactionSize.
 func (s *Store) MaxArchiveBytesPerMove() int {
 	return protocol.MaxBody - txnOverhead - changeOverhead - s.limits.PageBytes
 }
 
-// TransactionSize is what the page takes of a transaction.
-func (p *ArchivePage) TransactionSize() int { return p.size() + changeOverhead }
-
-// Move makes the transaction that takes items off their page of records and writes pages of
-// the archive that have them: at any moment they are in one place or both. A page of records
-// that is empty then is dropped. It gives nothing if that can't be done now.
-func (s *Store) Move(now time.Duration, term protocol.Condition, items []Item, pages []*ArchivePage, wait *CommitWaiter) *Write {
+// Move builds the transaction that removes items, all of one page of records, and writes
+// the pages of the archive that have them instead: no reader ever finds them in neither
+// place. A page of records that is empty then is deleted. Move returns nil, and changes
+// nothing, if the transaction can't be sent now or would be too large.
+func (s *Store) Move(now time.Duration, term protocol.Condition, items []Item, pages []*ArchivePage, waiter *CommitWaiter) *Write {
 	p := s.pageOf[items[0]]
 	if p == nil || p.inFlight || !s.CanWrite(now, 1+len(pages)) {
 		return nil
 	}
-	rest := p.size()
+	remaining := p.size()
 	for _, item := range items {
-		rest -= item.EncodedSize()
+		remaining -= item.EncodedSize()
 	}
-	size := txnOverhead + rest + changeOverhead
+	size := txnOverhead + remaining + changeOverhead
 	for _, page := range pages {
 		size += page.TransactionSize()
 	}
-	if rest > s.limits.PageBytes || size > protocol.MaxBody {
-		return nil // the page has to be divided first, or fewer pages are to be written
+	if remaining > s.limits.PageBytes || size > protocol.MaxBody {
+		return nil // the page has to be split first, or fewer pages are to be written
 	}
 	for _, item := range items {
 		s.detach(p, item)
 	}
-	s.budget.AllowN(limiterTime(now), 1+len(pages))
-	wait.pending++
+	s.budget.take(now, 1+len(pages)) // CanWrite told that there is enough
+	waiter.pendingPages++
+	p.waiters = append(p.waiters, waiter)
 	w := &Write{sent: true, pages: []*page{p}, archivePages: pages}
-	p.waiters = append(p.waiters, wait)
 	s.buildTransaction(w, term)
 	return w
 }
 
-// addArchivePages adds the archive's pages to a transaction.
+// addArchivePages adds the conditions and changes for pages of the archive.
 func (w *Write) addArchivePages() {
 	for _, p := range w.archivePages {
 		w.Txn.If = append(w.Txn.If, protocol.Condition{Key: p.Key(), Version: p.Version})
--- a/internal/storage/archive_page.go
+++ b/internal/storage/archive_page.go
@@ -103,3 +103,7 @@
 	}
 	return pages
 }
+
+// TransactionSize is an upper bound of the bytes that writing the page takes of a
+// transaction.
+func (p *ArchivePage) TransactionSize() int { return p.size() + changeOverhead }
--- a/internal/storage/commit_waiter.go
+++ b/internal/storage/commit_waiter.go
@@ -1,14 +1,15 @@
 package storage
 
-// CommitWaiter runs a function once so many pages have been committed.
+// CommitWaiter runs a function once every page that it was handed in for is committed. Its
+// kind sets the priority of these pages. A waiter whose term ends first never runs.
 type CommitWaiter struct {
-	pending         int
+	pendingPages    int
 	onCommit        func()
-	maxDelayRetries int // by how many retry times its pages may be written after others
+	maxDelayRetries int
 }
 
-// By how many retry times a page may be written later than one that somebody waits for.
-// What comes to it meanwhile shares its write.
+// How much later than one that a user waits for a page is written, in retry intervals.
+// What changes on it meanwhile shares its write.
 const (
 	startDelayRetries          = 5
 	deferredDelayRetries       = 10
@@ -16,29 +17,37 @@
 	lowestPriorityDelayRetries = 100_000
 )
 
-// OnCommit makes a wait; it is handed to Touch for every page that it waits for. A
-// user's answer depends on it.
+// OnCommit returns a waiter of the highest priority: a user's answer depends on it. It is
+// handed to MarkDirty, Replace, Remove or Move for every page that it waits for.
 func OnCommit(then func()) *CommitWaiter { return &CommitWaiter{onCommit: then} }
 
-// OnStartCommit makes a wait that the start of a task depends on. The aims for starts are
-// seconds, and those for users' answers parts of one, so that answers go first.
+// OnStartCommit returns a waiter that the start of a task depends on. The objectives for
+// starts are seconds, those for users' answers fractions of one, so answers go first.
 func OnStartCommit(then func()) *CommitWaiter {
 	return &CommitWaiter{onCommit: then, maxDelayRetries: startDelayRetries}
 }
 
-// OnDeferredCommit makes a wait that nobody outside depends on: others go first.
+// OnDeferredCommit returns a waiter that nobody outside depends on: others go first.
 func OnDeferredCommit(then func()) *CommitWaiter {
 	return &CommitWaiter{onCommit: then, maxDelayRetries: deferredDelayRetries}
 }
 
-// OnBackgroundCommit makes a wait for something that a successor would conclude from
-// other records. It is written with what the budget leaves, for a while.
+// OnBackgroundCommit returns a waiter for something that a new leader would conclude from
+// other records. For a while it is written only with what the budget leaves.
 func OnBackgroundCommit(then func()) *CommitWaiter {
 	return &CommitWaiter{onCommit: then, maxDelayRetries: backgroundDelayRetries}
 }
 
-// OnLowestPriorityCommit makes a wait for what is written only when nothing else is to be, the
-// oldest first.
+// OnLowestPriorityCommit returns a waiter for pages that are written only when no other
+// page is dirty, the oldest first.
 func OnLowestPriorityCommit(then func()) *CommitWaiter {
 	return &CommitWaiter{onCommit: then, maxDelayRetries: lowestPriorityDelayRetries}
 }
+
+// pageCommitted runs the function if no other page is pending.
+func (w *CommitWaiter) pageCommitted() {
+	w.pendingPages--
+	if w.pendingPages == 0 {
+		w.onCommit()
+	}
+}
--- a/internal/storage/free_space.go
+++ b/internal/storage/free_space.go
@@ -1,19 +1,23 @@
 package storage
 
-// freeSpaceIndex finds the first page with so much room without looking at all pages: a tree of
-// the most room that any page below each node has.
+// noFreeSpace is the free space of a page that takes no items for now.
+const noFreeSpace = -1
+
+// freeSpaceIndex finds the first page with enough free space without scanning all pages.
+// It is a segment tree: each node has the maximum of the pages below it. The zero value is
+// an empty index.
 type freeSpaceIndex struct {
-	leaves  int // a power of two
-	maxFree []int
+	leaves  int   // a power of two
+	maxFree []int // of node i, whose children are 2i and 2i+1; the leaves are last
 }
 
-// set notes how much room a page has.
-func (x *freeSpaceIndex) set(page, room int) {
+// set notes how many bytes a page has free.
+func (x *freeSpaceIndex) set(page, free int) {
 	if page >= x.leaves {
 		x.grow(page + 1)
 	}
 	i := x.leaves + page
-	x.maxFree[i] = room
+	x.maxFree[i] = free
 	for i /= 2; i > 0; i /= 2 {
 		x.maxFree[i] = max(x.maxFree[2*i], x.maxFree[2*i+1])
 	}
@@ -34,10 +38,7 @@
 	}
 }
 
-// noFreeSpace is the room of a page that takes nothing for now.
-const noFreeSpace = -1
-
-// first is the first page with so much room; -1: none has.
+// first returns the first page that has at least size bytes free, or -1.
 func (x *freeSpaceIndex) first(size int) int {
 	if x.leaves == 0 || x.maxFree[1] < size {
 		return -1
--- a/internal/storage/page.go
+++ b/internal/storage/page.go
@@ -8,39 +8,59 @@
 	"oakpick/internal/protocol"
 )
 
-// RecordsPrefix is the prefix of every key but the leader's.
-const RecordsPrefix = "oakpick/facts/"
+const (
+	// RecordsPrefix is the prefix of every key that a new leader reads, its own key apart.
+	RecordsPrefix = "oakpick/facts/"
+	// PagePrefix is the prefix of the keys of pages.
+	PagePrefix = RecordsPrefix + "page/"
 
-// PagePrefix is the prefix of the pages' keys.
-const PagePrefix = RecordsPrefix + "page/"
+	maxPageNumber = 1 << 20
+)
 
-// Item is a record, or a few that belong together, kept on one page.
+// The state service counts a transaction in JSON, and takes no more of it than of
+// any request.
+const (
+	txnOverhead    = 256 // the condition on the leader's key and the braces around it all
+	changeOverhead = 192 // a page's condition, and its change without the value
+)
+
+// Item is a record, or a few that belong together, kept on one page. Items are compared
+// by identity: implementations are pointers.
 type Item interface {
 	// AppendTo adds the item's records to a page's value.
 	AppendTo(*PageValue)
-	// EncodedSize is at least what the records take now, as the state service counts.
+	// EncodedSize is an upper bound of what the records take now, in bytes as the
+	// state service counts.
 	EncodedSize() int
-	// ReservedSize is what the records are expected to grow to.
+	// ReservedSize is what the records are expected to grow to, in the same bytes.
 	ReservedSize() int
 }
 
-// page is one key of the state service and what belongs on it.
+// page is one key of the state service and the items stored under it.
 type page struct {
-	number         int
-	version        int64
-	items          []Item
-	reserved       int // what its items are expected to grow to
-	dirty          bool
-	inFlight       bool          // part of a transaction under way
-	deleteOnCommit bool          // by that transaction
-	dirtySince     time.Duration // it is dirty
-	dueAt          time.Duration // pages are written in this order
-	waiters        []*CommitWaiter
+	number  int
+	version int64 // the revision that last wrote it; 0: it does not exist
+	items   []Item
+	// reserved is what the items are expected to grow to, with the page's own overhead.
+	reserved int
+
+	dirty      bool
+	dirtySince time.Duration // if dirty
+	dueAt      time.Duration // if dirty; pages are written in this order
+	waiters    []*CommitWaiter
+
+	inFlight       bool // part of a transaction in flight
+	deleteOnCommit bool // by that transaction
 }
 
 func (p *page) key() string { return fmt.Sprintf("%s%06d", PagePrefix, p.number) }
 
-// size is at least what the page's value takes as it is now.
+// condition holds as long as nobody else has written the page.
+func (p *page) condition() protocol.Condition {
+	return protocol.Condition{Key: p.key(), Version: p.version}
+}
+
+// size is an upper bound of the bytes that the page's value takes now.
 func (p *page) size() int {
 	n := pageOverhead
 	for _, item := range p.items {
@@ -61,24 +81,17 @@
 	p.items = slices.DeleteFunc(p.items, func(x Item) bool { return x == item })
 }
 
-// PageNumber reads a page's number from its key.
+// PageNumber returns the number in a page's key, and false if it is the key of no page.
 func PageNumber(key string) (int, bool) {
 	var n int
-	if _, err := fmt.Sscanf(key, PagePrefix+"%d", &n); err != nil || n < 0 || n > 1<<20 {
+	if _, err := fmt.Sscanf(key, PagePrefix+"%d", &n); err != nil || n < 0 || n > maxPageNumber {
 		return 0, false
 	}
 	return n, true
 }
 
-// The state service counts a transaction in JSON, and takes no more of it than of
-// any request. txnOverhead is for the term's condition and the braces around it all,
-// changeOverhead for a page's condition, and its change without the value.
-const (
-	txnOverhead    = 256
-	changeOverhead = 192
-)
-
-// PageBytes is what a page may take: one value, as long as that fits a transaction.
+// PageBytes returns how many bytes a page may take, given the state service's limit of a
+// value in KiB: one value, as long as that fits a transaction.
 func PageBytes(valueKB float64) int {
 	return min(int(valueKB*1024), protocol.MaxBody-txnOverhead-changeOverhead)
 }
--- a/internal/storage/write.go
+++ b/internal/storage/write.go
@@ -2,59 +2,69 @@
 
 import (
 	"cmp"
-	"fmt"
 	"slices"
 	"time"
 
-	"oakpick/internal/config"
 	"oakpick/internal/protocol"
 )
 
-// maxWrites is how many transactions may be in flight at a time, each for pages of
-// its own. The state service's other calls keep two connections.
-const maxWrites = config.StateConnections - 2
-
-// Write is a transaction in flight.
+// Write is a transaction that writes pages. It is built once and never changes after
+// that, however often it is sent.
 type Write struct {
-	ID  string // in the value of every page that it writes
+	// ID is unique among the writes of all leaders. It is stored in every page that the
+	// transaction puts.
+	ID string
+	// Txn is the request to send.
 	Txn protocol.Txn
-	// Rejected tells that the state service called it malformed.
+	// Rejected is for the caller: the state service called the request malformed.
 	Rejected bool
-	// Version is the revision that it was committed with.
+	// Version is the revision of the commit; 0 until MarkCommitted.
 	Version int64
 
 	pages        []*page
-	compareOnly  *page          // compared, but not written
-	archivePages []*ArchivePage // written, too
+	compareOnly  *page // a condition of the transaction, but not changed by it
+	archivePages []*ArchivePage
 	waiters      [][]*CommitWaiter
-	sent         bool
-	retryAt      time.Duration
+	sent         bool          // and not answered yet
+	retryAt      time.Duration // if not sent
 }
 
-// Key names a page that tells, by the write's id, whether the write was committed.
+// Key returns the key of a page whose write id tells whether the transaction was
+// committed.
 func (w *Write) Key() string {
 	if len(w.archivePages) > 0 {
-		return w.archivePages[0].Key() // the other may be dropped
+		return w.archivePages[0].Key() // the page of records may be deleted
 	}
 	return w.pages[0].key()
 }
 
-// keyCount is how many the write changes.
+// keyCount is how many keys the transaction changes.
 func (w *Write) keyCount() int { return len(w.pages) + len(w.archivePages) }
 
-// NextWrite gives a transaction to send now, if any: conditional on the term's key and
-// on every page's version. Ask again until there is none. Unless more may begin,
-// only those already in flight are sent again.
-func (s *Store) NextWrite(now time.Duration, term protocol.Condition, more bool) *Write {
-	w, due := s.nextRetry(now)
-	if due {
+// addPage adds the condition and the change for a page of records.
+func (w *Write) addPage(p *page) {
+	condition := p.condition()
+	w.Txn.If = append(w.Txn.If, condition)
+	p.deleteOnCommit = len(w.archivePages) > 0 && len(p.items) == 0
+	if p.deleteOnCommit {
+		w.Txn.Then = append(w.Txn.Then, protocol.Change{Delete: condition.Key})
+	} else {
+		w.Txn.Then = append(w.Txn.Then, protocol.Change{Put: condition.Key, Value: p.value(w.ID)})
+	}
+}
+
+// NextWrite returns a transaction to send now, conditional on the leader's key (term) and
+// on every page's version, or nil. The caller asks again until it is nil. If
+// allowNew is false, only transactions in flight are returned, for their retry.
+func (s *Store) NextWrite(now time.Duration, term protocol.Condition, allowNew bool) *Write {
+	if w, due := s.inFlight.nextRetry(now, s.budget); due {
 		return w
 	}
-	if !more || len(s.writes) >= maxWrites || now < s.resumeAt {
+	if !allowNew || !s.inFlight.mayBegin(now) {
 		return nil
 	}
 	s.scheduleSplit(now)
-	w = s.collectDirtyPages(now)
+	w := s.collectDirtyPages(now)
 	if w == nil {
 		return nil
 	}
@@ -62,35 +72,26 @@
 	return w
 }
 
-// nextRetry gives the write to be sent again now. If it is due but the budget is
-// used up, it gives none, and nothing else may be sent either: newer writes must not
-// take the budget that this one waits for. Small ones would leave a large one waiting
-// for ever, and its pages with it. Nor may a budget that was lowered meanwhile be
-// less than it can ever have.
-func (s *Store) nextRetry(now time.Duration) (w *Write, due bool) {
-	for _, w := range s.writes {
-		if w.sent || now < w.retryAt {
-			continue
-		}
-		if !s.budget.AllowN(limiterTime(now), min(w.keyCount(), s.budget.Burst())) {
-			return nil, true
-		}
-		w.sent = true
-		return w, true
-	}
-	return nil, false
-}
-
-// collectDirtyPages picks dirty pages for one transaction, by when they are due, and takes its
-// budget.
+// collectDirtyPages picks dirty pages for one transaction, by when they are due, and
+// takes its budget.
 func (s *Store) collectDirtyPages(now time.Duration) *Write {
-	if s.budget.TokensAt(limiterTime(now)) < 1 {
+	available := s.budget.available(now)
+	if available < 1 {
 		return nil // before anything is sorted or measured for it
 	}
 	slices.SortStableFunc(s.dirty, func(a, b *page) int { return cmp.Compare(a.dueAt, b.dueAt) })
 	w := &Write{sent: true}
-	most := min(s.limits.ChangesPerTxn, max(1, int(s.budget.TokensAt(limiterTime(now)))))
-	left := protocol.MaxBody - txnOverhead
+	s.addDirtyPages(w, min(s.limits.ChangesPerTxn, max(1, int(available))))
+	if len(w.pages) == 0 || !s.budget.take(now, len(w.pages)) {
+		return nil
+	}
+	return w
+}
+
+// addDirtyPages adds as many pages as fit the transaction, or the parts of one page that
+// has to be split.
+func (s *Store) addDirtyPages(w *Write, maxPages int) {
+	remaining := protocol.MaxBody - txnOverhead
 	for _, p := range s.dirty {
 		if p.inFlight || s.unwritable(p) {
 			continue
@@ -100,55 +101,44 @@
 			if len(w.pages) > 0 {
 				continue // it needs a transaction of its own, and is the first of the next
 			}
-			if most < min(s.limits.ChangesPerTxn, s.budget.Burst()) {
-				return nil
+			if maxPages >= min(s.limits.ChangesPerTxn, s.budget.capacity()) {
+				s.split(p, w)
 			}
-			s.split(p, w)
-			break
+			return // without enough budget nothing may be sent before it
 		}
 		// The sum counts too: a transaction that is too large is refused each time
 		// it is sent again, and its pages would never be written.
-		need := max(size, p.reserved) + changeOverhead
-		if len(w.pages) < most && (need <= left || len(w.pages) == 0) {
+		needed := max(size, p.reserved) + changeOverhead
+		if len(w.pages) < maxPages && (needed <= remaining || len(w.pages) == 0) {
 			w.pages = append(w.pages, p)
-			left -= need
+			remaining -= needed
 		}
 	}
-	if len(w.pages) == 0 || !s.budget.AllowN(limiterTime(now), min(len(w.pages), s.budget.Burst())) {
-		return nil
-	}
-	return w
 }
 
-// buildTransaction writes the transaction down; from here on it never changes.
+// buildTransaction makes the request. From here on it never changes: a first try that
+// arrives after its retry is then the same transaction or one whose conditions fail.
 func (s *Store) buildTransaction(w *Write, term protocol.Condition) {
-	s.counter++
-	w.ID = fmt.Sprintf("%s-%d", s.prefix, s.counter)
+	s.inFlight.add(w)
 	w.Txn.If = append(w.Txn.If, term)
 	if w.compareOnly != nil {
-		w.Txn.If = append(w.Txn.If, protocol.Condition{Key: w.compareOnly.key(), Version: w.compareOnly.version})
+		w.Txn.If = append(w.Txn.If, w.compareOnly.condition())
 		s.setInFlight(w.compareOnly, true)
 	}
 	for _, p := range w.pages {
-		w.Txn.If = append(w.Txn.If, protocol.Condition{Key: p.key(), Version: p.version})
-		if p.deleteOnCommit = len(w.archivePages) > 0 && len(p.items) == 0; p.deleteOnCommit {
-			w.Txn.Then = append(w.Txn.Then, protocol.Change{Delete: p.key()})
-		} else {
-			w.Txn.Then = append(w.Txn.Then, protocol.Change{Put: p.key(), Value: p.value(w.ID)})
-		}
+		w.addPage(p)
 		w.waiters = append(w.waiters, p.waiters)
 		p.dirty, p.waiters = false, nil
 		s.setInFlight(p, true)
 	}
 	w.addArchivePages()
 	s.dirty = slices.DeleteFunc(s.dirty, func(p *page) bool { return !p.dirty })
-	s.writes = append(s.writes, w)
 }
 
-// MarkCommitted notes that a transaction was committed with a version.
+// MarkCommitted notes that a transaction was committed, with the revision that its pages
+// have now, and runs the waiters of which it was the last.
 func (s *Store) MarkCommitted(w *Write, version int64) {
-	s.stalledSince = nil
-	s.writes = slices.DeleteFunc(s.writes, func(x *Write) bool { return x == w })
+	s.inFlight.committed(w)
 	if w.compareOnly != nil {
 		s.setInFlight(w.compareOnly, false)
 	}
@@ -160,46 +150,38 @@
 		}
 		s.setInFlight(p, false)
 	}
-	for _, waits := range w.waiters {
-		for _, wait := range waits {
-			if wait.pending--; wait.pending == 0 {
-				wait.onCommit()
-			}
+	for _, waiters := range w.waiters {
+		for _, waiter := range waiters {
+			waiter.pageCommitted()
 		}
 	}
 }
 
-// RetryLater notes that a transaction wasn't executed, or that nobody knows: the same
-// one is sent again later. Nothing new is begun before that: a state service that
-// refuses writes beyond its rate must not be asked for more.
-func (s *Store) RetryLater(now time.Duration, w *Write) {
-	if s.stalledSince == nil {
-		s.stalledSince = &now
-	}
-	w.sent, w.retryAt = false, now+s.retryInterval
-	s.resumeAt = max(s.resumeAt, w.retryAt)
-}
+// RetryLater notes that a transaction was not executed, or that nobody knows: the same
+// one is sent again after the retry interval. No new one is begun before that: a state
+// service that refuses requests beyond its rate must not be asked for more.
+func (s *Store) RetryLater(now time.Duration, w *Write) { s.inFlight.retryLater(now, w) }
 
-// StalledFor is for how long transactions have come to nothing, refused or not answered,
-// with none committed in between.
+// StalledFor returns for how long transactions have failed, refused or not answered, with
+// none committed in between; 0 if the last one was committed.
 func (s *Store) StalledFor(now time.Duration) time.Duration {
-	if s.stalledSince == nil {
+	if s.inFlight.stalledSince == nil {
 		return 0
 	}
-	return now - *s.stalledSince
+	return now - *s.inFlight.stalledSince
 }
 
-// HasWritesInFlight tells whether a transaction is under way.
-func (s *Store) HasWritesInFlight() bool { return len(s.writes) > 0 }
-
-func limiterTime(now time.Duration) time.Time { return time.Unix(1, 0).Add(now) }
+// HasWritesInFlight tells whether a transaction was built and is not yet committed.
+func (s *Store) HasWritesInFlight() bool { return len(s.inFlight.writes) > 0 }
 
-// Idle tells whether the budget is at least half unused and nothing waits to be written.
+// Idle tells whether nothing waits to be written and at least half of the write budget
+// is unused.
 func (s *Store) Idle(now time.Duration) bool {
-	return len(s.dirty) == 0 && len(s.writes) == 0 && s.budget.TokensAt(limiterTime(now)) >= float64(s.budget.Burst())/2
+	return len(s.dirty) == 0 && !s.HasWritesInFlight() && s.budget.halfAvailable(now)
 }
 
-// CanWrite tells whether a transaction of so many keys could begin now.
+// CanWrite tells whether a new transaction that changes the given number of keys could
+// be sent now.
 func (s *Store) CanWrite(now time.Duration, keys int) bool {
-	return len(s.writes) < maxWrites && now >= s.resumeAt && s.budget.TokensAt(limiterTime(now)) >= float64(keys)
+	return s.inFlight.mayBegin(now) && s.budget.available(now) >= float64(keys)
 }
