--- a/internal/storage/bitmap.go
+++ b/internal/storage/bitmap.go
@@ -5,7 +5,8 @@
 	"math/bits"
 )
 
-// Bitmap is a set of small numbers, written as hexadecimal text.
+// Bitmap is a set of small non-negative integers, stored as hexadecimal text. The zero
+// value is the empty set.
 type Bitmap []byte
 
 // Has tells whether i is in the set.
@@ -19,7 +20,7 @@
 	(*b)[i>>3] |= 1 << (i & 7)
 }
 
-// Len is one more than the largest number in the set; 0: it is empty.
+// Len returns one more than the largest number in the set, or 0 if it is empty.
 func (b Bitmap) Len() int {
 	for i := len(b) - 1; i >= 0; i-- {
 		if b[i] != 0 {
@@ -29,8 +30,8 @@
 	return 0
 }
 
-// Text is the set's durable form.
+// Text returns the stored form.
 func (b Bitmap) Text() string { return hex.EncodeToString(b) }
 
-// ParseBitmap reads the durable form.
+// ParseBitmap decodes the stored form. Its error is that of hex.DecodeString.
 func ParseBitmap(s string) (Bitmap, error) { return hex.DecodeString(s) }
--- a/internal/storage/read.go
+++ b/internal/storage/read.go
@@ -10,16 +10,18 @@
 // LoadedPage is a page as it was read.
 type LoadedPage struct {
 	Number  int
-	Version int64
+	Version int64 // the revision that last wrote it
 	Value   PageValue
 	// Stale tells that records were left out of Value because a newer copy of them,
-	// or the end of their job, is on another page.
+	// or the terminal record of their job, is on another page.
 	Stale bool
 }
 
-// ReadPages decodes pages. While a page is being split, a record may be on two of
-// them: the copy on the page that was written last counts. The end of a job counts
-// more than any record of it that is not over.
+// ReadPages decodes and validates the pages among entries. While a page is being split, a
+// record may be on two of them: the copy on the page that was written last counts. The
+// terminal record of a job counts more than its other records, whichever is newer.
+//
+// The error wraps a *CorruptRecordError or that of the decoder, and names the key.
 func ReadPages(entries []protocol.Entry) ([]LoadedPage, error) {
 	var pages []LoadedPage
 	for _, entry := range entries {
@@ -36,98 +38,110 @@
 		}
 		pages = append(pages, p)
 	}
-	latest, err := findNewestVersions(pages)
+	newest, err := findNewestVersions(pages)
 	if err != nil {
 		return nil, err
 	}
 	for i := range pages {
-		latest.dropStale(&pages[i])
+		newest.dropStale(&pages[i])
 	}
 	return pages, nil
 }
 
-// recordKey tells records of one page apart, and finds their copies on others.
+// recordKind names the kind of a record in errors.
+type recordKind string
+
+const (
+	jobKind           recordKind = "job"
+	extensionKind     recordKind = "extension of job"
+	prerequisitesKind recordKind = "prerequisites of job"
+	blockKind         recordKind = "block of job"
+	terminalKind      recordKind = "terminal record of job"
+	provisioningKind  recordKind = "provisioning request"
+	optionsKind       recordKind = "options"
+)
+
+// recordKey identifies a record, and so its copies on other pages.
 type recordKey struct {
-	kind  string
-	name  string
-	block int
+	kind  recordKind
+	id    string
+	index int // of a block, or of a part of the prerequisites
 }
 
-func (k recordKey) String() string { return fmt.Sprintf("%s %s/%d", k.kind, k.name, k.block) }
+func (k recordKey) String() string { return fmt.Sprintf("%s %s/%d", k.kind, k.id, k.index) }
 
-func jobKey(r JobRecord) recordKey           { return recordKey{"job", r.ID, 0} }
-func extensionKey(r JobExtension) recordKey  { return recordKey{"extension", r.Job, 0} }
-func blockKey(r BlockRecord) recordKey       { return recordKey{"block", r.Job, r.Block} }
-func terminalKey(r TerminalRecord) recordKey { return recordKey{"final", r.ID, 0} }
+func jobKey(r JobRecord) recordKey          { return recordKey{jobKind, r.ID, 0} }
+func extensionKey(r JobExtension) recordKey { return recordKey{extensionKind, r.Job, 0} }
 func prerequisitesKey(r PrerequisitesRecord) recordKey {
-	return recordKey{"prerequisites", r.Job, r.Part}
+	return recordKey{prerequisitesKind, r.Job, r.Part}
 }
-func provisioningKey(r ProvisioningRecord) recordKey { return recordKey{"rental", r.RequestID, 0} }
-
-// newestVersions knows the version of the page that has the newest copy of each record.
-type newestVersions map[recordKey]int64
-
-// findNewestVersions finds these versions. No transaction writes a record twice, so two
-// copies of one version are damage.
-func findNewestVersions(pages []LoadedPage) (newestVersions, error) {
-	c := newestVersions{}
-	for _, p := range pages {
-		for _, k := range p.Value.recordKeys() {
-			if c[k] == p.Version {
-				return nil, corrupt(k.String(), "stands twice in revision %d", p.Version)
-			}
-			c[k] = max(c[k], p.Version)
-		}
-	}
-	return c, nil
+func blockKey(r BlockRecord) recordKey       { return recordKey{blockKind, r.Job, r.Block} }
+func terminalKey(r TerminalRecord) recordKey { return recordKey{terminalKind, r.ID, 0} }
+func provisioningKey(r ProvisioningRecord) recordKey {
+	return recordKey{provisioningKind, r.RequestID, 0}
 }
 
-// recordKeys tell what records a page has.
+var optionsKey = recordKey{kind: optionsKind}
+
+// recordKeys identify all records of a page.
 func (v *PageValue) recordKeys() []recordKey {
 	var keys []recordKey
-	for _, r := range v.Jobs {
-		keys = append(keys, jobKey(r))
-	}
-	for _, r := range v.Extensions {
-		keys = append(keys, extensionKey(r))
-	}
-	for _, r := range v.Prerequisites {
-		keys = append(keys, prerequisitesKey(r))
-	}
-	for _, r := range v.Blocks {
-		keys = append(keys, blockKey(r))
-	}
-	for _, r := range v.Terminal {
-		keys = append(keys, terminalKey(r))
-	}
-	for _, r := range v.Provisioning {
-		keys = append(keys, provisioningKey(r))
-	}
+	keys = appendKeys(keys, v.Jobs, jobKey)
+	keys = appendKeys(keys, v.Extensions, extensionKey)
+	keys = appendKeys(keys, v.Prerequisites, prerequisitesKey)
+	keys = appendKeys(keys, v.Blocks, blockKey)
+	keys = appendKeys(keys, v.Terminal, terminalKey)
+	keys = appendKeys(keys, v.Provisioning, provisioningKey)
 	if v.Options != "" {
 		keys = append(keys, optionsKey)
 	}
 	return keys
 }
 
-var optionsKey = recordKey{kind: "options"}
+func appendKeys[T any](keys []recordKey, records []T, key func(T) recordKey) []recordKey {
+	for _, r := range records {
+		keys = append(keys, key(r))
+	}
+	return keys
+}
+
+// newestVersions has, for each record, the version of the page with its newest copy.
+type newestVersions map[recordKey]int64
+
+// findNewestVersions fails if two copies have the same version: no transaction writes a
+// record twice.
+func findNewestVersions(pages []LoadedPage) (newestVersions, error) {
+	newest := newestVersions{}
+	for _, p := range pages {
+		for _, key := range p.Value.recordKeys() {
+			if newest[key] == p.Version {
+				return nil, corrupt(key.String(), "is stored twice in revision %d", p.Version)
+			}
+			newest[key] = max(newest[key], p.Version)
+		}
+	}
+	return newest, nil
+}
 
-func (c newestVersions) dropStale(p *LoadedPage) {
+// dropStale removes a page's outdated copies.
+func (n newestVersions) dropStale(p *LoadedPage) {
+	newest := func(key recordKey) bool { return n[key] == p.Version }
+	terminal := func(job string) bool { return n[recordKey{terminalKind, job, 0}] > 0 }
 	v := &p.Value
-	over := func(job string) bool { return c[recordKey{"final", job, 0}] > 0 }
-	v.Jobs = keepCurrent(p, v.Jobs, func(r JobRecord) bool { return c[jobKey(r)] == p.Version && !over(r.ID) })
-	v.Extensions = keepCurrent(p, v.Extensions, func(r JobExtension) bool { return c[extensionKey(r)] == p.Version && !over(r.Job) })
+	v.Jobs = keepCurrent(p, v.Jobs, func(r JobRecord) bool { return newest(jobKey(r)) && !terminal(r.ID) })
+	v.Extensions = keepCurrent(p, v.Extensions, func(r JobExtension) bool { return newest(extensionKey(r)) && !terminal(r.Job) })
 	v.Prerequisites = keepCurrent(p, v.Prerequisites, func(r PrerequisitesRecord) bool {
-		return c[prerequisitesKey(r)] == p.Version && !over(r.Job)
+		return newest(prerequisitesKey(r)) && !terminal(r.Job)
 	})
-	v.Blocks = keepCurrent(p, v.Blocks, func(r BlockRecord) bool { return c[blockKey(r)] == p.Version })
-	v.Terminal = keepCurrent(p, v.Terminal, func(r TerminalRecord) bool { return c[terminalKey(r)] == p.Version })
-	v.Provisioning = keepCurrent(p, v.Provisioning, func(r ProvisioningRecord) bool { return c[provisioningKey(r)] == p.Version })
-	if v.Options != "" && c[optionsKey] != p.Version {
+	v.Blocks = keepCurrent(p, v.Blocks, func(r BlockRecord) bool { return newest(blockKey(r)) })
+	v.Terminal = keepCurrent(p, v.Terminal, func(r TerminalRecord) bool { return newest(terminalKey(r)) })
+	v.Provisioning = keepCurrent(p, v.Provisioning, func(r ProvisioningRecord) bool { return newest(provisioningKey(r)) })
+	if v.Options != "" && !newest(optionsKey) {
 		v.Options, p.Stale = "", true
 	}
 }
 
-// keepCurrent leaves out what is stale, and notes that on the page.
+// keepCurrent removes the records that aren't current, and notes that on the page.
 func keepCurrent[T any](p *LoadedPage, records []T, current func(T) bool) []T {
 	before := len(records)
 	records = slices.DeleteFunc(records, func(r T) bool { return !current(r) })
