--- a/internal/rpc/outcome.go
+++ b/internal/rpc/outcome.go
@@ -13,40 +13,47 @@
 // Outcome is how a call to another component ended.
 type Outcome uint8
 
-// Outcomes. NotSent and Refused prove that nothing was executed; after Unknown it
-// may have been, or may yet be.
 const (
+	// OK means that the request was executed.
 	OK Outcome = iota
+	// Conflict means that a condition of the request did not hold.
 	Conflict
+	// NotFound means that there is no such thing.
 	NotFound
+	// Invalid means that the request was called malformed.
 	Invalid
+	// Refused means that the component did not execute the request because of its load.
 	Refused
+	// NotSent means that no connection was made: nothing was executed.
 	NotSent
+	// Unknown means that the request may have been executed, or may yet be.
 	Unknown
 )
 
-// DialError marks a connection that was never made: nothing was sent on it.
+// DialError tells that a connection was never made: nothing was sent on it.
 type DialError struct{ Err error }
 
 func (e *DialError) Error() string { return "dial: " + e.Err.Error() }
+
+// Unwrap returns the error of the network.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// Dial connects within a time, and marks failures as such.
-func Dial(wait time.Duration) fasthttp.DialFunc {
+// Dial returns a function that connects within the timeout. Its errors are *DialError.
+func Dial(timeout time.Duration) fasthttp.DialFunc {
 	return func(addr string) (net.Conn, error) {
-		c, err := net.DialTimeout("tcp4", addr, wait)
+		connection, err := net.DialTimeout("tcp4", addr, timeout)
 		if err != nil {
 			return nil, &DialError{err}
 		}
-		return c, nil
+		return connection, nil
 	}
 }
 
-// NeverRetry keeps the HTTP library from sending anything twice by itself: every
-// repeat is a decision of coordination, which has to know of it.
-func NeverRetry(*fasthttp.Request, int, error) (bool, bool) { return false, false }
+// NeverRetry is a RetryIfErr that keeps the HTTP library from sending anything twice by
+// itself: every retry is a decision of the controller, which has to know of it.
+func NeverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// OutcomeOfError tells whether a call that brought no answer was sent at all.
+// OutcomeOfError returns the outcome of a call that got no response.
 func OutcomeOfError(err error) Outcome {
 	var dial *DialError
 	if errors.As(err, &dial) || errors.Is(err, fasthttp.ErrNoFreeConns) {
@@ -55,6 +62,7 @@
 	return Unknown
 }
 
+// OutcomeOfStatus returns the outcome of a call by the HTTP status of its response.
 func OutcomeOfStatus(status int) Outcome {
 	switch status {
 	case fasthttp.StatusOK:
