--- a/internal/config/extensions.go
+++ b/internal/config/extensions.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// Extensions are what a file given by --extensions switches on. A section that is absent
-// switches nothing on.
+// Extensions are what a file given by --extensions enables. A section that is absent
+// enables nothing.
 type Extensions struct {
 	Distribution *Distribution `toml:"distribution"`
 }
@@ -22,21 +22,22 @@
 	// Connections is how many the listener holds; 0: a quarter of max_connections. They are
 	// taken from those of users and workers.
 	Connections int `toml:"connections" validate:"gte=0,lte=1000000"`
-	// InventoryIntervalS is the time between the inventories of an agent that fetches, IdleInventoryIntervalS
-	// between those of one that doesn't; 0: half of report_s, and twice that.
+	// InventoryIntervalS is the time between the inventories of an agent that fetches,
+	// IdleInventoryIntervalS between those of one that doesn't; 0: half of the workers'
+	// report_s, and twice that.
 	InventoryIntervalS     float64 `toml:"report_s" validate:"gte=0,lte=3600"`
 	IdleInventoryIntervalS float64 `toml:"idle_report_s" validate:"gte=0,lte=3600"`
 }
 
-// Ratios to the settings, where the file gives no figure.
+// Defaults of Distribution, as ratios to the settings.
 const (
-	trackerConnectionShare = 4   // of max_connections
-	trackerReportShare     = 0.5 // of report_s
-	trackerIdleShare       = 2   // of report_s
+	maxConnectionsPerTrackerConnection = 4
+	inventoryPerHeartbeatInterval      = 0.5
+	idleInventoryPerHeartbeatInterval  = 2
 )
 
-// LoadExtensions reads and checks a file of extensions and derives what it doesn't give. Its
-// error names every key at fault.
+// LoadExtensions reads and checks a file of extensions, fills in what it doesn't give, and
+// sets cfg's ExtensionSockets. The error joins a *FieldError for every key at fault.
 func LoadExtensions(path string, cfg *Config) (Extensions, error) {
 	var e Extensions
 	if err := LoadTOML(path, &e); err != nil {
@@ -45,31 +46,43 @@
 	if e.Distribution == nil {
 		return e, nil
 	}
-	d, s := e.Distribution, &cfg.Settings
+	e.Distribution.setDefaults(&cfg.Settings)
+	cfg.Settings.ExtensionSockets = e.Distribution.Connections
+	return e, e.Distribution.check(path, cfg)
+}
+
+func (d *Distribution) setDefaults(s *Settings) {
 	if d.Connections == 0 {
-		d.Connections = s.Limits.MaxConnections / trackerConnectionShare
+		d.Connections = s.Limits.MaxConnections / maxConnectionsPerTrackerConnection
 	}
 	if d.InventoryIntervalS == 0 {
-		d.InventoryIntervalS = s.Workers.HeartbeatIntervalS * trackerReportShare
+		d.InventoryIntervalS = s.Workers.HeartbeatIntervalS * inventoryPerHeartbeatInterval
 	}
 	if d.IdleInventoryIntervalS == 0 {
-		d.IdleInventoryIntervalS = s.Workers.HeartbeatIntervalS * trackerIdleShare
+		d.IdleInventoryIntervalS = s.Workers.HeartbeatIntervalS * idleInventoryPerHeartbeatInterval
 	}
+}
+
+// check finds the keys of the file that don't agree with each other or with the settings.
+func (d *Distribution) check(path string, cfg *Config) error {
 	var problems []error
+	report := func(key string, err error) {
+		problems = append(problems, &FieldError{File: path, Field: "distribution." + key, Err: err})
+	}
 	if d.IdleInventoryIntervalS < d.InventoryIntervalS {
-		problems = append(problems, fmt.Errorf("%s: distribution.idle_report_s: %g is less than report_s, %g", path, d.IdleInventoryIntervalS, d.InventoryIntervalS))
+		report("idle_report_s", fmt.Errorf("%g is less than report_s, %g", d.IdleInventoryIntervalS, d.InventoryIntervalS))
 	}
 	if _, port, err := net.SplitHostPort(cfg.PeerListen); err != nil || port == strconv.Itoa(d.Port) {
-		problems = append(problems, fmt.Errorf("%s: distribution.port: %d is that of cluster_listen", path, d.Port))
+		report("port", fmt.Errorf("%d is that of cluster_listen", d.Port))
 	}
-	s.ExtensionSockets = d.Connections
-	for _, p := range s.budgets() {
-		problems = append(problems, fmt.Errorf("%s: distribution.connections: %w", path, p))
+	if err := cfg.Settings.checkSockets(); err != nil {
+		report("connections", err)
 	}
-	return e, errors.Join(problems...)
+	return errors.Join(problems...)
 }
 
-// TrackerAddress is where a controller serves the tracker.
+// TrackerAddress returns the address at which a controller serves the tracker, given that
+// of cluster_listen.
 func (d *Distribution) TrackerAddress(clusterListen string) (string, error) {
 	host, _, err := net.SplitHostPort(clusterListen)
 	if err != nil {
--- a/internal/config/budget_test.go
+++ b/internal/config/sockets_test.go
@@ -12,25 +12,25 @@
 		{2590, 3, 1840, 200, 271}, {2356, 5, 1101, 300, 322}, {700, 3, 64, 100, 98}, {900, 3, 440, 100, 98}, {64, 3, 8, 4, 32},
 	} {
 		s := Settings{Size: x.size, Limits: Limits{MaxConnections: x.most, MemoryMB: x.mem}}
-		if p := s.budgets(); len(p) > 0 {
-			t.Fatal(p)
+		if err := s.checkSockets(); err != nil {
+			t.Fatal(err)
 		}
 		k := s.Sockets()
 		if front := x.workers + x.users; k.Frontend < front {
 			t.Errorf("%d sockets: %d for the front, which needs %d", x.most, k.Frontend, front)
 		}
 		for front := 0; front <= k.Frontend; front++ {
-			if n := k.CommandsNow(front); n < 1 || front+n+s.ownSockets() > x.most {
+			if n := k.CommandsNow(front); n < 1 || front+n+s.reservedSockets() > x.most {
 				t.Fatalf("%d sockets: %d for commands beside %d of the front", x.most, n, front)
 			}
 		}
 	}
 	s := Settings{Size: 3, Limits: Limits{MaxConnections: 100_000, MemoryMB: 64}}
-	if k := s.Sockets(); k.Frontend*connectionMemory > 32<<20 {
+	if k := s.Sockets(); k.Frontend*maxConnectionBytes > 32<<20 {
 		t.Errorf("%d connections of the front in 64 MB", k.Frontend)
 	}
 	s = Settings{Size: 5, Limits: Limits{MaxConnections: 48, MemoryMB: 64}}
-	if len(s.budgets()) == 0 {
+	if s.checkSockets() == nil {
 		t.Error("five controllers can't do with 48 sockets")
 	}
 }
