--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -2,104 +2,145 @@
 
 import (
 	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
 	"os"
 	"strings"
 	"testing"
 )
 
-func example(t *testing.T) map[string]any {
+// exampleSettings decodes the example of a settings file.
+func exampleSettings(t *testing.T) map[string]any {
 	t.Helper()
 	raw, err := os.ReadFile("../../testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m map[string]any
-	if err := json.Unmarshal(raw, &m); err != nil {
+	var file map[string]any
+	if err := json.Unmarshal(raw, &file); err != nil {
 		t.Fatal(err)
 	}
-	return m
+	return file
 }
 
-func parse(t *testing.T, m map[string]any) error {
+func parse(t *testing.T, file map[string]any) (*Config, error) {
 	t.Helper()
-	raw, err := json.Marshal(m)
+	raw, err := json.Marshal(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = Parse(raw)
-	return err
+	return Parse(raw)
 }
 
-func TestExampleIsInOrderAndUnknownFieldsAreIgnored(t *testing.T) {
-	m := example(t)
-	m["a_new_field"] = 1
-	if err := parse(t, m); err != nil {
+// section returns a section of the settings, named by its path.
+func section(file map[string]any, path ...string) map[string]any {
+	for _, name := range path {
+		file = file[name].(map[string]any)
+	}
+	return file
+}
+
+func TestExampleIsValidAndUnknownFieldsAreIgnored(t *testing.T) {
+	file := exampleSettings(t)
+	file["a_new_field"] = 1
+	if _, err := parse(t, file); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // Every problem is named, all at once, one a line.
 func TestAllProblemsAreNamed(t *testing.T) {
-	m := example(t)
-	delete(m, "front")
-	s := m["settings"].(map[string]any)
-	s["workers"].(map[string]any)["lease_s"] = -1
-	s["state"].(map[string]any)["value_kb"] = 1e9
-	s["teams"] = append(s["teams"].([]any), s["teams"].([]any)[0])
-	err := parse(t, m)
+	file := exampleSettings(t)
+	delete(file, "front")
+	section(file, "settings", "workers")["lease_s"] = -1
+	section(file, "settings", "state")["value_kb"] = 1e9
+	settings := section(file, "settings")
+	teams := settings["teams"].([]any)
+	settings["teams"] = append(teams, teams[0])
+	_, err := parse(t, file)
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("accepted")
 	}
 	for _, want := range []string{"front", "settings.workers.lease_s", "settings.state.value_kb", `"alpha" named twice`} {
-		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q isn't named in:\n%v", want, err)
-		}
+		t.Run(want, func(t *testing.T) {
+			if !strings.Contains(err.Error(), want) {
+				t.Errorf("not named in:\n%v", err)
+			}
+		})
+	}
+	if lines := strings.Split(err.Error(), "\n"); len(lines) != 4 {
+		t.Errorf("%d lines, want 4:\n%v", len(lines), err)
 	}
 }
 
-func TestWrongTypeAndNoJSON(t *testing.T) {
-	m := example(t)
-	m["settings"].(map[string]any)["size"] = "three"
-	if err := parse(t, m); err == nil || !strings.Contains(err.Error(), "settings.size") {
-		t.Errorf("got %v", err)
+func TestWrongTypeIsNamed(t *testing.T) {
+	file := exampleSettings(t)
+	section(file, "settings")["size"] = "three"
+	_, err := parse(t, file)
+	var problem *FieldError
+	if !errors.As(err, &problem) || problem.Field != "settings.size" || !strings.Contains(err.Error(), "settings.size") {
+		t.Errorf("error %v, want one for settings.size", err)
 	}
+}
+
+func TestTextThatIsNotJSONIsRejected(t *testing.T) {
 	if _, err := Parse([]byte("front = 1")); err == nil || !strings.Contains(err.Error(), "not JSON") {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v, want not JSON", err)
 	}
-	if _, err := Load("does-not-exist.json"); err == nil {
-		t.Error("a missing file was taken")
+}
+
+func TestMissingSettingsFileIsRejected(t *testing.T) {
+	if _, err := Load("does-not-exist.json"); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("error %v, want %v", err, fs.ErrNotExist)
 	}
 }
 
-// Limits to come are optional, each of them; impossible ones are named. What has to be
-// kept to is the smaller of both.
-func TestLimitsToCome(t *testing.T) {
-	with := func(next any) (*Config, error) {
-		m := example(t)
-		m["settings"].(map[string]any)["state"].(map[string]any)["next"] = next
-		raw, err := json.Marshal(m)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return Parse(raw)
-	}
-	c, err := with(nil)
+// withNext parses the example with the given announced limits of the state service.
+func withNext(t *testing.T, next any) (*Config, error) {
+	t.Helper()
+	file := exampleSettings(t)
+	section(file, "settings", "state")["next"] = next
+	return parse(t, file)
+}
+
+func TestAnnouncedLimitsAreOptional(t *testing.T) {
+	c, err := withNext(t, nil)
 	if err != nil || c.Settings.State.Smallest() != c.Settings.State {
 		t.Errorf("without any: %v", err)
 	}
-	c, err = with(map[string]any{"value_kb": 2.0, "write_rps": 100, "something": "new"})
+	c, err = withNext(t, map[string]any{"value_kb": 2.0, "write_rps": 100, "something": "new"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s := c.Settings.State.Smallest(); s.ValueKB != 2 || s.WriteRPS != 40 || s.TxnOps != 8 || s.RPS != 200 {
 		t.Errorf("the smaller of both are %+v", s)
 	}
-	for field, v := range map[string]any{"value_kb": 0, "txn_ops": 0, "write_rps": -1, "rps": 1e9} {
-		if _, err := with(map[string]any{field: v}); err == nil || !strings.Contains(err.Error(), "settings.state.next."+field) {
-			t.Errorf("%s %v: %v", field, v, err)
-		}
+}
+
+func TestImpossibleAnnouncedLimitsAreNamed(t *testing.T) {
+	for name, c := range map[string]struct {
+		next any
+		want string
+	}{
+		"value_kb":  {map[string]any{"value_kb": 0}, "settings.state.next.value_kb"},
+		"txn_ops":   {map[string]any{"txn_ops": 0}, "settings.state.next.txn_ops"},
+		"write_rps": {map[string]any{"write_rps": -1}, "settings.state.next.write_rps"},
+		"rps":       {map[string]any{"rps": 1e9}, "settings.state.next.rps"},
+		"a text":    {"soon", "settings.state.next"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := withNext(t, c.next)
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%v: error %v, want one for %s", c.next, err, c.want)
+			}
+		})
 	}
-	if _, err := with("soon"); err == nil || !strings.Contains(err.Error(), "settings.state.next") {
-		t.Errorf("a text: %v", err)
+}
+
+func TestFieldErrorNamesFileFieldAndCause(t *testing.T) {
+	err := error(&FieldError{File: "a.toml", Field: "b.c", Err: fmt.Errorf("%w: 9", errOutOfRange)})
+	if err.Error() != "a.toml: b.c: missing or out of range: 9" || !errors.Is(err, errOutOfRange) {
+		t.Errorf("error %v", err)
 	}
 }
--- a/internal/config/extensions_test.go
+++ b/internal/config/extensions_test.go
@@ -1,6 +1,8 @@
 package config
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"strings"
@@ -16,7 +18,8 @@
 	return cfg
 }
 
-func written(t *testing.T, text string) string {
+// writeExtensions writes a file of extensions and returns its path.
+func writeExtensions(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "extensions.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -25,7 +28,7 @@
 	return path
 }
 
-// The file under deploy is in order, and what it doesn't give follows from the settings. The
+// The file under deploy is valid, and what it doesn't give follows from the settings. The
 // connections that it takes are not given to users and workers as well.
 func TestExtensionsAreDerivedFromTheSettings(t *testing.T) {
 	cfg := exampleConfig(t)
@@ -34,40 +37,54 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := e.Distribution
-	if d.Connections != cfg.Settings.Limits.MaxConnections/4 || d.InventoryIntervalS != cfg.Settings.Workers.HeartbeatIntervalS/2 || d.IdleInventoryIntervalS != 2*cfg.Settings.Workers.HeartbeatIntervalS {
+	d, s := e.Distribution, cfg.Settings
+	if d.Connections != s.Limits.MaxConnections/4 || d.InventoryIntervalS != s.Workers.HeartbeatIntervalS/2 || d.IdleInventoryIntervalS != 2*s.Workers.HeartbeatIntervalS {
 		t.Errorf("%+v", d)
 	}
 	if after := cfg.Settings.Sockets().Frontend; after >= before {
-		t.Errorf("%d connections of the front, and %d with the tracker's beside them", before, after)
+		t.Errorf("%d connections of the API server, and %d with the tracker's beside them", before, after)
 	}
 	if address, err := d.TrackerAddress("10.0.0.1:8081"); err != nil || address != "10.0.0.1:8082" {
 		t.Errorf("%s %v", address, err)
 	}
-	if e, err := LoadExtensions(written(t, ""), exampleConfig(t)); err != nil || e.Distribution != nil {
-		t.Errorf("an empty file: %+v %v", e, err)
+}
+
+func TestEmptyFileEnablesNoExtension(t *testing.T) {
+	if e, err := LoadExtensions(writeExtensions(t, ""), exampleConfig(t)); err != nil || e.Distribution != nil {
+		t.Errorf("%+v %v", e, err)
 	}
 }
 
 // Every key that is unknown or out of range is named, all at once.
-func TestBadExtensionsAreNamed(t *testing.T) {
-	for text, wants := range map[string][]string{
-		"[distribution]\nport = 0\nstore_slots = 0\nslots = 3\n":                          {"distribution.port", "distribution.store_slots", "distribution.slots: unknown"},
-		"[weights]\nport = 1\n":                                                           {"weights: unknown"},
-		"[distribution]\nport = \"x\"\n":                                                  {"port"},
-		"[distribution]\nport = 8082\nstore_slots = 1\nreport_s = 9\nidle_report_s = 1\n": {"distribution.idle_report_s"},
-		"[distribution]\nport = 8082\nstore_slots = 1\nconnections = 1000000\n":           {"distribution.connections"},
-		"[distribution]\nport = 8081\nstore_slots = 1\n":                                  {"distribution.port"},
-		"[distribution": {"extensions.toml"},
+func TestInvalidExtensionsAreNamed(t *testing.T) {
+	for name, c := range map[string]struct {
+		text  string
+		wants []string
+	}{
+		"several keys": {
+			"[distribution]\nport = 0\nstore_slots = 0\nslots = 3\n",
+			[]string{"distribution.port", "distribution.store_slots", "distribution.slots: unknown"},
+		},
+		"unknown section":   {"[weights]\nport = 1\n", []string{"weights: unknown"}},
+		"wrong type":        {"[distribution]\nport = \"x\"\n", []string{"port"}},
+		"idle below active": {"[distribution]\nport = 8082\nstore_slots = 1\nreport_s = 9\nidle_report_s = 1\n", []string{"distribution.idle_report_s"}},
+		"too many sockets":  {"[distribution]\nport = 8082\nstore_slots = 1\nconnections = 1000000\n", []string{"distribution.connections"}},
+		"port in use":       {"[distribution]\nport = 8081\nstore_slots = 1\n", []string{"distribution.port"}},
+		"not TOML":          {"[distribution", []string{"extensions.toml"}},
 	} {
-		_, err := LoadExtensions(written(t, text), exampleConfig(t))
-		for _, want := range wants {
-			if err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%q: %q isn't in %v", text, want, err)
+		t.Run(name, func(t *testing.T) {
+			_, err := LoadExtensions(writeExtensions(t, c.text), exampleConfig(t))
+			for _, want := range c.wants {
+				if err == nil || !strings.Contains(err.Error(), want) {
+					t.Errorf("%q: %q isn't in %v", c.text, want, err)
+				}
 			}
-		}
+		})
 	}
-	if _, err := LoadExtensions("/nothing/there", exampleConfig(t)); err == nil {
-		t.Error("a file that isn't there is taken")
+}
+
+func TestMissingExtensionsFileIsRejected(t *testing.T) {
+	if _, err := LoadExtensions("/nothing/there", exampleConfig(t)); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("error %v, want %v", err, fs.ErrNotExist)
 	}
 }
--- a/internal/config/sockets_test.go
+++ b/internal/config/sockets_test.go
@@ -1,35 +1,46 @@
 package config
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
-// At 1.5 times the largest fleet seen there is less than two connections a
-// machine: the front has its place first, and commands share what it leaves.
-func TestSocketsAreSharedOut(t *testing.T) {
-	for _, x := range []struct {
-		most, size, workers, users int
-		mem                        float64
+// At 1.5 times the largest fleet seen there is less than two connections a machine: the
+// API server takes precedence, and commands share what it leaves.
+func TestSocketsCoverWorkersUsersAndCommands(t *testing.T) {
+	for _, c := range []struct {
+		maxConnections, size, workers, users int
+		memoryMB                             float64
 	}{
 		{2590, 3, 1840, 200, 271}, {2356, 5, 1101, 300, 322}, {700, 3, 64, 100, 98}, {900, 3, 440, 100, 98}, {64, 3, 8, 4, 32},
 	} {
-		s := Settings{Size: x.size, Limits: Limits{MaxConnections: x.most, MemoryMB: x.mem}}
-		if err := s.checkSockets(); err != nil {
-			t.Fatal(err)
-		}
-		k := s.Sockets()
-		if front := x.workers + x.users; k.Frontend < front {
-			t.Errorf("%d sockets: %d for the front, which needs %d", x.most, k.Frontend, front)
-		}
-		for front := 0; front <= k.Frontend; front++ {
-			if n := k.CommandsNow(front); n < 1 || front+n+s.reservedSockets() > x.most {
-				t.Fatalf("%d sockets: %d for commands beside %d of the front", x.most, n, front)
+		t.Run(fmt.Sprintf("%d connections", c.maxConnections), func(t *testing.T) {
+			s := Settings{Size: c.size, Limits: Limits{MaxConnections: c.maxConnections, MemoryMB: c.memoryMB}}
+			if err := s.checkSockets(); err != nil {
+				t.Fatal(err)
 			}
-		}
+			sockets := s.Sockets()
+			if needed := c.workers + c.users; sockets.Frontend < needed {
+				t.Errorf("%d for the API server, which needs %d", sockets.Frontend, needed)
+			}
+			for open := 0; open <= sockets.Frontend; open++ {
+				if n := sockets.CommandsNow(open); n < 1 || open+n+s.reservedSockets() > c.maxConnections {
+					t.Fatalf("%d for commands beside %d of the API server", n, open)
+				}
+			}
+		})
 	}
+}
+
+func TestSocketsFitHalfOfTheMemory(t *testing.T) {
 	s := Settings{Size: 3, Limits: Limits{MaxConnections: 100_000, MemoryMB: 64}}
-	if k := s.Sockets(); k.Frontend*maxConnectionBytes > 32<<20 {
-		t.Errorf("%d connections of the front in 64 MB", k.Frontend)
+	if sockets := s.Sockets(); sockets.Frontend*maxConnectionBytes > 32<<20 {
+		t.Errorf("%d connections of the API server in 64 MB", sockets.Frontend)
 	}
-	s = Settings{Size: 5, Limits: Limits{MaxConnections: 48, MemoryMB: 64}}
+}
+
+func TestTooFewSocketsAreRejected(t *testing.T) {
+	s := Settings{Size: 5, Limits: Limits{MaxConnections: 48, MemoryMB: 64}}
 	if s.checkSockets() == nil {
 		t.Error("five controllers can't do with 48 sockets")
 	}
@@ -40,13 +51,15 @@
 func TestSocketsHoldALargeFleet(t *testing.T) {
 	const workers, users = 4000, 500
 	for _, size := range []int{3, 5} {
-		s := Settings{Size: size, Limits: Limits{MaxConnections: 4900, MemoryMB: 225}}
-		k := s.Sockets()
-		if k.Frontend < workers+users {
-			t.Errorf("%d controllers: %d connections for %d workers and %d users", size, k.Frontend, workers, users)
-		}
-		if n := k.CommandsNow(workers + users); n < workers/20 {
-			t.Errorf("%d controllers: %d connections for commands", size, n)
-		}
+		t.Run(fmt.Sprintf("%d controllers", size), func(t *testing.T) {
+			s := Settings{Size: size, Limits: Limits{MaxConnections: 4900, MemoryMB: 225}}
+			sockets := s.Sockets()
+			if sockets.Frontend < workers+users {
+				t.Errorf("%d connections for %d workers and %d users", sockets.Frontend, workers, users)
+			}
+			if n := sockets.CommandsNow(workers + users); n < workers/20 {
+				t.Errorf("%d connections for commands", n)
+			}
+		})
 	}
 }
