--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,4 +1,4 @@
-// Package durable writes and renames files so that they outlive the end of the machine.
+// Package durable writes and renames files so that they survive a crash of the machine.
 package durable
 
 import (
@@ -12,7 +12,8 @@
 // NewSuffix ends the names of files that are being written by Replace.
 const NewSuffix = ".new"
 
-// Write writes a file, and returns once that is durable.
+// Write writes a file and returns its size in bytes once the content is durable. The name
+// need not be: see Rename.
 func Write(files afero.Fs, name string, content io.Reader) (size int64, err error) {
 	file, err := files.Create(name)
 	if err != nil {
@@ -22,19 +23,20 @@
 	return size, errors.Join(err, file.Sync(), file.Close())
 }
 
-// Rename moves a file within a file system, and returns once that is durable.
+// Rename moves a file within a file system, and returns once the new name is durable.
 func Rename(files afero.Fs, from, to string) error {
 	if err := files.Rename(from, to); err != nil {
 		return err
 	}
-	dir, err := files.Open(path.Dir(to))
+	directory, err := files.Open(path.Dir(to))
 	if err != nil {
 		return err
 	}
-	return errors.Join(dir.Sync(), dir.Close())
+	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// Replace writes a file in one step: whoever opens it finds the old content or the new.
+// Replace writes a file atomically: whoever opens it finds the old content or the new.
+// After an error a file with NewSuffix may be left.
 func Replace(files afero.Fs, name string, content io.Reader) error {
 	if _, err := Write(files, name+NewSuffix, content); err != nil {
 		return err
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -1,4 +1,4 @@
-// Package latency keeps histograms of times by name, and sums them up.
+// Package latency keeps histograms of durations by name, and summarizes them.
 package latency
 
 import (
@@ -8,41 +8,43 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Times go from a microsecond to ten minutes, to two digits. One beyond counts as the longest.
+// Histograms range from a microsecond to ten minutes, with two significant digits.
 const (
-	leastMicros, mostMicros = 1, 600_000_000
-	digits                  = 2
+	minMicros, maxMicros = 1, 600_000_000
+	significantDigits    = 2
 )
 
 // Recorder keeps a histogram for each name. It may be used by several goroutines.
 type Recorder struct {
-	mu    sync.Mutex
-	times map[string]*hdrhistogram.Histogram
+	mu         sync.Mutex
+	histograms map[string]*hdrhistogram.Histogram
 }
 
-// NewRecorder makes an empty one.
-func NewRecorder() *Recorder { return &Recorder{times: map[string]*hdrhistogram.Histogram{}} }
+// NewRecorder returns an empty recorder.
+func NewRecorder() *Recorder {
+	return &Recorder{histograms: map[string]*hdrhistogram.Histogram{}}
+}
 
-// Add records a time.
+// Add records a duration. One outside the range counts as the shortest or the longest.
 func (r *Recorder) Add(name string, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h := r.times[name]
+	h := r.histograms[name]
 	if h == nil {
-		h = hdrhistogram.New(leastMicros, mostMicros, digits)
-		r.times[name] = h
+		h = hdrhistogram.New(minMicros, maxMicros, significantDigits)
+		r.histograms[name] = h
 	}
-	_ = h.RecordValue(min(max(d.Microseconds(), leastMicros), mostMicros)) // always in range
+	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // always in range
 }
 
-// Reset forgets what was recorded.
+// Reset drops all histograms.
 func (r *Recorder) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	clear(r.times)
+	clear(r.histograms)
 }
 
-// Summary sums up times, in milliseconds.
+// Summary is the count of a histogram, its percentiles and its maximum, in milliseconds.
 type Summary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -51,14 +53,21 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Summaries are those of every name.
+// Summaries returns a summary for each name. The map is the caller's.
 func (r *Recorder) Summaries() map[string]Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := map[string]Summary{}
-	for name, h := range r.times {
-		ms := func(quantile float64) float64 { return float64(h.ValueAtQuantile(quantile)) / 1000 }
-		out[name] = Summary{h.TotalCount(), ms(50), ms(90), ms(99), float64(h.Max()) / 1000}
+	summaries := map[string]Summary{}
+	for name, h := range r.histograms {
+		summaries[name] = Summary{
+			Count: h.TotalCount(),
+			P50:   milliseconds(h.ValueAtQuantile(50)),
+			P90:   milliseconds(h.ValueAtQuantile(90)),
+			P99:   milliseconds(h.ValueAtQuantile(99)),
+			Max:   milliseconds(h.Max()),
+		}
 	}
-	return out
+	return summaries
 }
+
+func milliseconds(micros int64) float64 { return float64(micros) / 1000 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging makes the programs' loggers.
+// Package logging creates the programs' loggers.
 package logging
 
 import (
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// levelVariable names the environment variable that says how much is logged.
+// levelVariable names the environment variable with the least severe level that is logged.
 const levelVariable = "LOG_LEVEL"
 
-// New makes a logger that writes lines of key=value, as much as LOG_LEVEL says: error, info
-// (the default) or debug.
+// New returns a logger that writes lines of key=value from the level of LOG_LEVEL on: error,
+// info (the default) or debug.
 func New(w io.Writer) *slog.Logger {
 	level := slog.LevelInfo
 	switch strings.ToLower(os.Getenv(levelVariable)) {
@@ -25,9 +25,10 @@
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))
 }
 
-// Fail writes what has ended a program, a line for each problem.
+// Fail writes the error that ends a program, a line for each of the errors that it joins.
 func Fail(w io.Writer, program string, err error) {
 	for line := range strings.SplitSeq(err.Error(), "\n") {
-		fmt.Fprintf(w, "%s: %s\n", program, line)
+		// The program ends: an error of this write has nowhere to go.
+		_, _ = fmt.Fprintf(w, "%s: %s\n", program, line)
 	}
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry decides when something that has failed is tried again: ever later, up to a
-// bound, and at times drawn apart, so that what failed together isn't tried again together.
-// It reads no clock and draws nothing by itself.
+// Package retry computes when something that failed is tried again: exponential backoff
+// up to a bound, with jitter, so that what failed together isn't retried together. It
+// reads no clock and has no random source of its own.
 package retry
 
 import (
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// Policy says how the waits between tries grow.
+// Policy is an exponential backoff: the wait doubles with every failure in a row.
 type Policy struct {
 	First time.Duration // after the first failure
-	Most  time.Duration // at most
-	// Jitter is by what part of itself a wait may be longer or shorter.
+	Most  time.Duration // upper bound, before jitter
+	// Jitter is by what fraction of itself a wait may be longer or shorter.
 	Jitter float64
 }
 
-// Wait is how long to wait after so many failures in a row.
+// Wait returns how long to wait after the given number of failures in a row; 0 if there is
+// none.
 func (p Policy) Wait(failures int, random *rand.Rand) time.Duration {
 	if failures <= 0 {
 		return 0
@@ -29,5 +30,6 @@
 		wait *= 2
 	}
 	wait = min(wait, p.Most)
-	return wait + time.Duration((2*random.Float64()-1)*p.Jitter*float64(wait))
+	jitter := (2*random.Float64() - 1) * p.Jitter // uniform in [-Jitter, Jitter)
+	return wait + time.Duration(jitter*float64(wait))
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -1,36 +1,36 @@
 package retry
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
 )
 
-func TestWaitsDoubleUpToABound(t *testing.T) {
+func TestWaitDoublesUpToABound(t *testing.T) {
 	p := Policy{First: time.Second, Most: 10 * time.Second}
 	random := rand.New(rand.NewPCG(1, 2))
-	for failures, want := range []time.Duration{0, 1, 2, 4, 8, 10, 10} {
-		if got := p.Wait(failures, random); got != want*time.Second {
-			t.Errorf("after %d failures %v, not %v", failures, got, want*time.Second)
-		}
-	}
-	if got := p.Wait(1_000_000, random); got != p.Most {
-		t.Errorf("after a million failures %v", got)
+	for failures, want := range map[int]time.Duration{0: 0, 1: 1, 2: 2, 3: 4, 4: 8, 5: 10, 6: 10, 1_000_000: 10} {
+		t.Run(fmt.Sprintf("%d failures", failures), func(t *testing.T) {
+			if got := p.Wait(failures, random); got != want*time.Second {
+				t.Errorf("wait %v, want %v", got, want*time.Second)
+			}
+		})
 	}
 }
 
-func TestWaitsAreDrawnApart(t *testing.T) {
+func TestWaitsAreSpreadByJitter(t *testing.T) {
 	p := Policy{First: time.Second, Most: 8 * time.Second, Jitter: 0.25}
 	random := rand.New(rand.NewPCG(1, 2))
 	least, most := time.Hour, time.Duration(0)
 	for range 1000 {
-		w := p.Wait(9, random)
-		least, most = min(least, w), max(most, w)
+		wait := p.Wait(9, random)
+		least, most = min(least, wait), max(most, wait)
 	}
 	if least < 6*time.Second || most > 10*time.Second {
 		t.Errorf("between %v and %v, outside a quarter of 8 s", least, most)
 	}
 	if most-least < 3*time.Second {
-		t.Errorf("between %v and %v: hardly drawn apart", least, most)
+		t.Errorf("between %v and %v: hardly spread", least, most)
 	}
 }
