--- a/internal/storage/commit_waiter_test.go
+++ b/internal/storage/commit_waiter_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 )
@@ -9,88 +10,90 @@
 // Nothing is acknowledged before the write that carries it is committed, and
 // what comes meanwhile goes into the next one.
 func TestWaitersRunOnlyOnCommit(t *testing.T) {
-	b := newStore()
-	var done []string
-	note := func(s string) *CommitWaiter { return OnCommit(func() { done = append(done, s) }) }
+	s := newStore()
+	var acknowledged []string
+	acknowledge := func(name string) *CommitWaiter {
+		return OnCommit(func() { acknowledged = append(acknowledged, name) })
+	}
 	x, y := &testItem{"x", 50}, &testItem{"y", 50}
-	b.MarkDirty(0, x, note("x"))
-	f := b.NextWrite(0, term, true)
-	if f == nil || len(f.Txn.Then) != 1 || f.Txn.If[0] != term {
-		t.Fatalf("got %+v", f)
+	s.MarkDirty(0, x, acknowledge("x"))
+	first := s.NextWrite(0, term, true)
+	if first == nil || len(first.Txn.Then) != 1 || first.Txn.If[0] != term {
+		t.Fatalf("got %+v", first)
 	}
-	b.MarkDirty(0, x, note("x again"))
-	if b.NextWrite(0, term, true) != nil {
+	s.MarkDirty(0, x, acknowledge("x again"))
+	if s.NextWrite(0, term, true) != nil {
 		t.Fatal("one page in two writes at once")
 	}
-	b.MarkDirty(0, y, note("y")) // on a page of its own, so it needn't wait
-	g := b.NextWrite(0, term, true)
-	if g == nil || g.Key() == f.Key() {
-		t.Fatalf("got %+v", g)
+	s.MarkDirty(0, y, acknowledge("y")) // on a page of its own, so it needn't wait
+	second := s.NextWrite(0, term, true)
+	if second == nil || second.Key() == first.Key() {
+		t.Fatalf("got %+v", second)
 	}
-	if len(done) != 0 {
-		t.Fatalf("%v acknowledged before the commit", done)
+	if len(acknowledged) != 0 {
+		t.Fatalf("%v acknowledged before the commit", acknowledged)
 	}
-	b.MarkCommitted(g, 8)
-	b.MarkCommitted(f, 9)
-	if fmt.Sprint(done) != "[y x]" {
-		t.Fatalf("acknowledged %v", done)
+	s.MarkCommitted(second, 8)
+	s.MarkCommitted(first, 9)
+	if want := []string{"y", "x"}; !slices.Equal(acknowledged, want) {
+		t.Fatalf("acknowledged %v, want %v", acknowledged, want)
 	}
-	f = b.NextWrite(0, term, true)
-	if f == nil || f.Txn.If[1].Version != 9 || len(f.Txn.Then) != 1 {
-		t.Fatalf("got %+v", f)
+	third := s.NextWrite(0, term, true)
+	if third == nil || third.Txn.If[1].Version != 9 || len(third.Txn.Then) != 1 {
+		t.Fatalf("got %+v", third)
 	}
 }
 
-// A page that is in flight and changed again waits for the next write's commit.
 func TestWaiterRunsOnceAllItsPagesAreCommitted(t *testing.T) {
-	b := newStore()
-	n := 0
-	w := OnCommit(func() { n++ })
-	b.MarkDirty(0, &testItem{"x", 800}, w)
-	b.MarkDirty(0, &testItem{"y", 800}, w)
-	b.MarkDirty(0, &testItem{"z", 800}, w) // three pages, two changes a transaction
+	s := newStore()
+	runs := 0
+	waiter := OnCommit(func() { runs++ })
+	for _, name := range []string{"x", "y", "z"} { // three pages, two changes a transaction
+		s.MarkDirty(0, &testItem{name, 800}, waiter)
+	}
 	for i := range 3 {
-		if f := b.NextWrite(time.Duration(i)*time.Second, term, true); f != nil {
-			b.MarkCommitted(f, int64(i+1))
+		if w := s.NextWrite(time.Duration(i)*time.Second, term, true); w != nil {
+			s.MarkCommitted(w, int64(i+1))
 		}
-		if i == 0 && n != 0 {
+		if i == 0 && runs != 0 {
 			t.Fatal("ran after the first of two writes")
 		}
 	}
-	if n != 1 {
-		t.Fatalf("ran %d times", n)
+	if runs != 1 {
+		t.Fatalf("ran %d times", runs)
 	}
 }
 
 // Pages that a user waits for are written before those of starts, these before what nobody
-// waits for, and that before the ends of cancelled jobs, even if the others have been
-// waiting for a while already; but nothing waits for ever.
+// waits for, and that before background work such as the terminal records of cancelled jobs,
+// even if the others have been waiting for a while already; but nothing waits for ever.
 func TestPagesAreWrittenByPriority(t *testing.T) {
-	s := NewStore(Limits{PageBytes(1), 1, 1}, "t", 100*time.Millisecond) // a key a second
+	s := NewStore(Limits{PageBytes(1), 1, 1}, "t", retryInterval) // a key a second
 	s.MarkDirty(0, &testItem{"first", 800}, nil)
-	if w := s.NextWrite(0, term, true); w == nil {
+	first := s.NextWrite(0, term, true)
+	if first == nil {
 		t.Fatal("nothing to write")
-	} else {
-		s.MarkCommitted(w, 1)
 	}
+	s.MarkCommitted(first, 1)
 	var order []string
 	note := func(name string) func() { return func() { order = append(order, name) } }
 	s.MarkDirty(100*time.Millisecond, &testItem{"background", 800}, OnBackgroundCommit(note("background")))
-	s.MarkDirty(100*time.Millisecond, &testItem{"later", 800}, OnDeferredCommit(note("later")))
+	s.MarkDirty(100*time.Millisecond, &testItem{"deferred", 800}, OnDeferredCommit(note("deferred")))
 	s.MarkDirty(100*time.Millisecond, &testItem{"start", 800}, OnStartCommit(note("start")))
 	for i := range 4 {
 		now := 200*time.Millisecond + time.Duration(i)*300*time.Millisecond
-		s.MarkDirty(now, &testItem{fmt.Sprint("soon", i), 800}, OnCommit(note(fmt.Sprint("soon", i))))
+		s.MarkDirty(now, &testItem{fmt.Sprint("user", i), 800}, OnCommit(note(fmt.Sprint("user", i))))
 	}
-	for i := range 4 { // these come long after, and the background has its turn before them
-		s.MarkDirty(11*time.Second, &testItem{fmt.Sprint("last", i), 800}, OnCommit(note(fmt.Sprint("last", i))))
+	for i := range 4 { // these come long after, and the background page is written before them
+		s.MarkDirty(11*time.Second, &testItem{fmt.Sprint("late", i), 800}, OnCommit(note(fmt.Sprint("late", i))))
 	}
 	for now := time.Second; now < 20*time.Second; now += 50 * time.Millisecond {
 		if w := s.NextWrite(now, term, true); w != nil {
 			s.MarkCommitted(w, int64(now))
 		}
 	}
-	if got := fmt.Sprint(order); got != "[soon0 soon1 start soon2 later soon3 background last0 last1 last2 last3]" {
-		t.Errorf("written in the order %v", got)
+	want := []string{"user0", "user1", "start", "user2", "deferred", "user3", "background", "late0", "late1", "late2", "late3"}
+	if !slices.Equal(order, want) {
+		t.Errorf("written in the order %v, want %v", order, want)
 	}
 }
--- a/internal/storage/fake_state_test.go
+++ b/internal/storage/fake_state_test.go
@@ -1,101 +1,131 @@
 package storage
 
 import (
+	"encoding/json"
 	"fmt"
 	"maps"
 	"slices"
 	"testing"
-	"time"
 
 	"oakpick/internal/protocol"
 	"oakpick/internal/rpc"
 )
 
-// fakeStateService is a state service's content, as far as pages go.
+// fakeStateService has the pages that a state service stores, and its limits.
 type fakeStateService struct {
-	t       *testing.T
-	values  map[string][]byte
-	version map[string]int64
-	next    int64
-	limit   int // of a value
-	changes int // of a transaction
+	t             *testing.T
+	values        map[string][]byte
+	versions      map[string]int64
+	revision      int64 // of the last commit
+	maxValueBytes int
+	maxChanges    int // of a transaction
 }
 
-// apply carries a transaction out, if its conditions hold and it is within the limits.
+// newFakeStateService takes values of 8 KiB, and 8 changes a transaction.
+func newFakeStateService(t *testing.T) *fakeStateService {
+	t.Helper()
+	return &fakeStateService{t: t, values: map[string][]byte{}, versions: map[string]int64{}, maxValueBytes: 8 << 10, maxChanges: 8}
+}
+
+// apply executes a transaction, if its conditions hold and it is within the limits.
 func (k *fakeStateService) apply(w *Write) rpc.Outcome {
+	k.t.Helper()
 	for _, c := range w.Txn.Then {
-		if sizeInJSON(k.t, c.Value) > k.limit || len(w.Txn.Then) > k.changes {
+		if sizeInJSON(k.t, c.Value) > k.maxValueBytes || len(w.Txn.Then) > k.maxChanges {
 			return rpc.Invalid
 		}
 	}
 	for _, c := range w.Txn.If {
-		if c.Key != term.Key && k.version[c.Key] != c.Version {
+		if c.Key != term.Key && k.versions[c.Key] != c.Version {
 			return rpc.Conflict
 		}
 	}
-	k.next++
+	k.revision++
 	for _, c := range w.Txn.Then {
-		k.values[c.Put], k.version[c.Put] = protocol.Encode(c.Value), k.next
+		k.values[c.Put], k.versions[c.Put] = protocol.Encode(c.Value), k.revision
 	}
 	return rpc.OK
 }
 
 func (k *fakeStateService) entries() []protocol.Entry {
-	var out []protocol.Entry
+	var entries []protocol.Entry
 	for _, key := range slices.Sorted(maps.Keys(k.values)) {
-		out = append(out, protocol.Entry{Key: key, Value: k.values[key], Version: k.version[key]})
+		entries = append(entries, protocol.Entry{Key: key, Value: k.values[key], Version: k.versions[key]})
 	}
-	return out
+	return entries
 }
 
-// terminalRecords reads what a new leader finds, and fails if a record is there twice.
-func (k *fakeStateService) terminalRecords() map[string]int64 {
+// readPages reads what a new leader reads.
+func (k *fakeStateService) readPages() []LoadedPage {
+	k.t.Helper()
 	pages, err := ReadPages(k.entries())
 	if err != nil {
 		k.t.Fatal(err)
 	}
-	out := map[string]int64{}
-	for _, p := range pages {
-		for _, f := range p.Value.Terminal {
-			if _, ok := out[f.ID]; ok {
-				k.t.Fatalf("%s is on two pages, and both count", f.ID)
+	return pages
+}
+
+// terminalRecords returns the number of tasks by job, as a new leader reads it. It fails if
+// a record counts twice.
+func (k *fakeStateService) terminalRecords() map[string]int64 {
+	k.t.Helper()
+	tasks := map[string]int64{}
+	for _, p := range k.readPages() {
+		for _, r := range p.Value.Terminal {
+			if _, ok := tasks[r.ID]; ok {
+				k.t.Fatalf("%s is on two pages, and both count", r.ID)
 			}
-			out[f.ID] = int64(f.Tasks)
+			tasks[r.ID] = int64(r.Tasks)
 		}
 	}
-	return out
+	return tasks
 }
 
-// countedItem is an item whose records say how often it was changed.
-type countedItem struct {
-	name    string
-	changed int
-}
-
-const recordBytes = 60
-
-func (r *countedItem) AppendTo(v *PageValue) {
-	v.Terminal = append(v.Terminal, TerminalRecord{ID: r.name, Tasks: r.changed})
-}
-func (r *countedItem) EncodedSize() int  { return recordBytes }
-func (r *countedItem) ReservedSize() int { return recordBytes }
-
-// load makes a store of what is stored, as a new leader does.
-func (k *fakeStateService) load(limits Limits, records map[string]*countedItem) *Store {
-	s := NewStore(limits, fmt.Sprint("t", k.next), 100*time.Millisecond)
-	pages, err := ReadPages(k.entries())
-	if err != nil {
-		k.t.Fatal(err)
-	}
-	for _, p := range pages {
+// load makes the store of a new leader, and returns its items by name.
+func (k *fakeStateService) load(limits Limits) (*Store, map[string]*countedItem) {
+	k.t.Helper()
+	s := NewStore(limits, fmt.Sprint("t", k.revision), retryInterval)
+	items := map[string]*countedItem{}
+	for _, p := range k.readPages() {
 		s.Load(p.Number, p.Version)
 		if p.Stale {
 			s.LoadStalePage(0, p.Number)
 		}
-		for _, f := range p.Value.Terminal {
-			records[f.ID] = &countedItem{f.ID, f.Tasks}
-			s.Load(p.Number, p.Version, records[f.ID])
+		for _, r := range p.Value.Terminal {
+			items[r.ID] = &countedItem{r.ID, r.Tasks}
+			s.Load(p.Number, p.Version, items[r.ID])
+		}
+	}
+	return s, items
+}
+
+// checkValueSizes reports the values that are larger than the limit.
+func (k *fakeStateService) checkValueSizes() {
+	k.t.Helper()
+	for key, text := range k.values {
+		var value any
+		if err := protocol.Decode(text, &value); err != nil {
+			k.t.Fatal(err)
+		}
+		if n := sizeInJSON(k.t, value); n > k.maxValueBytes {
+			k.t.Errorf("%s still takes %d bytes", key, n)
 		}
 	}
-	return s
+}
+
+// sizeInJSON is the size as the state service counts it: what is sent, in JSON.
+func sizeInJSON(t interface {
+	Helper()
+	Fatal(args ...any)
+}, v any) int {
+	t.Helper()
+	var decoded any
+	if err := protocol.Decode(protocol.Encode(v), &decoded); err != nil {
+		t.Fatal(err)
+	}
+	text, err := json.Marshal(decoded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return len(text)
 }
--- a/internal/storage/free_space_test.go
+++ b/internal/storage/free_space_test.go
@@ -1,34 +1,29 @@
 package storage
 
 import (
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-// The first page with room is the one that a look at every page finds.
+// The first page with enough free space is the one that a scan of all pages finds.
 func TestFreeSpaceIndexFindsFirstPageThatFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var index freeSpaceIndex
-		rooms := []int{}
+		free := []int{} // by page
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			page := rapid.IntRange(0, len(rooms)).Draw(t, "page")
-			room := rapid.IntRange(noFreeSpace, 100).Draw(t, "room")
-			if page == len(rooms) {
-				rooms = append(rooms, room)
+			page := rapid.IntRange(0, len(free)).Draw(t, "page")
+			bytes := rapid.IntRange(noFreeSpace, 100).Draw(t, "free")
+			if page == len(free) {
+				free = append(free, bytes)
 			}
-			rooms[page] = room
-			index.set(page, room)
+			free[page] = bytes
+			index.set(page, bytes)
 			size := rapid.IntRange(1, 100).Draw(t, "size")
-			want := -1
-			for i, r := range rooms {
-				if r >= size {
-					want = i
-					break
-				}
-			}
+			want := slices.IndexFunc(free, func(bytes int) bool { return bytes >= size })
 			if got := index.first(size); got != want {
-				t.Fatalf("page %d for %d, not %d of %v", got, size, want, rooms)
+				t.Fatalf("page %d for %d, want %d of %v", got, size, want, free)
 			}
 		}
 	})
--- a/internal/storage/main_test.go
+++ b/internal/storage/main_test.go
@@ -4,11 +4,9 @@
 	"flag"
 	"os"
 	"testing"
-
-	"oakpick/internal/protocol"
 )
 
-// TestMain fixes the seed of drawn tests: the same verdict every time.
+// TestMain fixes the seed of property tests: the same verdict every time.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
@@ -16,16 +14,3 @@
 	}
 	os.Exit(m.Run())
 }
-
-type testItem struct {
-	name string
-	size int
-}
-
-func (x *testItem) AppendTo(v *PageValue) {
-	v.Terminal = append(v.Terminal, TerminalRecord{ID: x.name})
-}
-func (x *testItem) EncodedSize() int  { return x.size }
-func (x *testItem) ReservedSize() int { return x.size }
-
-var term = protocol.Condition{Key: "leader", Version: 7}
--- a/internal/storage/split_test.go
+++ b/internal/storage/split_test.go
@@ -8,172 +8,213 @@
 	"testing"
 	"time"
 
-	"oakpick/internal/protocol"
 	"oakpick/internal/rpc"
 )
 
-// A page that was written under larger limits is divided, before the lower ones come
-// or after. The leader ends after every single write, and its successor finds every
+// splitTrial is a sequence of leaders that change items on a page that was written under
+// larger limits.
+type splitTrial struct {
+	*fakeStateService
+	limits      Limits
+	limitsKnown bool // leaders know that the limits are lowered
+	crashAfter  int  // so many writes the leader crashes, once
+
+	store     *Store
+	items     map[string]*countedItem
+	writes    int              // committed, and the one lost with the leader
+	committed map[string]int64 // changes by item's name
+}
+
+// splitTrialItems is the number of items on the large page.
+const splitTrialItems = 120
+
+// writeLargePage writes the page as a version with larger limits did.
+func (r *splitTrial) writeLargePage() {
+	r.t.Helper()
+	old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
+	r.committed = map[string]int64{}
+	for i := range splitTrialItems {
+		item := newCountedItem(i)
+		old.MarkDirty(0, item, nil)
+		r.committed[item.name] = 0
+	}
+	if w := old.NextWrite(0, term, true); w == nil || r.apply(w) != rpc.OK || len(w.Txn.Then) != 1 {
+		r.t.Fatalf("the old version's page: %+v", w)
+	}
+}
+
+// newLeader begins a term with what is stored.
+func (r *splitTrial) newLeader() {
+	r.t.Helper()
+	r.store, r.items = r.load(r.limits)
+	if r.limitsKnown {
+		r.store.SetLimitsLowered()
+	}
+}
+
+// changeOneItem has the leader change an item and write what is due, and compares what is
+// stored with what was committed after every write.
+func (r *splitTrial) changeOneItem(step int) {
+	r.t.Helper()
+	now := time.Duration(step) * time.Second
+	changed := r.items[slices.Sorted(maps.Keys(r.items))[step*7%splitTrialItems]]
+	changed.changed++
+	committed := false
+	r.store.MarkDirty(now, changed, OnCommit(func() { committed = true }))
+	for w := r.store.NextWrite(now, term, true); w != nil; w = r.store.NextWrite(now, term, true) {
+		if r.writes == r.crashAfter {
+			r.newLeader()
+			r.writes++
+			return
+		}
+		r.send(w)
+		if committed {
+			r.committed[changed.name] = int64(changed.changed)
+		}
+		r.checkCommitted()
+	}
+}
+
+// send executes a write. A refusal for its size ends the term.
+func (r *splitTrial) send(w *Write) {
+	r.t.Helper()
+	switch r.apply(w) {
+	case rpc.OK:
+		r.writes++
+		r.store.MarkCommitted(w, r.revision)
+	case rpc.Invalid:
+		if r.limitsKnown {
+			r.t.Fatal("refused for its size again")
+		}
+		r.limitsKnown = true
+		r.newLeader()
+	default:
+		r.t.Fatal("a conflict with nobody else there")
+	}
+}
+
+// checkCommitted fails unless every record is stored, none older than what was committed.
+func (r *splitTrial) checkCommitted() {
+	r.t.Helper()
+	stored := r.terminalRecords()
+	for name, least := range r.committed {
+		if changes, ok := stored[name]; !ok || changes < least {
+			r.t.Fatalf("%s is at %d (%t), committed was %d", name, changes, ok, least)
+		}
+	}
+}
+
+// A page that was written under larger limits is split, before the lower ones come or
+// after. The leader crashes after every single write, and the next leader finds every
 // record exactly once and none older than what was committed.
 func TestOversizedPageIsSplitWithoutLosingRecords(t *testing.T) {
-	const count = 120
 	for _, c := range []struct {
-		name        string
-		before      int // writes before the limits are lowered
-		changes     int
-		knowsLimits bool
-	}{{"never lowered", 1000, 4, false}, {"lowered first, unknown", 0, 4, false}, {"lowered first, known", 0, 4, true},
-		{"lowered half way", 1, 4, false}, {"one change a transaction", 1000, 1, false}, {"two changes, lowered", 0, 2, true}} {
-		for ends := range 14 { // after so many writes
-			k := &fakeStateService{t: t, values: map[string][]byte{}, version: map[string]int64{}, limit: 8 << 10, changes: 8}
-			old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
-			want := map[string]int64{}
-			for i := range count {
-				r := &countedItem{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))}
-				old.MarkDirty(0, r, nil)
-				want[r.name] = 0
-			}
-			if w := old.NextWrite(0, term, true); w == nil || k.apply(w) != rpc.OK || len(w.Txn.Then) != 1 {
-				t.Fatalf("%s: the old version's page: %+v", c.name, w)
-			}
-			limits := Limits{PageBytes(2), c.changes, 1000}
-			records := map[string]*countedItem{}
-			s := k.load(limits, records)
-			known := c.knowsLimits
-			if known {
-				s.SetLimitsLowered()
-			}
-			written := 0
-			for i := range 60 {
-				now := time.Duration(i) * time.Second
-				if written == c.before {
-					k.limit, k.changes = 2<<10, max(1, c.changes)
+		name             string
+		lowerAfterWrites int
+		maxChanges       int
+		limitsKnown      bool
+	}{
+		{"never lowered", 1000, 4, false},
+		{"lowered first, unknown", 0, 4, false},
+		{"lowered first, known", 0, 4, true},
+		{"lowered half way", 1, 4, false},
+		{"one change a transaction", 1000, 1, false},
+		{"two changes, lowered", 0, 2, true},
+	} {
+		for crashAfter := range 14 {
+			t.Run(fmt.Sprintf("%s, crash after %d writes", c.name, crashAfter), func(t *testing.T) {
+				r := &splitTrial{
+					fakeStateService: newFakeStateService(t), limits: Limits{PageBytes(2), c.maxChanges, 1000},
+					limitsKnown: c.limitsKnown, crashAfter: crashAfter,
 				}
-				changed := records[slices.Sorted(maps.Keys(records))[i*7%count]]
-				changed.changed++
-				committed := false
-				s.MarkDirty(now, changed, OnCommit(func() { committed = true }))
-				for w := s.NextWrite(now, term, true); w != nil; w = s.NextWrite(now, term, true) {
-					if written == ends { // the leader ends, and the next one reads
-						records = map[string]*countedItem{}
-						s = k.load(limits, records)
-						if known {
-							s.SetLimitsLowered()
-						}
-						written++
-						break
-					}
-					switch k.apply(w) {
-					case rpc.OK:
-						written++
-						s.MarkCommitted(w, k.next)
-					case rpc.Invalid:
-						if known {
-							t.Fatalf("%s: refused for its size again", c.name)
-						}
-						known = true
-						records = map[string]*countedItem{}
-						s = k.load(limits, records) // a new term
-						s.SetLimitsLowered()
-					default:
-						t.Fatalf("%s: a conflict with nobody else there", c.name)
-					}
-					if committed {
-						want[changed.name] = int64(changed.changed)
-					}
-					got := k.terminalRecords()
-					for name, least := range want {
-						if is, ok := got[name]; !ok || is < least {
-							t.Fatalf("%s, ends after %d: %s is at %d (%t), committed was %d", c.name, ends, name, is, ok, least)
-						}
+				r.writeLargePage()
+				r.newLeader()
+				for step := range 60 {
+					if r.writes == c.lowerAfterWrites {
+						r.maxValueBytes, r.maxChanges = 2<<10, c.maxChanges
 					}
+					r.changeOneItem(step)
 				}
-			}
-			for key, value := range k.values {
-				var v any
-				if err := protocol.Decode(value, &v); err != nil {
-					t.Fatal(err)
-				}
-				if n := sizeInJSON(t, v); n > 2<<10 {
-					t.Errorf("%s, ends after %d: %s still takes %d bytes", c.name, ends, key, n)
-				}
-			}
+				r.maxValueBytes = 2 << 10
+				r.checkValueSizes()
+			})
 		}
 	}
 }
 
-// Large pages are divided ahead of the lower limits although nothing on them changes,
-// the one that was written longest ago first, and within the write budget.
+// Oversized pages are split ahead of the lower limits although nothing on them changes,
+// and within the write budget.
 func TestOversizedPagesAreSplitBeforeLimitsAreLowered(t *testing.T) {
-	k := &fakeStateService{t: t, values: map[string][]byte{}, version: map[string]int64{}, limit: 8 << 10, changes: 8}
+	k := newFakeStateService(t)
 	old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
 	for i := range 600 {
-		old.MarkDirty(0, &countedItem{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))}, nil)
+		old.MarkDirty(0, newCountedItem(i), nil)
 	}
-	for w := old.NextWrite(0, term, true); w != nil; w = old.NextWrite(0, term, true) {
+	for w := range writesDue(old, 0) {
 		k.apply(w)
-		old.MarkCommitted(w, k.next)
+		old.MarkCommitted(w, k.revision)
 	}
-	s := k.load(Limits{PageBytes(2), 4, 10}, map[string]*countedItem{})
-	changes, done := 0, time.Duration(0)
+	s, _ := k.load(Limits{PageBytes(2), 4, 10})
+	changes, splitAt := 0, time.Duration(0)
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
-		for w := s.NextWrite(now, term, true); w != nil; w = s.NextWrite(now, term, true) {
+		for w := range writesDue(s, now) {
 			if k.apply(w) != rpc.OK {
-				t.Fatal("not taken")
+				t.Fatal("not accepted")
 			}
 			changes += len(w.Txn.Then)
-			s.MarkCommitted(w, k.next)
+			s.MarkCommitted(w, k.revision)
 		}
 		if changes > 10+int(now.Seconds()*10) {
 			t.Fatalf("%d changes in %v", changes, now)
 		}
-		if done == 0 && s.OversizedPages() == 0 {
-			done = now
+		if splitAt == 0 && s.OversizedPages() == 0 {
+			splitAt = now
 		}
 	}
-	if done == 0 || len(k.terminalRecords()) != 600 {
-		t.Errorf("%d pages are left, %d records", s.OversizedPages(), len(k.terminalRecords()))
+	if splitAt == 0 || len(k.terminalRecords()) != 600 {
+		t.Errorf("%d oversized pages, %d records", s.OversizedPages(), len(k.terminalRecords()))
 	}
 }
 
 // One record on a large page has grown beyond what any page may take now. The others on
 // it are written all the same, and so is this one once it has shrunk.
 func TestOversizedRecordDoesNotBlockOthers(t *testing.T) {
-	s := NewStore(Limits{PageBytes(2), 4, 1000}, "t", 100*time.Millisecond)
-	k := &fakeStateService{t: t, values: map[string][]byte{}, version: map[string]int64{}, limit: 2 << 10, changes: 4}
-	large := &testItem{strings.Repeat("x", 2900), 3000}
-	s.Load(0, 0, large)
-	var small []*countedItem
-	for i := range 20 {
-		small = append(small, &countedItem{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))})
-		s.Load(0, 0, small[i])
-	}
-	s.SetLimitsLowered()
-	committed := 0
+	s := NewStore(Limits{PageBytes(2), 4, 1000}, "t", retryInterval)
+	k := newFakeStateService(t)
+	k.maxValueBytes, k.maxChanges = 2<<10, 4
 	run := func(from time.Duration) {
 		for i := range 40 {
 			now := from + time.Duration(i)*100*time.Millisecond
-			for w := s.NextWrite(now, term, true); w != nil; w = s.NextWrite(now, term, true) {
+			for w := range writesDue(s, now) {
 				if k.apply(w) != rpc.OK {
 					t.Fatalf("refused: %d changes", len(w.Txn.Then))
 				}
-				s.MarkCommitted(w, k.next)
+				s.MarkCommitted(w, k.revision)
 			}
 		}
 	}
-	s.MarkDirty(0, large, OnCommit(func() { committed += 100 }))
+	large := &testItem{strings.Repeat("x", 2900), 3000}
+	s.Load(0, 0, large)
+	var small []*countedItem
+	for i := range 20 {
+		small = append(small, newCountedItem(i))
+		s.Load(0, 0, small[i])
+	}
+	s.SetLimitsLowered()
+	smallCommitted, largeCommitted := 0, false
+	s.MarkDirty(0, large, OnCommit(func() { largeCommitted = true }))
 	run(0)
-	for _, r := range small {
-		s.MarkDirty(5*time.Second, r, OnCommit(func() { committed++ }))
+	for _, item := range small {
+		s.MarkDirty(5*time.Second, item, OnCommit(func() { smallCommitted++ }))
 	}
-	s.MarkDirty(5*time.Second, &countedItem{name: "another"}, OnCommit(func() { committed++ }))
+	s.MarkDirty(5*time.Second, &countedItem{name: "another"}, OnCommit(func() { smallCommitted++ }))
 	run(5 * time.Second)
-	if committed != 21 {
-		t.Errorf("%d of 21 small records were written", committed)
+	if smallCommitted != 21 || largeCommitted {
+		t.Errorf("%d of 21 small records were written; the large one: %t", smallCommitted, largeCommitted)
 	}
 	large.name, large.size = "x", 100
 	run(20 * time.Second)
-	if committed != 121 {
-		t.Errorf("the large record was not written when it had shrunk: %d", committed)
+	if smallCommitted != 21 || !largeCommitted {
+		t.Errorf("%d of 21 small records were written; the large one, shrunk: %t", smallCommitted, largeCommitted)
 	}
 }
--- a/internal/storage/write_test.go
+++ b/internal/storage/write_test.go
@@ -1,6 +1,7 @@
 package storage
 
 import (
+	"bytes"
 	"fmt"
 	"strings"
 	"testing"
@@ -9,110 +10,111 @@
 	"oakpick/internal/protocol"
 )
 
-func newStore() *Store { return NewStore(Limits{PageBytes(1), 2, 10}, "t", 100*time.Millisecond) }
-
-// A retry carries what the first try carried, under the same id: its copy may
-// still land, and must then be the same write.
+// A retry carries what the first try carried, under the same id: the first may still be
+// executed, and must then be the same transaction.
 func TestRetryRepeatsTheSameTransaction(t *testing.T) {
-	b := newStore()
+	s := newStore()
 	x, y := &testItem{"x", 50}, &testItem{"y", 50}
-	b.MarkDirty(0, x, nil)
-	f := b.NextWrite(0, term, true)
-	first := fmt.Sprintf("%+v", protocol.Encode(f.Txn))
-	b.MarkDirty(0, x, nil)
-	b.MarkDirty(0, y, nil)
-	b.RetryLater(0, f)
-	if b.NextWrite(50*time.Millisecond, term, false) != nil {
+	s.MarkDirty(0, x, nil)
+	write := s.NextWrite(0, term, true)
+	first := protocol.Encode(write.Txn)
+	s.MarkDirty(0, x, nil)
+	s.MarkDirty(0, y, nil)
+	s.RetryLater(0, write)
+	if s.NextWrite(50*time.Millisecond, term, false) != nil {
 		t.Fatal("sent again at once")
 	}
-	again := b.NextWrite(time.Second, term, false)
-	if again != f || fmt.Sprintf("%+v", protocol.Encode(again.Txn)) != first {
+	again := s.NextWrite(time.Second, term, false)
+	if again != write || !bytes.Equal(protocol.Encode(again.Txn), first) {
 		t.Fatal("the retry differs")
 	}
 }
 
 func TestWriteBudgetCountsKeys(t *testing.T) {
-	b := newStore() // ten keys a second, ten at once
-	written := 0
+	s := newStore() // ten keys a second, ten at once
+	keys := 0
 	for i := range 100 {
-		b.MarkDirty(0, &testItem{fmt.Sprint(i), 800}, nil)
+		s.MarkDirty(0, &testItem{fmt.Sprint(i), 800}, nil)
 	}
 	for i := range 300 { // three seconds
-		if f := b.NextWrite(time.Duration(i)*10*time.Millisecond, term, true); f != nil {
-			written += len(f.Txn.Then)
-			b.MarkCommitted(f, int64(i))
+		if w := s.NextWrite(time.Duration(i)*10*time.Millisecond, term, true); w != nil {
+			keys += len(w.Txn.Then)
+			s.MarkCommitted(w, int64(i))
 		}
 	}
-	if written < 35 || written > 41 {
-		t.Fatalf("%d keys in three seconds", written)
+	if keys < 35 || keys > 41 {
+		t.Fatalf("%d keys in three seconds", keys)
 	}
 }
 
-// A large write gets no answer while small ones keep coming, so many that they
-// could use up the whole budget: its turn comes all the same. So it does when the
-// budget has been lowered below its size since.
+// A large write gets no answer while small ones keep coming, so many that they could use
+// up the whole budget: it is sent again all the same. So it is when the budget has been
+// lowered below its size since.
 func TestLargeRetryIsNotStarvedBySmallWrites(t *testing.T) {
-	for _, lowered := range []bool{false, true} {
-		b := NewStore(Limits{PageBytes(1), 8, 10}, "t", 100*time.Millisecond)
-		for i := range 8 {
-			b.MarkDirty(0, &testItem{fmt.Sprint("large", i), 800}, nil)
-		}
-		large := b.NextWrite(0, term, true)
-		if large == nil || len(large.Txn.Then) != 8 {
-			t.Fatalf("got %+v", large)
-		}
-		b.RetryLater(0, large)
-		if lowered {
-			b.SetWriteRate(4)
-		}
-		sentAt, small := time.Duration(0), 0
-		for now := time.Duration(0); now < 10*time.Second && sentAt == 0; now += 20 * time.Millisecond {
-			b.MarkDirty(now, &testItem{fmt.Sprint("small", now), 800}, nil)
-			switch f := b.NextWrite(now, term, true); f {
-			case nil:
-			case large:
-				sentAt = now
-			default:
-				small++
-				b.MarkCommitted(f, int64(now))
+	for name, rate := range map[string]float64{"same budget": 10, "lowered budget": 4} {
+		t.Run(name, func(t *testing.T) {
+			s := NewStore(Limits{PageBytes(1), 8, 10}, "t", retryInterval)
+			for i := range 8 {
+				s.MarkDirty(0, &testItem{fmt.Sprint("large", i), 800}, nil)
 			}
-		}
-		if sentAt == 0 || sentAt > 2500*time.Millisecond {
-			t.Errorf("lowered %t: sent again after %v, %d small writes before it", lowered, sentAt, small)
-		}
+			large := s.NextWrite(0, term, true)
+			if large == nil || len(large.Txn.Then) != 8 {
+				t.Fatalf("got %+v", large)
+			}
+			s.RetryLater(0, large)
+			if rate != 10 {
+				s.SetWriteRate(rate)
+			}
+			sentAt, small := time.Duration(0), 0
+			for now := time.Duration(0); now < 10*time.Second && sentAt == 0; now += 20 * time.Millisecond {
+				s.MarkDirty(now, &testItem{fmt.Sprint("small", now), 800}, nil)
+				switch w := s.NextWrite(now, term, true); w {
+				case nil:
+				case large:
+					sentAt = now
+				default:
+					small++
+					s.MarkCommitted(w, int64(now))
+				}
+			}
+			if sentAt == 0 || sentAt > 2500*time.Millisecond {
+				t.Errorf("sent again after %v, %d small writes before it", sentAt, small)
+			}
+		})
 	}
 }
 
 // Many large pages wait, and a transaction may change more of them than fit its
-// size: each goes out in one that the state service takes. A value alone is
+// size: each is written by one that the state service accepts. A value alone is
 // bounded by that size too.
 func TestTransactionsStayWithinTheRequestLimit(t *testing.T) {
+	const items = 40
 	for _, valueKB := range []float64{8, 31, 64, 128} {
-		b := NewStore(Limits{PageBytes(valueKB), 32, 100}, "t", 100*time.Millisecond)
-		whole := &testItem{"", PageBytes(valueKB) - pageOverhead}
-		if big := (&testItem{"", PageBytes(valueKB)}); !b.Fits(whole) || b.Fits(big) {
-			t.Fatalf("%v KiB: a page's worth fits %t, more %t", valueKB, b.Fits(whole), b.Fits(big))
-		}
-		const things = 40
-		landed := 0
-		for i := range things {
-			name := strings.Repeat("x", whole.size-100) + fmt.Sprint(i)
-			b.MarkDirty(0, &testItem{name, whole.size}, OnCommit(func() { landed++ }))
-		}
-		most := 0
-		for i := range 20 * things {
-			now := time.Duration(i) * 50 * time.Millisecond
-			for f := b.NextWrite(now, term, true); f != nil; f = b.NextWrite(now, term, true) {
-				if n := sizeInJSON(t, f.Txn); n > protocol.MaxBody {
-					t.Fatalf("%v KiB: a transaction of %d bytes", valueKB, n)
+		t.Run(fmt.Sprintf("%v KiB", valueKB), func(t *testing.T) {
+			s := NewStore(Limits{PageBytes(valueKB), 32, 100}, "t", retryInterval)
+			size := PageBytes(valueKB) - pageOverhead
+			if whole, tooLarge := (&testItem{"", size}), (&testItem{"", PageBytes(valueKB)}); !s.Fits(whole) || s.Fits(tooLarge) {
+				t.Fatalf("a page's worth fits %t, more %t", s.Fits(whole), s.Fits(tooLarge))
+			}
+			committed := 0
+			for i := range items {
+				name := strings.Repeat("x", size-100) + fmt.Sprint(i)
+				s.MarkDirty(0, &testItem{name, size}, OnCommit(func() { committed++ }))
+			}
+			maxChanges := 0
+			for i := range 20 * items {
+				for w := range writesDue(s, time.Duration(i)*50*time.Millisecond) {
+					if n := sizeInJSON(t, w.Txn); n > protocol.MaxBody {
+						t.Fatalf("a transaction of %d bytes", n)
+					}
+					maxChanges = max(maxChanges, len(w.Txn.Then))
+					s.MarkCommitted(w, int64(i+1))
 				}
-				most = max(most, len(f.Txn.Then))
-				b.MarkCommitted(f, int64(i+1))
 			}
-		}
-		if landed != things || valueKB == 8 && most != 7 {
-			t.Errorf("%v KiB: %d of %d pages written, at most %d at once", valueKB, landed, things, most)
-		}
+			if committed != items || valueKB == 8 && maxChanges != 7 {
+				t.Errorf("%d of %d pages written, at most %d at once", committed, items, maxChanges)
+			}
+		})
 	}
 }
 
@@ -121,13 +123,13 @@
 func TestNoNewTransactionBeforeTheRetryOfARefusedOne(t *testing.T) {
 	s := newStore()
 	s.MarkDirty(0, &testItem{"refused", 800}, nil)
-	w := s.NextWrite(0, term, true)
-	s.RetryLater(0, w)
+	refused := s.NextWrite(0, term, true)
+	s.RetryLater(0, refused)
 	s.MarkDirty(0, &testItem{"new", 800}, nil)
 	if s.NextWrite(50*time.Millisecond, term, true) != nil {
 		t.Error("a new write was sent at once")
 	}
-	if again := s.NextWrite(150*time.Millisecond, term, true); again != w {
+	if again := s.NextWrite(150*time.Millisecond, term, true); again != refused {
 		t.Errorf("the refused write was not the next: %+v", again)
 	}
 	if s.NextWrite(150*time.Millisecond, term, true) == nil {
