--- a/internal/config/extensions_test.go
+++ b/internal/config/extensions_test.go
@@ -38,7 +38,8 @@
 		t.Fatal(err)
 	}
 	d, s := e.Distribution, cfg.Settings
-	if d.Connections != s.Limits.MaxConnections/4 || d.InventoryIntervalS != s.Workers.HeartbeatIntervalS/2 || d.IdleInventoryIntervalS != 2*s.Workers.HeartbeatIntervalS {
+	heartbeat := s.Workers.HeartbeatIntervalS
+	if d.Connections != s.Limits.MaxConnections/4 || d.InventoryIntervalS != heartbeat/2 || d.IdleInventoryIntervalS != 2*heartbeat {
 		t.Errorf("%+v", d)
 	}
 	if after := cfg.Settings.Sockets().Frontend; after >= before {
@@ -65,12 +66,15 @@
 			"[distribution]\nport = 0\nstore_slots = 0\nslots = 3\n",
 			[]string{"distribution.port", "distribution.store_slots", "distribution.slots: unknown"},
 		},
-		"unknown section":   {"[weights]\nport = 1\n", []string{"weights: unknown"}},
-		"wrong type":        {"[distribution]\nport = \"x\"\n", []string{"port"}},
-		"idle below active": {"[distribution]\nport = 8082\nstore_slots = 1\nreport_s = 9\nidle_report_s = 1\n", []string{"distribution.idle_report_s"}},
-		"too many sockets":  {"[distribution]\nport = 8082\nstore_slots = 1\nconnections = 1000000\n", []string{"distribution.connections"}},
-		"port in use":       {"[distribution]\nport = 8081\nstore_slots = 1\n", []string{"distribution.port"}},
-		"not TOML":          {"[distribution", []string{"extensions.toml"}},
+		"unknown section": {"[weights]\nport = 1\n", []string{"weights: unknown"}},
+		"wrong type":      {"[distribution]\nport = \"x\"\n", []string{"port"}},
+		"idle below active": {
+			"[distribution]\nport = 8082\nstore_slots = 1\nreport_s = 9\nidle_report_s = 1\n",
+			[]string{"distribution.idle_report_s"},
+		},
+		"too many sockets": {"[distribution]\nport = 8082\nstore_slots = 1\nconnections = 1000000\n", []string{"distribution.connections"}},
+		"port in use":      {"[distribution]\nport = 8081\nstore_slots = 1\n", []string{"distribution.port"}},
+		"not TOML":         {"[distribution", []string{"extensions.toml"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := LoadExtensions(writeExtensions(t, c.text), exampleConfig(t))
--- a/internal/rpc/outcome.go
+++ b/internal/rpc/outcome.go
@@ -3,6 +3,7 @@
 package rpc
 
 import (
+	"context"
 	"errors"
 	"net"
 	"time"
@@ -40,8 +41,10 @@
 
 // Dial returns a function that connects within the timeout. Its errors are *DialError.
 func Dial(timeout time.Duration) fasthttp.DialFunc {
+	dialer := &net.Dialer{Timeout: timeout}
 	return func(addr string) (net.Conn, error) {
-		connection, err := net.DialTimeout("tcp4", addr, timeout)
+		// The library's function has no context; the timeout bounds the call.
+		connection, err := dialer.DialContext(context.Background(), "tcp4", addr)
 		if err != nil {
 			return nil, &DialError{err}
 		}
--- a/internal/rpc/outcome_test.go
+++ b/internal/rpc/outcome_test.go
@@ -44,7 +44,8 @@
 }
 
 func TestDialMarksFailures(t *testing.T) {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	var config net.ListenConfig
+	listener, err := config.Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/storage/read_test.go
+++ b/internal/storage/read_test.go
@@ -16,12 +16,18 @@
 func TestReadPagesKeepsNewestCopyOfEachRecord(t *testing.T) {
 	pages, err := ReadPages([]protocol.Entry{
 		pageEntry(0, 5, PageValue{
-			Jobs: []JobRecord{{ID: "wk-1", Tasks: 1}, {ID: "wk-2", Tasks: 9}, {ID: "wk-3", Tasks: 1}}, Blocks: []BlockRecord{{Job: "wk-1", Block: 1, LastAttempt: 1}},
-			Provisioning: []ProvisioningRecord{{RequestID: "r", Count: 1}}, Options: "old", Extensions: []JobExtension{{Job: "wk-1", BlockTasks: 1}},
+			Jobs:         []JobRecord{{ID: "wk-1", Tasks: 1}, {ID: "wk-2", Tasks: 9}, {ID: "wk-3", Tasks: 1}},
+			Blocks:       []BlockRecord{{Job: "wk-1", Block: 1, LastAttempt: 1}},
+			Provisioning: []ProvisioningRecord{{RequestID: "r", Count: 1}},
+			Options:      "old",
+			Extensions:   []JobExtension{{Job: "wk-1", BlockTasks: 1}},
 		}),
 		pageEntry(1, 7, PageValue{
-			Jobs: []JobRecord{{ID: "wk-1", Tasks: 2}}, Blocks: []BlockRecord{{Job: "wk-1", Block: 1, LastAttempt: 2}, {Job: "wk-1", Block: 2}},
-			Provisioning: []ProvisioningRecord{{RequestID: "r", Count: 2}}, Options: "new", Extensions: []JobExtension{{Job: "wk-1", BlockTasks: 2}},
+			Jobs:         []JobRecord{{ID: "wk-1", Tasks: 2}},
+			Blocks:       []BlockRecord{{Job: "wk-1", Block: 1, LastAttempt: 2}, {Job: "wk-1", Block: 2}},
+			Provisioning: []ProvisioningRecord{{RequestID: "r", Count: 2}},
+			Options:      "new",
+			Extensions:   []JobExtension{{Job: "wk-1", BlockTasks: 2}},
 		}),
 		pageEntry(2, 3, PageValue{Terminal: []TerminalRecord{{ID: "wk-2", Tasks: 9}}}), // older than the job's record
 	})
--- a/internal/storage/split_test.go
+++ b/internal/storage/split_test.go
@@ -17,7 +17,7 @@
 	*fakeStateService
 	limits      Limits
 	limitsKnown bool // leaders know that the limits are lowered
-	crashAfter  int  // so many writes the leader crashes, once
+	crashAfter  int  // this many writes the leader crashes, once
 
 	store     *Store
 	items     map[string]*countedItem
@@ -135,7 +135,7 @@
 					}
 					r.changeOneItem(step)
 				}
-				r.maxValueBytes = 2 << 10
+				r.maxValueBytes = 2 << 10 // also if the limits were never lowered
 				r.checkValueSizes()
 			})
 		}
--- a/internal/storage/write_test.go
+++ b/internal/storage/write_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// A large write gets no answer while small ones keep coming, so many that they could use
-// up the whole budget: it is sent again all the same. So it is when the budget has been
-// lowered below its size since.
+// A large write gets no answer while small ones keep coming, enough to use up the whole
+// budget: it is sent again all the same, also when the budget has been lowered below its
+// size since.
 func TestLargeRetryIsNotStarvedBySmallWrites(t *testing.T) {
 	for name, rate := range map[string]float64{"same budget": 10, "lowered budget": 4} {
 		t.Run(name, func(t *testing.T) {
