--- a/internal/storage/fake_state_test.go
+++ b/internal/storage/fake_state_test.go
@@ -28,52 +28,52 @@
 }
 
 // apply executes a transaction, if its conditions hold and it is within the limits.
-func (k *fakeStateService) apply(w *Write) rpc.Outcome {
-	k.t.Helper()
+func (f *fakeStateService) apply(w *Write) rpc.Outcome {
+	f.t.Helper()
 	for _, c := range w.Txn.Then {
-		if sizeInJSON(k.t, c.Value) > k.maxValueBytes || len(w.Txn.Then) > k.maxChanges {
+		if sizeInJSON(f.t, c.Value) > f.maxValueBytes || len(w.Txn.Then) > f.maxChanges {
 			return rpc.Invalid
 		}
 	}
 	for _, c := range w.Txn.If {
-		if c.Key != term.Key && k.versions[c.Key] != c.Version {
+		if c.Key != term.Key && f.versions[c.Key] != c.Version {
 			return rpc.Conflict
 		}
 	}
-	k.revision++
+	f.revision++
 	for _, c := range w.Txn.Then {
-		k.values[c.Put], k.versions[c.Put] = protocol.Encode(c.Value), k.revision
+		f.values[c.Put], f.versions[c.Put] = protocol.Encode(c.Value), f.revision
 	}
 	return rpc.OK
 }
 
-func (k *fakeStateService) entries() []protocol.Entry {
+func (f *fakeStateService) entries() []protocol.Entry {
 	var entries []protocol.Entry
-	for _, key := range slices.Sorted(maps.Keys(k.values)) {
-		entries = append(entries, protocol.Entry{Key: key, Value: k.values[key], Version: k.versions[key]})
+	for _, key := range slices.Sorted(maps.Keys(f.values)) {
+		entries = append(entries, protocol.Entry{Key: key, Value: f.values[key], Version: f.versions[key]})
 	}
 	return entries
 }
 
 // readPages reads what a new leader reads.
-func (k *fakeStateService) readPages() []LoadedPage {
-	k.t.Helper()
-	pages, err := ReadPages(k.entries())
+func (f *fakeStateService) readPages() []LoadedPage {
+	f.t.Helper()
+	pages, err := ReadPages(f.entries())
 	if err != nil {
-		k.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return pages
 }
 
 // terminalRecords returns the number of tasks by job, as a new leader reads it. It fails if
 // a record counts twice.
-func (k *fakeStateService) terminalRecords() map[string]int64 {
-	k.t.Helper()
+func (f *fakeStateService) terminalRecords() map[string]int64 {
+	f.t.Helper()
 	tasks := map[string]int64{}
-	for _, p := range k.readPages() {
+	for _, p := range f.readPages() {
 		for _, r := range p.Value.Terminal {
 			if _, ok := tasks[r.ID]; ok {
-				k.t.Fatalf("%s is on two pages, and both count", r.ID)
+				f.t.Fatalf("%s is on two pages, and both count", r.ID)
 			}
 			tasks[r.ID] = int64(r.Tasks)
 		}
@@ -82,11 +82,11 @@
 }
 
 // load makes the store of a new leader, and returns its items by name.
-func (k *fakeStateService) load(limits Limits) (*Store, map[string]*countedItem) {
-	k.t.Helper()
-	s := NewStore(limits, fmt.Sprint("t", k.revision), retryInterval)
+func (f *fakeStateService) load(limits Limits) (*Store, map[string]*countedItem) {
+	f.t.Helper()
+	s := NewStore(limits, fmt.Sprint("t", f.revision), retryInterval)
 	items := map[string]*countedItem{}
-	for _, p := range k.readPages() {
+	for _, p := range f.readPages() {
 		s.Load(p.Number, p.Version)
 		if p.Stale {
 			s.LoadStalePage(0, p.Number)
@@ -100,15 +100,15 @@
 }
 
 // checkValueSizes reports the values that are larger than the limit.
-func (k *fakeStateService) checkValueSizes() {
-	k.t.Helper()
-	for key, text := range k.values {
+func (f *fakeStateService) checkValueSizes() {
+	f.t.Helper()
+	for key, text := range f.values {
 		var value any
 		if err := protocol.Decode(text, &value); err != nil {
-			k.t.Fatal(err)
+			f.t.Fatal(err)
 		}
-		if n := sizeInJSON(k.t, value); n > k.maxValueBytes {
-			k.t.Errorf("%s still takes %d bytes", key, n)
+		if n := sizeInJSON(f.t, value); n > f.maxValueBytes {
+			f.t.Errorf("%s still takes %d bytes", key, n)
 		}
 	}
 }
--- a/internal/storage/split_test.go
+++ b/internal/storage/split_test.go
@@ -29,77 +29,77 @@
 const splitTrialItems = 120
 
 // writeLargePage writes the page as a version with larger limits did.
-func (r *splitTrial) writeLargePage() {
-	r.t.Helper()
+func (trial *splitTrial) writeLargePage() {
+	trial.t.Helper()
 	old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
-	r.committed = map[string]int64{}
+	trial.committed = map[string]int64{}
 	for i := range splitTrialItems {
 		item := newCountedItem(i)
 		old.MarkDirty(0, item, nil)
-		r.committed[item.name] = 0
+		trial.committed[item.name] = 0
 	}
-	if w := old.NextWrite(0, term, true); w == nil || r.apply(w) != rpc.OK || len(w.Txn.Then) != 1 {
-		r.t.Fatalf("the old version's page: %+v", w)
+	if w := old.NextWrite(0, term, true); w == nil || trial.apply(w) != rpc.OK || len(w.Txn.Then) != 1 {
+		trial.t.Fatalf("the old version's page: %+v", w)
 	}
 }
 
 // newLeader begins a term with what is stored.
-func (r *splitTrial) newLeader() {
-	r.t.Helper()
-	r.store, r.items = r.load(r.limits)
-	if r.limitsKnown {
-		r.store.SetLimitsLowered()
+func (trial *splitTrial) newLeader() {
+	trial.t.Helper()
+	trial.store, trial.items = trial.load(trial.limits)
+	if trial.limitsKnown {
+		trial.store.SetLimitsLowered()
 	}
 }
 
 // changeOneItem has the leader change an item and write what is due, and compares what is
 // stored with what was committed after every write.
-func (r *splitTrial) changeOneItem(step int) {
-	r.t.Helper()
+func (trial *splitTrial) changeOneItem(step int) {
+	trial.t.Helper()
 	now := time.Duration(step) * time.Second
-	changed := r.items[slices.Sorted(maps.Keys(r.items))[step*7%splitTrialItems]]
+	changed := trial.items[slices.Sorted(maps.Keys(trial.items))[step*7%splitTrialItems]]
 	changed.changed++
 	committed := false
-	r.store.MarkDirty(now, changed, OnCommit(func() { committed = true }))
-	for w := r.store.NextWrite(now, term, true); w != nil; w = r.store.NextWrite(now, term, true) {
-		if r.writes == r.crashAfter {
-			r.newLeader()
-			r.writes++
+	trial.store.MarkDirty(now, changed, OnCommit(func() { committed = true }))
+	for w := trial.store.NextWrite(now, term, true); w != nil; w = trial.store.NextWrite(now, term, true) {
+		if trial.writes == trial.crashAfter {
+			trial.newLeader()
+			trial.writes++
 			return
 		}
-		r.send(w)
+		trial.send(w)
 		if committed {
-			r.committed[changed.name] = int64(changed.changed)
+			trial.committed[changed.name] = int64(changed.changed)
 		}
-		r.checkCommitted()
+		trial.checkCommitted()
 	}
 }
 
 // send executes a write. A refusal for its size ends the term.
-func (r *splitTrial) send(w *Write) {
-	r.t.Helper()
-	switch r.apply(w) {
+func (trial *splitTrial) send(w *Write) {
+	trial.t.Helper()
+	switch trial.apply(w) {
 	case rpc.OK:
-		r.writes++
-		r.store.MarkCommitted(w, r.revision)
+		trial.writes++
+		trial.store.MarkCommitted(w, trial.revision)
 	case rpc.Invalid:
-		if r.limitsKnown {
-			r.t.Fatal("refused for its size again")
+		if trial.limitsKnown {
+			trial.t.Fatal("refused for its size again")
 		}
-		r.limitsKnown = true
-		r.newLeader()
+		trial.limitsKnown = true
+		trial.newLeader()
 	default:
-		r.t.Fatal("a conflict with nobody else there")
+		trial.t.Fatal("a conflict with nobody else there")
 	}
 }
 
 // checkCommitted fails unless every record is stored, none older than what was committed.
-func (r *splitTrial) checkCommitted() {
-	r.t.Helper()
-	stored := r.terminalRecords()
-	for name, least := range r.committed {
+func (trial *splitTrial) checkCommitted() {
+	trial.t.Helper()
+	stored := trial.terminalRecords()
+	for name, least := range trial.committed {
 		if changes, ok := stored[name]; !ok || changes < least {
-			r.t.Fatalf("%s is at %d (%t), committed was %d", name, changes, ok, least)
+			trial.t.Fatalf("%s is at %d (%t), committed was %d", name, changes, ok, least)
 		}
 	}
 }
@@ -123,20 +123,20 @@
 	} {
 		for crashAfter := range 14 {
 			t.Run(fmt.Sprintf("%s, crash after %d writes", c.name, crashAfter), func(t *testing.T) {
-				r := &splitTrial{
+				trial := &splitTrial{
 					fakeStateService: newFakeStateService(t), limits: Limits{PageBytes(2), c.maxChanges, 1000},
 					limitsKnown: c.limitsKnown, crashAfter: crashAfter,
 				}
-				r.writeLargePage()
-				r.newLeader()
+				trial.writeLargePage()
+				trial.newLeader()
 				for step := range 60 {
-					if r.writes == c.lowerAfterWrites {
-						r.maxValueBytes, r.maxChanges = 2<<10, c.maxChanges
+					if trial.writes == c.lowerAfterWrites {
+						trial.maxValueBytes, trial.maxChanges = 2<<10, c.maxChanges
 					}
-					r.changeOneItem(step)
+					trial.changeOneItem(step)
 				}
-				r.maxValueBytes = 2 << 10 // also if the limits were never lowered
-				r.checkValueSizes()
+				trial.maxValueBytes = 2 << 10 // also if the limits were never lowered
+				trial.checkValueSizes()
 			})
 		}
 	}
@@ -145,24 +145,24 @@
 // Oversized pages are split ahead of the lower limits although nothing on them changes,
 // and within the write budget.
 func TestOversizedPagesAreSplitBeforeLimitsAreLowered(t *testing.T) {
-	k := newFakeStateService(t)
+	state := newFakeStateService(t)
 	old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
 	for i := range 600 {
 		old.MarkDirty(0, newCountedItem(i), nil)
 	}
 	for w := range writesDue(old, 0) {
-		k.apply(w)
-		old.MarkCommitted(w, k.revision)
+		state.apply(w)
+		old.MarkCommitted(w, state.revision)
 	}
-	s, _ := k.load(Limits{PageBytes(2), 4, 10})
+	s, _ := state.load(Limits{PageBytes(2), 4, 10})
 	changes, splitAt := 0, time.Duration(0)
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
 		for w := range writesDue(s, now) {
-			if k.apply(w) != rpc.OK {
+			if state.apply(w) != rpc.OK {
 				t.Fatal("not accepted")
 			}
 			changes += len(w.Txn.Then)
-			s.MarkCommitted(w, k.revision)
+			s.MarkCommitted(w, state.revision)
 		}
 		if changes > 10+int(now.Seconds()*10) {
 			t.Fatalf("%d changes in %v", changes, now)
@@ -171,43 +171,49 @@
 			splitAt = now
 		}
 	}
-	if splitAt == 0 || len(k.terminalRecords()) != 600 {
-		t.Errorf("%d oversized pages, %d records", s.OversizedPages(), len(k.terminalRecords()))
+	if splitAt == 0 || len(state.terminalRecords()) != 600 {
+		t.Errorf("%d oversized pages, %d records", s.OversizedPages(), len(state.terminalRecords()))
 	}
 }
 
 // One record on a large page has grown beyond what any page may take now. The others on
 // it are written all the same, and so is this one once it has shrunk.
 func TestOversizedRecordDoesNotBlockOthers(t *testing.T) {
+	for name, position := range map[string]int{"first on its page": 0, "last on its page": 20} {
+		t.Run(name, func(t *testing.T) { checkOversizedRecord(t, position) })
+	}
+}
+
+// checkOversizedRecord loads a page of 20 small records and an oversized one at the given
+// position, and changes all of them.
+func checkOversizedRecord(t *testing.T, position int) {
+	t.Helper()
 	s := NewStore(Limits{PageBytes(2), 4, 1000}, "t", retryInterval)
-	k := newFakeStateService(t)
-	k.maxValueBytes, k.maxChanges = 2<<10, 4
+	state := newFakeStateService(t)
+	state.maxValueBytes, state.maxChanges = 2<<10, 4
 	run := func(from time.Duration) {
 		for i := range 40 {
-			now := from + time.Duration(i)*100*time.Millisecond
-			for w := range writesDue(s, now) {
-				if k.apply(w) != rpc.OK {
+			for w := range writesDue(s, from+time.Duration(i)*100*time.Millisecond) {
+				if state.apply(w) != rpc.OK {
 					t.Fatalf("refused: %d changes", len(w.Txn.Then))
 				}
-				s.MarkCommitted(w, k.revision)
+				s.MarkCommitted(w, state.revision)
 			}
 		}
 	}
 	large := &testItem{strings.Repeat("x", 2900), 3000}
-	s.Load(0, 0, large)
-	var small []*countedItem
+	var small []Item
 	for i := range 20 {
 		small = append(small, newCountedItem(i))
-		s.Load(0, 0, small[i])
 	}
+	s.Load(0, 0, slices.Insert(slices.Clone(small), position, Item(large))...)
 	s.SetLimitsLowered()
 	smallCommitted, largeCommitted := 0, false
 	s.MarkDirty(0, large, OnCommit(func() { largeCommitted = true }))
 	run(0)
-	for _, item := range small {
+	for _, item := range append(small, &countedItem{name: "another"}) {
 		s.MarkDirty(5*time.Second, item, OnCommit(func() { smallCommitted++ }))
 	}
-	s.MarkDirty(5*time.Second, &countedItem{name: "another"}, OnCommit(func() { smallCommitted++ }))
 	run(5 * time.Second)
 	if smallCommitted != 21 || largeCommitted {
 		t.Errorf("%d of 21 small records were written; the large one: %t", smallCommitted, largeCommitted)
