--- a/internal/storage/records_test.go
+++ b/internal/storage/records_test.go
@@ -7,15 +7,20 @@
 	"oakpick/internal/protocol"
 )
 
-// The order of the fields of a record is part of the stored format. Other versions read it,
-// so these lists only change together with theirs.
-func TestRecordsAreStoredInThisOrder(t *testing.T) {
-	job := JobRecord{
+// fullJobRecord returns a record with a value in every field.
+func fullJobRecord() JobRecord {
+	return JobRecord{
 		ID: "id", Class: "class", Team: "team", Image: "image", Zone: "zone", Kind: protocol.Service, Priority: protocol.Production,
 		Tasks: 1, CPUs: 2.5, GPUs: 3.5, MemoryGB: 4.5, ImageGB: 5.5, AnyType: true, Types: []string{"type"},
 		OneZone: true, Spread: false, Spot: true, EstimatedRunS: 6.5, CheckpointIntervalS: 7.5, CheckpointDurationS: 8.5,
 		DeadlineS: 9.5, SubmittedMs: 10, Cancelled: true, GangAttempt: 11, CompletedBlocks: "0f",
 	}
+}
+
+// The order of the fields of a record is part of the stored format. Other versions read it,
+// so these lists only change together with theirs.
+func TestRecordsAreStoredInThisOrder(t *testing.T) {
+	job := fullJobRecord()
 	for name, c := range map[string]struct {
 		record any
 		want   []any
