--- a/internal/storage/archive_move.go
+++ b/internal/storage/archive_move.go
@@ -50,7 +50,7 @@
 	for _, item := range items {
 		s.detach(p, item)
 	}
-	s.budget.take(now, 1+len(pages)) // CanWrite told that there is enough
+	s.budget.take(now, 1+len(pages)) // CanWrite has checked that there is enough
 	waiter.pendingPages++
 	p.waiters = append(p.waiters, waiter)
 	w := &Write{sent: true, pages: []*page{p}, archivePages: pages}
