--- /dev/null
+++ b/internal/config/sockets_test.go
@@ -0,0 +1,65 @@
+package config
+
+import (
+	"fmt"
+	"testing"
+)
+
+// At 1.5 times the largest fleet seen there is less than two connections a machine: the
+// API server takes precedence, and commands share what it leaves.
+func TestSocketsCoverWorkersUsersAndCommands(t *testing.T) {
+	for _, c := range []struct {
+		maxConnections, size, workers, users int
+		memoryMB                             float64
+	}{
+		{2590, 3, 1840, 200, 271}, {2356, 5, 1101, 300, 322}, {700, 3, 64, 100, 98}, {900, 3, 440, 100, 98}, {64, 3, 8, 4, 32},
+	} {
+		t.Run(fmt.Sprintf("%d connections", c.maxConnections), func(t *testing.T) {
+			s := Settings{Size: c.size, Limits: Limits{MaxConnections: c.maxConnections, MemoryMB: c.memoryMB}}
+			if err := s.checkSockets(); err != nil {
+				t.Fatal(err)
+			}
+			sockets := s.Sockets()
+			if needed := c.workers + c.users; sockets.Frontend < needed {
+				t.Errorf("%d for the API server, which needs %d", sockets.Frontend, needed)
+			}
+			for open := 0; open <= sockets.Frontend; open++ {
+				if n := sockets.CommandsNow(open); n < 1 || open+n+s.reservedSockets() > c.maxConnections {
+					t.Fatalf("%d for commands beside %d of the API server", n, open)
+				}
+			}
+		})
+	}
+}
+
+func TestSocketsFitHalfOfTheMemory(t *testing.T) {
+	s := Settings{Size: 3, Limits: Limits{MaxConnections: 100_000, MemoryMB: 64}}
+	if sockets := s.Sockets(); sockets.Frontend*maxConnectionBytes > 32<<20 {
+		t.Errorf("%d connections of the API server in 64 MB", sockets.Frontend)
+	}
+}
+
+func TestTooFewSocketsAreRejected(t *testing.T) {
+	s := Settings{Size: 5, Limits: Limits{MaxConnections: 48, MemoryMB: 64}}
+	if s.checkSockets() == nil {
+		t.Error("five controllers can't do with 48 sockets")
+	}
+}
+
+// With the least memory and sockets that the capacity page names for them, 4,000 workers and
+// 500 users have a connection each, and commands have some beside them.
+func TestSocketsHoldALargeFleet(t *testing.T) {
+	const workers, users = 4000, 500
+	for _, size := range []int{3, 5} {
+		t.Run(fmt.Sprintf("%d controllers", size), func(t *testing.T) {
+			s := Settings{Size: size, Limits: Limits{MaxConnections: 4900, MemoryMB: 225}}
+			sockets := s.Sockets()
+			if sockets.Frontend < workers+users {
+				t.Errorf("%d connections for %d workers and %d users", sockets.Frontend, workers, users)
+			}
+			if n := sockets.CommandsNow(workers + users); n < workers/20 {
+				t.Errorf("%d connections for commands", n)
+			}
+		})
+	}
+}
--- a/internal/storage/split_test.go
+++ b/internal/storage/split_test.go
@@ -8,298 +8,219 @@
 	"testing"
 	"time"
 
-	"oakpick/internal/protocol"
 	"oakpick/internal/rpc"
 )
 
-// keys is a state service's content, as far as pages go.
-type keys struct {
-	t       *testing.T
-	values  map[string][]byte
-	version map[string]int64
-	next    int64
-	limit   int // of a value
-	changes int // of a transaction
+// splitTrial is a sequence of leaders that change items on a page that was written under
+// larger limits.
+type splitTrial struct {
+	*fakeStateService
+	limits      Limits
+	limitsKnown bool // leaders know that the limits are lowered
+	crashAfter  int  // this many writes the leader crashes, once
+
+	store     *Store
+	items     map[string]*countedItem
+	writes    int              // committed, and the one lost with the leader
+	committed map[string]int64 // changes by item's name
 }
 
-// apply carries a transaction out, if its conditions hold and it is within the limits.
-func (k *keys) apply(w *Write) rpc.Outcome {
-	for _, c := range w.Txn.Then {
-		if sizeInJSON(k.t, c.Value) > k.limit || len(w.Txn.Then) > k.changes {
-			return rpc.Invalid
-		}
-	}
-	for _, c := range w.Txn.If {
-		if c.Key != term.Key && k.version[c.Key] != c.Version {
-			return rpc.Conflict
-		}
+// splitTrialItems is the number of items on the large page.
+const splitTrialItems = 120
+
+// writeLargePage writes the page as a version with larger limits did.
+func (trial *splitTrial) writeLargePage() {
+	trial.t.Helper()
+	old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
+	trial.committed = map[string]int64{}
+	for i := range splitTrialItems {
+		item := newCountedItem(i)
+		old.MarkDirty(0, item, nil)
+		trial.committed[item.name] = 0
 	}
-	k.next++
-	for _, c := range w.Txn.Then {
-		k.values[c.Put], k.version[c.Put] = protocol.Encode(c.Value), k.next
+	if w := old.NextWrite(0, term, true); w == nil || trial.apply(w) != rpc.OK || len(w.Txn.Then) != 1 {
+		trial.t.Fatalf("the old version's page: %+v", w)
 	}
-	return rpc.OK
 }
 
-func (k *keys) entries() []protocol.Entry {
-	var out []protocol.Entry
-	for _, key := range slices.Sorted(maps.Keys(k.values)) {
-		out = append(out, protocol.Entry{Key: key, Value: k.values[key], Version: k.version[key]})
+// newLeader begins a term with what is stored.
+func (trial *splitTrial) newLeader() {
+	trial.t.Helper()
+	trial.store, trial.items = trial.load(trial.limits)
+	if trial.limitsKnown {
+		trial.store.SetLimitsLowered()
 	}
-	return out
 }
 
-// finals reads what a new leader finds, and fails if a record is there twice.
-func (k *keys) finals() map[string]int64 {
-	pages, err := ReadPages(k.entries())
-	if err != nil {
-		k.t.Fatal(err)
-	}
-	out := map[string]int64{}
-	for _, p := range pages {
-		for _, f := range p.Value.Terminal {
-			if _, ok := out[f.ID]; ok {
-				k.t.Fatalf("%s is on two pages, and both count", f.ID)
-			}
-			out[f.ID] = int64(f.Tasks)
+// changeOneItem has the leader change an item and write what is due, and compares what is
+// stored with what was committed after every write.
+func (trial *splitTrial) changeOneItem(step int) {
+	trial.t.Helper()
+	now := time.Duration(step) * time.Second
+	changed := trial.items[slices.Sorted(maps.Keys(trial.items))[step*7%splitTrialItems]]
+	changed.changed++
+	committed := false
+	trial.store.MarkDirty(now, changed, OnCommit(func() { committed = true }))
+	for w := trial.store.NextWrite(now, term, true); w != nil; w = trial.store.NextWrite(now, term, true) {
+		if trial.writes == trial.crashAfter {
+			trial.newLeader()
+			trial.writes++
+			return
+		}
+		trial.send(w)
+		if committed {
+			trial.committed[changed.name] = int64(changed.changed)
 		}
+		trial.checkCommitted()
 	}
-	return out
-}
-
-// record is an item whose records say how often it was changed.
-type record struct {
-	name    string
-	changed int
 }
 
-const recordBytes = 60
-
-func (r *record) AppendTo(v *PageValue) {
-	v.Terminal = append(v.Terminal, TerminalRecord{ID: r.name, Tasks: r.changed})
+// send executes a write. A refusal for its size ends the term.
+func (trial *splitTrial) send(w *Write) {
+	trial.t.Helper()
+	switch trial.apply(w) {
+	case rpc.OK:
+		trial.writes++
+		trial.store.MarkCommitted(w, trial.revision)
+	case rpc.Invalid:
+		if trial.limitsKnown {
+			trial.t.Fatal("refused for its size again")
+		}
+		trial.limitsKnown = true
+		trial.newLeader()
+	default:
+		trial.t.Fatal("a conflict with nobody else there")
+	}
 }
-func (r *record) EncodedSize() int  { return recordBytes }
-func (r *record) ReservedSize() int { return recordBytes }
 
-// load makes a store of what is stored, as a new leader does.
-func (k *keys) load(limits Limits, records map[string]*record) *Store {
-	s := NewStore(limits, fmt.Sprint("t", k.next), 100*time.Millisecond)
-	pages, err := ReadPages(k.entries())
-	if err != nil {
-		k.t.Fatal(err)
-	}
-	for _, p := range pages {
-		s.Load(p.Number, p.Version)
-		if p.Stale {
-			s.LoadStalePage(0, p.Number)
-		}
-		for _, f := range p.Value.Terminal {
-			records[f.ID] = &record{f.ID, f.Tasks}
-			s.Load(p.Number, p.Version, records[f.ID])
+// checkCommitted fails unless every record is stored, none older than what was committed.
+func (trial *splitTrial) checkCommitted() {
+	trial.t.Helper()
+	stored := trial.terminalRecords()
+	for name, least := range trial.committed {
+		if changes, ok := stored[name]; !ok || changes < least {
+			trial.t.Fatalf("%s is at %d (%t), committed was %d", name, changes, ok, least)
 		}
 	}
-	return s
 }
 
-// A page that was written under larger limits is divided, before the lower ones come
-// or after. The leader ends after every single write, and its successor finds every
+// A page that was written under larger limits is split, before the lower ones come or
+// after. The leader crashes after every single write, and the next leader finds every
 // record exactly once and none older than what was committed.
-func TestLargePageIsDividedAndEveryRecordIsKept(t *testing.T) {
-	const count = 120
+func TestOversizedPageIsSplitWithoutLosingRecords(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		before      int // writes before the limits are lowered
-		changes     int
-		knowsLimits bool
-	}{{"never lowered", 1000, 4, false}, {"lowered first, unknown", 0, 4, false}, {"lowered first, known", 0, 4, true},
-		{"lowered half way", 1, 4, false}, {"one change a transaction", 1000, 1, false}, {"two changes, lowered", 0, 2, true}} {
-		for ends := range 14 { // after so many writes
-			k := &keys{t: t, values: map[string][]byte{}, version: map[string]int64{}, limit: 8 << 10, changes: 8}
-			old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
-			want := map[string]int64{}
-			for i := range count {
-				r := &record{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))}
-				old.MarkDirty(0, r, nil)
-				want[r.name] = 0
-			}
-			if w := old.NextWrite(0, term, true); w == nil || k.apply(w) != rpc.OK || len(w.Txn.Then) != 1 {
-				t.Fatalf("%s: the old version's page: %+v", c.name, w)
-			}
-			limits := Limits{PageBytes(2), c.changes, 1000}
-			records := map[string]*record{}
-			s := k.load(limits, records)
-			known := c.knowsLimits
-			if known {
-				s.SetLimitsLowered()
-			}
-			written := 0
-			for i := range 60 {
-				now := time.Duration(i) * time.Second
-				if written == c.before {
-					k.limit, k.changes = 2<<10, max(1, c.changes)
+		name             string
+		lowerAfterWrites int
+		maxChanges       int
+		limitsKnown      bool
+	}{
+		{"never lowered", 1000, 4, false},
+		{"lowered first, unknown", 0, 4, false},
+		{"lowered first, known", 0, 4, true},
+		{"lowered half way", 1, 4, false},
+		{"one change a transaction", 1000, 1, false},
+		{"two changes, lowered", 0, 2, true},
+	} {
+		for crashAfter := range 14 {
+			t.Run(fmt.Sprintf("%s, crash after %d writes", c.name, crashAfter), func(t *testing.T) {
+				trial := &splitTrial{
+					fakeStateService: newFakeStateService(t), limits: Limits{PageBytes(2), c.maxChanges, 1000},
+					limitsKnown: c.limitsKnown, crashAfter: crashAfter,
 				}
-				changed := records[slices.Sorted(maps.Keys(records))[i*7%count]]
-				changed.changed++
-				committed := false
-				s.MarkDirty(now, changed, OnCommit(func() { committed = true }))
-				for w := s.NextWrite(now, term, true); w != nil; w = s.NextWrite(now, term, true) {
-					if written == ends { // the leader ends, and the next one reads
-						records = map[string]*record{}
-						s = k.load(limits, records)
-						if known {
-							s.SetLimitsLowered()
-						}
-						written++
-						break
-					}
-					switch k.apply(w) {
-					case rpc.OK:
-						written++
-						s.MarkCommitted(w, k.next)
-					case rpc.Invalid:
-						if known {
-							t.Fatalf("%s: refused for its size again", c.name)
-						}
-						known = true
-						records = map[string]*record{}
-						s = k.load(limits, records) // a new term
-						s.SetLimitsLowered()
-					default:
-						t.Fatalf("%s: a conflict with nobody else there", c.name)
-					}
-					if committed {
-						want[changed.name] = int64(changed.changed)
+				trial.writeLargePage()
+				trial.newLeader()
+				for step := range 60 {
+					if trial.writes == c.lowerAfterWrites {
+						trial.maxValueBytes, trial.maxChanges = 2<<10, c.maxChanges
 					}
-					got := k.finals()
-					for name, least := range want {
-						if is, ok := got[name]; !ok || is < least {
-							t.Fatalf("%s, ends after %d: %s is at %d (%t), committed was %d", c.name, ends, name, is, ok, least)
-						}
-					}
-				}
-			}
-			for key, value := range k.values {
-				var v any
-				if err := protocol.Decode(value, &v); err != nil {
-					t.Fatal(err)
+					trial.changeOneItem(step)
 				}
-				if n := sizeInJSON(t, v); n > 2<<10 {
-					t.Errorf("%s, ends after %d: %s still takes %d bytes", c.name, ends, key, n)
-				}
-			}
+				trial.maxValueBytes = 2 << 10 // also if the limits were never lowered
+				trial.checkValueSizes()
+			})
 		}
 	}
 }
 
-// Large pages are divided ahead of the lower limits although nothing on them changes,
-// the one that was written longest ago first, and within the write budget.
-func TestLargePagesAreDividedAhead(t *testing.T) {
-	k := &keys{t: t, values: map[string][]byte{}, version: map[string]int64{}, limit: 8 << 10, changes: 8}
+// Oversized pages are split ahead of the lower limits although nothing on them changes,
+// and within the write budget.
+func TestOversizedPagesAreSplitBeforeLimitsAreLowered(t *testing.T) {
+	state := newFakeStateService(t)
 	old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
 	for i := range 600 {
-		old.MarkDirty(0, &record{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))}, nil)
+		old.MarkDirty(0, newCountedItem(i), nil)
 	}
-	for w := old.NextWrite(0, term, true); w != nil; w = old.NextWrite(0, term, true) {
-		k.apply(w)
-		old.MarkCommitted(w, k.next)
+	for w := range writesDue(old, 0) {
+		state.apply(w)
+		old.MarkCommitted(w, state.revision)
 	}
-	s := k.load(Limits{PageBytes(2), 4, 10}, map[string]*record{})
-	changes, done := 0, time.Duration(0)
+	s, _ := state.load(Limits{PageBytes(2), 4, 10})
+	changes, splitAt := 0, time.Duration(0)
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
-		for w := s.NextWrite(now, term, true); w != nil; w = s.NextWrite(now, term, true) {
-			if k.apply(w) != rpc.OK {
-				t.Fatal("not taken")
+		for w := range writesDue(s, now) {
+			if state.apply(w) != rpc.OK {
+				t.Fatal("not accepted")
 			}
 			changes += len(w.Txn.Then)
-			s.MarkCommitted(w, k.next)
+			s.MarkCommitted(w, state.revision)
 		}
 		if changes > 10+int(now.Seconds()*10) {
 			t.Fatalf("%d changes in %v", changes, now)
 		}
-		if done == 0 && s.OversizedPages() == 0 {
-			done = now
+		if splitAt == 0 && s.OversizedPages() == 0 {
+			splitAt = now
 		}
 	}
-	if done == 0 || len(k.finals()) != 600 {
-		t.Errorf("%d pages are left, %d records", s.OversizedPages(), len(k.finals()))
-	}
-}
-
-// Of two copies the one on the page that was written last counts, for every kind of
-// record, and the end of a job more than any other record of it, wherever it is.
-func TestNewerCopyOfARecordCounts(t *testing.T) {
-	page := func(number int, version int64, v PageValue) protocol.Entry {
-		return protocol.Entry{Key: (&page{number: number}).key(), Version: version, Value: protocol.Encode(v)}
-	}
-	pages, err := ReadPages([]protocol.Entry{
-		page(0, 5, PageValue{
-			Jobs: []JobRecord{{ID: "wk-1", Tasks: 1}, {ID: "wk-2", Tasks: 9}, {ID: "wk-3", Tasks: 1}}, Blocks: []BlockRecord{{Job: "wk-1", Block: 1, LastAttempt: 1}},
-			Provisioning: []ProvisioningRecord{{RequestID: "r", Count: 1}}, Options: "old", Extensions: []JobExtension{{Job: "wk-1", BlockTasks: 1}},
-		}),
-		page(1, 7, PageValue{
-			Jobs: []JobRecord{{ID: "wk-1", Tasks: 2}}, Blocks: []BlockRecord{{Job: "wk-1", Block: 1, LastAttempt: 2}, {Job: "wk-1", Block: 2}},
-			Provisioning: []ProvisioningRecord{{RequestID: "r", Count: 2}}, Options: "new", Extensions: []JobExtension{{Job: "wk-1", BlockTasks: 2}},
-		}),
-		page(2, 3, PageValue{Terminal: []TerminalRecord{{ID: "wk-2", Tasks: 9}}}), // older than the job's record
-	})
-	if err != nil || len(pages) != 3 {
-		t.Fatal(pages, err)
-	}
-	old, fresh, end := pages[0], pages[1], pages[2]
-	if !old.Stale || fresh.Stale || end.Stale {
-		t.Errorf("stale: %t, %t, %t", old.Stale, fresh.Stale, end.Stale)
-	}
-	v := old.Value
-	if len(v.Jobs) != 1 || v.Jobs[0].ID != "wk-3" || len(v.Blocks)+len(v.Provisioning)+len(v.Extensions) != 0 || v.Options != "" {
-		t.Errorf("of the older page counts %+v", v)
-	}
-	v = fresh.Value
-	if len(v.Jobs) != 1 || len(v.Blocks) != 2 || len(v.Provisioning) != 1 || len(v.Extensions) != 1 || v.Options != "new" {
-		t.Errorf("of the newer page counts %+v", v)
-	}
-	if len(end.Value.Terminal) != 1 {
-		t.Errorf("the end of a job does not count: %+v", end.Value)
+	if splitAt == 0 || len(state.terminalRecords()) != 600 {
+		t.Errorf("%d oversized pages, %d records", s.OversizedPages(), len(state.terminalRecords()))
 	}
 }
 
 // One record on a large page has grown beyond what any page may take now. The others on
 // it are written all the same, and so is this one once it has shrunk.
-func TestRecordTooLargeForAnyPageKeepsNoOtherBack(t *testing.T) {
-	s := NewStore(Limits{PageBytes(2), 4, 1000}, "t", 100*time.Millisecond)
-	k := &keys{t: t, values: map[string][]byte{}, version: map[string]int64{}, limit: 2 << 10, changes: 4}
-	large := &thing{strings.Repeat("x", 2900), 3000}
-	s.Load(0, 0, large)
-	var small []*record
-	for i := range 20 {
-		small = append(small, &record{name: fmt.Sprintf("wk-%06d%s", i, strings.Repeat("0", 20))})
-		s.Load(0, 0, small[i])
+func TestOversizedRecordDoesNotBlockOthers(t *testing.T) {
+	for name, position := range map[string]int{"first on its page": 0, "last on its page": 20} {
+		t.Run(name, func(t *testing.T) { checkOversizedRecord(t, position) })
 	}
-	s.SetLimitsLowered()
-	committed := 0
+}
+
+// checkOversizedRecord loads a page of 20 small records and an oversized one at the given
+// position, and changes all of them.
+func checkOversizedRecord(t *testing.T, position int) {
+	t.Helper()
+	s := NewStore(Limits{PageBytes(2), 4, 1000}, "t", retryInterval)
+	state := newFakeStateService(t)
+	state.maxValueBytes, state.maxChanges = 2<<10, 4
 	run := func(from time.Duration) {
 		for i := range 40 {
-			now := from + time.Duration(i)*100*time.Millisecond
-			for w := s.NextWrite(now, term, true); w != nil; w = s.NextWrite(now, term, true) {
-				if k.apply(w) != rpc.OK {
+			for w := range writesDue(s, from+time.Duration(i)*100*time.Millisecond) {
+				if state.apply(w) != rpc.OK {
 					t.Fatalf("refused: %d changes", len(w.Txn.Then))
 				}
-				s.MarkCommitted(w, k.next)
+				s.MarkCommitted(w, state.revision)
 			}
 		}
 	}
-	s.MarkDirty(0, large, OnCommit(func() { committed += 100 }))
+	large := &testItem{strings.Repeat("x", 2900), 3000}
+	var small []Item
+	for i := range 20 {
+		small = append(small, newCountedItem(i))
+	}
+	s.Load(0, 0, slices.Insert(slices.Clone(small), position, Item(large))...)
+	s.SetLimitsLowered()
+	smallCommitted, largeCommitted := 0, false
+	s.MarkDirty(0, large, OnCommit(func() { largeCommitted = true }))
 	run(0)
-	for _, r := range small {
-		s.MarkDirty(5*time.Second, r, OnCommit(func() { committed++ }))
+	for _, item := range append(small, &countedItem{name: "another"}) {
+		s.MarkDirty(5*time.Second, item, OnCommit(func() { smallCommitted++ }))
 	}
-	s.MarkDirty(5*time.Second, &record{name: "another"}, OnCommit(func() { committed++ }))
 	run(5 * time.Second)
-	if committed != 21 {
-		t.Errorf("%d of 21 small records were written", committed)
+	if smallCommitted != 21 || largeCommitted {
+		t.Errorf("%d of 21 small records were written; the large one: %t", smallCommitted, largeCommitted)
 	}
 	large.name, large.size = "x", 100
 	run(20 * time.Second)
-	if committed != 121 {
-		t.Errorf("the large record was not written when it had shrunk: %d", committed)
+	if smallCommitted != 21 || !largeCommitted {
+		t.Errorf("%d of 21 small records were written; the large one, shrunk: %t", smallCommitted, largeCommitted)
 	}
 }
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -1,102 +1,59 @@
 package storage
 
 import (
-	"cmp"
-	"fmt"
 	"slices"
 	"time"
-
-	"golang.org/x/time/rate"
-
-	"oakpick/internal/config"
-	"oakpick/internal/protocol"
 )
 
-// maxWrites is how many transactions may be in flight at a time, each for pages of
-// its own. The state service's other calls keep two connections.
-const maxWrites = config.StateConnections - 2
-
-// Write is a transaction in flight.
-type Write struct {
-	ID  string // in the value of every page that it writes
-	Txn protocol.Txn
-	// Oversize tells that a value is larger than the limits to come allow: the rest
-	// of a page that is being split.
-	Oversize bool
-	// Rejected tells that the state service called it malformed.
-	Rejected bool
-	// Version is the revision that it was committed with.
-	Version int64
-
-	pages   []*page
-	guard   *page          // compared, but not written
-	archive []*ArchivePage // written, too
-	waiters [][]*CommitWaiter
-	sent    bool
-	retryAt time.Duration
-}
-
-// Key names a page that tells, by the write's id, whether the write was committed.
-func (w *Write) Key() string {
-	if len(w.archive) > 0 {
-		return w.archive[0].Key() // the other may be dropped
-	}
-	return w.pages[0].key()
-}
-
-// keys is how many the write changes.
-func (w *Write) keys() int { return len(w.pages) + len(w.archive) }
-
-// Limits are what the state service bears, now and after any change to come.
+// Limits are what the state service accepts, now and after any announced change.
 type Limits struct {
-	PageBytes     int
-	ChangesPerTxn int
-	WritesPerS    float64
+	PageBytes     int     // of a page's value, as the state service counts
+	ChangesPerTxn int     // keys that one transaction may change
+	WritesPerS    float64 // keys a second
 }
 
-// Store packs items into pages and decides what is written when. It never has a
-// page in two transactions at a time and never changes what a retry carries: a
-// copy of the first try that arrives late is then the same write or a failed one.
+// Store packs items into pages and decides which page is written when. No page is in two
+// transactions in flight at a time.
+//
+// A Store belongs to one leader and one term, and to one goroutine. It does no I/O: the
+// caller sends what NextWrite and Move return and reports the outcome with
+// MarkCommitted or RetryLater. Times are the leader's monotonic clock.
 type Store struct {
-	limits    Limits
-	budget    *rate.Limiter
-	pages     []*page
-	freeSpace freeSpaceIndex
+	limits Limits
+	// limitsLowered tells that values above the announced limits are refused by now.
+	limitsLowered bool
+
+	pages     []*page // by number
 	pageOf    map[Item]*page
+	freeSpace freeSpaceIndex
 	dirty     []*page
-	writes    []*Write
-	prefix    string
-	counter   int64
-	retry     time.Duration
-	resume    time.Duration  // no new transaction before, after a refusal
-	stalled   *time.Duration // when a transaction came to nothing and none was committed since
-	lowered   bool           // the state service has lowered its limits for certain
 
-	unchecked []*page // read at the take-over, not yet known to fit the limits
-	sorted    bool
+	budget   writeBudget
+	inFlight inFlightWrites
+	splits   splitQueue
 }
 
-// NewStore makes an empty store. Writes are named by prefix and a counter.
-func NewStore(limits Limits, prefix string, retry time.Duration) *Store {
+// NewStore returns an empty store. The ids of its transactions begin with idPrefix, which
+// no other store may use. A transaction that was not answered is sent again after
+// retryInterval.
+func NewStore(limits Limits, idPrefix string, retryInterval time.Duration) *Store {
 	return &Store{
-		limits: limits, pageOf: map[Item]*page{}, prefix: prefix, retry: retry,
-		budget: rate.NewLimiter(rate.Limit(limits.WritesPerS), burst(limits.WritesPerS)),
+		limits:   limits,
+		pageOf:   map[Item]*page{},
+		budget:   newWriteBudget(limits.WritesPerS),
+		inFlight: inFlightWrites{idPrefix: idPrefix, retryInterval: retryInterval},
 	}
 }
 
 // SetWriteRate changes how many keys a second may be written.
-func (s *Store) SetWriteRate(writesPerS float64) {
-	s.budget.SetLimit(rate.Limit(writesPerS))
-	s.budget.SetBurst(burst(writesPerS))
-}
+func (s *Store) SetWriteRate(keysPerS float64) { s.budget.setRate(keysPerS) }
 
-// burst is how many keys may be written at once: a second's worth.
-func burst(writesPerS float64) int { return max(1, int(writesPerS)) }
+// SetLimitsLowered notes that the state service refuses values above the announced limits
+// by now.
+func (s *Store) SetLimitsLowered() { s.limitsLowered = true }
 
-// SetLimitsLowered notes that values above the limits to come are refused by now.
-func (s *Store) SetLimitsLowered() { s.lowered = true }
-
-// Load notes items read from a page.
+// Load adds items that were read from a page, as a new leader does. A page without items
+// is loaded too, for its version.
 func (s *Store) Load(number int, version int64, items ...Item) {
 	for len(s.pages) <= number {
 		s.newPage()
@@ -108,112 +65,96 @@
 	}
 }
 
-// LoadStalePage notes that a page holds records that are read from another one: it is
-// written without them before long.
+// LoadStalePage marks a loaded page as dirty because it holds outdated copies of records:
+// it is written without them before long.
 func (s *Store) LoadStalePage(now time.Duration, number int) {
 	s.markPageDirty(now, s.pages[number], nil)
 }
 
-func (s *Store) insert(p *page, item Item) {
-	p.items = append(p.items, item)
-	p.reserved += s.reservedSize(item)
-	s.pageOf[item] = p
-	s.updateFreeSpace(p)
-}
-
-// reservedSize is what is set aside for an item: never more than a page holds. An item
-// that could outgrow its page has one of its own and is kept from growing further
-// by whoever asks MaxItemSize.
-func (s *Store) reservedSize(item Item) int { return min(item.ReservedSize(), s.MaxItemSize()) }
-
-// MaxItemSize is the most that one item may take.
-func (s *Store) MaxItemSize() int { return s.limits.PageBytes - pageSize }
+// MaxItemSize is the most bytes that one item may take.
+func (s *Store) MaxItemSize() int { return s.limits.PageBytes - pageOverhead }
 
-// Fits tells whether an item can be kept, whatever it grows to.
+// Fits tells whether an item can be stored, grown to its reserved size.
 func (s *Store) Fits(item Item) bool { return item.ReservedSize() <= s.MaxItemSize() }
 
-// MarkDirty notes that an item is new or has changed; w, if any, waits for the commit.
-func (s *Store) MarkDirty(now time.Duration, item Item, w *CommitWaiter) {
+// MarkDirty notes that an item is new or has changed. The waiter, if not nil, waits for
+// the commit.
+func (s *Store) MarkDirty(now time.Duration, item Item, waiter *CommitWaiter) {
 	p := s.pageOf[item]
 	if p == nil {
-		p = s.pageWithRoom(s.reservedSize(item))
+		p = s.pageWithSpace(s.reservedSize(item))
 		s.insert(p, item)
 	}
-	s.markPageDirty(now, p, w)
+	s.markPageDirty(now, p, waiter)
 }
 
-// Replace puts one item in another's place, on the same page, so that no reader
-// ever finds both or neither.
-func (s *Store) Replace(now time.Duration, old, fresh Item, w *CommitWaiter) {
+// Replace puts a new item in the place of a stored one, on the same page, so that no
+// reader ever finds both or neither. The waiter, if not nil, waits for the commit.
+func (s *Store) Replace(now time.Duration, old, replacement Item, waiter *CommitWaiter) {
 	p := s.pageOf[old]
 	delete(s.pageOf, old)
-	s.pageOf[fresh] = p
-	p.items[slices.Index(p.items, old)] = fresh
-	p.reserved += s.reservedSize(fresh) - s.reservedSize(old)
+	s.pageOf[replacement] = p
+	p.items[slices.Index(p.items, old)] = replacement
+	p.reserved += s.reservedSize(replacement) - s.reservedSize(old)
 	s.updateFreeSpace(p)
-	s.markPageDirty(now, p, w)
+	s.markPageDirty(now, p, waiter)
 }
 
-// Remove drops an item.
-func (s *Store) Remove(now time.Duration, item Item, w *CommitWaiter) {
+// Remove deletes an item. The waiter, if not nil, waits for the commit; it is not used if
+// the item is not stored.
+func (s *Store) Remove(now time.Duration, item Item, waiter *CommitWaiter) {
 	p := s.pageOf[item]
 	if p == nil {
 		return
 	}
 	s.detach(p, item)
-	s.markPageDirty(now, p, w)
+	s.markPageDirty(now, p, waiter)
 }
 
-// detach takes an item off its page.
-func (s *Store) detach(p *page, item Item) {
-	delete(s.pageOf, item)
-	p.remove(item)
-	p.reserved -= s.reservedSize(item)
-	s.updateFreeSpace(p)
+// Items returns what is on a page of records; nil while it is part of a transaction in
+// flight. The slice is the store's own.
+func (s *Store) Items(page int) []Item {
+	if page >= len(s.pages) || s.pages[page].inFlight {
+		return nil
+	}
+	return s.pages[page].items
 }
 
-func (s *Store) newPage() *page {
-	p := &page{number: len(s.pages), reserved: pageSize}
-	s.pages = append(s.pages, p)
-	s.updateFreeSpace(p)
-	return p
+// Backlog returns how many pages wait to be written, and for how long the oldest has.
+func (s *Store) Backlog(now time.Duration) (pages int, oldest time.Duration) {
+	since := now
+	for _, p := range s.dirty {
+		since = min(since, p.dirtySince)
+	}
+	return len(s.dirty), now - since
 }
 
-// updateFreeSpace notes how much room a page has, or that it takes nothing while it is written.
-func (s *Store) updateFreeSpace(p *page) {
-	if p.inFlight {
-		s.freeSpace.set(p.number, noFreeSpace)
-		return
+// PagesDueBefore returns how many pages are written before one that becomes due at the
+// given time.
+func (s *Store) PagesDueBefore(due time.Duration) int {
+	n := 0
+	for _, p := range s.dirty {
+		if p.dueAt <= due {
+			n++
+		}
 	}
-	s.freeSpace.set(p.number, s.limits.PageBytes-p.reserved)
+	return n
 }
 
-// setInFlight notes that a page is part of a transaction under way, or no longer.
-func (s *Store) setInFlight(p *page, inFlight bool) {
-	p.inFlight = inFlight
-	s.updateFreeSpace(p)
-}
+// PageCount returns how many pages there are.
+func (s *Store) PageCount() int { return len(s.pages) }
 
-func (s *Store) markPageDirty(now time.Duration, p *page, w *CommitWaiter) {
-	patience := soonRetries
-	if w != nil {
-		patience = w.maxDelayRetries
-	}
-	due := now + time.Duration(patience)*s.retry
-	if !p.dirty {
-		p.dirty, p.dirtySince, p.dueAt = true, now, due
-		s.dirty = append(s.dirty, p)
-	}
-	p.dueAt = min(p.dueAt, due)
-	if w != nil {
-		w.pending++
-		p.waiters = append(p.waiters, w)
-	}
+func (s *Store) newPage() *page {
+	p := &page{number: len(s.pages), reserved: pageOverhead}
+	s.pages = append(s.pages, p)
+	s.updateFreeSpace(p)
+	return p
 }
 
-// pageWithRoom picks a page: one that will be written anyway, else the first with
-// space, else a new one; none that would have to wait for a write in flight.
-func (s *Store) pageWithRoom(size int) *page {
+// pageWithSpace picks the page for a new item: one that will be written anyway, else the
+// first with enough space, else a new one; none that would have to wait for a transaction
+// in flight.
+func (s *Store) pageWithSpace(size int) *page {
 	for _, p := range s.dirty {
 		if !p.inFlight && p.reserved+size <= s.limits.PageBytes {
 			return p
@@ -225,177 +166,55 @@
 	return s.newPage()
 }
 
-// NextWrite gives a transaction to send now, if any: conditional on the term's key and
-// on every page's version. Ask again until there is none. Unless more may begin,
-// only those already in flight are sent again.
-func (s *Store) NextWrite(now time.Duration, term protocol.Condition, more bool) *Write {
-	w, due := s.nextRetry(now)
-	if due {
-		return w
-	}
-	if !more || len(s.writes) >= maxWrites || now < s.resume {
-		return nil
-	}
-	s.splitAhead(now)
-	w = s.collect(now)
-	if w == nil {
-		return nil
-	}
-	s.seal(w, term)
-	return w
-}
-
-// nextRetry gives the write to be sent again now. If it is due but the budget is
-// used up, it gives none, and nothing else may be sent either: newer writes must not
-// take the budget that this one waits for. Small ones would leave a large one waiting
-// for ever, and its pages with it. Nor may a budget that was lowered meanwhile be
-// less than it can ever have.
-func (s *Store) nextRetry(now time.Duration) (w *Write, due bool) {
-	for _, w := range s.writes {
-		if w.sent || now < w.retryAt {
-			continue
-		}
-		if !s.budget.AllowN(at(now), min(w.keys(), s.budget.Burst())) {
-			return nil, true
-		}
-		w.sent = true
-		return w, true
-	}
-	return nil, false
-}
-
-// collect picks dirty pages for one transaction, by when they are due, and takes its
-// budget.
-func (s *Store) collect(now time.Duration) *Write {
-	if s.budget.TokensAt(at(now)) < 1 {
-		return nil // before anything is sorted or measured for it
-	}
-	slices.SortStableFunc(s.dirty, func(a, b *page) int { return cmp.Compare(a.dueAt, b.dueAt) })
-	w := &Write{sent: true}
-	most := min(s.limits.ChangesPerTxn, max(1, int(s.budget.TokensAt(at(now)))))
-	left := protocol.MaxBody - txnOverhead
-	for _, p := range s.dirty {
-		if p.inFlight || s.tooLarge(p) {
-			continue
-		}
-		size := p.size()
-		if size > s.limits.PageBytes {
-			if len(w.pages) > 0 {
-				continue // it needs a transaction of its own, and is the first of the next
-			}
-			if most < min(s.limits.ChangesPerTxn, s.budget.Burst()) {
-				return nil
-			}
-			s.split(p, w)
-			break
-		}
-		// The sum counts too: a transaction that is too large is refused each time
-		// it is sent again, and its pages would never be written.
-		need := max(size, p.reserved) + changeOverhead
-		if len(w.pages) < most && (need <= left || len(w.pages) == 0) {
-			w.pages = append(w.pages, p)
-			left -= need
-		}
-	}
-	if len(w.pages) == 0 || !s.budget.AllowN(at(now), min(len(w.pages), s.budget.Burst())) {
-		return nil
-	}
-	return w
+func (s *Store) insert(p *page, item Item) {
+	p.items = append(p.items, item)
+	p.reserved += s.reservedSize(item)
+	s.pageOf[item] = p
+	s.updateFreeSpace(p)
 }
 
-// seal writes the transaction down; from here on it never changes.
-func (s *Store) seal(w *Write, term protocol.Condition) {
-	s.counter++
-	w.ID = fmt.Sprintf("%s-%d", s.prefix, s.counter)
-	w.Txn.If = append(w.Txn.If, term)
-	if w.guard != nil {
-		w.Txn.If = append(w.Txn.If, protocol.Condition{Key: w.guard.key(), Version: w.guard.version})
-		s.setInFlight(w.guard, true)
-	}
-	for _, p := range w.pages {
-		w.Txn.If = append(w.Txn.If, protocol.Condition{Key: p.key(), Version: p.version})
-		if p.deleted = len(w.archive) > 0 && len(p.items) == 0; p.deleted {
-			w.Txn.Then = append(w.Txn.Then, protocol.Change{Delete: p.key()})
-		} else {
-			w.Txn.Then = append(w.Txn.Then, protocol.Change{Put: p.key(), Value: p.value(w.ID)})
-		}
-		w.waiters = append(w.waiters, p.waiters)
-		p.dirty, p.waiters = false, nil
-		s.setInFlight(p, true)
-	}
-	w.fillArchive()
-	s.dirty = slices.DeleteFunc(s.dirty, func(p *page) bool { return !p.dirty })
-	s.writes = append(s.writes, w)
+// detach removes an item from its page without marking the page as dirty.
+func (s *Store) detach(p *page, item Item) {
+	delete(s.pageOf, item)
+	p.remove(item)
+	p.reserved -= s.reservedSize(item)
+	s.updateFreeSpace(p)
 }
 
-func at(now time.Duration) time.Time { return time.Unix(1, 0).Add(now) }
+// reservedSize is what is set aside for an item: never more than a page holds. An item
+// that could outgrow its page has one of its own, and callers keep it from growing
+// further (see MaxItemSize).
+func (s *Store) reservedSize(item Item) int { return min(item.ReservedSize(), s.MaxItemSize()) }
 
-// MarkCommitted notes that a transaction was committed with a version.
-func (s *Store) MarkCommitted(w *Write, version int64) {
-	s.stalled = nil
-	s.writes = slices.DeleteFunc(s.writes, func(x *Write) bool { return x == w })
-	if w.guard != nil {
-		s.setInFlight(w.guard, false)
-	}
-	w.Version = version
-	for _, p := range w.pages {
-		p.version = version
-		if p.deleted {
-			p.version, p.deleted = 0, false
-		}
-		s.setInFlight(p, false)
-	}
-	for _, waits := range w.waiters {
-		for _, wait := range waits {
-			if wait.pending--; wait.pending == 0 {
-				wait.onCommit()
-			}
-		}
+// updateFreeSpace enters a page's free space in the index; a page in flight takes no items.
+func (s *Store) updateFreeSpace(p *page) {
+	if p.inFlight {
+		s.freeSpace.set(p.number, noFreeSpace)
+		return
 	}
+	s.freeSpace.set(p.number, s.limits.PageBytes-p.reserved)
 }
 
-// RetryLater notes that a transaction wasn't executed, or that nobody knows: the same
-// one is sent again later. Nothing new is begun before that: a state service that
-// refuses writes beyond its rate must not be asked for more.
-func (s *Store) RetryLater(now time.Duration, w *Write) {
-	if s.stalled == nil {
-		s.stalled = &now
-	}
-	w.sent, w.retryAt = false, now+s.retry
-	s.resume = max(s.resume, w.retryAt)
+// setInFlight notes that a page is part of a transaction in flight, or no longer.
+func (s *Store) setInFlight(p *page, inFlight bool) {
+	p.inFlight = inFlight
+	s.updateFreeSpace(p)
 }
 
-// StalledFor is for how long transactions have come to nothing, refused or not answered,
-// with none committed in between.
-func (s *Store) StalledFor(now time.Duration) time.Duration {
-	if s.stalled == nil {
-		return 0
+// markPageDirty queues a page to be written, by the priority of the most urgent waiter.
+func (s *Store) markPageDirty(now time.Duration, p *page, waiter *CommitWaiter) {
+	delayRetries := deferredDelayRetries
+	if waiter != nil {
+		delayRetries = waiter.maxDelayRetries
 	}
-	return now - *s.stalled
-}
-
-// HasWritesInFlight tells whether a transaction is under way.
-func (s *Store) HasWritesInFlight() bool { return len(s.writes) > 0 }
-
-// Backlog is how many pages wait to be written, and since when the oldest does.
-func (s *Store) Backlog(now time.Duration) (pages int, oldest time.Duration) {
-	since := now
-	for _, p := range s.dirty {
-		since = min(since, p.dirtySince)
+	due := now + time.Duration(delayRetries)*s.inFlight.retryInterval
+	if !p.dirty {
+		p.dirty, p.dirtySince, p.dueAt = true, now, due
+		s.dirty = append(s.dirty, p)
 	}
-	return len(s.dirty), now - since
-}
-
-// PagesDueBefore is how many pages have to be written before one that becomes due at a time.
-func (s *Store) PagesDueBefore(due time.Duration) int {
-	n := 0
-	for _, p := range s.dirty {
-		if p.dueAt <= due {
-			n++
-		}
+	p.dueAt = min(p.dueAt, due)
+	if waiter != nil {
+		waiter.pendingPages++
+		p.waiters = append(p.waiters, waiter)
 	}
-	return n
 }
-
-// PageCount is how many there are.
-func (s *Store) PageCount() int { return len(s.pages) }
--- /dev/null
+++ b/internal/storage/write_test.go
@@ -0,0 +1,138 @@
+package storage
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"oakpick/internal/protocol"
+)
+
+// A retry carries what the first try carried, under the same id: the first may still be
+// executed, and must then be the same transaction.
+func TestRetryRepeatsTheSameTransaction(t *testing.T) {
+	s := newStore()
+	x, y := &testItem{"x", 50}, &testItem{"y", 50}
+	s.MarkDirty(0, x, nil)
+	write := s.NextWrite(0, term, true)
+	first := protocol.Encode(write.Txn)
+	s.MarkDirty(0, x, nil)
+	s.MarkDirty(0, y, nil)
+	s.RetryLater(0, write)
+	if s.NextWrite(50*time.Millisecond, term, false) != nil {
+		t.Fatal("sent again at once")
+	}
+	again := s.NextWrite(time.Second, term, false)
+	if again != write || !bytes.Equal(protocol.Encode(again.Txn), first) {
+		t.Fatal("the retry differs")
+	}
+}
+
+func TestWriteBudgetCountsKeys(t *testing.T) {
+	s := newStore() // ten keys a second, ten at once
+	keys := 0
+	for i := range 100 {
+		s.MarkDirty(0, &testItem{fmt.Sprint(i), 800}, nil)
+	}
+	for i := range 300 { // three seconds
+		if w := s.NextWrite(time.Duration(i)*10*time.Millisecond, term, true); w != nil {
+			keys += len(w.Txn.Then)
+			s.MarkCommitted(w, int64(i))
+		}
+	}
+	if keys < 35 || keys > 41 {
+		t.Fatalf("%d keys in three seconds", keys)
+	}
+}
+
+// A large write gets no answer while small ones keep coming, enough to use up the whole
+// budget: it is sent again all the same, also when the budget has been lowered below its
+// size since.
+func TestLargeRetryIsNotStarvedBySmallWrites(t *testing.T) {
+	for name, rate := range map[string]float64{"same budget": 10, "lowered budget": 4} {
+		t.Run(name, func(t *testing.T) {
+			s := NewStore(Limits{PageBytes(1), 8, 10}, "t", retryInterval)
+			for i := range 8 {
+				s.MarkDirty(0, &testItem{fmt.Sprint("large", i), 800}, nil)
+			}
+			large := s.NextWrite(0, term, true)
+			if large == nil || len(large.Txn.Then) != 8 {
+				t.Fatalf("got %+v", large)
+			}
+			s.RetryLater(0, large)
+			if rate != 10 {
+				s.SetWriteRate(rate)
+			}
+			sentAt, small := time.Duration(0), 0
+			for now := time.Duration(0); now < 10*time.Second && sentAt == 0; now += 20 * time.Millisecond {
+				s.MarkDirty(now, &testItem{fmt.Sprint("small", now), 800}, nil)
+				switch w := s.NextWrite(now, term, true); w {
+				case nil:
+				case large:
+					sentAt = now
+				default:
+					small++
+					s.MarkCommitted(w, int64(now))
+				}
+			}
+			if sentAt == 0 || sentAt > 2500*time.Millisecond {
+				t.Errorf("sent again after %v, %d small writes before it", sentAt, small)
+			}
+		})
+	}
+}
+
+// Many large pages wait, and a transaction may change more of them than fit its
+// size: each is written by one that the state service accepts. A value alone is
+// bounded by that size too.
+func TestTransactionsStayWithinTheRequestLimit(t *testing.T) {
+	const items = 40
+	for _, valueKB := range []float64{8, 31, 64, 128} {
+		t.Run(fmt.Sprintf("%v KiB", valueKB), func(t *testing.T) {
+			s := NewStore(Limits{PageBytes(valueKB), 32, 100}, "t", retryInterval)
+			size := PageBytes(valueKB) - pageOverhead
+			if whole, tooLarge := (&testItem{"", size}), (&testItem{"", PageBytes(valueKB)}); !s.Fits(whole) || s.Fits(tooLarge) {
+				t.Fatalf("a page's worth fits %t, more %t", s.Fits(whole), s.Fits(tooLarge))
+			}
+			committed := 0
+			for i := range items {
+				name := strings.Repeat("x", size-100) + fmt.Sprint(i)
+				s.MarkDirty(0, &testItem{name, size}, OnCommit(func() { committed++ }))
+			}
+			maxChanges := 0
+			for i := range 20 * items {
+				for w := range writesDue(s, time.Duration(i)*50*time.Millisecond) {
+					if n := sizeInJSON(t, w.Txn); n > protocol.MaxBody {
+						t.Fatalf("a transaction of %d bytes", n)
+					}
+					maxChanges = max(maxChanges, len(w.Txn.Then))
+					s.MarkCommitted(w, int64(i+1))
+				}
+			}
+			if committed != items || valueKB == 8 && maxChanges != 7 {
+				t.Errorf("%d of %d pages written, at most %d at once", committed, items, maxChanges)
+			}
+		})
+	}
+}
+
+// After a refusal nothing new is sent before the refused write is due again: a state
+// service that refuses writes beyond its rate isn't asked for more.
+func TestNoNewTransactionBeforeTheRetryOfARefusedOne(t *testing.T) {
+	s := newStore()
+	s.MarkDirty(0, &testItem{"refused", 800}, nil)
+	refused := s.NextWrite(0, term, true)
+	s.RetryLater(0, refused)
+	s.MarkDirty(0, &testItem{"new", 800}, nil)
+	if s.NextWrite(50*time.Millisecond, term, true) != nil {
+		t.Error("a new write was sent at once")
+	}
+	if again := s.NextWrite(150*time.Millisecond, term, true); again != refused {
+		t.Errorf("the refused write was not the next: %+v", again)
+	}
+	if s.NextWrite(150*time.Millisecond, term, true) == nil {
+		t.Error("the new write was not sent when the refused one was")
+	}
+}
