--- a/internal/storage/write_test.go
+++ b/internal/storage/write_test.go
@@ -136,3 +136,25 @@
 		t.Error("the new write was not sent when the refused one was")
 	}
 }
+
+// The rate of writes is changed while a large write waits for its retry: the budget goes on
+// filling by the steady clock, and the write is sent again.
+func TestWriteBudgetFillsAfterItsRateIsChanged(t *testing.T) {
+	s := NewStore(Limits{PageBytes(1), 8, 10}, "t", retryInterval)
+	for i := range 8 {
+		s.MarkDirty(0, &testItem{fmt.Sprint("large", i), 800}, nil)
+	}
+	large := s.NextWrite(0, term, true)
+	if large == nil || len(large.Txn.Then) != 8 {
+		t.Fatalf("got %+v", large)
+	}
+	s.RetryLater(0, large)
+	s.SetWriteRate(4)
+	s.SetWriteRate(10)
+	for now := time.Duration(0); now < time.Minute; now += retryInterval {
+		if s.NextWrite(now, term, true) == large {
+			return
+		}
+	}
+	t.Error("not sent again within a minute")
+}
