--- a/cmd/oakpick/main.go
+++ b/cmd/oakpick/main.go
@@ -72,8 +72,8 @@
 	if info, ok := debug.ReadBuildInfo(); ok {
 		version = info.Main.Version + " " + info.GoVersion
 	}
-	fmt.Println("oakpick", version)
-	return nil
+	_, err := fmt.Println("oakpick", version)
+	return err
 }
 
 func main() {
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -72,14 +72,17 @@
 	h.step(at, func() { h.calls.Handle(result) })
 }
 
-// lead makes the node the leader with a token, at one second.
-func (h *harness) lead(token int64) {
+// firstToken is the fencing token of the terms that lead begins.
+const firstToken = 5
+
+// lead makes the node the leader, at one second.
+func (h *harness) lead() {
 	h.t.Helper()
 	h.step(0, nil)
 	h.answer(0, h.request(storage.StateGet), storage.StateResult{Outcome: rpc.NotFound})
 	h.answer(time.Second, h.request(storage.StateGrantLease), storage.StateResult{Revision: 77})
-	h.answer(time.Second, h.request(storage.StateTxn), storage.StateResult{Revision: token})
-	if h.delegate.acquired != 1 || h.Token() != token {
+	h.answer(time.Second, h.request(storage.StateTxn), storage.StateResult{Revision: firstToken})
+	if h.delegate.acquired != 1 || h.Token() != firstToken {
 		h.t.Fatalf("acquired %d times, token %d", h.delegate.acquired, h.Token())
 	}
 	h.step(time.Second, h.BeginLeading)
@@ -101,7 +104,7 @@
 
 func TestLeaseCountsFromWhenItWasRequested(t *testing.T) {
 	h := newHarness(t)
-	h.lead(5)
+	h.lead()
 	// Requested at 0 s, for 10 s less the drift of clocks and a margin.
 	const last, expired = 9450 * time.Millisecond, 9500 * time.Millisecond
 	h.step(last, nil)
@@ -125,13 +128,13 @@
 		term int64
 		want int
 	}{
-		{"an older term", 4, 0},
-		{"its own term", 5, 0},
-		{"a newer term", 6, 1},
+		{"an older term", firstToken - 1, 0},
+		{"its own term", firstToken, 0},
+		{"a newer term", firstToken + 1, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
-			h.lead(5)
+			h.lead()
 			h.step(2*time.Second, func() { h.HandleStepDownRequest(message.StepDownRequest{ID: 1, Term: c.term, Leader: "n1"}) })
 			if h.delegate.steppedDown != c.want || h.Leading() == (c.want == 1) {
 				t.Errorf("stepped down %d times, leads %t", h.delegate.steppedDown, h.Leading())
@@ -145,7 +148,7 @@
 
 func TestResultsOfATermThatIsOverAreIgnored(t *testing.T) {
 	h := newHarness(t)
-	h.lead(5)
+	h.lead()
 	h.step(4*time.Second, nil)
 	renewal := h.request(storage.StateRenewLease)
 	h.step(5*time.Second, func() { h.StepDown("test") })
@@ -157,7 +160,7 @@
 
 func TestTokenAdvanceWaitsForWritesInFlight(t *testing.T) {
 	h := newHarness(t)
-	h.lead(5)
+	h.lead()
 	inFlight := true
 	advance := func() { h.AdvanceToken(true, func() bool { return inFlight }) }
 	h.step(6*time.Second, advance)
@@ -170,7 +173,7 @@
 		t.Errorf("awaits writes %t, advances %t", h.AwaitsWrites(), h.AdvancingToken())
 	}
 	h.answer(7*time.Second, h.request(storage.StateTxn), storage.StateResult{Revision: 9})
-	if h.Token() != 9 || h.FirstToken() != 5 || h.delegate.advanced != 1 {
+	if h.Token() != 9 || h.FirstToken() != firstToken || h.delegate.advanced != 1 {
 		t.Errorf("token %d, first %d, told %d times", h.Token(), h.FirstToken(), h.delegate.advanced)
 	}
 }
@@ -188,7 +191,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
-			h.lead(5)
+			h.lead()
 			h.step(7*time.Second, func() { h.AdvanceToken(true, func() bool { return false }) })
 			h.answer(7*time.Second, h.request(storage.StateTxn), storage.StateResult{Outcome: rpc.Conflict})
 			value := leaderValue{Node: "n0", Process: "process-1", Lease: 77, TokenAdvances: 1}
@@ -204,11 +207,11 @@
 
 func TestEarlierLeadersAreSilentOnceAllPeersHaveSteppedDown(t *testing.T) {
 	h := newHarness(t)
-	h.lead(5)
+	h.lead()
 	confirm := func(peer string) func() {
 		return func() {
 			h.HandlePeerResult(message.PeerResult{
-				PeerCall: message.PeerCall{Peer: peer, Term: 5}, StepDownResponse: protocol.StepDownResponse{SteppedDown: true},
+				PeerCall: message.PeerCall{Peer: peer, Term: firstToken}, StepDownResponse: protocol.StepDownResponse{SteppedDown: true},
 			})
 		}
 	}
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -18,7 +18,7 @@
 func (e *FieldError) Error() string { return ErrMalformed.Error() + ": " + e.Field + ": " + e.Problem }
 
 // Unwrap gives ErrMalformed.
-func (e *FieldError) Unwrap() error { return ErrMalformed }
+func (*FieldError) Unwrap() error { return ErrMalformed }
 
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
--- a/internal/storage/items_test.go
+++ b/internal/storage/items_test.go
@@ -39,8 +39,8 @@
 func (r *countedItem) AppendTo(v *PageValue) {
 	v.Terminal = append(v.Terminal, TerminalRecord{ID: r.name, Tasks: r.changed})
 }
-func (r *countedItem) EncodedSize() int  { return countedItemBytes }
-func (r *countedItem) ReservedSize() int { return countedItemBytes }
+func (*countedItem) EncodedSize() int  { return countedItemBytes }
+func (*countedItem) ReservedSize() int { return countedItemBytes }
 
 const retryInterval = 100 * time.Millisecond
 
--- a/internal/transport/concurrency_limit_test.go
+++ b/internal/transport/concurrency_limit_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func (h *slowHandler) Healthy() bool { return true }
+func (*slowHandler) Healthy() bool { return true }
 
 // answersUnderOverload has three hundred users poll for twenty seconds, each again a second
 // after an answer, and counts the answers in time.
