--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -82,14 +82,14 @@
 const idleShare = 10
 
 // wait is how long a small request may take.
-func (a *Agent) wait() time.Duration { return a.core.settings.Stall }
+func (a *Agent) wait() time.Duration { return a.core.settings.StallTimeout }
 
 func newAgent(settings Settings, log *slog.Logger, files afero.Fs) (*Agent, error) {
 	store, err := chunkstore.Open(files, settings.Directory)
 	if err != nil {
 		return nil, err
 	}
-	stored, err := Load(store, settings.Names)
+	stored, err := LoadStored(store, settings.Names)
 	if err != nil {
 		return nil, err
 	}
@@ -112,8 +112,8 @@
 		held: map[digest.Digest]distribution.ChunkSet{},
 	}
 	a.metrics = newMetrics(a)
-	a.client = registry.NewClient(core.settings.Stall, limiter(settings.DownloadBytes), a.metrics.control)
-	a.tracker = newTrackerClient(settings.Trackers, core.settings.Stall, a.metrics.control)
+	a.client = registry.NewClient(core.settings.StallTimeout, limiter(settings.DownloadBytes), a.metrics.control)
+	a.tracker = newTrackerClient(settings.Trackers, core.settings.StallTimeout, a.metrics.control)
 	a.publish()
 	return a, nil
 }
@@ -128,7 +128,7 @@
 
 // own is the owner's loop.
 func (a *Agent) own() {
-	tick := time.NewTicker(a.core.settings.Report / ticksAReport)
+	tick := time.NewTicker(a.core.settings.ReportInterval / ticksAReport)
 	defer tick.Stop()
 	for {
 		var events []Event
@@ -201,10 +201,10 @@
 		a.do(func() Event { return a.tracker.report(a.ctx, e.Inventory) })
 	case GetManifest:
 		a.do(func() Event { return a.getManifest(e) })
-	case GetChunks:
+	case GetChunkSet:
 		a.do(func() Event {
 			f := a.client.Chunks(a.ctx, e.From.Address, e.Name, e.Manifest)
-			return ChunksResult{Source: e.From.Name, Manifest: e.Manifest, Chunks: f.Chunks, Fault: f.Fault}
+			return ChunkSetResult{Source: e.From.Name, Manifest: e.Manifest, Chunks: f.Chunks, Fault: f.Fault}
 		})
 	case GetChunk:
 		ctx, cancel := context.WithCancel(a.ctx)
@@ -279,15 +279,15 @@
 
 // getChunk fetches a chunk into the store.
 func (a *Agent) getChunk(ctx context.Context, e GetChunk) Event {
-	r := ChunkResult{ID: e.ID, Partial: e.Offset}
+	r := ChunkResult{ID: e.ID, PartialBytes: e.Offset}
 	var stored error
 	fetched := a.client.Blob(ctx, registry.BlobRequest{
-		Address: a.address(e.From), Name: e.Name, Manifest: e.Manifest, Chunk: e.Chunk, Offset: e.Offset, Stall: e.Stall, Within: e.Within,
+		Address: a.address(e.From), Name: e.Name, Manifest: e.Manifest, Chunk: e.Chunk, Offset: e.Offset, Stall: e.StallTimeout, Within: e.Timeout,
 	}, func(body io.Reader) {
-		r.Received, r.Partial, stored = a.store.Write(e.Chunk, e.Offset, body)
+		r.ReceivedBytes, r.PartialBytes, stored = a.store.Write(e.Chunk, e.Offset, body)
 	})
 	r.Chunks, r.RetryAfter = fetched.Chunks, fetched.RetryAfter
-	r.Fault = WriteFault(stored, r.Received, fetched.Fault)
+	r.Fault = ClassifyFetch(stored, r.ReceivedBytes, fetched.Fault)
 	if r.Fault == distribution.FaultDisk {
 		a.disk(stored)
 	}
--- a/internal/distribution/agent/core_fetch.go
+++ b/internal/distribution/agent/core_fetch.go
@@ -9,24 +9,24 @@
 )
 
 // fetch is a chunk on its way.
-type fetch struct {
-	id        uint64
-	chunk     *chunk
-	source    *source
-	rest      int64 // bytes that are set aside for it
-	cancelled bool
+type activeFetch struct {
+	id            uint64
+	chunk         *chunkState
+	source        *sourceState
+	reservedBytes int64 // bytes that are set aside for it
+	cancelled     bool
 }
 
 // fetchMore begins as many fetches as sources and the limit on downloads allow, for the names
 // in their order.
-func (c *Core) fetchMore() {
+func (c *Core) startFetches() {
 	c.overBudget = false
 	for _, n := range c.targets {
 		v := c.versions[n.wanted]
-		if v == nil || v.whole() {
+		if v == nil || v.complete() {
 			continue
 		}
-		c.fetchVersion(n, v)
+		c.startVersionFetches(n, v)
 	}
 }
 
@@ -36,11 +36,11 @@
 	all    []int // without the store
 }
 
-func (c *Core) availability(v *version, sources []*source) availability {
+func (c *Core) availability(v *versionState, sources []*sourceState) availability {
 	chunks := len(v.Manifest.Chunks)
 	a := availability{make([]int, chunks), make([]int, chunks)}
 	for _, s := range sources {
-		if s.isStore() || s.chunks == nil || !c.usable(s) {
+		if s.isStore() || s.chunks == nil || !c.isUsable(s) {
 			continue
 		}
 		nearby := s.Zone == c.settings.Zone
@@ -57,39 +57,39 @@
 	return a
 }
 
-func (c *Core) fetchVersion(n *target, v *version) {
-	if c.now < c.diskUntil || !c.anyIdle(v) {
+func (c *Core) startVersionFetches(n *targetState, v *versionState) {
+	if c.now < c.diskPausedUntil || !c.hasIdleSource(v) {
 		return
 	}
-	sources := c.ordered(v.Digest)
+	sources := c.sourcesByPreference(v.Digest)
 	available := c.availability(v, sources)
 	for _, s := range sources {
-		if s.fetch != nil || !c.usable(s) {
+		if s.fetch != nil || !c.isUsable(s) {
 			continue
 		}
 		if s.chunks == nil && !s.isStore() {
-			c.askChunks(s, n)
+			c.requestChunkSet(s, n)
 			continue
 		}
-		if len(c.fetches) >= c.settings.Downloads {
+		if len(c.fetches) >= c.settings.MaxDownloads {
 			return
 		}
-		position := c.choose(v, s, available)
+		position := c.selectChunk(v, s, available)
 		if position >= 0 {
-			s.usefulAt = c.now
-			if c.begin(n, v, s, position) {
+			s.lastUsefulAt = c.now
+			if c.startFetch(n, v, s, position) {
 				continue
 			}
 			return // there is no room
 		}
-		c.idle(n, v, s)
+		c.handleIdleSource(n, v, s)
 	}
 }
 
 // anyIdle tells whether a version has a source that could be asked for something.
-func (c *Core) anyIdle(v *version) bool {
+func (c *Core) hasIdleSource(v *versionState) bool {
 	for _, s := range c.sources {
-		if s.Manifest == v.Digest && s.fetch == nil && c.usable(s) {
+		if s.Manifest == v.Digest && s.fetch == nil && c.isUsable(s) {
 			return true
 		}
 	}
@@ -97,19 +97,19 @@
 }
 
 // idle asks a source that has nothing that is needed for news, or gives it back.
-func (c *Core) idle(n *target, v *version, s *source) {
+func (c *Core) handleIdleSource(n *targetState, v *versionState, s *sourceState) {
 	if s.isStore() {
 		return
 	}
-	if c.now-s.usefulAt > uselessReports*c.settings.Report && !c.hasMissing(v, s) {
-		c.fault(s, distribution.FaultUseless, 0)
+	if c.now-s.lastUsefulAt > uselessReports*c.settings.ReportInterval && !c.offersMissingChunk(v, s) {
+		c.recordFault(s, distribution.FaultUseless, 0)
 		return
 	}
-	c.askChunks(s, n)
+	c.requestChunkSet(s, n)
 }
 
 // hasMissing tells whether a source has a chunk that isn't held.
-func (c *Core) hasMissing(v *version, s *source) bool {
+func (c *Core) offersMissingChunk(v *versionState, s *sourceState) bool {
 	for i := range v.Manifest.Chunks {
 		if !v.held.Has(i) && s.has(i) {
 			return true
@@ -121,18 +121,18 @@
 // choose gives the position of the chunk to be fetched from a source next; -1: none. It is
 // one that the fewest sources have. Sources of other zones are only asked for what none of
 // the own zone has, and the store for what no other source has.
-func (c *Core) choose(v *version, s *source, available availability) int {
+func (c *Core) selectChunk(v *versionState, s *sourceState, available availability) int {
 	best, fewest, inStripe := -1, 0, false
 	chunks := v.Manifest.Chunks
 	first := c.rng.IntN(len(chunks)) // ties go to the next behind it
-	patient := s.isStore() && s.Others > 0 && c.now-v.begunAt < patienceShare*c.settings.Report
+	patient := s.isStore() && s.Others > 0 && c.now-v.lastFetchAt < stripeWaitReports*c.settings.ReportInterval
 	for offset := range chunks {
 		i := (first + offset) % len(chunks)
 		if v.held.Has(i) || !s.has(i) {
 			continue
 		}
 		k := c.chunks[chunks[i].Digest]
-		if k.fetch != nil || k.held || k.removing {
+		if k.fetch != nil || k.stored || k.removing {
 			continue
 		}
 		own := false
@@ -154,33 +154,33 @@
 }
 
 // begin begins a fetch, if the disk has room for it.
-func (c *Core) begin(n *target, v *version, s *source, position int) bool {
+func (c *Core) startFetch(n *targetState, v *versionState, s *sourceState, position int) bool {
 	k := c.chunks[v.Manifest.Chunks[position].Digest]
-	if k.whole && k.partial > 0 {
-		c.used -= k.partial
-		k.partial, k.contributors = 0, nil
+	if k.singleSource && k.partialBytes > 0 {
+		c.diskUsedBytes -= k.partialBytes
+		k.partialBytes, k.contributors = 0, nil
 	}
-	k.partial = min(k.partial, k.Size)
-	rest := k.Size - k.partial
-	if !c.makeRoom(rest) {
+	k.partialBytes = min(k.partialBytes, k.Size)
+	rest := k.Size - k.partialBytes
+	if !c.ensureSpace(rest) {
 		return false
 	}
-	c.nextID++
-	f := &fetch{id: c.nextID, chunk: k, source: s, rest: rest}
-	c.used += rest
+	c.lastFetchID++
+	f := &activeFetch{id: c.lastFetchID, chunk: k, source: s, reservedBytes: rest}
+	c.diskUsedBytes += rest
 	c.fetches[f.id], k.fetch, s.fetch = f, f, f
 	if !s.isStore() || s.inStripe(position) {
-		v.begunAt = c.now
+		v.lastFetchAt = c.now
 	}
 	c.emit(GetChunk{
-		ID: f.id, From: s.peer(), Name: n.name, Manifest: v.Digest, Chunk: k.Chunk, Offset: k.partial,
-		Stall: c.settings.Stall, Within: c.settings.Stall + time.Duration(float64(rest)/float64(c.settings.MinimumRate)*float64(time.Second)),
+		ID: f.id, From: s.peer(), Name: n.name, Manifest: v.Digest, Chunk: k.Chunk, Offset: k.partialBytes,
+		StallTimeout: c.settings.StallTimeout, Timeout: c.settings.StallTimeout + time.Duration(float64(rest)/float64(c.settings.MinBytesPerSecond)*float64(time.Second)),
 	})
 	return true
 }
 
 // chunkCame takes in how a fetch ended.
-func (c *Core) chunkCame(e ChunkResult) {
+func (c *Core) handleChunkResult(e ChunkResult) {
 	f := c.fetches[e.ID]
 	if f == nil {
 		return
@@ -188,27 +188,27 @@
 	k, s := f.chunk, f.source
 	delete(c.fetches, e.ID)
 	k.fetch, s.fetch = nil, nil
-	c.saysHolds(s, e.Chunks)
-	if e.Received > 0 {
-		c.received(k, s, e.Received)
+	c.updateChunkSet(s, e.Chunks)
+	if e.ReceivedBytes > 0 {
+		c.recordReceived(k, s, e.ReceivedBytes)
 	}
 	if e.Fault == "" && !e.Cancelled {
-		s.failures, s.askEvery = 0, c.settings.Report/refreshShare
-		c.diskFailed = 0
-		c.counts.Chunks++
-		c.holds(k)
+		s.consecutiveFailures, s.refreshInterval = 0, c.settings.ReportInterval/refreshDivisor
+		c.diskFailures = 0
+		c.counts.StoredChunks++
+		c.markStored(k)
 		return
 	}
-	c.used += e.Partial - k.partial - f.rest
-	k.partial = e.Partial
+	c.diskUsedBytes += e.PartialBytes - k.partialBytes - f.reservedBytes
+	k.partialBytes = e.PartialBytes
 	switch {
 	case e.Cancelled:
 	case e.Fault == distribution.FaultDamaged:
-		c.damaged(k, s)
+		c.handleDamagedChunk(k, s)
 	case e.Fault == distribution.FaultDisk:
 		c.counts.Faults[e.Fault]++
-		c.diskFailed++
-		c.diskUntil = c.now + c.backOff(c.diskFailed)
+		c.diskFailures++
+		c.diskPausedUntil = c.now + c.backoff(c.diskFailures)
 		c.evict(k.Size) // without a budget, this is when there is too much
 	default:
 		if e.Fault == distribution.FaultMissing && s.chunks != nil {
@@ -216,32 +216,32 @@
 				s.chunks.Remove(v.positions[k.Digest][i])
 			}
 		}
-		c.fault(s, e.Fault, e.RetryAfter)
+		c.recordFault(s, e.Fault, e.RetryAfter)
 	}
 }
 
 // received notes who has sent bytes of a chunk.
-func (c *Core) received(k *chunk, s *source, bytes int64) {
+func (c *Core) recordReceived(k *chunkState, s *sourceState, bytes int64) {
 	if k.contributors == nil {
 		k.contributors = map[string]bool{}
 	}
 	k.contributors[s.Agent] = true
 	if s.isStore() {
-		c.counts.FromStore += bytes
+		c.counts.StoreBytes += bytes
 	} else {
-		c.counts.FromPeers += bytes
+		c.counts.PeerBytes += bytes
 	}
 }
 
 // damaged finds the culprit: the one who sent the whole chunk. If several sent parts of it,
 // it is fetched again from one alone.
-func (c *Core) damaged(k *chunk, s *source) {
+func (c *Core) handleDamagedChunk(k *chunkState, s *sourceState) {
 	if len(k.contributors) > 1 {
-		k.whole = true
+		k.singleSource = true
 		c.counts.Faults[distribution.FaultDamaged]++
 		c.log("a chunk from several sources is damaged", "chunk", k.Digest.String(), "sources", slices.Sorted(maps.Keys(k.contributors)))
 	} else {
-		c.fault(s, distribution.FaultDamaged, 0)
+		c.recordFault(s, distribution.FaultDamaged, 0)
 	}
 	k.contributors = nil
 }
--- a/internal/distribution/agent/core_messages.go
+++ b/internal/distribution/agent/core_messages.go
@@ -29,7 +29,7 @@
 		Fault    distribution.Fault
 	}
 	// ChunksResult answers GetChunks.
-	ChunksResult struct {
+	ChunkSetResult struct {
 		Source   string
 		Manifest digest.Digest
 		Chunks   distribution.ChunkSet
@@ -37,13 +37,13 @@
 	}
 	// ChunkResult answers GetChunk.
 	ChunkResult struct {
-		ID         uint64
-		Fault      distribution.Fault // none: the chunk is stored and verified
-		Cancelled  bool
-		Received   int64                 // bytes of this source
-		Partial    int64                 // bytes that are kept of a chunk that isn't whole
-		Chunks     distribution.ChunkSet // what the source says that it holds; nil: nothing
-		RetryAfter time.Duration
+		ID            uint64
+		Fault         distribution.Fault // none: the chunk is stored and verified
+		Cancelled     bool
+		ReceivedBytes int64                 // bytes of this source
+		PartialBytes  int64                 // bytes that are kept of a chunk that isn't whole
+		Chunks        distribution.ChunkSet // what the source says that it holds; nil: nothing
+		RetryAfter    time.Duration
 	}
 	// ActivateResult answers Activate.
 	ActivateResult struct {
@@ -65,7 +65,7 @@
 func (TrackerAnswered) event() {}
 func (TrackerFailed) event()   {}
 func (ManifestResult) event()  {}
-func (ChunksResult) event()    {}
+func (ChunkSetResult) event()  {}
 func (ChunkResult) event()     {}
 func (ActivateResult) event()  {}
 func (RemoveResult) event()    {}
@@ -92,21 +92,21 @@
 		Digest digest.Digest
 	}
 	// GetChunks asks a peer which chunks of a manifest it holds.
-	GetChunks struct {
+	GetChunkSet struct {
 		From     Peer
 		Name     string
 		Manifest digest.Digest
 	}
 	// GetChunk fetches a chunk from an offset on, verifies and stores it.
 	GetChunk struct {
-		ID       uint64
-		From     Peer
-		Name     string
-		Manifest digest.Digest
-		Chunk    distribution.Chunk
-		Offset   int64
-		Stall    time.Duration // the longest time without a byte
-		Within   time.Duration // for the whole of it
+		ID           uint64
+		From         Peer
+		Name         string
+		Manifest     digest.Digest
+		Chunk        distribution.Chunk
+		Offset       int64
+		StallTimeout time.Duration // the longest time without a byte
+		Timeout      time.Duration // for the whole of it
 	}
 	// CancelChunk gives a fetch up.
 	CancelChunk struct{ ID uint64 }
@@ -129,7 +129,7 @@
 
 func (Report) effect()      {}
 func (GetManifest) effect() {}
-func (GetChunks) effect()   {}
+func (GetChunkSet) effect() {}
 func (GetChunk) effect()    {}
 func (CancelChunk) effect() {}
 func (Activate) effect()    {}
@@ -142,30 +142,30 @@
 	Agent, Zone, Address string
 	Session              int64
 	Names                []string
-	Store                bool // there is one
+	HasStore             bool // there is one
 	UploadSlots          int
-	Downloads            int           // chunks that are fetched at a time
-	DiskBytes            int64         // that chunks may take; 0: no limit
-	MinimumRate          int64         // bytes a second, below which a source is slow
-	Stall                time.Duration // without a byte, after which a source is slow
-	Report               time.Duration // between inventories, until the tracker says otherwise
+	MaxDownloads         int           // chunks that are fetched at a time
+	DiskLimitBytes       int64         // that chunks may take; 0: no limit
+	MinBytesPerSecond    int64         // bytes a second, below which a source is slow
+	StallTimeout         time.Duration // without a byte, after which a source is slow
+	ReportInterval       time.Duration // between inventories, until the tracker says otherwise
 	Seed                 uint64
 }
 
 // Ratios to the report interval, and counts that concern one source only.
 const (
-	retryShare     = 8  // of a report: the first pause after a failure
-	retryDoublings = 6  // of that pause, at most
-	refreshShare   = 2  // of a report: between looks at what an idle source holds
-	refreshMost    = 2  // reports between these looks, at most
-	uselessReports = 4  // without anything that is needed, before a source is given back
-	missingMost    = 3  // chunks that a source doesn't have although it says so
-	failuresMost   = 2  // in a row, before an unreachable source is given back
-	droppedReports = 10 // for which a source that was given back isn't taken again
-	patienceShare  = 2  // reports without a fetch, before others' stripes are taken from the store
-	recheckReports = 40 // between two readings of all chunks after an accusation
-	holdingsMost   = 64 // manifests that are told to the tracker
-	faultsMost     = 64 // that are told at a time
+	retryDivisor           = 8  // of a report: the first pause after a failure
+	maxRetryDoublings      = 6  // of that pause, at most
+	refreshDivisor         = 2  // of a report: between looks at what an idle source holds
+	maxRefreshReports      = 2  // reports between these looks, at most
+	uselessReports         = 4  // without anything that is needed, before a source is given back
+	maxMissingChunks       = 3  // chunks that a source doesn't have although it says so
+	maxUnreachableFailures = 2  // in a row, before an unreachable source is given back
+	exclusionReports       = 10 // for which a source that was given back isn't taken again
+	stripeWaitReports      = 2  // reports without a fetch, before others' stripes are taken from the store
+	verifyReports          = 40 // between two readings of all chunks after an accusation
+	maxReportedHoldings    = 64 // manifests that are told to the tracker
+	maxReportedFaults      = 64 // that are told at a time
 )
 
 // Stored is what is on disk when an agent starts.
--- a/internal/distribution/agent/core_sources.go
+++ b/internal/distribution/agent/core_sources.go
@@ -16,93 +16,93 @@
 }
 
 // source is where chunks of a manifest may be fetched.
-type source struct {
+type sourceState struct {
 	distribution.Source
-	chunks   distribution.ChunkSet // nil: not known yet
-	fetch    *fetch                // one at a time
-	asking   bool
-	askAt    time.Duration
-	askEvery time.Duration
-	paused   time.Duration // until when
-	failures int           // in a row
-	missing  int           // chunks that it said it had
-	usefulAt time.Duration // when it last had something that was needed
-	unlisted bool          // the tracker doesn't name it any more
+	chunks              distribution.ChunkSet // nil: not known yet
+	fetch               *activeFetch          // one at a time
+	refreshing          bool
+	refreshAt           time.Duration
+	refreshInterval     time.Duration
+	pausedUntil         time.Duration // until when
+	consecutiveFailures int           // in a row
+	missingChunks       int           // chunks that it said it had
+	lastUsefulAt        time.Duration // when it last had something that was needed
+	released            bool          // the tracker doesn't name it any more
 }
 
-func (s *source) key() sourceKey { return sourceKey{s.Agent, s.Manifest} }
+func (s *sourceState) key() sourceKey { return sourceKey{s.Agent, s.Manifest} }
 
-func (s *source) peer() Peer { return Peer{s.Agent, s.Address} }
+func (s *sourceState) peer() Peer { return Peer{s.Agent, s.Address} }
 
-func (s *source) isStore() bool { return s.Agent == distribution.StoreSource }
+func (s *sourceState) isStore() bool { return s.Agent == distribution.StoreSource }
 
 // has tells whether a source is known to have a position.
-func (s *source) has(i int) bool { return s.isStore() || s.chunks.Has(i) }
+func (s *sourceState) has(i int) bool { return s.isStore() || s.chunks.Has(i) }
 
 // inStripe tells whether a position is in the part of the store's chunks that comes first.
-func (s *source) inStripe(i int) bool { return s.Stripes > 0 && i%s.Stripes == s.Stripe }
+func (s *sourceState) inStripe(i int) bool { return s.Stripes > 0 && i%s.Stripes == s.Stripe }
 
 // usable tells whether a source may be asked now.
-func (c *Core) usable(s *source) bool { return !s.unlisted && c.now >= s.paused }
+func (c *Core) isUsable(s *sourceState) bool { return !s.released && c.now >= s.pausedUntil }
 
 // sourcesNamed takes in the sources that the tracker gives.
-func (c *Core) sourcesNamed(a distribution.Answer) {
+func (c *Core) updateSources(a distribution.Answer) {
 	listed := map[sourceKey]bool{}
 	for _, given := range a.Sources {
 		key := sourceKey{given.Agent, given.Manifest}
-		if until, dropped := c.dropped[key]; dropped && c.now < until || given.Agent == distribution.StoreSource && !c.settings.Store {
+		if until, dropped := c.excludedUntil[key]; dropped && c.now < until || given.Agent == distribution.StoreSource && !c.settings.HasStore {
 			continue
 		}
-		delete(c.dropped, key)
+		delete(c.excludedUntil, key)
 		listed[key] = true
 		s := c.sources[key]
 		if s == nil {
-			s = &source{usefulAt: c.now, askEvery: c.settings.Report / refreshShare}
+			s = &sourceState{lastUsefulAt: c.now, refreshInterval: c.settings.ReportInterval / refreshDivisor}
 			c.sources[key] = s
 		}
 		if s.Address != given.Address {
-			s.failures, s.paused = 0, c.now
+			s.consecutiveFailures, s.pausedUntil = 0, c.now
 		}
-		s.Source, s.unlisted = given, false
+		s.Source, s.released = given, false
 	}
 	for key, s := range c.sources {
 		if !listed[key] && !a.Keep {
-			s.unlisted = true
+			s.released = true
 		}
 	}
 }
 
 // forgetSources drops the sources that aren't used any more.
-func (c *Core) forgetSources() {
+func (c *Core) removeUnusedSources() {
 	for key, s := range c.sources {
-		if s.unlisted && s.fetch == nil && !s.asking || !c.needed(s.Manifest) && s.fetch == nil {
+		if s.released && s.fetch == nil && !s.refreshing || !c.isReferenced(s.Manifest) && s.fetch == nil {
 			delete(c.sources, key)
 		}
 	}
-	for key, until := range c.dropped {
+	for key, until := range c.excludedUntil {
 		if c.now >= until {
-			delete(c.dropped, key)
+			delete(c.excludedUntil, key)
 		}
 	}
 }
 
 // ordered gives a manifest's sources: those of the own zone first, then others, then the
 // store, each kind in an order that is drawn anew.
-func (c *Core) ordered(manifest digest.Digest) []*source {
-	var out []*source
+func (c *Core) sourcesByPreference(manifest digest.Digest) []*sourceState {
+	var out []*sourceState
 	for _, s := range c.sources {
 		if s.Manifest == manifest {
 			out = append(out, s)
 		}
 	}
-	slices.SortFunc(out, func(a, b *source) int { return cmp.Compare(a.Agent, b.Agent) })
+	slices.SortFunc(out, func(a, b *sourceState) int { return cmp.Compare(a.Agent, b.Agent) })
 	c.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	slices.SortStableFunc(out, func(a, b *source) int { return cmp.Compare(c.distance(a), c.distance(b)) })
+	slices.SortStableFunc(out, func(a, b *sourceState) int { return cmp.Compare(c.distance(a), c.distance(b)) })
 	return out
 }
 
 // distance orders sources.
-func (c *Core) distance(s *source) int {
+func (c *Core) distance(s *sourceState) int {
 	switch {
 	case s.isStore():
 		return 2
@@ -113,9 +113,9 @@
 }
 
 // anySource gives one that may be asked for a manifest: peers first.
-func (c *Core) anySource(manifest digest.Digest) *source {
-	for _, s := range c.ordered(manifest) {
-		if c.usable(s) {
+func (c *Core) firstUsableSource(manifest digest.Digest) *sourceState {
+	for _, s := range c.sourcesByPreference(manifest) {
+		if c.isUsable(s) {
 			return s
 		}
 	}
@@ -123,9 +123,9 @@
 }
 
 // offered tells whether any source that may be used has a position.
-func (c *Core) offered(v *version, i int) bool {
+func (c *Core) hasUsableSource(v *versionState, i int) bool {
 	for _, s := range c.sources {
-		if s.Manifest == v.Digest && c.usable(s) && s.has(i) {
+		if s.Manifest == v.Digest && c.isUsable(s) && s.has(i) {
 			return true
 		}
 	}
@@ -133,35 +133,35 @@
 }
 
 // askChunks asks a source what it holds, if that is due.
-func (c *Core) askChunks(s *source, n *target) {
-	if s.isStore() || s.asking || s.fetch != nil || !c.usable(s) || c.now < s.askAt {
+func (c *Core) requestChunkSet(s *sourceState, n *targetState) {
+	if s.isStore() || s.refreshing || s.fetch != nil || !c.isUsable(s) || c.now < s.refreshAt {
 		return
 	}
-	s.asking = true
-	c.emit(GetChunks{s.peer(), n.name, s.Manifest})
+	s.refreshing = true
+	c.emit(GetChunkSet{s.peer(), n.name, s.Manifest})
 }
 
-func (c *Core) chunksCame(e ChunksResult) {
+func (c *Core) handleChunkSetResult(e ChunkSetResult) {
 	s := c.sources[sourceKey{e.Source, e.Manifest}]
 	if s == nil {
 		return
 	}
-	s.asking = false
+	s.refreshing = false
 	if e.Fault != "" {
-		c.fault(s, e.Fault, 0)
-		s.askAt = max(s.askAt, s.paused)
+		c.recordFault(s, e.Fault, 0)
+		s.refreshAt = max(s.refreshAt, s.pausedUntil)
 		return
 	}
-	s.failures = 0
-	s.askEvery = min(s.askEvery*2, refreshMost*c.settings.Report)
-	if c.saysHolds(s, e.Chunks) {
-		s.askEvery = c.settings.Report / refreshShare
+	s.consecutiveFailures = 0
+	s.refreshInterval = min(s.refreshInterval*2, maxRefreshReports*c.settings.ReportInterval)
+	if c.updateChunkSet(s, e.Chunks) {
+		s.refreshInterval = c.settings.ReportInterval / refreshDivisor
 	}
-	s.askAt = c.now + c.jitter(s.askEvery)
+	s.refreshAt = c.now + c.jitter(s.refreshInterval)
 }
 
 // saysHolds notes what a source says that it holds, and tells whether that is news.
-func (c *Core) saysHolds(s *source, chunks distribution.ChunkSet) (news bool) {
+func (c *Core) updateChunkSet(s *sourceState, chunks distribution.ChunkSet) (news bool) {
 	v := c.versions[s.Manifest]
 	if v == nil || chunks == nil {
 		return false
@@ -174,37 +174,37 @@
 
 // fault notes what is wrong with a source: it is paused, or given back to the tracker. The
 // store is only paused, because there is no other.
-func (c *Core) fault(s *source, f distribution.Fault, retryAfter time.Duration) {
+func (c *Core) recordFault(s *sourceState, f distribution.Fault, retryAfter time.Duration) {
 	c.counts.Faults[f]++
 	if f == distribution.FaultBusy {
-		s.paused = c.now + c.jitter(max(retryAfter, c.settings.Report/retryShare))
+		s.pausedUntil = c.now + c.jitter(max(retryAfter, c.settings.ReportInterval/retryDivisor))
 		return
 	}
-	s.failures++
-	s.paused = c.now + max(c.backOff(s.failures), retryAfter)
+	s.consecutiveFailures++
+	s.pausedUntil = c.now + max(c.backoff(s.consecutiveFailures), retryAfter)
 	if s.isStore() {
 		return
 	}
 	switch f {
 	case distribution.FaultDamaged, distribution.FaultSlow, distribution.FaultUseless:
-		c.giveBack(s, f)
+		c.releaseSource(s, f)
 	case distribution.FaultMissing:
-		if s.missing++; s.missing >= missingMost {
-			c.giveBack(s, f)
+		if s.missingChunks++; s.missingChunks >= maxMissingChunks {
+			c.releaseSource(s, f)
 		}
 	case distribution.FaultUnreachable:
-		if s.failures >= failuresMost {
-			c.giveBack(s, f)
+		if s.consecutiveFailures >= maxUnreachableFailures {
+			c.releaseSource(s, f)
 		}
 	}
 }
 
 // giveBack stops using a source and tells the tracker why.
-func (c *Core) giveBack(s *source, f distribution.Fault) {
-	c.dropped[s.key()] = c.now + droppedReports*c.settings.Report
-	s.unlisted = true
+func (c *Core) releaseSource(s *sourceState, f distribution.Fault) {
+	c.excludedUntil[s.key()] = c.now + exclusionReports*c.settings.ReportInterval
+	s.released = true
 	c.faults = append(c.faults, distribution.SourceFault{Source: s.Agent, Manifest: s.Manifest, Fault: f})
 	c.log("source given back", "source", s.Agent, "fault", string(f))
 	// The tracker gives another.
-	c.reportAt = min(c.reportAt, c.now+c.jitter(c.settings.Report/retryShare))
+	c.nextReportAt = min(c.nextReportAt, c.now+c.jitter(c.settings.ReportInterval/retryDivisor))
 }
--- a/internal/distribution/agent/core_test.go
+++ b/internal/distribution/agent/core_test.go
@@ -30,8 +30,8 @@
 
 func newCore(stored Stored) *Core {
 	return NewCore(CoreSettings{
-		Agent: "one", Zone: "a", Address: "one:1", Session: 1, Names: []string{name}, Store: true, UploadSlots: 4, Downloads: 8,
-		MinimumRate: 10, Stall: time.Second, Report: time.Second, Seed: 1,
+		Agent: "one", Zone: "a", Address: "one:1", Session: 1, Names: []string{name}, HasStore: true, UploadSlots: 4, MaxDownloads: 8,
+		MinBytesPerSecond: 10, StallTimeout: time.Second, ReportInterval: time.Second, Seed: 1,
 	}, stored)
 }
 
@@ -58,7 +58,7 @@
 	effects := c.Step(time.Millisecond, events...)
 	for _, s := range sources {
 		if s.Agent != distribution.StoreSource {
-			effects = append(effects, c.Step(2*time.Millisecond, ChunksResult{Source: s.Agent, Manifest: m.Digest, Chunks: all})...)
+			effects = append(effects, c.Step(2*time.Millisecond, ChunkSetResult{Source: s.Agent, Manifest: m.Digest, Chunks: all})...)
 		}
 	}
 	return c, effects
@@ -132,7 +132,7 @@
 				t.Fatal("the store is asked")
 			}
 			fetched++
-			c.Step(now, ChunkResult{ID: id, Received: 100}, answer(1, m, from("two", "a", m), store))
+			c.Step(now, ChunkResult{ID: id, ReceivedBytes: 100}, answer(1, m, from("two", "a", m), store))
 		}
 	}
 	if fetched < 15 {
@@ -146,8 +146,8 @@
 	c := newCore(Stored{})
 	c.Step(0, answer(1, m, from("two", "a", m), from("three", "a", m), from("four", "a", m)))
 	c.Step(1, ManifestResult{Digest: m.Digest, Manifest: m})
-	c.Step(2, ChunksResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}}, ChunksResult{Source: "four", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
-	c.Step(3, ChunksResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
+	c.Step(2, ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}}, ChunkSetResult{Source: "four", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
+	c.Step(3, ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
 	for _, s := range c.sources { // what is said while they are idle
 		s.chunks = distribution.ChunkSet{0b110111}
 	}
@@ -172,7 +172,7 @@
 	if len(got) != 1 || got[0].Chunk.Digest != m.Chunks[1].Digest {
 		t.Fatalf("%+v", got)
 	}
-	if more := of[GetChunk](c.Step(100*time.Millisecond, ChunkResult{ID: got[0].ID, Received: 100})); len(more) != 0 {
+	if more := of[GetChunk](c.Step(100*time.Millisecond, ChunkResult{ID: got[0].ID, ReceivedBytes: 100})); len(more) != 0 {
 		t.Errorf("another stripe at once: %+v", more)
 	}
 	if more := of[GetChunk](c.Step(3*time.Second, answer(1, m, store))); len(more) != 1 {
@@ -181,7 +181,7 @@
 	store.Others = 0
 	c, effects = fetching(t, m, store)
 	got = of[GetChunk](effects)
-	if more := of[GetChunk](c.Step(100*time.Millisecond, ChunkResult{ID: got[0].ID, Received: 100})); len(more) != 1 {
+	if more := of[GetChunk](c.Step(100*time.Millisecond, ChunkResult{ID: got[0].ID, ReceivedBytes: 100})); len(more) != 1 {
 		t.Errorf("alone, and it waits: %+v", more)
 	}
 }
@@ -192,7 +192,7 @@
 	m := manifestOf(t, "1", 1)
 	c, effects := fetching(t, m, from("two", "a", m), from("three", "a", m))
 	g := of[GetChunk](effects)[0]
-	effects = c.Step(time.Second, ChunkResult{ID: g.ID, Fault: distribution.FaultUnreachable, Received: 40, Partial: 40})
+	effects = c.Step(time.Second, ChunkResult{ID: g.ID, Fault: distribution.FaultUnreachable, ReceivedBytes: 40, PartialBytes: 40})
 	for now := 2 * time.Second; len(of[GetChunk](effects)) == 0; now += time.Second {
 		effects = c.Step(now, answer(1, m, from("two", "a", m), from("three", "a", m)))
 	}
@@ -200,7 +200,7 @@
 	if second.Offset != 40 || second.From == g.From {
 		t.Fatalf("%+v after %+v", second, g)
 	}
-	effects = c.Step(20*time.Second, ChunkResult{ID: second.ID, Fault: distribution.FaultDamaged, Received: 60})
+	effects = c.Step(20*time.Second, ChunkResult{ID: second.ID, Fault: distribution.FaultDamaged, ReceivedBytes: 60})
 	if len(c.faults) != 0 {
 		t.Errorf("somebody is blamed: %+v", c.faults)
 	}
@@ -208,11 +208,11 @@
 	if len(third) != 1 || third[0].Offset != 0 {
 		t.Fatalf("%+v", third)
 	}
-	fourth := of[GetChunk](c.Step(21*time.Second, ChunkResult{ID: third[0].ID, Fault: distribution.FaultUnreachable, Received: 50, Partial: 50}))
+	fourth := of[GetChunk](c.Step(21*time.Second, ChunkResult{ID: third[0].ID, Fault: distribution.FaultUnreachable, ReceivedBytes: 50, PartialBytes: 50}))
 	if len(fourth) != 1 || fourth[0].Offset != 0 {
 		t.Fatalf("mixed again: %+v", fourth)
 	}
-	c.Step(60*time.Second, ChunkResult{ID: fourth[0].ID, Fault: distribution.FaultDamaged, Received: 100}, TrackerFailed{})
+	c.Step(60*time.Second, ChunkResult{ID: fourth[0].ID, Fault: distribution.FaultDamaged, ReceivedBytes: 100}, TrackerFailed{})
 	inventory := of[Report](c.Step(80*time.Second, Tick{}))
 	blamed := distribution.SourceFault{Source: fourth[0].From.Name, Manifest: m.Digest, Fault: distribution.FaultDamaged}
 	if len(inventory) != 1 || !slices.Contains(inventory[0].Inventory.Faults, blamed) {
@@ -234,11 +234,11 @@
 	begun := answer(1, m)
 	begun.Answer.Keep = true
 	c.Step(time.Minute, begun)
-	if s := c.sources[sourceKey{"two", m.Digest}]; s == nil || s.unlisted {
+	if s := c.sources[sourceKey{"two", m.Digest}]; s == nil || s.released {
 		t.Error("a tracker that has just begun takes the source away")
 	}
 	c.Step(2*time.Minute, answer(1, m))
-	if s := c.sources[sourceKey{"two", m.Digest}]; s != nil && !s.unlisted {
+	if s := c.sources[sourceKey{"two", m.Digest}]; s != nil && !s.released {
 		t.Error("the source is used without a lease")
 	}
 }
@@ -257,7 +257,7 @@
 		}
 	}
 	c := newCore(stored)
-	c.settings.DiskBytes = 650
+	c.settings.DiskLimitBytes = 650
 	store := distribution.Source{Agent: distribution.StoreSource, Manifest: wanted.Digest, Stripes: 1}
 	c.Step(0, answer(2, wanted, store))
 	effects := c.Step(1, ManifestResult{Digest: wanted.Digest, Manifest: wanted})
@@ -279,13 +279,13 @@
 				}
 				events = append(events, RemoveResult{e.Chunk, true})
 			case GetChunk:
-				events = append(events, ChunkResult{ID: e.ID, Received: 100})
+				events = append(events, ChunkResult{ID: e.ID, ReceivedBytes: 100})
 			case Activate:
 				events = append(events, ActivateResult{Name: e.Name, Manifest: e.Manifest})
 			}
 		}
-		if c.Used() > 650 {
-			t.Fatalf("%d bytes", c.Used())
+		if c.DiskUsedBytes() > 650 {
+			t.Fatalf("%d bytes", c.DiskUsedBytes())
 		}
 		effects = c.Step(time.Duration(i)*100*time.Millisecond, append(events, answer(2, wanted, store))...)
 	}
@@ -299,7 +299,7 @@
 	m := manifestOf(t, "1", 2)
 	c, effects := fetching(t, m, from("two", "a", m))
 	for len(of[Activate](effects)) == 0 {
-		effects = c.Step(time.Second, ChunkResult{ID: of[GetChunk](effects)[0].ID, Received: 100})
+		effects = c.Step(time.Second, ChunkResult{ID: of[GetChunk](effects)[0].ID, ReceivedBytes: 100})
 	}
 	c.Step(2*time.Second, ActivateResult{Name: name, Manifest: m.Digest})
 	recheck := answer(1, m)
@@ -312,7 +312,7 @@
 	}
 	c.Step(5*time.Second, ChunkLost{m.Chunks[0].Digest})
 	effects = c.Step(6*time.Second, answer(1, m, from("three", "a", m)))
-	effects = append(effects, c.Step(7*time.Second, ChunksResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{3}})...)
+	effects = append(effects, c.Step(7*time.Second, ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{3}})...)
 	if got := of[GetChunk](effects); len(got) != 1 || got[0].Chunk != m.Chunks[0] {
 		t.Errorf("%+v", got)
 	}
@@ -324,7 +324,7 @@
 	for _, c := range []struct {
 		fault distribution.Fault
 		times int
-	}{{distribution.FaultSlow, 1}, {distribution.FaultMissing, missingMost}, {distribution.FaultUnreachable, failuresMost}, {distribution.FaultDamaged, 1}} {
+	}{{distribution.FaultSlow, 1}, {distribution.FaultMissing, maxMissingChunks}, {distribution.FaultUnreachable, maxUnreachableFailures}, {distribution.FaultDamaged, 1}} {
 		m := manifestOf(t, "1", 9)
 		core, effects := fetching(t, m, from("two", "a", m))
 		for i := range c.times {
@@ -356,9 +356,9 @@
 	if len(cancels) != 1 || cancels[0].ID != get.ID {
 		t.Fatalf("%+v", cancels)
 	}
-	c.Step(2*time.Second, ChunkResult{ID: get.ID, Cancelled: true, Fault: distribution.FaultUnreachable, Received: 30, Partial: 30})
-	if len(c.faults) != 0 || c.Counts().Faults[distribution.FaultUnreachable] != 0 || c.Used() != 30 {
-		t.Errorf("faults %v %v, %d bytes used", c.faults, c.Counts().Faults, c.Used())
+	c.Step(2*time.Second, ChunkResult{ID: get.ID, Cancelled: true, Fault: distribution.FaultUnreachable, ReceivedBytes: 30, PartialBytes: 30})
+	if len(c.faults) != 0 || c.Counts().Faults[distribution.FaultUnreachable] != 0 || c.DiskUsedBytes() != 30 {
+		t.Errorf("faults %v %v, %d bytes used", c.faults, c.Counts().Faults, c.DiskUsedBytes())
 	}
 }
 
@@ -373,7 +373,7 @@
 	c := newCore(stored)
 	c.Step(0, answer(2, wanted, distribution.Source{Agent: distribution.StoreSource, Manifest: wanted.Digest, Stripes: 1}))
 	get := of[GetChunk](c.Step(1, ManifestResult{Digest: wanted.Digest, Manifest: wanted}))
-	effects := c.Step(time.Second, ChunkResult{ID: get[0].ID, Fault: distribution.FaultDisk, Received: 40})
+	effects := c.Step(time.Second, ChunkResult{ID: get[0].ID, Fault: distribution.FaultDisk, ReceivedBytes: 40})
 	removes := of[Remove](effects)
 	if len(removes) != 1 || len(c.versions[old.Digest].positions[removes[0].Chunk]) == 0 {
 		t.Errorf("%+v", effects)
--- a/internal/distribution/agent/metrics.go
+++ b/internal/distribution/agent/metrics.go
@@ -67,13 +67,13 @@
 
 // take copies what Core has counted.
 func (m *metrics) take(c *Core) {
-	m.chunks.Set(float64(c.counts.Chunks))
-	m.downloaded.WithLabelValues("peers").Set(float64(c.counts.FromPeers))
-	m.downloaded.WithLabelValues("store").Set(float64(c.counts.FromStore))
+	m.chunks.Set(float64(c.counts.StoredChunks))
+	m.downloaded.WithLabelValues("peers").Set(float64(c.counts.PeerBytes))
+	m.downloaded.WithLabelValues("store").Set(float64(c.counts.StoreBytes))
 	for fault, n := range c.counts.Faults {
 		m.faults.WithLabelValues(string(fault)).Set(float64(n))
 	}
-	m.activated.Set(float64(c.counts.Activated))
-	m.evicted.Set(float64(c.counts.Evicted))
-	m.disk.Set(float64(c.used))
+	m.activated.Set(float64(c.counts.Activations))
+	m.evicted.Set(float64(c.counts.EvictedChunks))
+	m.disk.Set(float64(c.diskUsedBytes))
 }
--- a/internal/distribution/agent/server.go
+++ b/internal/distribution/agent/server.go
@@ -28,7 +28,7 @@
 func (a *Agent) handler() http.Handler {
 	uploads := limiter(a.settings.UploadBytes)
 	blobs := &registry.Handler{
-		Content: content{a}, Slots: a.slots, RetryAfter: a.core.settings.Report, Uploaded: a.metrics.uploaded,
+		Content: content{a}, Slots: a.slots, RetryAfter: a.core.settings.ReportInterval, Uploaded: a.metrics.uploaded,
 		Body: func(w http.ResponseWriter) http.ResponseWriter {
 			w = countingWriter{w, a.metrics}
 			if uploads == nil {
--- a/internal/distribution/agent/settings.go
+++ b/internal/distribution/agent/settings.go
@@ -65,8 +65,8 @@
 func (s *Settings) core(session int64, seed uint64) CoreSettings {
 	seconds := func(x float64) time.Duration { return config.Seconds(x) }
 	return CoreSettings{
-		Agent: s.Agent, Zone: s.Zone, Address: s.Listen, Session: session, Names: s.Names, Store: s.Store != "",
-		UploadSlots: s.UploadSlots, Downloads: s.Downloads, DiskBytes: s.DiskBytes, MinimumRate: s.MinimumRate,
-		Stall: seconds(s.StallS), Report: seconds(s.ReportS), Seed: seed,
+		Agent: s.Agent, Zone: s.Zone, Address: s.Listen, Session: session, Names: s.Names, HasStore: s.Store != "",
+		UploadSlots: s.UploadSlots, MaxDownloads: s.Downloads, DiskLimitBytes: s.DiskBytes, MinBytesPerSecond: s.MinimumRate,
+		StallTimeout: seconds(s.StallS), ReportInterval: seconds(s.ReportS), Seed: seed,
 	}
 }
--- a/internal/distribution/agent/stored.go
+++ b/internal/distribution/agent/stored.go
@@ -8,7 +8,7 @@
 )
 
 // Load reads and verifies what is on disk, and what each of some names is served from.
-func Load(store *chunkstore.Store, names []string) (Stored, error) {
+func LoadStored(store *chunkstore.Store, names []string) (Stored, error) {
 	found, err := store.Scan()
 	if err != nil {
 		return Stored{}, err
@@ -29,7 +29,7 @@
 
 // WriteFault tells what was wrong with a fetch, by what the store said of its bytes, how many
 // of them came, and what is known of the source.
-func WriteFault(stored error, received int64, source distribution.Fault) distribution.Fault {
+func ClassifyFetch(stored error, received int64, source distribution.Fault) distribution.Fault {
 	var disk *chunkstore.DiskError
 	switch {
 	case errors.As(stored, &disk):
--- a/internal/distribution/simulation/agent.go
+++ b/internal/distribution/simulation/agent.go
@@ -69,7 +69,7 @@
 func (a *Agent) Counts() agent.CoreCounts { return a.core.Counts() }
 
 // Used is what it takes on disk, by its own account.
-func (a *Agent) Used() int64 { return a.core.Used() }
+func (a *Agent) Used() int64 { return a.core.DiskUsedBytes() }
 
 // Active is what it serves a name from.
 func (a *Agent) Active(name string) digest.Digest { return a.core.Active(name) }
@@ -81,7 +81,7 @@
 		a.w.fail("%s: %v", a.Name, err)
 		return
 	}
-	stored, err := agent.Load(store, a.w.Options.Names)
+	stored, err := agent.LoadStored(store, a.w.Options.Names)
 	if err != nil {
 		a.w.fail("%s: %v", a.Name, err)
 		return
@@ -89,8 +89,8 @@
 	a.life++
 	report := a.w.report()
 	a.core = agent.NewCore(agent.CoreSettings{
-		Agent: a.Name, Zone: a.zone, Address: a.Name + ":7000", Session: int64(a.life), Names: a.w.Options.Names, Store: true,
-		UploadSlots: a.Slots, Downloads: 8, DiskBytes: a.w.Options.DiskBytes, MinimumRate: max(1, int64(a.w.Options.Rate/64)), Stall: 2 * report, Report: report,
+		Agent: a.Name, Zone: a.zone, Address: a.Name + ":7000", Session: int64(a.life), Names: a.w.Options.Names, HasStore: true,
+		UploadSlots: a.Slots, MaxDownloads: 8, DiskLimitBytes: a.w.Options.DiskBytes, MinBytesPerSecond: max(1, int64(a.w.Options.Rate/64)), StallTimeout: 2 * report, ReportInterval: report,
 		Seed: a.w.Options.Seed + uint64(a.life)<<32 + uint64(len(a.Name)) + uint64(a.Name[len(a.Name)-1])<<8 + uint64(a.Name[len(a.Name)-2])<<16,
 	}, stored)
 	a.store, a.Up, a.fetches = store, true, map[uint64]*transfer{}
@@ -145,12 +145,12 @@
 		a.report(e.Inventory)
 	case agent.GetManifest:
 		a.later(2*latency, func() agent.Event { return a.getManifest(e) })
-	case agent.GetChunks:
+	case agent.GetChunkSet:
 		a.ask(e.From, func(p *Agent) agent.Event {
 			set, _ := p.chunkSet(e.Manifest)
-			return agent.ChunksResult{Source: e.From.Name, Manifest: e.Manifest, Chunks: set}
+			return agent.ChunkSetResult{Source: e.From.Name, Manifest: e.Manifest, Chunks: set}
 		}, func(f distribution.Fault) agent.Event {
-			return agent.ChunksResult{Source: e.From.Name, Manifest: e.Manifest, Fault: f}
+			return agent.ChunkSetResult{Source: e.From.Name, Manifest: e.Manifest, Fault: f}
 		})
 	case agent.GetChunk:
 		a.getChunk(e)
@@ -289,7 +289,7 @@
 // getChunk begins a transfer, unless the source refuses it.
 func (a *Agent) getChunk(e agent.GetChunk) {
 	refuse := func(d time.Duration, f distribution.Fault) {
-		a.later(d, func() agent.Event { return agent.ChunkResult{ID: e.ID, Fault: f, Partial: e.Offset} })
+		a.later(d, func() agent.Event { return agent.ChunkResult{ID: e.ID, Fault: f, PartialBytes: e.Offset} })
 	}
 	t := &transfer{w: a.w, to: a, fetch: e}
 	var content []byte
--- a/internal/distribution/simulation/hard_cases_test.go
+++ b/internal/distribution/simulation/hard_cases_test.go
@@ -40,7 +40,7 @@
 }
 
 // held is how many chunks an agent has stored.
-func held(a *Agent) int { return int(a.Counts().Chunks) }
+func held(a *Agent) int { return int(a.Counts().StoredChunks) }
 
 // busiest is the agent that passes most on, once one has half of the chunks.
 func busiest(t *testing.T, w *World) *Agent {
@@ -232,7 +232,7 @@
 	if a.Used() > o.DiskBytes {
 		t.Errorf("%d bytes on disk, and %d allowed", a.Used(), o.DiskBytes)
 	}
-	if a.Counts().Evicted == 0 {
+	if a.Counts().EvictedChunks == 0 {
 		t.Error("nothing was evicted")
 	}
 }
--- a/internal/distribution/simulation/transfer.go
+++ b/internal/distribution/simulation/transfer.go
@@ -42,18 +42,18 @@
 	t.to.downloads = append(t.to.downloads, t)
 	t.from.MostUploads = max(t.from.MostUploads, len(t.from.uploads))
 	reshare(t.from, &t.to.endpoint)
-	t.w.After(t.fetch.Within, func() { t.end(distribution.FaultSlow) })
+	t.w.After(t.fetch.Timeout, func() { t.end(distribution.FaultSlow) })
 	t.watch()
 }
 
 // watch gives the transfer up when nothing has moved for too long.
 func (t *transfer) watch() {
-	t.w.After(t.fetch.Stall/4, func() {
+	t.w.After(t.fetch.StallTimeout/4, func() {
 		if t.over {
 			return
 		}
 		t.progress()
-		if t.w.Now-t.moved >= t.fetch.Stall {
+		if t.w.Now-t.moved >= t.fetch.StallTimeout {
 			t.end(distribution.FaultSlow)
 			return
 		}
@@ -149,7 +149,7 @@
 	r := agent.ChunkResult{ID: fetch.ID}
 	a.Received[fetch.Chunk.Digest] += int64(len(arrived))
 	var err error
-	r.Received, r.Partial, err = a.store.Write(fetch.Chunk, fetch.Offset, bytes.NewReader(arrived))
-	r.Fault = agent.WriteFault(err, r.Received, fault)
+	r.ReceivedBytes, r.PartialBytes, err = a.store.Write(fetch.Chunk, fetch.Offset, bytes.NewReader(arrived))
+	r.Fault = agent.ClassifyFetch(err, r.ReceivedBytes, fault)
 	return r
 }
