--- /dev/null
+++ b/internal/distribution/agent/core_disk.go
@@ -0,0 +1,126 @@
+package agent
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/opencontainers/go-digest"
+)
+
+// markStored records that a chunk is complete and verified on disk.
+func (c *Core) markStored(chunk *chunkState) {
+	chunk.stored, chunk.partialBytes, chunk.contributors, chunk.singleSource = true, 0, nil, false
+	chunk.lastUsedAt = c.now
+	for _, version := range c.versions {
+		version.setHeld(version.positions[chunk.Digest], true)
+	}
+}
+
+// markRemoved records that nothing of a chunk is on disk any more.
+func (c *Core) markRemoved(chunk *chunkState) {
+	if chunk.stored {
+		c.disk.usedBytes -= chunk.Size
+	}
+	c.disk.usedBytes -= chunk.partialBytes
+	chunk.stored, chunk.partialBytes, chunk.contributors, chunk.removing = false, 0, nil, false
+	for _, version := range c.versions {
+		version.setHeld(version.positions[chunk.Digest], false)
+	}
+}
+
+// handleChunkLost records that a stored chunk turned out to be damaged or gone.
+func (c *Core) handleChunkLost(d digest.Digest) {
+	chunk := c.chunks[d]
+	if chunk == nil || !chunk.stored {
+		return
+	}
+	c.log("a stored chunk is damaged or gone", "chunk", d.String())
+	c.markRemoved(chunk)
+}
+
+// recordDiskFailure pauses fetches after a write failed.
+func (c *Core) recordDiskFailure(chunk *chunkState) {
+	c.disk.consecutiveFailures++
+	c.disk.pausedUntil = c.now + c.backoff(c.disk.consecutiveFailures)
+	c.evict(chunk.Size) // without a budget, only a full disk tells that there is too much
+}
+
+// ensureSpace reports whether the budget has room for more bytes. If not, it starts to evict
+// chunks that are not referenced.
+func (c *Core) ensureSpace(bytes int64) bool {
+	if c.settings.DiskLimitBytes == 0 || c.disk.usedBytes+bytes <= c.settings.DiskLimitBytes {
+		return true
+	}
+	c.disk.overBudget = !c.evict(c.disk.usedBytes + bytes - c.settings.DiskLimitBytes)
+	return false
+}
+
+// evict removes unreferenced chunks, the least recently used first, until enough bytes are or
+// will be free. It reports whether any removal is under way.
+func (c *Core) evict(bytes int64) bool {
+	evictable, freed := c.evictableChunks()
+	for _, chunk := range evictable {
+		if freed >= bytes {
+			break
+		}
+		freed += chunk.storedBytes()
+		chunk.removing = true
+		c.emit(Remove{chunk.Digest})
+	}
+	return freed > 0
+}
+
+// evictableChunks returns the chunks that may be removed, the least recently used first, and
+// how many bytes removals under way will free.
+func (c *Core) evictableChunks() (evictable []*chunkState, removingBytes int64) {
+	for _, chunk := range c.chunks {
+		switch {
+		case chunk.removing:
+			removingBytes += chunk.storedBytes()
+		case chunk.storedBytes() > 0 && chunk.fetch == nil && c.now >= chunk.removeRetryAt && !c.isChunkReferenced(chunk.Digest):
+			evictable = append(evictable, chunk)
+		}
+	}
+	slices.SortFunc(evictable, func(a, b *chunkState) int {
+		return cmp.Or(cmp.Compare(a.lastUsedAt, b.lastUsedAt), cmp.Compare(a.Digest, b.Digest))
+	})
+	return evictable, removingBytes
+}
+
+// handleRemoveResult records whether a chunk could be removed.
+func (c *Core) handleRemoveResult(result RemoveResult) {
+	chunk := c.chunks[result.Chunk]
+	if chunk == nil {
+		return
+	}
+	chunk.removing = false
+	if !result.Removed {
+		chunk.removeRetryAt = c.now + c.backoff(1)
+		return
+	}
+	c.counts.EvictedChunks++
+	c.markRemoved(chunk)
+	c.removeUnusedVersions()
+	if !c.belongsToVersion(chunk) {
+		delete(c.chunks, result.Chunk)
+	}
+}
+
+// removeUnusedVersions forgets versions that nothing is stored of and no name refers to.
+func (c *Core) removeUnusedVersions() {
+	for d, version := range c.versions {
+		if version.heldCount == 0 && !c.isReferenced(d) {
+			delete(c.versions, d)
+		}
+	}
+}
+
+// belongsToVersion reports whether a known version has a chunk.
+func (c *Core) belongsToVersion(chunk *chunkState) bool {
+	for _, version := range c.versions {
+		if len(version.positions[chunk.Digest]) > 0 {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/distribution/agent/core_fetch.go
+++ b/internal/distribution/agent/core_fetch.go
@@ -5,243 +5,284 @@
 	"slices"
 	"time"
 
+	"github.com/opencontainers/go-digest"
+
 	"oakpick/internal/distribution"
 )
 
-// fetch is a chunk on its way.
+// activeFetch is a fetch of a chunk that is under way.
 type activeFetch struct {
 	id            uint64
 	chunk         *chunkState
 	source        *sourceState
-	reservedBytes int64 // bytes that are set aside for it
+	reservedBytes int64 // of the disk, for the bytes still to come
 	cancelled     bool
 }
 
-// fetchMore begins as many fetches as sources and the limit on downloads allow, for the names
-// in their order.
+// startFetches starts as many fetches as sources and the limit on downloads allow, for the
+// names in their configured order.
 func (c *Core) startFetches() {
-	c.overBudget = false
-	for _, n := range c.targets {
-		v := c.versions[n.wanted]
-		if v == nil || v.complete() {
+	c.disk.overBudget = false
+	for _, target := range c.targets {
+		version := c.versions[target.wanted]
+		if version == nil || version.complete() {
 			continue
 		}
-		c.startVersionFetches(n, v)
+		c.startVersionFetches(target, version)
 	}
 }
 
-// availability says, for each position of a version, how many sources have it.
+// availability counts, for each position of a version, the peers that have its chunk.
 type availability struct {
-	nearby []int // sources of the own zone
-	all    []int // without the store
+	sameZone []int
+	total    []int // over all zones
 }
 
-func (c *Core) availability(v *versionState, sources []*sourceState) availability {
-	chunks := len(v.Manifest.Chunks)
-	a := availability{make([]int, chunks), make([]int, chunks)}
-	for _, s := range sources {
-		if s.isStore() || s.chunks == nil || !c.isUsable(s) {
+func (c *Core) availability(version *versionState, sources []*sourceState) availability {
+	chunks := len(version.Chunks)
+	counts := availability{sameZone: make([]int, chunks), total: make([]int, chunks)}
+	for _, source := range sources {
+		if source.isStore() || source.chunks == nil || !c.isUsable(source) {
 			continue
 		}
-		nearby := s.Zone == c.settings.Zone
 		for i := range chunks {
-			if !s.chunks.Has(i) {
+			if !source.chunks.Has(i) {
 				continue
 			}
-			a.all[i]++
-			if nearby {
-				a.nearby[i]++
+			counts.total[i]++
+			if source.Zone == c.settings.Zone {
+				counts.sameZone[i]++
 			}
 		}
 	}
-	return a
+	return counts
 }
 
-func (c *Core) startVersionFetches(n *targetState, v *versionState) {
-	if c.now < c.diskPausedUntil || !c.hasIdleSource(v) {
+// startVersionFetches gives each idle source of a version a chunk to fetch, the preferred
+// sources first.
+func (c *Core) startVersionFetches(target *targetState, version *versionState) {
+	if c.now < c.disk.pausedUntil || !c.hasIdleSource(version) {
 		return
 	}
-	sources := c.sourcesByPreference(v.Digest)
-	available := c.availability(v, sources)
-	for _, s := range sources {
-		if s.fetch != nil || !c.isUsable(s) {
+	sources := c.sourcesByPreference(version.Digest)
+	available := c.availability(version, sources)
+	for _, source := range sources {
+		if source.fetch != nil || !c.isUsable(source) {
 			continue
 		}
-		if s.chunks == nil && !s.isStore() {
-			c.requestChunkSet(s, n)
+		if source.chunks == nil && !source.isStore() {
+			c.requestChunkSet(source, target)
 			continue
 		}
 		if len(c.fetches) >= c.settings.MaxDownloads {
 			return
 		}
-		position := c.selectChunk(v, s, available)
-		if position >= 0 {
-			s.lastUsefulAt = c.now
-			if c.startFetch(n, v, s, position) {
-				continue
-			}
-			return // there is no room
+		position, found := c.selectChunk(version, source, available)
+		if !found {
+			c.handleIdleSource(target, version, source)
+			continue
+		}
+		source.lastUsefulAt = c.now
+		if !c.startFetch(target, version, source, position) {
+			return // there is no room on disk
 		}
-		c.handleIdleSource(n, v, s)
 	}
 }
 
-// anyIdle tells whether a version has a source that could be asked for something.
-func (c *Core) hasIdleSource(v *versionState) bool {
-	for _, s := range c.sources {
-		if s.Manifest == v.Digest && s.fetch == nil && c.isUsable(s) {
+// hasIdleSource reports whether a version has a usable source without a fetch.
+func (c *Core) hasIdleSource(version *versionState) bool {
+	for _, source := range c.sources {
+		if source.Manifest == version.Digest && source.fetch == nil && c.isUsable(source) {
 			return true
 		}
 	}
 	return false
 }
 
-// idle asks a source that has nothing that is needed for news, or gives it back.
-func (c *Core) handleIdleSource(n *targetState, v *versionState, s *sourceState) {
-	if s.isStore() {
+// handleIdleSource asks a source that has no needed chunk for its chunk set, or releases it
+// after a while.
+func (c *Core) handleIdleSource(target *targetState, version *versionState, source *sourceState) {
+	if source.isStore() {
 		return
 	}
-	if c.now-s.lastUsefulAt > uselessReports*c.settings.ReportInterval && !c.offersMissingChunk(v, s) {
-		c.recordFault(s, distribution.FaultUseless, 0)
+	if c.now-source.lastUsefulAt > uselessReports*c.settings.ReportInterval && !c.offersMissingChunk(version, source) {
+		c.recordFault(source, distribution.FaultUseless, 0)
 		return
 	}
-	c.requestChunkSet(s, n)
+	c.requestChunkSet(source, target)
 }
 
-// hasMissing tells whether a source has a chunk that isn't held.
-func (c *Core) offersMissingChunk(v *versionState, s *sourceState) bool {
-	for i := range v.Manifest.Chunks {
-		if !v.held.Has(i) && s.has(i) {
+// offersMissingChunk reports whether a source has a chunk that isn't stored.
+func (c *Core) offersMissingChunk(version *versionState, source *sourceState) bool {
+	for i := range version.Chunks {
+		if !version.held.Has(i) && source.has(i) {
 			return true
 		}
 	}
 	return false
 }
 
-// choose gives the position of the chunk to be fetched from a source next; -1: none. It is
-// one that the fewest sources have. Sources of other zones are only asked for what none of
-// the own zone has, and the store for what no other source has.
-func (c *Core) selectChunk(v *versionState, s *sourceState, available availability) int {
-	best, fewest, inStripe := -1, 0, false
-	chunks := v.Manifest.Chunks
-	first := c.rng.IntN(len(chunks)) // ties go to the next behind it
-	patient := s.isStore() && s.Others > 0 && c.now-v.lastFetchAt < stripeWaitReports*c.settings.ReportInterval
-	for offset := range chunks {
-		i := (first + offset) % len(chunks)
-		if v.held.Has(i) || !s.has(i) {
-			continue
-		}
-		k := c.chunks[chunks[i].Digest]
-		if k.fetch != nil || k.stored || k.removing {
-			continue
-		}
-		own := false
-		switch {
-		case s.isStore():
-			own = s.inStripe(i)
-			if available.all[i] > 0 || patient && !own {
-				continue
-			}
-		case s.Zone != c.settings.Zone && available.nearby[i] > 0:
+// candidate is a chunk that may be fetched from a source.
+type candidate struct {
+	position int
+	sources  int  // peers that have it
+	inStripe bool // of the store, in the agent's own stripe
+}
+
+// betterThan prefers the agent's own stripe, then the chunk that the fewest peers have.
+func (a candidate) betterThan(b candidate) bool {
+	if a.inStripe != b.inStripe {
+		return a.inStripe
+	}
+	return a.sources < b.sources
+}
+
+// selectChunk returns the position of the chunk to fetch from a source next: one that the
+// fewest peers have, so that rare chunks spread first.
+func (c *Core) selectChunk(version *versionState, source *sourceState, available availability) (position int, found bool) {
+	var best candidate
+	first := c.rng.IntN(len(version.Chunks)) // among equals, the first one from here on
+	for offset := range version.Chunks {
+		i := (first + offset) % len(version.Chunks)
+		if version.held.Has(i) || !source.has(i) || !c.isFetchable(version.Chunks[i].Digest) || !c.mayFetchFrom(source, version, i, available) {
 			continue
 		}
-		better := best < 0 || own && !inStripe || own == inStripe && available.all[i] < fewest
-		if better {
-			best, fewest, inStripe = i, available.all[i], own
+		next := candidate{i, available.total[i], source.isStore() && source.inStripe(i)}
+		if !found || next.betterThan(best) {
+			best, found = next, true
 		}
 	}
-	return best
+	return best.position, found
+}
+
+// isFetchable reports whether a chunk is neither stored, nor being fetched or removed.
+func (c *Core) isFetchable(d digest.Digest) bool {
+	chunk := c.chunks[d]
+	return chunk.fetch == nil && !chunk.stored && !chunk.removing
 }
 
-// begin begins a fetch, if the disk has room for it.
-func (c *Core) startFetch(n *targetState, v *versionState, s *sourceState, position int) bool {
-	k := c.chunks[v.Manifest.Chunks[position].Digest]
-	if k.singleSource && k.partialBytes > 0 {
-		c.diskUsedBytes -= k.partialBytes
-		k.partialBytes, k.contributors = 0, nil
+// mayFetchFrom reports whether a source may be asked for a position. Peers of other zones are
+// only asked for what none of the own zone has, and the store for what no peer has: at first
+// in the agent's own stripe only, while other agents may use the store.
+func (c *Core) mayFetchFrom(source *sourceState, version *versionState, position int, available availability) bool {
+	if !source.isStore() {
+		return source.Zone == c.settings.Zone || available.sameZone[position] == 0
 	}
-	k.partialBytes = min(k.partialBytes, k.Size)
-	rest := k.Size - k.partialBytes
-	if !c.ensureSpace(rest) {
+	if available.total[position] > 0 {
+		return false
+	}
+	waitsForOthers := source.Others > 0 && c.now-version.lastFetchAt < stripeWaitReports*c.settings.ReportInterval
+	return source.inStripe(position) || !waitsForOthers
+}
+
+// startFetch starts to fetch a chunk, and reports whether the disk has room for it.
+func (c *Core) startFetch(target *targetState, version *versionState, source *sourceState, position int) bool {
+	chunk := c.chunks[version.Chunks[position].Digest]
+	if chunk.singleSource && chunk.partialBytes > 0 {
+		c.disk.usedBytes -= chunk.partialBytes
+		chunk.partialBytes, chunk.contributors = 0, nil
+	}
+	chunk.partialBytes = min(chunk.partialBytes, chunk.Size)
+	remaining := chunk.Size - chunk.partialBytes
+	if !c.ensureSpace(remaining) {
 		return false
 	}
 	c.lastFetchID++
-	f := &activeFetch{id: c.lastFetchID, chunk: k, source: s, reservedBytes: rest}
-	c.diskUsedBytes += rest
-	c.fetches[f.id], k.fetch, s.fetch = f, f, f
-	if !s.isStore() || s.inStripe(position) {
-		v.lastFetchAt = c.now
+	fetch := &activeFetch{id: c.lastFetchID, chunk: chunk, source: source, reservedBytes: remaining}
+	c.disk.usedBytes += remaining
+	c.fetches[fetch.id], chunk.fetch, source.fetch = fetch, fetch, fetch
+	if !source.isStore() || source.inStripe(position) {
+		version.lastFetchAt = c.now
 	}
 	c.emit(GetChunk{
-		ID: f.id, From: s.peer(), Name: n.name, Manifest: v.Digest, Chunk: k.Chunk, Offset: k.partialBytes,
-		StallTimeout: c.settings.StallTimeout, Timeout: c.settings.StallTimeout + time.Duration(float64(rest)/float64(c.settings.MinBytesPerSecond)*float64(time.Second)),
+		ID: fetch.id, From: source.peer(), Name: target.name, Manifest: version.Digest, Chunk: chunk.Chunk, Offset: chunk.partialBytes,
+		StallTimeout: c.settings.StallTimeout, Timeout: c.fetchTimeout(remaining),
 	})
 	return true
 }
 
-// chunkCame takes in how a fetch ended.
-func (c *Core) handleChunkResult(e ChunkResult) {
-	f := c.fetches[e.ID]
-	if f == nil {
+// fetchTimeout returns how long a fetch may take at the minimum rate.
+func (c *Core) fetchTimeout(bytes int64) time.Duration {
+	seconds := float64(bytes) / float64(c.settings.MinBytesPerSecond)
+	return c.settings.StallTimeout + time.Duration(seconds*float64(time.Second))
+}
+
+// handleChunkResult records how a fetch ended.
+func (c *Core) handleChunkResult(result ChunkResult) {
+	fetch := c.fetches[result.ID]
+	if fetch == nil {
 		return
 	}
-	k, s := f.chunk, f.source
-	delete(c.fetches, e.ID)
-	k.fetch, s.fetch = nil, nil
-	c.updateChunkSet(s, e.Chunks)
-	if e.ReceivedBytes > 0 {
-		c.recordReceived(k, s, e.ReceivedBytes)
+	chunk, source := fetch.chunk, fetch.source
+	delete(c.fetches, result.ID)
+	chunk.fetch, source.fetch = nil, nil
+	c.updateChunkSet(source, result.Chunks)
+	if result.ReceivedBytes > 0 {
+		c.recordReceived(chunk, source, result.ReceivedBytes)
 	}
-	if e.Fault == "" && !e.Cancelled {
-		s.consecutiveFailures, s.refreshInterval = 0, c.settings.ReportInterval/refreshDivisor
-		c.diskFailures = 0
+	if result.Fault == "" && !result.Cancelled {
+		source.consecutiveFailures, source.refreshInterval = 0, c.settings.ReportInterval/refreshDivisor
+		c.disk.consecutiveFailures = 0
 		c.counts.StoredChunks++
-		c.markStored(k)
+		c.markStored(chunk)
 		return
 	}
-	c.diskUsedBytes += e.PartialBytes - k.partialBytes - f.reservedBytes
-	k.partialBytes = e.PartialBytes
-	switch {
-	case e.Cancelled:
-	case e.Fault == distribution.FaultDamaged:
-		c.handleDamagedChunk(k, s)
-	case e.Fault == distribution.FaultDisk:
-		c.counts.Faults[e.Fault]++
-		c.diskFailures++
-		c.diskPausedUntil = c.now + c.backoff(c.diskFailures)
-		c.evict(k.Size) // without a budget, this is when there is too much
-	default:
-		if e.Fault == distribution.FaultMissing && s.chunks != nil {
-			for v, i := c.versions[s.Manifest], 0; v != nil && i < len(v.positions[k.Digest]); i++ {
-				s.chunks.Remove(v.positions[k.Digest][i])
-			}
-		}
-		c.recordFault(s, e.Fault, e.RetryAfter)
+	c.disk.usedBytes += result.PartialBytes - chunk.partialBytes - fetch.reservedBytes
+	chunk.partialBytes = result.PartialBytes
+	if !result.Cancelled {
+		c.handleFetchFault(chunk, source, result)
+	}
+}
+
+// handleFetchFault records whose fault a failed fetch was.
+func (c *Core) handleFetchFault(chunk *chunkState, source *sourceState, result ChunkResult) {
+	switch result.Fault {
+	case distribution.FaultDamaged:
+		c.handleDamagedChunk(chunk, source)
+		return
+	case distribution.FaultDisk:
+		c.counts.Faults[result.Fault]++
+		c.recordDiskFailure(chunk)
+		return
+	case distribution.FaultMissing:
+		c.removeFromChunkSet(source, chunk)
+	}
+	c.recordFault(source, result.Fault, result.RetryAfter)
+}
+
+// removeFromChunkSet records that a source doesn't have a chunk that it claimed to have.
+func (c *Core) removeFromChunkSet(source *sourceState, chunk *chunkState) {
+	version := c.versions[source.Manifest]
+	if version == nil || source.chunks == nil {
+		return
+	}
+	for _, position := range version.positions[chunk.Digest] {
+		source.chunks.Remove(position)
 	}
 }
 
-// received notes who has sent bytes of a chunk.
-func (c *Core) recordReceived(k *chunkState, s *sourceState, bytes int64) {
-	if k.contributors == nil {
-		k.contributors = map[string]bool{}
+// recordReceived records which source sent bytes of a chunk.
+func (c *Core) recordReceived(chunk *chunkState, source *sourceState, bytes int64) {
+	if chunk.contributors == nil {
+		chunk.contributors = map[string]bool{}
 	}
-	k.contributors[s.Agent] = true
-	if s.isStore() {
+	chunk.contributors[source.Agent] = true
+	if source.isStore() {
 		c.counts.StoreBytes += bytes
 	} else {
 		c.counts.PeerBytes += bytes
 	}
 }
 
-// damaged finds the culprit: the one who sent the whole chunk. If several sent parts of it,
-// it is fetched again from one alone.
-func (c *Core) handleDamagedChunk(k *chunkState, s *sourceState) {
-	if len(k.contributors) > 1 {
-		k.singleSource = true
+// handleDamagedChunk blames the source that sent the whole chunk. If several sent parts of it,
+// none can be blamed, and it is fetched again from a single one.
+func (c *Core) handleDamagedChunk(chunk *chunkState, source *sourceState) {
+	if len(chunk.contributors) > 1 {
+		chunk.singleSource = true
 		c.counts.Faults[distribution.FaultDamaged]++
-		c.log("a chunk from several sources is damaged", "chunk", k.Digest.String(), "sources", slices.Sorted(maps.Keys(k.contributors)))
+		c.log("a chunk from several sources is damaged", "chunk", chunk.Digest.String(), "sources", slices.Sorted(maps.Keys(chunk.contributors)))
 	} else {
-		c.recordFault(s, distribution.FaultDamaged, 0)
+		c.recordFault(source, distribution.FaultDamaged, 0)
 	}
-	k.contributors = nil
+	chunk.contributors = nil
 }
--- a/internal/distribution/agent/core_messages.go
+++ b/internal/distribution/agent/core_messages.go
@@ -154,6 +154,7 @@
 
 // Ratios to the report interval, and counts that concern one source only.
 const (
+	reportIntervalRange    = 16 // the tracker may ask for reports so many times as often, or as rarely
 	retryDivisor           = 8  // of a report: the first pause after a failure
 	maxRetryDoublings      = 6  // of that pause, at most
 	refreshDivisor         = 2  // of a report: between looks at what an idle source holds
--- /dev/null
+++ b/internal/distribution/agent/core_reports.go
@@ -0,0 +1,140 @@
+package agent
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"oakpick/internal/distribution"
+)
+
+// handleTrackerAnswer takes over the names and sources that the tracker gives.
+func (c *Core) handleTrackerAnswer(answer distribution.Answer) {
+	c.reports.inFlight = false
+	asked := time.Duration(answer.NextMs) * time.Millisecond
+	c.reports.interval = min(max(asked, c.settings.ReportInterval/reportIntervalRange), c.settings.ReportInterval*reportIntervalRange)
+	c.reports.nextAt = c.now + c.reports.interval
+	if answer.Term < c.reports.term {
+		return // of a leader that has been replaced
+	}
+	c.reports.term = answer.Term
+	for _, record := range answer.Names {
+		c.applyNameRecord(record)
+	}
+	c.updateSources(answer)
+	for _, manifest := range answer.Recheck {
+		c.verifyManifest(manifest)
+	}
+}
+
+// handleTrackerFailure keeps what is known and schedules the next report.
+func (c *Core) handleTrackerFailure(failure TrackerFailed) {
+	c.reports.inFlight = false
+	c.reports.nextAt = c.now + c.jitter(max(failure.RetryAfter, c.settings.ReportInterval/2))
+}
+
+// reportSoon brings the next report forward, with some jitter.
+func (c *Core) reportSoon() {
+	c.reports.bringForward(c.now + c.jitter(c.settings.ReportInterval/retryDivisor))
+}
+
+// reportIfDue sends an inventory when one is due and none is under way.
+func (c *Core) reportIfDue() {
+	if c.reports.inFlight || c.now < c.reports.nextAt {
+		return
+	}
+	c.reports.inFlight = true
+	c.reports.sequence++
+	c.emit(Report{c.inventory()})
+}
+
+// inventory builds a report. The source faults in it are not reported again.
+func (c *Core) inventory() distribution.Inventory {
+	faults := c.reports.faults[:min(len(c.reports.faults), maxReportedFaults)]
+	c.reports.faults = nil
+	return distribution.Inventory{
+		Agent:       c.settings.Agent,
+		Zone:        c.settings.Zone,
+		Address:     c.settings.Address,
+		Session:     c.settings.Session,
+		Sequence:    c.reports.sequence,
+		UploadSlots: c.settings.UploadSlots,
+		Wants:       c.settings.Names,
+		Holdings:    c.holdings(),
+		Faults:      faults,
+		Waits:       c.waitReasons(),
+	}
+}
+
+// holdings lists the manifests of which something is stored or that a name refers to.
+func (c *Core) holdings() (holdings []distribution.Holding) {
+	for _, d := range slices.Sorted(maps.Keys(c.versions)) {
+		version := c.versions[d]
+		if len(holdings) < maxReportedHoldings && (version.heldCount > 0 || c.isReferenced(d)) {
+			holdings = append(holdings, distribution.Holding{
+				Manifest: d, Chunks: version.heldCount, Total: len(version.Chunks), Active: c.isActive(d),
+			})
+		}
+	}
+	return holdings
+}
+
+// waitReasons tells of every name that isn't served from the wanted manifest, why.
+func (c *Core) waitReasons() (waits []distribution.Wait) {
+	for _, target := range c.targets {
+		if target.wanted == "" || target.active != target.wanted {
+			waits = append(waits, c.waitReason(target))
+		}
+	}
+	return waits
+}
+
+func (c *Core) waitReason(target *targetState) distribution.Wait {
+	reason := distribution.Wait{Name: target.name}
+	version := c.versions[target.wanted]
+	switch {
+	case target.wanted == "":
+		reason.Why = "no manifest is known for the name"
+	case version == nil:
+		reason.Why = "nobody has given the manifest yet"
+	case version.complete():
+		reason.Why = "all chunks are there, activation is under way"
+	default:
+		c.addChunkReason(&reason, version)
+	}
+	return reason
+}
+
+// addChunkReason tells why chunks of a version are still missing, and names one that no
+// source has.
+func (c *Core) addChunkReason(reason *distribution.Wait, version *versionState) {
+	fetching, unavailable := 0, 0
+	for i, listed := range version.Chunks {
+		switch {
+		case version.held.Has(i):
+		case c.chunks[listed.Digest].fetch != nil:
+			fetching++
+		case !c.hasUsableSource(version, i):
+			if unavailable == 0 {
+				reason.Chunk = listed.Digest
+			}
+			unavailable++
+		}
+	}
+	switch {
+	case c.now < c.disk.pausedUntil:
+		reason.Why = "the disk takes no more"
+	case c.disk.overBudget:
+		reason.Why = "disk_bytes is used up by chunks that are in use"
+	case fetching > 0:
+		reason.Why = "chunks are being fetched"
+	case unavailable > 0:
+		reason.Why = "no source has the chunk"
+	default:
+		reason.Why = "sources are busy or paused"
+	}
+	reason.Chunks = len(version.Chunks) - version.heldCount
+	if unavailable > 0 {
+		reason.Chunks = unavailable
+	}
+}
--- a/internal/distribution/agent/core_sources.go
+++ b/internal/distribution/agent/core_sources.go
@@ -10,24 +10,27 @@
 	"oakpick/internal/distribution"
 )
 
+// sourceKey identifies a source: an agent or the store, for one manifest.
 type sourceKey struct {
 	agent    string
 	manifest digest.Digest
 }
 
-// source is where chunks of a manifest may be fetched.
+// sourceState is a place where chunks of a manifest may be fetched.
 type sourceState struct {
 	distribution.Source
-	chunks              distribution.ChunkSet // nil: not known yet
-	fetch               *activeFetch          // one at a time
-	refreshing          bool
-	refreshAt           time.Duration
-	refreshInterval     time.Duration
-	pausedUntil         time.Duration // until when
-	consecutiveFailures int           // in a row
-	missingChunks       int           // chunks that it said it had
-	lastUsefulAt        time.Duration // when it last had something that was needed
-	released            bool          // the tracker doesn't name it any more
+	chunks distribution.ChunkSet // nil: not known yet
+	fetch  *activeFetch          // at most one at a time
+
+	refreshing      bool // its chunk set is being asked for
+	refreshAt       time.Duration
+	refreshInterval time.Duration
+
+	pausedUntil         time.Duration
+	consecutiveFailures int
+	missingChunks       int           // that it claimed to have
+	lastUsefulAt        time.Duration // when it last had a chunk that was needed
+	released            bool          // given back, or no longer listed by the tracker
 }
 
 func (s *sourceState) key() sourceKey { return sourceKey{s.Agent, s.Manifest} }
@@ -36,46 +39,68 @@
 
 func (s *sourceState) isStore() bool { return s.Agent == distribution.StoreSource }
 
-// has tells whether a source is known to have a position.
+// has reports whether the source is known to have the chunk at a position.
 func (s *sourceState) has(i int) bool { return s.isStore() || s.chunks.Has(i) }
 
-// inStripe tells whether a position is in the part of the store's chunks that comes first.
+// inStripe reports whether a position is in this agent's stripe of the store, which it fetches
+// first.
 func (s *sourceState) inStripe(i int) bool { return s.Stripes > 0 && i%s.Stripes == s.Stripe }
 
-// usable tells whether a source may be asked now.
-func (c *Core) isUsable(s *sourceState) bool { return !s.released && c.now >= s.pausedUntil }
+// isUsable reports whether a source may be asked now.
+func (c *Core) isUsable(source *sourceState) bool {
+	return !source.released && c.now >= source.pausedUntil
+}
 
-// sourcesNamed takes in the sources that the tracker gives.
-func (c *Core) updateSources(a distribution.Answer) {
+// updateSources takes over the sources that the tracker lists. Others are released, unless the
+// tracker has just started and can't know them yet.
+func (c *Core) updateSources(answer distribution.Answer) {
 	listed := map[sourceKey]bool{}
-	for _, given := range a.Sources {
+	for _, given := range answer.Sources {
 		key := sourceKey{given.Agent, given.Manifest}
-		if until, dropped := c.excludedUntil[key]; dropped && c.now < until || given.Agent == distribution.StoreSource && !c.settings.HasStore {
+		if !c.acceptsSource(key) {
 			continue
 		}
 		delete(c.excludedUntil, key)
 		listed[key] = true
-		s := c.sources[key]
-		if s == nil {
-			s = &sourceState{lastUsefulAt: c.now, refreshInterval: c.settings.ReportInterval / refreshDivisor}
-			c.sources[key] = s
-		}
-		if s.Address != given.Address {
-			s.consecutiveFailures, s.pausedUntil = 0, c.now
-		}
-		s.Source, s.released = given, false
+		c.addSource(key, given)
 	}
-	for key, s := range c.sources {
-		if !listed[key] && !a.Keep {
-			s.released = true
+	for key, source := range c.sources {
+		if !listed[key] && !answer.Keep {
+			source.released = true
 		}
 	}
 }
 
-// forgetSources drops the sources that aren't used any more.
+// acceptsSource reports whether a source that the tracker lists may be used.
+func (c *Core) acceptsSource(key sourceKey) bool {
+	if key.agent == distribution.StoreSource && !c.settings.HasStore {
+		return false
+	}
+	until, excluded := c.excludedUntil[key]
+	return !excluded || c.now >= until
+}
+
+// addSource adds a source, or updates the one that is known.
+func (c *Core) addSource(key sourceKey, given distribution.Source) {
+	source := c.sources[key]
+	if source == nil {
+		source = &sourceState{lastUsefulAt: c.now, refreshInterval: c.settings.ReportInterval / refreshDivisor}
+		c.sources[key] = source
+	}
+	if source.Address != given.Address {
+		source.consecutiveFailures, source.pausedUntil = 0, c.now
+	}
+	source.Source, source.released = given, false
+}
+
+// removeUnusedSources drops released sources and those of manifests that no name refers to,
+// once nothing of them is under way, and exclusions that have ended.
 func (c *Core) removeUnusedSources() {
-	for key, s := range c.sources {
-		if s.released && s.fetch == nil && !s.refreshing || !c.isReferenced(s.Manifest) && s.fetch == nil {
+	for key, source := range c.sources {
+		if source.fetch != nil {
+			continue
+		}
+		if source.released && !source.refreshing || !c.isReferenced(source.Manifest) {
 			delete(c.sources, key)
 		}
 	}
@@ -86,125 +111,133 @@
 	}
 }
 
-// ordered gives a manifest's sources: those of the own zone first, then others, then the
-// store, each kind in an order that is drawn anew.
+// sourcesByPreference returns a manifest's sources: peers of the own zone, then those of other
+// zones, then the store, each group in a new random order.
 func (c *Core) sourcesByPreference(manifest digest.Digest) []*sourceState {
-	var out []*sourceState
-	for _, s := range c.sources {
-		if s.Manifest == manifest {
-			out = append(out, s)
+	var sources []*sourceState
+	for _, source := range c.sources {
+		if source.Manifest == manifest {
+			sources = append(sources, source)
 		}
 	}
-	slices.SortFunc(out, func(a, b *sourceState) int { return cmp.Compare(a.Agent, b.Agent) })
-	c.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	slices.SortStableFunc(out, func(a, b *sourceState) int { return cmp.Compare(c.distance(a), c.distance(b)) })
-	return out
+	// Sorted before they are shuffled, so that the order depends on the seed alone.
+	slices.SortFunc(sources, func(a, b *sourceState) int { return cmp.Compare(a.Agent, b.Agent) })
+	c.rng.Shuffle(len(sources), func(i, j int) { sources[i], sources[j] = sources[j], sources[i] })
+	slices.SortStableFunc(sources, func(a, b *sourceState) int { return cmp.Compare(c.distance(a), c.distance(b)) })
+	return sources
 }
 
-// distance orders sources.
-func (c *Core) distance(s *sourceState) int {
+// Distances of sources: the nearest is preferred.
+const (
+	distanceSameZone = iota
+	distanceOtherZone
+	distanceStore
+)
+
+func (c *Core) distance(source *sourceState) int {
 	switch {
-	case s.isStore():
-		return 2
-	case s.Zone != c.settings.Zone:
-		return 1
+	case source.isStore():
+		return distanceStore
+	case source.Zone != c.settings.Zone:
+		return distanceOtherZone
 	}
-	return 0
+	return distanceSameZone
 }
 
-// anySource gives one that may be asked for a manifest: peers first.
+// firstUsableSource returns the preferred source that may be asked now, or nil.
 func (c *Core) firstUsableSource(manifest digest.Digest) *sourceState {
-	for _, s := range c.sourcesByPreference(manifest) {
-		if c.isUsable(s) {
-			return s
+	for _, source := range c.sourcesByPreference(manifest) {
+		if c.isUsable(source) {
+			return source
 		}
 	}
 	return nil
 }
 
-// offered tells whether any source that may be used has a position.
-func (c *Core) hasUsableSource(v *versionState, i int) bool {
-	for _, s := range c.sources {
-		if s.Manifest == v.Digest && c.isUsable(s) && s.has(i) {
+// hasUsableSource reports whether any usable source has the chunk at a position.
+func (c *Core) hasUsableSource(version *versionState, i int) bool {
+	for _, source := range c.sources {
+		if source.Manifest == version.Digest && c.isUsable(source) && source.has(i) {
 			return true
 		}
 	}
 	return false
 }
 
-// askChunks asks a source what it holds, if that is due.
-func (c *Core) requestChunkSet(s *sourceState, n *targetState) {
-	if s.isStore() || s.refreshing || s.fetch != nil || !c.isUsable(s) || c.now < s.refreshAt {
+// requestChunkSet asks a peer which chunks it holds, if that is due.
+func (c *Core) requestChunkSet(source *sourceState, target *targetState) {
+	if source.isStore() || source.refreshing || source.fetch != nil || !c.isUsable(source) || c.now < source.refreshAt {
 		return
 	}
-	s.refreshing = true
-	c.emit(GetChunkSet{s.peer(), n.name, s.Manifest})
+	source.refreshing = true
+	c.emit(GetChunkSet{source.peer(), target.name, source.Manifest})
 }
 
-func (c *Core) handleChunkSetResult(e ChunkSetResult) {
-	s := c.sources[sourceKey{e.Source, e.Manifest}]
-	if s == nil {
+// handleChunkSetResult takes over which chunks a source holds. One that has nothing new is
+// asked less and less often.
+func (c *Core) handleChunkSetResult(result ChunkSetResult) {
+	source := c.sources[sourceKey{result.Source, result.Manifest}]
+	if source == nil {
 		return
 	}
-	s.refreshing = false
-	if e.Fault != "" {
-		c.recordFault(s, e.Fault, 0)
-		s.refreshAt = max(s.refreshAt, s.pausedUntil)
+	source.refreshing = false
+	if result.Fault != "" {
+		c.recordFault(source, result.Fault, 0)
+		source.refreshAt = max(source.refreshAt, source.pausedUntil)
 		return
 	}
-	s.consecutiveFailures = 0
-	s.refreshInterval = min(s.refreshInterval*2, maxRefreshReports*c.settings.ReportInterval)
-	if c.updateChunkSet(s, e.Chunks) {
-		s.refreshInterval = c.settings.ReportInterval / refreshDivisor
+	source.consecutiveFailures = 0
+	source.refreshInterval = min(source.refreshInterval*2, maxRefreshReports*c.settings.ReportInterval)
+	if c.updateChunkSet(source, result.Chunks) {
+		source.refreshInterval = c.settings.ReportInterval / refreshDivisor
 	}
-	s.refreshAt = c.now + c.jitter(s.refreshInterval)
+	source.refreshAt = c.now + c.jitter(source.refreshInterval)
 }
 
-// saysHolds notes what a source says that it holds, and tells whether that is news.
-func (c *Core) updateChunkSet(s *sourceState, chunks distribution.ChunkSet) (news bool) {
-	v := c.versions[s.Manifest]
-	if v == nil || chunks == nil {
+// updateChunkSet records which chunks a source claims to hold, and reports whether they changed.
+func (c *Core) updateChunkSet(source *sourceState, chunks distribution.ChunkSet) (changed bool) {
+	version := c.versions[source.Manifest]
+	if version == nil || chunks == nil {
 		return false
 	}
-	chunks = chunks.ForChunks(len(v.Manifest.Chunks))
-	news = !slices.Equal(s.chunks, chunks)
-	s.chunks = chunks
-	return news
+	chunks = chunks.ForChunks(len(version.Chunks))
+	changed = !slices.Equal(source.chunks, chunks)
+	source.chunks = chunks
+	return changed
 }
 
-// fault notes what is wrong with a source: it is paused, or given back to the tracker. The
-// store is only paused, because there is no other.
-func (c *Core) recordFault(s *sourceState, f distribution.Fault, retryAfter time.Duration) {
-	c.counts.Faults[f]++
-	if f == distribution.FaultBusy {
-		s.pausedUntil = c.now + c.jitter(max(retryAfter, c.settings.ReportInterval/retryDivisor))
+// recordFault pauses a source after a failed request, or releases it. The store is only
+// paused, because there is no other.
+func (c *Core) recordFault(source *sourceState, fault distribution.Fault, retryAfter time.Duration) {
+	c.counts.Faults[fault]++
+	if fault == distribution.FaultBusy {
+		source.pausedUntil = c.now + c.jitter(max(retryAfter, c.settings.ReportInterval/retryDivisor))
 		return
 	}
-	s.consecutiveFailures++
-	s.pausedUntil = c.now + max(c.backoff(s.consecutiveFailures), retryAfter)
-	if s.isStore() {
+	source.consecutiveFailures++
+	source.pausedUntil = c.now + max(c.backoff(source.consecutiveFailures), retryAfter)
+	if source.isStore() {
 		return
 	}
-	switch f {
+	switch fault {
 	case distribution.FaultDamaged, distribution.FaultSlow, distribution.FaultUseless:
-		c.releaseSource(s, f)
+		c.releaseSource(source, fault)
 	case distribution.FaultMissing:
-		if s.missingChunks++; s.missingChunks >= maxMissingChunks {
-			c.releaseSource(s, f)
+		if source.missingChunks++; source.missingChunks >= maxMissingChunks {
+			c.releaseSource(source, fault)
 		}
 	case distribution.FaultUnreachable:
-		if s.consecutiveFailures >= maxUnreachableFailures {
-			c.releaseSource(s, f)
+		if source.consecutiveFailures >= maxUnreachableFailures {
+			c.releaseSource(source, fault)
 		}
 	}
 }
 
-// giveBack stops using a source and tells the tracker why.
-func (c *Core) releaseSource(s *sourceState, f distribution.Fault) {
-	c.excludedUntil[s.key()] = c.now + exclusionReports*c.settings.ReportInterval
-	s.released = true
-	c.faults = append(c.faults, distribution.SourceFault{Source: s.Agent, Manifest: s.Manifest, Fault: f})
-	c.log("source given back", "source", s.Agent, "fault", string(f))
-	// The tracker gives another.
-	c.nextReportAt = min(c.nextReportAt, c.now+c.jitter(c.settings.ReportInterval/retryDivisor))
+// releaseSource stops using a source and has the tracker told why, so that it gives another.
+func (c *Core) releaseSource(source *sourceState, fault distribution.Fault) {
+	c.excludedUntil[source.key()] = c.now + exclusionReports*c.settings.ReportInterval
+	source.released = true
+	c.reports.faults = append(c.reports.faults, distribution.SourceFault{Source: source.Agent, Manifest: source.Manifest, Fault: fault})
+	c.log("source released", "source", source.Agent, "fault", string(fault))
+	c.reportSoon()
 }
--- a/internal/distribution/agent/core_test.go
+++ b/internal/distribution/agent/core_test.go
@@ -127,8 +127,8 @@
 	c, _ := fetching(t, m, from("two", "a", m), store)
 	fetched := 0
 	for now := time.Second; now < 20*time.Second; now += time.Second {
-		for id, f := range c.fetches {
-			if f.source.isStore() && now > time.Second { // the first was begun before the peer had told
+		for id, fetch := range c.fetches {
+			if fetch.source.isStore() && now > time.Second { // the first was begun before the peer had told
 				t.Fatal("the store is asked")
 			}
 			fetched++
@@ -148,8 +148,8 @@
 	c.Step(1, ManifestResult{Digest: m.Digest, Manifest: m})
 	c.Step(2, ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}}, ChunkSetResult{Source: "four", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
 	c.Step(3, ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
-	for _, s := range c.sources { // what is said while they are idle
-		s.chunks = distribution.ChunkSet{0b110111}
+	for _, source := range c.sources { // what is said while they are idle
+		source.chunks = distribution.ChunkSet{0b110111}
 	}
 	c.sources[sourceKey{"two", m.Digest}].chunks = distribution.ChunkSet{0b111111}
 	got := of[GetChunk](c.Step(4))
@@ -201,8 +201,8 @@
 		t.Fatalf("%+v after %+v", second, g)
 	}
 	effects = c.Step(20*time.Second, ChunkResult{ID: second.ID, Fault: distribution.FaultDamaged, ReceivedBytes: 60})
-	if len(c.faults) != 0 {
-		t.Errorf("somebody is blamed: %+v", c.faults)
+	if len(c.reports.faults) != 0 {
+		t.Errorf("somebody is blamed: %+v", c.reports.faults)
 	}
 	third := of[GetChunk](effects)
 	if len(third) != 1 || third[0].Offset != 0 {
@@ -234,11 +234,11 @@
 	begun := answer(1, m)
 	begun.Answer.Keep = true
 	c.Step(time.Minute, begun)
-	if s := c.sources[sourceKey{"two", m.Digest}]; s == nil || s.released {
+	if source := c.sources[sourceKey{"two", m.Digest}]; source == nil || source.released {
 		t.Error("a tracker that has just begun takes the source away")
 	}
 	c.Step(2*time.Minute, answer(1, m))
-	if s := c.sources[sourceKey{"two", m.Digest}]; s != nil && !s.released {
+	if source := c.sources[sourceKey{"two", m.Digest}]; source != nil && !source.released {
 		t.Error("the source is used without a lease")
 	}
 }
@@ -252,8 +252,8 @@
 		Active:   map[string]distribution.ActiveVersion{name: {Manifest: active.Digest, Revision: 1}},
 	}
 	for _, m := range []*distribution.Manifest{old, active} {
-		for _, x := range m.Chunks {
-			stored.Chunks[x.Digest] = 100
+		for _, listed := range m.Chunks {
+			stored.Chunks[listed.Digest] = 100
 		}
 	}
 	c := newCore(stored)
@@ -334,7 +334,7 @@
 				t.Fatalf("%s: %+v", c.fault, effects)
 			}
 			core.Step(now, ChunkResult{ID: gets[0].ID, Fault: c.fault, Chunks: distribution.ChunkSet{0xff, 1}}, TrackerFailed{})
-			if i < c.times-1 && len(core.faults) != 0 {
+			if i < c.times-1 && len(core.reports.faults) != 0 {
 				t.Errorf("%s: given back after %d times", c.fault, i+1)
 			}
 			effects = core.Step(now + 50*time.Second)
@@ -357,8 +357,8 @@
 		t.Fatalf("%+v", cancels)
 	}
 	c.Step(2*time.Second, ChunkResult{ID: get.ID, Cancelled: true, Fault: distribution.FaultUnreachable, ReceivedBytes: 30, PartialBytes: 30})
-	if len(c.faults) != 0 || c.Counts().Faults[distribution.FaultUnreachable] != 0 || c.DiskUsedBytes() != 30 {
-		t.Errorf("faults %v %v, %d bytes used", c.faults, c.Counts().Faults, c.DiskUsedBytes())
+	if len(c.reports.faults) != 0 || c.Counts().Faults[distribution.FaultUnreachable] != 0 || c.DiskUsedBytes() != 30 {
+		t.Errorf("faults %v %v, %d bytes used", c.reports.faults, c.Counts().Faults, c.DiskUsedBytes())
 	}
 }
 
@@ -367,8 +367,8 @@
 func TestFullDiskEvictsOldChunks(t *testing.T) {
 	old, wanted := manifestOf(t, "old", 3), manifestOf(t, "wanted", 3)
 	stored := Stored{Contents: chunkstore.Contents{Chunks: map[digest.Digest]int64{}, Manifests: []*distribution.Manifest{old}}}
-	for _, x := range old.Chunks {
-		stored.Chunks[x.Digest] = 100
+	for _, listed := range old.Chunks {
+		stored.Chunks[listed.Digest] = 100
 	}
 	c := newCore(stored)
 	c.Step(0, answer(2, wanted, distribution.Source{Agent: distribution.StoreSource, Manifest: wanted.Digest, Stripes: 1}))
--- a/internal/distribution/agent/metrics.go
+++ b/internal/distribution/agent/metrics.go
@@ -75,5 +75,5 @@
 	}
 	m.activated.Set(float64(c.counts.Activations))
 	m.evicted.Set(float64(c.counts.EvictedChunks))
-	m.disk.Set(float64(c.diskUsedBytes))
+	m.disk.Set(float64(c.disk.usedBytes))
 }
