--- a/internal/distribution/agent/core_messages.go
+++ b/internal/distribution/agent/core_messages.go
@@ -1,6 +1,6 @@
-// Package agent fetches, verifies, stores and serves weights on one machine. What it decides
-// is in Core, a deterministic state machine; the rest carries its effects out: files, HTTP,
-// slots and pacing.
+// Package agent fetches, verifies, stores and serves weights on one machine. Its decisions are
+// made by Core, a deterministic state machine; the rest of the package carries Core's effects
+// out: files, HTTP requests, upload slots and rate limits.
 package agent
 
 import (
@@ -12,14 +12,14 @@
 	"oakpick/internal/distribution/chunkstore"
 )
 
-// Event is what goes into Core.Step.
+// Event is an input of Core.Step.
 type Event interface{ event() }
 
-// Events.
+// The events of Core.Step.
 type (
-	// TrackerAnswered is an answer to an inventory.
+	// TrackerAnswered is the answer to a Report.
 	TrackerAnswered struct{ Answer distribution.Answer }
-	// TrackerFailed says that no controller could answer.
+	// TrackerFailed says that no tracker answered a Report.
 	TrackerFailed struct{ RetryAfter time.Duration }
 	// ManifestResult answers GetManifest.
 	ManifestResult struct {
@@ -28,7 +28,7 @@
 		Manifest *distribution.Manifest // nil: Fault says why
 		Fault    distribution.Fault
 	}
-	// ChunksResult answers GetChunks.
+	// ChunkSetResult answers GetChunkSet.
 	ChunkSetResult struct {
 		Source   string
 		Manifest digest.Digest
@@ -38,11 +38,11 @@
 	// ChunkResult answers GetChunk.
 	ChunkResult struct {
 		ID            uint64
-		Fault         distribution.Fault // none: the chunk is stored and verified
+		Fault         distribution.Fault // "": the chunk is stored and verified
 		Cancelled     bool
-		ReceivedBytes int64                 // bytes of this source
-		PartialBytes  int64                 // bytes that are kept of a chunk that isn't whole
-		Chunks        distribution.ChunkSet // what the source says that it holds; nil: nothing
+		ReceivedBytes int64                 // from this source
+		PartialBytes  int64                 // on disk, of a chunk that isn't complete
+		Chunks        distribution.ChunkSet // that the source claims to hold; nil: it didn't say
 		RetryAfter    time.Duration
 	}
 	// ActivateResult answers Activate.
@@ -56,9 +56,9 @@
 		Chunk   digest.Digest
 		Removed bool
 	}
-	// ChunkLost says that a stored chunk turned out to be damaged and is gone.
+	// ChunkLost says that a stored chunk turned out to be damaged and has been removed.
 	ChunkLost struct{ Chunk digest.Digest }
-	// Tick lets time pass.
+	// Tick only lets time pass.
 	Tick struct{}
 )
 
@@ -72,32 +72,32 @@
 func (ChunkLost) event()       {}
 func (Tick) event()            {}
 
-// Effect is what comes out of Core.Step.
+// Effect is an output of Core.Step.
 type Effect interface{ effect() }
 
-// Peer is where a request goes: an agent, or the store.
+// Peer is the target of a request: an agent or the store.
 type Peer struct {
 	Name    string // distribution.StoreSource: the store
 	Address string
 }
 
-// Effects.
+// The effects of Core.Step.
 type (
 	// Report sends an inventory to the tracker.
 	Report struct{ Inventory distribution.Inventory }
-	// GetManifest fetches a manifest. Without a peer it is looked for on the own disk.
+	// GetManifest fetches a manifest from a peer, or reads it from disk if From is empty.
 	GetManifest struct {
 		From   Peer
 		Name   string
 		Digest digest.Digest
 	}
-	// GetChunks asks a peer which chunks of a manifest it holds.
+	// GetChunkSet asks a peer which chunks of a manifest it holds.
 	GetChunkSet struct {
 		From     Peer
 		Name     string
 		Manifest digest.Digest
 	}
-	// GetChunk fetches a chunk from an offset on, verifies and stores it.
+	// GetChunk fetches a chunk from an offset on, verifies it and stores it.
 	GetChunk struct {
 		ID           uint64
 		From         Peer
@@ -105,22 +105,22 @@
 		Manifest     digest.Digest
 		Chunk        distribution.Chunk
 		Offset       int64
-		StallTimeout time.Duration // the longest time without a byte
-		Timeout      time.Duration // for the whole of it
+		StallTimeout time.Duration // without a byte
+		Timeout      time.Duration // of the whole fetch
 	}
-	// CancelChunk gives a fetch up.
+	// CancelChunk ends a GetChunk; its ChunkResult still follows.
 	CancelChunk struct{ ID uint64 }
-	// Activate makes a manifest the one that a name is served from, in one atomic step.
+	// Activate makes a manifest the one that a name is served from, atomically.
 	Activate struct {
 		Name     string
 		Revision int64
 		Manifest digest.Digest
 	}
-	// Remove deletes what is stored of a chunk.
+	// Remove deletes what is on disk of a chunk.
 	Remove struct{ Chunk digest.Digest }
-	// Verify reads a stored chunk again; ChunkLost follows if it is damaged.
+	// Verify reads a stored chunk again. ChunkLost follows if it is damaged.
 	Verify struct{ Chunk digest.Digest }
-	// Log is a line for the log.
+	// Log writes a log line.
 	Log struct {
 		Text string
 		Args []any
@@ -137,40 +137,41 @@
 func (Verify) effect()      {}
 func (Log) effect()         {}
 
-// CoreSettings are the figures by which Core decides.
+// CoreSettings are the parameters of Core.
 type CoreSettings struct {
 	Agent, Zone, Address string
 	Session              int64
 	Names                []string
-	HasStore             bool // there is one
+	HasStore             bool // false: only peers are asked
 	UploadSlots          int
-	MaxDownloads         int           // chunks that are fetched at a time
-	DiskLimitBytes       int64         // that chunks may take; 0: no limit
-	MinBytesPerSecond    int64         // bytes a second, below which a source is slow
-	StallTimeout         time.Duration // without a byte, after which a source is slow
-	ReportInterval       time.Duration // between inventories, until the tracker says otherwise
+	MaxDownloads         int           // at a time
+	DiskLimitBytes       int64         // for chunks; 0: no limit
+	MinBytesPerSecond    int64         // below which a source counts as slow
+	StallTimeout         time.Duration // without a byte, after which a source counts as slow
+	ReportInterval       time.Duration // until the tracker asks for another
 	Seed                 uint64
 }
 
-// Ratios to the report interval, and counts that concern one source only.
+// Durations as multiples (...Reports) and fractions (...Divisor) of the report interval, and
+// counts that concern a single source.
 const (
-	reportIntervalRange    = 16 // the tracker may ask for reports so many times as often, or as rarely
-	retryDivisor           = 8  // of a report: the first pause after a failure
-	maxRetryDoublings      = 6  // of that pause, at most
-	refreshDivisor         = 2  // of a report: between looks at what an idle source holds
-	maxRefreshReports      = 2  // reports between these looks, at most
-	uselessReports         = 4  // without anything that is needed, before a source is given back
-	maxMissingChunks       = 3  // chunks that a source doesn't have although it says so
-	maxUnreachableFailures = 2  // in a row, before an unreachable source is given back
-	exclusionReports       = 10 // for which a source that was given back isn't taken again
-	stripeWaitReports      = 2  // reports without a fetch, before others' stripes are taken from the store
-	verifyReports          = 40 // between two readings of all chunks after an accusation
-	maxReportedHoldings    = 64 // manifests that are told to the tracker
-	maxReportedFaults      = 64 // that are told at a time
+	reportIntervalRange    = 16 // the factor by which the tracker may shorten or lengthen the interval
+	retryDivisor           = 8  // the first pause after a failure
+	maxRetryDoublings      = 6  // of that pause
+	refreshDivisor         = 2  // the first pause between two requests for a source's chunk set
+	maxRefreshReports      = 2  // the longest of these pauses
+	uselessReports         = 4  // without a needed chunk, before a source is released
+	maxMissingChunks       = 3  // chunks that a source claimed in error, before it is released
+	maxUnreachableFailures = 2  // in a row, before an unreachable source is released
+	exclusionReports       = 10 // for which a released source isn't used again
+	stripeWaitReports      = 2  // without a fetch, before other agents' stripes are fetched from the store
+	verifyReports          = 40 // between two verifications of a manifest's chunks
+	maxReportedHoldings    = 64 // in one inventory
+	maxReportedFaults      = 64 // in one inventory
 )
 
 // Stored is what is on disk when an agent starts.
 type Stored struct {
 	chunkstore.Contents
-	Active map[string]distribution.ActiveVersion // by name
+	Active map[string]distribution.ActiveVersion // by name of the weights
 }
--- a/internal/distribution/agent/metrics.go
+++ b/internal/distribution/agent/metrics.go
@@ -5,18 +5,18 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// metrics are an agent's, as Prometheus reads them.
+// metrics are the Prometheus metrics of an agent.
 type metrics struct {
-	registry      *prometheus.Registry
-	chunks        prometheus.Gauge
-	downloaded    *prometheus.GaugeVec
-	faults        *prometheus.GaugeVec
-	activated     prometheus.Gauge
-	evicted       prometheus.Gauge
-	disk          prometheus.Gauge
-	uploads       *prometheus.CounterVec
-	uploadedBytes prometheus.Counter
-	controlBytes  prometheus.Counter
+	registry        *prometheus.Registry
+	storedChunks    prometheus.Gauge
+	downloadedBytes *prometheus.GaugeVec
+	faults          *prometheus.GaugeVec
+	activations     prometheus.Gauge
+	evictedChunks   prometheus.Gauge
+	diskBytes       prometheus.Gauge
+	uploads         *prometheus.CounterVec
+	uploadedBytes   prometheus.Counter
+	controlBytes    prometheus.Counter
 }
 
 func newMetrics(a *Agent) *metrics {
@@ -24,17 +24,17 @@
 		return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "oakpick", Subsystem: "agent", Name: name, Help: help})
 	}
 	m := &metrics{
-		registry: prometheus.NewRegistry(),
-		chunks:   gauge("chunks_fetched", "Chunks that were fetched and verified since the start."),
-		downloaded: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		registry:     prometheus.NewRegistry(),
+		storedChunks: gauge("chunks_fetched", "Chunks that were fetched and verified since the start."),
+		downloadedBytes: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Namespace: "oakpick", Subsystem: "agent", Name: "downloaded_bytes", Help: "Bytes of chunks received since the start, by where from.",
 		}, []string{"from"}),
 		faults: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Namespace: "oakpick", Subsystem: "agent", Name: "source_faults", Help: "Requests to sources that failed since the start, by what was wrong.",
 		}, []string{"fault"}),
-		activated: gauge("activations", "Versions that were activated since the start."),
-		evicted:   gauge("chunks_evicted", "Chunks that were removed to make room since the start."),
-		disk:      gauge("disk_bytes", "Bytes that chunks take, with what is set aside for those under way."),
+		activations:   gauge("activations", "Versions that were activated since the start."),
+		evictedChunks: gauge("chunks_evicted", "Chunks that were removed to make room since the start."),
+		diskBytes:     gauge("disk_bytes", "Bytes that chunks take, with what is set aside for those under way."),
 		uploads: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: "oakpick", Subsystem: "agent", Name: "uploads_total", Help: "Requests of peers for chunks, by whether a slot was free.",
 		}, []string{"admitted"}),
@@ -48,13 +48,13 @@
 	slots := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: "oakpick", Subsystem: "agent", Name: "upload_slots_in_use", Help: "Upload slots in use.",
 	}, func() float64 { return float64(a.slots.InUse()) })
-	m.registry.MustRegister(m.chunks, m.downloaded, m.faults, m.activated, m.evicted, m.disk, m.uploads, m.uploadedBytes, m.controlBytes, slots,
+	m.registry.MustRegister(m.storedChunks, m.downloadedBytes, m.faults, m.activations, m.evictedChunks, m.diskBytes, m.uploads, m.uploadedBytes, m.controlBytes, slots,
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), collectors.NewGoCollector())
 	return m
 }
 
-// uploaded counts a request of a peer.
-func (m *metrics) uploaded(admitted bool) {
+// countUpload counts a request of a peer for a chunk.
+func (m *metrics) countUpload(admitted bool) {
 	label := "no"
 	if admitted {
 		label = "yes"
@@ -62,18 +62,18 @@
 	m.uploads.WithLabelValues(label).Inc()
 }
 
-// control counts bytes that are no chunks'.
-func (m *metrics) control(bytes int) { m.controlBytes.Add(float64(bytes)) }
+// countControlBytes counts bytes that are not those of chunks.
+func (m *metrics) countControlBytes(bytes int) { m.controlBytes.Add(float64(bytes)) }
 
-// take copies what Core has counted.
-func (m *metrics) take(c *Core) {
-	m.chunks.Set(float64(c.counts.StoredChunks))
-	m.downloaded.WithLabelValues("peers").Set(float64(c.counts.PeerBytes))
-	m.downloaded.WithLabelValues("store").Set(float64(c.counts.StoreBytes))
+// update copies what Core has counted.
+func (m *metrics) update(c *Core) {
+	m.storedChunks.Set(float64(c.counts.StoredChunks))
+	m.downloadedBytes.WithLabelValues("peers").Set(float64(c.counts.PeerBytes))
+	m.downloadedBytes.WithLabelValues("store").Set(float64(c.counts.StoreBytes))
 	for fault, n := range c.counts.Faults {
 		m.faults.WithLabelValues(string(fault)).Set(float64(n))
 	}
-	m.activated.Set(float64(c.counts.Activations))
-	m.evicted.Set(float64(c.counts.EvictedChunks))
-	m.disk.Set(float64(c.disk.usedBytes))
+	m.activations.Set(float64(c.counts.Activations))
+	m.evictedChunks.Set(float64(c.counts.EvictedChunks))
+	m.diskBytes.Set(float64(c.disk.usedBytes))
 }
--- a/internal/distribution/agent/server.go
+++ b/internal/distribution/agent/server.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"context"
 	"errors"
 	"io"
 	"net/http"
@@ -15,26 +16,30 @@
 	"oakpick/internal/distribution/registry"
 )
 
-// PathActive is where the bytes of the version that a name is served from are read.
+// PathActive is the path prefix below which the active version of a name is read.
 const PathActive = "/v1/active/"
 
-// Headers of such an answer.
+// Headers of an answer below PathActive.
 const (
 	HeaderManifest = distribution.ManifestHeader
 	HeaderRevision = "Oakpick-Revision"
 )
 
-// handler serves peers, the model server beside the agent, and metrics.
-func (a *Agent) handler() http.Handler {
-	uploads := limiter(a.settings.UploadBytes)
+// handler serves peers, the model server beside the agent, and metrics. Uploads that wait for
+// their rate limit end with the context.
+func (a *Agent) handler(ctx context.Context) http.Handler {
+	uploads := newLimiter(a.settings.UploadBytes)
 	blobs := &registry.Handler{
-		Content: content{a}, Slots: a.slots, RetryAfter: a.core.settings.ReportInterval, Uploaded: a.metrics.uploaded,
+		Content:    peerContent{a},
+		Slots:      a.slots,
+		RetryAfter: a.core.settings.ReportInterval,
+		Uploaded:   a.metrics.countUpload,
 		Body: func(w http.ResponseWriter) http.ResponseWriter {
 			w = countingWriter{w, a.metrics}
 			if uploads == nil {
 				return w
 			}
-			return registry.PacedWriter{ResponseWriter: w, Context: a.ctx, Limit: uploads}
+			return registry.PacedWriter{ResponseWriter: w, Context: ctx, Limit: uploads}
 		},
 	}
 	mux := http.NewServeMux()
@@ -45,7 +50,7 @@
 	return mux
 }
 
-// serveActive gives all bytes of the active version of a name: of one version, whatever is
+// serveActive sends all bytes of the version that is active now, also if another one is
 // activated meanwhile.
 func (a *Agent) serveActive(w http.ResponseWriter, r *http.Request) {
 	name := strings.TrimPrefix(r.URL.Path, PathActive)
@@ -59,7 +64,7 @@
 		return
 	}
 	if err != nil {
-		a.disk(err)
+		a.logDiskError(err)
 		http.Error(w, "it can't be read", http.StatusInternalServerError)
 		return
 	}
@@ -74,36 +79,40 @@
 	_, _ = io.Copy(w, version) // a reader that gets fewer bytes than announced asks again
 }
 
-// content is what peers may fetch.
-type content struct{ agent *Agent }
+// peerContent is what peers may fetch: the stored manifests and chunks.
+type peerContent struct{ agent *Agent }
 
-func (c content) Manifest(_, reference string) ([]byte, digest.Digest, error) {
+// Manifest returns a stored manifest by digest.
+func (c peerContent) Manifest(_, reference string) ([]byte, digest.Digest, error) {
 	m, err := c.agent.store.Manifest(digest.Digest(reference)) // by digest only: tags are the store's
 	if err != nil {
-		return nil, "", unknown(err)
+		return nil, "", translateNotStored(err)
 	}
 	return m.Raw, m.Digest, nil
 }
 
-func (c content) Blob(_ string, d digest.Digest) (registry.Blob, error) {
+// Blob opens a stored chunk.
+func (c peerContent) Blob(_ string, d digest.Digest) (registry.Blob, error) {
 	file, err := c.agent.store.OpenChunk(d)
 	if err != nil {
-		return nil, unknown(err)
+		return nil, translateNotStored(err)
 	}
 	return file, nil
 }
 
-func unknown(err error) error {
+// translateNotStored turns the chunk store's error for what isn't stored into the registry's.
+func translateNotStored(err error) error {
 	if errors.Is(err, chunkstore.ErrUnknown) {
 		return registry.ErrUnknown
 	}
 	return err
 }
 
-func (c content) Chunks(manifest digest.Digest) distribution.ChunkSet {
+// Chunks returns which chunks of a manifest are stored.
+func (c peerContent) Chunks(manifest digest.Digest) distribution.ChunkSet {
 	c.agent.mu.Lock()
 	defer c.agent.mu.Unlock()
-	return c.agent.held[manifest]
+	return c.agent.chunkSets[manifest]
 }
 
 // countingWriter counts the bytes of uploads.
--- a/internal/distribution/agent/settings.go
+++ b/internal/distribution/agent/settings.go
@@ -3,13 +3,12 @@
 import (
 	"errors"
 	"fmt"
-	"time"
 
 	"oakpick/internal/config"
 	"oakpick/internal/distribution"
 )
 
-// Settings are an agent's, as its file has them.
+// Settings are the contents of an agent's settings file.
 type Settings struct {
 	Agent     string   `toml:"agent" validate:"required,max=128"`
 	Zone      string   `toml:"zone" validate:"required,max=128"`
@@ -29,7 +28,7 @@
 	DownloadBytes int64   `toml:"download_bytes_per_s" validate:"gte=0"`
 }
 
-// Defaults are the settings that a file need not give.
+// Defaults returns the values of settings that the file may leave out.
 func Defaults() Settings {
 	const mebibyte = 1 << 20
 	return Settings{UploadSlots: 4, Downloads: 8, MinimumRate: mebibyte, StallS: 10, ReportS: 2.5}
@@ -39,21 +38,21 @@
 func LoadSettings(path string) (Settings, error) {
 	s := Defaults()
 	err := config.LoadTOML(path, &s)
-	return s, errors.Join(err, s.check(path))
+	return s, errors.Join(err, s.validate(path))
 }
 
-// check names what the tags can't.
-func (s *Settings) check(path string) error {
+// validate checks what the struct tags can't express.
+func (s *Settings) validate(path string) error {
 	var problems []error
-	for i, n := range s.Names {
-		if distribution.CheckName(n) != nil {
-			problems = append(problems, fmt.Errorf("%s: names[%d]: %.40q is not a name of weights", path, i, n))
+	for i, name := range s.Names {
+		if distribution.CheckName(name) != nil {
+			problems = append(problems, fmt.Errorf("%s: names[%d]: %.40q is not a name of weights", path, i, name))
 		}
 	}
 	if s.Agent == distribution.StoreSource {
 		problems = append(problems, fmt.Errorf("%s: agent: %q is the store's name", path, s.Agent))
 	}
-	// Sources must not be blamed for what the own limit does.
+	// Otherwise sources would be blamed as slow for the agent's own limit.
 	if s.DownloadBytes > 0 && s.MinimumRate*int64(s.Downloads) > s.DownloadBytes {
 		problems = append(problems, fmt.Errorf("%s: minimum_rate_bytes: %d for each of %d downloads is more than download_bytes_per_s allows, %d",
 			path, s.MinimumRate, s.Downloads, s.DownloadBytes))
@@ -61,12 +60,21 @@
 	return errors.Join(problems...)
 }
 
-// core are the figures by which the agent decides.
-func (s *Settings) core(session int64, seed uint64) CoreSettings {
-	seconds := func(x float64) time.Duration { return config.Seconds(x) }
+// coreSettings returns the settings that Core needs.
+func (s *Settings) coreSettings(session int64, seed uint64) CoreSettings {
 	return CoreSettings{
-		Agent: s.Agent, Zone: s.Zone, Address: s.Listen, Session: session, Names: s.Names, HasStore: s.Store != "",
-		UploadSlots: s.UploadSlots, MaxDownloads: s.Downloads, DiskLimitBytes: s.DiskBytes, MinBytesPerSecond: s.MinimumRate,
-		StallTimeout: seconds(s.StallS), ReportInterval: seconds(s.ReportS), Seed: seed,
+		Agent:             s.Agent,
+		Zone:              s.Zone,
+		Address:           s.Listen,
+		Session:           session,
+		Names:             s.Names,
+		HasStore:          s.Store != "",
+		UploadSlots:       s.UploadSlots,
+		MaxDownloads:      s.Downloads,
+		DiskLimitBytes:    s.DiskBytes,
+		MinBytesPerSecond: s.MinimumRate,
+		StallTimeout:      config.Seconds(s.StallS),
+		ReportInterval:    config.Seconds(s.ReportS),
+		Seed:              seed,
 	}
 }
--- a/internal/distribution/agent/stored.go
+++ b/internal/distribution/agent/stored.go
@@ -7,39 +7,40 @@
 	"oakpick/internal/distribution/chunkstore"
 )
 
-// Load reads and verifies what is on disk, and what each of some names is served from.
+// LoadStored reads and verifies what is on disk, and which version is active for each name.
 func LoadStored(store *chunkstore.Store, names []string) (Stored, error) {
 	found, err := store.Scan()
 	if err != nil {
 		return Stored{}, err
 	}
 	stored := Stored{Contents: found, Active: map[string]distribution.ActiveVersion{}}
-	for _, n := range names {
-		active, err := store.Active(n)
+	for _, name := range names {
+		active, err := store.Active(name)
 		if errors.Is(err, chunkstore.ErrUnknown) {
 			continue
 		}
 		if err != nil {
 			return Stored{}, err
 		}
-		stored.Active[n] = active
+		stored.Active[name] = active
 	}
 	return stored, nil
 }
 
-// WriteFault tells what was wrong with a fetch, by what the store said of its bytes, how many
-// of them came, and what is known of the source.
-func ClassifyFetch(stored error, received int64, source distribution.Fault) distribution.Fault {
-	var disk *chunkstore.DiskError
+// ClassifyFetch returns what was wrong with a fetch, or "" if the chunk is stored. It depends
+// on the chunk store's error, on how many bytes were received, and on the fault that the
+// transfer itself had.
+func ClassifyFetch(storeErr error, receivedBytes int64, transferFault distribution.Fault) distribution.Fault {
+	var diskErr *chunkstore.DiskError
 	switch {
-	case errors.As(stored, &disk):
+	case errors.As(storeErr, &diskErr):
 		return distribution.FaultDisk
-	case errors.Is(stored, chunkstore.ErrDamaged):
+	case errors.Is(storeErr, chunkstore.ErrDamaged):
 		return distribution.FaultDamaged
-	case stored != nil && source == "":
+	case storeErr != nil && transferFault == "":
 		return distribution.FaultUnreachable
-	case stored == nil && received > 0:
-		return "" // it is whole, whatever came behind
+	case storeErr == nil && receivedBytes > 0:
+		return "" // the chunk is complete, whatever happened to the connection afterwards
 	}
-	return source
+	return transferFault
 }
