--- a/internal/distribution/agent/settings_test.go
+++ b/internal/distribution/agent/settings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const goodSettings = `
+const minimalSettings = `
 agent = "host-1"
 zone = "a"
 listen = "127.0.0.1:7000"
@@ -16,7 +16,7 @@
 names = ["models/a"]
 `
 
-func load(t *testing.T, text string) (Settings, error) {
+func loadSettings(t *testing.T, text string) (Settings, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "agent.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -25,15 +25,15 @@
 	return LoadSettings(path)
 }
 
-func TestSettingsHaveDefaults(t *testing.T) {
-	s, err := load(t, goodSettings)
+func TestLoadSettingsAppliesDefaults(t *testing.T) {
+	s, err := loadSettings(t, minimalSettings)
 	if err != nil || s.UploadSlots != Defaults().UploadSlots || s.ReportS != Defaults().ReportS || s.Agent != "host-1" {
 		t.Errorf("%+v %v", s, err)
 	}
 }
 
 // Every key at fault is named.
-func TestBadSettingsAreNamed(t *testing.T) {
+func TestLoadSettingsNamesEveryInvalidKey(t *testing.T) {
 	for added, want := range map[string]string{
 		"stall = 3":                     "stall: unknown",
 		"stall_s = 0":                   "stall_s",
@@ -46,11 +46,13 @@
 		"minimum_rate_bytes = 1.5":      "minimum_rate_bytes",
 		"upload_bytes_per_s = 1\nx = 2": "x: unknown",
 	} {
-		if _, err := load(t, goodSettings+added+"\n"); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %q isn't in %v", added, want, err)
-		}
+		t.Run(added, func(t *testing.T) {
+			if _, err := loadSettings(t, minimalSettings+added+"\n"); err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("%q isn't in %v", want, err)
+			}
+		})
 	}
-	_, err := load(t, strings.NewReplacer(`"host-1"`, `"store"`, `"models/a"`, `"Models"`, `"127.0.0.1:7000"`, `"here"`).Replace(goodSettings))
+	_, err := loadSettings(t, strings.NewReplacer(`"host-1"`, `"store"`, `"models/a"`, `"Models"`, `"127.0.0.1:7000"`, `"here"`).Replace(minimalSettings))
 	for _, want := range []string{"agent", "names[0]", "listen"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q isn't in %v", want, err)
