--- a/internal/daemon/tracker.go
+++ b/internal/daemon/tracker.go
@@ -77,8 +77,8 @@
 		d: d, listener: listener, queue: make(chan trackerItem, trackerQueue), waits: map[uint64]trackerItem{},
 		report: report,
 		tracker: tracker.New(tracker.Parameters{
-			Report: report, IdleReport: idle, Retry: config.Seconds(d.cfg.Settings.Workers.Report / 20), StoreSlots: settings.StoreSlots,
-			Zones: d.cfg.Settings.Zones, Boot: fmt.Sprintf("%s-%x", d.cfg.Node, seed[:8]), Seed: binary.LittleEndian.Uint64(seed[8:]),
+			ReportInterval: report, IdleReportInterval: idle, RetryInterval: config.Seconds(d.cfg.Settings.Workers.Report / 20), StoreSlots: settings.StoreSlots,
+			Zones: d.cfg.Settings.Zones, ProcessID: fmt.Sprintf("%s-%x", d.cfg.Node, seed[:8]), Seed: binary.LittleEndian.Uint64(seed[8:]),
 		}),
 		metrics: newTrackerMetrics(),
 	}
--- a/internal/daemon/tracker_metrics.go
+++ b/internal/daemon/tracker_metrics.go
@@ -50,5 +50,5 @@
 	m.inventories.Set(float64(counts.Inventories))
 	m.stale.Set(float64(counts.Stale))
 	m.leases.Set(float64(counts.Leases))
-	m.revoked.Set(float64(counts.Revoked))
+	m.revoked.Set(float64(counts.Reassigned))
 }
--- a/internal/distribution/operator/client.go
+++ b/internal/distribution/operator/client.go
@@ -84,7 +84,7 @@
 func (c *Client) Names(ctx context.Context) ([]distribution.NameRecord, error) {
 	var all []distribution.NameRecord
 	for after := ""; ; {
-		var page tracker.NamesAnswer
+		var page tracker.NamesPage
 		if err := c.call(ctx, http.MethodGet, behind(distribution.PathWeights, after), nil, &page); err != nil {
 			return all, err
 		}
@@ -140,7 +140,7 @@
 	fmt.Fprintln(table, "agent\tzone\tchunks\tserves\theard\tfetches from\tgives to\twaits")
 	for _, m := range s.Members {
 		fmt.Fprintf(table, "%s\t%s\t%d/%d\t%s\t%s ago\t%s\t%s\t%s\n", m.Agent, m.Zone, m.Chunks, m.Total, yes(m.Active),
-			time.Duration(m.HeardS*float64(time.Second)).Round(time.Second/10), cmp.Or(strings.Join(m.Sources, ","), "-"), cmp.Or(strings.Join(m.Takers, ","), "-"), waits(m))
+			time.Duration(m.LastReportAgeS*float64(time.Second)).Round(time.Second/10), cmp.Or(strings.Join(m.Sources, ","), "-"), cmp.Or(strings.Join(m.Downloaders, ","), "-"), waits(m))
 	}
 	return table.Flush()
 }
--- a/internal/distribution/simulation/world.go
+++ b/internal/distribution/simulation/world.go
@@ -134,8 +134,8 @@
 	if h.tracker == nil || h.life != h.node.Life() {
 		h.life, h.replies = h.node.Life(), map[uint64]pendingReply{}
 		h.tracker = tracker.New(tracker.Parameters{
-			Report: h.w.report(), IdleReport: 4 * h.w.report(), Retry: h.w.report() / 8, StoreSlots: h.w.Options.StoreSlots,
-			Zones: h.w.Options.Settings.Zones, Boot: fmt.Sprintf("%s-%d", h.node.Name, h.life), Seed: h.w.Options.Seed + uint64(h.life),
+			ReportInterval: h.w.report(), IdleReportInterval: 4 * h.w.report(), RetryInterval: h.w.report() / 8, StoreSlots: h.w.Options.StoreSlots,
+			Zones: h.w.Options.Settings.Zones, ProcessID: fmt.Sprintf("%s-%d", h.node.Name, h.life), Seed: h.w.Options.Seed + uint64(h.life),
 		})
 	}
 	return h.tracker
--- a/internal/distribution/tracker/messages.go
+++ b/internal/distribution/tracker/messages.go
@@ -89,26 +89,26 @@
 
 // Parameters are the tracker's figures.
 type Parameters struct {
-	Report     time.Duration // between the inventories of an agent that fetches
-	IdleReport time.Duration // between those of one that doesn't
-	Retry      time.Duration // before a lost or refused call to the state service is repeated
-	StoreSlots int           // takers that may use the store at a time
-	Zones      []string
-	Boot       string // of this process; names its writes
-	Seed       uint64
+	ReportInterval     time.Duration // between the inventories of an agent that fetches
+	IdleReportInterval time.Duration // between those of one that doesn't
+	RetryInterval      time.Duration // before a lost or refused call to the state service is repeated
+	StoreSlots         int           // takers that may use the store at a time
+	Zones              []string
+	ProcessID          string // of this process; names its writes
+	Seed               uint64
 }
 
 // Ratios to the report interval, and counts that concern one agent only.
 const (
-	sourcesSameZone   = 6  // of one manifest for one taker
-	sourcesOtherZones = 2  // the same, in other zones
-	sourcesFair       = 4  // below which a taker gets slots that others with more have leases on
-	looksEach         = 4  // agents that are looked at for each source that is wanted
-	sourcesAnswered   = 96 // of all manifests in one answer
-	leaseReports      = 3  // inventories that may be missed before a lease ends
-	stillReports      = 8  // after which a taker that gets nothing new loses its leases
-	avoidReports      = 10 // for which a source at fault isn't given to the taker again
-	accusedReports    = 40 // for which an accusation of damage counts
-	accusersNeeded    = 2  // different takers, for a source to be given to nobody
-	settleReports     = 2  // for which a new leader doesn't take sources away
+	maxSameZoneSources  = 6  // of one manifest for one taker
+	maxOtherZoneSources = 2  // the same, in other zones
+	fairSources         = 4  // below which a taker gets slots that others with more have leases on
+	candidatesPerSource = 4  // agents that are looked at for each source that is wanted
+	maxAnsweredSources  = 96 // of all manifests in one answer
+	leaseReports        = 3  // inventories that may be missed before a lease ends
+	stalledReports      = 8  // after which a taker that gets nothing new loses its leases
+	avoidReports        = 10 // for which a source at fault isn't given to the taker again
+	accusationReports   = 40 // for which an accusation of damage counts
+	minAccusers         = 2  // different takers, for a source to be given to nobody
+	warmUpReports       = 2  // for which a new leader doesn't take sources away
 )
--- a/internal/distribution/tracker/model_test.go
+++ b/internal/distribution/tracker/model_test.go
@@ -22,7 +22,7 @@
 var zones = []string{"a", "b"}
 
 func parameters() Parameters {
-	return Parameters{Report: time.Second, IdleReport: 4 * time.Second, Retry: 100 * time.Millisecond, StoreSlots: 2, Zones: zones, Boot: "boot", Seed: 1}
+	return Parameters{ReportInterval: time.Second, IdleReportInterval: 4 * time.Second, RetryInterval: 100 * time.Millisecond, StoreSlots: 2, Zones: zones, ProcessID: "boot", Seed: 1}
 }
 
 // keyValues is the state service: names by key, and the leader's key.
@@ -68,7 +68,7 @@
 		k.revision++
 		for _, change := range c.Txn.Then {
 			k.entries[change.Put] = protocol.Entry{Key: change.Put, Value: protocol.Encode(change.Value), Version: k.revision}
-			k.written[change.Value.(storedName).Write]++
+			k.written[change.Value.(storedName).WriteID]++
 		}
 		r.Number = k.revision
 	}
@@ -146,23 +146,23 @@
 	storeLeases := 0
 	for _, a := range t.agents {
 		live := 0
-		for _, l := range a.given {
-			if l.source != a || l.taker == a || !slices.Contains(l.taker.taken, l) || t.agents[l.taker.name] != l.taker {
+		for _, l := range a.uploadLeases {
+			if l.source != a || l.downloader == a || !slices.Contains(l.downloader.downloadLeases, l) || t.agents[l.downloader.name] != l.downloader {
 				m.Fatalf("%s gives by a lease that is not whole: %+v", a.name, l)
 			}
-			if t.now < l.until {
+			if t.now < l.validUntil {
 				live++
 			}
 		}
-		if live > a.slots {
-			m.Fatalf("%s has %d takers in %d slots", a.name, live, a.slots)
+		if live > a.uploadSlots {
+			m.Fatalf("%s has %d takers in %d slots", a.name, live, a.uploadSlots)
 		}
-		for _, l := range a.taken {
+		for _, l := range a.downloadLeases {
 			if l.source == nil {
 				storeLeases++
 				continue
 			}
-			if !slices.Contains(l.source.given, l) || t.agents[l.source.name] != l.source {
+			if !slices.Contains(l.source.uploadLeases, l) || t.agents[l.source.name] != l.source {
 				m.Fatalf("%s takes by a lease that is not whole: %+v", a.name, l)
 			}
 			if source := l.source.members[l.manifest]; source == nil {
@@ -171,14 +171,14 @@
 		}
 		for d, x := range a.members {
 			holders := t.swarms[d].holders[a.zone]
-			if x.chunks > 0 && holders[x.place] != x || x.chunks == 0 && x.place != -1 {
-				m.Fatalf("%s is at place %d with %d chunks", a.name, x.place, x.chunks)
+			if x.chunks > 0 && holders[x.holderIndex] != x || x.chunks == 0 && x.holderIndex != -1 {
+				m.Fatalf("%s is at place %d with %d chunks", a.name, x.holderIndex, x.chunks)
 			}
 		}
 	}
 	for _, s := range t.swarms {
-		for i, l := range s.stripes {
-			if l != nil && (l.stripe != i || !slices.Contains(l.taker.taken, l)) {
+		for i, l := range s.storeLeases {
+			if l != nil && (l.stripe != i || !slices.Contains(l.downloader.downloadLeases, l)) {
 				m.Fatalf("stripe %d has %+v", i, l)
 			}
 			if l != nil {
@@ -472,7 +472,7 @@
 	if r := ask(t, x, 0, term, StatusCall{ID: 2, Name: "never"}); r.Status != http.StatusNotFound {
 		t.Errorf("%+v", r)
 	}
-	for i := range changesWaiting {
+	for i := range maxQueuedChanges {
 		if r := ask(t, x, 0, term, UseCall{uint64(10 + i), fmt.Sprint("n", i), manifests[0]}); r.Status != 0 {
 			t.Fatalf("change %d: %+v", i, r)
 		}
@@ -507,7 +507,7 @@
 				answerTo(t, ask(t, x, time.Duration(round)*time.Second, term, InventoryCall{2, report(fmt.Sprint(i), round+1, int(round))}))
 			}
 		}
-		return float64(x.Counts().Looks) / float64(x.Counts().Inventories)
+		return float64(x.Counts().Examined) / float64(x.Counts().Inventories)
 	}
 	few, many := looks(40), looks(4000)
 	t.Logf("looks for an inventory: %.1f with 40 agents, %.1f with 4,000", few, many)
@@ -538,7 +538,7 @@
 	}
 	names, after := 0, ""
 	for more := true; more; {
-		page := ask(t, x, time.Second, term, NamesCall{ID: 3, After: after}).Body.(NamesAnswer)
+		page := ask(t, x, time.Second, term, NamesCall{ID: 3, After: after}).Body.(NamesPage)
 		fits(page)
 		names += len(page.Names)
 		after, more = page.Names[len(page.Names)-1].Name, page.More
--- a/internal/distribution/tracker/names.go
+++ b/internal/distribution/tracker/names.go
@@ -23,69 +23,69 @@
 // storedName is what a name's key holds.
 type storedName struct {
 	Manifest string `msgpack:"manifest"`
-	Write    string `msgpack:"write"` // names the write, so that a lost answer can be made up for
+	WriteID  string `msgpack:"write"` // names the write, so that a lost answer can be made up for
 }
 
 // names keeps which manifest each name has, and writes changes one at a time.
-type names struct {
-	t       *Tracker
-	records map[string]distribution.NameRecord
-	loaded  bool
-	after   string // of the list that is being read
+type nameStore struct {
+	tracker    *Tracker
+	records    map[string]distribution.NameRecord
+	loaded     bool
+	listCursor string // of the list that is being read
 
-	call   uint64 // the call to the state service that is awaited; 0: none
-	again  time.Duration
-	repeat bool // the call is to be repeated at again
-	last   storage.StateCall
-	queue  []UseCall // the first is being written
-	write  string
-	writes int
-	token  int64 // by which the write was sent
-	base   int64 // the revision that it replaces
+	pendingCallID  uint64 // the call to the state service that is awaited; 0: none
+	retryAt        time.Duration
+	retryScheduled bool // the call is to be repeated at again
+	lastCall       storage.StateCall
+	queue          []UseCall // the first is being written
+	writeID        string
+	writeCount     int
+	writeToken     int64 // by which the write was sent
+	baseRevision   int64 // the revision that it replaces
 }
 
-func newNames(t *Tracker) *names {
-	return &names{t: t, records: map[string]distribution.NameRecord{}}
+func newNames(t *Tracker) *nameStore {
+	return &nameStore{tracker: t, records: map[string]distribution.NameRecord{}}
 }
 
 // load begins to read all names.
-func (n *names) load() { n.send(storage.StateCall{Op: storage.StateList, Key: NamesPrefix}) }
+func (n *nameStore) load() { n.send(storage.StateCall{Op: storage.StateList, Key: NamesPrefix}) }
 
-func (n *names) send(c storage.StateCall) {
-	n.t.nextCall++
-	c.ID = n.t.nextCall
-	n.call, n.last, n.repeat = c.ID, c, false
-	n.t.emit(StateCall{c})
+func (n *nameStore) send(c storage.StateCall) {
+	n.tracker.lastCallID++
+	c.ID = n.tracker.lastCallID
+	n.pendingCallID, n.lastCall, n.retryScheduled = c.ID, c, false
+	n.tracker.emit(StateCall{c})
 }
 
 // repeatLater has the last call sent again, the same to the byte.
-func (n *names) repeatLater() {
-	n.call, n.repeat = 0, true
-	n.again = n.t.now + n.t.parameters.Retry
+func (n *nameStore) scheduleRetry() {
+	n.pendingCallID, n.retryScheduled = 0, true
+	n.retryAt = n.tracker.now + n.tracker.parameters.RetryInterval
 }
 
 // tick repeats what was lost.
-func (n *names) tick() {
-	if n.repeat && n.t.now >= n.again {
-		n.send(n.last)
+func (n *nameStore) retryIfDue() {
+	if n.retryScheduled && n.tracker.now >= n.retryAt {
+		n.send(n.lastCall)
 	}
 }
 
 // abandon refuses all who wait: what they asked may have been written, or may not.
-func (n *names) abandon() {
+func (n *nameStore) refuseQueued() {
 	for _, c := range n.queue {
-		n.t.refuse(c.ID, http.StatusServiceUnavailable, "the term has ended; ask what the name has")
+		n.tracker.refuse(c.ID, http.StatusServiceUnavailable, "the term has ended; ask what the name has")
 	}
 }
 
 // record is what a name has.
-func (n *names) record(name string) (distribution.NameRecord, bool) {
+func (n *nameStore) record(name string) (distribution.NameRecord, bool) {
 	r := n.records[name]
 	return r, r.Manifest != ""
 }
 
 // all are the records in the order of names.
-func (n *names) all() []distribution.NameRecord {
+func (n *nameStore) sorted() []distribution.NameRecord {
 	out := make([]distribution.NameRecord, 0, len(n.records))
 	for _, name := range slices.Sorted(maps.Keys(n.records)) {
 		if r, known := n.record(name); known {
@@ -96,7 +96,7 @@
 }
 
 // set notes what is durable.
-func (n *names) set(r distribution.NameRecord) {
+func (n *nameStore) update(r distribution.NameRecord) {
 	old, known := n.records[r.Name]
 	if known && old.Manifest != "" && old.Revision >= r.Revision {
 		return
@@ -105,153 +105,153 @@
 }
 
 // use has a name's manifest written, unless it has it already.
-func (n *names) use(c UseCall) {
+func (n *nameStore) change(c UseCall) {
 	if len(n.queue) == 0 && n.records[c.Name].Manifest == c.Manifest {
-		n.t.reply(c.ID, n.records[c.Name])
+		n.tracker.reply(c.ID, n.records[c.Name])
 		return
 	}
-	if len(n.queue) >= changesWaiting {
-		n.t.refuse(c.ID, http.StatusServiceUnavailable, "too many changes wait")
+	if len(n.queue) >= maxQueuedChanges {
+		n.tracker.refuse(c.ID, http.StatusServiceUnavailable, "too many changes wait")
 		return
 	}
 	n.queue = append(n.queue, c)
 	if len(n.queue) == 1 {
-		n.writeFirst()
+		n.writeHead()
 	}
 }
 
 // changesWaiting is how many changes may wait for those before them: they are operators'.
-const changesWaiting = 64
+const maxQueuedChanges = 64
 
 // writeFirst sends the write of the queue's first change, as a new write.
-func (n *names) writeFirst() {
+func (n *nameStore) writeHead() {
 	c := n.queue[0]
-	n.writes++
-	n.token, n.base = n.t.term.Token, n.records[c.Name].Revision
-	n.write = fmt.Sprintf("%s-%d-%d", n.t.parameters.Boot, n.t.reign, n.writes)
+	n.writeCount++
+	n.writeToken, n.baseRevision = n.tracker.term.Token, n.records[c.Name].Revision
+	n.writeID = fmt.Sprintf("%s-%d-%d", n.tracker.parameters.ProcessID, n.tracker.stateTerm, n.writeCount)
 	n.send(storage.StateCall{Op: storage.StateTxn, Txn: protocol.Txn{
 		If: []protocol.Condition{
-			{Key: coordination.LeaderKey, Version: n.token},
-			{Key: NamesPrefix + c.Name, Version: n.base},
+			{Key: coordination.LeaderKey, Version: n.writeToken},
+			{Key: NamesPrefix + c.Name, Version: n.baseRevision},
 		},
-		Then: []protocol.Change{{Put: NamesPrefix + c.Name, Value: storedName{c.Manifest.String(), n.write}}},
+		Then: []protocol.Change{{Put: NamesPrefix + c.Name, Value: storedName{c.Manifest.String(), n.writeID}}},
 	}})
 }
 
-func (n *names) stateResult(r StateResult) {
-	if r.ID != n.call {
+func (n *nameStore) handleStateResult(r StateResult) {
+	if r.ID != n.pendingCallID {
 		return // of an earlier reign, or of a call that was given up
 	}
-	n.call = 0
-	switch n.last.Op {
+	n.pendingCallID = 0
+	switch n.lastCall.Op {
 	case storage.StateList:
-		n.listed(r)
+		n.handleList(r)
 	case storage.StateTxn:
-		n.written(r)
+		n.handleWrite(r)
 	default:
-		n.looked(r)
+		n.handleReadBack(r)
 	}
 }
 
 // listed takes in a part of all names.
-func (n *names) listed(r StateResult) {
+func (n *nameStore) handleList(r StateResult) {
 	if r.Outcome != storage.OK {
-		n.repeatLater()
+		n.scheduleRetry()
 		return
 	}
 	for _, e := range r.List.Entries {
-		n.after = e.Key
-		n.take(e)
+		n.listCursor = e.Key
+		n.decodeEntry(e)
 	}
 	if r.List.More && len(r.List.Entries) > 0 {
-		n.send(storage.StateCall{Op: storage.StateList, Key: NamesPrefix, After: n.after})
+		n.send(storage.StateCall{Op: storage.StateList, Key: NamesPrefix, After: n.listCursor})
 		return
 	}
 	n.loaded = true
 }
 
 // take notes what a key holds, and gives the write that put it there.
-func (n *names) take(e protocol.Entry) (write string) {
+func (n *nameStore) decodeEntry(e protocol.Entry) (write string) {
 	var v storedName
 	name := strings.TrimPrefix(e.Key, NamesPrefix)
 	if protocol.Decode(e.Value, &v) != nil || distribution.CheckDigest(digest.Digest(v.Manifest)) != nil || distribution.CheckName(name) != nil {
-		n.t.emit(Log{"a record of weights can't be read", []any{"key", e.Key}})
+		n.tracker.emit(Log{"a record of weights can't be read", []any{"key", e.Key}})
 		// Its revision is kept, so that the record can be replaced.
 		n.records[name] = distribution.NameRecord{Name: name, Revision: e.Version}
 		return ""
 	}
-	n.set(distribution.NameRecord{Name: name, Manifest: digest.Digest(v.Manifest), Revision: e.Version})
-	return v.Write
+	n.update(distribution.NameRecord{Name: name, Manifest: digest.Digest(v.Manifest), Revision: e.Version})
+	return v.WriteID
 }
 
 // written takes in how a write ended.
-func (n *names) written(r StateResult) {
+func (n *nameStore) handleWrite(r StateResult) {
 	c := n.queue[0]
 	switch r.Outcome {
 	case storage.OK:
-		n.done(distribution.NameRecord{Name: c.Name, Manifest: c.Manifest, Revision: r.Number})
+		n.completeHead(distribution.NameRecord{Name: c.Name, Manifest: c.Manifest, Revision: r.Number})
 	case storage.Conflict:
 		// An earlier copy of this write may have been carried out, the token may have
 		// risen, or another leads: the record tells.
 		n.send(storage.StateCall{Op: storage.StateGet, Key: NamesPrefix + c.Name})
 	case storage.Invalid:
-		n.t.refuse(c.ID, http.StatusInternalServerError, "the state service calls the write malformed")
-		n.next()
+		n.tracker.refuse(c.ID, http.StatusInternalServerError, "the state service calls the write malformed")
+		n.advanceQueue()
 	default:
-		n.repeatLater()
+		n.scheduleRetry()
 	}
 }
 
 // looked takes in what a record holds after a write met a conflict.
-func (n *names) looked(r StateResult) {
+func (n *nameStore) handleReadBack(r StateResult) {
 	c := n.queue[0]
 	switch r.Outcome {
 	case storage.OK:
-		if n.take(r.Entry) == n.write {
-			n.done(n.records[c.Name])
+		if n.decodeEntry(r.Entry) == n.writeID {
+			n.completeHead(n.records[c.Name])
 			return
 		}
 	case storage.NotFound:
 		n.records[c.Name] = distribution.NameRecord{Name: c.Name}
 	default:
-		n.repeatLater()
+		n.scheduleRetry()
 		return
 	}
-	if n.token == n.t.term.Token && n.records[c.Name].Revision == n.base {
+	if n.writeToken == n.tracker.term.Token && n.records[c.Name].Revision == n.baseRevision {
 		// Neither has changed: this controller's term has ended, and it will hear of it.
-		n.repeatLater()
+		n.scheduleRetry()
 		return
 	}
-	n.writeFirst()
+	n.writeHead()
 }
 
 // done answers the first change and begins the next.
-func (n *names) done(r distribution.NameRecord) {
-	n.set(r)
-	n.tell(n.queue[0].ID, r)
-	n.t.emit(Log{"weights changed", []any{"name", r.Name, "manifest", r.Manifest.String(), "revision", r.Revision}})
-	n.next()
+func (n *nameStore) completeHead(r distribution.NameRecord) {
+	n.update(r)
+	n.replyIfLeaseHeld(n.queue[0].ID, r)
+	n.tracker.emit(Log{"weights changed", []any{"name", r.Name, "manifest", r.Manifest.String(), "revision", r.Revision}})
+	n.advanceQueue()
 }
 
 // next begins the change behind the first.
-func (n *names) next() {
+func (n *nameStore) advanceQueue() {
 	n.queue = n.queue[1:]
 	for len(n.queue) > 0 {
 		c := n.queue[0]
 		if n.records[c.Name].Manifest != c.Manifest {
-			n.writeFirst()
+			n.writeHead()
 			return
 		}
-		n.tell(c.ID, n.records[c.Name])
+		n.replyIfLeaseHeld(c.ID, n.records[c.Name])
 		n.queue = n.queue[1:]
 	}
 }
 
 // tell answers with a record that is durable, unless another controller may have replaced it.
-func (n *names) tell(id uint64, r distribution.NameRecord) {
-	if n.t.certain() {
-		n.t.reply(id, r)
+func (n *nameStore) replyIfLeaseHeld(id uint64, r distribution.NameRecord) {
+	if n.tracker.holdsLease() {
+		n.tracker.reply(id, r)
 		return
 	}
-	n.t.refuse(id, http.StatusServiceUnavailable, "the term is in doubt")
+	n.tracker.refuse(id, http.StatusServiceUnavailable, "the term is in doubt")
 }
--- a/internal/distribution/tracker/status.go
+++ b/internal/distribution/tracker/status.go
@@ -11,21 +11,21 @@
 )
 
 // NamesAnswer is a page of all names.
-type NamesAnswer struct {
+type NamesPage struct {
 	Names []distribution.NameRecord `json:"names"`
 	More  bool                      `json:"more,omitempty"` // there are names behind the last
 }
 
 // pageBytes is about how long a page is, as JSON. One that a follower hands on has to fit
 // into a message between controllers, with whatever its last entry takes.
-const pageBytes = distribution.MaxMessageBytes / 2
+const maxPageBytes = distribution.MaxMessageBytes / 2
 
 // pager tells whether there is room on a page for one more entry.
 type pager struct{ bytes int }
 
-func (p *pager) takes(entry any) bool {
+func (p *pager) reserve(entry any) bool {
 	text, err := json.Marshal(entry)
-	if err != nil || p.bytes > 0 && p.bytes+len(text) > pageBytes {
+	if err != nil || p.bytes > 0 && p.bytes+len(text) > maxPageBytes {
 		return false
 	}
 	p.bytes += len(text) + 1
@@ -33,14 +33,14 @@
 }
 
 // namesPage answers with the names behind one.
-func (t *Tracker) namesPage(c NamesCall) {
-	answer := NamesAnswer{Names: []distribution.NameRecord{}}
+func (t *Tracker) handleNames(c NamesCall) {
+	answer := NamesPage{Names: []distribution.NameRecord{}}
 	var page pager
-	for _, r := range t.names.all() {
+	for _, r := range t.names.sorted() {
 		if r.Name <= c.After {
 			continue
 		}
-		if !page.takes(r) {
+		if !page.reserve(r) {
 			answer.More = true
 			break
 		}
@@ -62,19 +62,19 @@
 
 // AgentStatus is what is known of an agent with regard to one manifest.
 type AgentStatus struct {
-	Agent   string              `json:"agent"`
-	Zone    string              `json:"zone"`
-	Chunks  int                 `json:"chunks"`
-	Total   int                 `json:"total"`
-	Active  bool                `json:"active"`
-	HeardS  float64             `json:"heard_s_ago"`
-	Sources []string            `json:"sources,omitempty"`
-	Takers  []string            `json:"takers,omitempty"`
-	Accused int                 `json:"accused_of_damage,omitempty"`
-	Waits   []distribution.Wait `json:"waits,omitempty"`
+	Agent          string              `json:"agent"`
+	Zone           string              `json:"zone"`
+	Chunks         int                 `json:"chunks"`
+	Total          int                 `json:"total"`
+	Active         bool                `json:"active"`
+	LastReportAgeS float64             `json:"heard_s_ago"`
+	Sources        []string            `json:"sources,omitempty"`
+	Downloaders    []string            `json:"takers,omitempty"`
+	Accused        int                 `json:"accused_of_damage,omitempty"`
+	Waits          []distribution.Wait `json:"waits,omitempty"`
 }
 
-func (t *Tracker) status(c StatusCall) {
+func (t *Tracker) handleStatus(c StatusCall) {
 	record, known := t.names.record(c.Name)
 	if !known {
 		t.refuse(c.ID, http.StatusNotFound, "name: no weights of this name are in use")
@@ -86,9 +86,9 @@
 		t.reply(c.ID, status)
 		return
 	}
-	for _, l := range s.stripes {
-		if l != nil && t.now < l.until {
-			status.Store = append(status.Store, l.taker.name)
+	for _, l := range s.storeLeases {
+		if l != nil && t.now < l.validUntil {
+			status.Store = append(status.Store, l.downloader.name)
 		}
 	}
 	var page pager
@@ -104,7 +104,7 @@
 		if name <= c.After || status.More {
 			continue
 		}
-		if member := t.agentStatus(m); page.takes(member) {
+		if member := t.agentStatus(m); page.reserve(member) {
 			status.Members = append(status.Members, member)
 		} else {
 			status.More = true
@@ -113,20 +113,20 @@
 	t.reply(c.ID, status)
 }
 
-func (t *Tracker) agentStatus(m *member) AgentStatus {
+func (t *Tracker) agentStatus(m *swarmMember) AgentStatus {
 	a := m.agent
 	s := AgentStatus{
 		Agent: a.name, Zone: a.zone, Chunks: m.chunks, Total: m.total, Active: m.active,
-		HeardS: (t.now - a.heard).Round(time.Millisecond).Seconds(), Accused: t.accused(m), Waits: a.waits,
+		LastReportAgeS: (t.now - a.lastReportAt).Round(time.Millisecond).Seconds(), Accused: t.accuserCount(m), Waits: a.waits,
 	}
-	for _, l := range a.taken {
+	for _, l := range a.downloadLeases {
 		if l.manifest == m.swarm.manifest {
 			s.Sources = append(s.Sources, l.sourceName())
 		}
 	}
-	for _, l := range a.given {
-		if l.manifest == m.swarm.manifest && t.now < l.until {
-			s.Takers = append(s.Takers, l.taker.name)
+	for _, l := range a.uploadLeases {
+		if l.manifest == m.swarm.manifest && t.now < l.validUntil {
+			s.Downloaders = append(s.Downloaders, l.downloader.name)
 		}
 	}
 	return s
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -19,76 +19,76 @@
 	rng        *rand.Rand
 	zones      map[string]bool
 
-	now  time.Duration
-	term Term
-	out  []Effect
+	now     time.Duration
+	term    Term
+	effects []Effect
 
-	reign   int64 // whose state the following is
-	ledAt   time.Duration
-	names   *names
-	agents  map[string]*agent
-	byHeard *list.List // of agents, the one that was heard longest ago first
-	swarms  map[digest.Digest]*swarm
+	stateTerm    int64 // whose state the following is
+	electedAt    time.Duration
+	names        *nameStore
+	agents       map[string]*agentState
+	byLastReport *list.List // of agents, the one that was heard longest ago first
+	swarms       map[digest.Digest]*swarmState
 
-	nextCall uint64
-	counts   Counts
+	lastCallID uint64
+	counts     Counts
 }
 
 // Counts are of all that the tracker has done in its reign.
 type Counts struct {
 	Inventories int64 // that were taken in
 	Stale       int64 // that were older than one known
-	Looks       int64 // at agents, to find sources
+	Examined    int64 // at agents, to find sources
 	Leases      int64 // that were granted
-	Revoked     int64 // that were taken from one taker for another that had none
+	Reassigned  int64 // that were taken from one taker for another that had none
 }
 
 // agent is what is known of one.
-type agent struct {
+type agentState struct {
 	name, zone, address string
 	session, sequence   int64
-	slots               int
-	heard               time.Duration
+	uploadSlots         int
+	lastReportAt        time.Duration
 	element             *list.Element // in byHeard
-	members             map[digest.Digest]*member
-	given               []*lease // of its upload slots
-	taken               []*lease // that it may fetch by
+	members             map[digest.Digest]*swarmMember
+	uploadLeases        []*sourceLease // of its upload slots
+	downloadLeases      []*sourceLease // that it may fetch by
 	waits               []distribution.Wait
-	avoid               map[avoidance]time.Duration // sources not to be given to it, until when
+	avoidUntil          map[sourceKey]time.Duration // sources not to be given to it, until when
 }
 
-type avoidance struct {
+type sourceKey struct {
 	source   string
 	manifest digest.Digest
 }
 
 // member is an agent's part in the swarm of a manifest.
-type member struct {
-	agent         *agent
-	swarm         *swarm
-	chunks, total int
-	active        bool
-	grewAt        time.Duration // when chunks last grew
-	place         int           // among the zone's holders; -1: it holds nothing
-	accusers      map[string]time.Duration
+type swarmMember struct {
+	agent          *agentState
+	swarm          *swarmState
+	chunks, total  int
+	active         bool
+	lastProgressAt time.Duration // when chunks last grew
+	holderIndex    int           // among the zone's holders; -1: it holds nothing
+	accusedAt      map[string]time.Duration
 }
 
 // swarm is everything about one manifest.
-type swarm struct {
-	manifest digest.Digest
-	members  map[string]*member
-	holders  map[string][]*member // that hold at least a chunk, by zone
-	byZone   map[string]int       // how many members each zone has
-	stripes  []*lease             // of the store's slots; nil: free
+type swarmState struct {
+	manifest       digest.Digest
+	members        map[string]*swarmMember
+	holders        map[string][]*swarmMember // that hold at least a chunk, by zone
+	membersPerZone map[string]int            // how many members each zone has
+	storeLeases    []*sourceLease            // of the store's slots; nil: free
 }
 
 // lease lets a taker fetch a manifest's chunks from a source.
-type lease struct {
-	taker    *agent
-	source   *agent // nil: the store
-	manifest digest.Digest
-	stripe   int // of the store
-	until    time.Duration
+type sourceLease struct {
+	downloader *agentState
+	source     *agentState // nil: the store
+	manifest   digest.Digest
+	stripe     int // of the store
+	validUntil time.Duration
 }
 
 // New makes a tracker of a controller that doesn't lead.
@@ -102,16 +102,16 @@
 
 // Step takes commands and gives what is to be done about them.
 func (t *Tracker) Step(now time.Duration, term Term, commands []Command) []Effect {
-	t.now, t.term, t.out = now, term, nil
-	t.followTerm()
+	t.now, t.term, t.effects = now, term, nil
+	t.resetOnNewTerm()
 	for _, c := range commands {
-		t.handle(c)
+		t.handleCommand(c)
 	}
-	if t.reign != 0 {
-		t.names.tick()
-		t.expire()
+	if t.stateTerm != 0 {
+		t.names.retryIfDue()
+		t.expireSilentAgents()
 	}
-	return t.out
+	return t.effects
 }
 
 // Counts are of this reign.
@@ -121,28 +121,28 @@
 func (t *Tracker) Agents() int { return len(t.agents) }
 
 // followTerm forgets everything when the controller stops or begins to lead.
-func (t *Tracker) followTerm() {
-	if t.term.Reign == t.reign {
+func (t *Tracker) resetOnNewTerm() {
+	if t.term.Reign == t.stateTerm {
 		return
 	}
 	if t.names != nil {
-		t.names.abandon()
+		t.names.refuseQueued()
 	}
-	t.reign, t.names, t.agents, t.swarms, t.byHeard = t.term.Reign, nil, nil, nil, nil
+	t.stateTerm, t.names, t.agents, t.swarms, t.byLastReport = t.term.Reign, nil, nil, nil, nil
 	t.counts = Counts{}
-	if t.reign == 0 {
+	if t.stateTerm == 0 {
 		return
 	}
-	t.ledAt = t.now
+	t.electedAt = t.now
 	t.names = newNames(t)
-	t.agents, t.swarms, t.byHeard = map[string]*agent{}, map[digest.Digest]*swarm{}, list.New()
+	t.agents, t.swarms, t.byLastReport = map[string]*agentState{}, map[digest.Digest]*swarmState{}, list.New()
 	t.names.load()
 }
 
 // certain tells whether no other controller can lead yet.
-func (t *Tracker) certain() bool { return t.reign != 0 && t.now < t.term.Until }
+func (t *Tracker) holdsLease() bool { return t.stateTerm != 0 && t.now < t.term.Until }
 
-func (t *Tracker) emit(e Effect) { t.out = append(t.out, e) }
+func (t *Tracker) emit(e Effect) { t.effects = append(t.effects, e) }
 
 func (t *Tracker) reply(id uint64, body any) {
 	t.emit(Reply{ID: id, Status: http.StatusOK, Body: body})
@@ -151,32 +151,32 @@
 func (t *Tracker) refuse(id uint64, status int, why string) {
 	r := Reply{ID: id, Status: status, Body: distribution.ErrorAnswer{Error: why}}
 	if status == http.StatusServiceUnavailable {
-		r.RetryAfter = t.parameters.Report
+		r.RetryAfter = t.parameters.ReportInterval
 	}
 	t.emit(r)
 }
 
-func (t *Tracker) handle(c Command) {
+func (t *Tracker) handleCommand(c Command) {
 	switch c := c.(type) {
 	case InventoryCall:
-		if t.serves(c.ID) {
-			t.inventory(c)
+		if t.admit(c.ID) {
+			t.handleInventory(c)
 		}
 	case UseCall:
-		if t.serves(c.ID) {
-			t.names.use(c)
+		if t.admit(c.ID) {
+			t.names.change(c)
 		}
 	case NamesCall:
-		if t.serves(c.ID) {
-			t.namesPage(c)
+		if t.admit(c.ID) {
+			t.handleNames(c)
 		}
 	case StatusCall:
-		if t.serves(c.ID) {
-			t.status(c)
+		if t.admit(c.ID) {
+			t.handleStatus(c)
 		}
 	case StateResult:
 		if t.names != nil {
-			t.names.stateResult(c)
+			t.names.handleStateResult(c)
 		}
 	case Tick:
 	}
@@ -184,13 +184,13 @@
 
 // serves tells whether a request can be answered here and now; if not it is refused or
 // handed on.
-func (t *Tracker) serves(id uint64) bool {
+func (t *Tracker) admit(id uint64) bool {
 	switch {
-	case t.certain() && t.names.loaded:
+	case t.holdsLease() && t.names.loaded:
 		return true
-	case t.certain():
+	case t.holdsLease():
 		t.refuse(id, http.StatusServiceUnavailable, "the leader has not read the names yet")
-	case t.reign != 0:
+	case t.stateTerm != 0:
 		t.refuse(id, http.StatusServiceUnavailable, "the term is in doubt")
 	case t.term.Leader != "":
 		t.emit(Forward{ID: id, Peer: t.term.Leader})
@@ -201,29 +201,29 @@
 }
 
 // expire forgets agents that were not heard for several reports.
-func (t *Tracker) expire() {
-	silent := leaseReports * t.parameters.IdleReport
-	for e := t.byHeard.Front(); e != nil; e = t.byHeard.Front() {
-		a := e.Value.(*agent)
-		if t.now-a.heard <= silent {
+func (t *Tracker) expireSilentAgents() {
+	silent := leaseReports * t.parameters.IdleReportInterval
+	for e := t.byLastReport.Front(); e != nil; e = t.byLastReport.Front() {
+		a := e.Value.(*agentState)
+		if t.now-a.lastReportAt <= silent {
 			return
 		}
-		t.forget(a)
+		t.removeAgent(a)
 		t.emit(Log{"agent is silent", []any{"agent", a.name}})
 	}
 }
 
 // forget removes an agent with its leases and holdings.
-func (t *Tracker) forget(a *agent) {
+func (t *Tracker) removeAgent(a *agentState) {
 	for _, manifest := range slices.Sorted(maps.Keys(a.members)) {
 		t.leave(a.members[manifest])
 	}
-	for len(a.given) > 0 {
-		t.end(a.given[0])
+	for len(a.uploadLeases) > 0 {
+		t.endLease(a.uploadLeases[0])
 	}
-	for len(a.taken) > 0 {
-		t.end(a.taken[0])
+	for len(a.downloadLeases) > 0 {
+		t.endLease(a.downloadLeases[0])
 	}
-	t.byHeard.Remove(a.element)
+	t.byLastReport.Remove(a.element)
 	delete(t.agents, a.name)
 }
