--- /dev/null
+++ b/internal/distribution/tracker/answer.go
@@ -0,0 +1,116 @@
+package tracker
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/opencontainers/go-digest"
+
+	"oakpick/internal/distribution"
+)
+
+// answer tells an agent which manifests its names have and where to fetch them.
+func (t *Tracker) answer(agent *agentState, report *distribution.Inventory) distribution.Answer {
+	answer := distribution.Answer{
+		Term:  t.stateTerm,
+		Names: t.recordsOf(report.Wants),
+		Keep:  t.now-t.electedAt < warmUpReports*t.parameters.IdleReportInterval,
+	}
+	missing := missingManifests(agent, answer.Names)
+	t.leaveUnreported(agent, report, missing)
+	t.endUnneededLeases(agent, missing)
+	for _, manifest := range missing {
+		t.assignSources(agent, manifest)
+	}
+	for _, lease := range agent.downloadLeases[:min(len(agent.downloadLeases), maxAnsweredSources)] {
+		answer.Sources = append(answer.Sources, t.describeLease(lease))
+	}
+	answer.Recheck = t.accusedManifests(agent)
+	hasUnknownNames := len(answer.Names) < len(report.Wants)
+	answer.NextMs = t.nextReportInterval(agent, len(missing) > 0, hasUnknownNames).Milliseconds()
+	return answer
+}
+
+// recordsOf returns the records of those names that have a manifest.
+func (t *Tracker) recordsOf(names []string) (records []distribution.NameRecord) {
+	for _, name := range names {
+		if record, found := t.names.lookup(name); found {
+			records = append(records, record)
+		}
+	}
+	return records
+}
+
+// missingManifests returns the manifests of names that an agent doesn't hold completely, each
+// once, in the agent's order.
+func missingManifests(agent *agentState, records []distribution.NameRecord) (missing []digest.Digest) {
+	for _, record := range records {
+		member := agent.members[record.Manifest]
+		if (member == nil || !member.complete()) && !slices.Contains(missing, record.Manifest) {
+			missing = append(missing, record.Manifest)
+		}
+	}
+	return missing
+}
+
+// leaveUnreported ends an agent's part in swarms of manifests that it neither reports nor
+// needs.
+func (t *Tracker) leaveUnreported(agent *agentState, report *distribution.Inventory, missing []digest.Digest) {
+	reported := map[digest.Digest]bool{}
+	for _, holding := range report.Holdings {
+		reported[holding.Manifest] = true
+	}
+	for _, manifest := range slices.Sorted(maps.Keys(agent.members)) {
+		if !reported[manifest] && !slices.Contains(missing, manifest) {
+			t.leave(agent.members[manifest])
+		}
+	}
+}
+
+// endUnneededLeases ends an agent's leases for manifests that it doesn't miss.
+func (t *Tracker) endUnneededLeases(agent *agentState, missing []digest.Digest) {
+	for _, lease := range slices.Clone(agent.downloadLeases) {
+		if !slices.Contains(missing, lease.manifest) {
+			t.endLease(lease)
+		}
+	}
+}
+
+// accusedManifests returns the manifests of which an agent is accused of sending damaged
+// chunks. It should verify them.
+func (t *Tracker) accusedManifests(agent *agentState) (accused []digest.Digest) {
+	for _, manifest := range slices.Sorted(maps.Keys(agent.members)) {
+		if t.accuserCount(agent.members[manifest]) > 0 {
+			accused = append(accused, manifest)
+		}
+	}
+	return accused
+}
+
+// describeLease returns a lease as the agent is told of it.
+func (t *Tracker) describeLease(lease *sourceLease) distribution.Source {
+	source := distribution.Source{
+		Agent: lease.sourceName(), Manifest: lease.manifest, LeaseMs: (lease.validUntil - t.now).Milliseconds(),
+	}
+	if lease.source == nil {
+		source.Stripe, source.Stripes = lease.stripe, t.parameters.StoreSlots
+		source.Others = len(t.swarms[lease.manifest].activeStoreLeases(t.now)) - 1
+		return source
+	}
+	source.Address, source.Zone = lease.source.address, lease.source.zone
+	return source
+}
+
+// nextReportInterval returns when an agent should report again: soon while it has nowhere to
+// fetch from. The intervals vary, so that agents don't report all at once.
+func (t *Tracker) nextReportInterval(agent *agentState, fetching, hasUnknownNames bool) time.Duration {
+	interval := t.parameters.IdleReportInterval
+	switch {
+	case fetching && len(agent.downloadLeases) == 0:
+		interval = t.parameters.ReportInterval / 2
+	case fetching || hasUnknownNames:
+		interval = t.parameters.ReportInterval
+	}
+	return interval - time.Duration(t.rng.Int64N(int64(interval)/8+1))
+}
--- a/internal/distribution/tracker/inventory.go
+++ b/internal/distribution/tracker/inventory.go
@@ -11,232 +11,125 @@
 	"oakpick/internal/distribution"
 )
 
-// inventory takes an agent's report in and answers it.
-func (t *Tracker) handleInventory(c InventoryCall) {
-	report := c.Inventory
+// handleInventory records an agent's report and answers it.
+func (t *Tracker) handleInventory(call InventoryCall) {
+	report := call.Inventory
 	if !t.zones[report.Zone] {
-		t.refuse(c.ID, http.StatusBadRequest, "zone: no zone of this deployment")
+		t.refuse(call.ID, http.StatusBadRequest, "zone: no zone of this deployment")
 		return
 	}
-	a := t.agents[report.Agent]
-	if a != nil && (report.Session < a.session || report.Session == a.session && report.Sequence <= a.sequence) {
+	if t.isStale(report) {
 		t.counts.Stale++
-		t.refuse(c.ID, http.StatusConflict, "sequence: a later inventory of this agent is known")
+		t.refuse(call.ID, http.StatusConflict, "sequence: a later inventory of this agent is known")
 		return
 	}
 	t.counts.Inventories++
-	if a != nil && (a.zone != report.Zone || a.session != report.Session) {
-		t.removeAgent(a) // what it was given and accused of was another process's
-		a = nil
-	}
-	if a == nil {
-		a = &agentState{name: report.Agent, zone: report.Zone, members: map[digest.Digest]*swarmMember{}, avoidUntil: map[sourceKey]time.Duration{}}
-		a.element = t.byLastReport.PushBack(a)
-		t.agents[a.name] = a
-	}
-	a.address, a.session, a.sequence, a.uploadSlots, a.waits = report.Address, report.Session, report.Sequence, report.UploadSlots, report.Waits
-	a.lastReportAt = t.now
-	t.byLastReport.MoveToBack(a.element)
-	t.updateHoldings(a, report.Holdings)
-	for _, f := range report.Faults {
-		t.recordFault(a, f)
-	}
-	t.reply(c.ID, t.answer(a, report))
-}
-
-// hold notes what an agent holds.
-func (t *Tracker) updateHoldings(a *agentState, holdings []distribution.Holding) {
-	for _, h := range holdings {
-		m := a.members[h.Manifest]
-		if m == nil {
-			m = t.join(a, h.Manifest)
-		}
-		if h.Chunks > m.chunks {
-			m.lastProgressAt = t.now
-		}
-		m.chunks, m.total, m.active = h.Chunks, h.Total, h.Active
-		m.updateHolderIndex()
+	agent := t.updateAgent(report)
+	t.updateHoldings(agent, report.Holdings)
+	for _, fault := range report.Faults {
+		t.recordFault(agent, fault)
 	}
+	t.reply(call.ID, t.answer(agent, report))
 }
 
-// join makes an agent a member of a swarm.
-func (t *Tracker) join(a *agentState, manifest digest.Digest) *swarmMember {
-	s := t.swarms[manifest]
-	if s == nil {
-		s = &swarmState{manifest: manifest, members: map[string]*swarmMember{}, holders: map[string][]*swarmMember{}, membersPerZone: map[string]int{}, storeLeases: make([]*sourceLease, t.parameters.StoreSlots)}
-		t.swarms[manifest] = s
-	}
-	m := &swarmMember{agent: a, swarm: s, lastProgressAt: t.now, holderIndex: -1}
-	a.members[manifest], s.members[a.name] = m, m
-	s.membersPerZone[a.zone]++
-	return m
-}
-
-// leave ends a membership and the leases that belong to it.
-func (t *Tracker) leave(m *swarmMember) {
-	a, s := m.agent, m.swarm
-	m.chunks = 0
-	m.updateHolderIndex()
-	t.endLeasesFor(a.uploadLeases, s.manifest)
-	t.endLeasesFor(a.downloadLeases, s.manifest)
-	delete(a.members, s.manifest)
-	delete(s.members, a.name)
-	if s.membersPerZone[a.zone]--; s.membersPerZone[a.zone] == 0 {
-		delete(s.membersPerZone, a.zone)
-	}
-	if len(s.members) == 0 {
-		delete(t.swarms, s.manifest)
+// isStale reports whether a later inventory of the agent is known.
+func (t *Tracker) isStale(report *distribution.Inventory) bool {
+	agent := t.agents[report.Agent]
+	if agent == nil {
+		return false
 	}
+	return report.Session < agent.session || report.Session == agent.session && report.Sequence <= agent.sequence
 }
 
-// endOf ends those of some leases that are for a manifest.
-func (t *Tracker) endLeasesFor(leases []*sourceLease, manifest digest.Digest) {
-	for _, l := range append([]*sourceLease(nil), leases...) {
-		if l.manifest == manifest {
-			t.endLease(l)
+// updateAgent records who reports. An agent that has restarted or moved starts afresh: its
+// leases and the accusations against it were another process's.
+func (t *Tracker) updateAgent(report *distribution.Inventory) *agentState {
+	agent := t.agents[report.Agent]
+	if agent != nil && (agent.zone != report.Zone || agent.session != report.Session) {
+		t.removeAgent(agent)
+		agent = nil
+	}
+	if agent == nil {
+		agent = &agentState{
+			name: report.Agent, zone: report.Zone, members: map[digest.Digest]*swarmMember{}, avoidUntil: map[sourceKey]time.Duration{},
 		}
-	}
+		agent.element = t.byLastReport.PushBack(agent)
+		t.agents[agent.name] = agent
+	}
+	agent.address, agent.uploadSlots, agent.waits = report.Address, report.UploadSlots, report.Waits
+	agent.session, agent.sequence = report.Session, report.Sequence
+	agent.lastReportAt = t.now
+	t.byLastReport.MoveToBack(agent.element)
+	return agent
 }
 
-// list puts a member among its zone's holders, or takes it away.
-func (m *swarmMember) updateHolderIndex() {
-	zone := m.agent.zone
-	holders := m.swarm.holders[zone]
-	switch {
-	case m.chunks > 0 && m.holderIndex < 0:
-		m.holderIndex = len(holders)
-		m.swarm.holders[zone] = append(holders, m)
-	case m.chunks == 0 && m.holderIndex >= 0:
-		last := holders[len(holders)-1]
-		holders[m.holderIndex], last.holderIndex = last, m.holderIndex
-		m.swarm.holders[zone] = holders[:len(holders)-1]
-		m.holderIndex = -1
+// removeAgent removes an agent with its leases and holdings.
+func (t *Tracker) removeAgent(agent *agentState) {
+	for _, manifest := range slices.Sorted(maps.Keys(agent.members)) {
+		t.leave(agent.members[manifest])
 	}
-}
-
-// fault notes what a taker found wrong with a source.
-func (t *Tracker) recordFault(a *agentState, f distribution.SourceFault) {
-	for _, l := range a.downloadLeases {
-		if l.manifest == f.Manifest && l.sourceName() == f.Source {
-			t.endLease(l)
-			break
-		}
-	}
-	if f.Source == distribution.StoreSource {
-		return // there is only one
-	}
-	t.removeExpiredAvoidances(a)
-	a.avoidUntil[sourceKey{f.Source, f.Manifest}] = t.now + avoidReports*t.parameters.ReportInterval
-	source := t.agents[f.Source]
-	if source == nil || f.Fault != distribution.FaultDamaged {
-		return
+	for len(agent.uploadLeases) > 0 {
+		t.endLease(agent.uploadLeases[0])
 	}
-	if m := source.members[f.Manifest]; m != nil {
-		if m.accusedAt == nil {
-			m.accusedAt = map[string]time.Duration{}
-		}
-		m.accusedAt[a.name] = t.now
-		t.emit(Log{"source has damaged chunks", []any{"source", source.name, "taker", a.name, "manifest", f.Manifest.String()}})
+	for len(agent.downloadLeases) > 0 {
+		t.endLease(agent.downloadLeases[0])
 	}
+	t.byLastReport.Remove(agent.element)
+	delete(t.agents, agent.name)
 }
 
-// forgetAvoided drops what a taker may be given again.
-func (t *Tracker) removeExpiredAvoidances(a *agentState) {
-	for key, until := range a.avoidUntil {
-		if t.now >= until {
-			delete(a.avoidUntil, key)
+// updateHoldings records how much of each manifest an agent holds.
+func (t *Tracker) updateHoldings(agent *agentState, holdings []distribution.Holding) {
+	for _, holding := range holdings {
+		member := t.join(agent, holding.Manifest)
+		if holding.Chunks > member.chunks {
+			member.lastProgressAt = t.now
 		}
+		member.chunks, member.total, member.active = holding.Chunks, holding.Total, holding.Active
+		member.updateHolderIndex()
 	}
 }
 
-// storeTakers is how many takers have a lease on a slot of the store.
-func (s *swarmState) activeStoreLeases(now time.Duration) (takers int) {
-	for _, l := range s.storeLeases {
-		if l != nil && now < l.validUntil {
-			takers++
+// recordFault ends the lease of an agent on a source that it found faulty, and keeps the
+// source from it for a while. The store stays: there is no other.
+func (t *Tracker) recordFault(agent *agentState, fault distribution.SourceFault) {
+	for _, lease := range agent.downloadLeases {
+		if lease.manifest == fault.Manifest && lease.sourceName() == fault.Source {
+			t.endLease(lease)
+			break
 		}
 	}
-	return takers
-}
-
-// accused tells how many takers have lately got damaged chunks from a member.
-func (t *Tracker) accuserCount(m *swarmMember) int {
-	for name, at := range m.accusedAt {
-		if t.now-at > accusationReports*t.parameters.ReportInterval {
-			delete(m.accusedAt, name)
-		}
+	if fault.Source == distribution.StoreSource {
+		return
+	}
+	maps.DeleteFunc(agent.avoidUntil, func(_ sourceKey, until time.Duration) bool { return t.now >= until })
+	agent.avoidUntil[sourceKey{fault.Source, fault.Manifest}] = t.now + avoidReports*t.parameters.ReportInterval
+	if fault.Fault == distribution.FaultDamaged {
+		t.accuse(agent, fault)
 	}
-	return len(m.accusedAt)
 }
 
-// answer tells an agent which manifests its names have and where to fetch them.
-func (t *Tracker) answer(a *agentState, report *distribution.Inventory) distribution.Answer {
-	answer := distribution.Answer{Term: t.stateTerm, Keep: t.now-t.electedAt < warmUpReports*t.parameters.IdleReportInterval}
-	wanted := map[digest.Digest]bool{} // and not held whole
-	part := map[digest.Digest]bool{}   // held, in part or whole, or wanted
-	for _, h := range report.Holdings {
-		part[h.Manifest] = true
-	}
-	for _, name := range report.Wants {
-		record, known := t.names.record(name)
-		if !known {
-			continue
-		}
-		answer.Names = append(answer.Names, record)
-		m := a.members[record.Manifest]
-		if m == nil || m.chunks < m.total || m.total == 0 {
-			wanted[record.Manifest], part[record.Manifest] = true, true
-		}
-	}
-	for _, manifest := range slices.Sorted(maps.Keys(a.members)) {
-		if !part[manifest] {
-			t.leave(a.members[manifest])
-		}
-	}
-	fetches := len(wanted) > 0
-	for _, l := range append([]*sourceLease(nil), a.downloadLeases...) {
-		if !wanted[l.manifest] {
-			t.endLease(l)
-		}
-	}
-	for _, record := range answer.Names { // in the agent's order
-		if !wanted[record.Manifest] {
-			continue
-		}
-		delete(wanted, record.Manifest)
-		t.assignSources(a, record.Manifest)
+// accuse records that an agent got damaged chunks from a source.
+func (t *Tracker) accuse(accuser *agentState, fault distribution.SourceFault) {
+	source := t.agents[fault.Source]
+	if source == nil {
+		return
 	}
-	for _, l := range a.downloadLeases[:min(len(a.downloadLeases), maxAnsweredSources)] {
-		answer.Sources = append(answer.Sources, t.describeLease(l))
+	member := source.members[fault.Manifest]
+	if member == nil {
+		return
 	}
-	for _, manifest := range slices.Sorted(maps.Keys(a.members)) {
-		if t.accuserCount(a.members[manifest]) > 0 {
-			answer.Recheck = append(answer.Recheck, manifest)
-		}
+	if member.accusedAt == nil {
+		member.accusedAt = map[string]time.Duration{}
 	}
-	answer.NextMs = t.nextReportInterval(a, fetches, len(answer.Names) < len(report.Wants)).Milliseconds()
-	return answer
-}
-
-func (t *Tracker) describeLease(l *sourceLease) distribution.Source {
-	s := distribution.Source{Agent: l.sourceName(), Manifest: l.manifest, LeaseMs: (l.validUntil - t.now).Milliseconds()}
-	if l.source == nil {
-		s.Stripe, s.Stripes = l.stripe, t.parameters.StoreSlots
-		s.Others = t.swarms[l.manifest].activeStoreLeases(t.now) - 1
-		return s
-	}
-	s.Address, s.Zone = l.source.address, l.source.zone
-	return s
+	member.accusedAt[accuser.name] = t.now
+	t.emit(Log{"source has damaged chunks", []any{"source", source.name, "downloader", accuser.name, "manifest", fault.Manifest.String()}})
 }
 
-// nextReport is when an agent should report again: soon while it has nowhere to fetch from.
-func (t *Tracker) nextReportInterval(a *agentState, fetches, unknown bool) time.Duration {
-	base := t.parameters.IdleReportInterval
-	switch {
-	case fetches && len(a.downloadLeases) == 0:
-		base = t.parameters.ReportInterval / 2
-	case fetches || unknown:
-		base = t.parameters.ReportInterval
-	}
-	return base - time.Duration(t.rng.Int64N(int64(base)/8+1)) // so that they don't come all at once
+// accuserCount returns how many agents have lately got damaged chunks from a member.
+func (t *Tracker) accuserCount(member *swarmMember) int {
+	maps.DeleteFunc(member.accusedAt, func(_ string, at time.Duration) bool {
+		return t.now-at > accusationReports*t.parameters.ReportInterval
+	})
+	return len(member.accusedAt)
 }
--- a/internal/distribution/tracker/messages.go
+++ b/internal/distribution/tracker/messages.go
@@ -1,6 +1,7 @@
-// Package tracker decides which agents fetch weights from whom, and keeps which manifest each
-// name has. It is a deterministic state machine: Step takes the time, the term and commands,
-// and gives effects. It reads no clock, does no input or output and starts no goroutine.
+// Package tracker decides which agents fetch weights from which sources, and keeps which
+// manifest each name has. It is a deterministic state machine: the time, the controller's term
+// and commands go into Step, effects come out. It reads no clock, does no input or output and
+// starts no goroutine.
 package tracker
 
 import (
@@ -13,31 +14,31 @@
 	"oakpick/internal/storage"
 )
 
-// Term is what the tracker has to know of the controller's term.
+// Term is what the tracker needs to know of the controller's term.
 type Term = coordination.TermView
 
-// Command is what goes into Step.
+// Command is an input of Step.
 type Command interface{ command() }
 
-// Commands that go into Step. Those with an ID are answered with a Reply of that ID.
+// The commands of Step. Those with an ID are answered by a Reply or a Forward with that ID.
 type (
-	// InventoryCall is an agent's report.
+	// InventoryCall is a report of an agent.
 	InventoryCall struct {
 		ID        uint64
 		Inventory *distribution.Inventory
 	}
-	// UseCall asks that a name have a manifest.
+	// UseCall asks that a name refer to a manifest.
 	UseCall struct {
 		ID       uint64
 		Name     string
 		Manifest digest.Digest
 	}
-	// NamesCall asks for the names behind one.
+	// NamesCall asks for the names after one.
 	NamesCall struct {
 		ID    uint64
 		After string
 	}
-	// StatusCall asks who holds what of a name, for the agents behind one.
+	// StatusCall asks which agents hold what of a name, for those after one.
 	StatusCall struct {
 		ID    uint64
 		Name  string
@@ -45,7 +46,7 @@
 	}
 	// StateResult answers a StateCall.
 	StateResult struct{ storage.StateResult }
-	// Tick lets time pass.
+	// Tick only lets time pass.
 	Tick struct{}
 )
 
@@ -56,10 +57,10 @@
 func (StateResult) command()   {}
 func (Tick) command()          {}
 
-// Effect is what comes out of Step.
+// Effect is an output of Step.
 type Effect interface{ effect() }
 
-// Effects.
+// The effects of Step.
 type (
 	// Reply answers a command. Body is encoded as JSON.
 	Reply struct {
@@ -68,14 +69,14 @@
 		Body       any
 		RetryAfter time.Duration
 	}
-	// Forward hands a command on to the controller that leads.
+	// Forward hands a command on to the leader.
 	Forward struct {
 		ID   uint64
 		Peer string
 	}
-	// StateCall asks the state service.
+	// StateCall makes a call to the state service.
 	StateCall struct{ storage.StateCall }
-	// Log is a line for the log.
+	// Log writes a log line.
 	Log struct {
 		Text string
 		Args []any
@@ -87,28 +88,29 @@
 func (StateCall) effect() {}
 func (Log) effect()       {}
 
-// Parameters are the tracker's figures.
+// Parameters configure a tracker.
 type Parameters struct {
-	ReportInterval     time.Duration // between the inventories of an agent that fetches
-	IdleReportInterval time.Duration // between those of one that doesn't
+	ReportInterval     time.Duration // between inventories of an agent that fetches
+	IdleReportInterval time.Duration // between inventories of an agent that doesn't fetch
 	RetryInterval      time.Duration // before a lost or refused call to the state service is repeated
-	StoreSlots         int           // takers that may use the store at a time
+	StoreSlots         int           // agents that may use the store at a time, for each manifest
 	Zones              []string
-	ProcessID          string // of this process; names its writes
+	ProcessID          string // makes the IDs of this process's writes unique
 	Seed               uint64
 }
 
-// Ratios to the report interval, and counts that concern one agent only.
+// Durations as multiples of the report interval (...Reports), and counts that concern a single
+// agent.
 const (
-	maxSameZoneSources  = 6  // of one manifest for one taker
-	maxOtherZoneSources = 2  // the same, in other zones
-	fairSources         = 4  // below which a taker gets slots that others with more have leases on
-	candidatesPerSource = 4  // agents that are looked at for each source that is wanted
-	maxAnsweredSources  = 96 // of all manifests in one answer
-	leaseReports        = 3  // inventories that may be missed before a lease ends
-	stalledReports      = 8  // after which a taker that gets nothing new loses its leases
-	avoidReports        = 10 // for which a source at fault isn't given to the taker again
+	maxSameZoneSources  = 6  // of one manifest, for one agent
+	maxOtherZoneSources = 2  // of one manifest, for one agent
+	fairSources         = 4  // below which an agent gets leases of others that have more
+	candidatesPerSource = 4  // that are examined
+	maxAnsweredSources  = 96 // in one answer, over all manifests
+	leaseReports        = 3  // that may be missed before a lease expires
+	stalledReports      = 8  // without a new chunk, after which an agent loses its leases
+	avoidReports        = 10 // for which a faulty source isn't given to the agent again
 	accusationReports   = 40 // for which an accusation of damage counts
-	minAccusers         = 2  // different takers, for a source to be given to nobody
-	warmUpReports       = 2  // for which a new leader doesn't take sources away
+	minAccusers         = 2  // different agents, after which a source is given to nobody
+	warmUpReports       = 2  // for which a new leader has agents keep sources that it doesn't list
 )
--- a/internal/distribution/tracker/model_test.go
+++ b/internal/distribution/tracker/model_test.go
@@ -47,17 +47,17 @@
 	r := storage.StateResult{ID: c.ID}
 	switch c.Op {
 	case storage.StateList:
-		for key, e := range k.entries {
+		for key, entry := range k.entries {
 			if key > NamesPrefix && key < NamesPrefix+"~" {
-				r.List.Entries = append(r.List.Entries, e)
+				r.List.Entries = append(r.List.Entries, entry)
 			}
 		}
 	case storage.StateGet:
-		e, ok := k.entries[c.Key]
+		entry, ok := k.entries[c.Key]
 		if !ok {
 			r.Outcome = storage.NotFound
 		}
-		r.Entry = e
+		r.Entry = entry
 	case storage.StateTxn:
 		for _, condition := range c.Txn.If {
 			if k.entries[condition.Key].Version != condition.Version {
@@ -116,15 +116,15 @@
 	case distribution.NameRecord:
 		records = []distribution.NameRecord{body}
 	}
-	for _, r := range records {
-		if r.Revision < m.told[r.Name] {
-			m.Fatalf("%s had revision %d, and now has %d", r.Name, m.told[r.Name], r.Revision)
+	for _, record := range records {
+		if record.Revision < m.told[record.Name] {
+			m.Fatalf("%s had revision %d, and now has %d", record.Name, m.told[record.Name], record.Revision)
 		}
-		m.told[r.Name] = r.Revision
+		m.told[record.Name] = record.Revision
 		var v storedName
-		stored := m.state.entries[NamesPrefix+r.Name]
-		if protocol.Decode(stored.Value, &v) != nil || stored.Version < r.Revision || stored.Version == r.Revision && v.Manifest != r.Manifest.String() {
-			m.Fatalf("%s is told as %s, revision %d, and stored as %s, revision %d", r.Name, r.Manifest, r.Revision, v.Manifest, stored.Version)
+		stored := m.state.entries[NamesPrefix+record.Name]
+		if protocol.Decode(stored.Value, &v) != nil || stored.Version < record.Revision || stored.Version == record.Revision && v.Manifest != record.Manifest.String() {
+			m.Fatalf("%s is told as %s, revision %d, and stored as %s, revision %d", record.Name, record.Manifest, record.Revision, v.Manifest, stored.Version)
 		}
 	}
 }
@@ -144,44 +144,44 @@
 func (m *model) consistent() {
 	t := m.tracker
 	storeLeases := 0
-	for _, a := range t.agents {
+	for _, agent := range t.agents {
 		live := 0
-		for _, l := range a.uploadLeases {
-			if l.source != a || l.downloader == a || !slices.Contains(l.downloader.downloadLeases, l) || t.agents[l.downloader.name] != l.downloader {
-				m.Fatalf("%s gives by a lease that is not whole: %+v", a.name, l)
+		for _, lease := range agent.uploadLeases {
+			if lease.source != agent || lease.downloader == agent || !slices.Contains(lease.downloader.downloadLeases, lease) || t.agents[lease.downloader.name] != lease.downloader {
+				m.Fatalf("%s gives by a lease that is not whole: %+v", agent.name, lease)
 			}
-			if t.now < l.validUntil {
+			if t.now < lease.validUntil {
 				live++
 			}
 		}
-		if live > a.uploadSlots {
-			m.Fatalf("%s has %d takers in %d slots", a.name, live, a.uploadSlots)
+		if live > agent.uploadSlots {
+			m.Fatalf("%s has %d takers in %d slots", agent.name, live, agent.uploadSlots)
 		}
-		for _, l := range a.downloadLeases {
-			if l.source == nil {
+		for _, lease := range agent.downloadLeases {
+			if lease.source == nil {
 				storeLeases++
 				continue
 			}
-			if !slices.Contains(l.source.uploadLeases, l) || t.agents[l.source.name] != l.source {
-				m.Fatalf("%s takes by a lease that is not whole: %+v", a.name, l)
+			if !slices.Contains(lease.source.uploadLeases, lease) || t.agents[lease.source.name] != lease.source {
+				m.Fatalf("%s takes by a lease that is not whole: %+v", agent.name, lease)
 			}
-			if source := l.source.members[l.manifest]; source == nil {
-				m.Fatalf("%s takes %s from %s, which has nothing of it", a.name, l.manifest, l.source.name)
+			if source := lease.source.members[lease.manifest]; source == nil {
+				m.Fatalf("%s takes %s from %s, which has nothing of it", agent.name, lease.manifest, lease.source.name)
 			}
 		}
-		for d, x := range a.members {
-			holders := t.swarms[d].holders[a.zone]
+		for d, x := range agent.members {
+			holders := t.swarms[d].holders[agent.zone]
 			if x.chunks > 0 && holders[x.holderIndex] != x || x.chunks == 0 && x.holderIndex != -1 {
-				m.Fatalf("%s is at place %d with %d chunks", a.name, x.holderIndex, x.chunks)
+				m.Fatalf("%s is at place %d with %d chunks", agent.name, x.holderIndex, x.chunks)
 			}
 		}
 	}
-	for _, s := range t.swarms {
-		for i, l := range s.storeLeases {
-			if l != nil && (l.stripe != i || !slices.Contains(l.downloader.downloadLeases, l)) {
-				m.Fatalf("stripe %d has %+v", i, l)
+	for _, swarm := range t.swarms {
+		for i, lease := range swarm.storeLeases {
+			if lease != nil && (lease.stripe != i || !slices.Contains(lease.downloader.downloadLeases, lease)) {
+				m.Fatalf("stripe %d has %+v", i, lease)
 			}
-			if l != nil {
+			if lease != nil {
 				storeLeases--
 			}
 		}
@@ -190,9 +190,9 @@
 		m.Fatalf("%d leases on the store that it doesn't know of", storeLeases)
 	}
 	if n := t.names; n != nil && n.loaded && len(n.queue) == 0 {
-		for name, r := range n.records { // whatever is carried out late
-			if stored := m.state.entries[NamesPrefix+name]; stored.Version != r.Revision {
-				m.Fatalf("%s is known with revision %d and stored with %d, and nothing is being written", name, r.Revision, stored.Version)
+		for name, record := range n.records { // whatever is carried out late
+			if stored := m.state.entries[NamesPrefix+name]; stored.Version != record.Revision {
+				m.Fatalf("%s is known with revision %d and stored with %d, and nothing is being written", name, record.Revision, stored.Version)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/distribution/tracker/name_changes.go
@@ -0,0 +1,138 @@
+package tracker
+
+import (
+	"fmt"
+	"net/http"
+
+	"oakpick/internal/coordination"
+	"oakpick/internal/distribution"
+	"oakpick/internal/protocol"
+	"oakpick/internal/storage"
+)
+
+// maxQueuedChanges bounds the changes of names that wait for those before them. Operators make
+// them, so there are few.
+const maxQueuedChanges = 64
+
+// pendingWrite is the write of the first change in the queue.
+type pendingWrite struct {
+	id           string
+	count        int   // of writes in this term
+	token        int64 // fencing token on which the write depends
+	baseRevision int64 // revision of the record that it replaces
+}
+
+// change has a name's manifest written, unless the name has it already.
+func (n *nameStore) change(change UseCall) {
+	if len(n.queue) == 0 && n.records[change.Name].Manifest == change.Manifest {
+		n.tracker.reply(change.ID, n.records[change.Name])
+		return
+	}
+	if len(n.queue) >= maxQueuedChanges {
+		n.tracker.refuse(change.ID, http.StatusServiceUnavailable, "too many changes wait")
+		return
+	}
+	n.queue = append(n.queue, change)
+	if len(n.queue) == 1 {
+		n.writeFirst()
+	}
+}
+
+// writeFirst sends the first change of the queue as a new write. It is carried out only if
+// this controller still leads and nobody else has changed the record.
+func (n *nameStore) writeFirst() {
+	change := n.queue[0]
+	key := NamesPrefix + change.Name
+	n.write.count++
+	n.write.id = fmt.Sprintf("%s-%d-%d", n.tracker.parameters.ProcessID, n.tracker.stateTerm, n.write.count)
+	n.write.token, n.write.baseRevision = n.tracker.term.Token, n.records[change.Name].Revision
+	n.send(storage.StateCall{Op: storage.StateTxn, Txn: protocol.Txn{
+		If: []protocol.Condition{
+			{Key: coordination.LeaderKey, Version: n.write.token},
+			{Key: key, Version: n.write.baseRevision},
+		},
+		Then: []protocol.Change{{Put: key, Value: storedName{change.Manifest.String(), n.write.id}}},
+	}})
+}
+
+// handleWrite processes the outcome of a write.
+func (n *nameStore) handleWrite(result StateResult) {
+	change := n.queue[0]
+	switch result.Outcome {
+	case storage.OK:
+		n.completeFirst(distribution.NameRecord{Name: change.Name, Manifest: change.Manifest, Revision: result.Number})
+	case storage.Conflict:
+		// An earlier copy of this write may have been carried out, the fencing token may have
+		// advanced, or another controller leads. The record tells.
+		n.send(storage.StateCall{Op: storage.StateGet, Key: NamesPrefix + change.Name})
+	case storage.Invalid:
+		n.tracker.refuse(change.ID, http.StatusInternalServerError, "the state service calls the write malformed")
+		n.advanceQueue()
+	default:
+		n.scheduleRetry()
+	}
+}
+
+// handleReadBack processes the record that was read after a write met a conflict.
+func (n *nameStore) handleReadBack(result StateResult) {
+	change := n.queue[0]
+	switch result.Outcome {
+	case storage.OK:
+		if n.recordEntry(result.Entry) == n.write.id {
+			n.completeFirst(n.records[change.Name])
+			return
+		}
+	case storage.NotFound:
+		n.records[change.Name] = distribution.NameRecord{Name: change.Name}
+	default:
+		n.scheduleRetry()
+		return
+	}
+	if n.write.token == n.tracker.term.Token && n.records[change.Name].Revision == n.write.baseRevision {
+		// Neither condition has changed here, so this controller's term has ended, which it
+		// will learn of.
+		n.scheduleRetry()
+		return
+	}
+	n.writeFirst()
+}
+
+// completeFirst answers the first change of the queue and starts the next.
+func (n *nameStore) completeFirst(record distribution.NameRecord) {
+	n.update(record)
+	n.replyIfLeaseHeld(n.queue[0].ID, record)
+	n.tracker.emit(Log{"weights changed", []any{"name", record.Name, "manifest", record.Manifest.String(), "revision", record.Revision}})
+	n.advanceQueue()
+}
+
+// advanceQueue drops the first change and starts the next one that isn't in effect already.
+func (n *nameStore) advanceQueue() {
+	n.queue = n.queue[1:]
+	for len(n.queue) > 0 {
+		change := n.queue[0]
+		if n.records[change.Name].Manifest != change.Manifest {
+			n.writeFirst()
+			return
+		}
+		n.replyIfLeaseHeld(change.ID, n.records[change.Name])
+		n.queue = n.queue[1:]
+	}
+}
+
+// replyIfLeaseHeld answers with a durable record. Without the lease, another controller may
+// have replaced it already.
+func (n *nameStore) replyIfLeaseHeld(id uint64, record distribution.NameRecord) {
+	if n.tracker.holdsLease() {
+		n.tracker.reply(id, record)
+		return
+	}
+	n.tracker.refuse(id, http.StatusServiceUnavailable, "the term is in doubt")
+}
+
+// refuseQueued refuses all changes that wait when the term ends. The first may have been
+// written.
+func (n *nameStore) refuseQueued() {
+	for _, change := range n.queue {
+		n.tracker.refuse(change.ID, http.StatusServiceUnavailable, "the term has ended; ask what the name has")
+	}
+}
--- a/internal/distribution/tracker/status.go
+++ b/internal/distribution/tracker/status.go
@@ -10,57 +10,59 @@
 	"oakpick/internal/distribution"
 )
 
-// NamesAnswer is a page of all names.
+// NamesPage is a page of the list of all names.
 type NamesPage struct {
 	Names []distribution.NameRecord `json:"names"`
-	More  bool                      `json:"more,omitempty"` // there are names behind the last
+	More  bool                      `json:"more,omitempty"` // there are names after the last
 }
 
-// pageBytes is about how long a page is, as JSON. One that a follower hands on has to fit
-// into a message between controllers, with whatever its last entry takes.
+// maxPageBytes bounds the entries of a page, as JSON. A page that a follower forwards has to
+// fit into a message between controllers, whatever the size of its last entry.
 const maxPageBytes = distribution.MaxMessageBytes / 2
 
-// pager tells whether there is room on a page for one more entry.
-type pager struct{ bytes int }
+// pageBudget counts the bytes of a page's entries.
+type pageBudget struct{ usedBytes int }
 
-func (p *pager) reserve(entry any) bool {
+// reserve adds an entry and reports whether the page has room for it. The first entry always
+// fits.
+func (b *pageBudget) reserve(entry any) bool {
 	text, err := json.Marshal(entry)
-	if err != nil || p.bytes > 0 && p.bytes+len(text) > maxPageBytes {
-		return false
+	if err != nil || b.usedBytes > 0 && b.usedBytes+len(text) > maxPageBytes {
+		return false // an entry that can't be encoded fits on no page
 	}
-	p.bytes += len(text) + 1
+	b.usedBytes += len(text) + len(",")
 	return true
 }
 
-// namesPage answers with the names behind one.
-func (t *Tracker) handleNames(c NamesCall) {
-	answer := NamesPage{Names: []distribution.NameRecord{}}
-	var page pager
-	for _, r := range t.names.sorted() {
-		if r.Name <= c.After {
+// handleNames answers with the names after one.
+func (t *Tracker) handleNames(call NamesCall) {
+	page := NamesPage{Names: []distribution.NameRecord{}}
+	var budget pageBudget
+	for _, record := range t.names.sorted() {
+		if record.Name <= call.After {
 			continue
 		}
-		if !page.reserve(r) {
-			answer.More = true
+		if !budget.reserve(record) {
+			page.More = true
 			break
 		}
-		answer.Names = append(answer.Names, r)
+		page.Names = append(page.Names, record)
 	}
-	t.reply(c.ID, answer)
+	t.reply(call.ID, page)
 }
 
-// Status is a page of who holds what of a name.
+// Status is a page of the agents that hold or want a name's manifest.
 type Status struct {
 	distribution.NameRecord
-	Agents   int           `json:"agents"`   // that hold some of it or want it
+	Agents   int           `json:"agents"`   // all that hold some of it or want it
 	Complete int           `json:"complete"` // that hold all of it
 	Active   int           `json:"active"`   // that serve it
 	Store    []string      `json:"store"`    // agents that may fetch from the store
 	Members  []AgentStatus `json:"members"`
-	More     bool          `json:"more"` // there are agents behind the last
+	More     bool          `json:"more"` // there are agents after the last
 }
 
-// AgentStatus is what is known of an agent with regard to one manifest.
+// AgentStatus is what is known of an agent regarding one manifest.
 type AgentStatus struct {
 	Agent          string              `json:"agent"`
 	Zone           string              `json:"zone"`
@@ -74,60 +76,66 @@
 	Waits          []distribution.Wait `json:"waits,omitempty"`
 }
 
-func (t *Tracker) handleStatus(c StatusCall) {
-	record, known := t.names.record(c.Name)
+// handleStatus answers with the agents after one. The counts are of all agents.
+func (t *Tracker) handleStatus(call StatusCall) {
+	record, known := t.names.lookup(call.Name)
 	if !known {
-		t.refuse(c.ID, http.StatusNotFound, "name: no weights of this name are in use")
+		t.refuse(call.ID, http.StatusNotFound, "name: no weights of this name are in use")
 		return
 	}
 	status := Status{NameRecord: record, Store: []string{}, Members: []AgentStatus{}}
-	s := t.swarms[record.Manifest]
-	if s == nil {
-		t.reply(c.ID, status)
+	swarm := t.swarms[record.Manifest]
+	if swarm == nil {
+		t.reply(call.ID, status)
 		return
 	}
-	for _, l := range s.storeLeases {
-		if l != nil && t.now < l.validUntil {
-			status.Store = append(status.Store, l.downloader.name)
-		}
+	for _, lease := range swarm.activeStoreLeases(t.now) {
+		status.Store = append(status.Store, lease.downloader.name)
 	}
-	var page pager
-	for _, name := range slices.Sorted(maps.Keys(s.members)) {
-		m := s.members[name]
+	var budget pageBudget
+	for _, name := range slices.Sorted(maps.Keys(swarm.members)) {
+		member := swarm.members[name]
 		status.Agents++
-		if m.total > 0 && m.chunks == m.total {
+		if member.complete() {
 			status.Complete++
 		}
-		if m.active {
+		if member.active {
 			status.Active++
 		}
-		if name <= c.After || status.More {
+		if name <= call.After || status.More {
 			continue
 		}
-		if member := t.agentStatus(m); page.reserve(member) {
-			status.Members = append(status.Members, member)
-		} else {
+		entry := t.agentStatus(member)
+		if !budget.reserve(entry) {
 			status.More = true
+			continue
 		}
+		status.Members = append(status.Members, entry)
 	}
-	t.reply(c.ID, status)
+	t.reply(call.ID, status)
 }
 
-func (t *Tracker) agentStatus(m *swarmMember) AgentStatus {
-	a := m.agent
-	s := AgentStatus{
-		Agent: a.name, Zone: a.zone, Chunks: m.chunks, Total: m.total, Active: m.active,
-		LastReportAgeS: (t.now - a.lastReportAt).Round(time.Millisecond).Seconds(), Accused: t.accuserCount(m), Waits: a.waits,
+func (t *Tracker) agentStatus(member *swarmMember) AgentStatus {
+	agent := member.agent
+	status := AgentStatus{
+		Agent:          agent.name,
+		Zone:           agent.zone,
+		Chunks:         member.chunks,
+		Total:          member.total,
+		Active:         member.active,
+		LastReportAgeS: (t.now - agent.lastReportAt).Round(time.Millisecond).Seconds(),
+		Accused:        t.accuserCount(member),
+		Waits:          agent.waits,
 	}
-	for _, l := range a.downloadLeases {
-		if l.manifest == m.swarm.manifest {
-			s.Sources = append(s.Sources, l.sourceName())
+	for _, lease := range agent.downloadLeases {
+		if lease.manifest == member.swarm.manifest {
+			status.Sources = append(status.Sources, lease.sourceName())
 		}
 	}
-	for _, l := range a.uploadLeases {
-		if l.manifest == m.swarm.manifest && t.now < l.validUntil {
-			s.Downloaders = append(s.Downloaders, l.downloader.name)
+	for _, lease := range agent.uploadLeases {
+		if lease.manifest == member.swarm.manifest && t.now < lease.validUntil {
+			status.Downloaders = append(status.Downloaders, lease.downloader.name)
 		}
 	}
-	return s
+	return status
 }
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -2,10 +2,8 @@
 
 import (
 	"container/list"
-	"maps"
 	"math/rand/v2"
 	"net/http"
-	"slices"
 	"time"
 
 	"github.com/opencontainers/go-digest"
@@ -18,89 +16,42 @@
 	parameters Parameters
 	rng        *rand.Rand
 	zones      map[string]bool
+	lastCallID uint64 // to the state service; never reused, also not in a later term
 
+	// Of the step under way.
 	now     time.Duration
 	term    Term
 	effects []Effect
 
-	stateTerm    int64 // whose state the following is
+	// Of the term in which this controller leads; nil and zero while it doesn't.
+	stateTerm    int64
 	electedAt    time.Duration
 	names        *nameStore
 	agents       map[string]*agentState
-	byLastReport *list.List // of agents, the one that was heard longest ago first
+	byLastReport *list.List // of *agentState, the one with the oldest report first
 	swarms       map[digest.Digest]*swarmState
-
-	lastCallID uint64
-	counts     Counts
+	counts       Counts
 }
 
-// Counts are of all that the tracker has done in its reign.
+// Counts counts what the tracker has done in the current term.
 type Counts struct {
-	Inventories int64 // that were taken in
-	Stale       int64 // that were older than one known
-	Examined    int64 // at agents, to find sources
-	Leases      int64 // that were granted
-	Reassigned  int64 // that were taken from one taker for another that had none
-}
-
-// agent is what is known of one.
-type agentState struct {
-	name, zone, address string
-	session, sequence   int64
-	uploadSlots         int
-	lastReportAt        time.Duration
-	element             *list.Element // in byHeard
-	members             map[digest.Digest]*swarmMember
-	uploadLeases        []*sourceLease // of its upload slots
-	downloadLeases      []*sourceLease // that it may fetch by
-	waits               []distribution.Wait
-	avoidUntil          map[sourceKey]time.Duration // sources not to be given to it, until when
-}
-
-type sourceKey struct {
-	source   string
-	manifest digest.Digest
-}
-
-// member is an agent's part in the swarm of a manifest.
-type swarmMember struct {
-	agent          *agentState
-	swarm          *swarmState
-	chunks, total  int
-	active         bool
-	lastProgressAt time.Duration // when chunks last grew
-	holderIndex    int           // among the zone's holders; -1: it holds nothing
-	accusedAt      map[string]time.Duration
-}
-
-// swarm is everything about one manifest.
-type swarmState struct {
-	manifest       digest.Digest
-	members        map[string]*swarmMember
-	holders        map[string][]*swarmMember // that hold at least a chunk, by zone
-	membersPerZone map[string]int            // how many members each zone has
-	storeLeases    []*sourceLease            // of the store's slots; nil: free
-}
-
-// lease lets a taker fetch a manifest's chunks from a source.
-type sourceLease struct {
-	downloader *agentState
-	source     *agentState // nil: the store
-	manifest   digest.Digest
-	stripe     int // of the store
-	validUntil time.Duration
+	Inventories int64 // accepted
+	Stale       int64 // inventories refused because a later one was known
+	Examined    int64 // candidates for sources
+	Leases      int64 // granted
+	Reassigned  int64 // leases that were moved to an agent with fewer
 }
 
-// New makes a tracker of a controller that doesn't lead.
+// New returns the tracker of a controller that doesn't lead yet.
 func New(p Parameters) *Tracker {
 	t := &Tracker{parameters: p, rng: rand.New(rand.NewPCG(p.Seed, 0)), zones: map[string]bool{}}
-	for _, z := range p.Zones {
-		t.zones[z] = true
+	for _, zone := range p.Zones {
+		t.zones[zone] = true
 	}
 	return t
 }
 
-// Step takes commands and gives what is to be done about them.
+// Step processes commands and returns the effects that the caller has to carry out.
 func (t *Tracker) Step(now time.Duration, term Term, commands []Command) []Effect {
 	t.now, t.term, t.effects = now, term, nil
 	t.resetOnNewTerm()
@@ -114,13 +65,13 @@
 	return t.effects
 }
 
-// Counts are of this reign.
+// Counts returns what was done in the current term.
 func (t *Tracker) Counts() Counts { return t.counts }
 
-// Agents is how many agents are known.
+// Agents returns how many agents are known.
 func (t *Tracker) Agents() int { return len(t.agents) }
 
-// followTerm forgets everything when the controller stops or begins to lead.
+// resetOnNewTerm drops all state when the controller stops or starts to lead.
 func (t *Tracker) resetOnNewTerm() {
 	if t.term.Reign == t.stateTerm {
 		return
@@ -134,12 +85,12 @@
 		return
 	}
 	t.electedAt = t.now
-	t.names = newNames(t)
+	t.names = newNameStore(t)
 	t.agents, t.swarms, t.byLastReport = map[string]*agentState{}, map[digest.Digest]*swarmState{}, list.New()
 	t.names.load()
 }
 
-// certain tells whether no other controller can lead yet.
+// holdsLease reports whether no other controller can lead yet.
 func (t *Tracker) holdsLease() bool { return t.stateTerm != 0 && t.now < t.term.Until }
 
 func (t *Tracker) emit(e Effect) { t.effects = append(t.effects, e) }
@@ -148,16 +99,17 @@
 	t.emit(Reply{ID: id, Status: http.StatusOK, Body: body})
 }
 
+// refuse answers with an error. One that may pass names a time to ask again.
 func (t *Tracker) refuse(id uint64, status int, why string) {
-	r := Reply{ID: id, Status: status, Body: distribution.ErrorAnswer{Error: why}}
+	reply := Reply{ID: id, Status: status, Body: distribution.ErrorAnswer{Error: why}}
 	if status == http.StatusServiceUnavailable {
-		r.RetryAfter = t.parameters.ReportInterval
+		reply.RetryAfter = t.parameters.ReportInterval
 	}
-	t.emit(r)
+	t.emit(reply)
 }
 
-func (t *Tracker) handleCommand(c Command) {
-	switch c := c.(type) {
+func (t *Tracker) handleCommand(command Command) {
+	switch c := command.(type) {
 	case InventoryCall:
 		if t.admit(c.ID) {
 			t.handleInventory(c)
@@ -182,8 +134,8 @@
 	}
 }
 
-// serves tells whether a request can be answered here and now; if not it is refused or
-// handed on.
+// admit reports whether a request can be answered here and now. If not, it is refused, or
+// forwarded to the leader.
 func (t *Tracker) admit(id uint64) bool {
 	switch {
 	case t.holdsLease() && t.names.loaded:
@@ -199,31 +151,3 @@
 	}
 	return false
 }
-
-// expire forgets agents that were not heard for several reports.
-func (t *Tracker) expireSilentAgents() {
-	silent := leaseReports * t.parameters.IdleReportInterval
-	for e := t.byLastReport.Front(); e != nil; e = t.byLastReport.Front() {
-		a := e.Value.(*agentState)
-		if t.now-a.lastReportAt <= silent {
-			return
-		}
-		t.removeAgent(a)
-		t.emit(Log{"agent is silent", []any{"agent", a.name}})
-	}
-}
-
-// forget removes an agent with its leases and holdings.
-func (t *Tracker) removeAgent(a *agentState) {
-	for _, manifest := range slices.Sorted(maps.Keys(a.members)) {
-		t.leave(a.members[manifest])
-	}
-	for len(a.uploadLeases) > 0 {
-		t.endLease(a.uploadLeases[0])
-	}
-	for len(a.downloadLeases) > 0 {
-		t.endLease(a.downloadLeases[0])
-	}
-	t.byLastReport.Remove(a.element)
-	delete(t.agents, a.name)
-}
