--- /dev/null
+++ b/internal/distribution/tracker/helpers_test.go
@@ -0,0 +1,92 @@
+package tracker
+
+import (
+	"net/http"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/opencontainers/go-digest"
+
+	"oakpick/internal/distribution"
+)
+
+var (
+	zones     = []string{"a", "b"}
+	manifests = []digest.Digest{digest.FromString("1"), digest.FromString("2"), digest.FromString("3")}
+)
+
+func testParameters() Parameters {
+	return Parameters{
+		ReportInterval: time.Second, IdleReportInterval: 4 * time.Second, RetryInterval: 100 * time.Millisecond,
+		StoreSlots: 2, Zones: zones, ProcessID: "boot", Seed: 1,
+	}
+}
+
+// testLeader is the tracker of a leader that has read the names, and its state service.
+type testLeader struct {
+	tracker *Tracker
+	term    Term
+	state   *fakeStateService
+}
+
+func newTestLeader(t *testing.T) *testLeader {
+	t.Helper()
+	leader := &testLeader{tracker: New(testParameters()), state: newFakeStateService()}
+	token := leader.state.advanceToken()
+	leader.term = Term{Reign: token, Token: token, Until: time.Hour}
+	for _, effect := range leader.tracker.Step(0, leader.term, []Command{Tick{}}) {
+		result := StateResult{leader.state.execute(effect.(StateCall).StateCall)}
+		leader.tracker.Step(0, leader.term, []Command{result})
+	}
+	return leader
+}
+
+// send steps the tracker with a command and returns its reply, or an empty one.
+func (l *testLeader) send(now time.Duration, command Command) Reply {
+	for _, effect := range l.tracker.Step(now, l.term, []Command{command}) {
+		if reply, ok := effect.(Reply); ok {
+			return reply
+		}
+	}
+	return Reply{}
+}
+
+// use has a name refer to a manifest, durably.
+func (l *testLeader) use(t *testing.T, name string, manifest digest.Digest) {
+	t.Helper()
+	for _, effect := range l.tracker.Step(0, l.term, []Command{UseCall{1, name, manifest}}) {
+		call, ok := effect.(StateCall)
+		if !ok {
+			continue
+		}
+		if reply := l.send(0, StateResult{l.state.execute(call.StateCall)}); reply.Status != http.StatusOK {
+			t.Fatalf("use of %s: %+v", name, reply)
+		}
+	}
+}
+
+// report sends an inventory, which has to be accepted, and returns the answer.
+func (l *testLeader) report(t *testing.T, now time.Duration, inventory *distribution.Inventory) distribution.Answer {
+	t.Helper()
+	reply := l.send(now, InventoryCall{2, inventory})
+	answer, ok := reply.Body.(distribution.Answer)
+	if !ok || reply.Status != http.StatusOK {
+		t.Fatalf("inventory of %s: %+v", inventory.Agent, reply)
+	}
+	return answer
+}
+
+// newInventory is the report of an agent that wants the name x and holds so many of the four
+// chunks of the first manifest.
+func newInventory(agent string, sequence int64, chunks int) *distribution.Inventory {
+	return &distribution.Inventory{
+		Agent: agent, Zone: "a", Address: agent + ":1", Session: 1, Sequence: sequence, UploadSlots: 2, Wants: []string{"x"},
+		Holdings: []distribution.Holding{{Manifest: manifests[0], Chunks: chunks, Total: 4}},
+	}
+}
+
+// hasSource reports whether an answer lists an agent as a source.
+func hasSource(answer distribution.Answer, agent string) bool {
+	return slices.ContainsFunc(answer.Sources, func(source distribution.Source) bool { return source.Agent == agent })
+}
--- /dev/null
+++ b/internal/distribution/tracker/invariants_test.go
@@ -0,0 +1,151 @@
+package tracker
+
+import (
+	"slices"
+
+	"oakpick/internal/distribution"
+	"oakpick/internal/protocol"
+)
+
+// checkReply checks what is answered: revisions never go back, and every record is durable.
+func (m *model) checkReply(reply Reply) {
+	var records []distribution.NameRecord
+	switch body := reply.Body.(type) {
+	case distribution.Answer:
+		records = body.Names
+		m.checkSources(body)
+	case distribution.NameRecord:
+		records = []distribution.NameRecord{body}
+	}
+	for _, record := range records {
+		if record.Revision < m.repliedRevisions[record.Name] {
+			m.Fatalf("%s had revision %d, and now has %d", record.Name, m.repliedRevisions[record.Name], record.Revision)
+		}
+		m.repliedRevisions[record.Name] = record.Revision
+		m.checkDurable(record)
+	}
+}
+
+// checkDurable checks that a record, or a later one, is stored.
+func (m *model) checkDurable(record distribution.NameRecord) {
+	var value storedName
+	stored := m.state.entries[NamesPrefix+record.Name]
+	if protocol.Decode(stored.Value, &value) != nil || stored.Version < record.Revision ||
+		stored.Version == record.Revision && value.Manifest != record.Manifest.String() {
+		m.Fatalf("%s is answered as %s, revision %d, and stored as %s, revision %d",
+			record.Name, record.Manifest, record.Revision, value.Manifest, stored.Version)
+	}
+}
+
+// checkSources checks that an answer lists each source once, with a lease that hasn't expired.
+func (m *model) checkSources(answer distribution.Answer) {
+	listed := map[string]bool{}
+	for _, source := range answer.Sources {
+		key := source.Agent + source.Manifest.String()
+		if listed[key] || source.LeaseMs <= 0 {
+			m.Fatalf("sources %+v", answer.Sources)
+		}
+		listed[key] = true
+	}
+}
+
+// checkInvariants checks the parts of the tracker's state against each other.
+func (m *model) checkInvariants() {
+	for _, agent := range m.tracker.agents {
+		m.checkUploadLeases(agent)
+		m.checkDownloadLeases(agent)
+		m.checkHolderIndexes(agent)
+	}
+	m.checkStoreLeases()
+	m.checkNames()
+	for write, times := range m.state.writeCounts {
+		if times > 1 {
+			m.Fatalf("write %s was carried out %d times", write, times)
+		}
+	}
+}
+
+// checkUploadLeases checks that both sides agree on an agent's upload leases, and that there
+// are no more valid ones than slots.
+func (m *model) checkUploadLeases(agent *agentState) {
+	valid := 0
+	for _, lease := range agent.uploadLeases {
+		downloader := lease.downloader
+		if lease.source != agent || downloader == agent || !slices.Contains(downloader.downloadLeases, lease) || m.tracker.agents[downloader.name] != downloader {
+			m.Fatalf("%s has an upload lease that its downloader doesn't have: %+v", agent.name, lease)
+		}
+		if m.tracker.now < lease.validUntil {
+			valid++
+		}
+	}
+	if valid > agent.uploadSlots {
+		m.Fatalf("%s has %d upload leases on %d slots", agent.name, valid, agent.uploadSlots)
+	}
+}
+
+// checkDownloadLeases checks that both sides agree on an agent's download leases, and that the
+// sources hold something of the manifest.
+func (m *model) checkDownloadLeases(agent *agentState) {
+	for _, lease := range agent.downloadLeases {
+		if lease.source == nil {
+			continue
+		}
+		if !slices.Contains(lease.source.uploadLeases, lease) || m.tracker.agents[lease.source.name] != lease.source {
+			m.Fatalf("%s has a download lease that its source doesn't have: %+v", agent.name, lease)
+		}
+		if lease.source.members[lease.manifest] == nil {
+			m.Fatalf("%s has a lease for %s on %s, which has nothing of it", agent.name, lease.manifest, lease.source.name)
+		}
+	}
+}
+
+// checkHolderIndexes checks that an agent is found among the holders of what it holds, and only
+// there.
+func (m *model) checkHolderIndexes(agent *agentState) {
+	for d, member := range agent.members {
+		holders := m.tracker.swarms[d].holders[agent.zone]
+		if member.chunks > 0 && holders[member.holderIndex] != member || member.chunks == 0 && member.holderIndex != notHolding {
+			m.Fatalf("%s has holder index %d with %d chunks", agent.name, member.holderIndex, member.chunks)
+		}
+	}
+}
+
+// checkStoreLeases checks that agents and swarms agree on the leases on the store.
+func (m *model) checkStoreLeases() {
+	unmatched := 0
+	for _, agent := range m.tracker.agents {
+		for _, lease := range agent.downloadLeases {
+			if lease.source == nil {
+				unmatched++
+			}
+		}
+	}
+	for _, swarm := range m.tracker.swarms {
+		for stripe, lease := range swarm.storeLeases {
+			if lease == nil {
+				continue
+			}
+			unmatched--
+			if lease.stripe != stripe || !slices.Contains(lease.downloader.downloadLeases, lease) {
+				m.Fatalf("stripe %d has %+v", stripe, lease)
+			}
+		}
+	}
+	if unmatched != 0 {
+		m.Fatalf("agents have %d leases on the store more than swarms", unmatched)
+	}
+}
+
+// checkNames checks that while nothing is being written, the known records are those that are
+// stored, whatever earlier calls are still carried out.
+func (m *model) checkNames() {
+	names := m.tracker.names
+	if names == nil || !names.loaded || len(names.queue) > 0 {
+		return
+	}
+	for name, record := range names.records {
+		if stored := m.state.entries[NamesPrefix+name]; stored.Version != record.Revision {
+			m.Fatalf("%s is known with revision %d and stored with %d, and nothing is being written", name, record.Revision, stored.Version)
+		}
+	}
+}
--- /dev/null
+++ b/internal/distribution/tracker/names_test.go
@@ -0,0 +1,25 @@
+package tracker
+
+import (
+	"net/http"
+	"testing"
+	"time"
+)
+
+// Two operators ask for the same change, and the answer to the write comes when the lease is
+// uncertain: neither is told that the change holds, since another leader may have replaced it.
+func TestQueuedChangeIsNotConfirmedWithoutLease(t *testing.T) {
+	leader := newTestLeader(t)
+	effects := leader.tracker.Step(0, leader.term, []Command{UseCall{1, "x", manifests[0]}, UseCall{2, "x", manifests[0]}})
+	result := StateResult{leader.state.execute(effects[0].(StateCall).StateCall)}
+	leader.term.Until = time.Second
+	statuses := map[uint64]int{}
+	for _, effect := range leader.tracker.Step(2*time.Second, leader.term, []Command{result}) {
+		if reply, ok := effect.(Reply); ok {
+			statuses[reply.ID] = reply.Status
+		}
+	}
+	if statuses[1] != http.StatusServiceUnavailable || statuses[2] != http.StatusServiceUnavailable {
+		t.Errorf("statuses by request: %v", statuses)
+	}
+}
--- /dev/null
+++ b/internal/distribution/tracker/sources_test.go
@@ -0,0 +1,67 @@
+package tracker
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"oakpick/internal/distribution"
+)
+
+// A source that one agent accuses of damage is kept from that agent only, one that two accuse
+// is given to nobody, and a new session of it is trusted again.
+func TestAccusedSourcesAreNotAssigned(t *testing.T) {
+	leader := newTestLeader(t)
+	leader.use(t, "x", manifests[0])
+	report := func(agent string, sequence, session int64, chunks int, accused string) distribution.Answer {
+		t.Helper()
+		inventory := newInventory(agent, sequence, chunks)
+		inventory.Session = session
+		if accused != "" {
+			inventory.Faults = []distribution.SourceFault{{Source: accused, Manifest: manifests[0], Fault: distribution.FaultDamaged}}
+		}
+		return leader.report(t, 20*time.Second, inventory)
+	}
+	report("bad", 1, 1, 4, "")
+	if !hasSource(report("one", 1, 1, 0, ""), "bad") {
+		t.Fatal("a source that nobody accuses is not assigned")
+	}
+	if hasSource(report("one", 2, 1, 0, "bad"), "bad") {
+		t.Error("the source is assigned again to the agent that accuses it")
+	}
+	if !hasSource(report("two", 1, 1, 0, ""), "bad") {
+		t.Error("a single accuser takes the source from all")
+	}
+	report("two", 2, 1, 0, "bad")
+	if hasSource(report("three", 1, 1, 0, ""), "bad") {
+		t.Error("the source is assigned to a third agent after two accused it")
+	}
+	if answer := report("bad", 2, 1, 4, ""); len(answer.Recheck) != 1 {
+		t.Errorf("the accused source is not asked to verify: %+v", answer)
+	}
+	report("bad", 1, 2, 4, "")
+	if !hasSource(report("three", 2, 1, 0, ""), "bad") {
+		t.Error("the source is not trusted in a new session")
+	}
+}
+
+// The number of candidates that are examined for an inventory doesn't grow with the number of
+// agents.
+func TestExaminedCandidatesDontGrowWithFleet(t *testing.T) {
+	examinedPerInventory := func(agents int) float64 {
+		leader := newTestLeader(t)
+		leader.use(t, "x", manifests[0])
+		for round := range int64(4) {
+			for i := range agents {
+				leader.report(t, time.Duration(round)*time.Second, newInventory(fmt.Sprint(i), round+1, int(round)))
+			}
+		}
+		counts := leader.tracker.Counts()
+		return float64(counts.Examined) / float64(counts.Inventories)
+	}
+	few, many := examinedPerInventory(40), examinedPerInventory(4000)
+	t.Logf("candidates examined for an inventory: %.1f with 40 agents, %.1f with 4,000", few, many)
+	if many > 2*few+1 {
+		t.Errorf("%.1f candidates are examined with 4,000 agents, %.1f with 40", many, few)
+	}
+}
--- /dev/null
+++ b/internal/distribution/tracker/state_service_test.go
@@ -0,0 +1,63 @@
+package tracker
+
+import (
+	"oakpick/internal/coordination"
+	"oakpick/internal/protocol"
+	"oakpick/internal/storage"
+)
+
+// fakeStateService is the state service in memory: the names' keys and the leader's key.
+type fakeStateService struct {
+	entries     map[string]protocol.Entry
+	revision    int64
+	writeCounts map[string]int // how often each write ID was carried out
+}
+
+func newFakeStateService() *fakeStateService {
+	return &fakeStateService{entries: map[string]protocol.Entry{}, writeCounts: map[string]int{}}
+}
+
+// advanceToken writes the leader's key, and returns its version: the new fencing token.
+func (s *fakeStateService) advanceToken() int64 {
+	s.revision++
+	s.entries[coordination.LeaderKey] = protocol.Entry{Key: coordination.LeaderKey, Version: s.revision}
+	return s.revision
+}
+
+// execute carries out a call.
+func (s *fakeStateService) execute(call storage.StateCall) storage.StateResult {
+	result := storage.StateResult{ID: call.ID}
+	switch call.Op {
+	case storage.StateList:
+		for key, entry := range s.entries {
+			if key > NamesPrefix && key < NamesPrefix+"~" {
+				result.List.Entries = append(result.List.Entries, entry)
+			}
+		}
+	case storage.StateGet:
+		entry, found := s.entries[call.Key]
+		if !found {
+			result.Outcome = storage.NotFound
+		}
+		result.Entry = entry
+	case storage.StateTxn:
+		s.executeTxn(call.Txn, &result)
+	}
+	return result
+}
+
+// executeTxn makes the changes of a transaction if all of its conditions hold.
+func (s *fakeStateService) executeTxn(txn protocol.Txn, result *storage.StateResult) {
+	for _, condition := range txn.If {
+		if s.entries[condition.Key].Version != condition.Version {
+			result.Outcome = storage.Conflict
+			return
+		}
+	}
+	s.revision++
+	for _, change := range txn.Then {
+		s.entries[change.Put] = protocol.Entry{Key: change.Put, Value: protocol.Encode(change.Value), Version: s.revision}
+		s.writeCounts[change.Value.(storedName).WriteID]++
+	}
+	result.Number = s.revision
+}
--- /dev/null
+++ b/internal/distribution/tracker/tracker_test.go
@@ -0,0 +1,94 @@
+package tracker
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"oakpick/internal/distribution"
+)
+
+// An inventory that was sent earlier and arrives later is refused and changes nothing: what the
+// agent holds now stays known.
+func TestLateInventoryChangesNothing(t *testing.T) {
+	leader := newTestLeader(t)
+	leader.use(t, "x", manifests[0])
+	leader.report(t, time.Second, newInventory("one", 5, 4))
+	for _, late := range []*distribution.Inventory{
+		newInventory("one", 4, 0),
+		newInventory("one", 5, 0),
+		{Agent: "one", Zone: "a", Session: 0, Sequence: 9},
+	} {
+		if reply := leader.send(2*time.Second, InventoryCall{3, late}); reply.Status != http.StatusConflict {
+			t.Errorf("session %d, sequence %d: %+v", late.Session, late.Sequence, reply)
+		}
+	}
+	answer := leader.report(t, 3*time.Second, newInventory("two", 1, 0))
+	if !hasSource(answer, "one") {
+		t.Errorf("the agent is no source any more: %+v", answer.Sources)
+	}
+}
+
+// A controller whose lease is uncertain, one that has not read the names and one that doesn't
+// lead answer nothing: they refuse with a time to ask again, or forward to the leader.
+func TestOnlyLeaderWithLeaseAnswers(t *testing.T) {
+	leader := newTestLeader(t)
+	leader.use(t, "x", manifests[0])
+	leader.term.Until = 10 * time.Second
+	leader.report(t, 9*time.Second, newInventory("one", 1, 0))
+	reply := leader.send(10*time.Second, InventoryCall{3, newInventory("one", 2, 0)})
+	if reply.Status != http.StatusServiceUnavailable || reply.RetryAfter == 0 {
+		t.Errorf("after the lease: %+v", reply)
+	}
+	leader.term = Term{}
+	if reply := leader.send(11*time.Second, NamesCall{ID: 4}); reply.Status != http.StatusServiceUnavailable {
+		t.Errorf("without a leader: %+v", reply)
+	}
+	effects := leader.tracker.Step(12*time.Second, Term{Leader: "n2"}, []Command{NamesCall{ID: 5}})
+	if len(effects) != 1 || effects[0] != (Forward{5, "n2"}) {
+		t.Errorf("a follower: %+v", effects)
+	}
+	leader.term = Term{Reign: 9, Token: 9, Until: time.Hour}
+	if reply := leader.send(13*time.Second, NamesCall{ID: 6}); reply.Status != http.StatusServiceUnavailable {
+		t.Errorf("before the names are read: %+v", reply)
+	}
+}
+
+// Unknown zones, unknown names and changes beyond the queue are refused.
+func TestInvalidRequestsAreRefused(t *testing.T) {
+	leader := newTestLeader(t)
+	stranger := newInventory("one", 1, 0)
+	stranger.Zone = "nowhere"
+	if reply := leader.send(0, InventoryCall{1, stranger}); reply.Status != http.StatusBadRequest {
+		t.Errorf("unknown zone: %+v", reply)
+	}
+	if reply := leader.send(0, StatusCall{ID: 2, Name: "never"}); reply.Status != http.StatusNotFound {
+		t.Errorf("unknown name: %+v", reply)
+	}
+	for i := range maxQueuedChanges {
+		if reply := leader.send(0, UseCall{uint64(10 + i), fmt.Sprint("n", i), manifests[0]}); reply.Status != 0 {
+			t.Fatalf("change %d is not queued: %+v", i, reply)
+		}
+	}
+	reply := leader.send(0, UseCall{99, "more", manifests[0]})
+	if reply.Status != http.StatusServiceUnavailable || reply.RetryAfter == 0 {
+		t.Errorf("change beyond the queue: %+v", reply)
+	}
+}
+
+// An agent that stops reporting is removed with its leases, and no other is.
+func TestSilentAgentsExpire(t *testing.T) {
+	leader := newTestLeader(t)
+	leader.use(t, "x", manifests[0])
+	leader.report(t, 0, newInventory("one", 1, 4))
+	leader.report(t, 10*time.Second, newInventory("two", 1, 0))
+	leader.tracker.Step(13*time.Second, leader.term, []Command{Tick{}})
+	if leader.tracker.Agents() != 1 {
+		t.Errorf("%d agents are known", leader.tracker.Agents())
+	}
+	answer := leader.report(t, 14*time.Second, newInventory("two", 2, 0))
+	if len(answer.Sources) != 1 || answer.Sources[0].Agent != distribution.StoreSource {
+		t.Errorf("sources %+v", answer.Sources)
+	}
+}
