--- a/internal/distribution/simulation/benchmark_test.go
+++ b/internal/distribution/simulation/benchmark_test.go
@@ -17,19 +17,19 @@
 			var seconds float64
 			for n := range b.N {
 				o := Defaults()
-				o.Agents, o.StoreSlots, o.Ticks, o.Seed = agents, 8, 4, uint64(n+1)
+				o.Agents, o.StoreSlots, o.TicksPerReport, o.Seed = agents, 8, 4, uint64(n+1)
 				w := New(o)
-				w.Tracked = func(step func()) {
+				w.MeasureStep = func(step func()) {
 					began := time.Now()
 					step()
 					spent += time.Since(began)
 				}
 				m := w.Store.Publish(chunks/2, chunkBytes, nil, 0)
-				w.Use(weights, m.Digest)
+				w.Use(weightsName, m.Digest)
 				w.StartAll()
-				took, ok := w.UntilReady(minutes, weights, m.Digest)
-				if !ok || len(w.Broken) > 0 {
-					b.Fatalf("ready %v, broken %v", ok, w.Broken)
+				took, ok := w.UntilReady(maxWait, weightsName, m.Digest)
+				if !ok || len(w.Violations) > 0 {
+					b.Fatalf("ready %v, broken %v", ok, w.Violations)
 				}
 				seconds += took.Seconds()
 				bytes += w.Bytes.Up + w.Bytes.Down
--- a/internal/distribution/simulation/disk_test.go
+++ b/internal/distribution/simulation/disk_test.go
@@ -8,29 +8,29 @@
 )
 
 // limitedDisk takes so many more bytes.
-type limitedDisk struct {
+type fullDisk struct {
 	afero.Fs
-	left *int64
+	freeBytes *int64
 }
 
-func (d *limitedDisk) OpenFile(name string, flag int, mode os.FileMode) (afero.File, error) {
+func (d *fullDisk) OpenFile(name string, flag int, mode os.FileMode) (afero.File, error) {
 	f, err := d.Fs.OpenFile(name, flag, mode)
 	if err != nil {
 		return nil, err
 	}
-	return &limitedFile{f, d.left}, nil
+	return &fullDiskFile{f, d.freeBytes}, nil
 }
 
-type limitedFile struct {
+type fullDiskFile struct {
 	afero.File
-	left *int64
+	freeBytes *int64
 }
 
 // Write writes what there is room for, as a full disk does.
-func (f *limitedFile) Write(p []byte) (int, error) {
-	fits := min(int64(len(p)), *f.left)
+func (f *fullDiskFile) Write(p []byte) (int, error) {
+	fits := min(int64(len(p)), *f.freeBytes)
 	n, err := f.File.Write(p[:fits])
-	*f.left -= int64(n)
+	*f.freeBytes -= int64(n)
 	if err == nil && n < len(p) {
 		err = syscall.ENOSPC
 	}
--- a/internal/distribution/simulation/simulation_test.go
+++ b/internal/distribution/simulation/simulation_test.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	weights    = "models/frontdesk"
-	chunkBytes = 1024
-	chunks     = 64
+	weightsName = "models/frontdesk"
+	chunkBytes  = 1024
+	chunks      = 64
 	// minutes is long enough for anything that is to happen.
-	minutes = 5 * time.Minute
+	maxWait = 5 * time.Minute
 )
 
 // check fails if anything happened that must not.
-func check(t *testing.T, w *World) {
+func requireNoViolations(t *testing.T, w *World) {
 	t.Helper()
-	for _, b := range w.Broken {
+	for _, b := range w.Violations {
 		t.Error(b)
 	}
 	for _, a := range w.Agents {
-		if a.MostUploads > a.Slots {
-			t.Errorf("%s had %d uploads at a time in %d slots", a.Name, a.MostUploads, a.Slots)
+		if a.MaxUploads > a.UploadSlots {
+			t.Errorf("%s had %d uploads at a time in %d slots", a.Name, a.MaxUploads, a.UploadSlots)
 		}
 	}
 	if len(w.World.Broken) > 0 {
@@ -30,22 +30,22 @@
 }
 
 // alone is how long one agent takes to fetch everything from the store.
-func alone(t *testing.T, o Options) time.Duration {
+func singleAgentTime(t *testing.T, o Options) time.Duration {
 	t.Helper()
 	o.Agents = 1
-	w, m := begin(t, o)
-	return ready(t, w, m)
+	w, m := startWorld(t, o)
+	return requireReady(t, w, m)
 }
 
 // Forty agents are ready within twice the time that one alone takes, and the store sends
 // little more than one copy.
-func TestAllAreReadyWithinTwiceTheTimeOfOne(t *testing.T) {
+func TestFleetIsReadyWithinTwiceTheTimeOfOne(t *testing.T) {
 	o := Defaults()
 	o.Agents, o.StoreSlots = 40, 8
-	one := alone(t, o)
-	w, m := begin(t, o)
-	took := ready(t, w, m)
-	copies := float64(w.Store.SentBytes()) / float64(m.Size)
+	one := singleAgentTime(t, o)
+	w, m := startWorld(t, o)
+	took := requireReady(t, w, m)
+	copies := float64(w.Store.TotalSentBytes()) / float64(m.Size)
 	t.Logf("one alone %.1f s, forty %.1f s (%.2f times), store sent %.2f copies", one.Seconds(), took.Seconds(), took.Seconds()/one.Seconds(), copies)
 	if took > 2*one {
 		t.Errorf("forty agents took %.2f times as long as one", took.Seconds()/one.Seconds())
--- a/internal/distribution/simulation/store.go
+++ b/internal/distribution/simulation/store.go
@@ -14,25 +14,25 @@
 // Store is the stand-in for the store of weights.
 type Store struct {
 	endpoint
-	w         *World
-	Down      bool
-	Damaged   map[digest.Digest]bool // chunks of which it sends wrong bytes
-	Missing   map[digest.Digest]bool // chunks that it doesn't have
-	manifests map[digest.Digest]*distribution.Manifest
-	chunks    map[digest.Digest][]byte
-	Sent      map[digest.Digest]int64 // bytes by chunk
+	world         *World
+	Down          bool
+	DamagedChunks map[digest.Digest]bool // chunks of which it sends wrong bytes
+	MissingChunks map[digest.Digest]bool // chunks that it doesn't have
+	manifests     map[digest.Digest]*distribution.Manifest
+	chunks        map[digest.Digest][]byte
+	SentBytes     map[digest.Digest]int64 // bytes by chunk
 }
 
 func newStore(w *World) *Store {
 	return &Store{
-		w: w, endpoint: endpoint{rate: w.Options.Rate}, Damaged: map[digest.Digest]bool{}, Missing: map[digest.Digest]bool{},
-		manifests: map[digest.Digest]*distribution.Manifest{}, chunks: map[digest.Digest][]byte{}, Sent: map[digest.Digest]int64{},
+		world: w, endpoint: endpoint{bytesPerSecond: w.Options.BytesPerSecond}, DamagedChunks: map[digest.Digest]bool{}, MissingChunks: map[digest.Digest]bool{},
+		manifests: map[digest.Digest]*distribution.Manifest{}, chunks: map[digest.Digest][]byte{}, SentBytes: map[digest.Digest]int64{},
 	}
 }
 
 // SentBytes is how much it has sent.
-func (s *Store) SentBytes() (sum int64) {
-	for _, n := range s.Sent {
+func (s *Store) TotalSentBytes() (sum int64) {
+	for _, n := range s.SentBytes {
 		sum += n
 	}
 	return sum
@@ -41,7 +41,7 @@
 // Publish makes a version of random chunks of such a size. Of the version before, if one is
 // named, the first so many are kept.
 func (s *Store) Publish(chunks int, size int64, before *distribution.Manifest, kept int) *distribution.Manifest {
-	rng := rand.New(rand.NewPCG(s.w.Options.Seed, uint64(len(s.chunks))))
+	rng := rand.New(rand.NewPCG(s.world.Options.Seed, uint64(len(s.chunks))))
 	var list []distribution.Chunk
 	var whole []byte
 	for i := range chunks {
@@ -64,23 +64,23 @@
 		panic(err) // the chunks here are sound
 	}
 	s.manifests[m.Digest] = m
-	s.w.versions[m.Digest] = whole
+	s.world.versions[m.Digest] = whole
 	return m
 }
 
 // bytes is what it would send of a chunk.
-func (s *Store) bytes(d digest.Digest) []byte {
-	if s.Missing[d] {
+func (s *Store) uploadContent(d digest.Digest) []byte {
+	if s.MissingChunks[d] {
 		return nil
 	}
-	if s.Damaged[d] {
-		return inverted(s.chunks[d])
+	if s.DamagedChunks[d] {
+		return corrupted(s.chunks[d])
 	}
 	return s.chunks[d]
 }
 
 // inverted are bytes that are all wrong.
-func inverted(content []byte) []byte {
+func corrupted(content []byte) []byte {
 	out := make([]byte, len(content))
 	for i, b := range content {
 		out[i] = ^b
--- a/internal/distribution/simulation/world.go
+++ b/internal/distribution/simulation/world.go
@@ -22,19 +22,19 @@
 
 // Options are the size of a world.
 type Options struct {
-	Settings   config.Settings
-	Agents     int
-	Rate       float64 // bytes a second of each link, up and down, and of the store's
-	StoreSlots int
-	Names      []string
-	DiskBytes  int64
-	Seed       uint64
-	Ticks      int // of an agent, a report
+	Settings       config.Settings
+	Agents         int
+	BytesPerSecond float64 // bytes a second of each link, up and down, and of the store's
+	StoreSlots     int
+	Names          []string
+	DiskBytes      int64
+	Seed           uint64
+	TicksPerReport int // of an agent, a report
 }
 
 // Defaults are those of a small test: three controllers, two zones.
 func Defaults() Options {
-	return Options{Settings: fake.Settings(), Agents: 12, Rate: 4096, StoreSlots: 4, Names: []string{"models/frontdesk"}, Seed: 1, Ticks: 20}
+	return Options{Settings: fake.Settings(), Agents: 12, BytesPerSecond: 4096, StoreSlots: 4, Names: []string{"models/frontdesk"}, Seed: 1, TicksPerReport: 20}
 }
 
 // World is everything.
@@ -44,55 +44,55 @@
 	Store   *Store
 	Agents  []*Agent
 	// CutZones are cut off from all others, from the store and from the controllers.
-	CutZones map[string]bool
+	PartitionedZones map[string]bool
 	// Broken lists what must not happen and did.
-	Broken []string
+	Violations []string
 	// Bytes counts what went between agents and controllers, as JSON.
 	Bytes struct{ Up, Down, Inventories int64 }
 	// Tracked is told how long each step of a tracker took; nil: nobody.
-	Tracked func(step func())
+	MeasureStep func(step func())
 
 	rng      *rand.Rand
-	trackers []*host
+	trackers []*trackerHost
 	versions map[digest.Digest][]byte
-	uses     uint64
+	lastUse  uint64
 }
 
 // host is a controller's tracker, for one life of its process.
-type host struct {
-	w       *World
-	node    *fake.Node
-	life    int
-	tracker *tracker.Tracker
-	replies map[uint64]pendingReply
-	nextID  uint64
+type trackerHost struct {
+	world       *World
+	node        *fake.Node
+	incarnation int
+	tracker     *tracker.Tracker
+	pending     map[uint64]pendingRequest
+	nextID      uint64
 }
 
-type pendingReply struct {
+type pendingRequest struct {
 	command  func(id uint64) tracker.Command
 	reply    func(tracker.Reply)
 	fromPeer bool
 }
 
 const (
-	trackerTick = 50 * time.Millisecond
-	latency     = 5 * time.Millisecond
+	trackerTickInterval = 50 * time.Millisecond
+	latency             = 5 * time.Millisecond
 )
 
 // New makes a world in which a controller leads and no agent has started.
 func New(o Options) *World {
 	w := &World{
-		World: fake.NewWorld(o.Settings), Options: o, CutZones: map[string]bool{}, rng: rand.New(rand.NewPCG(o.Seed, 1)),
+		World: fake.NewWorld(o.Settings), Options: o, PartitionedZones: map[string]bool{}, rng: rand.New(rand.NewPCG(o.Seed, 1)),
 		versions: map[digest.Digest][]byte{},
 	}
 	w.Store = newStore(w)
 	for _, n := range w.Nodes {
-		w.trackers = append(w.trackers, &host{w: w, node: n, replies: map[uint64]pendingReply{}})
+		w.trackers = append(w.trackers, &trackerHost{world: w, node: n, pending: map[uint64]pendingRequest{}})
 	}
 	for i := range o.Agents {
 		w.Agents = append(w.Agents, newAgent(w, i))
 	}
-	w.every(trackerTick, func() {
+	w.every(trackerTickInterval, func() {
 		for _, h := range w.trackers {
 			h.step(tracker.Tick{})
 		}
@@ -110,8 +110,8 @@
 	})
 }
 
-func (w *World) fail(format string, args ...any) {
-	w.Broken = append(w.Broken, fmt.Sprintf("%.2f s: ", w.Now.Seconds())+fmt.Sprintf(format, args...))
+func (w *World) recordViolation(format string, args ...any) {
+	w.Violations = append(w.Violations, fmt.Sprintf("%.2f s: ", w.Now.Seconds())+fmt.Sprintf(format, args...))
 }
 
 // StartAll starts every agent.
@@ -122,27 +122,27 @@
 }
 
 // report is the interval of an agent's inventories.
-func (w *World) report() time.Duration {
+func (w *World) reportInterval() time.Duration {
 	return config.Seconds(w.Options.Settings.Workers.Report / 2)
 }
 
 // tracker gives the tracker of the process that a node runs now; nil: it runs none.
-func (h *host) running() *tracker.Tracker {
-	if !h.node.Up || h.w.Now < h.node.PausedUntil {
+func (h *trackerHost) runningTracker() *tracker.Tracker {
+	if !h.node.Up || h.world.Now < h.node.PausedUntil {
 		return nil
 	}
-	if h.tracker == nil || h.life != h.node.Life() {
-		h.life, h.replies = h.node.Life(), map[uint64]pendingReply{}
+	if h.tracker == nil || h.incarnation != h.node.Life() {
+		h.incarnation, h.pending = h.node.Life(), map[uint64]pendingRequest{}
 		h.tracker = tracker.New(tracker.Parameters{
-			ReportInterval: h.w.report(), IdleReportInterval: 4 * h.w.report(), RetryInterval: h.w.report() / 8, StoreSlots: h.w.Options.StoreSlots,
-			Zones: h.w.Options.Settings.Zones, ProcessID: fmt.Sprintf("%s-%d", h.node.Name, h.life), Seed: h.w.Options.Seed + uint64(h.life),
+			ReportInterval: h.world.reportInterval(), IdleReportInterval: 4 * h.world.reportInterval(), RetryInterval: h.world.reportInterval() / 8, StoreSlots: h.world.Options.StoreSlots,
+			Zones: h.world.Options.Settings.Zones, ProcessID: fmt.Sprintf("%s-%d", h.node.Name, h.incarnation), Seed: h.world.Options.Seed + uint64(h.incarnation),
 		})
 	}
 	return h.tracker
 }
 
-func (h *host) step(c tracker.Command) {
-	t := h.running()
+func (h *trackerHost) step(c tracker.Command) {
+	t := h.runningTracker()
 	if t == nil {
 		return
 	}
@@ -150,33 +150,33 @@
 	step := func() {
 		effects = t.Step(h.node.Steady(), h.node.Coordination().Term(), []tracker.Command{c})
 	}
-	if h.w.Tracked != nil {
-		h.w.Tracked(step)
+	if h.world.MeasureStep != nil {
+		h.world.MeasureStep(step)
 	} else {
 		step()
 	}
 	for _, e := range effects {
-		h.perform(e)
+		h.execute(e)
 	}
 }
 
-func (h *host) perform(effect tracker.Effect) {
+func (h *trackerHost) execute(effect tracker.Effect) {
 	switch e := effect.(type) {
 	case tracker.Reply:
-		if p, ok := h.replies[e.ID]; ok {
-			delete(h.replies, e.ID)
+		if p, ok := h.pending[e.ID]; ok {
+			delete(h.pending, e.ID)
 			p.reply(e)
 		}
 	case tracker.Forward:
-		p := h.replies[e.ID]
-		delete(h.replies, e.ID)
+		p := h.pending[e.ID]
+		delete(h.pending, e.ID)
 		if p.fromPeer {
-			p.reply(tracker.Reply{Status: http.StatusServiceUnavailable, RetryAfter: h.w.report()})
+			p.reply(tracker.Reply{Status: http.StatusServiceUnavailable, RetryAfter: h.world.reportInterval()})
 			return
 		}
-		for _, other := range h.w.trackers {
+		for _, other := range h.world.trackers {
 			if other.node.Name == e.Peer {
-				h.w.After(latency, func() { other.ask(p.command, true, p.reply) })
+				h.world.After(latency, func() { other.send(p.command, true, p.reply) })
 			}
 		}
 	case tracker.StateCall:
@@ -187,31 +187,31 @@
 }
 
 // ask hands a command to the tracker. Without an answer nothing is called.
-func (h *host) ask(command func(id uint64) tracker.Command, fromPeer bool, reply func(tracker.Reply)) {
-	if h.running() == nil {
+func (h *trackerHost) send(command func(id uint64) tracker.Command, fromPeer bool, reply func(tracker.Reply)) {
+	if h.runningTracker() == nil {
 		return
 	}
 	h.nextID++
-	h.replies[h.nextID] = pendingReply{command, reply, fromPeer}
+	h.pending[h.nextID] = pendingRequest{command, reply, fromPeer}
 	h.step(command(h.nextID))
 }
 
 // Use has a name refer to a version: an operator who asks one controller after another until
 // the answer is 200. Later calls replace earlier ones.
 func (w *World) Use(name string, manifest digest.Digest) {
-	w.uses++
-	use, at := w.uses, 0
+	w.lastUse++
+	use, at := w.lastUse, 0
 	var try func()
 	try = func() {
-		if use != w.uses {
+		if use != w.lastUse {
 			return
 		}
 		done := false
-		w.trackers[at%len(w.trackers)].ask(func(id uint64) tracker.Command {
+		w.trackers[at%len(w.trackers)].send(func(id uint64) tracker.Command {
 			return tracker.UseCall{ID: id, Name: name, Manifest: manifest}
 		}, false, func(r tracker.Reply) { done = done || r.Status == http.StatusOK })
 		at++
-		w.After(w.report(), func() {
+		w.After(w.reportInterval(), func() {
 			if !done {
 				try()
 			}
@@ -222,29 +222,29 @@
 
 // inventory brings an agent's report to a controller, through the check that a real one
 // makes, and the answer back.
-func (w *World) inventory(controller int, i distribution.Inventory, answer func(tracker.Reply)) {
+func (w *World) sendInventory(controller int, i distribution.Inventory, answer func(tracker.Reply)) {
 	text, err := json.Marshal(i)
 	if err != nil {
-		w.fail("inventory: %v", err)
+		w.recordViolation("inventory: %v", err)
 		return
 	}
 	w.Bytes.Up += int64(len(text))
 	w.Bytes.Inventories++
 	decoded := &distribution.Inventory{}
 	if err := distribution.Decode(text, decoded); err != nil {
-		w.fail("an inventory is refused: %v", err)
+		w.recordViolation("an inventory is refused: %v", err)
 		return
 	}
-	w.trackers[controller].ask(func(id uint64) tracker.Command {
+	w.trackers[controller].send(func(id uint64) tracker.Command {
 		return tracker.InventoryCall{ID: id, Inventory: decoded}
 	}, false, func(r tracker.Reply) {
 		text, err := json.Marshal(r.Body)
 		if err != nil {
-			w.fail("answer: %v", err)
+			w.recordViolation("answer: %v", err)
 		}
 		w.Bytes.Down += int64(len(text))
 		if len(text) > distribution.MaxMessageBytes {
-			w.fail("an answer of %d bytes", len(text))
+			w.recordViolation("an answer of %d bytes", len(text))
 		}
 		answer(r)
 	})
@@ -272,6 +272,6 @@
 }
 
 // apart tells whether the network keeps two places from each other.
-func (w *World) apart(a, b string) bool {
-	return a != b && (w.CutZones[a] || w.CutZones[b])
+func (w *World) arePartitioned(a, b string) bool {
+	return a != b && (w.PartitionedZones[a] || w.PartitionedZones[b])
 }
