--- /dev/null
+++ b/internal/distribution/simulation/outages_test.go
@@ -0,0 +1,135 @@
+package simulation
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// The leader ends, loses the state service for a while, or stands still until another leads and
+// then goes on. Meanwhile transfers go on from known sources, names never go back, and no source
+// exceeds its slots, although the new leader knows nothing of the old one's leases.
+func TestLeaderFailsDuringFetch(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		fail func(w *World)
+	}{
+		{"ends", func(w *World) {
+			leader := w.Leader()
+			leader.Crash()
+			w.After(20*time.Second, leader.Start)
+		}},
+		{"in doubt", func(w *World) {
+			w.State.Outage(true)
+			w.After(8*time.Second, func() { w.State.Outage(false) })
+		}},
+		{"deposed and wakes", func(w *World) {
+			w.Leader().PausedUntil = w.Now + 6*time.Second
+		}},
+		{"all end", func(w *World) {
+			for _, node := range w.Nodes {
+				node.Crash()
+				w.After(5*time.Second, node.Start)
+			}
+		}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			w, m := startWorld(t, Defaults())
+			w.Run(7 * time.Second)
+			before := totalStoredChunks(w)
+			test.fail(w)
+			w.Run(4 * time.Second)
+			after := totalStoredChunks(w)
+			if after <= before {
+				t.Errorf("%d chunks before, %d after four seconds without a leader", before, after)
+			}
+			requireReady(t, w, m)
+			requireFetchedOnce(t, w)
+		})
+	}
+}
+
+// If every chunk is with some peer, all agents get ready without the store. If one is with
+// nobody, they wait, name the chunk, and go on when the store is back.
+func TestStoreOutage(t *testing.T) {
+	t.Run("every chunk is with some peer", func(t *testing.T) {
+		w, m := startWorld(t, Defaults())
+		if !w.Until(maxWait, func() bool { return w.Store.TotalSentBytes() >= m.Size }) {
+			t.Fatal("the store has not sent everything once")
+		}
+		w.Run(time.Second)
+		w.Store.Down = true
+		requireReady(t, w, m)
+	})
+	t.Run("one chunk is with nobody", func(t *testing.T) {
+		w := New(Defaults())
+		m := w.Store.Publish(chunks, chunkBytes, nil, 0)
+		missing := m.Chunks[5].Digest
+		w.Store.MissingChunks[missing] = true
+		w.Use(weightsName, m.Digest)
+		w.StartAll()
+		w.Run(maxWait / 2)
+		w.Store.Down = true
+		w.Run(maxWait / 10)
+		for _, a := range w.Agents {
+			if storedChunks(a) != chunks-1 {
+				t.Errorf("%s holds %d chunks", a.Name, storedChunks(a))
+			}
+			if len(a.ReportedWaits) != 1 || a.ReportedWaits[0].Chunk != missing && a.ReportedWaits[0].Chunk != "" {
+				t.Errorf("%s waits for %+v", a.Name, a.ReportedWaits)
+			}
+		}
+		named := 0
+		for _, a := range w.Agents {
+			if a.ReportedWaits[0].Chunk == missing {
+				named++
+			}
+		}
+		if named == 0 {
+			t.Error("no agent names the chunk that is missing")
+		}
+		w.Store.MissingChunks[missing], w.Store.Down = false, false
+		if took := requireReady(t, w, m); took > time.Minute {
+			t.Errorf("it took %v after the store was back", took)
+		}
+		requireFetchedOnce(t, w)
+	})
+}
+
+// A zone is partitioned from everything during the fetch. The other zone gets ready, and both do
+// once the partition heals.
+func TestZonePartitionHeals(t *testing.T) {
+	w, m := startWorld(t, Defaults())
+	w.Run(6 * time.Second)
+	zone := w.Options.Settings.Zones[0]
+	setPartitioned(w, zone, true)
+	outside := slices.DeleteFunc(slices.Clone(w.Agents), func(a *Agent) bool { return a.Zone() == zone })
+	if !w.Until(maxWait, func() bool { return allActive(outside, m) }) {
+		t.Error("the other zone is not ready")
+	}
+	setPartitioned(w, zone, false)
+	requireReady(t, w, m)
+}
+
+// setPartitioned partitions a zone from everything, or heals the partition.
+func setPartitioned(w *World, zone string, partitioned bool) {
+	w.PartitionedZones[zone] = partitioned
+	for _, a := range w.Agents {
+		reshare(&a.endpoint)
+	}
+}
+
+// Agents are killed at every stage of the fetch, also during writes and activations, and start
+// again with what is on their disks: nothing that they had is fetched again.
+func TestRestartedAgentsKeepTheirChunks(t *testing.T) {
+	w, m := startWorld(t, Defaults())
+	for i := range 40 {
+		w.Run(700 * time.Millisecond)
+		a := w.Agents[i%len(w.Agents)]
+		a.Kill()
+		w.After(600*time.Millisecond, a.Start)
+	}
+	w.Run(time.Second)
+	requireReady(t, w, m)
+	requireFetchedOnce(t, w)
+}
--- a/internal/distribution/simulation/store.go
+++ b/internal/distribution/simulation/store.go
@@ -6,31 +6,33 @@
 	"github.com/opencontainers/go-digest"
 
 	"oakpick/internal/distribution"
-	"oakpick/internal/storage"
 )
 
-type storageResult = storage.StateResult
-
-// Store is the stand-in for the store of weights.
+// Store simulates the store of weights.
 type Store struct {
 	endpoint
 	world         *World
 	Down          bool
-	DamagedChunks map[digest.Digest]bool // chunks of which it sends wrong bytes
-	MissingChunks map[digest.Digest]bool // chunks that it doesn't have
+	DamagedChunks map[digest.Digest]bool // sent with wrong bytes
+	MissingChunks map[digest.Digest]bool // answered as not there
 	manifests     map[digest.Digest]*distribution.Manifest
 	chunks        map[digest.Digest][]byte
-	SentBytes     map[digest.Digest]int64 // bytes by chunk
+	SentBytes     map[digest.Digest]int64 // by chunk
 }
 
 func newStore(w *World) *Store {
 	return &Store{
-		world: w, endpoint: endpoint{bytesPerSecond: w.Options.BytesPerSecond}, DamagedChunks: map[digest.Digest]bool{}, MissingChunks: map[digest.Digest]bool{},
-		manifests: map[digest.Digest]*distribution.Manifest{}, chunks: map[digest.Digest][]byte{}, SentBytes: map[digest.Digest]int64{},
+		world:         w,
+		endpoint:      endpoint{bytesPerSecond: w.Options.BytesPerSecond},
+		DamagedChunks: map[digest.Digest]bool{},
+		MissingChunks: map[digest.Digest]bool{},
+		manifests:     map[digest.Digest]*distribution.Manifest{},
+		chunks:        map[digest.Digest][]byte{},
+		SentBytes:     map[digest.Digest]int64{},
 	}
 }
 
-// SentBytes is how much it has sent.
+// TotalSentBytes returns how much the store has sent, over all chunks.
 func (s *Store) TotalSentBytes() (sum int64) {
 	for _, n := range s.SentBytes {
 		sum += n
@@ -38,37 +40,37 @@
 	return sum
 }
 
-// Publish makes a version of random chunks of such a size. Of the version before, if one is
-// named, the first so many are kept.
-func (s *Store) Publish(chunks int, size int64, before *distribution.Manifest, kept int) *distribution.Manifest {
+// Publish makes a version of random chunks. If a previous version is given, the first kept
+// chunks are the same as in that one.
+func (s *Store) Publish(chunks int, chunkBytes int64, previous *distribution.Manifest, kept int) *distribution.Manifest {
 	rng := rand.New(rand.NewPCG(s.world.Options.Seed, uint64(len(s.chunks))))
 	var list []distribution.Chunk
 	var whole []byte
 	for i := range chunks {
-		if before != nil && i < kept {
-			list = append(list, before.Chunks[i])
-			whole = append(whole, s.chunks[before.Chunks[i].Digest]...)
+		if previous != nil && i < kept {
+			list = append(list, previous.Chunks[i])
+			whole = append(whole, s.chunks[previous.Chunks[i].Digest]...)
 			continue
 		}
-		content := make([]byte, size)
+		content := make([]byte, chunkBytes)
 		for j := range content {
 			content[j] = byte(rng.Uint32())
 		}
 		d := digest.FromBytes(content)
 		s.chunks[d] = content
-		list = append(list, distribution.Chunk{Digest: d, Size: size})
+		list = append(list, distribution.Chunk{Digest: d, Size: chunkBytes})
 		whole = append(whole, content...)
 	}
 	m, err := distribution.NewManifest(list)
 	if err != nil {
-		panic(err) // the chunks here are sound
+		panic(err) // the chunks made here are valid
 	}
 	s.manifests[m.Digest] = m
 	s.world.versions[m.Digest] = whole
 	return m
 }
 
-// bytes is what it would send of a chunk.
+// uploadContent returns what the store sends of a chunk; nil: it doesn't have it.
 func (s *Store) uploadContent(d digest.Digest) []byte {
 	if s.MissingChunks[d] {
 		return nil
@@ -79,7 +81,7 @@
 	return s.chunks[d]
 }
 
-// inverted are bytes that are all wrong.
+// corrupted returns a copy in which every byte is wrong.
 func corrupted(content []byte) []byte {
 	out := make([]byte, len(content))
 	for i, b := range content {
--- a/internal/distribution/simulation/transfer.go
+++ b/internal/distribution/simulation/transfer.go
@@ -2,40 +2,73 @@
 
 import (
 	"bytes"
+	"slices"
 	"time"
 
 	"oakpick/internal/distribution"
 	"oakpick/internal/distribution/agent"
 )
 
-// endpoint is one end of links: what it sends and receives is shared out evenly.
+// endpoint is a machine's link, which its transfers share evenly.
 type endpoint struct {
-	bytesPerSecond float64 // bytes a second, each way
-	hanging        bool    // nothing of it moves, and nothing is said about that
+	bytesPerSecond float64 // in each direction
+	hanging        bool    // nothing is transferred, and no connection breaks
 	uploads        []*transfer
 	downloads      []*transfer
 	MaxUploads     int // at a time, so far
 	RefusedUploads int
 }
 
-// transfer is a chunk's bytes on their way.
+// transfer is a chunk that is being sent.
 type transfer struct {
 	world          *World
 	from           *endpoint
 	source         *Agent // nil: the store
 	to             *Agent
 	request        agent.GetChunk
-	content        []byte // behind the offset
+	content        []byte // from the requested offset on
 	doneBytes      float64
-	progressAt     time.Duration // when done was true
+	progressAt     time.Duration // to which doneBytes refers
 	bytesPerSecond float64
-	planID         int // names the last plan of its end
+	planID         int // of the last planned end; earlier ones are void
 	lastMovedAt    time.Duration
 	ended          bool
 	onEnd          func(agent.ChunkResult)
 }
 
-// begin starts a transfer, which shares the links of both ends.
+// open finds the source and the content of the transfer. A fault says why the source refuses.
+func (t *transfer) open() distribution.Fault {
+	chunk := t.request.Chunk
+	var content []byte
+	if t.request.From.Name == distribution.StoreSource {
+		t.from = &t.world.Store.endpoint
+		if t.world.Store.Down {
+			return distribution.FaultUnreachable
+		}
+		content = t.world.Store.uploadContent(chunk.Digest)
+	} else {
+		peer := t.to.findPeer(t.request.From.Name)
+		if peer == nil {
+			return distribution.FaultUnreachable
+		}
+		t.source, t.from = peer, &peer.endpoint
+		if !peer.hanging && len(peer.uploads) >= peer.UploadSlots {
+			peer.RefusedUploads++
+			return distribution.FaultBusy
+		}
+		content = peer.uploadContent(chunk.Digest)
+	}
+	if content == nil {
+		return distribution.FaultMissing
+	}
+	if int64(len(content)) != chunk.Size {
+		return distribution.FaultDamaged // the answer's header announces another size
+	}
+	t.content = content[t.request.Offset:]
+	return ""
+}
+
+// start starts the transfer and sets the timeouts that the requesting agent has.
 func (t *transfer) start() {
 	t.progressAt, t.lastMovedAt = t.world.Now, t.world.Now
 	t.from.uploads = append(t.from.uploads, t)
@@ -46,7 +79,7 @@
 	t.watchStall()
 }
 
-// watch gives the transfer up when nothing has moved for too long.
+// watchStall ends the transfer when nothing has been transferred for too long.
 func (t *transfer) watchStall() {
 	t.world.After(t.request.StallTimeout/4, func() {
 		if t.ended {
@@ -61,7 +94,7 @@
 	})
 }
 
-// progress moves what had time to move.
+// progress accounts for what was transferred since the last time.
 func (t *transfer) progress() {
 	if t.bytesPerSecond > 0 {
 		t.doneBytes = min(float64(len(t.content)), t.doneBytes+t.bytesPerSecond*(t.world.Now-t.progressAt).Seconds())
@@ -70,19 +103,19 @@
 	t.progressAt = t.world.Now
 }
 
-// reshare shares out anew the links of some ends.
+// reshare divides the links of endpoints among their transfers anew.
 func reshare(ends ...*endpoint) {
-	for _, e := range ends {
-		for _, t := range e.uploads {
+	for _, end := range ends {
+		for _, t := range end.uploads {
 			t.replan()
 		}
-		for _, t := range e.downloads {
+		for _, t := range end.downloads {
 			t.replan()
 		}
 	}
 }
 
-// plan sets the speed by what both ends have to share out now, and when the transfer ends.
+// replan sets the rate by the share that both endpoints have for the transfer, and plans its end.
 func (t *transfer) replan() {
 	t.progress()
 	to := &t.to.endpoint
@@ -92,10 +125,10 @@
 		return
 	}
 	t.planID++
-	plan := t.planID
-	rest := float64(len(t.content)) - t.doneBytes
-	t.world.After(time.Duration(rest/t.bytesPerSecond*float64(time.Second))+time.Microsecond, func() {
-		if !t.ended && t.planID == plan {
+	planID := t.planID
+	remaining := float64(len(t.content)) - t.doneBytes
+	t.world.After(time.Duration(remaining/t.bytesPerSecond*float64(time.Second))+time.Microsecond, func() {
+		if !t.ended && t.planID == planID {
 			t.end("")
 		}
 	})
@@ -108,10 +141,10 @@
 	return t.source.zone
 }
 
-// storeZone is where the store is: apart from every zone that is cut off.
+// storeZone is the zone of the store, which is never partitioned itself.
 const storeZone = "store"
 
-// end ends a transfer; without a fault all has arrived.
+// end ends the transfer. Without a fault everything has arrived.
 func (t *transfer) end(fault distribution.Fault) {
 	if t.ended {
 		return
@@ -134,22 +167,17 @@
 	}
 }
 
-func removeTransfer(list []*transfer, t *transfer) []*transfer {
-	out := list[:0:0]
-	for _, x := range list {
-		if x != t {
-			out = append(out, x)
-		}
-	}
-	return out
+// removeTransfer returns a list without a transfer. The given one stays: it may be iterated.
+func removeTransfer(transfers []*transfer, removed *transfer) []*transfer {
+	return slices.DeleteFunc(slices.Clone(transfers), func(t *transfer) bool { return t == removed })
 }
 
-// write stores what has arrived, as the real agent does.
+// storeArrived writes what has arrived to disk, as the real agent does.
 func (a *Agent) storeArrived(fetch agent.GetChunk, arrived []byte, fault distribution.Fault) agent.ChunkResult {
-	r := agent.ChunkResult{ID: fetch.ID}
+	result := agent.ChunkResult{ID: fetch.ID}
 	a.ReceivedBytes[fetch.Chunk.Digest] += int64(len(arrived))
 	var err error
-	r.ReceivedBytes, r.PartialBytes, err = a.store.Write(fetch.Chunk, fetch.Offset, bytes.NewReader(arrived))
-	r.Fault = agent.ClassifyFetch(err, r.ReceivedBytes, fault)
-	return r
+	result.ReceivedBytes, result.PartialBytes, err = a.store.Write(fetch.Chunk, fetch.Offset, bytes.NewReader(arrived))
+	result.Fault = agent.ClassifyFetch(err, result.ReceivedBytes, fault)
+	return result
 }
