--- a/internal/distribution/agent/server.go
+++ b/internal/distribution/agent/server.go
@@ -59,7 +59,7 @@
 		return
 	}
 	version, err := a.store.OpenActive(name)
-	if errors.Is(err, chunkstore.ErrUnknown) {
+	if errors.Is(err, chunkstore.ErrNotStored) {
 		http.Error(w, "name: nothing is active", http.StatusNotFound)
 		return
 	}
@@ -102,7 +102,7 @@
 
 // translateNotStored turns the chunk store's error for what isn't stored into the registry's.
 func translateNotStored(err error) error {
-	if errors.Is(err, chunkstore.ErrUnknown) {
+	if errors.Is(err, chunkstore.ErrNotStored) {
 		return registry.ErrUnknown
 	}
 	return err
--- a/internal/distribution/agent/stored.go
+++ b/internal/distribution/agent/stored.go
@@ -16,7 +16,7 @@
 	stored := Stored{Contents: found, Active: map[string]distribution.ActiveVersion{}}
 	for _, name := range names {
 		active, err := store.Active(name)
-		if errors.Is(err, chunkstore.ErrUnknown) {
+		if errors.Is(err, chunkstore.ErrNotStored) {
 			continue
 		}
 		if err != nil {
--- a/internal/distribution/chunkstore/active.go
+++ b/internal/distribution/chunkstore/active.go
@@ -17,24 +17,24 @@
 
 // PutManifest stores a manifest.
 func (s *Store) PutManifest(m *distribution.Manifest) error {
-	return s.replace(s.path(manifestsDir, m.Digest), m.Raw)
+	return s.replaceFile(s.path(manifestsDir, m.Digest), m.Raw)
 }
 
 // Manifest reads a stored manifest. One that is damaged counts as not stored.
 func (s *Store) Manifest(d digest.Digest) (*distribution.Manifest, error) {
 	if err := distribution.CheckDigest(d); err != nil {
-		return nil, ErrUnknown
+		return nil, ErrNotStored
 	}
 	raw, err := afero.ReadFile(s.fs, s.path(manifestsDir, d))
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, ErrUnknown
+		return nil, ErrNotStored
 	}
 	if err != nil {
 		return nil, &DiskError{err}
 	}
 	m, err := distribution.ParseManifest(raw, d)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotStored, err)
 	}
 	return m, nil
 }
@@ -53,28 +53,28 @@
 	for _, c := range m.Chunks {
 		info, err := s.fs.Stat(s.path(chunksDir, c.Digest))
 		if err != nil || info.Size() != c.Size {
-			return fmt.Errorf("chunk %s: %w", c.Digest, ErrUnknown)
+			return fmt.Errorf("chunk %s: %w", c.Digest, ErrNotStored)
 		}
 	}
 	text, err := json.Marshal(a)
 	if err != nil {
 		return err
 	}
-	return s.replace(s.activePath(name), text)
+	return s.replaceFile(s.activePath(name), text)
 }
 
 // Active is what a name is served from.
 func (s *Store) Active(name string) (distribution.ActiveVersion, error) {
 	text, err := afero.ReadFile(s.fs, s.activePath(name))
 	if errors.Is(err, fs.ErrNotExist) {
-		return distribution.ActiveVersion{}, ErrUnknown
+		return distribution.ActiveVersion{}, ErrNotStored
 	}
 	if err != nil {
 		return distribution.ActiveVersion{}, &DiskError{err}
 	}
 	var a distribution.ActiveVersion
 	if json.Unmarshal(text, &a) != nil || distribution.CheckDigest(a.Manifest) != nil {
-		return distribution.ActiveVersion{}, ErrUnknown
+		return distribution.ActiveVersion{}, ErrNotStored
 	}
 	return a, nil
 }
@@ -82,9 +82,9 @@
 // VersionReader reads all bytes of one version. Its chunks aren't removed before it is closed.
 type VersionReader struct {
 	distribution.ActiveVersion
-	Size   int64
-	chunks []*ChunkFile
-	at     int
+	Size    int64
+	chunks  []*ChunkFile
+	current int
 }
 
 // OpenActive opens the version that a name is served from.
@@ -101,9 +101,9 @@
 	}
 	r := &VersionReader{ActiveVersion: a, Size: m.Size}
 	for _, c := range m.Chunks {
-		file, err := s.openLocked(c.Digest)
+		file, err := s.openChunkLocked(c.Digest)
 		if err != nil {
-			r.closeLocked(s)
+			r.closeUnlocked(s)
 			return nil, fmt.Errorf("chunk %s: %w", c.Digest, err)
 		}
 		r.chunks = append(r.chunks, file)
@@ -112,22 +112,22 @@
 }
 
 // closeLocked closes what was opened so far, by a caller that holds the store's lock.
-func (r *VersionReader) closeLocked(s *Store) {
+func (r *VersionReader) closeUnlocked(s *Store) {
 	s.mu.Unlock()
 	_ = r.Close() // nothing was read
 	s.mu.Lock()
 }
 
 func (r *VersionReader) Read(p []byte) (int, error) {
-	for r.at < len(r.chunks) {
-		n, err := r.chunks[r.at].Read(p)
+	for r.current < len(r.chunks) {
+		n, err := r.chunks[r.current].Read(p)
 		if n > 0 || !errors.Is(err, io.EOF) {
 			if errors.Is(err, io.EOF) {
 				err = nil
 			}
 			return n, err
 		}
-		r.at++
+		r.current++
 	}
 	return 0, io.EOF
 }
--- a/internal/distribution/chunkstore/scan.go
+++ b/internal/distribution/chunkstore/scan.go
@@ -29,7 +29,7 @@
 // Scan reads everything that is stored and verifies it, with all processors.
 func (s *Store) Scan() (Contents, error) {
 	found := Contents{Chunks: map[digest.Digest]int64{}, Partial: map[digest.Digest]int64{}}
-	chunks, err := s.list(chunksDir)
+	chunks, err := s.listDigests(chunksDir)
 	if err != nil {
 		return found, err
 	}
@@ -52,7 +52,7 @@
 	if err := group.Wait(); err != nil {
 		return found, err
 	}
-	partial, err := s.list(partialDir)
+	partial, err := s.listDigests(partialDir)
 	if err != nil {
 		return found, err
 	}
@@ -61,7 +61,7 @@
 			found.Partial[d] = size
 		}
 	}
-	manifests, err := s.list(manifestsDir)
+	manifests, err := s.listDigests(manifestsDir)
 	if err != nil {
 		return found, err
 	}
@@ -74,7 +74,7 @@
 }
 
 // list gives the digests that files of a directory are named by, and their sizes.
-func (s *Store) list(dir string) (map[digest.Digest]int64, error) {
+func (s *Store) listDigests(dir string) (map[digest.Digest]int64, error) {
 	entries, err := afero.ReadDir(s.fs, path.Join(s.root, dir))
 	if err != nil {
 		return nil, &DiskError{err}
@@ -107,5 +107,5 @@
 	if err != nil {
 		return 0, err
 	}
-	return session, s.replace(name, text)
+	return session, s.replaceFile(name, text)
 }
--- a/internal/distribution/chunkstore/store.go
+++ b/internal/distribution/chunkstore/store.go
@@ -33,7 +33,7 @@
 var ErrDamaged = errors.New("the bytes don't have the digest")
 
 // ErrUnknown says that something isn't stored.
-var ErrUnknown = errors.New("not stored")
+var ErrNotStored = errors.New("not stored")
 
 // DiskError says that the disk, and not the source of the bytes, is at fault.
 type DiskError struct{ Err error }
@@ -46,13 +46,13 @@
 	fs   afero.Fs
 	root string
 
-	mu   sync.Mutex
-	pins map[digest.Digest]int // readers of each chunk
+	mu      sync.Mutex
+	readers map[digest.Digest]int // readers of each chunk
 }
 
 // Open makes the directories that are missing.
 func Open(files afero.Fs, root string) (*Store, error) {
-	s := &Store{fs: files, root: root, pins: map[digest.Digest]int{}}
+	s := &Store{fs: files, root: root, readers: map[digest.Digest]int{}}
 	for _, dir := range []string{chunksDir, partialDir, manifestsDir, activeDir} {
 		if err := files.MkdirAll(path.Join(root, dir), 0o755); err != nil {
 			return nil, &DiskError{err}
@@ -76,7 +76,7 @@
 	}
 	defer file.Close()
 	sum := chunk.Digest.Algorithm().Hash()
-	if offset, err = resume(file, offset, sum); err != nil {
+	if offset, err = resumePartial(file, offset, sum); err != nil {
 		return 0, 0, &DiskError{err}
 	}
 	received, err = io.Copy(io.MultiWriter(diskWriter{file}, sum), io.LimitReader(source, chunk.Size-offset))
@@ -107,7 +107,7 @@
 
 // resume goes on behind the bytes that are kept, as far as they are there, and has them in
 // the sum.
-func resume(file afero.File, offset int64, sum hash.Hash) (int64, error) {
+func resumePartial(file afero.File, offset int64, sum hash.Hash) (int64, error) {
 	info, err := file.Stat()
 	if err != nil {
 		return 0, err
@@ -135,7 +135,7 @@
 }
 
 // replace writes a small file in one step.
-func (s *Store) replace(name string, content []byte) error {
+func (s *Store) replaceFile(name string, content []byte) error {
 	if err := durable.Replace(s.fs, name, bytes.NewReader(content)); err != nil {
 		return &DiskError{err}
 	}
@@ -146,7 +146,7 @@
 func (s *Store) Remove(d digest.Digest) (removed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.pins[d] > 0 {
+	if s.readers[d] > 0 {
 		return false, nil
 	}
 	for _, dir := range []string{chunksDir, partialDir} {
@@ -160,7 +160,7 @@
 // Verify reads a stored chunk again. One that is damaged is removed; false says that it is gone.
 func (s *Store) Verify(d digest.Digest) (sound bool, err error) {
 	file, err := s.OpenChunk(d)
-	if errors.Is(err, ErrUnknown) {
+	if errors.Is(err, ErrNotStored) {
 		return false, nil
 	}
 	if err != nil {
@@ -182,13 +182,13 @@
 // ChunkFile is a stored chunk that is being read. It isn't removed before it is closed.
 type ChunkFile struct {
 	afero.File
-	Size  int64
-	close func()
+	Size    int64
+	release func()
 }
 
 // Close lets the chunk be removed.
 func (f *ChunkFile) Close() error {
-	f.close()
+	f.release()
 	return f.File.Close()
 }
 
@@ -196,16 +196,16 @@
 func (s *Store) OpenChunk(d digest.Digest) (*ChunkFile, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.openLocked(d)
+	return s.openChunkLocked(d)
 }
 
-func (s *Store) openLocked(d digest.Digest) (*ChunkFile, error) {
+func (s *Store) openChunkLocked(d digest.Digest) (*ChunkFile, error) {
 	if err := distribution.CheckDigest(d); err != nil {
-		return nil, ErrUnknown
+		return nil, ErrNotStored
 	}
 	file, err := s.fs.Open(s.path(chunksDir, d))
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, ErrUnknown
+		return nil, ErrNotStored
 	}
 	if err != nil {
 		return nil, &DiskError{err}
@@ -214,15 +214,15 @@
 	if err != nil {
 		return nil, errors.Join(&DiskError{err}, file.Close())
 	}
-	s.pins[d]++
+	s.readers[d]++
 	var once sync.Once
-	return &ChunkFile{file, info.Size(), func() { once.Do(func() { s.unpin(d) }) }}, nil
+	return &ChunkFile{file, info.Size(), func() { once.Do(func() { s.releaseReader(d) }) }}, nil
 }
 
-func (s *Store) unpin(d digest.Digest) {
+func (s *Store) releaseReader(d digest.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.pins[d]--; s.pins[d] == 0 {
-		delete(s.pins, d)
+	if s.readers[d]--; s.readers[d] == 0 {
+		delete(s.readers, d)
 	}
 }
--- a/internal/distribution/chunkstore/store_test.go
+++ b/internal/distribution/chunkstore/store_test.go
@@ -19,7 +19,7 @@
 	return distribution.Chunk{Digest: digest.FromString(content), Size: int64(len(content))}
 }
 
-func open(t *testing.T, files afero.Fs) *Store {
+func openStore(t *testing.T, files afero.Fs) *Store {
 	t.Helper()
 	s, err := Open(files, "/w")
 	if err != nil {
@@ -28,7 +28,7 @@
 	return s
 }
 
-func put(t *testing.T, s *Store, content string) distribution.Chunk {
+func putChunk(t *testing.T, s *Store, content string) distribution.Chunk {
 	t.Helper()
 	c := chunkOf(content)
 	if _, _, err := s.Write(c, 0, strings.NewReader(content)); err != nil {
@@ -38,11 +38,11 @@
 }
 
 // version stores a manifest of such chunks, and the chunks.
-func version(t *testing.T, s *Store, contents ...string) *distribution.Manifest {
+func putVersion(t *testing.T, s *Store, contents ...string) *distribution.Manifest {
 	t.Helper()
 	var list []distribution.Chunk
 	for _, c := range contents {
-		list = append(list, put(t, s, c))
+		list = append(list, putChunk(t, s, c))
 	}
 	m, err := distribution.NewManifest(list)
 	if err != nil {
@@ -56,8 +56,8 @@
 
 // A chunk whose source breaks off is kept in part and goes on from there, from another source
 // too; it counts as stored only when it is whole and has its digest.
-func TestChunkGoesOnWhereItStopped(t *testing.T) {
-	s := open(t, afero.NewMemMapFs())
+func TestInterruptedChunkIsResumed(t *testing.T) {
+	s := openStore(t, afero.NewMemMapFs())
 	content := "0123456789"
 	c := chunkOf(content)
 	broken := errors.New("the connection broke")
@@ -65,7 +65,7 @@
 	if received != 4 || kept != 4 || !errors.Is(err, broken) {
 		t.Fatalf("%d received, %d kept, %v", received, kept, err)
 	}
-	if _, err := s.OpenChunk(c.Digest); !errors.Is(err, ErrUnknown) {
+	if _, err := s.OpenChunk(c.Digest); !errors.Is(err, ErrNotStored) {
 		t.Errorf("a part counts as a chunk: %v", err)
 	}
 	received, kept, err = s.Write(c, 4, strings.NewReader(content[4:7]))
@@ -87,9 +87,9 @@
 
 // What is kept in part was cut short by the end of the process: the rest is written where the
 // bytes really end, and the digest tells if that is wrong.
-func TestPartThatIsShorterThanThought(t *testing.T) {
+func TestTruncatedPartialChunkIsResumedAtItsEnd(t *testing.T) {
 	files := afero.NewMemMapFs()
-	s := open(t, files)
+	s := openStore(t, files)
 	c := chunkOf("0123456789")
 	if _, _, err := s.Write(c, 0, strings.NewReader("0123")); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Fatal(err)
@@ -103,9 +103,9 @@
 }
 
 // Wrong bytes are thrown away and never count as stored.
-func TestDamagedBytesAreThrownAway(t *testing.T) {
+func TestDamagedBytesAreDiscarded(t *testing.T) {
 	files := afero.NewMemMapFs()
-	s := open(t, files)
+	s := openStore(t, files)
 	c := chunkOf("0123456789")
 	if _, kept, err := s.Write(c, 0, strings.NewReader("012345678X")); kept != 0 || !errors.Is(err, ErrDamaged) {
 		t.Fatalf("%d kept, %v", kept, err)
@@ -120,8 +120,8 @@
 // files were damaged meanwhile.
 func TestScanVerifies(t *testing.T) {
 	files := afero.NewMemMapFs()
-	s := open(t, files)
-	m := version(t, s, "one", "two", "three")
+	s := openStore(t, files)
+	m := putVersion(t, s, "one", "two", "three")
 	if _, _, err := s.Write(chunkOf("0123456789"), 0, strings.NewReader("0123")); err == nil {
 		t.Fatal("a part counts as whole")
 	}
@@ -132,50 +132,50 @@
 			t.Fatal(err)
 		}
 	}
-	found, err := open(t, files).Scan()
+	found, err := openStore(t, files).Scan()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(found.Chunks) != 2 || len(found.Damaged) != 1 || found.Damaged[0] != m.Chunks[1].Digest || len(found.Partial) != 1 || len(found.Manifests) != 1 {
 		t.Errorf("%+v", found)
 	}
-	if _, err := s.OpenChunk(m.Chunks[1].Digest); !errors.Is(err, ErrUnknown) {
+	if _, err := s.OpenChunk(m.Chunks[1].Digest); !errors.Is(err, ErrNotStored) {
 		t.Errorf("the damaged chunk is still there: %v", err)
 	}
 }
 
 // breaking fails the n-th rename and all that follows, as the end of the process does.
-type breaking struct {
+type failingRenames struct {
 	afero.Fs
-	renames int
+	remaining int
 }
 
-var errEnded = errors.New("the process has ended")
+var errProcessEnded = errors.New("the process has ended")
 
-func (b *breaking) Rename(from, to string) error {
-	if b.renames--; b.renames < 0 {
-		return errEnded
+func (b *failingRenames) Rename(from, to string) error {
+	if b.remaining--; b.remaining < 0 {
+		return errProcessEnded
 	}
 	return b.Fs.Rename(from, to)
 }
 
 // The process ends in the middle of activation: before the rename the old version is served,
 // after it the new one, and never a mixture.
-func TestActivationIsOneStep(t *testing.T) {
+func TestActivationIsAtomic(t *testing.T) {
 	files := afero.NewMemMapFs()
-	s := open(t, files)
-	first := version(t, s, "one", "two")
-	second := version(t, s, "two", "three")
+	s := openStore(t, files)
+	first := putVersion(t, s, "one", "two")
+	second := putVersion(t, s, "two", "three")
 	if err := s.Activate("models/a", distribution.ActiveVersion{Manifest: first.Digest, Revision: 1}); err != nil {
 		t.Fatal(err)
 	}
-	ends := &breaking{files, 0}
-	if err := open(t, ends).Activate("models/a", distribution.ActiveVersion{Manifest: second.Digest, Revision: 2}); !errors.Is(err, errEnded) {
+	ends := &failingRenames{files, 0}
+	if err := openStore(t, ends).Activate("models/a", distribution.ActiveVersion{Manifest: second.Digest, Revision: 2}); !errors.Is(err, errProcessEnded) {
 		t.Fatal(err)
 	}
 	reads := func(want string, revision int64) {
 		t.Helper()
-		r, err := open(t, files).OpenActive("models/a")
+		r, err := openStore(t, files).OpenActive("models/a")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -192,32 +192,32 @@
 }
 
 // A version of which a chunk is missing or cut short can't become active.
-func TestOnlyWholeVersionsBecomeActive(t *testing.T) {
+func TestIncompleteVersionIsNotActivated(t *testing.T) {
 	files := afero.NewMemMapFs()
-	s := open(t, files)
-	m := version(t, s, "one", "two")
+	s := openStore(t, files)
+	m := putVersion(t, s, "one", "two")
 	name := "/w/chunks/" + m.Chunks[1].Digest.Encoded()
 	if err := afero.WriteFile(files, name, []byte("t"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Activate("a", distribution.ActiveVersion{Manifest: m.Digest}); !errors.Is(err, ErrUnknown) {
+	if err := s.Activate("a", distribution.ActiveVersion{Manifest: m.Digest}); !errors.Is(err, ErrNotStored) {
 		t.Errorf("with a chunk cut short: %v", err)
 	}
 	if err := files.Remove(name); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Activate("a", distribution.ActiveVersion{Manifest: m.Digest}); !errors.Is(err, ErrUnknown) {
+	if err := s.Activate("a", distribution.ActiveVersion{Manifest: m.Digest}); !errors.Is(err, ErrNotStored) {
 		t.Errorf("with a chunk missing: %v", err)
 	}
-	if _, err := s.OpenActive("a"); !errors.Is(err, ErrUnknown) {
+	if _, err := s.OpenActive("a"); !errors.Is(err, ErrNotStored) {
 		t.Errorf("%v", err)
 	}
 }
 
 // A chunk that is being uploaded or read as part of a version isn't removed before that ends.
 func TestChunksInUseAreNotRemoved(t *testing.T) {
-	s := open(t, afero.NewMemMapFs())
-	m := version(t, s, "one", "two")
+	s := openStore(t, afero.NewMemMapFs())
+	m := putVersion(t, s, "one", "two")
 	if err := s.Activate("a", distribution.ActiveVersion{Manifest: m.Digest}); err != nil {
 		t.Fatal(err)
 	}
@@ -249,9 +249,9 @@
 
 // A disk that takes no more is told from a source that breaks off, and what was whole before
 // stays.
-func TestDiskErrorsAreTheDisks(t *testing.T) {
-	ends := &breaking{afero.NewMemMapFs(), 0}
-	s := open(t, ends)
+func TestDiskErrorsAreDistinguished(t *testing.T) {
+	ends := &failingRenames{afero.NewMemMapFs(), 0}
+	s := openStore(t, ends)
 	var disk *DiskError
 	if _, _, err := s.Write(chunkOf("one"), 0, strings.NewReader("one")); !errors.As(err, &disk) {
 		t.Errorf("%v", err)
@@ -268,7 +268,7 @@
 	files := afero.NewMemMapFs()
 	last := int64(0)
 	for _, least := range []int64{100, 50, 1000, 0} {
-		session, err := open(t, files).NextSession(least)
+		session, err := openStore(t, files).NextSession(least)
 		if err != nil || session <= last || session < least {
 			t.Errorf("%d after %d: %v", session, last, err)
 		}
@@ -277,14 +277,14 @@
 }
 
 // The same on a real disk.
-func TestOnDisk(t *testing.T) {
+func TestStoreOnRealDisk(t *testing.T) {
 	files := afero.NewBasePathFs(afero.NewOsFs(), t.TempDir())
-	s := open(t, files)
-	m := version(t, s, strings.Repeat("one", 1000), "two")
+	s := openStore(t, files)
+	m := putVersion(t, s, strings.Repeat("one", 1000), "two")
 	if err := s.Activate("models/a", distribution.ActiveVersion{Manifest: m.Digest, Revision: 7}); err != nil {
 		t.Fatal(err)
 	}
-	found, err := open(t, files).Scan()
+	found, err := openStore(t, files).Scan()
 	if err != nil || len(found.Chunks) != 2 {
 		t.Fatalf("%+v %v", found, err)
 	}
--- a/internal/distribution/simulation/agent.go
+++ b/internal/distribution/simulation/agent.go
@@ -177,7 +177,7 @@
 func (a *Agent) checkServed() {
 	for _, name := range a.world.Options.Names {
 		reader, err := a.store.OpenActive(name)
-		if errors.Is(err, chunkstore.ErrUnknown) && !a.ActivatedNames[name] {
+		if errors.Is(err, chunkstore.ErrNotStored) && !a.ActivatedNames[name] {
 			continue
 		}
 		if err != nil {
