--- a/internal/distribution/chunkstore/active.go
+++ b/internal/distribution/chunkstore/active.go
@@ -20,7 +20,7 @@
 	return s.replaceFile(s.path(manifestsDir, m.Digest), m.Raw)
 }
 
-// Manifest reads a stored manifest. One that is damaged counts as not stored.
+// Manifest reads a stored manifest. A damaged one counts as not stored.
 func (s *Store) Manifest(d digest.Digest) (*distribution.Manifest, error) {
 	if err := distribution.CheckDigest(d); err != nil {
 		return nil, ErrNotStored
@@ -43,27 +43,27 @@
 	return path.Join(s.root, activeDir, url.PathEscape(name)+".json")
 }
 
-// Activate makes a version the one that a name is served from, in one step. Every chunk of
-// it has to be stored.
-func (s *Store) Activate(name string, a distribution.ActiveVersion) error {
-	m, err := s.Manifest(a.Manifest)
+// Activate makes a version the one that a name is served from, atomically. All of its chunks have
+// to be stored.
+func (s *Store) Activate(name string, version distribution.ActiveVersion) error {
+	m, err := s.Manifest(version.Manifest)
 	if err != nil {
 		return err
 	}
-	for _, c := range m.Chunks {
-		info, err := s.fs.Stat(s.path(chunksDir, c.Digest))
-		if err != nil || info.Size() != c.Size {
-			return fmt.Errorf("chunk %s: %w", c.Digest, ErrNotStored)
+	for _, chunk := range m.Chunks {
+		info, err := s.fs.Stat(s.path(chunksDir, chunk.Digest))
+		if err != nil || info.Size() != chunk.Size {
+			return fmt.Errorf("chunk %s: %w", chunk.Digest, ErrNotStored)
 		}
 	}
-	text, err := json.Marshal(a)
+	text, err := json.Marshal(version)
 	if err != nil {
 		return err
 	}
 	return s.replaceFile(s.activePath(name), text)
 }
 
-// Active is what a name is served from.
+// Active returns which version a name is served from.
 func (s *Store) Active(name string) (distribution.ActiveVersion, error) {
 	text, err := afero.ReadFile(s.fs, s.activePath(name))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -72,11 +72,11 @@
 	if err != nil {
 		return distribution.ActiveVersion{}, &DiskError{err}
 	}
-	var a distribution.ActiveVersion
-	if json.Unmarshal(text, &a) != nil || distribution.CheckDigest(a.Manifest) != nil {
-		return distribution.ActiveVersion{}, ErrNotStored
+	var version distribution.ActiveVersion
+	if json.Unmarshal(text, &version) != nil || distribution.CheckDigest(version.Manifest) != nil {
+		return distribution.ActiveVersion{}, ErrNotStored // a damaged file names nothing
 	}
-	return a, nil
+	return version, nil
 }
 
 // VersionReader reads all bytes of one version. Its chunks aren't removed before it is closed.
@@ -91,33 +91,35 @@
 func (s *Store) OpenActive(name string) (*VersionReader, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a, err := s.Active(name)
+	version, err := s.Active(name)
 	if err != nil {
 		return nil, err
 	}
-	m, err := s.Manifest(a.Manifest)
+	m, err := s.Manifest(version.Manifest)
 	if err != nil {
 		return nil, err
 	}
-	r := &VersionReader{ActiveVersion: a, Size: m.Size}
-	for _, c := range m.Chunks {
-		file, err := s.openChunkLocked(c.Digest)
+	r := &VersionReader{ActiveVersion: version, Size: m.Size}
+	for _, chunk := range m.Chunks {
+		file, err := s.openChunkLocked(chunk.Digest)
 		if err != nil {
 			r.closeUnlocked(s)
-			return nil, fmt.Errorf("chunk %s: %w", c.Digest, err)
+			return nil, fmt.Errorf("chunk %s: %w", chunk.Digest, err)
 		}
 		r.chunks = append(r.chunks, file)
 	}
 	return r, nil
 }
 
-// closeLocked closes what was opened so far, by a caller that holds the store's lock.
+// closeUnlocked closes what was opened so far, for a caller that holds the store's lock, which
+// closing takes itself.
 func (r *VersionReader) closeUnlocked(s *Store) {
 	s.mu.Unlock()
-	_ = r.Close() // nothing was read
+	_ = r.Close() // nothing was read, and the error that led here is returned
 	s.mu.Lock()
 }
 
+// Read reads on in the chunks, one after the other.
 func (r *VersionReader) Read(p []byte) (int, error) {
 	for r.current < len(r.chunks) {
 		n, err := r.chunks[r.current].Read(p)
@@ -132,11 +134,11 @@
 	return 0, io.EOF
 }
 
-// Close lets the chunks be removed.
+// Close closes the chunks and lets them be removed.
 func (r *VersionReader) Close() error {
 	var problems []error
-	for _, c := range r.chunks {
-		problems = append(problems, c.Close())
+	for _, chunk := range r.chunks {
+		problems = append(problems, chunk.Close())
 	}
 	return errors.Join(problems...)
 }
--- a/internal/distribution/chunkstore/scan.go
+++ b/internal/distribution/chunkstore/scan.go
@@ -18,38 +18,19 @@
 	"oakpick/internal/durable"
 )
 
-// Contents is what was found on disk.
+// Contents is what Scan found on disk.
 type Contents struct {
 	Chunks    map[digest.Digest]int64 // verified, with their sizes
-	Partial   map[digest.Digest]int64
+	Partial   map[digest.Digest]int64 // not complete, with the sizes of what is there
 	Manifests []*distribution.Manifest
-	Damaged   []digest.Digest // chunks that were damaged, and are removed
+	Damaged   []digest.Digest // chunks that were damaged and have been removed
 }
 
-// Scan reads everything that is stored and verifies it, with all processors.
+// Scan reads everything that is stored and verifies it, on all processors. Damaged chunks are
+// removed.
 func (s *Store) Scan() (Contents, error) {
 	found := Contents{Chunks: map[digest.Digest]int64{}, Partial: map[digest.Digest]int64{}}
-	chunks, err := s.listDigests(chunksDir)
-	if err != nil {
-		return found, err
-	}
-	var mu sync.Mutex
-	var group errgroup.Group
-	group.SetLimit(runtime.GOMAXPROCS(0))
-	for d, size := range chunks {
-		group.Go(func() error {
-			sound, err := s.Verify(d)
-			mu.Lock()
-			defer mu.Unlock()
-			if sound {
-				found.Chunks[d] = size
-			} else {
-				found.Damaged = append(found.Damaged, d)
-			}
-			return err
-		})
-	}
-	if err := group.Wait(); err != nil {
+	if err := s.scanChunks(&found); err != nil {
 		return found, err
 	}
 	partial, err := s.listDigests(partialDir)
@@ -57,7 +38,7 @@
 		return found, err
 	}
 	for d, size := range partial {
-		if _, whole := found.Chunks[d]; !whole && size > 0 {
+		if _, complete := found.Chunks[d]; !complete && size > 0 {
 			found.Partial[d] = size
 		}
 	}
@@ -66,14 +47,39 @@
 		return found, err
 	}
 	for d := range manifests {
-		if m, err := s.Manifest(d); err == nil {
+		if m, err := s.Manifest(d); err == nil { // one that can't be read is fetched again
 			found.Manifests = append(found.Manifests, m)
 		}
 	}
 	return found, nil
 }
 
-// list gives the digests that files of a directory are named by, and their sizes.
+// scanChunks verifies the stored chunks.
+func (s *Store) scanChunks(found *Contents) error {
+	chunks, err := s.listDigests(chunksDir)
+	if err != nil {
+		return err
+	}
+	var mu sync.Mutex // protects found
+	var group errgroup.Group
+	group.SetLimit(runtime.GOMAXPROCS(0))
+	for d, size := range chunks {
+		group.Go(func() error {
+			intact, err := s.Verify(d)
+			mu.Lock()
+			defer mu.Unlock()
+			if intact {
+				found.Chunks[d] = size
+			} else {
+				found.Damaged = append(found.Damaged, d)
+			}
+			return err
+		})
+	}
+	return group.Wait()
+}
+
+// listDigests returns the digests by which files of a directory are named, and their sizes.
 func (s *Store) listDigests(dir string) (map[digest.Digest]int64, error) {
 	entries, err := afero.ReadDir(s.fs, path.Join(s.root, dir))
 	if err != nil {
@@ -89,11 +95,11 @@
 	return out, nil
 }
 
-// NextSession gives a number that is higher than the one before, and at least as high as
-// asked for.
-func (s *Store) NextSession(least int64) (int64, error) {
+// NextSession returns a session number that is higher than the last one and not below the given
+// minimum, and stores it.
+func (s *Store) NextSession(minimum int64) (int64, error) {
 	name := path.Join(s.root, sessionFile)
-	session := least
+	session := minimum
 	text, err := afero.ReadFile(s.fs, name)
 	if err == nil {
 		var last int64
