--- a/internal/distribution/agent/effects.go
+++ b/internal/distribution/agent/effects.go
@@ -96,7 +96,7 @@
 	result := ChunkResult{ID: e.ID, PartialBytes: e.Offset}
 	request := registry.BlobRequest{
 		Address: a.sourceAddress(e.From), Name: e.Name, Manifest: e.Manifest, Chunk: e.Chunk, Offset: e.Offset,
-		Stall: e.StallTimeout, Within: e.Timeout,
+		StallTimeout: e.StallTimeout, Timeout: e.Timeout,
 	}
 	var storeErr error
 	fetched := a.client.Blob(ctx, request, func(body io.Reader) {
--- a/internal/distribution/agent/server.go
+++ b/internal/distribution/agent/server.go
@@ -33,13 +33,13 @@
 		Content:    peerContent{a},
 		Slots:      a.slots,
 		RetryAfter: a.core.settings.ReportInterval,
-		Uploaded:   a.metrics.countUpload,
-		Body: func(w http.ResponseWriter) http.ResponseWriter {
+		OnUpload:   a.metrics.countUpload,
+		WrapBody: func(w http.ResponseWriter) http.ResponseWriter {
 			w = countingWriter{w, a.metrics}
 			if uploads == nil {
 				return w
 			}
-			return registry.PacedWriter{ResponseWriter: w, Context: ctx, Limit: uploads}
+			return registry.RateLimitedWriter{ResponseWriter: w, Context: ctx, Limit: uploads}
 		},
 	}
 	mux := http.NewServeMux()
@@ -103,7 +103,7 @@
 // translateNotStored turns the chunk store's error for what isn't stored into the registry's.
 func translateNotStored(err error) error {
 	if errors.Is(err, chunkstore.ErrNotStored) {
-		return registry.ErrUnknown
+		return registry.ErrNotFound
 	}
 	return err
 }
--- a/internal/distribution/agent/tracker_client.go
+++ b/internal/distribution/agent/tracker_client.go
@@ -26,7 +26,7 @@
 func newTrackerClient(trackers []string, timeout time.Duration, count func(bytes int)) *trackerClient {
 	dialer := &net.Dialer{Timeout: timeout}
 	transport := &http.Transport{
-		DialContext:         registry.CountedDial(dialer.DialContext, count),
+		DialContext:         registry.CountingDial(dialer.DialContext, count),
 		MaxIdleConnsPerHost: 1,
 		IdleConnTimeout:     idleTimeoutFactor * timeout,
 		DisableCompression:  true,
--- a/internal/distribution/layout/layout.go
+++ b/internal/distribution/layout/layout.go
@@ -219,7 +219,7 @@
 			return nil, "", err
 		}
 		if d = tags[reference]; distribution.CheckDigest(d) != nil {
-			return nil, "", registry.ErrUnknown
+			return nil, "", registry.ErrNotFound
 		}
 	}
 	blob, err := l.Blob("", d)
@@ -229,7 +229,7 @@
 	defer blob.Close()
 	raw, err := io.ReadAll(io.LimitReader(blob, distribution.MaxManifestBytes+1))
 	if err == nil && len(raw) > distribution.MaxManifestBytes {
-		return nil, "", registry.ErrUnknown // a chunk, and no manifest
+		return nil, "", registry.ErrNotFound // a chunk, and no manifest
 	}
 	return raw, d, err
 }
@@ -237,11 +237,11 @@
 // Blob opens a blob.
 func (l *Layout) Blob(_ string, d digest.Digest) (registry.Blob, error) {
 	if distribution.CheckDigest(d) != nil {
-		return nil, registry.ErrUnknown
+		return nil, registry.ErrNotFound
 	}
 	file, err := l.fs.Open(l.blobPath(d))
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, registry.ErrUnknown
+		return nil, registry.ErrNotFound
 	}
 	return file, err
 }
--- a/internal/distribution/layout/layout_test.go
+++ b/internal/distribution/layout/layout_test.go
@@ -144,7 +144,7 @@
 	var whole []byte
 	for _, c := range m.Chunks {
 		fetched := client.Blob(t.Context(), registry.BlobRequest{
-			Address: address, Name: "models/a", Manifest: m.Digest, Chunk: c, Stall: 5 * time.Second, Within: 5 * time.Second,
+			Address: address, Name: "models/a", Manifest: m.Digest, Chunk: c, StallTimeout: 5 * time.Second, Timeout: 5 * time.Second,
 		}, func(r io.Reader) {
 			content, err := io.ReadAll(r)
 			if err != nil {
--- a/internal/distribution/registry/client.go
+++ b/internal/distribution/registry/client.go
@@ -20,12 +20,12 @@
 	"oakpick/internal/distribution"
 )
 
-func encodeChunks(set distribution.ChunkSet) string {
+func encodeChunkSet(set distribution.ChunkSet) string {
 	return base64.StdEncoding.EncodeToString(set)
 }
 
 // Fetched is what came with an answer.
-type Fetched struct {
+type FetchResult struct {
 	Fault      distribution.Fault    // none: all is well
 	Chunks     distribution.ChunkSet // what the source says that it holds; nil: nothing
 	RetryAfter time.Duration
@@ -33,10 +33,10 @@
 
 // Client fetches from stores and agents.
 type Client struct {
-	http     *http.Client  // for the bytes of blobs
-	control  *http.Client  // for everything else
-	download *rate.Limiter // bytes; nil: no limit
-	wait     time.Duration // for everything but the bytes of a blob
+	blobs         *http.Client  // for the bytes of blobs
+	control       *http.Client  // for everything else
+	downloadLimit *rate.Limiter // bytes; nil: no limit
+	timeout       time.Duration // for everything but the bytes of a blob
 }
 
 // NewClient makes a client. wait bounds every part of a request but a blob's bytes, which
@@ -46,15 +46,15 @@
 	dialer := &net.Dialer{Timeout: wait}
 	control := Dial(dialer.DialContext)
 	if count != nil {
-		control = CountedDial(control, count)
+		control = CountingDial(control, count)
 	}
 	return &Client{
-		http:    &http.Client{Transport: transport(dialer.DialContext, wait)},
-		control: &http.Client{Transport: transport(control, wait)}, download: download, wait: wait,
+		blobs:   &http.Client{Transport: newTransport(dialer.DialContext, wait)},
+		control: &http.Client{Transport: newTransport(control, wait)}, downloadLimit: download, timeout: wait,
 	}
 }
 
-func transport(dial Dial, wait time.Duration) *http.Transport {
+func newTransport(dial Dial, wait time.Duration) *http.Transport {
 	return &http.Transport{
 		DialContext: dial, ResponseHeaderTimeout: wait, MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * wait,
 		DisableCompression: true, MaxResponseHeaderBytes: distribution.MaxManifestBytes,
@@ -63,15 +63,15 @@
 
 // Close closes idle connections.
 func (c *Client) Close() {
-	c.http.CloseIdleConnections()
+	c.blobs.CloseIdleConnections()
 	c.control.CloseIdleConnections()
 }
 
 // Manifest fetches a manifest by digest and verifies it.
-func (c *Client) Manifest(ctx context.Context, address, name string, d digest.Digest) (*distribution.Manifest, Fetched) {
-	ctx, cancel := context.WithTimeout(ctx, c.wait)
+func (c *Client) Manifest(ctx context.Context, address, name string, d digest.Digest) (*distribution.Manifest, FetchResult) {
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	raw, fetched := c.small(ctx, http.MethodGet, address, pathBase+name+pathManifests+d.String())
+	raw, fetched := c.fetchSmall(ctx, http.MethodGet, address, pathBase+name+pathManifests+d.String())
 	if fetched.Fault != "" {
 		return nil, fetched
 	}
@@ -85,9 +85,9 @@
 
 // Resolve asks which manifest a tag has, and verifies it.
 func (c *Client) Resolve(ctx context.Context, address, name, reference string) (*distribution.Manifest, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.wait)
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	raw, fetched := c.small(ctx, http.MethodGet, address, pathBase+name+pathManifests+reference)
+	raw, fetched := c.fetchSmall(ctx, http.MethodGet, address, pathBase+name+pathManifests+reference)
 	if fetched.Fault != "" {
 		return nil, fmt.Errorf("%s: %s", address, fetched.Fault)
 	}
@@ -95,43 +95,43 @@
 }
 
 // Chunks asks an agent which chunks of a manifest it holds.
-func (c *Client) Chunks(ctx context.Context, address, name string, manifest digest.Digest) Fetched {
-	ctx, cancel := context.WithTimeout(ctx, c.wait)
+func (c *Client) Chunks(ctx context.Context, address, name string, manifest digest.Digest) FetchResult {
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	_, fetched := c.small(ctx, http.MethodHead, address, pathBase+name+pathManifests+manifest.String())
+	_, fetched := c.fetchSmall(ctx, http.MethodHead, address, pathBase+name+pathManifests+manifest.String())
 	return fetched
 }
 
 // small makes a request whose answer is a manifest at most.
-func (c *Client) small(ctx context.Context, method, address, path string) ([]byte, Fetched) {
+func (c *Client) fetchSmall(ctx context.Context, method, address, path string) ([]byte, FetchResult) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
-		return nil, Fetched{Fault: distribution.FaultUnreachable}
+		return nil, FetchResult{Fault: distribution.FaultUnreachable}
 	}
 	req.Header.Set("Accept", specs.MediaTypeImageManifest)
 	res, err := c.control.Do(req)
 	if err != nil {
-		return nil, Fetched{Fault: unreachable(err)}
+		return nil, FetchResult{Fault: connectionFault(err)}
 	}
 	defer res.Body.Close()
-	fetched := read(res)
+	fetched := parseHeader(res)
 	raw, err := io.ReadAll(io.LimitReader(res.Body, distribution.MaxManifestBytes+1))
 	if err != nil && fetched.Fault == "" {
-		fetched.Fault = unreachable(err)
+		fetched.Fault = connectionFault(err)
 	}
 	return raw, fetched
 }
 
 // read gives what an answer's head says.
-func read(res *http.Response) Fetched {
-	f := Fetched{}
+func parseHeader(res *http.Response) FetchResult {
+	f := FetchResult{}
 	if text := res.Header.Get(distribution.ChunksHeader); text != "" {
 		if set, err := base64.StdEncoding.DecodeString(text); err == nil {
 			f.Chunks = set
 		}
 	}
 	if seconds, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil && seconds > 0 {
-		f.RetryAfter = time.Duration(min(seconds, retryAfterMost)) * time.Second
+		f.RetryAfter = time.Duration(min(seconds, maxRetryAfterSeconds)) * time.Second
 	}
 	switch {
 	case res.StatusCode == http.StatusOK || res.StatusCode == http.StatusPartialContent:
@@ -148,10 +148,10 @@
 }
 
 // retryAfterMost is the longest pause that a source can ask for, in seconds.
-const retryAfterMost = 60
+const maxRetryAfterSeconds = 60
 
 // unreachable tells a source that is slow from one that can't be reached.
-func unreachable(err error) distribution.Fault {
+func connectionFault(err error) distribution.Fault {
 	var network net.Error
 	if errors.Is(err, context.DeadlineExceeded) || errors.As(err, &network) && network.Timeout() {
 		return distribution.FaultSlow
@@ -161,45 +161,45 @@
 
 // BlobRequest names the bytes of a chunk that are wanted.
 type BlobRequest struct {
-	Address  string
-	Name     string
-	Manifest digest.Digest
-	Chunk    distribution.Chunk
-	Offset   int64
-	Stall    time.Duration // the longest time without a byte
-	Within   time.Duration // for all of it
+	Address      string
+	Name         string
+	Manifest     digest.Digest
+	Chunk        distribution.Chunk
+	Offset       int64
+	StallTimeout time.Duration // the longest time without a byte
+	Timeout      time.Duration // for all of it
 }
 
 // Blob fetches the bytes of a chunk from an offset on and hands them to the sink. The fault
 // is the source's; what the sink says it says itself.
-func (c *Client) Blob(ctx context.Context, r BlobRequest, sink func(io.Reader)) Fetched {
-	ctx, cancel := context.WithTimeout(ctx, r.Within)
+func (c *Client) Blob(ctx context.Context, r BlobRequest, sink func(io.Reader)) FetchResult {
+	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.Address+pathBase+r.Name+pathBlobs+r.Chunk.Digest.String(), nil)
 	if err != nil {
-		return Fetched{Fault: distribution.FaultUnreachable}
+		return FetchResult{Fault: distribution.FaultUnreachable}
 	}
 	req.Header.Set(distribution.ManifestHeader, r.Manifest.String())
 	if r.Offset > 0 {
 		req.Header.Set("Range", fmt.Sprintf("bytes=%d-", r.Offset))
 	}
-	body := &stallReader{stall: r.Stall, cancel: cancel}
-	body.timer = time.AfterFunc(r.Stall, body.stalled)
+	body := &stallReader{timeout: r.StallTimeout, cancel: cancel}
+	body.timer = time.AfterFunc(r.StallTimeout, body.expire)
 	defer body.timer.Stop()
-	res, err := c.http.Do(req)
+	res, err := c.blobs.Do(req)
 	if err != nil {
-		return Fetched{Fault: body.fault(ctx, err)}
+		return FetchResult{Fault: body.fault(ctx, err)}
 	}
 	defer res.Body.Close()
-	fetched := read(res)
+	fetched := parseHeader(res)
 	if fetched.Fault != "" {
 		return fetched
 	}
-	if !covers(res, r) {
+	if !coversRequest(res, r) {
 		fetched.Fault = distribution.FaultDamaged
 		return fetched
 	}
-	body.Reader = c.paced(ctx, res.Body)
+	body.Reader = c.limited(ctx, res.Body)
 	sink(body)
 	if body.err != nil && !errors.Is(body.err, io.EOF) {
 		fetched.Fault = body.fault(ctx, body.err)
@@ -208,7 +208,7 @@
 }
 
 // covers tells whether an answer has the bytes that were asked for, by its own head.
-func covers(res *http.Response, r BlobRequest) bool {
+func coversRequest(res *http.Response, r BlobRequest) bool {
 	if r.Offset == 0 && res.StatusCode == http.StatusOK {
 		return res.ContentLength == r.Chunk.Size
 	}
@@ -216,24 +216,24 @@
 	return res.StatusCode == http.StatusPartialContent && strings.EqualFold(res.Header.Get("Content-Range"), want)
 }
 
-func (c *Client) paced(ctx context.Context, r io.Reader) io.Reader {
-	if c.download == nil {
+func (c *Client) limited(ctx context.Context, r io.Reader) io.Reader {
+	if c.downloadLimit == nil {
 		return r
 	}
-	return &pacedReader{ctx, r, c.download}
+	return &rateLimitedReader{ctx, r, c.downloadLimit}
 }
 
 // stallReader gives a fetch up when no byte has come for a while.
 type stallReader struct {
 	io.Reader
-	stall   time.Duration
+	timeout time.Duration
 	timer   *time.Timer
 	cancel  context.CancelFunc
 	expired atomic.Bool
 	err     error
 }
 
-func (s *stallReader) stalled() {
+func (s *stallReader) expire() {
 	s.expired.Store(true)
 	s.cancel()
 }
@@ -241,7 +241,7 @@
 func (s *stallReader) Read(p []byte) (int, error) {
 	n, err := s.Reader.Read(p)
 	if n > 0 {
-		s.timer.Reset(s.stall)
+		s.timer.Reset(s.timeout)
 	}
 	s.err = err
 	return n, err
@@ -251,19 +251,19 @@
 	if s.expired.Load() || errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return distribution.FaultSlow
 	}
-	return unreachable(err)
+	return connectionFault(err)
 }
 
 // pacedReader reads no faster than a limiter allows.
-type pacedReader struct {
-	ctx   context.Context
-	r     io.Reader
-	limit *rate.Limiter
+type rateLimitedReader struct {
+	ctx    context.Context
+	reader io.Reader
+	limit  *rate.Limiter
 }
 
-func (p *pacedReader) Read(b []byte) (int, error) {
+func (p *rateLimitedReader) Read(b []byte) (int, error) {
 	b = b[:min(len(b), p.limit.Burst())]
-	n, err := p.r.Read(b)
+	n, err := p.reader.Read(b)
 	if n > 0 {
 		if waitErr := p.limit.WaitN(p.ctx, n); waitErr != nil {
 			return n, waitErr
@@ -273,13 +273,13 @@
 }
 
 // PacedWriter writes no faster than a limiter allows.
-type PacedWriter struct {
+type RateLimitedWriter struct {
 	http.ResponseWriter
 	Context context.Context
 	Limit   *rate.Limiter
 }
 
-func (p PacedWriter) Write(b []byte) (written int, err error) {
+func (p RateLimitedWriter) Write(b []byte) (written int, err error) {
 	for len(b) > 0 {
 		part := b[:min(len(b), p.Limit.Burst())]
 		if err := p.Limit.WaitN(p.Context, len(part)); err != nil {
--- a/internal/distribution/registry/counting.go
+++ b/internal/distribution/registry/counting.go
@@ -9,28 +9,28 @@
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 // CountedDial makes connections whose bytes are told, both ways.
-func CountedDial(dial Dial, count func(bytes int)) Dial {
+func CountingDial(dial Dial, count func(bytes int)) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &countedConn{conn, count}, nil
+		return &countingConn{conn, count}, nil
 	}
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	count func(bytes int)
 }
 
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.count(n)
 	return n, err
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.count(n)
 	return n, err
--- a/internal/distribution/registry/handler.go
+++ b/internal/distribution/registry/handler.go
@@ -26,7 +26,7 @@
 )
 
 // ErrUnknown says that a manifest or blob isn't there.
-var ErrUnknown = errors.New("not there")
+var ErrNotFound = errors.New("not there")
 
 // Blob is a blob that is being read.
 type Blob interface {
@@ -49,7 +49,7 @@
 // NewSlots makes so many.
 func NewSlots(slots int) Slots { return make(Slots, slots) }
 
-func (s Slots) take() bool {
+func (s Slots) tryAcquire() bool {
 	select {
 	case s <- struct{}{}:
 		return true
@@ -58,7 +58,7 @@
 	}
 }
 
-func (s Slots) free() { <-s }
+func (s Slots) release() { <-s }
 
 // InUse is how many are taken.
 func (s Slots) InUse() int { return len(s) }
@@ -70,19 +70,19 @@
 	// RetryAfter is told to those who find no slot.
 	RetryAfter time.Duration
 	// Body wraps the writer of a blob's bytes, to pace or count them; nil: none.
-	Body func(http.ResponseWriter) http.ResponseWriter
+	WrapBody func(http.ResponseWriter) http.ResponseWriter
 	// Uploaded is told of every upload that ends; nil: nobody.
-	Uploaded func(admitted bool)
+	OnUpload func(admitted bool)
 }
 
 // specError is an error as the specification has it.
-type specError struct {
+type errorAnswer struct {
 	status  int
 	code    string
 	message string
 }
 
-func (h *Handler) fail(w http.ResponseWriter, e specError) {
+func (h *Handler) writeError(w http.ResponseWriter, e errorAnswer) {
 	type entry struct {
 		Code    string `json:"code"`
 		Message string `json:"message"`
@@ -101,12 +101,12 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		w.Header().Set("Allow", "GET, HEAD")
-		h.fail(w, specError{http.StatusMethodNotAllowed, "UNSUPPORTED", "only the read side is served"})
+		h.writeError(w, errorAnswer{http.StatusMethodNotAllowed, "UNSUPPORTED", "only the read side is served"})
 		return
 	}
 	rest, ok := strings.CutPrefix(r.URL.Path, pathBase)
 	if !ok {
-		h.fail(w, specError{http.StatusNotFound, "UNSUPPORTED", "no such path"})
+		h.writeError(w, errorAnswer{http.StatusNotFound, "UNSUPPORTED", "no such path"})
 		return
 	}
 	if rest == "" {
@@ -114,31 +114,31 @@
 		return
 	}
 	if i := strings.LastIndex(rest, pathManifests); i >= 0 {
-		h.manifest(w, r, rest[:i], rest[i+len(pathManifests):])
+		h.serveManifest(w, r, rest[:i], rest[i+len(pathManifests):])
 		return
 	}
 	if i := strings.LastIndex(rest, pathBlobs); i >= 0 {
-		h.blob(w, r, rest[:i], rest[i+len(pathBlobs):])
+		h.serveBlob(w, r, rest[:i], rest[i+len(pathBlobs):])
 		return
 	}
-	h.fail(w, specError{http.StatusNotFound, "UNSUPPORTED", "no such path"})
+	h.writeError(w, errorAnswer{http.StatusNotFound, "UNSUPPORTED", "no such path"})
 }
 
-func (h *Handler) manifest(w http.ResponseWriter, r *http.Request, name, reference string) {
+func (h *Handler) serveManifest(w http.ResponseWriter, r *http.Request, name, reference string) {
 	if err := distribution.CheckName(name); err != nil {
-		h.fail(w, specError{http.StatusBadRequest, "NAME_INVALID", err.Error()})
+		h.writeError(w, errorAnswer{http.StatusBadRequest, "NAME_INVALID", err.Error()})
 		return
 	}
 	if err := distribution.CheckReference(reference); err != nil {
-		h.fail(w, specError{http.StatusBadRequest, "MANIFEST_INVALID", err.Error()})
+		h.writeError(w, errorAnswer{http.StatusBadRequest, "MANIFEST_INVALID", err.Error()})
 		return
 	}
 	raw, d, err := h.Content.Manifest(name, reference)
 	if err != nil {
-		h.unavailable(w, err, specError{http.StatusNotFound, "MANIFEST_UNKNOWN", "manifest: not here"})
+		h.writeContentError(w, err, errorAnswer{http.StatusNotFound, "MANIFEST_UNKNOWN", "manifest: not here"})
 		return
 	}
-	h.tellChunks(w, d)
+	h.setChunksHeader(w, d)
 	w.Header().Set("Content-Type", specs.MediaTypeImageManifest)
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.Header().Set(headerDigest, d.String())
@@ -148,45 +148,45 @@
 }
 
 // unavailable answers what is unknown as such, and everything else as a failure of ours.
-func (h *Handler) unavailable(w http.ResponseWriter, err error, unknown specError) {
-	if errors.Is(err, ErrUnknown) {
-		h.fail(w, unknown)
+func (h *Handler) writeContentError(w http.ResponseWriter, err error, unknown errorAnswer) {
+	if errors.Is(err, ErrNotFound) {
+		h.writeError(w, unknown)
 		return
 	}
-	h.fail(w, specError{http.StatusInternalServerError, "UNAVAILABLE", "it can't be read"})
+	h.writeError(w, errorAnswer{http.StatusInternalServerError, "UNAVAILABLE", "it can't be read"})
 }
 
-func (h *Handler) tellChunks(w http.ResponseWriter, manifest digest.Digest) {
+func (h *Handler) setChunksHeader(w http.ResponseWriter, manifest digest.Digest) {
 	if set := h.Content.Chunks(manifest); set != nil {
-		w.Header().Set(distribution.ChunksHeader, encodeChunks(set))
+		w.Header().Set(distribution.ChunksHeader, encodeChunkSet(set))
 	}
 }
 
-func (h *Handler) blob(w http.ResponseWriter, r *http.Request, name, reference string) {
+func (h *Handler) serveBlob(w http.ResponseWriter, r *http.Request, name, reference string) {
 	if err := distribution.CheckName(name); err != nil {
-		h.fail(w, specError{http.StatusBadRequest, "NAME_INVALID", err.Error()})
+		h.writeError(w, errorAnswer{http.StatusBadRequest, "NAME_INVALID", err.Error()})
 		return
 	}
 	d := digest.Digest(reference)
 	if err := distribution.CheckDigest(d); err != nil {
-		h.fail(w, specError{http.StatusBadRequest, "DIGEST_INVALID", "digest: " + err.Error()})
+		h.writeError(w, errorAnswer{http.StatusBadRequest, "DIGEST_INVALID", "digest: " + err.Error()})
 		return
 	}
 	if manifest := digest.Digest(r.Header.Get(distribution.ManifestHeader)); manifest != "" {
 		if err := distribution.CheckDigest(manifest); err != nil {
-			h.fail(w, specError{http.StatusBadRequest, "DIGEST_INVALID", distribution.ManifestHeader + ": " + err.Error()})
+			h.writeError(w, errorAnswer{http.StatusBadRequest, "DIGEST_INVALID", distribution.ManifestHeader + ": " + err.Error()})
 			return
 		}
-		h.tellChunks(w, manifest)
+		h.setChunksHeader(w, manifest)
 	}
-	if r.Method == http.MethodGet && !h.admit(w) {
+	if r.Method == http.MethodGet && !h.acquireSlot(w) {
 		return
 	} else if r.Method == http.MethodGet {
-		defer h.Slots.free()
+		defer h.Slots.release()
 	}
 	blob, err := h.Content.Blob(name, d)
 	if err != nil {
-		h.unavailable(w, err, specError{http.StatusNotFound, "BLOB_UNKNOWN", "blob: not here"})
+		h.writeContentError(w, err, errorAnswer{http.StatusNotFound, "BLOB_UNKNOWN", "blob: not here"})
 		return
 	}
 	defer blob.Close()
@@ -194,21 +194,21 @@
 	w.Header().Set(headerDigest, d.String())
 	w.Header().Set("Etag", `"`+d.String()+`"`)
 	body := w
-	if h.Body != nil {
-		body = h.Body(w)
+	if h.WrapBody != nil {
+		body = h.WrapBody(w)
 	}
 	http.ServeContent(body, r, "", time.Time{}, blob)
 }
 
 // admit takes a slot, or refuses the request and says when to come back.
-func (h *Handler) admit(w http.ResponseWriter) bool {
-	admitted := h.Slots.take()
-	if h.Uploaded != nil {
-		h.Uploaded(admitted)
+func (h *Handler) acquireSlot(w http.ResponseWriter) bool {
+	admitted := h.Slots.tryAcquire()
+	if h.OnUpload != nil {
+		h.OnUpload(admitted)
 	}
 	if !admitted {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(h.RetryAfter.Seconds()))))
-		h.fail(w, specError{http.StatusServiceUnavailable, "TOOMANYREQUESTS", "all upload slots are in use"})
+		h.writeError(w, errorAnswer{http.StatusServiceUnavailable, "TOOMANYREQUESTS", "all upload slots are in use"})
 	}
 	return admitted
 }
--- a/internal/distribution/registry/memory.go
+++ b/internal/distribution/registry/memory.go
@@ -54,7 +54,7 @@
 	defer m.mu.Unlock()
 	manifest := m.manifests[reference]
 	if manifest == nil {
-		return nil, "", ErrUnknown
+		return nil, "", ErrNotFound
 	}
 	return manifest.Raw, manifest.Digest, nil
 }
@@ -63,9 +63,9 @@
 func (m *Memory) Blob(_ string, d digest.Digest) (Blob, error) {
 	content := m.Bytes(d)
 	if content == nil {
-		return nil, ErrUnknown
+		return nil, ErrNotFound
 	}
-	return BlobOf(content), nil
+	return NewBlob(content), nil
 }
 
 // Chunks tells nothing: whoever has content in memory has all of it.
@@ -76,4 +76,4 @@
 func (memoryBlob) Close() error { return nil }
 
 // BlobOf is a blob of such bytes.
-func BlobOf(content []byte) Blob { return memoryBlob{bytes.NewReader(content)} }
+func NewBlob(content []byte) Blob { return memoryBlob{bytes.NewReader(content)} }
--- a/internal/distribution/registry/registry_test.go
+++ b/internal/distribution/registry/registry_test.go
@@ -17,54 +17,54 @@
 )
 
 // watched is content that tells when a blob is opened, and which chunks there are.
-type watched struct {
+type testContent struct {
 	*Memory
 	manifest *distribution.Manifest
-	opened   func()
+	onOpen   func()
 }
 
-func (w *watched) Blob(name string, d digest.Digest) (Blob, error) {
-	if w.opened != nil {
-		w.opened()
+func (w *testContent) Blob(name string, d digest.Digest) (Blob, error) {
+	if w.onOpen != nil {
+		w.onOpen()
 	}
 	return w.Memory.Blob(name, d)
 }
 
-func (w *watched) Chunks(digest.Digest) distribution.ChunkSet { return distribution.ChunkSet{1} }
+func (w *testContent) Chunks(digest.Digest) distribution.ChunkSet { return distribution.ChunkSet{1} }
 
-func serve(t *testing.T, m *watched, slots int) (address string) {
+func startServer(t *testing.T, m *testContent, slots int) (address string) {
 	t.Helper()
 	server := httptest.NewServer(&Handler{Content: m, Slots: NewSlots(slots), RetryAfter: 3 * time.Second})
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func content(t *testing.T) (*watched, distribution.Chunk) {
+func newTestContent(t *testing.T) (*testContent, distribution.Chunk) {
 	t.Helper()
 	m := NewMemory()
 	manifest, err := m.Publish([][]byte{[]byte("0123456789")}, "v1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &watched{Memory: m, manifest: manifest}, manifest.Chunks[0]
+	return &testContent{Memory: m, manifest: manifest}, manifest.Chunks[0]
 }
 
-func fetch(t *testing.T, address string, m *distribution.Manifest, c distribution.Chunk, offset int64) ([]byte, Fetched) {
+func fetchBlob(t *testing.T, address string, m *distribution.Manifest, c distribution.Chunk, offset int64) ([]byte, FetchResult) {
 	t.Helper()
 	client := NewClient(5*time.Second, nil, nil)
 	defer client.Close()
 	var got []byte
 	f := client.Blob(context.Background(), BlobRequest{
-		Address: address, Name: "models/a", Manifest: m.Digest, Chunk: c, Offset: offset, Stall: 300 * time.Millisecond, Within: time.Hour,
+		Address: address, Name: "models/a", Manifest: m.Digest, Chunk: c, Offset: offset, StallTimeout: 300 * time.Millisecond, Timeout: time.Hour,
 	}, func(r io.Reader) { got, _ = io.ReadAll(r) })
 	return got, f
 }
 
-func TestChunksAreFetchedAndResumed(t *testing.T) {
-	m, c := content(t)
-	address := serve(t, m, 1)
+func TestChunksAreFetchedFromAnyOffset(t *testing.T) {
+	m, c := newTestContent(t)
+	address := startServer(t, m, 1)
 	for offset := range int64(10) {
-		got, f := fetch(t, address, m.manifest, c, offset)
+		got, f := fetchBlob(t, address, m.manifest, c, offset)
 		if f.Fault != "" || string(got) != "0123456789"[offset:] || !f.Chunks.Has(0) {
 			t.Errorf("from %d: %q %+v", offset, got, f)
 		}
@@ -88,15 +88,15 @@
 // A source admits no more uploads than it has slots, whoever holds which lease; the others are
 // told when to come back. A slot is free again when its upload ends.
 func TestSlotsAreNeverExceeded(t *testing.T) {
-	m, c := content(t)
+	m, c := newTestContent(t)
 	const slots = 2
 	inside, release := make(chan struct{}, 16), make(chan struct{})
-	m.opened = func() { inside <- struct{}{}; <-release }
-	address := serve(t, m, slots)
-	done := make(chan Fetched)
+	m.onOpen = func() { inside <- struct{}{}; <-release }
+	address := startServer(t, m, slots)
+	done := make(chan FetchResult)
 	for range slots {
 		go func() {
-			_, f := fetch(t, address, m.manifest, c, 0)
+			_, f := fetchBlob(t, address, m.manifest, c, 0)
 			done <- f
 		}()
 	}
@@ -104,7 +104,7 @@
 		<-inside
 	}
 	for range 10 {
-		if _, f := fetch(t, address, m.manifest, c, 0); f.Fault != distribution.FaultBusy || f.RetryAfter != 3*time.Second {
+		if _, f := fetchBlob(t, address, m.manifest, c, 0); f.Fault != distribution.FaultBusy || f.RetryAfter != 3*time.Second {
 			t.Errorf("%+v", f)
 		}
 	}
@@ -117,15 +117,15 @@
 			t.Errorf("%+v", f)
 		}
 	}
-	if _, f := fetch(t, address, m.manifest, c, 0); f.Fault != "" {
+	if _, f := fetchBlob(t, address, m.manifest, c, 0); f.Fault != "" {
 		t.Errorf("%+v", f)
 	}
 }
 
 // Every bad request gets 4xx with what is wrong.
-func TestBadRequests(t *testing.T) {
-	m, c := content(t)
-	address := serve(t, m, 4)
+func TestInvalidRequestsAreRefused(t *testing.T) {
+	m, c := newTestContent(t)
+	address := startServer(t, m, 4)
 	good := "/v2/models/a/blobs/" + c.Digest.String()
 	unknown := digest.FromString("other").String()
 	for _, x := range []struct {
@@ -171,8 +171,8 @@
 
 // What a bad source answers is told apart: it hangs, breaks off, has too few or too many
 // bytes, or gives a whole answer where a part was asked for.
-func TestFaultsAreToldApart(t *testing.T) {
-	m, c := content(t)
+func TestFaultsAreDistinguished(t *testing.T) {
+	m, c := newTestContent(t)
 	size := fmt.Sprint(c.Size)
 	for name, x := range map[string]struct {
 		answer http.HandlerFunc
@@ -205,20 +205,20 @@
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(x.answer)
 			defer server.Close()
-			_, f := fetch(t, strings.TrimPrefix(server.URL, "http://"), m.manifest, c, x.offset)
+			_, f := fetchBlob(t, strings.TrimPrefix(server.URL, "http://"), m.manifest, c, x.offset)
 			if f.Fault != x.fault {
 				t.Errorf("%q, not %q", f.Fault, x.fault)
 			}
 		})
 	}
-	if _, f := fetch(t, "127.0.0.1:1", m.manifest, c, 0); f.Fault != distribution.FaultUnreachable {
+	if _, f := fetchBlob(t, "127.0.0.1:1", m.manifest, c, 0); f.Fault != distribution.FaultUnreachable {
 		t.Errorf("nobody there: %q", f.Fault)
 	}
 }
 
 // A manifest that is too long, or has another digest than asked for, is refused.
-func TestBadManifestsFromSources(t *testing.T) {
-	m, _ := content(t)
+func TestInvalidManifestsAreRefused(t *testing.T) {
+	m, _ := newTestContent(t)
 	client := NewClient(5*time.Second, nil, nil)
 	defer client.Close()
 	for name, body := range map[string][]byte{"endless": bytes.Repeat([]byte(" "), distribution.MaxManifestBytes*2), "another": []byte(`{"schemaVersion":2}`)} {
--- a/internal/scale/weights_measure.go
+++ b/internal/scale/weights_measure.go
@@ -109,7 +109,7 @@
 	for _, c := range m.Chunks {
 		hash := c.Digest.Algorithm().Digester()
 		fetched := client.Blob(ctx, registry.BlobRequest{
-			Address: store, Name: fleetName, Manifest: m.Digest, Chunk: c, Stall: clientOwnStalls * time.Second, Within: time.Hour,
+			Address: store, Name: fleetName, Manifest: m.Digest, Chunk: c, StallTimeout: clientOwnStalls * time.Second, Timeout: time.Hour,
 		}, func(body io.Reader) { _, _ = io.Copy(hash.Hash(), body) }) // the digest tells whether all came
 		if fetched.Fault != "" || hash.Digest() != c.Digest {
 			return fmt.Errorf("a client that fetches from the store: %s: %q", c.Digest, fetched.Fault)
--- a/internal/scale/weights_store.go
+++ b/internal/scale/weights_store.go
@@ -79,7 +79,7 @@
 	if content := s.Bytes(d); content != nil && takeOne(&s.wrong) {
 		content = bytes.Clone(content)
 		content[len(content)/2] ^= 1
-		return registry.BlobOf(content), nil
+		return registry.NewBlob(content), nil
 	}
 	return s.Memory.Blob(name, d)
 }
@@ -102,9 +102,9 @@
 	}
 	blobs := &registry.Handler{
 		Content: s, Slots: registry.NewSlots(slots), RetryAfter: time.Second,
-		Body: func(w http.ResponseWriter) http.ResponseWriter {
-			paced := registry.PacedWriter{ResponseWriter: w, Context: context.Background(), Limit: s.uplink}
-			return &storeWriter{PacedWriter: paced, store: s, breaksOff: takeOne(&s.cut)}
+		WrapBody: func(w http.ResponseWriter) http.ResponseWriter {
+			paced := registry.RateLimitedWriter{ResponseWriter: w, Context: context.Background(), Limit: s.uplink}
+			return &storeWriter{RateLimitedWriter: paced, store: s, breaksOff: takeOne(&s.cut)}
 		},
 	}
 	s.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -126,7 +126,7 @@
 
 // storeWriter counts what is sent, and breaks off if it is to.
 type storeWriter struct {
-	registry.PacedWriter
+	registry.RateLimitedWriter
 	store     *weightsStore
 	breaksOff bool
 }
@@ -138,7 +138,7 @@
 		breakConnection(w.ResponseWriter)
 		return 0, errBreaksOff
 	}
-	n, err := w.PacedWriter.Write(b)
+	n, err := w.RateLimitedWriter.Write(b)
 	w.store.sent.Add(int64(n))
 	if w.breaksOff {
 		breakConnection(w.ResponseWriter)
