--- a/internal/distribution/registry/counting.go
+++ b/internal/distribution/registry/counting.go
@@ -8,7 +8,8 @@
 // Dial connects to an address.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// CountedDial makes connections whose bytes are told, both ways.
+// CountingDial returns a Dial whose connections pass the number of bytes that they read and
+// write to count.
 func CountingDial(dial Dial, count func(bytes int)) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -19,17 +20,20 @@
 	}
 }
 
+// countingConn counts the bytes of a connection.
 type countingConn struct {
 	net.Conn
 	count func(bytes int)
 }
 
+// Read reads and counts.
 func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.count(n)
 	return n, err
 }
 
+// Write writes and counts.
 func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.count(n)
--- a/internal/distribution/registry/handler.go
+++ b/internal/distribution/registry/handler.go
@@ -1,10 +1,9 @@
-// Package registry is the read side of the OCI distribution specification: the handler by
-// which stores and agents serve manifests and blobs, and the client that fetches them.
+// Package registry implements the read side of the OCI distribution specification: the handler
+// with which stores and agents serve manifests and blobs, and the client that fetches them.
 package registry
 
 import (
-	"encoding/json"
-	"errors"
+	"encoding/base64"
 	"io"
 	"net/http"
 	"strconv"
@@ -17,7 +16,7 @@
 	"oakpick/internal/distribution"
 )
 
-// Headers and paths of the specification.
+// Paths and headers of the specification.
 const (
 	pathBase      = "/v2/"
 	pathManifests = "/manifests/"
@@ -25,30 +24,28 @@
 	headerDigest  = "Docker-Content-Digest"
 )
 
-// ErrUnknown says that a manifest or blob isn't there.
-var ErrNotFound = errors.New("not there")
-
-// Blob is a blob that is being read.
+// Blob is a blob that is open for reading.
 type Blob interface {
 	io.ReadSeekCloser
 }
 
 // Content is what a handler serves.
 type Content interface {
-	// Manifest gives a manifest by tag or digest.
+	// Manifest returns a manifest by tag or digest, with its digest.
 	Manifest(name, reference string) ([]byte, digest.Digest, error)
-	// Blob opens a blob. It may be asked for by takers of a manifest; Chunks says of which.
+	// Blob opens a blob.
 	Blob(name string, d digest.Digest) (Blob, error)
-	// Chunks tells which chunks of a manifest are held; nil: nothing is told.
+	// Chunks returns which chunks of a manifest are held, or nil to tell nothing.
 	Chunks(manifest digest.Digest) distribution.ChunkSet
 }
 
-// Slots admits so many uploads at a time, whatever is asked.
+// Slots limits the uploads at a time.
 type Slots chan struct{}
 
-// NewSlots makes so many.
+// NewSlots returns a number of free slots.
 func NewSlots(slots int) Slots { return make(Slots, slots) }
 
+// tryAcquire takes a slot if one is free.
 func (s Slots) tryAcquire() bool {
 	select {
 	case s <- struct{}{}:
@@ -58,84 +55,73 @@
 	}
 }
 
+// release frees a slot.
 func (s Slots) release() { <-s }
 
-// InUse is how many are taken.
+// InUse returns how many slots are taken.
 func (s Slots) InUse() int { return len(s) }
 
-// Handler serves content.
+// Handler serves content over HTTP.
 type Handler struct {
 	Content Content
 	Slots   Slots
-	// RetryAfter is told to those who find no slot.
+	// RetryAfter is the pause that a client is asked for when no slot is free.
 	RetryAfter time.Duration
-	// Body wraps the writer of a blob's bytes, to pace or count them; nil: none.
+	// WrapBody wraps the writer of a blob's bytes, to limit or count them. It may be nil.
 	WrapBody func(http.ResponseWriter) http.ResponseWriter
-	// Uploaded is told of every upload that ends; nil: nobody.
+	// OnUpload is called for every request for a blob's bytes. It may be nil.
 	OnUpload func(admitted bool)
 }
 
-// specError is an error as the specification has it.
-type errorAnswer struct {
-	status  int
-	code    string
-	message string
-}
-
-func (h *Handler) writeError(w http.ResponseWriter, e errorAnswer) {
-	type entry struct {
-		Code    string `json:"code"`
-		Message string `json:"message"`
-	}
-	body, err := json.Marshal(map[string][]entry{"errors": {{e.code, e.message}}})
-	if err != nil {
-		http.Error(w, e.message, e.status)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(e.status)
-	_, _ = w.Write(body) // the asker may have gone
-}
-
 // ServeHTTP answers a request below /v2/.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		w.Header().Set("Allow", "GET, HEAD")
-		h.writeError(w, errorAnswer{http.StatusMethodNotAllowed, "UNSUPPORTED", "only the read side is served"})
+		writeError(w, http.StatusMethodNotAllowed, codeUnsupported, "only the read side is served")
 		return
 	}
 	rest, ok := strings.CutPrefix(r.URL.Path, pathBase)
 	if !ok {
-		h.writeError(w, errorAnswer{http.StatusNotFound, "UNSUPPORTED", "no such path"})
+		writeError(w, http.StatusNotFound, codeUnsupported, "no such path")
 		return
 	}
 	if rest == "" {
 		w.WriteHeader(http.StatusOK)
 		return
 	}
-	if i := strings.LastIndex(rest, pathManifests); i >= 0 {
-		h.serveManifest(w, r, rest[:i], rest[i+len(pathManifests):])
+	if name, reference, found := cutLast(rest, pathManifests); found {
+		h.serveManifest(w, r, name, reference)
 		return
 	}
-	if i := strings.LastIndex(rest, pathBlobs); i >= 0 {
-		h.serveBlob(w, r, rest[:i], rest[i+len(pathBlobs):])
+	if name, reference, found := cutLast(rest, pathBlobs); found {
+		h.serveBlob(w, r, name, reference)
 		return
 	}
-	h.writeError(w, errorAnswer{http.StatusNotFound, "UNSUPPORTED", "no such path"})
+	writeError(w, http.StatusNotFound, codeUnsupported, "no such path")
+}
+
+// cutLast splits a string around the last separator: names may contain it too.
+func cutLast(s, separator string) (before, after string, found bool) {
+	i := strings.LastIndex(s, separator)
+	if i < 0 {
+		return "", "", false
+	}
+	return s[:i], s[i+len(separator):], true
 }
 
+// serveManifest answers a request for a manifest by tag or digest.
 func (h *Handler) serveManifest(w http.ResponseWriter, r *http.Request, name, reference string) {
 	if err := distribution.CheckName(name); err != nil {
-		h.writeError(w, errorAnswer{http.StatusBadRequest, "NAME_INVALID", err.Error()})
+		writeError(w, http.StatusBadRequest, codeNameInvalid, err.Error())
 		return
 	}
 	if err := distribution.CheckReference(reference); err != nil {
-		h.writeError(w, errorAnswer{http.StatusBadRequest, "MANIFEST_INVALID", err.Error()})
+		writeError(w, http.StatusBadRequest, codeManifestInvalid, err.Error())
 		return
 	}
 	raw, d, err := h.Content.Manifest(name, reference)
 	if err != nil {
-		h.writeContentError(w, err, errorAnswer{http.StatusNotFound, "MANIFEST_UNKNOWN", "manifest: not here"})
+		writeContentError(w, err, codeManifestUnknown, "manifest: not here")
 		return
 	}
 	h.setChunksHeader(w, d)
@@ -143,50 +129,50 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.Header().Set(headerDigest, d.String())
 	if r.Method == http.MethodGet {
-		_, _ = w.Write(raw) // the asker may have gone
-	}
-}
-
-// unavailable answers what is unknown as such, and everything else as a failure of ours.
-func (h *Handler) writeContentError(w http.ResponseWriter, err error, unknown errorAnswer) {
-	if errors.Is(err, ErrNotFound) {
-		h.writeError(w, unknown)
-		return
+		_, _ = w.Write(raw) // the client may be gone
 	}
-	h.writeError(w, errorAnswer{http.StatusInternalServerError, "UNAVAILABLE", "it can't be read"})
 }
 
+// setChunksHeader tells which chunks of a manifest are held.
 func (h *Handler) setChunksHeader(w http.ResponseWriter, manifest digest.Digest) {
 	if set := h.Content.Chunks(manifest); set != nil {
-		w.Header().Set(distribution.ChunksHeader, encodeChunkSet(set))
+		w.Header().Set(distribution.ChunksHeader, base64.StdEncoding.EncodeToString(set))
 	}
 }
 
+// serveBlob answers a request for a blob, if a slot is free. A request for the headers alone needs
+// none.
 func (h *Handler) serveBlob(w http.ResponseWriter, r *http.Request, name, reference string) {
 	if err := distribution.CheckName(name); err != nil {
-		h.writeError(w, errorAnswer{http.StatusBadRequest, "NAME_INVALID", err.Error()})
+		writeError(w, http.StatusBadRequest, codeNameInvalid, err.Error())
 		return
 	}
 	d := digest.Digest(reference)
 	if err := distribution.CheckDigest(d); err != nil {
-		h.writeError(w, errorAnswer{http.StatusBadRequest, "DIGEST_INVALID", "digest: " + err.Error()})
+		writeError(w, http.StatusBadRequest, codeDigestInvalid, "digest: "+err.Error())
 		return
 	}
 	if manifest := digest.Digest(r.Header.Get(distribution.ManifestHeader)); manifest != "" {
 		if err := distribution.CheckDigest(manifest); err != nil {
-			h.writeError(w, errorAnswer{http.StatusBadRequest, "DIGEST_INVALID", distribution.ManifestHeader + ": " + err.Error()})
+			writeError(w, http.StatusBadRequest, codeDigestInvalid, distribution.ManifestHeader+": "+err.Error())
 			return
 		}
 		h.setChunksHeader(w, manifest)
 	}
-	if r.Method == http.MethodGet && !h.acquireSlot(w) {
-		return
-	} else if r.Method == http.MethodGet {
+	if r.Method == http.MethodGet {
+		if !h.acquireSlot(w) {
+			return
+		}
 		defer h.Slots.release()
 	}
+	h.sendBlob(w, r, name, d)
+}
+
+// sendBlob sends the bytes of a blob, or the range of them that is asked for.
+func (h *Handler) sendBlob(w http.ResponseWriter, r *http.Request, name string, d digest.Digest) {
 	blob, err := h.Content.Blob(name, d)
 	if err != nil {
-		h.writeContentError(w, err, errorAnswer{http.StatusNotFound, "BLOB_UNKNOWN", "blob: not here"})
+		writeContentError(w, err, codeBlobUnknown, "blob: not here")
 		return
 	}
 	defer blob.Close()
@@ -200,7 +186,7 @@
 	http.ServeContent(body, r, "", time.Time{}, blob)
 }
 
-// admit takes a slot, or refuses the request and says when to come back.
+// acquireSlot takes an upload slot, or refuses the request with a time to ask again.
 func (h *Handler) acquireSlot(w http.ResponseWriter) bool {
 	admitted := h.Slots.tryAcquire()
 	if h.OnUpload != nil {
@@ -208,7 +194,7 @@
 	}
 	if !admitted {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(h.RetryAfter.Seconds()))))
-		h.writeError(w, errorAnswer{http.StatusServiceUnavailable, "TOOMANYREQUESTS", "all upload slots are in use"})
+		writeError(w, http.StatusServiceUnavailable, codeTooManyRequests, "all upload slots are in use")
 	}
 	return admitted
 }
--- a/internal/distribution/registry/memory.go
+++ b/internal/distribution/registry/memory.go
@@ -9,19 +9,19 @@
 	"oakpick/internal/distribution"
 )
 
-// Memory is content in memory, for stand-ins of stores.
+// Memory is content in memory, for simulated stores. It is safe for concurrent use.
 type Memory struct {
 	mu        sync.Mutex
 	manifests map[string]*distribution.Manifest // by digest and by tag
 	blobs     map[digest.Digest][]byte
 }
 
-// NewMemory makes one without content.
+// NewMemory returns a Memory without content.
 func NewMemory() *Memory {
 	return &Memory{manifests: map[string]*distribution.Manifest{}, blobs: map[digest.Digest][]byte{}}
 }
 
-// Publish makes a version of such chunks, and has tags name it.
+// Publish adds a version of some chunks, and has tags refer to it.
 func (m *Memory) Publish(chunks [][]byte, tags ...string) (*distribution.Manifest, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -41,14 +41,14 @@
 	return manifest, nil
 }
 
-// Bytes is the content of a blob; nil: there is none.
+// Bytes returns the content of a blob, or nil if there is none.
 func (m *Memory) Bytes(d digest.Digest) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.blobs[d]
 }
 
-// Manifest gives a manifest by tag or digest.
+// Manifest returns a manifest by tag or digest.
 func (m *Memory) Manifest(_, reference string) ([]byte, digest.Digest, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -68,12 +68,14 @@
 	return NewBlob(content), nil
 }
 
-// Chunks tells nothing: whoever has content in memory has all of it.
+// Chunks returns nil: content in memory is complete.
 func (m *Memory) Chunks(digest.Digest) distribution.ChunkSet { return nil }
 
+// memoryBlob is a blob of bytes in memory.
 type memoryBlob struct{ *bytes.Reader }
 
+// Close does nothing.
 func (memoryBlob) Close() error { return nil }
 
-// BlobOf is a blob of such bytes.
+// NewBlob returns a blob of some bytes.
 func NewBlob(content []byte) Blob { return memoryBlob{bytes.NewReader(content)} }
--- a/internal/distribution/registry/registry_test.go
+++ b/internal/distribution/registry/registry_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"fmt"
 	"io"
 	"net/http"
@@ -16,7 +15,7 @@
 	"oakpick/internal/distribution"
 )
 
-// watched is content that tells when a blob is opened, and which chunks there are.
+// testContent is content that calls a hook when a blob is opened, and claims to hold one chunk.
 type testContent struct {
 	*Memory
 	manifest *distribution.Manifest
@@ -32,6 +31,7 @@
 
 func (w *testContent) Chunks(digest.Digest) distribution.ChunkSet { return distribution.ChunkSet{1} }
 
+// startServer serves content and returns the address.
 func startServer(t *testing.T, m *testContent, slots int) (address string) {
 	t.Helper()
 	server := httptest.NewServer(&Handler{Content: m, Slots: NewSlots(slots), RetryAfter: 3 * time.Second})
@@ -39,6 +39,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
+// newTestContent returns content of one version of one chunk, tagged v1, with the chunk.
 func newTestContent(t *testing.T) (*testContent, distribution.Chunk) {
 	t.Helper()
 	m := NewMemory()
@@ -49,17 +50,19 @@
 	return &testContent{Memory: m, manifest: manifest}, manifest.Chunks[0]
 }
 
+// fetchBlob fetches a chunk from an offset on.
 func fetchBlob(t *testing.T, address string, m *distribution.Manifest, c distribution.Chunk, offset int64) ([]byte, FetchResult) {
 	t.Helper()
 	client := NewClient(5*time.Second, nil, nil)
 	defer client.Close()
 	var got []byte
-	f := client.Blob(context.Background(), BlobRequest{
+	f := client.Blob(t.Context(), BlobRequest{
 		Address: address, Name: "models/a", Manifest: m.Digest, Chunk: c, Offset: offset, StallTimeout: 300 * time.Millisecond, Timeout: time.Hour,
-	}, func(r io.Reader) { got, _ = io.ReadAll(r) })
+	}, func(r io.Reader) { got, _ = io.ReadAll(r) }) // the fault tells whether the read failed
 	return got, f
 }
 
+// Chunks are fetched from any offset on, and manifests by digest and by tag.
 func TestChunksAreFetchedFromAnyOffset(t *testing.T) {
 	m, c := newTestContent(t)
 	address := startServer(t, m, 1)
@@ -71,22 +74,22 @@
 	}
 	client := NewClient(5*time.Second, nil, nil)
 	defer client.Close()
-	if got, f := client.Manifest(context.Background(), address, "models/a", m.manifest.Digest); f.Fault != "" || got.Size != 10 {
+	if got, f := client.Manifest(t.Context(), address, "models/a", m.manifest.Digest); f.Fault != "" || got.Size != 10 {
 		t.Errorf("%+v", f)
 	}
-	if f := client.Chunks(context.Background(), address, "models/a", m.manifest.Digest); f.Fault != "" || !f.Chunks.Has(0) {
+	if f := client.Chunks(t.Context(), address, "models/a", m.manifest.Digest); f.Fault != "" || !f.Chunks.Has(0) {
 		t.Errorf("%+v", f)
 	}
-	if got, err := client.Resolve(context.Background(), address, "models/a", "v1"); err != nil || got.Digest != m.manifest.Digest {
+	if got, err := client.Resolve(t.Context(), address, "models/a", "v1"); err != nil || got.Digest != m.manifest.Digest {
 		t.Errorf("%v", err)
 	}
-	if _, err := client.Resolve(context.Background(), address, "models/a", "v2"); err == nil {
+	if _, err := client.Resolve(t.Context(), address, "models/a", "v2"); err == nil {
 		t.Error("an unknown tag has a manifest")
 	}
 }
 
-// A source admits no more uploads than it has slots, whoever holds which lease; the others are
-// told when to come back. A slot is free again when its upload ends.
+// A source admits no more uploads than it has slots, whoever holds which lease. Others are told
+// when to ask again. A slot is free again when its upload ends.
 func TestSlotsAreNeverExceeded(t *testing.T) {
 	m, c := newTestContent(t)
 	const slots = 2
@@ -128,7 +131,7 @@
 	address := startServer(t, m, 4)
 	good := "/v2/models/a/blobs/" + c.Digest.String()
 	unknown := digest.FromString("other").String()
-	for _, x := range []struct {
+	for _, test := range []struct {
 		method, path, header, value string
 		status                      int
 		says                        string
@@ -150,31 +153,33 @@
 		{"HEAD", good, "", "", 200, ""},
 		{"GET", good, "Range", "bytes=0-1", 206, "01"},
 	} {
-		req, err := http.NewRequest(x.method, "http://"+address+x.path, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if x.header != "" {
-			req.Header.Set(x.header, x.value)
-		}
-		res, err := http.DefaultClient.Do(req)
-		if err != nil {
-			t.Fatal(err)
-		}
-		body, _ := io.ReadAll(res.Body)
-		res.Body.Close()
-		if res.StatusCode != x.status || !strings.Contains(string(body), x.says) {
-			t.Errorf("%s %s %s: %d %s", x.method, x.path, x.value, res.StatusCode, body)
-		}
+		t.Run(test.method+" "+test.path+" "+test.value, func(t *testing.T) {
+			req, err := http.NewRequestWithContext(t.Context(), test.method, "http://"+address+test.path, nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if test.header != "" {
+				req.Header.Set(test.header, test.value)
+			}
+			res, err := http.DefaultClient.Do(req)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer res.Body.Close()
+			body, err := io.ReadAll(res.Body)
+			if err != nil || res.StatusCode != test.status || !strings.Contains(string(body), test.says) {
+				t.Errorf("%d %s, %v", res.StatusCode, body, err)
+			}
+		})
 	}
 }
 
-// What a bad source answers is told apart: it hangs, breaks off, has too few or too many
-// bytes, or gives a whole answer where a part was asked for.
+// The faults of a source are distinguished: it hangs, breaks off, has too few bytes, or answers
+// another range than was asked for.
 func TestFaultsAreDistinguished(t *testing.T) {
 	m, c := newTestContent(t)
 	size := fmt.Sprint(c.Size)
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		answer http.HandlerFunc
 		offset int64
 		fault  distribution.Fault
@@ -203,11 +208,11 @@
 		"fails":                       {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, 0, distribution.FaultUnreachable},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := httptest.NewServer(x.answer)
+			server := httptest.NewServer(test.answer)
 			defer server.Close()
-			_, f := fetchBlob(t, strings.TrimPrefix(server.URL, "http://"), m.manifest, c, x.offset)
-			if f.Fault != x.fault {
-				t.Errorf("%q, not %q", f.Fault, x.fault)
+			_, f := fetchBlob(t, strings.TrimPrefix(server.URL, "http://"), m.manifest, c, test.offset)
+			if f.Fault != test.fault {
+				t.Errorf("%q, not %q", f.Fault, test.fault)
 			}
 		})
 	}
@@ -221,11 +226,19 @@
 	m, _ := newTestContent(t)
 	client := NewClient(5*time.Second, nil, nil)
 	defer client.Close()
-	for name, body := range map[string][]byte{"endless": bytes.Repeat([]byte(" "), distribution.MaxManifestBytes*2), "another": []byte(`{"schemaVersion":2}`)} {
-		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) }))
-		if _, f := client.Manifest(context.Background(), strings.TrimPrefix(server.URL, "http://"), "a", m.manifest.Digest); f.Fault != distribution.FaultDamaged {
-			t.Errorf("%s: %+v", name, f)
-		}
-		server.Close()
+	for name, body := range map[string][]byte{
+		"too long":       bytes.Repeat([]byte(" "), distribution.MaxManifestBytes*2),
+		"another digest": []byte(`{"schemaVersion":2}`),
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				_, _ = w.Write(body) // the client may stop reading
+			}))
+			defer server.Close()
+			_, result := client.Manifest(t.Context(), strings.TrimPrefix(server.URL, "http://"), "a", m.manifest.Digest)
+			if result.Fault != distribution.FaultDamaged {
+				t.Errorf("%+v", result)
+			}
+		})
 	}
 }
