--- a/internal/distribution/agent/core_reports.go
+++ b/internal/distribution/agent/core_reports.go
@@ -80,7 +80,7 @@
 }
 
 // waitReasons tells of every name that isn't served from the wanted manifest, why.
-func (c *Core) waitReasons() (waits []distribution.Wait) {
+func (c *Core) waitReasons() (waits []distribution.WaitReason) {
 	for _, target := range c.targets {
 		if target.wanted == "" || target.active != target.wanted {
 			waits = append(waits, c.waitReason(target))
@@ -89,8 +89,8 @@
 	return waits
 }
 
-func (c *Core) waitReason(target *targetState) distribution.Wait {
-	reason := distribution.Wait{Name: target.name}
+func (c *Core) waitReason(target *targetState) distribution.WaitReason {
+	reason := distribution.WaitReason{Name: target.name}
 	version := c.versions[target.wanted]
 	switch {
 	case target.wanted == "":
@@ -107,7 +107,7 @@
 
 // addChunkReason tells why chunks of a version are still missing, and names one that no
 // source has.
-func (c *Core) addChunkReason(reason *distribution.Wait, version *versionState) {
+func (c *Core) addChunkReason(reason *distribution.WaitReason, version *versionState) {
 	fetching, unavailable := 0, 0
 	for i, listed := range version.Chunks {
 		switch {
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -11,7 +11,7 @@
 	"github.com/opencontainers/go-digest"
 )
 
-func sound(t *testing.T) *Manifest {
+func newTestManifest(t *testing.T) *Manifest {
 	t.Helper()
 	m, err := NewManifest([]Chunk{{digest.FromString("a"), 10}, {digest.FromString("b"), 20}, {digest.FromString("a"), 10}})
 	if err != nil {
@@ -20,8 +20,8 @@
 	return m
 }
 
-func TestManifestIsReadBack(t *testing.T) {
-	m := sound(t)
+func TestManifestRoundTrip(t *testing.T) {
+	m := newTestManifest(t)
 	if m.Size != 40 || len(m.Chunks) != 3 || m.Chunks[1].Size != 20 {
 		t.Errorf("%+v", m)
 	}
@@ -80,12 +80,12 @@
 	}
 }
 
-func inventory() Inventory {
+func newTestInventory() Inventory {
 	return Inventory{Agent: "a", Zone: "z", Address: "10.0.0.1:7000", Session: 1, Sequence: 1, UploadSlots: 4, Wants: []string{"models/a"}}
 }
 
 // Every field that is out of range is named.
-func TestBadInventoriesAreNamed(t *testing.T) {
+func TestInvalidInventoryFieldsAreNamed(t *testing.T) {
 	d := digest.FromString("a")
 	for field, spoil := range map[string]func(*Inventory){
 		"agent":                func(i *Inventory) { i.Agent = "" },
@@ -100,9 +100,9 @@
 		"holdings[0].chunks":   func(i *Inventory) { i.Holdings = []Holding{{Manifest: d, Chunks: 2, Total: 1}} },
 		"holdings[0].total":    func(i *Inventory) { i.Holdings = []Holding{{Manifest: d, Chunks: 0, Total: 1 << 40}} },
 		"faults[0].fault":      func(i *Inventory) { i.Faults = []SourceFault{{Source: "b", Manifest: d, Fault: "bored"}} },
-		"waits[0].name":        func(i *Inventory) { i.Waits = []Wait{{Name: "A"}} },
+		"waits[0].name":        func(i *Inventory) { i.Waits = []WaitReason{{Name: "A"}} },
 	} {
-		i := inventory()
+		i := newTestInventory()
 		spoil(&i)
 		text, err := json.Marshal(i)
 		if err != nil {
@@ -123,12 +123,12 @@
 			t.Errorf("%.20s: %v, and %s is at fault", text, err, field)
 		}
 	}
-	twice := inventory()
+	twice := newTestInventory()
 	twice.Holdings = []Holding{{Manifest: d, Total: 1}, {Manifest: d, Total: 1}}
 	if twice.Check() == nil {
 		t.Error("a manifest named twice is taken")
 	}
-	store := inventory()
+	store := newTestInventory()
 	store.Agent = StoreSource
 	if store.Check() == nil {
 		t.Error("an agent may call itself the store")
@@ -137,7 +137,7 @@
 
 // An unknown field is no error: versions run side by side.
 func TestUnknownFieldsAreIgnored(t *testing.T) {
-	i := inventory()
+	i := newTestInventory()
 	text, err := json.Marshal(i)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/distribution/layout/layout.go
+++ b/internal/distribution/layout/layout.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	blobsDir  = "blobs"
-	indexMost = 16 << 20 // bytes of the index that are read
+	blobsDir      = "blobs"
+	maxIndexBytes = 16 << 20 // bytes of the index that are read
 )
 
 // Layout is a directory.
@@ -95,7 +95,7 @@
 			return nil, err
 		}
 	}
-	return m, l.tag(m, tag)
+	return m, l.setTag(m, tag)
 }
 
 // packChunk writes what a source gives as a blob; one without bytes is none.
@@ -121,14 +121,14 @@
 func (l *Layout) writeIndex(index image.Index) error { return l.writeJSON(image.ImageIndexFile, index) }
 
 // index reads the list of tags.
-func (l *Layout) index() (image.Index, error) {
+func (l *Layout) readIndex() (image.Index, error) {
 	var index image.Index
 	file, err := l.fs.Open(path.Join(l.root, image.ImageIndexFile))
 	if err != nil {
 		return index, err
 	}
 	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, indexMost))
+	text, err := io.ReadAll(io.LimitReader(file, maxIndexBytes))
 	if err != nil {
 		return index, err
 	}
@@ -139,8 +139,8 @@
 }
 
 // tag has a tag name a version.
-func (l *Layout) tag(m *distribution.Manifest, tag string) error {
-	index, err := l.index()
+func (l *Layout) setTag(m *distribution.Manifest, tag string) error {
+	index, err := l.readIndex()
 	if err != nil {
 		return err
 	}
@@ -158,7 +158,7 @@
 
 // Tags gives the version of each tag.
 func (l *Layout) Tags() (map[string]digest.Digest, error) {
-	index, err := l.index()
+	index, err := l.readIndex()
 	tags := map[string]digest.Digest{}
 	for _, d := range index.Manifests {
 		if tag := d.Annotations[image.AnnotationRefName]; tag != "" {
@@ -170,7 +170,7 @@
 
 // Check reads every byte of every version and names what is missing or damaged.
 func (l *Layout) Check() error {
-	index, err := l.index()
+	index, err := l.readIndex()
 	if err != nil {
 		return err
 	}
--- a/internal/distribution/layout/layout_test.go
+++ b/internal/distribution/layout/layout_test.go
@@ -16,7 +16,7 @@
 	"oakpick/internal/distribution/registry"
 )
 
-func create(t *testing.T, files afero.Fs) *Layout {
+func createLayout(t *testing.T, files afero.Fs) *Layout {
 	t.Helper()
 	l, err := Create(files, "/store")
 	if err != nil {
@@ -25,7 +25,7 @@
 	return l
 }
 
-func pack(t *testing.T, l *Layout, content, tag string) *distribution.Manifest {
+func packString(t *testing.T, l *Layout, content, tag string) *distribution.Manifest {
 	t.Helper()
 	m, err := l.Pack(strings.NewReader(content), 4, tag)
 	if err != nil {
@@ -38,9 +38,9 @@
 // that two versions share are there once.
 func TestPackedVersionsAreReadBack(t *testing.T) {
 	files := afero.NewMemMapFs()
-	l := create(t, files)
-	first := pack(t, l, "aaaabbbbcc", "v1")
-	second := pack(t, l, "aaaabbbbdddd", "v2")
+	l := createLayout(t, files)
+	first := packString(t, l, "aaaabbbbcc", "v1")
+	second := packString(t, l, "aaaabbbbdddd", "v2")
 	if len(first.Chunks) != 3 || first.Chunks[2].Size != 2 || first.Chunks[1] != second.Chunks[1] {
 		t.Errorf("%+v %+v", first.Chunks, second.Chunks)
 	}
@@ -53,7 +53,7 @@
 			t.Errorf("%s: %s %v", reference, d, err)
 		}
 	}
-	pack(t, l, "eeee", "v1")
+	packString(t, l, "eeee", "v1")
 	if tags, err := l.Tags(); err != nil || len(tags) != 2 || tags["v1"] == first.Digest {
 		t.Errorf("%v %v", tags, err)
 	}
@@ -69,8 +69,8 @@
 // A chunk that is damaged or missing is named.
 func TestCheckNamesDamage(t *testing.T) {
 	files := afero.NewMemMapFs()
-	l := create(t, files)
-	m := pack(t, l, "aaaabbbbcc", "v1")
+	l := createLayout(t, files)
+	m := packString(t, l, "aaaabbbbcc", "v1")
 	if err := afero.WriteFile(files, l.blobPath(m.Chunks[0].Digest), []byte("aaab"), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -86,9 +86,9 @@
 }
 
 // A source that fails leaves the tag as it was.
-func TestFailedPackChangesNoTag(t *testing.T) {
-	l := create(t, afero.NewMemMapFs())
-	m := pack(t, l, "aaaabbbb", "v1")
+func TestFailedPackKeepsTag(t *testing.T) {
+	l := createLayout(t, afero.NewMemMapFs())
+	m := packString(t, l, "aaaabbbb", "v1")
 	broken := errors.New("the file can't be read")
 	if _, err := l.Pack(io.MultiReader(strings.NewReader("ccccdd"), iotest.ErrReader(broken)), 4, "v1"); !errors.Is(err, broken) {
 		t.Errorf("%v", err)
@@ -101,8 +101,8 @@
 	}
 }
 
-func TestBadArgumentsOfPack(t *testing.T) {
-	l := create(t, afero.NewMemMapFs())
+func TestInvalidArgumentsAreRefused(t *testing.T) {
+	l := createLayout(t, afero.NewMemMapFs())
 	for field, try := range map[string]func() error{
 		"tag":        func() error { _, err := l.Pack(strings.NewReader("a"), 4, "a/b"); return err },
 		"chunk size": func() error { _, err := l.Pack(strings.NewReader("a"), 0, "v1"); return err },
@@ -126,12 +126,12 @@
 }
 
 // An agent's client fetches from it on a real disk.
-func TestLayoutIsServed(t *testing.T) {
+func TestLayoutIsServedToAgents(t *testing.T) {
 	l, err := Create(afero.NewOsFs(), t.TempDir()+"/store")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := pack(t, l, "aaaabbbbcc", "v1")
+	m := packString(t, l, "aaaabbbbcc", "v1")
 	server := httptest.NewServer(&registry.Handler{Content: l, Slots: registry.NewSlots(1)})
 	defer server.Close()
 	client := registry.NewClient(5*time.Second, nil, nil)
--- a/internal/distribution/manifest.go
+++ b/internal/distribution/manifest.go
@@ -125,22 +125,22 @@
 type ChunkSet []byte
 
 // NewChunkSet makes an empty set for so many chunks.
-func NewChunkSet(chunks int) ChunkSet { return make(ChunkSet, (chunks+bitsEach-1)/bitsEach) }
+func NewChunkSet(chunks int) ChunkSet { return make(ChunkSet, (chunks+bitsPerByte-1)/bitsPerByte) }
 
-const bitsEach = 8
+const bitsPerByte = 8
 
 // Has tells whether a position is in the set.
 func (s ChunkSet) Has(i int) bool {
-	return i/bitsEach < len(s) && s[i/bitsEach]&(1<<(i%bitsEach)) != 0
+	return i/bitsPerByte < len(s) && s[i/bitsPerByte]&(1<<(i%bitsPerByte)) != 0
 }
 
 // Add puts a position into the set, which must be large enough for it.
-func (s ChunkSet) Add(i int) { s[i/bitsEach] |= 1 << (i % bitsEach) }
+func (s ChunkSet) Add(i int) { s[i/bitsPerByte] |= 1 << (i % bitsPerByte) }
 
 // Remove takes a position out of the set.
 func (s ChunkSet) Remove(i int) {
-	if i/bitsEach < len(s) {
-		s[i/bitsEach] &^= 1 << (i % bitsEach)
+	if i/bitsPerByte < len(s) {
+		s[i/bitsPerByte] &^= 1 << (i % bitsPerByte)
 	}
 }
 
@@ -149,8 +149,8 @@
 func (s ChunkSet) ForChunks(chunks int) ChunkSet {
 	out := NewChunkSet(chunks)
 	copy(out, s)
-	if rest := chunks % bitsEach; rest != 0 {
-		out[len(out)-1] &= math.MaxUint8 >> (bitsEach - rest)
+	if rest := chunks % bitsPerByte; rest != 0 {
+		out[len(out)-1] &= math.MaxUint8 >> (bitsPerByte - rest)
 	}
 	return out
 }
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -83,7 +83,7 @@
 	Wants       []string      `json:"wants,omitempty" validate:"max=64,dive,weights"`
 	Holdings    []Holding     `json:"holdings,omitempty" validate:"max=128,dive"`
 	Faults      []SourceFault `json:"faults,omitempty" validate:"max=64,dive"`
-	Waits       []Wait        `json:"waits,omitempty" validate:"max=64,dive"`
+	Waits       []WaitReason  `json:"waits,omitempty" validate:"max=64,dive"`
 }
 
 // Holding is how much of a manifest an agent holds.
@@ -102,7 +102,7 @@
 }
 
 // Wait says why an agent doesn't get on with a name.
-type Wait struct {
+type WaitReason struct {
 	Name   string        `json:"name" validate:"weights"`
 	Why    string        `json:"why" validate:"max=256"`
 	Chunk  digest.Digest `json:"chunk,omitempty" validate:"omitempty,sha256digest"` // one that is missing
@@ -153,7 +153,7 @@
 	Error string `json:"error"`
 }
 
-var rules = sync.OnceValue(func() *validator.Validate {
+var validate = sync.OnceValue(func() *validator.Validate {
 	v := config.NewValidator("json")
 	register := func(tag string, check func(string) error) {
 		err := v.RegisterValidation(tag, func(f validator.FieldLevel) bool { return check(f.Field().String()) == nil })
@@ -179,7 +179,7 @@
 		return fieldError("body", "not a JSON object of this kind")
 	}
 	var problems validator.ValidationErrors
-	if err := rules().Struct(message); errors.As(err, &problems) {
+	if err := validate().Struct(message); errors.As(err, &problems) {
 		first := problems[0]
 		_, field, _ := strings.Cut(first.Namespace(), ".")
 		return fieldError(field, "out of range (%s)", strings.TrimSpace(first.Tag()+" "+first.Param()))
--- a/internal/distribution/operator/client.go
+++ b/internal/distribution/operator/client.go
@@ -28,7 +28,7 @@
 }
 
 // maxAnswer bounds what is read of an answer: a page of status with every agent's waits.
-const maxAnswer = 16 << 20
+const maxAnswerBytes = 16 << 20
 
 // call makes a request and decodes the answer.
 func (c *Client) call(ctx context.Context, method, path string, body, answer any) error {
@@ -38,7 +38,7 @@
 	}
 	var problems []error
 	for _, controller := range c.Controllers {
-		again, err := c.ask(ctx, controller, method, path, text, answer)
+		again, err := c.send(ctx, controller, method, path, text, answer)
 		if err == nil || !again {
 			return err
 		}
@@ -48,7 +48,7 @@
 }
 
 // ask asks one controller; again tells whether another may know better.
-func (c *Client) ask(ctx context.Context, controller, method, path string, body []byte, answer any) (again bool, err error) {
+func (c *Client) send(ctx context.Context, controller, method, path string, body []byte, answer any) (again bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+controller+path, bytes.NewReader(body))
 	if err != nil {
 		return false, err
@@ -59,7 +59,7 @@
 		return true, err
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
 		return true, fmt.Errorf("%s: %w", controller, err)
 	}
@@ -85,7 +85,7 @@
 	var all []distribution.NameRecord
 	for after := ""; ; {
 		var page tracker.NamesPage
-		if err := c.call(ctx, http.MethodGet, behind(distribution.PathWeights, after), nil, &page); err != nil {
+		if err := c.call(ctx, http.MethodGet, pagePath(distribution.PathWeights, after), nil, &page); err != nil {
 			return all, err
 		}
 		all = append(all, page.Names...)
@@ -97,7 +97,7 @@
 }
 
 // behind is the path of the page behind an entry.
-func behind(path, after string) string {
+func pagePath(path, after string) string {
 	if after == "" {
 		return path
 	}
@@ -109,7 +109,7 @@
 	var all tracker.Status
 	for after := ""; ; {
 		var page tracker.Status
-		if err := c.call(ctx, http.MethodGet, behind(distribution.PathWeights+"/"+name, after), nil, &page); err != nil {
+		if err := c.call(ctx, http.MethodGet, pagePath(distribution.PathWeights+"/"+name, after), nil, &page); err != nil {
 			return all, err
 		}
 		members := append(all.Members, page.Members...)
@@ -139,13 +139,13 @@
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "agent\tzone\tchunks\tserves\theard\tfetches from\tgives to\twaits")
 	for _, m := range s.Members {
-		fmt.Fprintf(table, "%s\t%s\t%d/%d\t%s\t%s ago\t%s\t%s\t%s\n", m.Agent, m.Zone, m.Chunks, m.Total, yes(m.Active),
-			time.Duration(m.LastReportAgeS*float64(time.Second)).Round(time.Second/10), cmp.Or(strings.Join(m.Sources, ","), "-"), cmp.Or(strings.Join(m.Downloaders, ","), "-"), waits(m))
+		fmt.Fprintf(table, "%s\t%s\t%d/%d\t%s\t%s ago\t%s\t%s\t%s\n", m.Agent, m.Zone, m.Chunks, m.Total, yesNo(m.Active),
+			time.Duration(m.LastReportAgeS*float64(time.Second)).Round(time.Second/10), cmp.Or(strings.Join(m.Sources, ","), "-"), cmp.Or(strings.Join(m.Downloaders, ","), "-"), describeWaits(m))
 	}
 	return table.Flush()
 }
 
-func yes(is bool) string {
+func yesNo(is bool) string {
 	if is {
 		return "yes"
 	}
@@ -153,7 +153,7 @@
 }
 
 // waits says why an agent doesn't get on.
-func waits(m tracker.AgentStatus) string {
+func describeWaits(m tracker.AgentStatus) string {
 	var out []string
 	for _, w := range m.Waits {
 		text := w.Why
--- a/internal/distribution/simulation/agent.go
+++ b/internal/distribution/simulation/agent.go
@@ -37,7 +37,7 @@
 	// ActivatedNames are the names of which a version became active, in any incarnation.
 	ActivatedNames map[string]bool
 	// ReportedWaits are those of its last inventory.
-	ReportedWaits []distribution.Wait
+	ReportedWaits []distribution.WaitReason
 
 	// Of the process that runs now.
 	incarnation int
--- a/internal/distribution/tracker/state.go
+++ b/internal/distribution/tracker/state.go
@@ -19,7 +19,7 @@
 	members             map[digest.Digest]*swarmMember
 	uploadLeases        []*sourceLease // on its upload slots
 	downloadLeases      []*sourceLease // by which it may fetch
-	waits               []distribution.Wait
+	waits               []distribution.WaitReason
 	avoidUntil          map[sourceKey]time.Duration // sources that it isn't given before
 }
 
--- a/internal/distribution/tracker/status.go
+++ b/internal/distribution/tracker/status.go
@@ -64,16 +64,16 @@
 
 // AgentStatus is what is known of an agent regarding one manifest.
 type AgentStatus struct {
-	Agent          string              `json:"agent"`
-	Zone           string              `json:"zone"`
-	Chunks         int                 `json:"chunks"`
-	Total          int                 `json:"total"`
-	Active         bool                `json:"active"`
-	LastReportAgeS float64             `json:"heard_s_ago"`
-	Sources        []string            `json:"sources,omitempty"`
-	Downloaders    []string            `json:"takers,omitempty"`
-	Accused        int                 `json:"accused_of_damage,omitempty"`
-	Waits          []distribution.Wait `json:"waits,omitempty"`
+	Agent          string                    `json:"agent"`
+	Zone           string                    `json:"zone"`
+	Chunks         int                       `json:"chunks"`
+	Total          int                       `json:"total"`
+	Active         bool                      `json:"active"`
+	LastReportAgeS float64                   `json:"heard_s_ago"`
+	Sources        []string                  `json:"sources,omitempty"`
+	Downloaders    []string                  `json:"takers,omitempty"`
+	Accused        int                       `json:"accused_of_damage,omitempty"`
+	Waits          []distribution.WaitReason `json:"waits,omitempty"`
 }
 
 // handleStatus answers with the agents after one. The counts are of all agents.
