--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -11,6 +11,7 @@
 	"github.com/opencontainers/go-digest"
 )
 
+// newTestManifest makes a manifest of three chunks, two of which are the same.
 func newTestManifest(t *testing.T) *Manifest {
 	t.Helper()
 	m, err := NewManifest([]Chunk{{digest.FromString("a"), 10}, {digest.FromString("b"), 20}, {digest.FromString("a"), 10}})
@@ -20,23 +21,23 @@
 	return m
 }
 
+// A manifest is read back as it was made, and only by its digest.
 func TestManifestRoundTrip(t *testing.T) {
 	m := newTestManifest(t)
 	if m.Size != 40 || len(m.Chunks) != 3 || m.Chunks[1].Size != 20 {
-		t.Errorf("%+v", m)
+		t.Errorf("not the manifest that was made: %+v", m)
 	}
 	if _, err := ParseManifest(m.Raw, digest.FromString("other")); err == nil {
-		t.Error("a manifest with another digest is taken")
+		t.Error("a manifest with another digest is accepted")
 	}
 }
 
-// Every malformed manifest is refused with the field's name, and nothing is made as large as
-// it says.
+// Every malformed manifest is refused with the field's name, whatever sizes it claims.
 func TestMalformedManifestsAreRefused(t *testing.T) {
 	layer := func(d string, size int64) string { return fmt.Sprintf(`{"digest":%q,"size":%d}`, d, size) }
 	good := digest.FromString("a").String()
 	wrap := func(layers string) string { return `{"schemaVersion":2,"layers":[` + layers + `]}` }
-	for name, c := range map[string]struct{ text, field string }{
+	for name, test := range map[string]struct{ text, field string }{
 		"no JSON":                {"{", "manifest"},
 		"another version":        {`{"schemaVersion":1,"layers":[]}`, "schemaVersion"},
 		"an index":               {`{"schemaVersion":2,"mediaType":"application/vnd.oci.image.index.v1+json"}`, "mediaType"},
@@ -51,14 +52,23 @@
 		"two sizes for a digest": {wrap(layer(good, 1) + "," + layer(good, 2)), "layers[1].size"},
 		"too long":               {strings.Repeat(" ", MaxManifestBytes+1), "manifest"},
 	} {
-		_, err := ParseManifest([]byte(c.text), digest.FromString(c.text))
-		var field *FieldError
-		if !errors.As(err, &field) || field.Field != c.field {
-			t.Errorf("%s: %v, and %s is at fault", name, err, c.field)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, err := ParseManifest([]byte(test.text), digest.FromString(test.text))
+			requireField(t, err, test.field)
+		})
 	}
 }
 
+// requireField fails unless an error names a field.
+func requireField(t *testing.T, err error, field string) {
+	t.Helper()
+	var fieldErr *FieldError
+	if !errors.As(err, &fieldErr) || fieldErr.Field != field {
+		t.Errorf("%v, and %s is at fault", err, field)
+	}
+}
+
+// Positions are added and removed, and sets of other processes are cut or extended to size.
 func TestChunkSet(t *testing.T) {
 	s := NewChunkSet(10)
 	s.Add(0)
@@ -69,7 +79,7 @@
 	s.Remove(9)
 	s.Remove(1000)
 	if s.Has(9) {
-		t.Error("it is still there")
+		t.Error("a removed position is still in the set")
 	}
 	all := ChunkSet{0xff, 0xff, 0xff}
 	if cut := all.ForChunks(10); len(cut) != 2 || cut.Has(10) || !cut.Has(9) {
@@ -80,6 +90,7 @@
 	}
 }
 
+// newTestInventory makes a valid inventory.
 func newTestInventory() Inventory {
 	return Inventory{Agent: "a", Zone: "z", Address: "10.0.0.1:7000", Session: 1, Sequence: 1, UploadSlots: 4, Wants: []string{"models/a"}}
 }
@@ -87,7 +98,7 @@
 // Every field that is out of range is named.
 func TestInvalidInventoryFieldsAreNamed(t *testing.T) {
 	d := digest.FromString("a")
-	for field, spoil := range map[string]func(*Inventory){
+	for field, invalidate := range map[string]func(*Inventory){
 		"agent":                func(i *Inventory) { i.Agent = "" },
 		"zone":                 func(i *Inventory) { i.Zone = strings.Repeat("z", 200) },
 		"address":              func(i *Inventory) { i.Address = "nowhere" },
@@ -102,31 +113,39 @@
 		"faults[0].fault":      func(i *Inventory) { i.Faults = []SourceFault{{Source: "b", Manifest: d, Fault: "bored"}} },
 		"waits[0].name":        func(i *Inventory) { i.Waits = []WaitReason{{Name: "A"}} },
 	} {
-		i := newTestInventory()
-		spoil(&i)
-		text, err := json.Marshal(i)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var got Inventory
-		var problem *FieldError
-		if err := Decode(text, &got); !errors.As(err, &problem) || problem.Field != field {
-			t.Errorf("%v, and %s is at fault", err, field)
-		}
+		t.Run(field, func(t *testing.T) {
+			inventory := newTestInventory()
+			invalidate(&inventory)
+			text, err := json.Marshal(inventory)
+			if err != nil {
+				t.Fatal(err)
+			}
+			requireField(t, Decode(text, &Inventory{}), field)
+		})
 	}
-	var got Inventory
-	for text, field := range map[string]string{
-		`{"agent":1}`: "agent", `[`: "body", `"x"`: "body", strings.Repeat("x", MaxMessageBytes+1): "body",
+}
+
+// Bodies that are no inventory at all are refused.
+func TestMalformedInventoriesAreRefused(t *testing.T) {
+	for name, test := range map[string]struct{ text, field string }{
+		"wrong type":    {`{"agent":1}`, "agent"},
+		"not JSON":      {`[`, "body"},
+		"not an object": {`"x"`, "body"},
+		"too long":      {strings.Repeat("x", MaxMessageBytes+1), "body"},
 	} {
-		var problem *FieldError
-		if err := Decode([]byte(text), &got); !errors.As(err, &problem) || problem.Field != field {
-			t.Errorf("%.20s: %v, and %s is at fault", text, err, field)
-		}
+		t.Run(name, func(t *testing.T) {
+			requireField(t, Decode([]byte(test.text), &Inventory{}), test.field)
+		})
 	}
+}
+
+// Inventories that the struct tags can't refuse are refused by Check.
+func TestInventoryCheck(t *testing.T) {
+	d := digest.FromString("a")
 	twice := newTestInventory()
 	twice.Holdings = []Holding{{Manifest: d, Total: 1}, {Manifest: d, Total: 1}}
 	if twice.Check() == nil {
-		t.Error("a manifest named twice is taken")
+		t.Error("a manifest that is named twice is accepted")
 	}
 	store := newTestInventory()
 	store.Agent = StoreSource
@@ -148,26 +167,28 @@
 	}
 }
 
+// Names and references are accepted as the OCI distribution specification allows them.
 func TestNamesAndReferences(t *testing.T) {
-	for _, n := range []string{"a", "models/frontdesk-large", "a.b/c__d/e-f"} {
-		if err := CheckName(n); err != nil {
+	for _, name := range []string{"a", "models/frontdesk-large", "a.b/c__d/e-f"} {
+		if err := CheckName(name); err != nil {
 			t.Error(err)
 		}
 	}
-	for _, n := range []string{"", "A", "a//b", "/a", "a/", "..", "a/../b", "a b", strings.Repeat("a", MaxNameBytes+1)} {
-		if CheckName(n) == nil {
-			t.Errorf("%q is taken", n)
+	for _, name := range []string{"", "A", "a//b", "/a", "a/", "..", "a/../b", "a b", strings.Repeat("a", MaxNameBytes+1)} {
+		if CheckName(name) == nil {
+			t.Errorf("%q is accepted", name)
 		}
 	}
-	for reference, ok := range map[string]bool{
+	for reference, valid := range map[string]bool{
 		"v1": true, digest.FromString("x").String(): true, "": false, "a/b": false, "sha256:1": false, "-x": false,
 	} {
-		if got := CheckReference(reference) == nil; got != ok {
-			t.Errorf("%q: %v", reference, got)
+		if got := CheckReference(reference) == nil; got != valid {
+			t.Errorf("%q is accepted: %v", reference, got)
 		}
 	}
 }
 
+// A manifest that is accepted has chunks, and a size within bounds.
 func FuzzParseManifest(f *testing.F) {
 	f.Add([]byte(`{"schemaVersion":2,"layers":[{"digest":"sha256:x","size":1}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/distribution/layout/layout.go
+++ b/internal/distribution/layout/layout.go
@@ -1,5 +1,5 @@
-// Package layout keeps versions of weights in a directory as an OCI image layout: it cuts files
-// into chunks, checks what is there, and is content that a store can serve.
+// Package layout keeps versions of weights in a directory as an OCI image layout: it splits files
+// into chunks, verifies what is stored, and is content that a registry.Handler can serve.
 package layout
 
 import (
@@ -26,13 +26,13 @@
 	maxIndexBytes = 16 << 20 // bytes of the index that are read
 )
 
-// Layout is a directory.
+// Layout is a directory with an OCI image layout.
 type Layout struct {
 	fs   afero.Fs
 	root string
 }
 
-// Open opens a layout that is there.
+// Open opens an existing layout.
 func Open(files afero.Fs, root string) (*Layout, error) {
 	l := &Layout{files, root}
 	text, err := afero.ReadFile(files, path.Join(root, image.ImageLayoutFile))
@@ -46,7 +46,7 @@
 	return l, nil
 }
 
-// Create opens a layout, which is made if there is none.
+// Create opens a layout, and creates it if there is none.
 func Create(files afero.Fs, root string) (*Layout, error) {
 	l, err := Open(files, root)
 	if !errors.Is(err, fs.ErrNotExist) {
@@ -56,18 +56,19 @@
 	if err := files.MkdirAll(path.Join(root, blobsDir, digest.SHA256.String()), 0o755); err != nil {
 		return nil, err
 	}
-	// What says that it is a layout comes last.
-	return l, errors.Join(l.writeIndex(image.Index{Versioned: specs.Versioned{SchemaVersion: 2}, MediaType: image.MediaTypeImageIndex}),
-		l.writeJSON(image.ImageLayoutFile, image.ImageLayout{Version: image.ImageLayoutVersion}))
+	index := image.Index{Versioned: specs.Versioned{SchemaVersion: 2}, MediaType: image.MediaTypeImageIndex}
+	// The file that marks a directory as a layout comes last.
+	return l, errors.Join(l.writeIndex(index), l.writeJSON(image.ImageLayoutFile, image.ImageLayout{Version: image.ImageLayoutVersion}))
 }
 
+// blobPath returns the path of a blob.
 func (l *Layout) blobPath(d digest.Digest) string {
 	return path.Join(l.root, blobsDir, d.Algorithm().String(), d.Encoded())
 }
 
-// Pack cuts the bytes of a source into chunks of such a size, the last one shorter, and has a
-// tag name the version. Chunks that are there already are not written again. The tag changes
-// last, in one step.
+// Pack splits the bytes of a source into chunks of a size, the last one shorter, and has a tag
+// refer to the version. Chunks that exist already are not written again. The tag changes last,
+// atomically.
 func (l *Layout) Pack(source io.Reader, chunkBytes int64, tag string) (*distribution.Manifest, error) {
 	if chunkBytes <= 0 {
 		return nil, &distribution.FieldError{Field: "chunk size", Problem: fmt.Sprintf("%d is out of range", chunkBytes)}
@@ -75,22 +76,16 @@
 	if err := distribution.CheckReference(tag); err != nil || distribution.CheckDigest(digest.Digest(tag)) == nil {
 		return nil, &distribution.FieldError{Field: "tag", Problem: fmt.Sprintf("%.80q is not a tag", tag)}
 	}
-	var chunks []distribution.Chunk
-	for {
-		chunk, err := l.packChunk(io.LimitReader(source, chunkBytes))
-		if err != nil {
-			return nil, err
-		}
-		if chunk.Size == 0 {
-			break
-		}
-		chunks = append(chunks, chunk)
+	chunks, err := l.packChunks(source, chunkBytes)
+	if err != nil {
+		return nil, err
 	}
 	m, err := distribution.NewManifest(chunks)
 	if err != nil {
 		return nil, err
 	}
-	for d, content := range map[digest.Digest][]byte{m.Digest: m.Raw, image.DescriptorEmptyJSON.Digest: image.DescriptorEmptyJSON.Data} {
+	empty := image.DescriptorEmptyJSON // every manifest refers to it as its configuration
+	for d, content := range map[digest.Digest][]byte{m.Digest: m.Raw, empty.Digest: empty.Data} {
 		if err := durable.Replace(l.fs, l.blobPath(d), bytes.NewReader(content)); err != nil {
 			return nil, err
 		}
@@ -98,7 +93,21 @@
 	return m, l.setTag(m, tag)
 }
 
-// packChunk writes what a source gives as a blob; one without bytes is none.
+// packChunks writes the bytes of a source as chunks.
+func (l *Layout) packChunks(source io.Reader, chunkBytes int64) (chunks []distribution.Chunk, err error) {
+	for {
+		chunk, err := l.packChunk(io.LimitReader(source, chunkBytes))
+		if err != nil {
+			return nil, err
+		}
+		if chunk.Size == 0 {
+			return chunks, nil
+		}
+		chunks = append(chunks, chunk)
+	}
+}
+
+// packChunk writes the bytes of a source as a blob. A source without bytes makes none.
 func (l *Layout) packChunk(source io.Reader) (distribution.Chunk, error) {
 	name := path.Join(l.root, blobsDir, "chunk"+durable.NewSuffix)
 	sum := digest.SHA256.Digester()
@@ -110,6 +119,7 @@
 	return chunk, durable.Rename(l.fs, name, l.blobPath(chunk.Digest))
 }
 
+// writeJSON replaces a JSON file atomically.
 func (l *Layout) writeJSON(name string, value any) error {
 	text, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
@@ -120,7 +130,7 @@
 
 func (l *Layout) writeIndex(index image.Index) error { return l.writeJSON(image.ImageIndexFile, index) }
 
-// index reads the list of tags.
+// readIndex reads the list of versions with their tags.
 func (l *Layout) readIndex() (image.Index, error) {
 	var index image.Index
 	file, err := l.fs.Open(path.Join(l.root, image.ImageIndexFile))
@@ -138,7 +148,7 @@
 	return index, nil
 }
 
-// tag has a tag name a version.
+// setTag has a tag refer to a version.
 func (l *Layout) setTag(m *distribution.Manifest, tag string) error {
 	index, err := l.readIndex()
 	if err != nil {
@@ -156,7 +166,7 @@
 	return l.writeIndex(index)
 }
 
-// Tags gives the version of each tag.
+// Tags returns the manifest of each tag.
 func (l *Layout) Tags() (map[string]digest.Digest, error) {
 	index, err := l.readIndex()
 	tags := map[string]digest.Digest{}
@@ -175,28 +185,33 @@
 		return err
 	}
 	var problems []error
-	checked := map[digest.Digest]bool{}
-	for _, d := range index.Manifests {
-		raw, _, err := l.Manifest("", d.Digest.String())
+	checked := map[digest.Digest]bool{} // chunks
+	for _, descriptor := range index.Manifests {
+		m, err := l.readManifest(descriptor.Digest)
 		if err != nil {
-			problems = append(problems, fmt.Errorf("manifest %s: %w", d.Digest, err))
+			problems = append(problems, fmt.Errorf("manifest %s: %w", descriptor.Digest, err))
 			continue
 		}
-		m, err := distribution.ParseManifest(raw, d.Digest)
-		if err != nil {
-			problems = append(problems, fmt.Errorf("manifest %s: %w", d.Digest, err))
-			continue
-		}
-		for _, c := range m.Chunks {
-			if !checked[c.Digest] {
-				checked[c.Digest] = true
-				problems = append(problems, l.checkChunk(c))
+		for _, chunk := range m.Chunks {
+			if !checked[chunk.Digest] {
+				checked[chunk.Digest] = true
+				problems = append(problems, l.checkChunk(chunk))
 			}
 		}
 	}
 	return errors.Join(problems...)
 }
 
+// readManifest reads and verifies a manifest.
+func (l *Layout) readManifest(d digest.Digest) (*distribution.Manifest, error) {
+	raw, _, err := l.Manifest("", d.String())
+	if err != nil {
+		return nil, err
+	}
+	return distribution.ParseManifest(raw, d)
+}
+
+// checkChunk reads a chunk and compares its digest.
 func (l *Layout) checkChunk(c distribution.Chunk) error {
 	blob, err := l.Blob("", c.Digest)
 	if err != nil {
@@ -210,7 +225,7 @@
 	return nil
 }
 
-// Manifest gives a manifest by tag or digest.
+// Manifest returns a manifest by tag or digest.
 func (l *Layout) Manifest(_, reference string) ([]byte, digest.Digest, error) {
 	d := digest.Digest(reference)
 	if distribution.CheckDigest(d) != nil {
@@ -229,7 +244,7 @@
 	defer blob.Close()
 	raw, err := io.ReadAll(io.LimitReader(blob, distribution.MaxManifestBytes+1))
 	if err == nil && len(raw) > distribution.MaxManifestBytes {
-		return nil, "", registry.ErrNotFound // a chunk, and no manifest
+		return nil, "", registry.ErrNotFound // it is a chunk
 	}
 	return raw, d, err
 }
@@ -246,5 +261,5 @@
 	return file, err
 }
 
-// Chunks tells nothing: a store is asked for what it has.
+// Chunks returns nil: a store is asked for chunks without telling first which it has.
 func (l *Layout) Chunks(digest.Digest) distribution.ChunkSet { return nil }
--- a/internal/distribution/layout/layout_test.go
+++ b/internal/distribution/layout/layout_test.go
@@ -16,6 +16,7 @@
 	"oakpick/internal/distribution/registry"
 )
 
+// createLayout creates a layout in /store.
 func createLayout(t *testing.T, files afero.Fs) *Layout {
 	t.Helper()
 	l, err := Create(files, "/store")
@@ -25,6 +26,7 @@
 	return l
 }
 
+// packString packs a string in chunks of four bytes.
 func packString(t *testing.T, l *Layout, content, tag string) *distribution.Manifest {
 	t.Helper()
 	m, err := l.Pack(strings.NewReader(content), 4, tag)
@@ -34,8 +36,8 @@
 	return m
 }
 
-// What is packed is read back by tag and by digest, the last chunk is what is left, and chunks
-// that two versions share are there once.
+// Packed versions are read back by tag and by digest, the last chunk has the remaining bytes, and
+// chunks that two versions share are stored once.
 func TestPackedVersionsAreReadBack(t *testing.T) {
 	files := afero.NewMemMapFs()
 	l := createLayout(t, files)
@@ -50,7 +52,7 @@
 	}
 	for reference, want := range map[string]*distribution.Manifest{"v1": first, "v2": second, first.Digest.String(): first} {
 		if raw, d, err := again.Manifest("", reference); err != nil || d != want.Digest || !bytes.Equal(raw, want.Raw) {
-			t.Errorf("%s: %s %v", reference, d, err)
+			t.Errorf("%s refers to %s, not %s: %v", reference, d, want.Digest, err)
 		}
 	}
 	packString(t, l, "eeee", "v1")
@@ -66,7 +68,7 @@
 	}
 }
 
-// A chunk that is damaged or missing is named.
+// A damaged or missing chunk is named.
 func TestCheckNamesDamage(t *testing.T) {
 	files := afero.NewMemMapFs()
 	l := createLayout(t, files)
@@ -78,8 +80,8 @@
 		t.Fatal(err)
 	}
 	err := l.Check()
-	for i, bad := range []bool{true, false, true} {
-		if named := err != nil && strings.Contains(err.Error(), m.Chunks[i].Digest.String()); named != bad {
+	for i, wantNamed := range []bool{true, false, true} {
+		if named := err != nil && strings.Contains(err.Error(), m.Chunks[i].Digest.String()); named != wantNamed {
 			t.Errorf("chunk %d: named %v in %v", i, named, err)
 		}
 	}
@@ -101,31 +103,35 @@
 	}
 }
 
+// Invalid arguments are refused with the field's name, and directories that are no layout of the
+// known version are not opened.
 func TestInvalidArgumentsAreRefused(t *testing.T) {
 	l := createLayout(t, afero.NewMemMapFs())
-	for field, try := range map[string]func() error{
+	for field, pack := range map[string]func() error{
 		"tag":        func() error { _, err := l.Pack(strings.NewReader("a"), 4, "a/b"); return err },
 		"chunk size": func() error { _, err := l.Pack(strings.NewReader("a"), 0, "v1"); return err },
 		"layers":     func() error { _, err := l.Pack(strings.NewReader(""), 4, "v1"); return err },
 	} {
-		var problem *distribution.FieldError
-		if err := try(); !errors.As(err, &problem) || problem.Field != field {
-			t.Errorf("%v, and %s is at fault", err, field)
-		}
+		t.Run(field, func(t *testing.T) {
+			var problem *distribution.FieldError
+			if err := pack(); !errors.As(err, &problem) || problem.Field != field {
+				t.Errorf("%v, and %s is at fault", err, field)
+			}
+		})
 	}
 	if _, err := Open(afero.NewMemMapFs(), "/nowhere"); err == nil {
-		t.Error("a directory that isn't there is a layout")
+		t.Error("a missing directory is opened as a layout")
 	}
 	other := afero.NewMemMapFs()
 	if err := afero.WriteFile(other, "/store/oci-layout", []byte(`{"imageLayoutVersion":"9"}`), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Create(other, "/store"); err == nil {
-		t.Error("a layout of another version is written to")
+		t.Error("a layout of another version is opened")
 	}
 }
 
-// An agent's client fetches from it on a real disk.
+// An agent's client fetches a version from a layout on a real disk.
 func TestLayoutIsServedToAgents(t *testing.T) {
 	l, err := Create(afero.NewOsFs(), t.TempDir()+"/store")
 	if err != nil {
--- a/internal/distribution/manifest.go
+++ b/internal/distribution/manifest.go
@@ -1,5 +1,5 @@
-// Package distribution holds what trackers, agents and stores of weights share: manifests,
-// sets of chunks, and the messages between agents and the tracker, with their validation.
+// Package distribution holds what trackers, agents and stores of weights share: manifests, sets
+// of chunks, and the messages between agents and the tracker with their validation.
 package distribution
 
 import (
@@ -14,13 +14,15 @@
 const (
 	// MaxManifestBytes is the largest manifest that is read, as registries commonly allow.
 	MaxManifestBytes = 4 << 20
-	// MaxVersionBytes is the most that the chunks of one manifest may add up to.
+	// MaxVersionBytes bounds the size of all chunks of a manifest together.
 	MaxVersionBytes = 1 << 50
 
 	schemaVersion = 2
+	artifactType  = "application/vnd.oakpick.weights"
+	chunkType     = "application/octet-stream"
 )
 
-// FieldError names the field of a message that is at fault.
+// FieldError names a field of a message and what is wrong with it.
 type FieldError struct {
 	Field   string
 	Problem string
@@ -38,7 +40,7 @@
 	Size   int64
 }
 
-// Manifest lists the chunks of one version in their order.
+// Manifest lists the chunks of a version in order.
 type Manifest struct {
 	Digest digest.Digest
 	Raw    []byte // as it was fetched; its digest is Digest
@@ -57,6 +59,31 @@
 	if got := want.Algorithm().FromBytes(raw); got != want {
 		return nil, fieldError("manifest", "has the digest %s, not %s", got, want)
 	}
+	decoded, err := decodeManifest(raw)
+	if err != nil {
+		return nil, err
+	}
+	m := &Manifest{Digest: want, Raw: raw, Chunks: make([]Chunk, 0, len(decoded.Layers))}
+	sizes := make(map[digest.Digest]int64, len(decoded.Layers))
+	for i, layer := range decoded.Layers {
+		if err := CheckDigest(layer.Digest); err != nil {
+			return nil, fieldError(fmt.Sprintf("layers[%d].digest", i), "%v", err)
+		}
+		if layer.Size <= 0 || layer.Size > MaxVersionBytes-m.Size {
+			return nil, fieldError(fmt.Sprintf("layers[%d].size", i), "%d is out of range", layer.Size)
+		}
+		if size, known := sizes[layer.Digest]; known && size != layer.Size {
+			return nil, fieldError(fmt.Sprintf("layers[%d].size", i), "%d here and %d before, with the same digest", layer.Size, size)
+		}
+		sizes[layer.Digest] = layer.Size
+		m.Chunks = append(m.Chunks, Chunk{layer.Digest, layer.Size})
+		m.Size += layer.Size
+	}
+	return m, nil
+}
+
+// decodeManifest reads an OCI image manifest and checks everything but its layers.
+func decodeManifest(raw []byte) (*specs.Manifest, error) {
 	var m specs.Manifest
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return nil, fieldError("manifest", "not a JSON manifest: %v", err)
@@ -70,38 +97,22 @@
 	if len(m.Layers) == 0 {
 		return nil, fieldError("layers", "there are none")
 	}
-	manifest := &Manifest{Digest: want, Raw: raw, Chunks: make([]Chunk, 0, len(m.Layers))}
-	sizes := make(map[digest.Digest]int64, len(m.Layers))
-	for i, layer := range m.Layers {
-		if err := CheckDigest(layer.Digest); err != nil {
-			return nil, fieldError(fmt.Sprintf("layers[%d].digest", i), "%v", err)
-		}
-		if layer.Size <= 0 || layer.Size > MaxVersionBytes-manifest.Size {
-			return nil, fieldError(fmt.Sprintf("layers[%d].size", i), "%d is out of range", layer.Size)
-		}
-		if size, known := sizes[layer.Digest]; known && size != layer.Size {
-			return nil, fieldError(fmt.Sprintf("layers[%d].size", i), "%d here and %d before, with the same digest", layer.Size, size)
-		}
-		sizes[layer.Digest] = layer.Size
-		manifest.Chunks = append(manifest.Chunks, Chunk{layer.Digest, layer.Size})
-		manifest.Size += layer.Size
-	}
-	return manifest, nil
+	return &m, nil
 }
 
-// ActiveVersion is what a name is served from.
+// ActiveVersion is the version that a name is served from.
 type ActiveVersion struct {
 	Manifest digest.Digest `json:"manifest"`
-	Revision int64         `json:"revision"` // of the name's record that asked for it
+	Revision int64         `json:"revision"` // of the name's record that led to it
 }
 
-// NewManifest makes the manifest of such chunks.
+// NewManifest returns the manifest of some chunks.
 func NewManifest(chunks []Chunk) (*Manifest, error) {
 	empty := specs.DescriptorEmptyJSON
-	m := specs.Manifest{MediaType: specs.MediaTypeImageManifest, ArtifactType: "application/vnd.oakpick.weights", Config: empty}
+	m := specs.Manifest{MediaType: specs.MediaTypeImageManifest, ArtifactType: artifactType, Config: empty}
 	m.SchemaVersion = schemaVersion
-	for _, c := range chunks {
-		m.Layers = append(m.Layers, specs.Descriptor{MediaType: "application/octet-stream", Digest: c.Digest, Size: c.Size})
+	for _, chunk := range chunks {
+		m.Layers = append(m.Layers, specs.Descriptor{MediaType: chunkType, Digest: chunk.Digest, Size: chunk.Size})
 	}
 	raw, err := json.Marshal(m)
 	if err != nil {
@@ -110,7 +121,7 @@
 	return ParseManifest(raw, digest.FromBytes(raw))
 }
 
-// CheckDigest accepts SHA-256 digests only: every agent has to be able to verify them.
+// CheckDigest accepts SHA-256 digests only, which every agent can verify.
 func CheckDigest(d digest.Digest) error {
 	if err := d.Validate(); err != nil {
 		return err
@@ -121,31 +132,31 @@
 	return nil
 }
 
-// ChunkSet is a set of positions in a manifest, a bit each.
+// ChunkSet is a set of positions in a manifest, one bit each.
 type ChunkSet []byte
 
-// NewChunkSet makes an empty set for so many chunks.
+// NewChunkSet returns an empty set for a number of chunks.
 func NewChunkSet(chunks int) ChunkSet { return make(ChunkSet, (chunks+bitsPerByte-1)/bitsPerByte) }
 
 const bitsPerByte = 8
 
-// Has tells whether a position is in the set.
+// Has reports whether a position is in the set.
 func (s ChunkSet) Has(i int) bool {
 	return i/bitsPerByte < len(s) && s[i/bitsPerByte]&(1<<(i%bitsPerByte)) != 0
 }
 
-// Add puts a position into the set, which must be large enough for it.
+// Add adds a position to the set, which must be large enough.
 func (s ChunkSet) Add(i int) { s[i/bitsPerByte] |= 1 << (i % bitsPerByte) }
 
-// Remove takes a position out of the set.
+// Remove removes a position from the set.
 func (s ChunkSet) Remove(i int) {
 	if i/bitsPerByte < len(s) {
 		s[i/bitsPerByte] &^= 1 << (i % bitsPerByte)
 	}
 }
 
-// ForChunks copies a set that came from outside to one for so many chunks: positions beyond
-// them are left out, and missing bytes are empty.
+// ForChunks returns a copy of a set, which may come from another process, that has the size for a
+// number of chunks: positions beyond them are left out, and missing ones are not in the set.
 func (s ChunkSet) ForChunks(chunks int) ChunkSet {
 	out := NewChunkSet(chunks)
 	copy(out, s)
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -21,11 +21,12 @@
 	PathWeights   = PathPrefix + "weights" // and /{name}
 )
 
-// ChunksHeader carries, in answers of agents, which chunks of a manifest the answering agent
-// holds: a ChunkSet in base64.
+// ChunksHeader is the header in which agents tell which chunks of a manifest they hold: a
+// ChunkSet in base64.
 const ChunksHeader = "Oakpick-Chunks"
 
-// ManifestHeader names, in requests for a blob, the manifest whose chunks the asker is after.
+// ManifestHeader is the header in which a request for a blob names the manifest that it belongs
+// to.
 const ManifestHeader = "Oakpick-Manifest"
 
 // MaxMessageBytes is the largest message between an agent and the tracker.
@@ -58,18 +59,18 @@
 	return nil
 }
 
-// Fault is what a taker found wrong with a source.
+// Fault is what an agent found wrong with a source.
 type Fault string
 
 // Faults of sources.
 const (
-	FaultDamaged     Fault = "damaged"     // its bytes don't have the digest
-	FaultUnreachable Fault = "unreachable" // it can't be reached, or its connection broke
-	FaultSlow        Fault = "slow"        // it stalled or was below the least rate
-	FaultMissing     Fault = "missing"     // it doesn't have what it says that it has
-	FaultUseless     Fault = "useless"     // it has had nothing that is needed for a while
+	FaultDamaged     Fault = "damaged"     // the bytes don't have the digest
+	FaultUnreachable Fault = "unreachable" // it can't be reached, or the connection broke
+	FaultSlow        Fault = "slow"        // it stalled, or was below the minimum rate
+	FaultMissing     Fault = "missing"     // it doesn't have a chunk that it claims to have
+	FaultUseless     Fault = "useless"     // it has had no needed chunk for a while
 	FaultBusy        Fault = "busy"        // all of its slots are in use
-	FaultDisk        Fault = "disk"        // not the source's fault: the chunk can't be stored
+	FaultDisk        Fault = "disk"        // not the source's: the chunk can't be stored
 )
 
 // Inventory is an agent's report to the tracker.
@@ -86,12 +87,12 @@
 	Waits       []WaitReason  `json:"waits,omitempty" validate:"max=64,dive"`
 }
 
-// Holding is how much of a manifest an agent holds.
+// Holding says how much of a manifest an agent holds.
 type Holding struct {
 	Manifest digest.Digest `json:"manifest" validate:"sha256digest"`
 	Chunks   int           `json:"chunks" validate:"gte=0,ltefield=Total"`
 	Total    int           `json:"total" validate:"gte=1,lte=4194304"`
-	Active   bool          `json:"active,omitempty"` // it is what the agent serves
+	Active   bool          `json:"active,omitempty"` // the agent serves it
 }
 
 // SourceFault is what was found wrong with a source since the last inventory.
@@ -101,12 +102,12 @@
 	Fault    Fault         `json:"fault" validate:"oneof=damaged unreachable slow missing useless"`
 }
 
-// Wait says why an agent doesn't get on with a name.
+// WaitReason says why an agent doesn't serve the wanted manifest of a name yet.
 type WaitReason struct {
 	Name   string        `json:"name" validate:"weights"`
 	Why    string        `json:"why" validate:"max=256"`
-	Chunk  digest.Digest `json:"chunk,omitempty" validate:"omitempty,sha256digest"` // one that is missing
-	Chunks int           `json:"chunks,omitempty" validate:"gte=0"`                 // how many are
+	Chunk  digest.Digest `json:"chunk,omitempty" validate:"omitempty,sha256digest"` // a chunk that no source has
+	Chunks int           `json:"chunks,omitempty" validate:"gte=0"`                 // how many are missing
 }
 
 // Answer is the tracker's answer to an inventory.
@@ -114,12 +115,12 @@
 	Term    int64           `json:"term"`
 	Names   []NameRecord    `json:"names,omitempty"`
 	Sources []Source        `json:"sources,omitempty"`
-	Recheck []digest.Digest `json:"recheck,omitempty"` // manifests whose chunks the agent should verify anew
-	Keep    bool            `json:"keep,omitempty"`    // the tracker has just begun: sources that aren't listed stay in use
+	Recheck []digest.Digest `json:"recheck,omitempty"` // manifests whose chunks the agent should verify again
+	Keep    bool            `json:"keep,omitempty"`    // the tracker has just started: sources that aren't listed stay in use
 	NextMs  int64           `json:"next_ms"`           // when to report again
 }
 
-// NameRecord is which manifest a name has.
+// NameRecord says which manifest a name has.
 type NameRecord struct {
 	Name     string        `json:"name"`
 	Manifest digest.Digest `json:"manifest"`
@@ -133,32 +134,33 @@
 	Zone     string        `json:"zone,omitempty"`
 	Manifest digest.Digest `json:"manifest"`
 	LeaseMs  int64         `json:"lease_ms"`
-	// Stripe and Stripes are set for the store: its chunks with a position that leaves
-	// Stripe when divided by Stripes come first.
+	// Stripe and Stripes are set for the store: chunks at positions with the remainder Stripe
+	// modulo Stripes are fetched first.
 	Stripe  int `json:"stripe,omitempty"`
 	Stripes int `json:"stripes,omitempty"`
-	Others  int `json:"others,omitempty"` // takers beside this one that may use the store
+	Others  int `json:"others,omitempty"` // other agents that may use the store
 }
 
 // StoreSource is the name of the store among sources.
 const StoreSource = "store"
 
-// UseRequest asks that a name have a manifest.
+// UseRequest asks that a name refer to a manifest.
 type UseRequest struct {
 	Manifest digest.Digest `json:"manifest" validate:"sha256digest"`
 }
 
-// ErrorAnswer is the body of every answer that isn't 2xx.
+// ErrorAnswer is the body of every answer with an error status.
 type ErrorAnswer struct {
 	Error string `json:"error"`
 }
 
+// validate returns the validator of messages, with the tags that are particular to them.
 var validate = sync.OnceValue(func() *validator.Validate {
 	v := config.NewValidator("json")
 	register := func(tag string, check func(string) error) {
 		err := v.RegisterValidation(tag, func(f validator.FieldLevel) bool { return check(f.Field().String()) == nil })
 		if err != nil {
-			panic(err) // the tags here are sound
+			panic(err) // the tags are constants below
 		}
 	}
 	register("weights", CheckName)
@@ -180,7 +182,7 @@
 	}
 	var problems validator.ValidationErrors
 	if err := validate().Struct(message); errors.As(err, &problems) {
-		first := problems[0]
+		first := problems[0] // one is enough for the sender to go on
 		_, field, _ := strings.Cut(first.Namespace(), ".")
 		return fieldError(field, "out of range (%s)", strings.TrimSpace(first.Tag()+" "+first.Param()))
 	} else if err != nil {
@@ -189,14 +191,14 @@
 	return nil
 }
 
-// Check checks an inventory beyond what its tags say.
+// Check checks what the struct tags of an inventory can't express.
 func (i *Inventory) Check() error {
 	seen := map[digest.Digest]bool{}
-	for n, h := range i.Holdings {
-		if seen[h.Manifest] {
+	for n, holding := range i.Holdings {
+		if seen[holding.Manifest] {
 			return fieldError(fmt.Sprintf("holdings[%d].manifest", n), "named twice")
 		}
-		seen[h.Manifest] = true
+		seen[holding.Manifest] = true
 	}
 	if i.Agent == StoreSource {
 		return fieldError("agent", "%q is the store's name", StoreSource)
--- /dev/null
+++ b/internal/distribution/operator/tables.go
@@ -0,0 +1,72 @@
+package operator
+
+import (
+	"cmp"
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"oakpick/internal/distribution"
+	"oakpick/internal/distribution/tracker"
+)
+
+// WriteNames writes a table of names.
+func WriteNames(w io.Writer, names []distribution.NameRecord) error {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "name\tmanifest\trevision") // errors are reported by Flush
+	for _, record := range names {
+		fmt.Fprintf(table, "%s\t%s\t%d\n", record.Name, record.Manifest, record.Revision)
+	}
+	return table.Flush()
+}
+
+// WriteStatus writes a table of which agents hold what, from which sources they fetch, and why
+// they wait.
+func WriteStatus(w io.Writer, s tracker.Status) error {
+	_, err := fmt.Fprintf(w, "%s is %s, revision %d\n%d agents: %d hold all of it, %d serve it; fetching from the store: %s\n\n",
+		s.Name, s.Manifest, s.Revision, s.Agents, s.Complete, s.Active, cmp.Or(strings.Join(s.Store, ", "), "nobody"))
+	if err != nil {
+		return err
+	}
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	// Errors of writing to the table are reported by Flush.
+	fmt.Fprintln(table, "agent\tzone\tchunks\tserves\theard\tfetches from\tgives to\twaits")
+	for _, member := range s.Members {
+		lastReportAge := time.Duration(member.LastReportAgeS * float64(time.Second)).Round(time.Second / 10)
+		fmt.Fprintf(table, "%s\t%s\t%d/%d\t%s\t%s ago\t%s\t%s\t%s\n",
+			member.Agent, member.Zone, member.Chunks, member.Total, yesNo(member.Active), lastReportAge,
+			orDash(member.Sources), orDash(member.Downloaders), describeWaits(member))
+	}
+	return table.Flush()
+}
+
+// orDash lists names, or writes a dash if there are none.
+func orDash(names []string) string { return cmp.Or(strings.Join(names, ","), "-") }
+
+func yesNo(value bool) string {
+	if value {
+		return "yes"
+	}
+	return "no"
+}
+
+// describeWaits says why an agent waits, and who accuses it of damage.
+func describeWaits(member tracker.AgentStatus) string {
+	var reasons []string
+	for _, wait := range member.Waits {
+		text := wait.Why
+		if wait.Chunks > 0 {
+			text += fmt.Sprintf(" (%d missing)", wait.Chunks)
+		}
+		if wait.Chunk != "" {
+			text += ", one is " + wait.Chunk.String()
+		}
+		reasons = append(reasons, wait.Name+": "+text)
+	}
+	if member.Accused > 0 {
+		reasons = append(reasons, fmt.Sprintf("%d takers got damaged chunks from it", member.Accused))
+	}
+	return strings.Join(reasons, "; ")
+}
