--- a/cmd/oakpick-agent/main.go
+++ b/cmd/oakpick-agent/main.go
@@ -15,6 +15,7 @@
 	"oakpick/internal/logging"
 )
 
+// commandLine is the command's flags.
 type commandLine struct {
 	Config string `help:"Settings file (TOML) of this agent." placeholder:"FILE" required:"" type:"existingfile"`
 	Check  bool   `help:"Only check the settings file, and name every problem."`
@@ -30,6 +31,7 @@
 	}
 }
 
+// run checks the settings, or serves until the process is asked to end.
 func run(cli *commandLine) error {
 	settings, err := agent.LoadSettings(cli.Config)
 	if err != nil {
--- a/cmd/oakpick/weights.go
+++ b/cmd/oakpick/weights.go
@@ -28,51 +28,52 @@
 	Serve  weightsServe  `cmd:"" help:"Serve an OCI image layout to agents, as a small store. No controller is asked."`
 }
 
-func (w *weights) client() (*operator.Client, context.Context, context.CancelFunc, error) {
+// withClient runs a command with a client of the controllers, within the timeout.
+func (w *weights) withClient(run func(ctx context.Context, client *operator.Client) error) error {
 	if len(w.Controller) == 0 {
-		return nil, nil, nil, errors.New("--controller ADDRESS is missing")
+		return errors.New("--controller ADDRESS is missing")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), w.Timeout)
+	defer cancel()
 	// Each controller has its part of the time, so that one that hangs doesn't take it all.
-	each := w.Timeout / time.Duration(len(w.Controller)+1)
-	return &operator.Client{Controllers: w.Controller, HTTP: http.Client{Timeout: each}}, ctx, cancel, nil
+	timeoutEach := w.Timeout / time.Duration(len(w.Controller)+1)
+	return run(ctx, &operator.Client{Controllers: w.Controller, HTTP: http.Client{Timeout: timeoutEach}})
 }
 
+// weightsList lists all names.
 type weightsList struct{}
 
+// Run writes a table of names.
 func (weightsList) Run(cli *commandLine) error {
-	client, ctx, cancel, err := cli.Weights.client()
-	if err != nil {
-		return err
-	}
-	defer cancel()
-	names, err := client.Names(ctx)
-	if err != nil {
-		return err
-	}
-	return operator.WriteNames(os.Stdout, names)
+	return cli.Weights.withClient(func(ctx context.Context, client *operator.Client) error {
+		names, err := client.Names(ctx)
+		if err != nil {
+			return err
+		}
+		return operator.WriteNames(os.Stdout, names)
+	})
 }
 
+// weightsStatus shows the distribution of a name's weights.
 type weightsStatus struct {
 	Name string `arg:"" help:"Name of the weights."`
 }
 
+// Run writes a table of agents.
 func (s weightsStatus) Run(cli *commandLine) error {
 	if err := distribution.CheckName(s.Name); err != nil {
 		return err
 	}
-	client, ctx, cancel, err := cli.Weights.client()
-	if err != nil {
-		return err
-	}
-	defer cancel()
-	status, err := client.Status(ctx, s.Name)
-	if err != nil {
-		return err
-	}
-	return operator.WriteStatus(os.Stdout, status)
+	return cli.Weights.withClient(func(ctx context.Context, client *operator.Client) error {
+		status, err := client.Status(ctx, s.Name)
+		if err != nil {
+			return err
+		}
+		return operator.WriteStatus(os.Stdout, status)
+	})
 }
 
+// weightsUse has a name refer to a manifest.
 type weightsUse struct {
 	Name     string `arg:"" help:"Name of the weights."`
 	Manifest string `help:"Digest of the manifest." placeholder:"DIGEST" xor:"version" required:""`
@@ -80,29 +81,27 @@
 	Store    string `help:"The store's address, for --tag." placeholder:"ADDRESS"`
 }
 
+// Run makes the change and writes the new record.
 func (u weightsUse) Run(cli *commandLine) error {
 	if err := distribution.CheckName(u.Name); err != nil {
 		return err
 	}
-	client, ctx, cancel, err := cli.Weights.client()
-	if err != nil {
-		return err
-	}
-	defer cancel()
-	manifest, err := u.resolve(ctx, cli.Weights.Timeout)
-	if err != nil {
-		return err
-	}
-	record, err := client.Use(ctx, u.Name, manifest)
-	if err != nil {
-		return err
-	}
-	fmt.Printf("%s is %s, revision %d\n", record.Name, record.Manifest, record.Revision)
-	return nil
+	return cli.Weights.withClient(func(ctx context.Context, client *operator.Client) error {
+		manifest, err := u.resolve(ctx, cli.Weights.Timeout)
+		if err != nil {
+			return err
+		}
+		record, err := client.Use(ctx, u.Name, manifest)
+		if err != nil {
+			return err
+		}
+		fmt.Printf("%s is %s, revision %d\n", record.Name, record.Manifest, record.Revision)
+		return nil
+	})
 }
 
-// resolve gives the digest that was named, or that the store has for the tag.
-func (u weightsUse) resolve(ctx context.Context, wait time.Duration) (digest.Digest, error) {
+// resolve returns the digest that was given, or the one that the store has for the tag.
+func (u weightsUse) resolve(ctx context.Context, timeout time.Duration) (digest.Digest, error) {
 	if u.Tag == "" {
 		d := digest.Digest(u.Manifest)
 		if err := distribution.CheckDigest(d); err != nil {
@@ -111,12 +110,12 @@
 		return d, nil
 	}
 	if u.Store == "" {
-		return "", fmt.Errorf("--store ADDRESS is missing, where --tag is looked up")
+		return "", errors.New("--store ADDRESS is missing, where --tag is looked up")
 	}
 	if err := distribution.CheckReference(u.Tag); err != nil {
 		return "", fmt.Errorf("--tag: %w", err)
 	}
-	store := registry.NewClient(wait, nil, nil)
+	store := registry.NewClient(timeout, nil, nil)
 	defer store.Close()
 	m, err := store.Resolve(ctx, u.Store, u.Name, u.Tag)
 	if err != nil {
--- a/cmd/oakpick/weights_store.go
+++ b/cmd/oakpick/weights_store.go
@@ -20,7 +20,7 @@
 	"oakpick/internal/logging"
 )
 
-// weightsPack cuts files into a version.
+// weightsPack splits files into the chunks of a version.
 type weightsPack struct {
 	Files   []string `arg:"" type:"existingfile" help:"Files whose bytes, one after the other, are the version."`
 	Out     string   `help:"Directory of the OCI image layout; made if it isn't there." required:"" type:"path"`
@@ -28,8 +28,9 @@
 	ChunkMB float64  `name:"chunk-mb" help:"Size of the chunks, in MiB." default:"32"`
 }
 
-const mebibyte = 1 << 20
+const bytesPerMebibyte = 1 << 20
 
+// Run packs the files and writes the digest of the manifest.
 func (p weightsPack) Run() error {
 	store, err := layout.Create(afero.NewOsFs(), p.Out)
 	if err != nil {
@@ -44,7 +45,7 @@
 		defer file.Close()
 		sources = append(sources, file)
 	}
-	m, err := store.Pack(io.MultiReader(sources...), int64(p.ChunkMB*mebibyte), p.Tag)
+	m, err := store.Pack(io.MultiReader(sources...), int64(p.ChunkMB*bytesPerMebibyte), p.Tag)
 	if err != nil {
 		return err
 	}
@@ -52,11 +53,12 @@
 	return nil
 }
 
-// weightsCheck verifies an image layout.
+// weightsCheck verifies an OCI image layout.
 type weightsCheck struct {
 	Directory string `arg:"" type:"existingdir" help:"Directory of the OCI image layout."`
 }
 
+// Run verifies the layout and writes its tags.
 func (c weightsCheck) Run() error {
 	store, err := layout.Open(afero.NewOsFs(), c.Directory)
 	if err != nil {
@@ -72,16 +74,17 @@
 	return nil
 }
 
-// weightsServe serves an image layout to agents.
+// weightsServe serves an OCI image layout to agents, as a small store.
 type weightsServe struct {
 	Directory string `arg:"" type:"existingdir" help:"Directory of the OCI image layout."`
 	Listen    string `help:"Address to listen on." default:"127.0.0.1:5000"`
 	Slots     int    `help:"Uploads at a time; others are told when to come back." default:"64"`
 }
 
-// storeWait bounds what a slow client may take for a request's head, and idle connections.
-const storeWait = 30 * time.Second
+// storeTimeout bounds how long a request's header may take, and idle connections.
+const storeTimeout = 30 * time.Second
 
+// Run serves until the process is asked to end.
 func (s weightsServe) Run() error {
 	store, err := layout.Open(afero.NewOsFs(), s.Directory)
 	if err != nil {
@@ -93,10 +96,10 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	server := &http.Server{
-		Addr: s.Listen, ReadHeaderTimeout: storeWait, IdleTimeout: storeWait, MaxHeaderBytes: 8 << 10,
+		Addr: s.Listen, ReadHeaderTimeout: storeTimeout, IdleTimeout: storeTimeout, MaxHeaderBytes: 8 << 10,
 		Handler: &registry.Handler{Content: store, Slots: registry.NewSlots(s.Slots), RetryAfter: time.Second},
 	}
-	context.AfterFunc(ctx, func() { _ = server.Close() })
+	context.AfterFunc(ctx, func() { _ = server.Close() }) // the process ends, whatever it says
 	logging.New(os.Stderr).Info("store serves", "listen", s.Listen, "directory", s.Directory)
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 		return err
