--- a/internal/distribution/agent/core_fetch.go
+++ b/internal/distribution/agent/core_fetch.go
@@ -38,6 +38,7 @@
 	total    []int // over all zones
 }
 
+// availability counts the usable peers that have each chunk of a version.
 func (c *Core) availability(version *versionState, sources []*sourceState) availability {
 	chunks := len(version.Chunks)
 	counts := availability{sameZone: make([]int, chunks), total: make([]int, chunks)}
--- a/internal/distribution/agent/core_fetch_test.go
+++ b/internal/distribution/agent/core_fetch_test.go
@@ -52,7 +52,7 @@
 	c.Step(1, ManifestResult{Digest: m.Digest, Manifest: m})
 	c.Step(2, ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}}, ChunkSetResult{Source: "four", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
 	c.Step(3, ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
-	for _, source := range c.sources { // what is said while they are idle
+	for _, source := range c.sources { // as if they had answered while idle
 		source.chunks = distribution.ChunkSet{0b110111}
 	}
 	c.sources[sourceKey{"two", m.Digest}].chunks = distribution.ChunkSet{0b111111}
--- a/internal/distribution/agent/core_reports.go
+++ b/internal/distribution/agent/core_reports.go
@@ -89,6 +89,7 @@
 	return waits
 }
 
+// waitReason tells why a name isn't served from the wanted manifest.
 func (c *Core) waitReason(target *targetState) distribution.WaitReason {
 	reason := distribution.WaitReason{Name: target.name}
 	version := c.versions[target.wanted]
--- a/internal/distribution/agent/core_sources.go
+++ b/internal/distribution/agent/core_sources.go
@@ -134,6 +134,7 @@
 	distanceStore
 )
 
+// distance returns how far a source is from the agent.
 func (c *Core) distance(source *sourceState) int {
 	switch {
 	case source.isStore():
--- a/internal/distribution/agent/core_targets.go
+++ b/internal/distribution/agent/core_targets.go
@@ -56,6 +56,7 @@
 	c.emit(GetManifest{from, target.name, target.wanted})
 }
 
+// handleManifestResult records a manifest, or whose fault it is that there is none.
 func (c *Core) handleManifestResult(result ManifestResult) {
 	for _, target := range c.targets {
 		if target.wanted != result.Digest || !target.fetchingManifest {
@@ -102,6 +103,7 @@
 	c.versions[m.Digest] = version
 }
 
+// handleActivateResult records what a name is served from, and reports it soon.
 func (c *Core) handleActivateResult(result ActivateResult) {
 	for _, target := range c.targets {
 		if target.name != result.Name {
--- a/internal/distribution/agent/effects.go
+++ b/internal/distribution/agent/effects.go
@@ -120,6 +120,7 @@
 	return ActivateResult{e.Name, e.Manifest, err != nil}
 }
 
+// remove deletes what is on disk of a chunk, unless it is being read.
 func (a *Agent) remove(e Remove) Event {
 	removed, err := a.store.Remove(e.Chunk)
 	a.logDiskError(err)
--- a/internal/distribution/agent/metrics.go
+++ b/internal/distribution/agent/metrics.go
@@ -19,6 +19,7 @@
 	controlBytes    prometheus.Counter
 }
 
+// newMetrics registers the metrics of an agent with a registry of their own.
 func newMetrics(a *Agent) *metrics {
 	gauge := func(name, help string) prometheus.Gauge {
 		return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "oakpick", Subsystem: "agent", Name: name, Help: help})
--- a/internal/distribution/agent/server.go
+++ b/internal/distribution/agent/server.go
@@ -121,6 +121,7 @@
 	metrics *metrics
 }
 
+// Write writes and counts.
 func (w countingWriter) Write(b []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(b)
 	w.metrics.uploadedBytes.Add(float64(n))
--- a/internal/distribution/agent/tracker_client.go
+++ b/internal/distribution/agent/tracker_client.go
@@ -41,6 +41,7 @@
 	retryAfter time.Duration
 }
 
+// Error returns the tracker and the status.
 func (e *refusedError) Error() string {
 	return fmt.Sprintf("tracker %s refused the inventory: status %d", e.tracker, e.status)
 }
--- a/internal/distribution/chunkstore/active.go
+++ b/internal/distribution/chunkstore/active.go
@@ -39,6 +39,7 @@
 	return m, nil
 }
 
+// activePath returns the file that holds the active version of a name.
 func (s *Store) activePath(name string) string {
 	return path.Join(s.root, activeDir, url.PathEscape(name)+".json")
 }
--- a/internal/distribution/chunkstore/store.go
+++ b/internal/distribution/chunkstore/store.go
@@ -34,6 +34,7 @@
 // DiskError means that the disk, and not the source of the bytes, is at fault.
 type DiskError struct{ Err error }
 
+// Error returns the error of the file system.
 func (e *DiskError) Error() string { return "disk: " + e.Err.Error() }
 
 // Unwrap returns the error of the file system.
@@ -60,6 +61,7 @@
 	return s, nil
 }
 
+// path returns the file of a digest in one of the directories.
 func (s *Store) path(dir string, d digest.Digest) string {
 	return path.Join(s.root, dir, d.Encoded())
 }
--- a/internal/distribution/layout/layout_test.go
+++ b/internal/distribution/layout/layout_test.go
@@ -147,7 +147,7 @@
 	if err != nil || got.Digest != m.Digest {
 		t.Fatalf("%v", err)
 	}
-	var whole []byte
+	var received []byte
 	for _, c := range m.Chunks {
 		fetched := client.Blob(t.Context(), registry.BlobRequest{
 			Address: address, Name: "models/a", Manifest: m.Digest, Chunk: c, StallTimeout: 5 * time.Second, Timeout: 5 * time.Second,
@@ -156,13 +156,13 @@
 			if err != nil {
 				t.Error(err)
 			}
-			whole = append(whole, content...)
+			received = append(received, content...)
 		})
 		if fetched.Fault != "" {
 			t.Errorf("%+v", fetched)
 		}
 	}
-	if string(whole) != "aaaabbbbcc" {
-		t.Errorf("%q", whole)
+	if string(received) != "aaaabbbbcc" {
+		t.Errorf("received %q", received)
 	}
 }
--- a/internal/distribution/manifest.go
+++ b/internal/distribution/manifest.go
@@ -28,8 +28,10 @@
 	Problem string
 }
 
+// Error returns the field and what is wrong with it.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
+// fieldError returns a FieldError with a formatted problem.
 func fieldError(field, format string, args ...any) error {
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
--- a/internal/distribution/operator/client.go
+++ b/internal/distribution/operator/client.go
@@ -84,6 +84,7 @@
 	return &RefusedError{Controller: controller, Status: status, Reason: answer.Error}
 }
 
+// Error returns the controller, the status and the reason.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("%s: %d: %s", e.Controller, e.Status, e.Reason)
 }
--- a/internal/distribution/registry/blob_client.go
+++ b/internal/distribution/registry/blob_client.go
@@ -106,6 +106,7 @@
 	return s
 }
 
+// expire cancels the request, and remembers that this is why it fails.
 func (s *stallReader) expire() {
 	s.expired.Store(true)
 	s.cancel()
--- a/internal/distribution/registry/registry_test.go
+++ b/internal/distribution/registry/registry_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -125,7 +124,29 @@
 	}
 }
 
-// Every bad request gets 4xx with what is wrong.
+// request sends a request, with a header unless that is empty, and returns the answer.
+func request(t *testing.T, method, url, header, value string) (status int, body string) {
+	t.Helper()
+	req, err := http.NewRequestWithContext(t.Context(), method, url, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if header != "" {
+		req.Header.Set(header, value)
+	}
+	res, err := http.DefaultClient.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer res.Body.Close()
+	text, err := io.ReadAll(res.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return res.StatusCode, string(text)
+}
+
+// Invalid requests are refused with what is wrong with them, and valid ones are answered.
 func TestInvalidRequestsAreRefused(t *testing.T) {
 	m, c := newTestContent(t)
 	address := startServer(t, m, 4)
@@ -134,7 +155,7 @@
 	for _, test := range []struct {
 		method, path, header, value string
 		status                      int
-		says                        string
+		wantText                    string
 	}{
 		{"GET", "/v2/Models/a/blobs/" + c.Digest.String(), "", "", 400, "name"},
 		{"GET", "/v2/models/a/blobs/sha256:zz", "", "", 400, "digest"},
@@ -154,37 +175,31 @@
 		{"GET", good, "Range", "bytes=0-1", 206, "01"},
 	} {
 		t.Run(test.method+" "+test.path+" "+test.value, func(t *testing.T) {
-			req, err := http.NewRequestWithContext(t.Context(), test.method, "http://"+address+test.path, nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if test.header != "" {
-				req.Header.Set(test.header, test.value)
-			}
-			res, err := http.DefaultClient.Do(req)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer res.Body.Close()
-			body, err := io.ReadAll(res.Body)
-			if err != nil || res.StatusCode != test.status || !strings.Contains(string(body), test.says) {
-				t.Errorf("%d %s, %v", res.StatusCode, body, err)
+			status, body := request(t, test.method, "http://"+address+test.path, test.header, test.value)
+			if status != test.status || !strings.Contains(body, test.wantText) {
+				t.Errorf("%d %s", status, body)
 			}
 		})
 	}
 }
 
-// The faults of a source are distinguished: it hangs, breaks off, has too few bytes, or answers
-// another range than was asked for.
-func TestFaultsAreDistinguished(t *testing.T) {
-	m, c := newTestContent(t)
-	size := fmt.Sprint(c.Size)
-	for name, test := range map[string]struct {
-		answer http.HandlerFunc
-		offset int64
-		fault  distribution.Fault
-	}{
-		"says nothing": {func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, 0, distribution.FaultSlow},
+// faultCase is an answer of a source to a request from an offset on, and the fault that it means.
+type faultCase struct {
+	answer http.HandlerFunc
+	offset int64
+	fault  distribution.Fault
+}
+
+// answerStatus answers with a status and nothing else.
+func answerStatus(status int) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }
+}
+
+// faultCases are the faults of a source of a chunk of ten bytes.
+func faultCases() map[string]faultCase {
+	const size = "10"
+	return map[string]faultCase{
+		"never answers": {func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, 0, distribution.FaultSlow},
 		"stalls": {func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Length", size)
 			_, _ = w.Write([]byte("012"))
@@ -202,11 +217,18 @@
 			w.Header().Set("Content-Range", "bytes 0-5/10")
 			w.WriteHeader(http.StatusPartialContent)
 		}, 4, distribution.FaultDamaged},
-		"the range is beyond its end": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(416) }, 4, distribution.FaultDamaged},
-		"has it not":                  {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(404) }, 0, distribution.FaultMissing},
-		"is busy":                     {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, 0, distribution.FaultBusy},
-		"fails":                       {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, 0, distribution.FaultUnreachable},
-	} {
+		"the range is beyond its end": {answerStatus(416), 4, distribution.FaultDamaged},
+		"has it not":                  {answerStatus(404), 0, distribution.FaultMissing},
+		"is busy":                     {answerStatus(503), 0, distribution.FaultBusy},
+		"fails":                       {answerStatus(500), 0, distribution.FaultUnreachable},
+	}
+}
+
+// The faults of a source are distinguished: it hangs, breaks off, has too few bytes, or answers
+// another range than was asked for.
+func TestFaultsAreDistinguished(t *testing.T) {
+	m, c := newTestContent(t)
+	for name, test := range faultCases() {
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(test.answer)
 			defer server.Close()
--- a/internal/distribution/simulation/outages_test.go
+++ b/internal/distribution/simulation/outages_test.go
@@ -4,6 +4,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"github.com/opencontainers/go-digest"
 )
 
 // The leader ends, loses the state service for a while, or stands still until another leads and
@@ -71,23 +73,7 @@
 		w.Run(maxWait / 2)
 		w.Store.Down = true
 		w.Run(maxWait / 10)
-		for _, a := range w.Agents {
-			if storedChunks(a) != chunks-1 {
-				t.Errorf("%s holds %d chunks", a.Name, storedChunks(a))
-			}
-			if len(a.ReportedWaits) != 1 || a.ReportedWaits[0].Chunk != missing && a.ReportedWaits[0].Chunk != "" {
-				t.Errorf("%s waits for %+v", a.Name, a.ReportedWaits)
-			}
-		}
-		named := 0
-		for _, a := range w.Agents {
-			if a.ReportedWaits[0].Chunk == missing {
-				named++
-			}
-		}
-		if named == 0 {
-			t.Error("no agent names the chunk that is missing")
-		}
+		requireWaitForChunk(t, w, missing)
 		w.Store.MissingChunks[missing], w.Store.Down = false, false
 		if took := requireReady(t, w, m); took > time.Minute {
 			t.Errorf("it took %v after the store was back", took)
@@ -96,6 +82,27 @@
 	})
 }
 
+// requireWaitForChunk fails unless every agent has all chunks but one, and some report that they
+// wait for it. The others wait without naming a chunk.
+func requireWaitForChunk(t *testing.T, w *World, missing digest.Digest) {
+	t.Helper()
+	named := 0
+	for _, a := range w.Agents {
+		if storedChunks(a) != chunks-1 {
+			t.Errorf("%s holds %d chunks", a.Name, storedChunks(a))
+		}
+		if len(a.ReportedWaits) != 1 || a.ReportedWaits[0].Chunk != missing && a.ReportedWaits[0].Chunk != "" {
+			t.Fatalf("%s waits for %+v", a.Name, a.ReportedWaits)
+		}
+		if a.ReportedWaits[0].Chunk == missing {
+			named++
+		}
+	}
+	if named == 0 {
+		t.Error("no agent names the chunk that is missing")
+	}
+}
+
 // A zone is partitioned from everything during the fetch. The other zone gets ready, and both do
 // once the partition heals.
 func TestZonePartitionHeals(t *testing.T) {
--- a/internal/distribution/simulation/store.go
+++ b/internal/distribution/simulation/store.go
@@ -45,11 +45,11 @@
 func (s *Store) Publish(chunks int, chunkBytes int64, previous *distribution.Manifest, kept int) *distribution.Manifest {
 	rng := rand.New(rand.NewPCG(s.world.Options.Seed, uint64(len(s.chunks))))
 	var list []distribution.Chunk
-	var whole []byte
+	var version []byte
 	for i := range chunks {
 		if previous != nil && i < kept {
 			list = append(list, previous.Chunks[i])
-			whole = append(whole, s.chunks[previous.Chunks[i].Digest]...)
+			version = append(version, s.chunks[previous.Chunks[i].Digest]...)
 			continue
 		}
 		content := make([]byte, chunkBytes)
@@ -59,14 +59,14 @@
 		d := digest.FromBytes(content)
 		s.chunks[d] = content
 		list = append(list, distribution.Chunk{Digest: d, Size: chunkBytes})
-		whole = append(whole, content...)
+		version = append(version, content...)
 	}
 	m, err := distribution.NewManifest(list)
 	if err != nil {
 		panic(err) // the chunks made here are valid
 	}
 	s.manifests[m.Digest] = m
-	s.world.versions[m.Digest] = whole
+	s.world.versions[m.Digest] = version
 	return m
 }
 
--- a/internal/distribution/tracker/leases.go
+++ b/internal/distribution/tracker/leases.go
@@ -65,6 +65,7 @@
 	}
 }
 
+// removeLease removes a lease from a list in place.
 func removeLease(leases []*sourceLease, lease *sourceLease) []*sourceLease {
 	if i := slices.Index(leases, lease); i >= 0 {
 		return slices.Delete(leases, i, i+1)
--- a/internal/distribution/tracker/status.go
+++ b/internal/distribution/tracker/status.go
@@ -115,6 +115,7 @@
 	t.reply(call.ID, status)
 }
 
+// agentStatus returns what is known of a member and its leases for the manifest.
 func (t *Tracker) agentStatus(member *swarmMember) AgentStatus {
 	agent := member.agent
 	status := AgentStatus{
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -95,6 +95,7 @@
 
 func (t *Tracker) emit(e Effect) { t.effects = append(t.effects, e) }
 
+// reply answers a request.
 func (t *Tracker) reply(id uint64, body any) {
 	t.emit(Reply{ID: id, Status: http.StatusOK, Body: body})
 }
--- a/internal/distribution/tracker/tracker_test.go
+++ b/internal/distribution/tracker/tracker_test.go
@@ -58,9 +58,9 @@
 // Unknown zones, unknown names and changes beyond the queue are refused.
 func TestInvalidRequestsAreRefused(t *testing.T) {
 	leader := newTestLeader(t)
-	stranger := newInventory("one", 1, 0)
-	stranger.Zone = "nowhere"
-	if reply := leader.send(0, InventoryCall{1, stranger}); reply.Status != http.StatusBadRequest {
+	unknownZone := newInventory("one", 1, 0)
+	unknownZone.Zone = "nowhere"
+	if reply := leader.send(0, InventoryCall{1, unknownZone}); reply.Status != http.StatusBadRequest {
 		t.Errorf("unknown zone: %+v", reply)
 	}
 	if reply := leader.send(0, StatusCall{ID: 2, Name: "never"}); reply.Status != http.StatusNotFound {
