--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -53,7 +53,8 @@
 
 // Run serves until the context ends or something that the agent can't do without fails.
 func Run(ctx context.Context, settings Settings, log *slog.Logger) error {
-	listener, err := net.Listen("tcp", settings.Listen)
+	// That the context may have ended already is handled below, as the end of the run.
+	listener, err := new(net.ListenConfig).Listen(context.WithoutCancel(ctx), "tcp", settings.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
--- a/internal/distribution/agent/core_fetch_test.go
+++ b/internal/distribution/agent/core_fetch_test.go
@@ -50,7 +50,9 @@
 	c := newCore(Stored{})
 	c.Step(0, trackerAnswer(1, m, peerSource("two", "a", m), peerSource("three", "a", m), peerSource("four", "a", m)))
 	c.Step(1, ManifestResult{Digest: m.Digest, Manifest: m})
-	c.Step(2, ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}}, ChunkSetResult{Source: "four", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
+	c.Step(2,
+		ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}},
+		ChunkSetResult{Source: "four", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
 	c.Step(3, ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
 	for _, source := range c.sources { // as if they had answered while idle
 		source.chunks = distribution.ChunkSet{0b110111}
--- a/internal/distribution/agent/core_sources_test.go
+++ b/internal/distribution/agent/core_sources_test.go
@@ -30,7 +30,10 @@
 	if len(third) != 1 || third[0].Offset != 0 {
 		t.Fatalf("not fetched again from the start: %+v", third)
 	}
-	fourth := effectsOf[GetChunk](c.Step(21*time.Second, ChunkResult{ID: third[0].ID, Fault: distribution.FaultUnreachable, ReceivedBytes: 50, PartialBytes: 50}))
+	effects = c.Step(21*time.Second, ChunkResult{
+		ID: third[0].ID, Fault: distribution.FaultUnreachable, ReceivedBytes: 50, PartialBytes: 50,
+	})
+	fourth := effectsOf[GetChunk](effects)
 	if len(fourth) != 1 || fourth[0].Offset != 0 {
 		t.Fatalf("bytes of two sources are mixed again: %+v", fourth)
 	}
--- a/internal/distribution/agent/metrics.go
+++ b/internal/distribution/agent/metrics.go
@@ -19,37 +19,49 @@
 	controlBytes    prometheus.Counter
 }
 
+// metricOpts names a metric of the agent.
+func metricOpts(name, help string) prometheus.Opts {
+	return prometheus.Opts{Namespace: "oakpick", Subsystem: "agent", Name: name, Help: help}
+}
+
+func newGauge(name, help string) prometheus.Gauge {
+	return prometheus.NewGauge(prometheus.GaugeOpts(metricOpts(name, help)))
+}
+
+func newGaugeVec(label, name, help string) *prometheus.GaugeVec {
+	return prometheus.NewGaugeVec(prometheus.GaugeOpts(metricOpts(name, help)), []string{label})
+}
+
+func newCounter(name, help string) prometheus.Counter {
+	return prometheus.NewCounter(prometheus.CounterOpts(metricOpts(name, help)))
+}
+
+func newCounterVec(label, name, help string) *prometheus.CounterVec {
+	return prometheus.NewCounterVec(prometheus.CounterOpts(metricOpts(name, help)), []string{label})
+}
+
 // newMetrics registers the metrics of an agent with a registry of their own.
 func newMetrics(a *Agent) *metrics {
-	gauge := func(name, help string) prometheus.Gauge {
-		return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "oakpick", Subsystem: "agent", Name: name, Help: help})
-	}
 	m := &metrics{
 		registry:     prometheus.NewRegistry(),
-		storedChunks: gauge("chunks_fetched", "Chunks that were fetched and verified since the start."),
-		downloadedBytes: prometheus.NewGaugeVec(prometheus.GaugeOpts{
-			Namespace: "oakpick", Subsystem: "agent", Name: "downloaded_bytes", Help: "Bytes of chunks received since the start, by where from.",
-		}, []string{"from"}),
-		faults: prometheus.NewGaugeVec(prometheus.GaugeOpts{
-			Namespace: "oakpick", Subsystem: "agent", Name: "source_faults", Help: "Requests to sources that failed since the start, by what was wrong.",
-		}, []string{"fault"}),
-		activations:   gauge("activations", "Versions that were activated since the start."),
-		evictedChunks: gauge("chunks_evicted", "Chunks that were removed to make room since the start."),
-		diskBytes:     gauge("disk_bytes", "Bytes that chunks take, with what is set aside for those under way."),
-		uploads: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Namespace: "oakpick", Subsystem: "agent", Name: "uploads_total", Help: "Requests of peers for chunks, by whether a slot was free.",
-		}, []string{"admitted"}),
-		uploadedBytes: prometheus.NewCounter(prometheus.CounterOpts{
-			Namespace: "oakpick", Subsystem: "agent", Name: "uploaded_bytes_total", Help: "Bytes of chunks sent to peers.",
-		}),
-		controlBytes: prometheus.NewCounter(prometheus.CounterOpts{
-			Namespace: "oakpick", Subsystem: "agent", Name: "control_bytes_total", Help: "Bytes to and from controllers, and of what is asked of peers beside chunks, both ways with headers.",
-		}),
+		storedChunks: newGauge("chunks_fetched", "Chunks that were fetched and verified since the start."),
+		downloadedBytes: newGaugeVec("from", "downloaded_bytes",
+			"Bytes of chunks received since the start, by where from."),
+		faults: newGaugeVec("fault", "source_faults",
+			"Requests to sources that failed since the start, by what was wrong."),
+		activations:   newGauge("activations", "Versions that were activated since the start."),
+		evictedChunks: newGauge("chunks_evicted", "Chunks that were removed to make room since the start."),
+		diskBytes:     newGauge("disk_bytes", "Bytes that chunks take, with what is set aside for those under way."),
+		uploads: newCounterVec("admitted", "uploads_total",
+			"Requests of peers for chunks, by whether a slot was free."),
+		uploadedBytes: newCounter("uploaded_bytes_total", "Bytes of chunks sent to peers."),
+		controlBytes: newCounter("control_bytes_total",
+			"Bytes to and from controllers, and of what is asked of peers beside chunks, both ways with headers."),
 	}
-	slots := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Namespace: "oakpick", Subsystem: "agent", Name: "upload_slots_in_use", Help: "Upload slots in use.",
-	}, func() float64 { return float64(a.slots.InUse()) })
-	m.registry.MustRegister(m.storedChunks, m.downloadedBytes, m.faults, m.activations, m.evictedChunks, m.diskBytes, m.uploads, m.uploadedBytes, m.controlBytes, slots,
+	slotsInUse := prometheus.NewGaugeFunc(prometheus.GaugeOpts(metricOpts("upload_slots_in_use", "Upload slots in use.")),
+		func() float64 { return float64(a.slots.InUse()) })
+	m.registry.MustRegister(m.storedChunks, m.downloadedBytes, m.faults, m.activations, m.evictedChunks, m.diskBytes,
+		m.uploads, m.uploadedBytes, m.controlBytes, slotsInUse,
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), collectors.NewGoCollector())
 	return m
 }
--- a/internal/distribution/agent/settings_test.go
+++ b/internal/distribution/agent/settings_test.go
@@ -52,7 +52,8 @@
 			}
 		})
 	}
-	_, err := loadSettings(t, strings.NewReplacer(`"host-1"`, `"store"`, `"models/a"`, `"Models"`, `"127.0.0.1:7000"`, `"here"`).Replace(minimalSettings))
+	invalid := strings.NewReplacer(`"host-1"`, `"store"`, `"models/a"`, `"Models"`, `"127.0.0.1:7000"`, `"here"`)
+	_, err := loadSettings(t, invalid.Replace(minimalSettings))
 	for _, want := range []string{"agent", "names[0]", "listen"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q isn't in %v", want, err)
--- a/internal/distribution/layout/layout.go
+++ b/internal/distribution/layout/layout.go
@@ -155,13 +155,16 @@
 		return err
 	}
 	var kept []image.Descriptor
-	for _, d := range index.Manifests {
-		if d.Annotations[image.AnnotationRefName] != tag {
-			kept = append(kept, d)
+	for _, descriptor := range index.Manifests {
+		if descriptor.Annotations[image.AnnotationRefName] != tag {
+			kept = append(kept, descriptor)
 		}
 	}
 	index.Manifests = append(kept, image.Descriptor{
-		MediaType: image.MediaTypeImageManifest, Digest: m.Digest, Size: int64(len(m.Raw)), Annotations: map[string]string{image.AnnotationRefName: tag},
+		MediaType:   image.MediaTypeImageManifest,
+		Digest:      m.Digest,
+		Size:        int64(len(m.Raw)),
+		Annotations: map[string]string{image.AnnotationRefName: tag},
 	})
 	return l.writeIndex(index)
 }
@@ -170,9 +173,9 @@
 func (l *Layout) Tags() (map[string]digest.Digest, error) {
 	index, err := l.readIndex()
 	tags := map[string]digest.Digest{}
-	for _, d := range index.Manifests {
-		if tag := d.Annotations[image.AnnotationRefName]; tag != "" {
-			tags[tag] = d.Digest
+	for _, descriptor := range index.Manifests {
+		if tag := descriptor.Annotations[image.AnnotationRefName]; tag != "" {
+			tags[tag] = descriptor.Digest
 		}
 	}
 	return tags, err
--- a/internal/distribution/operator/tables.go
+++ b/internal/distribution/operator/tables.go
@@ -15,9 +15,10 @@
 // WriteNames writes a table of names.
 func WriteNames(w io.Writer, names []distribution.NameRecord) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "name\tmanifest\trevision") // errors are reported by Flush
+	// Errors of writing to the table are reported by Flush.
+	_, _ = fmt.Fprintln(table, "name\tmanifest\trevision")
 	for _, record := range names {
-		fmt.Fprintf(table, "%s\t%s\t%d\n", record.Name, record.Manifest, record.Revision)
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\n", record.Name, record.Manifest, record.Revision)
 	}
 	return table.Flush()
 }
@@ -32,10 +33,10 @@
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	// Errors of writing to the table are reported by Flush.
-	fmt.Fprintln(table, "agent\tzone\tchunks\tserves\theard\tfetches from\tgives to\twaits")
+	_, _ = fmt.Fprintln(table, "agent\tzone\tchunks\tserves\theard\tfetches from\tgives to\twaits")
 	for _, member := range s.Members {
 		lastReportAge := time.Duration(member.LastReportAgeS * float64(time.Second)).Round(time.Second / 10)
-		fmt.Fprintf(table, "%s\t%s\t%d/%d\t%s\t%s ago\t%s\t%s\t%s\n",
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%d/%d\t%s\t%s ago\t%s\t%s\t%s\n",
 			member.Agent, member.Zone, member.Chunks, member.Total, yesNo(member.Active), lastReportAge,
 			orDash(member.Sources), orDash(member.Downloaders), describeWaits(member))
 	}
--- a/internal/distribution/tracker/invariants_test.go
+++ b/internal/distribution/tracker/invariants_test.go
@@ -71,7 +71,8 @@
 	valid := 0
 	for _, lease := range agent.uploadLeases {
 		downloader := lease.downloader
-		if lease.source != agent || downloader == agent || !slices.Contains(downloader.downloadLeases, lease) || m.tracker.agents[downloader.name] != downloader {
+		if lease.source != agent || downloader == agent ||
+			!slices.Contains(downloader.downloadLeases, lease) || m.tracker.agents[downloader.name] != downloader {
 			m.Fatalf("%s has an upload lease that its downloader doesn't have: %+v", agent.name, lease)
 		}
 		if m.tracker.now < lease.validUntil {
--- a/internal/distribution/tracker/names.go
+++ b/internal/distribution/tracker/names.go
@@ -110,7 +110,8 @@
 func (n *nameStore) recordEntry(entry protocol.Entry) (writeID string) {
 	var stored storedName
 	name := strings.TrimPrefix(entry.Key, NamesPrefix)
-	if protocol.Decode(entry.Value, &stored) != nil || distribution.CheckDigest(digest.Digest(stored.Manifest)) != nil || distribution.CheckName(name) != nil {
+	if protocol.Decode(entry.Value, &stored) != nil ||
+		distribution.CheckDigest(digest.Digest(stored.Manifest)) != nil || distribution.CheckName(name) != nil {
 		n.tracker.emit(Log{"a record of weights can't be read", []any{"key", entry.Key}})
 		// Its revision is kept, so that the record can be replaced.
 		n.records[name] = distribution.NameRecord{Name: name, Revision: entry.Version}
