--- a/internal/daemon/tracker_loop.go
+++ b/internal/daemon/tracker_loop.go
@@ -53,10 +53,10 @@
 		process: p, clients: clients, timeout: interval, metrics: newTrackerMetrics(),
 		queue: make(chan trackerEvent, trackerQueueCapacity), pending: newPendingRequests[trackerEvent](),
 		tracker: tracker.New(tracker.Parameters{
-			Report: interval, IdleReport: config.Seconds(settings.IdleInventoryIntervalS),
-			Retry:      config.Seconds(cfg.Settings.Workers.HeartbeatIntervalS / trackerRetries),
-			StoreSlots: settings.StoreFetchers, Zones: cfg.Settings.Zones,
-			Boot: cfg.Node + "-" + p.identity.incarnation, Seed: p.identity.seed,
+			ReportInterval: interval, IdleReportInterval: config.Seconds(settings.IdleInventoryIntervalS),
+			RetryInterval: config.Seconds(cfg.Settings.Workers.HeartbeatIntervalS / trackerRetries),
+			StoreSlots:    settings.StoreFetchers, Zones: cfg.Settings.Zones,
+			ProcessID: cfg.Node + "-" + p.identity.incarnation, Seed: p.identity.seed,
 		}),
 	}
 	l.leadership.Store(&election.View{})
--- a/internal/distribution/layout/layout_test.go
+++ b/internal/distribution/layout/layout_test.go
@@ -16,7 +16,8 @@
 	"oakpick/internal/distribution/registry"
 )
 
-func create(t *testing.T, files afero.Fs) *Layout {
+// createLayout creates a layout in /store.
+func createLayout(t *testing.T, files afero.Fs) *Layout {
 	t.Helper()
 	l, err := Create(files, "/store")
 	if err != nil {
@@ -25,7 +26,8 @@
 	return l
 }
 
-func pack(t *testing.T, l *Layout, content, tag string) *distribution.Manifest {
+// packString packs a string in chunks of four bytes.
+func packString(t *testing.T, l *Layout, content, tag string) *distribution.Manifest {
 	t.Helper()
 	m, err := l.Pack(strings.NewReader(content), 4, tag)
 	if err != nil {
@@ -34,13 +36,13 @@
 	return m
 }
 
-// What is packed is read back by tag and by digest, the last chunk is what is left, and chunks
-// that two versions share are there once.
+// Packed versions are read back by tag and by digest, the last chunk has the remaining bytes, and
+// chunks that two versions share are stored once.
 func TestPackedVersionsAreReadBack(t *testing.T) {
 	files := afero.NewMemMapFs()
-	l := create(t, files)
-	first := pack(t, l, "aaaabbbbcc", "v1")
-	second := pack(t, l, "aaaabbbbdddd", "v2")
+	l := createLayout(t, files)
+	first := packString(t, l, "aaaabbbbcc", "v1")
+	second := packString(t, l, "aaaabbbbdddd", "v2")
 	if len(first.Chunks) != 3 || first.Chunks[2].Size != 2 || first.Chunks[1] != second.Chunks[1] {
 		t.Errorf("%+v %+v", first.Chunks, second.Chunks)
 	}
@@ -50,10 +52,10 @@
 	}
 	for reference, want := range map[string]*distribution.Manifest{"v1": first, "v2": second, first.Digest.String(): first} {
 		if raw, d, err := again.Manifest("", reference); err != nil || d != want.Digest || !bytes.Equal(raw, want.Raw) {
-			t.Errorf("%s: %s %v", reference, d, err)
+			t.Errorf("%s refers to %s, not %s: %v", reference, d, want.Digest, err)
 		}
 	}
-	pack(t, l, "eeee", "v1")
+	packString(t, l, "eeee", "v1")
 	if tags, err := l.Tags(); err != nil || len(tags) != 2 || tags["v1"] == first.Digest {
 		t.Errorf("%v %v", tags, err)
 	}
@@ -66,11 +68,11 @@
 	}
 }
 
-// A chunk that is damaged or missing is named.
+// A damaged or missing chunk is named.
 func TestCheckNamesDamage(t *testing.T) {
 	files := afero.NewMemMapFs()
-	l := create(t, files)
-	m := pack(t, l, "aaaabbbbcc", "v1")
+	l := createLayout(t, files)
+	m := packString(t, l, "aaaabbbbcc", "v1")
 	if err := afero.WriteFile(files, l.blobPath(m.Chunks[0].Digest), []byte("aaab"), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -78,17 +80,17 @@
 		t.Fatal(err)
 	}
 	err := l.Check()
-	for i, bad := range []bool{true, false, true} {
-		if named := err != nil && strings.Contains(err.Error(), m.Chunks[i].Digest.String()); named != bad {
+	for i, wantNamed := range []bool{true, false, true} {
+		if named := err != nil && strings.Contains(err.Error(), m.Chunks[i].Digest.String()); named != wantNamed {
 			t.Errorf("chunk %d: named %v in %v", i, named, err)
 		}
 	}
 }
 
 // A source that fails leaves the tag as it was.
-func TestFailedPackChangesNoTag(t *testing.T) {
-	l := create(t, afero.NewMemMapFs())
-	m := pack(t, l, "aaaabbbb", "v1")
+func TestFailedPackKeepsTag(t *testing.T) {
+	l := createLayout(t, afero.NewMemMapFs())
+	m := packString(t, l, "aaaabbbb", "v1")
 	broken := errors.New("the file can't be read")
 	if _, err := l.Pack(io.MultiReader(strings.NewReader("ccccdd"), iotest.ErrReader(broken)), 4, "v1"); !errors.Is(err, broken) {
 		t.Errorf("%v", err)
@@ -101,37 +103,41 @@
 	}
 }
 
-func TestBadArgumentsOfPack(t *testing.T) {
-	l := create(t, afero.NewMemMapFs())
-	for field, try := range map[string]func() error{
+// Invalid arguments are refused with the field's name, and directories that are no layout of the
+// known version are not opened.
+func TestInvalidArgumentsAreRefused(t *testing.T) {
+	l := createLayout(t, afero.NewMemMapFs())
+	for field, pack := range map[string]func() error{
 		"tag":        func() error { _, err := l.Pack(strings.NewReader("a"), 4, "a/b"); return err },
 		"chunk size": func() error { _, err := l.Pack(strings.NewReader("a"), 0, "v1"); return err },
 		"layers":     func() error { _, err := l.Pack(strings.NewReader(""), 4, "v1"); return err },
 	} {
-		var problem *distribution.FieldError
-		if err := try(); !errors.As(err, &problem) || problem.Field != field {
-			t.Errorf("%v, and %s is at fault", err, field)
-		}
+		t.Run(field, func(t *testing.T) {
+			var problem *distribution.FieldError
+			if err := pack(); !errors.As(err, &problem) || problem.Field != field {
+				t.Errorf("%v, and %s is at fault", err, field)
+			}
+		})
 	}
 	if _, err := Open(afero.NewMemMapFs(), "/nowhere"); err == nil {
-		t.Error("a directory that isn't there is a layout")
+		t.Error("a missing directory is opened as a layout")
 	}
 	other := afero.NewMemMapFs()
 	if err := afero.WriteFile(other, "/store/oci-layout", []byte(`{"imageLayoutVersion":"9"}`), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Create(other, "/store"); err == nil {
-		t.Error("a layout of another version is written to")
+		t.Error("a layout of another version is opened")
 	}
 }
 
-// An agent's client fetches from it on a real disk.
-func TestLayoutIsServed(t *testing.T) {
+// An agent's client fetches a version from a layout on a real disk.
+func TestLayoutIsServedToAgents(t *testing.T) {
 	l, err := Create(afero.NewOsFs(), t.TempDir()+"/store")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := pack(t, l, "aaaabbbbcc", "v1")
+	m := packString(t, l, "aaaabbbbcc", "v1")
 	server := httptest.NewServer(&registry.Handler{Content: l, Slots: registry.NewSlots(1)})
 	defer server.Close()
 	client := registry.NewClient(5*time.Second, nil, nil)
@@ -141,22 +147,22 @@
 	if err != nil || got.Digest != m.Digest {
 		t.Fatalf("%v", err)
 	}
-	var whole []byte
+	var received []byte
 	for _, c := range m.Chunks {
 		fetched := client.Blob(t.Context(), registry.BlobRequest{
-			Address: address, Name: "models/a", Manifest: m.Digest, Chunk: c, Stall: 5 * time.Second, Within: 5 * time.Second,
+			Address: address, Name: "models/a", Manifest: m.Digest, Chunk: c, StallTimeout: 5 * time.Second, Timeout: 5 * time.Second,
 		}, func(r io.Reader) {
 			content, err := io.ReadAll(r)
 			if err != nil {
 				t.Error(err)
 			}
-			whole = append(whole, content...)
+			received = append(received, content...)
 		})
 		if fetched.Fault != "" {
 			t.Errorf("%+v", fetched)
 		}
 	}
-	if string(whole) != "aaaabbbbcc" {
-		t.Errorf("%q", whole)
+	if string(received) != "aaaabbbbcc" {
+		t.Errorf("received %q", received)
 	}
 }
--- a/internal/distribution/registry/counting.go
+++ b/internal/distribution/registry/counting.go
@@ -8,29 +8,33 @@
 // Dial connects to an address.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// CountedDial makes connections whose bytes are told, both ways.
-func CountedDial(dial Dial, count func(bytes int)) Dial {
+// CountingDial returns a Dial whose connections pass the number of bytes that they read and
+// write to count.
+func CountingDial(dial Dial, count func(bytes int)) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &countedConn{conn, count}, nil
+		return &countingConn{conn, count}, nil
 	}
 }
 
-type countedConn struct {
+// countingConn counts the bytes of a connection.
+type countingConn struct {
 	net.Conn
 	count func(bytes int)
 }
 
-func (c *countedConn) Read(p []byte) (int, error) {
+// Read reads and counts.
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.count(n)
 	return n, err
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
+// Write writes and counts.
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.count(n)
 	return n, err
--- a/internal/distribution/simulation/disk_test.go
+++ b/internal/distribution/simulation/disk_test.go
@@ -2,35 +2,65 @@
 
 import (
 	"os"
+	"strings"
 	"syscall"
+	"testing"
 
 	"github.com/spf13/afero"
+
+	"oakpick/internal/distribution"
 )
 
-// limitedDisk takes so many more bytes.
-type limitedDisk struct {
+// A full disk pauses fetches until there is room again. What is served stays served.
+func TestFullDiskPausesFetches(t *testing.T) {
+	o := Defaults()
+	w := New(o)
+	first := w.Store.Publish(chunks, chunkBytes, nil, 0)
+	freeBytes := int64(chunks * chunkBytes * 3 / 2)
+	full := w.Agents[0]
+	full.Disk = &fullDisk{full.Disk, &freeBytes}
+	w.Use(weightsName, first.Digest)
+	w.StartAll()
+	requireReady(t, w, first)
+	second := w.Store.Publish(chunks, chunkBytes, nil, 0)
+	w.Use(weightsName, second.Digest)
+	w.Run(maxWait)
+	if full.Active(weightsName) != first.Digest || full.Counts().Faults[distribution.FaultDisk] == 0 {
+		t.Errorf("it serves %s; faults %v", full.Active(weightsName), full.Counts().Faults)
+	}
+	if len(full.ReportedWaits) != 1 || !strings.Contains(full.ReportedWaits[0].Why, "disk") {
+		t.Errorf("it waits for %+v", full.ReportedWaits)
+	}
+	freeBytes = 1 << 30
+	requireReady(t, w, second)
+}
+
+// fullDisk is a file system with so many bytes left.
+type fullDisk struct {
 	afero.Fs
-	left *int64
+	freeBytes *int64
 }
 
-func (d *limitedDisk) OpenFile(name string, flag int, mode os.FileMode) (afero.File, error) {
-	f, err := d.Fs.OpenFile(name, flag, mode)
+// OpenFile opens a file that can grow as far as the disk has room.
+func (d *fullDisk) OpenFile(name string, flag int, mode os.FileMode) (afero.File, error) {
+	file, err := d.Fs.OpenFile(name, flag, mode)
 	if err != nil {
 		return nil, err
 	}
-	return &limitedFile{f, d.left}, nil
+	return &fullDiskFile{file, d.freeBytes}, nil
 }
 
-type limitedFile struct {
+// fullDiskFile is a file of a fullDisk.
+type fullDiskFile struct {
 	afero.File
-	left *int64
+	freeBytes *int64
 }
 
 // Write writes what there is room for, as a full disk does.
-func (f *limitedFile) Write(p []byte) (int, error) {
-	fits := min(int64(len(p)), *f.left)
+func (f *fullDiskFile) Write(p []byte) (int, error) {
+	fits := min(int64(len(p)), *f.freeBytes)
 	n, err := f.File.Write(p[:fits])
-	*f.left -= int64(n)
+	*f.freeBytes -= int64(n)
 	if err == nil && n < len(p) {
 		err = syscall.ENOSPC
 	}
--- a/internal/distribution/tracker/sources.go
+++ b/internal/distribution/tracker/sources.go
@@ -2,127 +2,95 @@
 
 import (
 	"slices"
-	"time"
 
 	"github.com/opencontainers/go-digest"
-
-	"oakpick/internal/distribution"
 )
 
-func (l *lease) sourceName() string {
-	if l.source == nil {
-		return distribution.StoreSource
-	}
-	return l.source.name
+// assignSources renews an agent's leases for a manifest, and grants more where it has too few.
+func (t *Tracker) assignSources(agent *agentState, manifest digest.Digest) {
+	member := t.join(agent, manifest)
+	swarm := member.swarm
+	stalled := t.now-member.lastProgressAt > stalledReports*t.parameters.ReportInterval
+	if stalled {
+		member.lastProgressAt = t.now // give the new sources time
+	}
+	sameZone, otherZones := t.renewLeases(agent, swarm, stalled)
+	sameZone += t.grantLeases(agent, swarm, []string{agent.zone}, maxSameZoneSources-sameZone)
+	otherZones += t.grantLeases(agent, swarm, t.otherZones(agent.zone), maxOtherZoneSources-otherZones)
+	for range fairSources - sameZone - otherZones {
+		t.reassignLease(agent, swarm)
+	}
+	t.grantStoreLease(agent, swarm, stalled)
 }
 
-// end ends a lease.
-func (t *Tracker) end(l *lease) {
-	l.taker.taken = without(l.taker.taken, l)
-	if l.source != nil {
-		l.source.given = without(l.source.given, l)
-		return
-	}
-	if s := t.swarms[l.manifest]; s != nil && s.stripes[l.stripe] == l {
-		s.stripes[l.stripe] = nil
-	}
-}
-
-func without(leases []*lease, l *lease) []*lease {
-	if i := slices.Index(leases, l); i >= 0 {
-		return slices.Delete(leases, i, i+1)
-	}
-	return leases
-}
-
-// leaseTime is how long a lease lasts unless it is renewed.
-func (t *Tracker) leaseTime() time.Duration { return leaseReports * t.parameters.Report }
-
-// provide renews a taker's leases for a manifest, and grants more where it has too few.
-func (t *Tracker) provide(a *agent, manifest digest.Digest) {
-	m := a.members[manifest]
-	if m == nil {
-		m = t.join(a, manifest)
-	}
-	s := m.swarm
-	stuck := t.now-m.grewAt > stillReports*t.parameters.Report
-	if stuck {
-		m.grewAt = t.now // the new ones are given time
-	}
-	same, others := t.renew(a, s, stuck)
-	same += t.grant(a, s, []string{a.zone}, sourcesSameZone-same)
-	others += t.grant(a, s, t.otherZones(a.zone), sourcesOtherZones-others)
-	for range sourcesFair - same - others {
-		t.grantRevoked(a, s)
-	}
-	t.grantStore(a, s, stuck)
-}
-
-// renew prolongs the leases that are still good and ends the others; it tells how many are
-// left of the taker's own zone and of others.
-func (t *Tracker) renew(a *agent, s *swarm, stuck bool) (same, others int) {
-	for _, l := range append([]*lease(nil), a.taken...) {
-		if l.manifest != s.manifest {
+// renewLeases extends the leases whose source is still eligible and ends the others: all of
+// them if the agent has stalled. It returns how many leases on peers are left.
+func (t *Tracker) renewLeases(agent *agentState, swarm *swarmState, stalled bool) (sameZone, otherZones int) {
+	for _, lease := range slices.Clone(agent.downloadLeases) {
+		if lease.manifest != swarm.manifest {
 			continue
 		}
-		if stuck || l.source != nil && !t.sound(a, s.members[l.source.name]) {
-			t.end(l)
+		if stalled || lease.source != nil && !t.isEligible(agent, swarm.members[lease.source.name]) {
+			t.endLease(lease)
 			continue
 		}
-		l.until = t.now + t.leaseTime()
+		lease.validUntil = t.now + t.leaseDuration()
 		switch {
-		case l.source == nil:
-		case l.source.zone == a.zone:
-			same++
+		case lease.source == nil:
+		case lease.source.zone == agent.zone:
+			sameZone++
 		default:
-			others++
+			otherZones++
 		}
 	}
-	return same, others
+	return sameZone, otherZones
 }
 
-// sound tells whether a taker may use a source at all.
-func (t *Tracker) sound(a *agent, m *member) bool {
-	if m == nil || m.agent == a || m.chunks == 0 || t.now-m.agent.heard > t.leaseTime()+t.parameters.IdleReport {
+// isEligible reports whether an agent may use a source at all.
+func (t *Tracker) isEligible(agent *agentState, source *swarmMember) bool {
+	if source == nil || source.agent == agent || source.chunks == 0 {
 		return false
 	}
-	key := avoidance{m.agent.name, m.swarm.manifest}
-	if until, avoided := a.avoid[key]; avoided {
-		if t.now < until {
-			return false
-		}
-		delete(a.avoid, key)
+	if t.now-source.agent.lastReportAt > t.leaseDuration()+t.parameters.IdleReportInterval {
+		return false
 	}
-	accused := t.accused(m)
-	_, byTaker := m.accusers[a.name]
-	return accused < accusersNeeded && !byTaker
+	key := sourceKey{source.agent.name, source.swarm.manifest}
+	if until, avoided := agent.avoidUntil[key]; avoided && t.now < until {
+		return false
+	}
+	delete(agent.avoidUntil, key)
+	accusers := t.accuserCount(source)
+	_, accusedByAgent := source.accusedAt[agent.name]
+	return accusers < minAccusers && !accusedByAgent
 }
 
-// otherZones are all zones but one, from a random one on.
+// otherZones returns all zones but one, starting from a random one.
 func (t *Tracker) otherZones(zone string) []string {
-	zones := make([]string, 0, len(t.parameters.Zones))
-	first := t.rng.IntN(len(t.parameters.Zones))
-	for i := range t.parameters.Zones {
-		if z := t.parameters.Zones[(first+i)%len(t.parameters.Zones)]; z != zone {
-			zones = append(zones, z)
+	all := t.parameters.Zones
+	zones := make([]string, 0, len(all))
+	first := t.rng.IntN(len(all))
+	for i := range all {
+		if other := all[(first+i)%len(all)]; other != zone {
+			zones = append(zones, other)
 		}
 	}
 	return zones
 }
 
-// grant gives a taker up to so many leases on sources of some zones, and tells how many. The
-// looks at agents are bounded by what is wanted, not by how many there are.
-func (t *Tracker) grant(a *agent, s *swarm, zones []string, wanted int) (granted int) {
+// grantLeases gives an agent up to a number of leases on sources of some zones, and returns how
+// many. How many candidates it examines depends on that number, not on the size of the swarm.
+func (t *Tracker) grantLeases(agent *agentState, swarm *swarmState, zones []string, wanted int) (granted int) {
 	for _, zone := range zones {
-		for range looksEach * max(0, wanted-granted) {
-			holders := s.holders[zone]
-			if len(holders) == 0 || granted == wanted {
+		for range candidatesPerSource * max(0, wanted-granted) {
+			if granted == wanted {
 				break
 			}
-			t.counts.Looks++
-			m := holders[t.rng.IntN(len(holders))]
-			if t.free(m.agent) && !has(a, m) && t.sound(a, m) {
-				t.give(a, m)
+			source := t.randomHolder(swarm, zone)
+			if source == nil {
+				break
+			}
+			if t.hasFreeSlot(source.agent) && !hasLease(agent, source) && t.isEligible(agent, source) {
+				t.grantLease(agent, source)
 				granted++
 			}
 		}
@@ -130,86 +98,91 @@
 	return granted
 }
 
-// has tells whether a taker has a lease on a source already.
-func has(a *agent, m *member) bool {
-	return slices.ContainsFunc(a.taken, func(l *lease) bool { return l.source == m.agent && l.manifest == m.swarm.manifest })
-}
-
-// free tells whether a source has an upload slot that nobody has a lease on.
-func (t *Tracker) free(source *agent) bool {
-	for _, l := range append([]*lease(nil), source.given...) {
-		if t.now >= l.until {
-			t.end(l)
-		}
+// randomHolder returns any member of a zone that holds chunks, or nil if there is none.
+func (t *Tracker) randomHolder(swarm *swarmState, zone string) *swarmMember {
+	holders := swarm.holders[zone]
+	if len(holders) == 0 {
+		return nil
 	}
-	return len(source.given) < source.slots
-}
-
-func (t *Tracker) give(a *agent, m *member) {
-	l := &lease{taker: a, source: m.agent, manifest: m.swarm.manifest, until: t.now + t.leaseTime()}
-	a.taken = append(a.taken, l)
-	m.agent.given = append(m.agent.given, l)
-	t.counts.Leases++
+	t.counts.Examined++
+	return holders[t.rng.IntN(len(holders))]
 }
 
-// grantRevoked gives a taker with few sources a slot that a taker with at least two more has
-// a lease on. Until that one hears of it both may ask; the source's slots decide.
-func (t *Tracker) grantRevoked(a *agent, s *swarm) {
-	for _, zone := range append([]string{a.zone}, t.otherZones(a.zone)...) {
-		for range looksEach {
-			holders := s.holders[zone]
-			if len(holders) == 0 {
+// reassignLease gives an agent with few sources a slot on which an agent with at least two more
+// has a lease. Until that one hears of it, both may ask the source, whose slots decide.
+func (t *Tracker) reassignLease(agent *agentState, swarm *swarmState) {
+	for _, zone := range append([]string{agent.zone}, t.otherZones(agent.zone)...) {
+		for range candidatesPerSource {
+			source := t.randomHolder(swarm, zone)
+			if source == nil {
 				break
 			}
-			t.counts.Looks++
-			m := holders[t.rng.IntN(len(holders))]
-			if has(a, m) || !t.sound(a, m) {
+			if hasLease(agent, source) || !t.isEligible(agent, source) {
 				continue
 			}
-			rich := slices.IndexFunc(m.agent.given, func(l *lease) bool { return len(l.taker.taken) > len(a.taken)+1 })
-			if rich < 0 {
+			lease := leaseToReassign(source.agent, agent)
+			if lease == nil {
 				continue
 			}
-			t.end(m.agent.given[rich])
-			t.counts.Revoked++
-			t.give(a, m)
+			t.endLease(lease)
+			t.counts.Reassigned++
+			t.grantLease(agent, source)
 			return
 		}
 	}
 }
 
-// grantStore gives a taker a slot of the store, if one is free and it has none. One that got
-// nothing new for a while has just lost its own, and leaves it to others.
-func (t *Tracker) grantStore(a *agent, s *swarm, stuck bool) {
-	holds := slices.ContainsFunc(a.taken, func(l *lease) bool { return l.source == nil && l.manifest == s.manifest })
-	if holds || stuck && len(s.members) > len(s.stripes) {
-		return
-	}
-	stripe := -1
-	inZone := 0
-	for i, l := range s.stripes {
-		if l != nil && t.now >= l.until {
-			t.end(l)
-		}
-		if l := s.stripes[i]; l == nil {
-			stripe = max(stripe, i)
-		} else if l.taker.zone == a.zone {
-			inZone++
+// leaseToReassign returns a lease on a source whose downloader has at least two leases more
+// than an agent, or nil.
+func leaseToReassign(source, agent *agentState) *sourceLease {
+	for _, lease := range source.uploadLeases {
+		if len(lease.downloader.downloadLeases) > len(agent.downloadLeases)+1 {
+			return lease
 		}
 	}
-	// No zone takes all, so that each fetches the chunks that it lacks by itself.
-	if stripe < 0 || inZone >= t.zoneShare(s) {
+	return nil
+}
+
+// grantStoreLease gives an agent a slot of the store, if it has none and one is free. An agent
+// that has stalled has just lost its slot, and leaves it to others.
+func (t *Tracker) grantStoreLease(agent *agentState, swarm *swarmState, stalled bool) {
+	has := slices.ContainsFunc(agent.downloadLeases, func(lease *sourceLease) bool { return lease.isForStore(swarm.manifest) })
+	if has || stalled && len(swarm.members) > len(swarm.storeLeases) {
 		return
 	}
-	l := &lease{taker: a, manifest: s.manifest, stripe: stripe, until: t.now + t.leaseTime()}
-	s.stripes[stripe] = l
-	a.taken = append(a.taken, l)
+	stripe, usedInZone := t.freeStripe(swarm, agent.zone)
+	// No zone takes all slots, so that each zone fetches the chunks that it lacks by itself.
+	if stripe < 0 || usedInZone >= swarm.storeSlotsPerZone() {
+		return
+	}
+	lease := &sourceLease{downloader: agent, manifest: swarm.manifest, stripe: stripe, validUntil: t.now + t.leaseDuration()}
+	swarm.storeLeases[stripe] = lease
+	agent.downloadLeases = append(agent.downloadLeases, lease)
 	t.counts.Leases++
 }
 
-// zoneShare is how many of the store's slots takers of one zone may have: an equal part for
-// each zone that has members, rounded up.
-func (t *Tracker) zoneShare(s *swarm) int {
-	zones := max(1, len(s.byZone))
-	return (len(s.stripes) + zones - 1) / zones
+// freeStripe returns the last stripe of the store without a lease, or -1, and how many stripes
+// agents of a zone have. Leases that have expired are ended first.
+func (t *Tracker) freeStripe(swarm *swarmState, zone string) (stripe, usedInZone int) {
+	stripe = -1
+	for i, lease := range swarm.storeLeases {
+		if lease != nil && t.now >= lease.validUntil {
+			t.endLease(lease)
+			lease = nil
+		}
+		switch {
+		case lease == nil:
+			stripe = i
+		case lease.downloader.zone == zone:
+			usedInZone++
+		}
+	}
+	return stripe, usedInZone
+}
+
+// storeSlotsPerZone returns how many of the store's slots agents of one zone may have: an equal
+// part for each zone that has members, rounded up.
+func (s *swarmState) storeSlotsPerZone() int {
+	zones := max(1, len(s.membersPerZone))
+	return (len(s.storeLeases) + zones - 1) / zones
 }
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -2,10 +2,8 @@
 
 import (
 	"container/list"
-	"maps"
 	"math/rand/v2"
 	"net/http"
-	"slices"
 	"time"
 
 	"github.com/opencontainers/go-digest"
@@ -18,179 +16,134 @@
 	parameters Parameters
 	rng        *rand.Rand
 	zones      map[string]bool
+	lastCallID uint64 // to the state service; never reused, also not in a later term
 
-	now  time.Duration
-	term Term
-	out  []Effect
+	// Of the step under way.
+	now     time.Duration
+	term    Term
+	effects []Effect
 
-	reign   int64 // whose state the following is
-	ledAt   time.Duration
-	names   *names
-	agents  map[string]*agent
-	byHeard *list.List // of agents, the one that was heard longest ago first
-	swarms  map[digest.Digest]*swarm
-
-	nextCall uint64
-	counts   Counts
+	// Of the term in which this controller leads; nil and zero while it doesn't.
+	stateTerm    int64
+	electedAt    time.Duration
+	names        *nameStore
+	agents       map[string]*agentState
+	byLastReport *list.List // of *agentState, the one with the oldest report first
+	swarms       map[digest.Digest]*swarmState
+	counts       Counts
 }
 
-// Counts are of all that the tracker has done in its reign.
+// Counts counts what the tracker has done in the current term.
 type Counts struct {
-	Inventories int64 // that were taken in
-	Stale       int64 // that were older than one known
-	Looks       int64 // at agents, to find sources
-	Leases      int64 // that were granted
-	Revoked     int64 // that were taken from one taker for another that had none
-}
-
-// agent is what is known of one.
-type agent struct {
-	name, zone, address string
-	session, sequence   int64
-	slots               int
-	heard               time.Duration
-	element             *list.Element // in byHeard
-	members             map[digest.Digest]*member
-	given               []*lease // of its upload slots
-	taken               []*lease // that it may fetch by
-	waits               []distribution.Wait
-	avoid               map[avoidance]time.Duration // sources not to be given to it, until when
-}
-
-type avoidance struct {
-	source   string
-	manifest digest.Digest
-}
-
-// member is an agent's part in the swarm of a manifest.
-type member struct {
-	agent         *agent
-	swarm         *swarm
-	chunks, total int
-	active        bool
-	grewAt        time.Duration // when chunks last grew
-	place         int           // among the zone's holders; -1: it holds nothing
-	accusers      map[string]time.Duration
-}
-
-// swarm is everything about one manifest.
-type swarm struct {
-	manifest digest.Digest
-	members  map[string]*member
-	holders  map[string][]*member // that hold at least a chunk, by zone
-	byZone   map[string]int       // how many members each zone has
-	stripes  []*lease             // of the store's slots; nil: free
-}
-
-// lease lets a taker fetch a manifest's chunks from a source.
-type lease struct {
-	taker    *agent
-	source   *agent // nil: the store
-	manifest digest.Digest
-	stripe   int // of the store
-	until    time.Duration
+	Inventories int64 // accepted
+	Stale       int64 // inventories refused because a later one was known
+	Examined    int64 // candidates for sources
+	Leases      int64 // granted
+	Reassigned  int64 // leases that were moved to an agent with fewer
 }
 
-// New makes a tracker of a controller that doesn't lead.
+// New returns the tracker of a controller that doesn't lead yet.
 func New(p Parameters) *Tracker {
 	t := &Tracker{parameters: p, rng: rand.New(rand.NewPCG(p.Seed, 0)), zones: map[string]bool{}}
-	for _, z := range p.Zones {
-		t.zones[z] = true
+	for _, zone := range p.Zones {
+		t.zones[zone] = true
 	}
 	return t
 }
 
-// Step takes commands and gives what is to be done about them.
+// Step processes commands and returns the effects that the caller has to carry out.
 func (t *Tracker) Step(now time.Duration, term Term, commands []Command) []Effect {
-	t.now, t.term, t.out = now, term, nil
-	t.followTerm()
+	t.now, t.term, t.effects = now, term, nil
+	t.resetOnNewTerm()
 	for _, c := range commands {
-		t.handle(c)
+		t.handleCommand(c)
 	}
-	if t.reign != 0 {
-		t.names.tick()
-		t.expire()
+	if t.stateTerm != 0 {
+		t.names.retryIfDue()
+		t.expireSilentAgents()
 	}
-	return t.out
+	return t.effects
 }
 
-// Counts are of this reign.
+// Counts returns what was done in the current term.
 func (t *Tracker) Counts() Counts { return t.counts }
 
-// Agents is how many agents are known.
+// Agents returns how many agents are known.
 func (t *Tracker) Agents() int { return len(t.agents) }
 
-// followTerm forgets everything when the controller stops or begins to lead.
-func (t *Tracker) followTerm() {
-	if t.term.Term == t.reign {
+// resetOnNewTerm drops all state when the controller stops or starts to lead.
+func (t *Tracker) resetOnNewTerm() {
+	if t.term.Term == t.stateTerm {
 		return
 	}
 	if t.names != nil {
-		t.names.abandon()
+		t.names.refuseQueued()
 	}
-	t.reign, t.names, t.agents, t.swarms, t.byHeard = t.term.Term, nil, nil, nil, nil
+	t.stateTerm, t.names, t.agents, t.swarms, t.byLastReport = t.term.Term, nil, nil, nil, nil
 	t.counts = Counts{}
-	if t.reign == 0 {
+	if t.stateTerm == 0 {
 		return
 	}
-	t.ledAt = t.now
-	t.names = newNames(t)
-	t.agents, t.swarms, t.byHeard = map[string]*agent{}, map[digest.Digest]*swarm{}, list.New()
+	t.electedAt = t.now
+	t.names = newNameStore(t)
+	t.agents, t.swarms, t.byLastReport = map[string]*agentState{}, map[digest.Digest]*swarmState{}, list.New()
 	t.names.load()
 }
 
-// certain tells whether no other controller can lead yet.
-func (t *Tracker) certain() bool { return t.reign != 0 && t.now < t.term.LeaseUntil }
+// holdsLease reports whether no other controller can lead yet.
+func (t *Tracker) holdsLease() bool { return t.stateTerm != 0 && t.now < t.term.LeaseUntil }
 
-func (t *Tracker) emit(e Effect) { t.out = append(t.out, e) }
+func (t *Tracker) emit(e Effect) { t.effects = append(t.effects, e) }
 
+// reply answers a request.
 func (t *Tracker) reply(id uint64, body any) {
 	t.emit(Reply{ID: id, Status: http.StatusOK, Body: body})
 }
 
+// refuse answers with an error. One that may pass names a time to ask again.
 func (t *Tracker) refuse(id uint64, status int, why string) {
-	r := Reply{ID: id, Status: status, Body: distribution.ErrorAnswer{Error: why}}
+	reply := Reply{ID: id, Status: status, Body: distribution.ErrorAnswer{Error: why}}
 	if status == http.StatusServiceUnavailable {
-		r.RetryAfter = t.parameters.Report
+		reply.RetryAfter = t.parameters.ReportInterval
 	}
-	t.emit(r)
+	t.emit(reply)
 }
 
-func (t *Tracker) handle(c Command) {
-	switch c := c.(type) {
+func (t *Tracker) handleCommand(command Command) {
+	switch c := command.(type) {
 	case InventoryCall:
-		if t.serves(c.ID) {
-			t.inventory(c)
+		if t.admit(c.ID) {
+			t.handleInventory(c)
 		}
 	case UseCall:
-		if t.serves(c.ID) {
-			t.names.use(c)
+		if t.admit(c.ID) {
+			t.names.change(c)
 		}
 	case NamesCall:
-		if t.serves(c.ID) {
-			t.namesPage(c)
+		if t.admit(c.ID) {
+			t.handleNames(c)
 		}
 	case StatusCall:
-		if t.serves(c.ID) {
-			t.status(c)
+		if t.admit(c.ID) {
+			t.handleStatus(c)
 		}
 	case StateResult:
 		if t.names != nil {
-			t.names.stateResult(c)
+			t.names.handleStateResult(c)
 		}
 	case Tick:
 	}
 }
 
-// serves tells whether a request can be answered here and now; if not it is refused or
-// handed on.
-func (t *Tracker) serves(id uint64) bool {
+// admit reports whether a request can be answered here and now. If not, it is refused, or
+// forwarded to the leader.
+func (t *Tracker) admit(id uint64) bool {
 	switch {
-	case t.certain() && t.names.loaded:
+	case t.holdsLease() && t.names.loaded:
 		return true
-	case t.certain():
+	case t.holdsLease():
 		t.refuse(id, http.StatusServiceUnavailable, "the leader has not read the names yet")
-	case t.reign != 0:
+	case t.stateTerm != 0:
 		t.refuse(id, http.StatusServiceUnavailable, "the term is in doubt")
 	case t.term.Leader != "":
 		t.emit(Forward{ID: id, Peer: t.term.Leader})
@@ -199,31 +152,3 @@
 	}
 	return false
 }
-
-// expire forgets agents that were not heard for several reports.
-func (t *Tracker) expire() {
-	silent := leaseReports * t.parameters.IdleReport
-	for e := t.byHeard.Front(); e != nil; e = t.byHeard.Front() {
-		a := e.Value.(*agent)
-		if t.now-a.heard <= silent {
-			return
-		}
-		t.forget(a)
-		t.emit(Log{"agent is silent", []any{"agent", a.name}})
-	}
-}
-
-// forget removes an agent with its leases and holdings.
-func (t *Tracker) forget(a *agent) {
-	for _, manifest := range slices.Sorted(maps.Keys(a.members)) {
-		t.leave(a.members[manifest])
-	}
-	for len(a.given) > 0 {
-		t.end(a.given[0])
-	}
-	for len(a.taken) > 0 {
-		t.end(a.taken[0])
-	}
-	t.byHeard.Remove(a.element)
-	delete(t.agents, a.name)
-}
--- a/internal/scale/distributionrun/measurement.go
+++ b/internal/scale/distributionrun/measurement.go
@@ -120,7 +120,7 @@
 	for _, chunk := range version.Chunks {
 		hash := chunk.Digest.Algorithm().Digester()
 		fetched := client.Blob(ctx, registry.BlobRequest{
-			Address: store, Name: fleetName, Manifest: version.Digest, Chunk: chunk, Stall: clientStallTimeout, Within: clientFetchTimeout,
+			Address: store, Name: fleetName, Manifest: version.Digest, Chunk: chunk, StallTimeout: clientStallTimeout, Timeout: clientFetchTimeout,
 		}, func(body io.Reader) { _, _ = io.Copy(hash.Hash(), body) }) // the digest tells whether all came
 		if fetched.Fault != "" || hash.Digest() != chunk.Digest {
 			return &StoreFetchError{Chunk: chunk, Fault: fetched.Fault}
--- a/internal/scale/distributionrun/store.go
+++ b/internal/scale/distributionrun/store.go
@@ -86,7 +86,7 @@
 	if content := s.Bytes(d); content != nil && takeOne(&s.wrongAnswers) {
 		content = bytes.Clone(content)
 		content[len(content)/2] ^= 1
-		return registry.BlobOf(content), nil
+		return registry.NewBlob(content), nil
 	}
 	return s.Memory.Blob(name, d)
 }
@@ -113,10 +113,10 @@
 	}
 	blobs := &registry.Handler{
 		Content: s, Slots: registry.NewSlots(slots), RetryAfter: retryAfter,
-		Body: func(w http.ResponseWriter) http.ResponseWriter {
+		WrapBody: func(w http.ResponseWriter) http.ResponseWriter {
 			// Answers end with their connections, so that pacing needs no context of a request.
-			paced := registry.PacedWriter{ResponseWriter: w, Context: context.Background(), Limit: s.uplink}
-			return &storeWriter{PacedWriter: paced, store: s, breaksOff: takeOne(&s.brokenAnswers)}
+			paced := registry.RateLimitedWriter{ResponseWriter: w, Context: context.Background(), Limit: s.uplink}
+			return &storeWriter{RateLimitedWriter: paced, store: s, breaksOff: takeOne(&s.brokenAnswers)}
 		},
 	}
 	s.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -138,7 +138,7 @@
 
 // storeWriter counts what is sent, and breaks off if it is to.
 type storeWriter struct {
-	registry.PacedWriter
+	registry.RateLimitedWriter
 	store     *simulatedStore
 	breaksOff bool
 }
@@ -152,7 +152,7 @@
 		dropConnection(w.ResponseWriter)
 		return 0, errBrokenOff
 	}
-	n, err := w.PacedWriter.Write(b)
+	n, err := w.RateLimitedWriter.Write(b)
 	w.store.sentBytes.Add(int64(n))
 	if w.breaksOff {
 		dropConnection(w.ResponseWriter)
