--- a/internal/controller/archive_orderings_test.go
+++ b/internal/controller/archive_orderings_test.go
@@ -19,9 +19,9 @@
 		f := fake.Reliable()
 		switch kind {
 		case "write":
-			f.Request = 200 * time.Millisecond
+			f.RequestDelay = 200 * time.Millisecond
 		case "state":
-			f.Answer = 350 * time.Millisecond
+			f.ResponseDelay = 350 * time.Millisecond
 		}
 		return f
 	}
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -155,7 +155,7 @@
 	for _, n := range w.Controllers {
 		n.Start()
 	}
-	if !w.Until(10*time.Second, func() bool { return w.Leader() != nil }) {
+	if !w.RunUntil(10*time.Second, func() bool { return w.Leader() != nil }) {
 		t.Fatal("nobody leads")
 	}
 	w.Run(4 * time.Second)
@@ -203,9 +203,9 @@
 		case "request lost":
 			f.LoseRequest = true
 		case "late":
-			f.LoseRequest, f.Copy = true, 3*time.Second
+			f.LoseRequest, f.DuplicateAfter = true, 3*time.Second
 		case "answer lost":
-			f.LoseAnswer = true
+			f.LoseResponse = true
 		}
 		return f
 	}
@@ -419,7 +419,7 @@
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		f := fake.Reliable()
 		if kind == "state" && from == leader.Name {
-			f.Answer = 800 * time.Millisecond // the lookup's answer comes after the end of the term
+			f.ResponseDelay = 800 * time.Millisecond // the lookup's answer comes after the end of the term
 		}
 		return f
 	}
@@ -483,7 +483,7 @@
 		_, ok := archive[cancelled.Submission.ID]
 		return ok
 	}
-	if !w.Until(time.Minute, inArchive) {
+	if !w.RunUntil(time.Minute, inArchive) {
 		t.Fatal("the cancelled job is not in the archive")
 	}
 	unfinished := accepted(t, w, job(2, protocol.Array, 1), 5*time.Second)
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -15,12 +15,12 @@
 	runs(t, w, j.Submission.ID, 2)
 	w.Network = func(kind, _, _ string) fake.Delivery { // no commands arrive from now on
 		f := fake.Reliable()
-		f.LoseAnswer = kind == "report"
+		f.LoseResponse = kind == "report"
 		f.LoseRequest = kind == "orders"
 		return f
 	}
 	w.CancelJob(j)
-	if !w.Until(time.Second, func() bool { return j.Cancelled }) {
+	if !w.RunUntil(time.Second, func() bool { return j.Cancelled }) {
 		t.Fatal("never told that it is cancelled")
 	}
 	w.Controllers[0].Crash()
@@ -38,7 +38,7 @@
 	w := world(t)
 	j := w.Submit(service(1, 1), 0)
 	runs(t, w, j.Submission.ID, 1)
-	w.State.Outage(true)
+	w.State.SetOutage(true)
 	w.CancelJob(j)
 	for range 10 {
 		w.Run(100 * time.Millisecond)
@@ -47,7 +47,7 @@
 	if j.Status != protocol.StatusRunning {
 		t.Errorf("told %q during the outage", j.Status)
 	}
-	w.State.Outage(false)
+	w.State.SetOutage(false)
 	w.Run(20 * time.Second)
 	if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) != 0 {
 		t.Errorf("told %q, on %v", j.Status, w.MachinesOf(j.Submission.ID))
@@ -60,11 +60,11 @@
 // worker's lease will have ended the task in time, and is then told.
 func TestCancellationIsToldOnceItCanBeKept(t *testing.T) {
 	w, j := onlyItsWorker(t)
-	if !w.Until(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
+	if !w.RunUntil(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
 		t.Fatal("nobody took over")
 	}
 	w.CancelJob(j)
-	if !w.Until(25*time.Second, func() bool { return j.Cancelled }) {
+	if !w.RunUntil(25*time.Second, func() bool { return j.Cancelled }) {
 		t.Fatal("never told that it is cancelled")
 	}
 	w.Run(60 * time.Second)
--- a/internal/controller/close_looks_test.go
+++ b/internal/controller/close_looks_test.go
@@ -26,7 +26,7 @@
 			from := w.Now + at
 			w.Network = func(kind, _, _ string) fake.Delivery {
 				f := fake.Reliable()
-				f.LoseAnswer = kind == "state" && w.Now >= from && w.Now < from+2*time.Second
+				f.LoseResponse = kind == "state" && w.Now >= from && w.Now < from+2*time.Second
 				return f
 			}
 		},
@@ -35,7 +35,7 @@
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			f := fake.Reliable()
 			if kind == "state" {
-				f.Request, f.Answer = 120*time.Millisecond, 30*time.Millisecond
+				f.RequestDelay, f.ResponseDelay = 120*time.Millisecond, 30*time.Millisecond
 			}
 			return f
 		}
--- a/internal/controller/early_start_test.go
+++ b/internal/controller/early_start_test.go
@@ -84,11 +84,11 @@
 		case trouble == "lost" && writes == 1:
 			f.LoseRequest = true
 		case trouble == "late" && writes == 1:
-			f.LoseRequest, f.Copy = true, 4*time.Second
+			f.LoseRequest, f.DuplicateAfter = true, 4*time.Second
 		case trouble == "refused" && writes == 1:
-			w.After(f.Request, func() { w.State.RejectWrites = true })
+			w.After(f.RequestDelay, func() { w.State.RejectWrites = true })
 		case trouble == "refused" && writes == 2:
-			w.After(f.Request, func() { w.State.RejectWrites = false })
+			w.After(f.RequestDelay, func() { w.State.RejectWrites = false })
 		}
 		return f
 	}
@@ -107,9 +107,9 @@
 		case trouble == "cut off" && (slices.Contains(hosts, from) || slices.Contains(hosts, to)):
 			f.LoseRequest = true
 		case trouble == "reports late" && kind == "report" && slices.Contains(hosts, from):
-			f.LoseRequest, f.Copy = true, 5*time.Second
+			f.LoseRequest, f.DuplicateAfter = true, 5*time.Second
 		case trouble == "reports late" && kind == "orders" && slices.Contains(hosts, to):
-			f.LoseAnswer = true
+			f.LoseResponse = true
 		}
 		return f
 	}
@@ -244,14 +244,14 @@
 			w := worldOf(t, onePageATransaction())
 			spare(t, w)
 			j := w.Submit(severalBlocks(1, protocol.Array), 6*time.Second)
-			if !w.Until(30*time.Second, func() bool { return w.Running(j.Submission.ID) == j.Submission.Tasks }) {
+			if !w.RunUntil(30*time.Second, func() bool { return w.Running(j.Submission.ID) == j.Submission.Tasks }) {
 				t.Fatal("not all tasks run")
 			}
 			w.Run(2 * time.Second)
 			w.SeparateWrites = true
 			w.Network = losesEverySecond(lost)
 			before := w.Now
-			if !w.Until(20*time.Second, func() bool { return len(j.DoneTasks) == j.Submission.Tasks }) {
+			if !w.RunUntil(20*time.Second, func() bool { return len(j.DoneTasks) == j.Submission.Tasks }) {
 				t.Fatal("the tasks don't end")
 			}
 			for w.Now < before+10*time.Second {
--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -221,18 +221,18 @@
 // fate delays, loses and copies messages.
 func (tw *traceWorld) fate(kind, from, to string) fake.Delivery {
 	f := fake.Reliable()
-	f.Request += time.Duration(tw.random.IntN(20)) * time.Millisecond
+	f.RequestDelay += time.Duration(tw.random.IntN(20)) * time.Millisecond
 	if tw.blocked[from+">"+to] {
 		f.LoseRequest = true
 		return f
 	}
 	if kind == "state" {
-		f.Answer += tw.latency
+		f.ResponseDelay += tw.latency
 	}
 	f.LoseRequest = tw.random.IntN(100) < tw.loss
-	f.LoseAnswer = tw.random.IntN(100) < tw.loss
+	f.LoseResponse = tw.random.IntN(100) < tw.loss
 	if tw.random.IntN(100) < tw.copies {
-		f.Copy = tw.millis(500, 20_000)
+		f.DuplicateAfter = tw.millis(500, 20_000)
 	}
 	return f
 }
@@ -297,7 +297,7 @@
 	for i := 1; i < tw.jobs; i++ {
 		// A job that names a cancelled one in the archive and another ends its controller, see
 		// TestArchivedCancelledPrerequisiteBesideAnUnfinishedOne.
-		if p := tw.job(i); p != nil && p.Accepted && !p.CancelRequested && !tw.world.CancelledWith(p) && p.Submission.Kind != protocol.Service && tw.oneIn(8) {
+		if p := tw.job(i); p != nil && p.Accepted && !p.CancelRequested && !tw.world.CancelledByAncestor(p) && p.Submission.Kind != protocol.Service && tw.oneIn(8) {
 			s.Prerequisites = append(s.Prerequisites, p.Submission.ID)
 		}
 	}
@@ -344,7 +344,7 @@
 		}
 	case 4:
 		if j != nil && j.Accepted && !j.CancelRequested && j.Submission.Kind != protocol.Service {
-			tw.world.Until(10*time.Second, func() bool { return len(j.DoneTasks) == j.Submission.Tasks })
+			tw.world.RunUntil(10*time.Second, func() bool { return len(j.DoneTasks) == j.Submission.Tasks })
 			tw.world.CancelEverywhere(j)
 		}
 	case 5:
@@ -379,15 +379,15 @@
 		n.PausedUntil = w.Now + tw.millis(100, 12_000)
 	case 4:
 		left, stall := tw.random.IntN(30), tw.millis(100, 20_000)
-		n.Stall = func(message.Effect) time.Duration {
+		n.StallBefore = func(message.Effect) time.Duration {
 			if left--; left != 0 {
 				return 0
 			}
 			return stall
 		}
 	case 5:
-		w.State.Outage(true)
-		w.After(tw.millis(500, 20_000), func() { w.State.Outage(false) })
+		w.State.SetOutage(true)
+		w.After(tw.millis(500, 20_000), func() { w.State.SetOutage(false) })
 	case 6:
 		w.State.Unreachable[n.Name] = true
 		w.After(tw.millis(500, 20_000), func() { w.State.Unreachable[n.Name] = false })
@@ -419,7 +419,7 @@
 	case 0:
 		worker.HangUntil = w.Now + tw.millis(500, 25_000)
 	case 1:
-		w.Notice(name, tw.millis(500, 15_000))
+		w.AnnounceInterruption(name, tw.millis(500, 15_000))
 	case 2:
 		w.Cloud.Fail(name)
 	case 3:
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -20,7 +20,7 @@
 		f := fake.Reliable()
 		if kind == "cloud" && w.Now < until {
 			lost++
-			f.LoseAnswer = true
+			f.LoseResponse = true
 		}
 		return f
 	}
@@ -174,7 +174,7 @@
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
 		if kind == "cloud" {
-			f.Answer = 900 * time.Millisecond
+			f.ResponseDelay = 900 * time.Millisecond
 		}
 		return f
 	}
@@ -199,7 +199,7 @@
 	cheap.CPUs = 3
 	w.Submit(cheap, 30*time.Second)
 	w.Run(6 * time.Second)
-	if n := w.Cloud.RentedOf("small"); n != 4 {
+	if n := w.Cloud.CountOfType("small"); n != 4 {
 		t.Errorf("%d cheap machines are rented for four tasks", n)
 	}
 	runs(t, w, cheap.ID, 4)
@@ -216,14 +216,14 @@
 	w.Submit(s, 0)
 	runs(t, w, s.ID, 1)
 	w.Run(40 * time.Second)
-	if n := len(w.Cloud.Rented()); n != 1 {
+	if n := len(w.Cloud.MachineNames()); n != 1 {
 		t.Fatalf("%d machines are rented for one replica", n)
 	}
 	before := w.Leader().Stats().MachinesScaledOut
 	rented := func() int64 { return w.Leader().Stats().MachinesScaledOut - before }
 	w.Cloud.FailNextBoots = 1 // one of the machines never comes up
 	w.Cloud.Fail(w.MachinesOf(s.ID)[0])
-	w.Until(40*time.Second, func() bool { return rented() > 0 })
+	w.RunUntil(40*time.Second, func() bool { return rented() > 0 })
 	w.Run(2 * time.Second) // before either could be late
 	if n := rented(); n != 2 {
 		t.Errorf("%d machines are rented for a lost replica", n)
@@ -233,7 +233,7 @@
 		t.Errorf("%d replicas run once one of the machines is up", n)
 	}
 	w.Run(80 * time.Second)
-	if n := len(w.Cloud.Rented()); n != 1 {
+	if n := len(w.Cloud.MachineNames()); n != 1 {
 		t.Errorf("%d machines are rented later", n)
 	}
 	check(t, w)
@@ -250,9 +250,9 @@
 	s.CPUs = 4
 	w.Submit(s, 0)
 	w.Run(5 * time.Second) // a small machine boots for five seconds
-	before := w.Cloud.RentedOf("small")
+	before := w.Cloud.CountOfType("small")
 	w.Run(1800 * time.Millisecond)
-	if after := w.Cloud.RentedOf("small"); before != 1 || after != 2 {
+	if after := w.Cloud.CountOfType("small"); before != 1 || after != 2 {
 		t.Errorf("%d, then %d machines are rented for one replica", before, after)
 	}
 	check(t, w)
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -61,7 +61,7 @@
 	others := func(do func(*fake.Controller)) func() {
 		return func() {
 			for _, n := range w.Controllers[1:] {
-				if n.Holds() {
+				if n.AnswersWorkers() {
 					do(n)
 					return
 				}
@@ -77,9 +77,9 @@
 			g.noOrders && during && kind == "orders"
 		if kind == "state" && during {
 			if g.slow {
-				f.Answer = 900 * time.Millisecond
+				f.ResponseDelay = 900 * time.Millisecond
 			}
-			f.LoseAnswer = a != "n0" && (g.unknowing && w.Now > from+500*time.Millisecond || g.unread && w.Leader() == nil && w.Now > from+1500*time.Millisecond)
+			f.LoseResponse = a != "n0" && (g.unknowing && w.Now > from+500*time.Millisecond || g.unread && w.Leader() == nil && w.Now > from+1500*time.Millisecond)
 		}
 		return f
 	}
@@ -93,8 +93,8 @@
 			}
 		})
 	}
-	at(g.outage, func() { w.State.Outage(true) })
-	at(g.outage+down, func() { w.State.Outage(false); delete(w.State.Unreachable, "n0") })
+	at(g.outage, func() { w.State.SetOutage(true) })
+	at(g.outage+down, func() { w.State.SetOutage(false); delete(w.State.Unreachable, "n0") })
 	at(g.ends, others(func(n *fake.Controller) {
 		n.Crash()
 		at(g.again, n.Start)
--- a/internal/controller/guests_test.go
+++ b/internal/controller/guests_test.go
@@ -76,7 +76,7 @@
 			l.Crash()
 			w.After(2*time.Second, l.Start)
 		}
-		if !w.Until(90*time.Second, func() bool { return w.Running(s.ID) == 1 }) {
+		if !w.RunUntil(90*time.Second, func() bool { return w.Running(s.ID) == 1 }) {
 			t.Errorf("the guest's job still waits after %v", w.Now-began)
 		}
 		pollFor(w, 20*time.Second)
@@ -99,7 +99,7 @@
 		s := guestJob(2, protocol.Array, 3)
 		s.CPUs, s.EstimatedRunS = 2, 400
 		j := w.Submit(s, 400*time.Second)
-		if !w.Until(60*time.Second, func() bool { return w.Running(s.ID) > 0 }) {
+		if !w.RunUntil(60*time.Second, func() bool { return w.Running(s.ID) > 0 }) {
 			t.Fatal("the guest's tasks don't run")
 		}
 		w.CancelEverywhere(w.Jobs[paying.ID])
@@ -107,10 +107,10 @@
 			w.Leader().Crash()
 		}
 		w.Cloud.CapacityOf["small"] = 4
-		if !w.Until(150*time.Second, func() bool { return !slices.Contains(w.MachineNames(), host) }) {
+		if !w.RunUntil(150*time.Second, func() bool { return !slices.Contains(w.MachineNames(), host) }) {
 			t.Errorf("%s is kept for %v", host, w.MachinesOf(s.ID))
 		}
-		if !w.Until(90*time.Second, func() bool { return w.Running(s.ID) == 3 }) {
+		if !w.RunUntil(90*time.Second, func() bool { return w.Running(s.ID) == 3 }) {
 			t.Errorf("%d of 3 of the guest's tasks go on", w.Running(s.ID))
 		}
 		for _, h := range w.MachinesOf(s.ID) {
@@ -144,7 +144,7 @@
 	for i := range 6 {
 		j := w.Submit(job(10+i, protocol.Array, 1), 2*time.Second)
 		began := w.Now
-		if !w.Until(30*time.Second, func() bool { return j.Accepted }) {
+		if !w.RunUntil(30*time.Second, func() bool { return j.Accepted }) {
 			t.Fatalf("%s is not accepted", j.Submission.ID)
 		}
 		worst = max(worst, w.Now-began)
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -24,7 +24,7 @@
 	for _, n := range w.Controllers[1:] {
 		n.Crash()
 	}
-	if !w.Until(5*time.Second, w.Controllers[0].Leads) {
+	if !w.RunUntil(5*time.Second, w.Controllers[0].Leads) {
 		t.Fatal("nobody leads")
 	}
 	for _, n := range w.Controllers[1:] {
@@ -35,7 +35,7 @@
 
 func runs(t *testing.T, w *fake.World, id string, tasks int) {
 	t.Helper()
-	if !w.Until(90*time.Second, func() bool { return w.Running(id) == tasks }) {
+	if !w.RunUntil(90*time.Second, func() bool { return w.Running(id) == tasks }) {
 		t.Fatalf("%s: %d of %d run\n%s", id, w.Running(id), tasks, strings.Join(w.Log, "\n"))
 	}
 }
@@ -109,7 +109,7 @@
 		if !j.Accepted {
 			t.Fatalf("%s was never accepted", id)
 		}
-		if w.CancelledWith(j) {
+		if w.CancelledByAncestor(j) {
 			if j.Status != protocol.StatusCancelled {
 				t.Fatalf("%s is called %q, and a job that it needs is cancelled", id, j.Status)
 			}
--- a/internal/controller/hold_test.go
+++ b/internal/controller/hold_test.go
@@ -30,7 +30,7 @@
 			runs(t, w, j.Submission.ID, 2)
 			w.Run(10 * time.Second)
 			hosts := w.MachinesOf(j.Submission.ID)
-			w.State.Outage(true)
+			w.State.SetOutage(true)
 			w.Network = func(kind, from, to string) fake.Delivery {
 				f := fake.Reliable()
 				f.LoseRequest = x.trouble == "cut" && kind == "peer" && (from == "n1" || to == "n1")
@@ -40,9 +40,9 @@
 				w.After(3*time.Second, w.Controllers[1].Crash)
 				w.After(4*time.Second, w.Controllers[1].Start)
 			}
-			w.After(x.down, func() { w.State.Outage(false) })
+			w.After(x.down, func() { w.State.SetOutage(false) })
 			w.Run(x.down + 8*time.Second)
-			kept := slices.Equal(w.MachinesOf(j.Submission.ID), hosts) && w.Session(hosts[0]) == 1
+			kept := slices.Equal(w.MachinesOf(j.Submission.ID), hosts) && w.Incarnation(hosts[0]) == 1
 			if kept != x.kept {
 				t.Errorf("kept %v\n%s", kept, strings.Join(w.Log[max(0, len(w.Log)-20):], "\n"))
 			}
@@ -63,25 +63,25 @@
 	runs(t, w, j.Submission.ID, 2)
 	w.Run(5 * time.Second)
 	hosts := w.MachinesOf(j.Submission.ID)
-	taken := func() bool { h := w.State.Holder(controller.LeaderKey); return h != "n0" && h != "" }
+	taken := func() bool { h := w.State.WriterOf(controller.LeaderKey); return h != "n0" && h != "" }
 	w.State.Unreachable["n0"] = true
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		f := fake.Reliable()
-		f.LoseAnswer = kind == "state" && from != "n0" && taken()
+		f.LoseResponse = kind == "state" && from != "n0" && taken()
 		return f
 	}
-	if !w.Until(5*time.Second, taken) {
+	if !w.RunUntil(5*time.Second, taken) {
 		t.Fatal("nobody took the term")
 	}
 	w.Run(100 * time.Millisecond)
-	w.State.Outage(true)
+	w.State.SetOutage(true)
 	w.Run(40 * time.Second)
-	if w.Session(hosts[0]) != 1 || !slices.Equal(w.MachinesOf(j.Submission.ID), hosts) {
+	if w.Incarnation(hosts[0]) != 1 || !slices.Equal(w.MachinesOf(j.Submission.ID), hosts) {
 		t.Errorf("what ran was lost in the outage\n%s", strings.Join(w.Log[max(0, len(w.Log)-20):], "\n"))
 	}
 	w.Network = nil
 	delete(w.State.Unreachable, "n0")
-	w.State.Outage(false)
+	w.State.SetOutage(false)
 	w.Run(5 * time.Second)
 	w.CancelEverywhere(j)
 	w.Run(20 * time.Second)
@@ -135,7 +135,7 @@
 	w.Controllers[0].Crash()
 	w.After(3*time.Second, w.Controllers[0].Start)
 	w.Cloud.Fail(host)
-	if !w.Until(22*time.Second, func() bool { return w.Running(j.Submission.ID) == 1 }) {
+	if !w.RunUntil(22*time.Second, func() bool { return w.Running(j.Submission.ID) == 1 }) {
 		t.Errorf("not replaced in 22 s\n%s", strings.Join(w.Log, "\n"))
 	}
 	check(t, w)
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -48,11 +48,11 @@
 func TestLargeFleetThroughTakeOverRackLossAndReturn(t *testing.T) {
 	w, leader := fleetOf(t, largeFleet)
 	w.Cloud.Capacity += rackMachines // room for machines in place of those that die
-	if !w.Until(time.Minute, func() bool { return allReplicasRun(w) }) {
+	if !w.RunUntil(time.Minute, func() bool { return allReplicasRun(w) }) {
 		t.Fatal("not every replica runs")
 	}
 	leader.Crash()
-	if !w.Until(30*time.Second, func() bool { return w.Leader() != nil }) {
+	if !w.RunUntil(30*time.Second, func() bool { return w.Leader() != nil }) {
 		t.Fatal("nobody leads")
 	}
 	w.Run(10 * time.Second) // two reports
@@ -71,15 +71,15 @@
 	if allReplicasRun(w) {
 		t.Fatal("the loss of a rack is not seen by the test")
 	}
-	if !w.Until(5*time.Minute, func() bool { return allReplicasRun(w) }) {
+	if !w.RunUntil(5*time.Minute, func() bool { return allReplicasRun(w) }) {
 		t.Error("replicas of the lost rack don't run again")
 	}
 
 	for _, j := range w.Jobs {
 		w.CancelJob(j)
 	}
-	if !w.Until(10*time.Minute, func() bool { return len(w.Cloud.Rented()) == 0 }) {
-		t.Errorf("%d machines stay rented", len(w.Cloud.Rented()))
+	if !w.RunUntil(10*time.Minute, func() bool { return len(w.Cloud.MachineNames()) == 0 }) {
+		t.Errorf("%d machines stay rented", len(w.Cloud.MachineNames()))
 	}
 	check(t, w)
 }
--- a/internal/controller/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -25,7 +25,7 @@
 func acceptedAll(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
 	waits := func(j *fake.Job) bool { return !j.Accepted }
-	if !w.Until(5*time.Minute, func() bool { return !slices.ContainsFunc(jobs, waits) }) {
+	if !w.RunUntil(5*time.Minute, func() bool { return !slices.ContainsFunc(jobs, waits) }) {
 		t.Fatal("not every job of the pipeline was accepted")
 	}
 }
@@ -60,7 +60,7 @@
 				}
 				acceptedAll(t, w, all)
 				w.CancelJob(root)
-				if !w.Until(10*time.Second, func() bool { return root.Cancelled }) {
+				if !w.RunUntil(10*time.Second, func() bool { return root.Cancelled }) {
 					t.Fatal("not told that it is cancelled")
 				}
 				if crash >= 0 {
@@ -124,14 +124,14 @@
 		first := accepted(t, w, long(1), time.Hour)
 		runs(t, w, first.Submission.ID, 1)
 		second := accepted(t, w, long(2), time.Second, first)
-		if !w.Until(10*time.Second, func() bool { return second.Accepted }) {
+		if !w.RunUntil(10*time.Second, func() bool { return second.Accepted }) {
 			t.Fatal("not accepted")
 		}
 		w.Controllers[0].Crash()
 		w.After(10*time.Second, w.Controllers[0].Start)
 		third := accepted(t, w, long(3), time.Second, second)
 		fourth := accepted(t, w, long(4), time.Second, third)
-		if !w.Until(20*time.Second, func() bool { return fourth.Accepted }) {
+		if !w.RunUntil(20*time.Second, func() bool { return fourth.Accepted }) {
 			t.Fatal("not accepted")
 		}
 		w.Run(12 * time.Second)
@@ -146,7 +146,7 @@
 			return f
 		}
 		w.CancelEverywhere(first)
-		if !w.Until(5*time.Second, func() bool { return first.Cancelled }) {
+		if !w.RunUntil(5*time.Second, func() bool { return first.Cancelled }) {
 			t.Fatal("not told that it is cancelled")
 		}
 		w.Run(time.Duration(step%4) * 50 * time.Millisecond)
@@ -183,7 +183,7 @@
 	for _, n := range w.Controllers {
 		n.Start()
 	}
-	if !w.Until(10*time.Second, func() bool { return w.Leader() != nil }) {
+	if !w.RunUntil(10*time.Second, func() bool { return w.Leader() != nil }) {
 		t.Fatal("nobody leads")
 	}
 	w.Run(time.Second)
@@ -221,7 +221,7 @@
 		spare(t, w)
 		jobs := pipeline(t, w, 1)
 		which := 1 + step%3
-		if !w.Until(60*time.Second, func() bool { return len(jobs[0].DoneTasks) == jobs[0].Submission.Tasks }) {
+		if !w.RunUntil(60*time.Second, func() bool { return len(jobs[0].DoneTasks) == jobs[0].Submission.Tasks }) {
 			t.Fatal("the first job does not end")
 		}
 		w.Run(time.Duration(step/3) * 60 * time.Millisecond)
@@ -264,12 +264,12 @@
 			f := fake.Reliable()
 			if kind == "write" && !held {
 				held = true // the first is the acceptance
-				f.Request = 3 * time.Second
+				f.RequestDelay = 3 * time.Second
 			}
 			return f
 		}
 		j := accepted(t, w, job(2, protocol.Array, 1), time.Second, needed)
-		w.Until(time.Second, func() bool { return held })
+		w.RunUntil(time.Second, func() bool { return held })
 		w.CancelEverywhere(needed)
 		for range 20 + step {
 			w.Run(70 * time.Millisecond)
@@ -396,7 +396,7 @@
 	w.Leader().Crash()
 	w.After(2*time.Second, w.Controllers[0].Start)
 	w.Network = nil
-	if !w.Until(40*time.Second, func() bool { return j.Accepted }) {
+	if !w.RunUntil(40*time.Second, func() bool { return j.Accepted }) {
 		t.Fatal("not accepted")
 	}
 	w.QueryEverywhere(j)
--- a/internal/controller/late_controller_test.go
+++ b/internal/controller/late_controller_test.go
@@ -44,10 +44,10 @@
 	w.Network = func(kind, from, to string) fake.Delivery {
 		f := fake.Reliable()
 		if from == old.Name && old.RunsProduction && (kind == "write" || kind == "orders" || kind == "forward") {
-			f.Request = late
+			f.RequestDelay = late
 		}
 		if to == old.Name && kind == "forward" {
-			f.Answer = late
+			f.ResponseDelay = late
 		}
 		return f
 	}
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -21,7 +21,7 @@
 	w.Run(time.Second)
 	w.Controllers[0].Crash()
 	w.Controllers[0].Start()
-	if !w.Until(500*time.Millisecond, w.Controllers[0].Leads) {
+	if !w.RunUntil(500*time.Millisecond, w.Controllers[0].Leads) {
 		t.Error("it does not lead after half a second")
 	}
 	check(t, w)
@@ -130,7 +130,7 @@
 	a := w.Submit(service(1, 1), 0)
 	runs(t, w, a.Submission.ID, 1)
 	w.State.Unreachable["n0"] = true
-	if !w.Until(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
+	if !w.RunUntil(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
 		t.Fatal("nobody else leads")
 	}
 	w.Run(time.Second)
@@ -162,7 +162,7 @@
 	}
 	before := map[string]int64{}
 	for _, name := range w.MachineNames() {
-		before[name] = w.Session(name)
+		before[name] = w.Incarnation(name)
 	}
 	if len(before) < 3 {
 		t.Fatalf("only %d machines", len(before))
@@ -177,7 +177,7 @@
 		t.Fatal("nobody else leads")
 	}
 	for name, session := range before {
-		if w.Session(name) != session {
+		if w.Incarnation(name) != session {
 			t.Errorf("%s has lost its tasks", name)
 		}
 	}
@@ -246,10 +246,10 @@
 			case 3:
 				l.PausedUntil = w.Now + 4*time.Second
 			case 4:
-				w.State.Outage(true)
+				w.State.SetOutage(true)
 				w.After(time.Second, l.Crash)
 				w.After(1500*time.Millisecond, l.Start)
-				w.After(7*time.Second, func() { w.State.Outage(false) })
+				w.After(7*time.Second, func() { w.State.SetOutage(false) })
 			}
 			if change%3 == 1 {
 				w.CancelEverywhere(w.Jobs[fmt.Sprintf("wk-%06d", id-1)])
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -37,7 +37,7 @@
 	high := service(2, 1)
 	high.Priority, high.CPUs, high.Types = protocol.Production, 4, []string{"small"}
 	w.Submit(high, 0)
-	if !w.Until(6*time.Second, func() bool { return w.Running(high.ID) == 1 }) {
+	if !w.RunUntil(6*time.Second, func() bool { return w.Running(high.ID) == 1 }) {
 		t.Error("not started in 6 s")
 	}
 	if len(j.Saved) == 0 {
@@ -64,14 +64,14 @@
 	w.Network = func(kind, _, b string) fake.Delivery {
 		f := fake.Reliable()
 		if kind == "orders" && b == slow {
-			f.Request = 700 * time.Millisecond
+			f.RequestDelay = 700 * time.Millisecond
 		}
 		return f
 	}
 	high := service(3, 2)
 	high.Team, high.Priority, high.CPUs = "red", protocol.Production, 3
 	s := w.Submit(high, 0)
-	if !w.Until(6*time.Second, func() bool { return w.Running(high.ID) == 2 }) {
+	if !w.RunUntil(6*time.Second, func() bool { return w.Running(high.ID) == 2 }) {
 		t.Errorf("%d of 2 run after 6 s", w.Running(high.ID))
 	}
 	w.Run(2 * time.Second)
@@ -181,7 +181,7 @@
 					case "cut":
 						f.LoseRequest = away[a] || away[b]
 					case "deaf":
-						f.LoseRequest, f.LoseAnswer = away[b], away[a]
+						f.LoseRequest, f.LoseResponse = away[b], away[a]
 					case "mute":
 						f.LoseRequest = away[a]
 					}
@@ -227,7 +227,7 @@
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			f := fake.Reliable()
 			if kind == "orders" || kind == "report" {
-				f.Request, f.Answer = slow/2, slow/2
+				f.RequestDelay, f.ResponseDelay = slow/2, slow/2
 			}
 			return f
 		}
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -46,7 +46,7 @@
 			teams = append(teams, "guests")
 		}
 		w := fake.NewWorld(settings)
-		w.AsProduction = asProduction
+		w.RewriteAsProduction = asProduction
 		rolls := rapid.Bool().Draw(t, "rolls")
 		for _, n := range w.Controllers {
 			if n.RunsProduction = rolls; rolls { // the day begins with the version in production
@@ -69,12 +69,12 @@
 			if cut[from+">"+to] {
 				f.LoseRequest = true
 				if late > 50 { // held, and delivered when the cut ends
-					f.LoseRequest, f.Request = false, 20*time.Second
+					f.LoseRequest, f.RequestDelay = false, 20*time.Second
 				}
 				return f
 			}
 			if kind == "state" {
-				f.Answer += slow
+				f.ResponseDelay += slow
 			}
 			draw := func(what string, share int) bool {
 				return share > 0 && rapid.IntRange(0, 99).Draw(t, what) < share
@@ -87,16 +87,16 @@
 				if kind == "orders" {
 					f.LoseRequest = true
 				}
-				f.LoseAnswer = true
+				f.LoseResponse = true
 				return f
 			}
 			f.LoseRequest = draw("lose request", loss)
-			f.LoseAnswer = draw("lose answer", loss)
+			f.LoseResponse = draw("lose answer", loss)
 			if draw("late", late) {
-				f.Request = time.Duration(rapid.IntRange(1, 40).Draw(t, "late by")) * time.Second
+				f.RequestDelay = time.Duration(rapid.IntRange(1, 40).Draw(t, "late by")) * time.Second
 			}
 			if draw("copy", copies) {
-				f.Copy = time.Duration(rapid.IntRange(1, 40).Draw(t, "copied after")) * time.Second
+				f.DuplicateAfter = time.Duration(rapid.IntRange(1, 40).Draw(t, "copied after")) * time.Second
 			}
 			return f
 		}
@@ -172,8 +172,8 @@
 					}
 				}
 			case "state down":
-				w.State.Outage(true)
-				w.After(time.Duration(rapid.IntRange(1, 40).Draw(t, "for"))*time.Second, func() { w.State.Outage(false) })
+				w.State.SetOutage(true)
+				w.After(time.Duration(rapid.IntRange(1, 40).Draw(t, "for"))*time.Second, func() { w.State.SetOutage(false) })
 			case "state cut":
 				n := node()
 				w.State.Unreachable[n.Name] = true
@@ -226,7 +226,7 @@
 				n := node()
 				left := rapid.IntRange(0, 30).Draw(t, "effects")
 				d := time.Duration(rapid.IntRange(100, 30_000).Draw(t, "for")) * time.Millisecond
-				n.Stall = func(message.Effect) time.Duration {
+				n.StallBefore = func(message.Effect) time.Duration {
 					if left--; left != 0 {
 						return 0
 					}
@@ -234,7 +234,7 @@
 				}
 			case "notice":
 				_, h := pick()
-				w.Notice(h, time.Duration(rapid.IntRange(1, 15).Draw(t, "in"))*time.Second)
+				w.AnnounceInterruption(h, time.Duration(rapid.IntRange(1, 15).Draw(t, "in"))*time.Second)
 			case "die":
 				if _, h := pick(); h != "" {
 					w.Cloud.Fail(h)
@@ -268,7 +268,7 @@
 			case "cancel at end":
 				j := w.Jobs[fmt.Sprintf("wk-%06d", rapid.IntRange(1, jobs).Draw(t, "job"))]
 				if !j.CancelRequested && j.Accepted && j.Submission.Kind != protocol.Service {
-					w.Until(20*time.Second, func() bool { return len(j.DoneTasks) == j.Submission.Tasks })
+					w.RunUntil(20*time.Second, func() bool { return len(j.DoneTasks) == j.Submission.Tasks })
 					w.CancelEverywhere(j)
 				}
 			case "roll": // the next controller gets the new version
@@ -312,7 +312,7 @@
 			}
 		}
 		for _, n := range w.Controllers {
-			n.Stall = nil
+			n.StallBefore = nil
 		}
 		w.Run(65 * time.Second) // the longest trouble is over
 		over := w.Now
@@ -320,7 +320,7 @@
 			j := w.Jobs[fmt.Sprintf("wk-%06d", i+1)]
 			// What never ends is cancelled where it can keep others from running:
 			// jobs that always fail, and services of the team with a limit.
-			if !j.CancelRequested && j.Accepted && !w.CancelledWith(j) && (j.AlwaysFails || j.Submission.Team == "red" && j.Submission.Kind == protocol.Service) {
+			if !j.CancelRequested && j.Accepted && !w.CancelledByAncestor(j) && (j.AlwaysFails || j.Submission.Team == "red" && j.Submission.Kind == protocol.Service) {
 				w.CancelJob(j)
 			}
 		}
--- a/internal/controller/pauses_test.go
+++ b/internal/controller/pauses_test.go
@@ -29,7 +29,7 @@
 		w.Cloud.CapacityOf = map[string]int{"small": 1, "large": 0} // nothing else can be had
 		l := w.Leader()
 		var stalled []string
-		l.Stall = func(effect message.Effect) time.Duration {
+		l.StallBefore = func(effect message.Effect) time.Duration {
 			c, ok := effect.(message.CloudCall)
 			if !ok || c.Op != message.CloudScaleIn || stalled != nil {
 				return 0
@@ -37,17 +37,17 @@
 			stalled = c.Machines
 			return stall
 		}
-		if !w.Until(60*time.Second, func() bool { return stalled != nil }) {
+		if !w.RunUntil(60*time.Second, func() bool { return stalled != nil }) {
 			t.Fatal("no machine is given back")
 		}
 		s := service(1, idle)
 		s.CPUs = 4 // a machine each
 		w.Submit(s, 0)
-		if !w.Until(stall-time.Second, func() bool { return w.Running(s.ID) == idle }) && stall > 5*time.Second {
+		if !w.RunUntil(stall-time.Second, func() bool { return w.Running(s.ID) == idle }) && stall > 5*time.Second {
 			t.Errorf("%v: %d of %d replicas run", stall, w.Running(s.ID), idle)
 		}
 		w.Run(45 * time.Second)
-		if n := w.TasksDied; n > 0 {
+		if n := w.TasksLostWithMachine; n > 0 {
 			t.Errorf("%v: %d tasks were on a machine that the former leader returned", stall, n)
 		}
 		check(t, w)
@@ -60,24 +60,24 @@
 	w := world(t)
 	spare(t, w)
 	l, stood := w.Leader(), false
-	l.Stall = func(effect message.Effect) time.Duration {
+	l.StallBefore = func(effect message.Effect) time.Duration {
 		if c, ok := effect.(message.CommandsCall); !ok || stood || !starts(c) {
 			return 0
 		}
 		stood = true
-		w.State.Outage(true)
+		w.State.SetOutage(true)
 		return 3 * time.Second
 	}
 	s := service(1, 1)
 	w.Submit(s, 0)
-	if !w.Until(20*time.Second, func() bool { return stood }) {
+	if !w.RunUntil(20*time.Second, func() bool { return stood }) {
 		t.Fatal("nothing is started")
 	}
 	w.Run(6 * time.Second)
 	if n := len(w.MachinesOf(s.ID)); n > 0 {
 		t.Error("a leader in doubt has started a task")
 	}
-	w.State.Outage(false)
+	w.State.SetOutage(false)
 	runs(t, w, s.ID, 1)
 	check(t, w)
 }
@@ -115,7 +115,7 @@
 	w.Submit(job(3, protocol.Array, 6), 8*time.Second)
 	w.Run(12 * time.Second)
 	l, left, stood := w.Leader(), skip, false
-	l.Stall = func(effect message.Effect) time.Duration {
+	l.StallBefore = func(effect message.Effect) time.Duration {
 		if stood || !is(effect) {
 			return 0
 		}
@@ -156,7 +156,7 @@
 				w.Leader().Crash()
 				left, stood := skip, false
 				for _, n := range w.Controllers[1:] {
-					n.Stall = func(effect message.Effect) time.Duration {
+					n.StallBefore = func(effect message.Effect) time.Duration {
 						if c, ok := effect.(message.StateCall); stood || ok && c.Op == storage.StateGet {
 							return 0 // a look at who leads
 						}
@@ -198,7 +198,7 @@
 		t.Fatalf("only %d machines", machines)
 	}
 	mark := len(w.Log)
-	w.State.Outage(true)
+	w.State.SetOutage(true)
 	w.Run(time.Second)
 	// The workers wait in vain, and are on their way from node to node when it goes on.
 	goesOn := w.Now + 5*time.Second
@@ -209,7 +209,7 @@
 	}
 	l.PausedUntil = w.Now + 5*time.Second // longer than a machine may be silent, less than a lease
 	w.Run(5 * time.Second)
-	w.State.Outage(false)
+	w.State.SetOutage(false)
 	w.Run(20 * time.Second)
 	after := l.Stats()
 	if !l.Leads() || after.TermsTaken != before.TermsTaken {
@@ -234,7 +234,7 @@
 	w.Network = func(kind, from, _ string) fake.Delivery { // its greetings take a little longer
 		well := fake.Reliable()
 		if kind == "peer" && from == f.Name {
-			well.Request = 400 * time.Millisecond
+			well.RequestDelay = 400 * time.Millisecond
 		}
 		return well
 	}
@@ -271,7 +271,7 @@
 			})
 		})
 	}
-	if !w.Until(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
+	if !w.RunUntil(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
 		t.Fatal("nobody else leads")
 	}
 	w.Run(1500 * time.Millisecond)
@@ -304,8 +304,8 @@
 	if n := terms() - before; n > 2 {
 		t.Errorf("%d terms for a controller that stands still twelve times", n)
 	}
-	if w.KilledByLease > 0 {
-		t.Errorf("%d tasks ended by their lease", w.KilledByLease)
+	if w.TasksLostToLeaseExpiry > 0 {
+		t.Errorf("%d tasks ended by their lease", w.TasksLostToLeaseExpiry)
 	}
 	pollFor(w, 20*time.Second)
 	check(t, w)
@@ -321,7 +321,7 @@
 		slow := w.Controllers[1]
 		slow.PausedUntil = w.Now + 4*time.Second
 		w.After(4*time.Second-ahead, w.Controllers[0].Crash)
-		if !w.Until(10*time.Second, func() bool { return slow.Leads() || w.Controllers[2].Leads() }) {
+		if !w.RunUntil(10*time.Second, func() bool { return slow.Leads() || w.Controllers[2].Leads() }) {
 			t.Fatal("nobody leads")
 		}
 		if slow.Leads() {
@@ -341,12 +341,12 @@
 	s := service(1, 3)
 	s.CPUs = 4 // a machine each
 	w.Submit(s, 0)
-	if !w.Until(5*time.Second, func() bool { return l.Stats().MachinesScaledOut > before }) {
+	if !w.RunUntil(5*time.Second, func() bool { return l.Stats().MachinesScaledOut > before }) {
 		t.Fatal("nothing is rented")
 	}
 	w.Run(time.Second)
 	before = l.Stats().MachinesScaledOut
-	w.State.Outage(true)
+	w.State.SetOutage(true)
 	goesOn := w.Now + 9*time.Second
 	w.Network = func(kind, _, to string) fake.Delivery {
 		f := fake.Reliable()
@@ -355,7 +355,7 @@
 	}
 	l.PausedUntil = goesOn
 	w.Run(9 * time.Second)
-	w.State.Outage(false)
+	w.State.SetOutage(false)
 	runs(t, w, s.ID, 3)
 	if rented := l.Stats().MachinesScaledOut; rented != before || !l.Leads() {
 		t.Errorf("%d machines rented before the pause, %d after", before, rented)
@@ -391,14 +391,14 @@
 			}
 			w.Run(20 * time.Second)
 			third := w.Controllers[3-leader-other]
-			killed := w.KilledByLease
+			killed := w.TasksLostToLeaseExpiry
 			w.Controllers[leader].PausedUntil = w.Now + 14*time.Second
 			w.Controllers[other].PausedUntil = w.Now + 14*time.Second
-			if !w.Until(3*time.Second, third.Leads) {
+			if !w.RunUntil(3*time.Second, third.Leads) {
 				t.Errorf("the third doesn't lead after 3 s")
 			}
 			pollFor(w, 40*time.Second)
-			if n := w.KilledByLease - killed; n > 0 {
+			if n := w.TasksLostToLeaseExpiry - killed; n > 0 {
 				t.Errorf("leader %d and %d: %d tasks ended by their lease", leader, other, n)
 			}
 			check(t, w)
@@ -415,7 +415,7 @@
 	runs(t, w, j.Submission.ID, 2)
 	w.State.Unreachable["n1"] = true
 	w.Controllers[0].PausedUntil = w.Now + 20*time.Second
-	if !w.Until(5*time.Second, w.Controllers[2].Leads) {
+	if !w.RunUntil(5*time.Second, w.Controllers[2].Leads) {
 		t.Fatal("the third doesn't lead")
 	}
 	w.Run(2 * time.Second)
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -17,7 +17,7 @@
 func accepted(t testing.TB, w *fake.World, s protocol.Submission, run time.Duration, needs ...*fake.Job) *fake.Job {
 	t.Helper()
 	for _, p := range needs {
-		if !w.Until(30*time.Second, func() bool { return p.Accepted }) {
+		if !w.RunUntil(30*time.Second, func() bool { return p.Accepted }) {
 			t.Fatalf("%s was not accepted", p.Submission.ID)
 		}
 		s.Prerequisites = append(s.Prerequisites, p.Submission.ID)
@@ -92,14 +92,14 @@
 				w := world(t)
 				spare(t, w)
 				jobs := pipeline(t, w, 1)
-				from := w.State.PageWrites
+				from := w.State.WriteTransactions
 				if cancelAt > 0 {
 					w.After(cancelAt, func() { w.CancelEverywhere(jobs[1]) })
 				}
 				ended := false
 				for w.Now < 60*time.Second {
 					w.Run(50 * time.Millisecond)
-					if !ended && w.State.PageWrites >= from+writes {
+					if !ended && w.State.WriteTransactions >= from+writes {
 						ended = true
 						if l := w.Leader(); l != nil {
 							l.Crash()
@@ -138,20 +138,20 @@
 			w.After(12*time.Second, func() { delete(w.State.Unreachable, "n0") })
 		},
 		"outage": func(w *fake.World) {
-			w.State.Outage(true)
-			w.After(5*time.Second, func() { w.State.Outage(false) })
+			w.State.SetOutage(true)
+			w.After(5*time.Second, func() { w.State.SetOutage(false) })
 		},
 		"refused, then an outage": func(w *fake.World) {
 			w.State.Unreachable["n0"] = true
-			w.After(1500*time.Millisecond, func() { w.State.Outage(true) })
-			w.After(45*time.Second, func() { w.State.Outage(false); delete(w.State.Unreachable, "n0") })
+			w.After(1500*time.Millisecond, func() { w.State.SetOutage(true) })
+			w.After(45*time.Second, func() { w.State.SetOutage(false); delete(w.State.Unreachable, "n0") })
 		},
 		"answers lost": func(w *fake.World) {
 			from, calls := w.Now, 0
 			w.Network = func(kind, _, _ string) fake.Delivery {
 				f := fake.Reliable()
 				calls++
-				f.LoseAnswer = kind == "state" && w.Now < from+4*time.Second && calls%2 == 0
+				f.LoseResponse = kind == "state" && w.Now < from+4*time.Second && calls%2 == 0
 				return f
 			}
 		},
@@ -243,7 +243,7 @@
 	check(t, w)
 
 	// The acceptance of what it needs is not durable: neither yes nor no can be said.
-	w.State.Outage(true)
+	w.State.SetOutage(true)
 	p, d := job(200, protocol.Array, 1), job(201, protocol.Array, 1)
 	d.Prerequisites = []string{p.ID}
 	l := w.Leader()
@@ -255,7 +255,7 @@
 		t.Errorf("needs a job that isn't durable: %d", status)
 	}
 	// A repeat is answered by the job's state, whatever it names now.
-	w.State.Outage(false)
+	w.State.SetOutage(false)
 	w.Run(5 * time.Second)
 	again := long.Submission
 	again.Prerequisites = []string{"wk-777777"}
@@ -279,12 +279,12 @@
 	long := accepted(t, w, first, time.Hour)
 	runs(t, w, long.Submission.ID, 1)
 	w.Run(60 * time.Second)
-	machines := len(w.Cloud.Rented())
+	machines := len(w.Cloud.MachineNames())
 	waits := job(2, protocol.Gang, 4)
 	waits.Team, waits.Priority = "red", protocol.Production
 	waiting := accepted(t, w, waits, time.Second, long)
 	w.Run(30 * time.Second)
-	if n := len(w.Cloud.Rented()); n > machines {
+	if n := len(w.Cloud.MachineNames()); n > machines {
 		t.Errorf("%d machines are rented, %d were before", n, machines)
 	}
 	other := job(3, protocol.Gang, 4) // all that the team may use
@@ -345,7 +345,7 @@
 		jobs := []*fake.Job{first, accepted(t, w, job(2, protocol.Array, 1), time.Second, first)}
 		runs(t, w, first.Submission.ID, 1)
 		host := w.MachinesOf(first.Submission.ID)[0]
-		if !w.Until(20*time.Second, func() bool { return len(first.DoneTasks) == 1 }) {
+		if !w.RunUntil(20*time.Second, func() bool { return len(first.DoneTasks) == 1 }) {
 			t.Fatal("the first job does not end")
 		}
 		held, crashed := false, time.Duration(0)
@@ -354,7 +354,7 @@
 			f := fake.Reliable()
 			if kind == "write" && from == "n0" && !held {
 				held = true // the first write after the end
-				f.Request = 5 * time.Second
+				f.RequestDelay = 5 * time.Second
 			}
 			// The next leader hears of the end only after the cancellation.
 			f.LoseRequest = step%3 == 1 && kind == "report" && from == host && crashed > 0 && w.Now < crashed+6*time.Second
@@ -395,7 +395,7 @@
 	w.Run(5 * time.Second)
 	w.Workers[w.MachinesOf(long.Submission.ID)[0]].HangUntil = w.Now + 9*time.Second
 	w.CancelJob(long)
-	if !w.Until(3*time.Second, func() bool { return long.Status == protocol.StatusCancelled }) {
+	if !w.RunUntil(3*time.Second, func() bool { return long.Status == protocol.StatusCancelled }) {
 		t.Fatalf("the long job is called %q", long.Status)
 	}
 	j := accepted(t, w, job(2, protocol.Array, 1), time.Second, long)
--- a/internal/controller/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -29,7 +29,7 @@
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			f := fake.Reliable()
 			if kind == "state" && w.Now < lag {
-				f.Request, f.Answer = 350*time.Millisecond, 350*time.Millisecond
+				f.RequestDelay, f.ResponseDelay = 350*time.Millisecond, 350*time.Millisecond
 			}
 			return f
 		}
@@ -55,7 +55,7 @@
 				used[h] = true
 			}
 		}
-		if have := len(w.Cloud.Rented()); have > len(used)+8 { // and what is kept free for the next
+		if have := len(w.Cloud.MachineNames()); have > len(used)+8 { // and what is kept free for the next
 			t.Errorf("step %d: %d machines are rented, %d used", step, have, len(used))
 		}
 	}
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -27,7 +27,7 @@
 		j.Team, j.CPUs, j.Types = "red", 3, []string{"small"}
 		w.Submit(j, 0)
 	}
-	if !w.Until(60*time.Second, func() bool { return len(w.MachineNames()) >= machines }) {
+	if !w.RunUntil(60*time.Second, func() bool { return len(w.MachineNames()) >= machines }) {
 		t.Fatalf("%d machines are up", len(w.MachineNames()))
 	}
 	w.Run(10 * time.Second)
@@ -144,7 +144,7 @@
 			for range b.N {
 				old := w.Leader()
 				old.Crash()
-				if !w.Until(60*time.Second, func() bool { return w.Leader() != nil }) {
+				if !w.RunUntil(60*time.Second, func() bool { return w.Leader() != nil }) {
 					b.Fatal("nobody leads")
 				}
 				old.Start()
--- a/internal/controller/starts_test.go
+++ b/internal/controller/starts_test.go
@@ -17,7 +17,7 @@
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
 		if kind == "orders" {
-			f.Copy = 25 * time.Second
+			f.DuplicateAfter = 25 * time.Second
 		}
 		return f
 	}
@@ -53,7 +53,7 @@
 				switch {
 				case kind != "orders" || host != "" && to != host:
 				case host == "":
-					host, f.Request = to, late*time.Millisecond
+					host, f.RequestDelay = to, late*time.Millisecond
 				case w.Now < 60*time.Second:
 					f.LoseRequest = true
 				}
@@ -80,10 +80,10 @@
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		f := fake.Reliable()
 		if kind == "orders" && from == "n0" {
-			f.Request = 8 * time.Second
+			f.RequestDelay = 8 * time.Second
 		}
 		// The successor's answers are lost at first.
-		f.LoseAnswer = kind == "report" && crashed > 0 && w.Now < crashed+9*time.Second
+		f.LoseResponse = kind == "report" && crashed > 0 && w.Now < crashed+9*time.Second
 		return f
 	}
 	j := w.Submit(service(1, 1), 0)
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -134,18 +134,18 @@
 			s.CPUs, s.MemoryGB, s.Zone = 0.05, 0.1, "a" // there is one machine that they may have
 			w.Submit(s, 0)
 		}
-		if !w.Until(60*time.Second, func() bool { return len(w.MachineNames()) > 0 && w.Running("wk-000080") == 1 }) {
+		if !w.RunUntil(60*time.Second, func() bool { return len(w.MachineNames()) > 0 && w.Running("wk-000080") == 1 }) {
 			t.Fatal("the replicas don't run")
 		}
 		w.Run(5 * time.Second)
 		host := w.MachinesOf("wk-000001")[0]
-		session := w.Session(host)
+		session := w.Incarnation(host)
 		w.SeparateWrites = true
 		placed := func() int { return strings.Count(strings.Join(w.Log, "\n"), "task placed [job wk-000001 ") }
 		left := durable
 		w.Network = func(kind, from, to string) fake.Delivery {
 			f := fake.Reliable()
-			f.LoseRequest = w.Session(host) == session && (from == host || to == host)
+			f.LoseRequest = w.Incarnation(host) == session && (from == host || to == host)
 			if kind == "write" && placed() > 1 {
 				left--
 				f.LoseRequest = left < 0
@@ -154,7 +154,7 @@
 		}
 		w.Run(3 * time.Second)
 		endLeader(w)
-		if !w.Until(30*time.Second, func() bool { return placed() > 1 }) {
+		if !w.RunUntil(30*time.Second, func() bool { return placed() > 1 }) {
 			t.Fatal("the replicas aren't started again")
 		}
 		w.Run(400 * time.Millisecond)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -22,7 +22,7 @@
 	s.State.ValueKB, s.State.TxnOps = 8, 8
 	s.State.Next = nextLimits(1, 3, 25)
 	w := fake.NewWorld(s)
-	w.AsProduction = asProduction
+	w.RewriteAsProduction = asProduction
 	for _, n := range w.Controllers {
 		n.Crash()
 		n.RunsProduction = true
@@ -30,7 +30,7 @@
 	for _, n := range w.Controllers {
 		n.Start()
 	}
-	if !w.Until(10*time.Second, func() bool { return w.Leader() != nil }) {
+	if !w.RunUntil(10*time.Second, func() bool { return w.Leader() != nil }) {
 		t.Fatal("nobody leads")
 	}
 	return w
@@ -63,8 +63,8 @@
 				w.Run(20 * time.Second)
 				for round := range 8 {
 					if outage && round == 3 {
-						w.State.Outage(true)
-						w.After(3*time.Second, func() { w.State.Outage(false) })
+						w.State.SetOutage(true)
+						w.After(3*time.Second, func() { w.State.SetOutage(false) })
 					}
 					l := w.Leader()
 					if l == nil {
@@ -146,10 +146,10 @@
 				w.Network = func(kind, _, _ string) fake.Delivery {
 					f := fake.Reliable()
 					if kind == "state" {
-						f.Request += slow
-						f.Copy = 3 * slow
+						f.RequestDelay += slow
+						f.DuplicateAfter = 3 * slow
 						calls++
-						f.LoseAnswer = slow > 0 && calls%9 == 0
+						f.LoseResponse = slow > 0 && calls%9 == 0
 					}
 					return f
 				}
@@ -232,7 +232,7 @@
 	// Tasks of the first block stand still, so that later ones end before them, and are
 	// lost with their machines when the controllers restart.
 	var first []string
-	w.Until(60*time.Second, func() bool { return w.Running(large.ID) >= 30 })
+	w.RunUntil(60*time.Second, func() bool { return w.Running(large.ID) >= 30 })
 	for _, line := range w.Log {
 		var task int
 		var host string
@@ -243,7 +243,7 @@
 			}
 		}
 	}
-	w.Until(9*time.Second, func() bool { return len(j.DoneTasks) > 0 })
+	w.RunUntil(9*time.Second, func() bool { return len(j.DoneTasks) > 0 })
 	w.Run(1200 * time.Millisecond)
 	if n := len(j.DoneTasks); n == 0 || n > 36 || j.DoneTasks[12] {
 		t.Fatalf("%d of 60 tasks are done", n)
@@ -278,7 +278,7 @@
 			large := job(1, protocol.Array, 60)
 			large.CPUs, large.Team = 0.5, "red"
 			j := w.Submit(large, 4*time.Second)
-			if !w.Until(60*time.Second, func() bool { return len(j.DoneTasks) >= 26 }) {
+			if !w.RunUntil(60*time.Second, func() bool { return len(j.DoneTasks) >= 26 }) {
 				t.Fatal("no block is done")
 			}
 			w.Run(500 * time.Millisecond)
@@ -314,7 +314,7 @@
 	s := fake.Settings()
 	s.State.ValueKB = 4
 	w := fake.NewWorld(s)
-	w.AsProduction = asProduction
+	w.RewriteAsProduction = asProduction
 	for _, n := range w.Controllers {
 		n.Crash()
 		n.RunsProduction = true
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -80,7 +80,7 @@
 		t.Errorf("%d jobs are recorded, %d of %d submissions were refused", n, refused, answers)
 	}
 	pollFor(w, 60*time.Second)
-	if again := w.Submit(job(40, protocol.Array, 1), time.Second); !w.Until(time.Second, func() bool { return again.Accepted }) {
+	if again := w.Submit(job(40, protocol.Array, 1), time.Second); !w.RunUntil(time.Second, func() bool { return again.Accepted }) {
 		t.Error("a submission is not accepted, though writes are taken again")
 	}
 	if w.Running(standing.Submission.ID) != 2 || dependent.Status != protocol.StatusCancelled {
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -23,9 +23,9 @@
 	lost := 0
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		f := fake.Reliable()
-		if kind == "state" && from == "n0" && w.State.PageWrites > 1 && lost < 2 {
+		if kind == "state" && from == "n0" && w.State.WriteTransactions > 1 && lost < 2 {
 			lost++
-			f.LoseAnswer = true
+			f.LoseResponse = true
 		}
 		return f
 	}
@@ -70,7 +70,7 @@
 		}
 		return true
 	}
-	if !w.Until(60*time.Second, firstDone) || len(j.DoneTasks) == 30 {
+	if !w.RunUntil(60*time.Second, firstDone) || len(j.DoneTasks) == 30 {
 		t.Fatalf("%d tasks done", len(j.DoneTasks))
 	}
 	w.Run(3 * time.Second) // that is reported and written
@@ -94,12 +94,12 @@
 		s := job(1, protocol.Array, 30)
 		s.CheckpointIntervalS = 0
 		j := w.Submit(s, 3*time.Second)
-		if !w.Until(60*time.Second, func() bool { return len(j.DoneTasks) == 30 }) {
+		if !w.RunUntil(60*time.Second, func() bool { return len(j.DoneTasks) == 30 }) {
 			t.Fatalf("%d tasks done", len(j.DoneTasks))
 		}
-		from, ended := w.State.PageWrites, false
+		from, ended := w.State.WriteTransactions, false
 		w.Network = func(kind, _, _ string) fake.Delivery {
-			if l := w.Leader(); kind == "state" && l != nil && !ended && w.State.PageWrites >= from+writes {
+			if l := w.Leader(); kind == "state" && l != nil && !ended && w.State.WriteTransactions >= from+writes {
 				ended = true
 				w.After(0, l.Crash) // its next write goes unsent
 				return fake.Delivery{LoseRequest: true}
@@ -166,7 +166,7 @@
 	t.Run("outage", func(t *testing.T) {
 		w := world(t)
 		w.Run(5 * time.Second)
-		w.State.Outage(true)
+		w.State.SetOutage(true)
 		first := ask(w, 1)
 		w.Run(1500 * time.Millisecond) // the term's lease is a second
 		if first.status != 503 || first.after > 1200*time.Millisecond {
@@ -175,7 +175,7 @@
 		if next := ask(w, 2); next.status != 503 {
 			t.Errorf("in the outage: %d", next.status)
 		}
-		w.State.Outage(false)
+		w.State.SetOutage(false)
 		w.Run(5 * time.Second)
 		if again := ask(w, 1); again.status != 200 {
 			t.Errorf("the first, asked again: %d", again.status)
@@ -211,7 +211,7 @@
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			f := fake.Reliable()
 			if kind == "state" {
-				f.Answer = 300 * time.Millisecond
+				f.ResponseDelay = 300 * time.Millisecond
 			}
 			return f
 		}
@@ -244,8 +244,8 @@
 					f := fake.Reliable()
 					if kind == "state" && w.Now < until {
 						if writes++; writes%m.share == 0 {
-							f.LoseAnswer = true
-							f.Request += m.late
+							f.LoseResponse = true
+							f.RequestDelay += m.late
 						}
 					}
 					return f
@@ -275,7 +275,7 @@
 				if services[0].Status != protocol.StatusCancelled {
 					t.Errorf("told %q", services[0].Status)
 				}
-				if known, there := w.KnownMachines(), len(w.Cloud.Rented()); !m.crashes && known != there {
+				if known, there := w.KnownMachines(), len(w.Cloud.MachineNames()); !m.crashes && known != there {
 					t.Errorf("%d machines known of %d", known, there)
 				}
 			}
@@ -325,7 +325,7 @@
 		t.Fatalf("status: %d %s", status, answer)
 	}
 	old.Crash()
-	if !w.Until(5*time.Second, func() bool { return w.Leader() != nil }) {
+	if !w.RunUntil(5*time.Second, func() bool { return w.Leader() != nil }) {
 		t.Errorf("nobody leads after 5 s\n%s", strings.Join(w.Log[max(0, len(w.Log)-10):], "\n"))
 	}
 	old.Start()
--- a/internal/distribution/simulation/hard_cases_test.go
+++ b/internal/distribution/simulation/hard_cases_test.go
@@ -46,7 +46,7 @@
 func busiest(t *testing.T, w *World) *Agent {
 	t.Helper()
 	var found *Agent
-	w.Until(minutes, func() bool {
+	w.RunUntil(minutes, func() bool {
 		for _, a := range w.Agents {
 			if held(a) >= chunks/2 && len(a.uploads) > 1 && (found == nil || len(a.uploads) > len(found.uploads)) {
 				found = a
@@ -159,7 +159,7 @@
 				f := fake.Reliable()
 				if kind == "weights" {
 					writes++
-					f.LoseAnswer = writes%2 == 1
+					f.LoseResponse = writes%2 == 1
 				}
 				return f
 			}
@@ -173,7 +173,7 @@
 			return func(kind, _, _ string) fake.Delivery {
 				f := fake.Reliable()
 				if kind == "weights" {
-					f.LoseRequest, f.Copy = w.rng.IntN(2) == 0, 4*time.Second
+					f.LoseRequest, f.DuplicateAfter = w.rng.IntN(2) == 0, 4*time.Second
 				}
 				return f
 			}
@@ -252,8 +252,8 @@
 			w.After(20*time.Second, leader.Start)
 		}},
 		{"in doubt", func(w *World) {
-			w.State.Outage(true)
-			w.After(8*time.Second, func() { w.State.Outage(false) })
+			w.State.SetOutage(true)
+			w.After(8*time.Second, func() { w.State.SetOutage(false) })
 		}},
 		{"deposed and wakes", func(w *World) {
 			w.Leader().PausedUntil = w.Now + 6*time.Second
@@ -385,7 +385,7 @@
 func TestStoreIsDown(t *testing.T) {
 	t.Run("every chunk is with some peer", func(t *testing.T) {
 		w, m := begin(t, Defaults())
-		if !w.Until(minutes, func() bool { return w.Store.SentBytes() >= m.Size }) {
+		if !w.RunUntil(minutes, func() bool { return w.Store.SentBytes() >= m.Size }) {
 			t.Fatal("the store has not sent everything once")
 		}
 		w.Run(time.Second)
@@ -436,7 +436,7 @@
 	for _, a := range w.Agents {
 		reshare(&a.endpoint)
 	}
-	if !w.Until(minutes, func() bool {
+	if !w.RunUntil(minutes, func() bool {
 		for _, a := range w.Agents {
 			if a.Zone() != cut && a.Active(weights) != m.Digest {
 				return false
@@ -503,7 +503,7 @@
 	never := w.Agents[17]
 	never.SetRate(0.01)
 	w.Agents[18].SetRate(o.Rate / 20)
-	if !w.Until(minutes, func() bool {
+	if !w.RunUntil(minutes, func() bool {
 		for _, a := range w.Agents {
 			if a != never && a.Active(weights) != m.Digest {
 				return false
--- a/internal/distribution/simulation/world.go
+++ b/internal/distribution/simulation/world.go
@@ -98,7 +98,7 @@
 		}
 	})
 	w.every(time.Second, w.checkServed)
-	w.Until(20*time.Second, func() bool { return w.Leader() != nil })
+	w.RunUntil(20*time.Second, func() bool { return w.Leader() != nil })
 	return w
 }
 
@@ -131,8 +131,8 @@
 	if !h.node.Up || h.w.Now < h.node.PausedUntil {
 		return nil
 	}
-	if h.tracker == nil || h.life != h.node.Life() {
-		h.life, h.replies = h.node.Life(), map[uint64]pendingReply{}
+	if h.tracker == nil || h.life != h.node.Incarnation() {
+		h.life, h.replies = h.node.Incarnation(), map[uint64]pendingReply{}
 		h.tracker = tracker.New(tracker.Parameters{
 			Report: h.w.report(), IdleReport: 4 * h.w.report(), Retry: h.w.report() / 8, StoreSlots: h.w.Options.StoreSlots,
 			Zones: h.w.Options.Settings.Zones, Boot: fmt.Sprintf("%s-%d", h.node.Name, h.life), Seed: h.w.Options.Seed + uint64(h.life),
@@ -148,7 +148,7 @@
 	}
 	var effects []tracker.Effect
 	step := func() {
-		effects = t.Step(h.node.Steady(), h.node.Controller().Leadership(), []tracker.Command{c})
+		effects = t.Step(h.node.MonotonicNow(), h.node.Controller().Leadership(), []tracker.Command{c})
 	}
 	if h.w.Tracked != nil {
 		h.w.Tracked(step)
@@ -180,7 +180,7 @@
 			}
 		}
 	case tracker.StateCall:
-		h.node.AskState("weights", e.StateCall, func(r storageResult) {
+		h.node.CallState("weights", e.StateCall, func(r storageResult) {
 			h.step(tracker.StateResult{StateResult: r})
 		})
 	}
@@ -267,7 +267,7 @@
 // UntilReady runs until every agent serves a version, and tells how long that took.
 func (w *World) UntilReady(most time.Duration, name string, manifest digest.Digest) (time.Duration, bool) {
 	began := w.Now
-	ok := w.Until(most, func() bool { return w.Ready(name, manifest) })
+	ok := w.RunUntil(most, func() bool { return w.Ready(name, manifest) })
 	return w.Now - began, ok
 }
 
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -12,18 +12,18 @@
 
 type machine struct {
 	protocol.Machine
-	rented time.Duration
-	gone   bool
+	provisionedAt time.Duration
+	terminated    bool
 }
 
 // Cloud rents machines.
 type Cloud struct {
-	w        *World
-	types    []protocol.MachineType
-	machines []*machine
-	requests map[string][]string
-	next     int
-	Down     bool
+	world       *World
+	types       []protocol.MachineType
+	machines    []*machine
+	provisioned map[string][]string
+	lastNumber  int
+	Down        bool
 	// Capacity is how many machines there are of each kind and place.
 	Capacity int
 	// BootDelay delays boots; Never keeps the next machines from coming up.
@@ -47,20 +47,20 @@
 	case message.CloudListMachines:
 		for _, m := range c.machines {
 			// The list lags: it shows what was so a while ago.
-			lag := time.Duration(c.w.Cfg.Settings.Cloud.ListLagS * float64(time.Second))
-			if m.gone || m.rented+lag > c.w.Now {
+			lag := time.Duration(c.world.Cfg.Settings.Cloud.ListLagS * float64(time.Second))
+			if m.terminated || m.provisionedAt+lag > c.world.Now {
 				continue
 			}
 			e := m.Machine
-			e.AgeS = (c.w.Now - m.rented).Seconds()
+			e.AgeS = (c.world.Now - m.provisionedAt).Seconds()
 			r.List.Machines = append(r.List.Machines, e)
 		}
 	case message.CloudScaleOut:
 		q := call.Provisioning
 		if q.Count < 1 || q.Count > 50 {
-			c.w.violation("cloud", "a rental of %d", q.Count)
+			c.world.violation("cloud", "a rental of %d", q.Count)
 		}
-		if names, ok := c.requests[q.RequestID]; ok {
+		if names, ok := c.provisioned[q.RequestID]; ok {
 			r.Machines = names
 			return r
 		}
@@ -70,7 +70,7 @@
 		}
 		have := 0
 		for _, m := range c.machines {
-			if !m.gone && m.Type == q.Type && m.Zone == q.Zone && m.Spot == q.Spot {
+			if !m.terminated && m.Type == q.Type && m.Zone == q.Zone && m.Spot == q.Spot {
 				have++
 			}
 		}
@@ -86,10 +86,10 @@
 		for range n {
 			r.Machines = append(r.Machines, c.Add(q.Type, q.Zone, q.Spot).Name)
 		}
-		c.requests[q.RequestID] = r.Machines
+		c.provisioned[q.RequestID] = r.Machines
 	case message.CloudScaleIn:
 		if len(call.Machines) > 100 {
-			c.w.violation("cloud", "%d machines returned at once", len(call.Machines))
+			c.world.violation("cloud", "%d machines returned at once", len(call.Machines))
 		}
 		for _, name := range call.Machines {
 			c.Reclaim(name)
@@ -100,13 +100,13 @@
 
 // Add makes a machine, which boots and starts to report.
 func (c *Cloud) Add(kind, zone string, spot bool) *machine {
-	c.next++
-	addr := fmt.Sprintf("10.1.0.%d:9000", c.next)
+	c.lastNumber++
+	addr := fmt.Sprintf("10.1.0.%d:9000", c.lastNumber)
 	if c.Address != nil {
-		addr = c.Address(c.next)
+		addr = c.Address(c.lastNumber)
 	}
-	m := &machine{rented: c.w.Now, Machine: protocol.Machine{
-		Name: fmt.Sprintf("i-%06d", c.next), Addr: addr, Type: kind, Zone: zone, Spot: spot, Status: protocol.MachineBooting,
+	m := &machine{provisionedAt: c.world.Now, Machine: protocol.Machine{
+		Name: fmt.Sprintf("i-%06d", c.lastNumber), Addr: addr, Type: kind, Zone: zone, Spot: spot, Status: protocol.MachineBooting,
 	}}
 	c.machines = append(c.machines, m)
 	if c.FailNextBoots > 0 {
@@ -115,10 +115,10 @@
 	}
 	i := slices.IndexFunc(c.types, func(t protocol.MachineType) bool { return t.Name == kind })
 	boot := time.Duration(c.types[i].BootS*float64(time.Second)) + c.BootDelay
-	c.w.After(boot, func() {
-		if !m.gone {
+	c.world.After(boot, func() {
+		if !m.terminated {
 			m.Status = protocol.MachineRunning
-			c.w.addWorker(m, c.types[i])
+			c.world.addWorker(m, c.types[i])
 		}
 	})
 	return m
@@ -127,10 +127,10 @@
 // Reclaim takes a machine and all that is on it.
 func (c *Cloud) Reclaim(name string) {
 	for _, m := range c.machines {
-		if m.Name == name && !m.gone {
-			m.gone = true
-			if wk := c.w.Workers[name]; wk != nil {
-				wk.vanish()
+		if m.Name == name && !m.terminated {
+			m.terminated = true
+			if wk := c.world.Workers[name]; wk != nil {
+				wk.terminate()
 			}
 		}
 	}
@@ -138,12 +138,12 @@
 
 // Fail stops a machine; the list shows it as failed half a minute later.
 func (c *Cloud) Fail(name string) {
-	if wk := c.w.Workers[name]; wk != nil {
-		wk.vanish()
+	if wk := c.world.Workers[name]; wk != nil {
+		wk.terminate()
 	}
 	for _, m := range c.machines {
 		if m.Name == name {
-			c.w.After(30*time.Second, func() { m.Status = protocol.MachineFailed })
+			c.world.After(30*time.Second, func() { m.Status = protocol.MachineFailed })
 		}
 	}
 }
@@ -151,22 +151,22 @@
 // Types are the machine types that it rents, for a test to change.
 func (c *Cloud) Types() []protocol.MachineType { return c.types }
 
-// Rented names the machines that are rented.
-func (c *Cloud) Rented() []string {
+// MachineNames names the machines that are rented.
+func (c *Cloud) MachineNames() []string {
 	var out []string
 	for _, m := range c.machines {
-		if !m.gone {
+		if !m.terminated {
 			out = append(out, m.Name)
 		}
 	}
 	return out
 }
 
-// RentedOf counts the machines of a type that are rented.
-func (c *Cloud) RentedOf(kind string) int {
+// CountOfType counts the machines of a type that are rented.
+func (c *Cloud) CountOfType(kind string) int {
 	n := 0
 	for _, m := range c.machines {
-		if !m.gone && m.Type == kind {
+		if !m.terminated && m.Type == kind {
 			n++
 		}
 	}
--- a/internal/fake/events.go
+++ b/internal/fake/events.go
@@ -8,7 +8,7 @@
 type event struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
 type events []event
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -5,9 +5,9 @@
 )
 
 // gangComplete tells whether every task of the attempt waits or runs.
-func (w *World) gangComplete(t *work) bool {
+func (w *World) gangComplete(t *attempt) bool {
 	n := 0
-	for m := range t.job.on {
+	for m := range t.job.attemptsOnMachines {
 		if m.Number == t.Number {
 			n++
 		}
@@ -17,6 +17,6 @@
 
 // gangWhole tells whether no task of a running gang has been lost; a moment is
 // allowed for all to begin.
-func (w *World) gangWhole(t *work) bool {
-	return w.Now-t.ran < time.Second || w.gangComplete(t) || t.job.DoneTasks[t.Task]
+func (w *World) gangWhole(t *attempt) bool {
+	return w.Now-t.startedAt < time.Second || w.gangComplete(t) || t.job.DoneTasks[t.Task]
 }
--- a/internal/fake/live.go
+++ b/internal/fake/live.go
@@ -18,7 +18,7 @@
 func NewLive(s config.Settings, types []protocol.MachineType, controllers []string, send func(controller int) RemoteSend) *World {
 	w := newWorld(s, types)
 	for i, name := range controllers {
-		w.Controllers = append(w.Controllers, &Controller{w: w, Name: name, Index: i, remote: send(i)})
+		w.Controllers = append(w.Controllers, &Controller{world: w, Name: name, Index: i, remote: send(i)})
 	}
 	return w
 }
@@ -26,43 +26,43 @@
 // Advance lets time pass until a moment.
 func (w *World) Advance(to time.Duration) {
 	for w.Now < to {
-		next := min(to, w.ticked+step)
-		w.happen(next)
-		if next == w.ticked+step {
+		next := min(to, w.lastTick+step)
+		w.runEvents(next)
+		if next == w.lastTick+step {
 			w.tick()
 		}
 	}
 }
 
-// NextAt is when something happens next in the world.
-func (w *World) NextAt() time.Duration {
-	next := w.ticked + step
-	if len(w.queue) > 0 {
-		next = min(next, w.queue[0].at)
+// NextEventAt is when something happens next in the world.
+func (w *World) NextEventAt() time.Duration {
+	next := w.lastTick + step
+	if len(w.events) > 0 {
+		next = min(next, w.events[0].at)
 	}
 	return next
 }
 
-// happen lets everything happen that was planned until a moment.
-func (w *World) happen(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := w.queue.next()
+// runEvents lets everything happen that was planned until a moment.
+func (w *World) runEvents(until time.Duration) {
+	for len(w.events) > 0 && w.events[0].at <= until {
+		e := w.events.next()
 		w.Now = max(w.Now, e.at)
-		e.do()
+		e.run()
 	}
 	w.Now = until
 }
 
 // tick has everybody look at what time calls for.
 func (w *World) tick() {
-	w.ticked = w.Now
+	w.lastTick = w.Now
 	for _, name := range w.workerNames {
 		w.Workers[name].tick()
 	}
 	for _, n := range w.Controllers {
 		n.step(message.Tick{})
 	}
-	w.checkAlways()
+	w.checkInvariants()
 }
 
 // ServeState executes a request to the state service, and answers it unless the network
@@ -84,13 +84,13 @@
 
 // serve has a request from outside executed and answered as the network will.
 func serve[R any](w *World, kind, to string, execute func() (R, bool), answer func(R)) {
-	f := w.fate(kind, "", to)
+	f := w.deliveryOf(kind, "", to)
 	if f.LoseRequest {
 		return
 	}
-	w.After(f.Request, func() {
-		if r, answered := execute(); answered && !f.LoseAnswer {
-			w.After(f.Answer, func() { answer(r) })
+	w.After(f.RequestDelay, func() {
+		if r, answered := execute(); answered && !f.LoseResponse {
+			w.After(f.ResponseDelay, func() { answer(r) })
 		}
 	})
 }
@@ -98,25 +98,25 @@
 // command has a worker execute direct commands, when it resumes if it hangs.
 func (w *World) command(c message.CommandsCall) (r message.CommandsResult, answered bool) {
 	k := w.Workers[c.Machine]
-	if k == nil || k.gone {
+	if k == nil || k.terminated {
 		return r, false
 	}
 	if w.Now < k.HangUntil {
 		w.After(k.HangUntil-w.Now, func() {
-			if !k.gone {
-				k.execute(c)
+			if !k.terminated {
+				k.executeDirect(c)
 			}
 		})
 		return r, false
 	}
-	return k.execute(c), true
+	return k.executeDirect(c), true
 }
 
 // Poll asks some controller about a job.
-func (w *World) Poll(j *Job) { w.poll(w.pick(), j) }
+func (w *World) Poll(j *Job) { w.poll(w.pickController(), j) }
 
-// pick chooses a controller for a user's request, as the load balancer does.
-func (w *World) pick() *Controller {
+// pickController chooses a controller for a user's request, as the load balancer does.
+func (w *World) pickController() *Controller {
 	for range w.Controllers {
 		w.seq++
 		if n := w.Controllers[w.seq%len(w.Controllers)]; !n.Unhealthy {
@@ -126,11 +126,11 @@
 	return w.Controllers[w.seq%len(w.Controllers)]
 }
 
-// OnMachines counts the tasks that are on machines.
-func (w *World) OnMachines() int {
+// TasksOnMachines counts the tasks that are on machines.
+func (w *World) TasksOnMachines() int {
 	n := 0
 	for _, name := range w.workerNames {
-		n += w.Workers[name].onMachine()
+		n += w.Workers[name].attemptsOnMachine()
 	}
 	return n
 }
@@ -139,18 +139,18 @@
 // controllers' back: it breaks a rule on purpose, to show that this is found.
 func (w *World) DuplicateStart() bool {
 	for _, name := range w.workerNames {
-		for _, t := range w.Workers[name].tasks {
+		for _, t := range w.Workers[name].attempts {
 			if t.State != protocol.Running {
 				continue
 			}
 			for _, other := range w.workerNames {
 				k := w.Workers[other]
-				if other == name || k.gone {
+				if other == name || k.terminated {
 					continue
 				}
 				k.start(t.Attempt)
 				if second := k.find(t.Attempt); second.State == protocol.Fetching {
-					second.ready = w.Now // before the controllers hear of it and have it stopped
+					second.imageReadyAt = w.Now // before the controllers hear of it and have it stopped
 					k.advance(second)
 					return true
 				}
--- a/internal/fake/pipelines.go
+++ b/internal/fake/pipelines.go
@@ -33,8 +33,8 @@
 	return all
 }
 
-// some tells whether any of a set of jobs is as asked.
-func some(jobs map[*Job]bool, ok func(*Job) bool) bool {
+// anyJob tells whether any of a set of jobs is as asked.
+func anyJob(jobs map[*Job]bool, ok func(*Job) bool) bool {
 	for j := range jobs {
 		if ok(j) {
 			return true
@@ -43,15 +43,15 @@
 	return false
 }
 
-// calledOff tells whether a user has asked to cancel a job that this one needs.
-func (w *World) calledOff(j *Job) bool {
-	return some(w.ancestors(j), func(p *Job) bool { return p.CancelRequested })
+// ancestorCancelRequested tells whether a user has asked to cancel a job that this one needs.
+func (w *World) ancestorCancelRequested(j *Job) bool {
+	return anyJob(w.ancestors(j), func(p *Job) bool { return p.CancelRequested })
 }
 
-// CancelledWith tells whether a user was told that a job that this one needs is
+// CancelledByAncestor tells whether a user was told that a job that this one needs is
 // cancelled, so that this one is cancelled, too.
-func (w *World) CancelledWith(j *Job) bool {
-	return some(w.ancestors(j), func(p *Job) bool { return p.Cancelled })
+func (w *World) CancelledByAncestor(j *Job) bool {
+	return anyJob(w.ancestors(j), func(p *Job) bool { return p.Cancelled })
 }
 
 // checkPipeline checks what a user hears of a job against what was said of the jobs
@@ -81,7 +81,7 @@
 		if status == protocol.StatusCancelled && d.Started {
 			w.violation("went_back", "%s is called cancelled, and %s, which needs it, has begun", j.Submission.ID, id)
 		}
-		other := d.CancelRequested || some(needs, func(p *Job) bool { return p != j && p.CancelRequested })
+		other := d.CancelRequested || anyJob(needs, func(p *Job) bool { return p != j && p.CancelRequested })
 		if status == protocol.StatusDone && d.Status == protocol.StatusCancelled && !other {
 			w.violation("went_back", "%s is done, and %s was called cancelled with it", j.Submission.ID, id)
 		}
--- a/internal/fake/rules.go
+++ b/internal/fake/rules.go
@@ -27,13 +27,13 @@
 	}
 	j.AnsweredAt = w.Now
 	w.checkPipeline(j, a.Status, asked)
-	if asked < j.toldAt && a.Status != protocol.StatusDone && a.Status != protocol.StatusCancelled {
+	if asked < j.statusReportedAt && a.Status != protocol.StatusDone && a.Status != protocol.StatusCancelled {
 		return // asked before the last answer was heard: the two may cross
 	}
 	if a.Status == protocol.StatusDone && len(j.DoneTasks) < j.Submission.Tasks {
 		w.violation("not_done", "%s: %d of %d", a.ID, len(j.DoneTasks), j.Submission.Tasks)
 	}
-	if a.Status == protocol.StatusCancelled && !j.CancelRequested && !w.calledOff(j) {
+	if a.Status == protocol.StatusCancelled && !j.CancelRequested && !w.ancestorCancelRequested(j) {
 		w.violation("went_back", "%s: cancelled, and nobody asked", a.ID)
 	}
 	if (j.Status == protocol.StatusDone || j.Status == protocol.StatusCancelled) && a.Status != j.Status {
@@ -42,36 +42,36 @@
 	if j.Status != a.Status {
 		w.Log = append(w.Log, fmt.Sprintf("%8.2f user is told %s is %s", w.Now.Seconds(), a.ID, a.Status))
 	}
-	j.Status, j.toldAt = a.Status, w.Now
+	j.Status, j.statusReportedAt = a.Status, w.Now
 	if a.Status == protocol.StatusCancelled && !j.Cancelled {
 		j.Cancelled, j.CancelledAt = true, w.Now
 		w.cancelled = append(w.cancelled, j)
 	}
 }
 
-// addUse counts what a team's tasks on machines use.
-func (w *World) addUse(s protocol.Submission, tasks float64) {
-	u := w.use[s.Team]
-	w.use[s.Team] = [2]float64{u[0] + tasks*s.CPUs, u[1] + tasks*s.GPUs}
+// addUsage counts what a team's tasks on machines use.
+func (w *World) addUsage(s protocol.Submission, tasks float64) {
+	u := w.usageByTeam[s.Team]
+	w.usageByTeam[s.Team] = [2]float64{u[0] + tasks*s.CPUs, u[1] + tasks*s.GPUs}
 }
 
 // checkStart checks the rules for a task that has just got its image.
-func (w *World) checkStart(k *Worker, t *work) {
+func (w *World) checkStart(k *Worker, t *attempt) {
 	j := t.job
-	zones := map[string]int{k.m.Zone: 1}
-	for t2 := range j.on {
+	zones := map[string]int{k.machine.Zone: 1}
+	for t2 := range j.attemptsOnMachines {
 		if t2 == t {
 			continue
 		}
 		if t2.Task == t.Task {
-			w.violation("ran_twice", "%s/%d on %s while on %s", t.Job, t.Task, k.m.Name, t2.worker.m.Name)
+			w.violation("ran_twice", "%s/%d on %s while on %s", t.Job, t.Task, k.machine.Name, t2.worker.machine.Name)
 		}
-		zones[t2.worker.m.Zone]++
+		zones[t2.worker.machine.Zone]++
 	}
 	s := j.Submission
-	if s.Types != nil && !slices.Contains(s.Types, k.m.Type) || s.Zone != "" && s.Zone != k.m.Zone || !s.Spot && k.m.Spot ||
-		s.OneZone && len(zones) > 1 || s.Spread && zones[k.m.Zone] > (s.Tasks+1)/2 {
-		w.violation("wrong_place", "%s/%d on %s (%s, %s, spot %v), zones %v", t.Job, t.Task, k.m.Name, k.m.Type, k.m.Zone, k.m.Spot, zones)
+	if s.Types != nil && !slices.Contains(s.Types, k.machine.Type) || s.Zone != "" && s.Zone != k.machine.Zone || !s.Spot && k.machine.Spot ||
+		s.OneZone && len(zones) > 1 || s.Spread && zones[k.machine.Zone] > (s.Tasks+1)/2 {
+		w.violation("wrong_place", "%s/%d on %s (%s, %s, spot %v), zones %v", t.Job, t.Task, k.machine.Name, k.machine.Type, k.machine.Zone, k.machine.Spot, zones)
 	}
 	if j.Cancelled && w.Now > j.CancelledAt+sec(w.Cfg.Settings.Workers.CancelWithinS) {
 		w.violation("ran_cancelled", "%s/%d started", t.Job, t.Task)
@@ -84,10 +84,10 @@
 	}
 }
 
-func (w *World) checkAlways() {
+func (w *World) checkInvariants() {
 	w.checkCancelled()
 	for _, t := range w.Cfg.Settings.Teams {
-		u := w.use[t.Name]
+		u := w.usageByTeam[t.Name]
 		if t.CPULimit > 0 && u[0] > t.CPULimit+1e-6 || t.GPULimit > 0 && u[1] > t.GPULimit+1e-6 {
 			w.violation("quota", "%s uses %v", t.Name, u)
 		}
@@ -110,9 +110,9 @@
 		if w.Now <= j.CancelledAt+within {
 			return false
 		}
-		for t := range j.on {
+		for t := range j.attemptsOnMachines {
 			w.violation("ran_cancelled", "%s/%d is still on a machine", t.Job, t.Task)
 		}
-		return len(j.on) == 0 // what starts from now on is found by checkStart
+		return len(j.attemptsOnMachines) == 0 // what starts from now on is found by checkStart
 	})
 }
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -25,43 +25,43 @@
 	value   []byte
 	version int64
 	lease   int64
-	from    string // the node that wrote it
+	writer  string // the node that wrote it
 }
 
 type lease struct {
-	ttl  time.Duration
-	ends time.Duration
+	ttl       time.Duration
+	expiresAt time.Duration
 }
 
 // State is the state service.
 type State struct {
-	w           *World
+	world       *World
 	limits      config.State
 	keys        map[string]entry
-	names       []string // the keys in order; nil: they have changed
+	sortedKeys  []string // the keys in order; nil: they have changed
 	leases      map[int64]lease
 	revision    int64
 	nextID      int64
-	puts        []time.Duration // within the last second
+	recentPuts  []time.Duration // within the last second
 	Down        bool
 	Unreachable map[string]bool // nodes that get 503
 	// MaxListed is how many entries an answer has at most: few, so that reading on is
 	// exercised.
 	MaxListed int
-	// PageWrites counts transactions that wrote something.
-	PageWrites int
+	// WriteTransactions counts transactions that wrote something.
+	WriteTransactions int
 	// Puts counts the keys that were written.
 	Puts int
 	// RejectedForSize counts transactions that were over the limits after these were
 	// lowered.
 	RejectedForSize int
-	lowered         bool
+	limitsLowered   bool
 	// RejectWrites has every write of a page refused for the rate (429).
 	RejectWrites bool
 }
 
 func newState(w *World, limits config.State) *State {
-	return &State{w: w, limits: limits, keys: map[string]entry{}, leases: map[int64]lease{}, Unreachable: map[string]bool{}, MaxListed: 3}
+	return &State{world: w, limits: limits, keys: map[string]entry{}, leases: map[int64]lease{}, Unreachable: map[string]bool{}, MaxListed: 3}
 }
 
 // sizeInJSON is how limits count: what is on the wire, written as JSON.
@@ -79,7 +79,7 @@
 
 // LowerLimits puts the limits to come in force: what is larger gets 400 from now on.
 func (s *State) LowerLimits() {
-	s.limits, s.lowered = s.limits.Smallest(), true
+	s.limits, s.limitsLowered = s.limits.Smallest(), true
 }
 
 // SetMaxValueKB sets how large a value may be.
@@ -100,46 +100,46 @@
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		s.revision++
 		s.keys[key] = entry{value: values[key], version: s.revision}
-		s.names = nil
+		s.sortedKeys = nil
 	}
 }
 
-func (s *State) expire() {
+func (s *State) expireLeases() {
 	for id, l := range s.leases {
-		if s.w.Now >= l.ends {
-			s.end(id)
+		if s.world.Now >= l.expiresAt {
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *State) end(id int64) {
+func (s *State) endLease(id int64) {
 	delete(s.leases, id)
 	for k, e := range s.keys {
 		if e.lease == id {
 			s.revision++
 			delete(s.keys, k)
-			s.names = nil
+			s.sortedKeys = nil
 		}
 	}
 }
 
-// Outage starts or ends one. After it every lease has its full time again.
-func (s *State) Outage(down bool) {
-	s.expire()
+// SetOutage starts or ends one. After it every lease has its full time again.
+func (s *State) SetOutage(down bool) {
+	s.expireLeases()
 	s.Down = down
 	for id, l := range s.leases {
-		l.ends = s.w.Now + l.ttl
+		l.expiresAt = s.world.Now + l.ttl
 		if down {
-			l.ends = 1 << 60
+			l.expiresAt = 1 << 60
 		}
 		s.leases[id] = l
 	}
 }
 
-// Holder names the node whose write made a key, or nobody's.
-func (s *State) Holder(key string) string {
-	s.expire()
-	return s.keys[key].from
+// WriterOf names the node whose write made a key, or nobody's.
+func (s *State) WriterOf(key string) string {
+	s.expireLeases()
+	return s.keys[key].writer
 }
 
 // Execute executes a request at once, whoever sends it.
@@ -151,14 +151,14 @@
 		r.Outcome = rpc.Refused
 		return r
 	}
-	s.expire()
+	s.expireLeases()
 	switch c.Op {
 	case storage.StateGrantLease:
 		if c.TTL < 100*time.Millisecond {
-			s.w.violation("state", "a lease of %v", c.TTL)
+			s.world.violation("state", "a lease of %v", c.TTL)
 		}
 		s.nextID++
-		s.leases[s.nextID] = lease{c.TTL, s.w.Now + c.TTL}
+		s.leases[s.nextID] = lease{c.TTL, s.world.Now + c.TTL}
 		r.Revision = s.nextID
 	case storage.StateRenewLease:
 		l, ok := s.leases[c.Lease]
@@ -166,13 +166,13 @@
 			r.Outcome = rpc.NotFound
 			return r
 		}
-		l.ends = s.w.Now + l.ttl
+		l.expiresAt = s.world.Now + l.ttl
 		s.leases[c.Lease] = l
 	case storage.StateRevokeLease:
 		if l, ok := s.leases[c.Lease]; ok {
-			l.ends = s.w.Now
+			l.expiresAt = s.world.Now
 			s.leases[c.Lease] = l
-			s.expire()
+			s.expireLeases()
 		}
 	case storage.StateGet:
 		e, ok := s.keys[c.Key]
@@ -192,15 +192,15 @@
 
 // list gives the entries behind a key that have a prefix, and tells whether there are more.
 func (s *State) list(prefix, after string, most int) (entries []protocol.Entry, more bool) {
-	if s.names == nil {
-		s.names = slices.Sorted(maps.Keys(s.keys))
+	if s.sortedKeys == nil {
+		s.sortedKeys = slices.Sorted(maps.Keys(s.keys))
 	}
-	from, _ := slices.BinarySearch(s.names, max(prefix, after))
+	from, _ := slices.BinarySearch(s.sortedKeys, max(prefix, after))
 	if most == 0 || most > s.MaxListed {
 		most = s.MaxListed
 	}
 	size := 0
-	for _, k := range s.names[from:] {
+	for _, k := range s.sortedKeys[from:] {
 		if !strings.HasPrefix(k, prefix) {
 			break
 		}
@@ -222,18 +222,18 @@
 func (s *State) txn(from string, old bool, c storage.StateCall) storage.StateResult {
 	r := storage.StateResult{ID: c.ID}
 	if why := s.tooLarge(c.Txn); why != "" {
-		if !s.lowered {
-			s.w.violation("state", "%s", why)
+		if !s.limitsLowered {
+			s.world.violation("state", "%s", why)
 		}
 		s.RejectedForSize++
 		r.Outcome = rpc.Invalid
 		return r
 	}
 	if len(c.Txn.Then) > s.limits.TxnOps || len(c.Txn.If) > 4*s.limits.TxnOps {
-		s.w.violation("state", "a transaction of %d changes and %d conditions", len(c.Txn.Then), len(c.Txn.If))
+		s.world.violation("state", "a transaction of %d changes and %d conditions", len(c.Txn.Then), len(c.Txn.If))
 	}
 	if n := sizeInJSON(c.Txn); n > protocol.MaxBody {
-		s.w.violation("state", "a transaction of %d bytes", n)
+		s.world.violation("state", "a transaction of %d bytes", n)
 		r.Outcome = rpc.Unknown // an answer that the protocol doesn't list
 		return r
 	}
@@ -242,13 +242,13 @@
 		return r
 	}
 	// The write rate counts puts, with a burst of one second's worth.
-	s.puts = slices.DeleteFunc(s.puts, func(at time.Duration) bool { return s.w.Now-at >= time.Second })
-	if len(s.puts)+len(c.Txn.Then) > int(2*s.limits.WriteRPS) {
+	s.recentPuts = slices.DeleteFunc(s.recentPuts, func(at time.Duration) bool { return s.world.Now-at >= time.Second })
+	if len(s.recentPuts)+len(c.Txn.Then) > int(2*s.limits.WriteRPS) {
 		r.Outcome = rpc.Refused
 		return r
 	}
 	for range c.Txn.Then {
-		s.puts = append(s.puts, s.w.Now)
+		s.recentPuts = append(s.recentPuts, s.world.Now)
 	}
 	for _, cond := range c.Txn.If {
 		if s.keys[cond.Key].version != cond.Version {
@@ -267,16 +267,16 @@
 	}
 	if len(c.Txn.Then) > 0 {
 		s.revision++
-		s.PageWrites++
+		s.WriteTransactions++
 	}
 	for _, ch := range c.Txn.Then {
 		if ch.Delete != "" {
 			delete(s.keys, ch.Delete)
-			s.names = nil
+			s.sortedKeys = nil
 			continue
 		}
 		if _, ok := s.keys[ch.Put]; !ok {
-			s.names = nil
+			s.sortedKeys = nil
 		}
 		s.Puts++
 		s.keys[ch.Put] = entry{protocol.Encode(ch.Value), s.revision, ch.Lease, from}
@@ -305,11 +305,11 @@
 	next := s.limits.Smallest()
 	for _, change := range txn.Then {
 		if n := sizeInJSON(change.Value); change.Delete == "" && n > int(next.ValueKB*1024) && n > s.storedSize(change.Put) {
-			s.w.violation("state", "%s writes a value of %d bytes, above the limits to come", from, n)
+			s.world.violation("state", "%s writes a value of %d bytes, above the limits to come", from, n)
 		}
 	}
 	if len(txn.Then) > next.TxnOps {
-		s.w.violation("state", "%s makes %d changes at once, above the limits to come", from, len(txn.Then))
+		s.world.violation("state", "%s makes %d changes at once, above the limits to come", from, len(txn.Then))
 	}
 }
 
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -12,7 +12,7 @@
 // job is unknown.
 func (w *World) StatusOf(id string) string {
 	status := ""
-	w.Until(5*time.Second, func() bool {
+	w.RunUntil(5*time.Second, func() bool {
 		if l := w.Leader(); l != nil {
 			l.Request(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply) {
 				var a protocol.JobResponse
@@ -37,16 +37,16 @@
 	// SubmittedAt is when it was first handed in, AcceptedAt when its user was told.
 	SubmittedAt, AcceptedAt time.Duration
 
-	Started         bool // a task was on a machine
-	RejectedWith    int  // its submission was refused for good, with this status
-	Accepted        bool
-	CancelRequested bool // its user asked to cancel
-	CancelledAt     time.Duration
-	Cancelled       bool // and was told that it is
-	Status          string
-	toldAt          time.Duration
-	on              map[*work]bool // its tasks that are on machines
-	ancestors       map[*Job]bool  // see World.ancestors
+	Started            bool // a task was on a machine
+	RejectedWith       int  // its submission was refused for good, with this status
+	Accepted           bool
+	CancelRequested    bool // its user asked to cancel
+	CancelledAt        time.Duration
+	Cancelled          bool // and was told that it is
+	Status             string
+	statusReportedAt   time.Duration
+	attemptsOnMachines map[*attempt]bool // its tasks that are on machines
+	ancestors          map[*Job]bool     // see World.ancestors
 	// AnsweredAt is when a question about it was last answered with 200; 0: never.
 	AnsweredAt time.Duration
 }
@@ -63,7 +63,7 @@
 
 func (w *World) submit(j *Job) {
 	s, asked := j.Submission, w.Now
-	w.ask(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, ok bool) {
+	w.request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, ok bool) {
 		switch {
 		case ok && (r.Status == 200 || r.Status == 201):
 			if !j.Accepted {
@@ -84,12 +84,12 @@
 // Resubmit hands an accepted job in once more.
 func (w *World) Resubmit(j *Job) { w.submit(j) }
 
-// ask sends a user's request to some node.
-func (w *World) ask(c message.UserRequest, done func(message.Reply, bool)) {
-	w.askAt(w.pick(), c, done)
+// request sends a user's request to some node.
+func (w *World) request(c message.UserRequest, done func(message.Reply, bool)) {
+	w.requestAt(w.pickController(), c, done)
 }
 
-func (w *World) askAt(n *Controller, c message.UserRequest, done func(message.Reply, bool)) {
+func (w *World) requestAt(n *Controller, c message.UserRequest, done func(message.Reply, bool)) {
 	over := false
 	w.After(5*time.Second, func() {
 		if !over {
@@ -97,7 +97,7 @@
 			done(message.Reply{}, false)
 		}
 	})
-	n.deliver(c, func(r message.Reply) {
+	n.receive(c, func(r message.Reply) {
 		if !over {
 			over = true
 			done(r, true)
@@ -115,7 +115,7 @@
 
 // PollEnded asks about a job that ended before the world began.
 func (w *World) PollEnded(id string) {
-	w.ask(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply, ok bool) {
+	w.request(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply, ok bool) {
 		var a protocol.JobResponse
 		if ok && (r.Status == 404 || r.Status == 200 && (protocol.Decode(r.Body, &a) != nil || a.Status != protocol.StatusDone)) {
 			w.violation("forgotten", "%s, which is done: %d %s", id, r.Status, a.Status)
@@ -125,7 +125,7 @@
 
 // PollUnknown asks about a job that nobody has submitted.
 func (w *World) PollUnknown() {
-	w.ask(message.UserRequest{Kind: message.Poll, Job: "wk-999999"}, func(r message.Reply, ok bool) {
+	w.request(message.UserRequest{Kind: message.Poll, Job: "wk-999999"}, func(r message.Reply, ok bool) {
 		if ok && r.Status == 200 {
 			w.violation("invented", "a job that nobody submitted")
 		}
@@ -134,7 +134,7 @@
 
 func (w *World) poll(n *Controller, j *Job) {
 	was, asked := j.Accepted || j.AnsweredAt > 0, w.Now
-	w.askAt(n, message.UserRequest{Kind: message.Poll, Job: j.Submission.ID}, func(r message.Reply, ok bool) {
+	w.requestAt(n, message.UserRequest{Kind: message.Poll, Job: j.Submission.ID}, func(r message.Reply, ok bool) {
 		if ok && r.Status == 404 && was {
 			w.violation("forgotten", "%s", j.Submission.ID)
 		}
@@ -149,7 +149,7 @@
 	for _, n := range w.Controllers {
 		w.poll(n, j)
 		s, asked, was := j.Submission, w.Now, j.Accepted || j.AnsweredAt > 0
-		w.askAt(n, message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, ok bool) {
+		w.requestAt(n, message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, ok bool) {
 			switch {
 			case ok && (r.Status == 400 || r.Status == 422):
 				w.violation("forgotten", "%s: a repeat got %d", s.ID, r.Status)
@@ -175,7 +175,7 @@
 	} {
 		s := protocol.Submission{ID: fmt.Sprintf("wk-9%05d", i), Class: "odd", Team: "blue", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img"}
 		change(&s)
-		w.ask(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, ok bool) {
+		w.request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, ok bool) {
 			if ok && r.Status != 422 && r.Status != 503 {
 				w.violation("accepted", "%s, which can't run: %d", s.ID, r.Status)
 			}
@@ -193,13 +193,13 @@
 
 // CancelJob asks to cancel a job, again and again until that is answered.
 func (w *World) CancelJob(j *Job) {
-	w.cancelAt(w.pick(), j)
+	w.cancelAt(w.pickController(), j)
 }
 
 func (w *World) cancelAt(n *Controller, j *Job) {
 	j.CancelRequested = true
 	asked := w.Now
-	w.askAt(n, message.UserRequest{Kind: message.Cancel, Job: j.Submission.ID}, func(r message.Reply, ok bool) {
+	w.requestAt(n, message.UserRequest{Kind: message.Cancel, Job: j.Submission.ID}, func(r message.Reply, ok bool) {
 		if ok && r.Status == 200 {
 			w.checkStatus(j, r, asked)
 			return
--- a/internal/fake/versions.go
+++ b/internal/fake/versions.go
@@ -6,15 +6,15 @@
 	"oakpick/internal/protocol"
 )
 
-// asProduction is a transaction as the version in production would have written it:
+// rewriteAsProduction is a transaction as the version in production would have written it:
 // of each value, only what that version knows.
-func (w *World) asProduction(txn protocol.Txn) protocol.Txn {
-	if w.AsProduction == nil {
+func (w *World) rewriteAsProduction(txn protocol.Txn) protocol.Txn {
+	if w.RewriteAsProduction == nil {
 		return txn
 	}
 	changes := make([]protocol.Change, len(txn.Then))
 	for i, c := range txn.Then {
-		c.Value = msgpack.RawMessage(w.AsProduction(c.Put, protocol.Encode(c.Value)))
+		c.Value = msgpack.RawMessage(w.RewriteAsProduction(c.Put, protocol.Encode(c.Value)))
 		changes[i] = c
 	}
 	txn.Then = changes
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -9,33 +9,33 @@
 	"oakpick/internal/rpc"
 )
 
-type work struct {
+type attempt struct {
 	protocol.TaskStatus
-	job    *Job
-	worker *Worker
-	on     bool          // has its image and is on its machine, see occupy
-	ready  time.Duration // when it has
-	ran    time.Duration // when it began to run
-	saveBy time.Duration
+	job              *Job
+	worker           *Worker
+	onMachine        bool          // has its image and is on its machine, see occupy
+	imageReadyAt     time.Duration // when it has
+	startedAt        time.Duration // when it began to run
+	checkpointDoneAt time.Duration
 }
 
 // Worker is one machine's.
 type Worker struct {
-	w      *World
-	m      *machine
-	mt     protocol.MachineType
-	gone   bool
-	target int // index of the node it reports to
+	world           *World
+	machine         *machine
+	machineType     protocol.MachineType
+	terminated      bool
+	controllerIndex int // index of the node it reports to
 
-	session, seq, token int64
-	tokenAt             time.Duration // when a higher token last counted as a change
-	leaseFrom           time.Duration // when the last answered report was sent
-	tasks               []*work
-	nextReport          time.Duration
-	inFlight            bool
-	flight              int64
-	images              map[string]time.Duration
-	notice              time.Duration // when it is taken; 0: no notice
+	incarnation, sequence, fencingToken int64
+	tokenReportedAt                     time.Duration // when a higher token last counted as a change
+	leaseRenewedAt                      time.Duration // when the last answered report was sent
+	attempts                            []*attempt
+	nextHeartbeatAt                     time.Duration
+	heartbeatInFlight                   bool
+	heartbeatID                         int64
+	images                              map[string]time.Duration
+	interruptionAt                      time.Duration // when it is taken; 0: no notice
 
 	// Hang stops it until the time; its lease goes on.
 	HangUntil time.Duration
@@ -44,7 +44,7 @@
 }
 
 func (w *World) addWorker(m *machine, mt protocol.MachineType) {
-	wk := &Worker{w: w, m: m, mt: mt, session: 1, leaseFrom: w.Now, images: map[string]time.Duration{}, nextReport: w.Now}
+	wk := &Worker{world: w, machine: m, machineType: mt, incarnation: 1, leaseRenewedAt: w.Now, images: map[string]time.Duration{}, nextHeartbeatAt: w.Now}
 	w.Workers[m.Name] = wk
 	w.workerNames = append(w.workerNames, m.Name)
 	if w.OnBoot != nil {
@@ -53,53 +53,53 @@
 	slices.Sort(w.workerNames)
 }
 
-func (k *Worker) vanish() {
-	k.gone = true
-	k.w.TasksDied += k.onMachine()
-	k.loseTasks()
+func (k *Worker) terminate() {
+	k.terminated = true
+	k.world.TasksLostWithMachine += k.attemptsOnMachine()
+	k.dropAttempts()
 }
 
-// loseTasks has every task gone at once.
-func (k *Worker) loseTasks() {
-	for _, t := range k.tasks {
-		k.leave(t)
+// dropAttempts has every task gone at once.
+func (k *Worker) dropAttempts() {
+	for _, t := range k.attempts {
+		k.removeFromMachine(t)
 	}
-	k.tasks = nil
+	k.attempts = nil
 }
 
-// onMachine counts the tasks that are on the machine.
-func (k *Worker) onMachine() int {
+// attemptsOnMachine counts the tasks that are on the machine.
+func (k *Worker) attemptsOnMachine() int {
 	n := 0
-	for _, t := range k.tasks {
-		if t.on {
+	for _, t := range k.attempts {
+		if t.onMachine {
 			n++
 		}
 	}
 	return n
 }
 
-// occupy notes that a task is on its machine from now on.
-func (k *Worker) occupy(t *work) {
-	t.on = true
-	if t.job.on == nil {
-		t.job.on = map[*work]bool{}
-	}
-	t.job.on[t] = true
-	k.w.addUse(t.job.Submission, 1)
+// addToMachine notes that a task is on its machine from now on.
+func (k *Worker) addToMachine(t *attempt) {
+	t.onMachine = true
+	if t.job.attemptsOnMachines == nil {
+		t.job.attemptsOnMachines = map[*attempt]bool{}
+	}
+	t.job.attemptsOnMachines[t] = true
+	k.world.addUsage(t.job.Submission, 1)
 }
 
-// leave notes that a task is no longer on its machine.
-func (k *Worker) leave(t *work) {
-	if !t.on {
+// removeFromMachine notes that a task is no longer on its machine.
+func (k *Worker) removeFromMachine(t *attempt) {
+	if !t.onMachine {
 		return
 	}
-	t.on = false
-	delete(t.job.on, t)
-	k.w.addUse(t.job.Submission, -1)
+	t.onMachine = false
+	delete(t.job.attemptsOnMachines, t)
+	k.world.addUsage(t.job.Submission, -1)
 }
 
-func (k *Worker) find(a protocol.Attempt) *work {
-	for _, t := range k.tasks {
+func (k *Worker) find(a protocol.Attempt) *attempt {
+	for _, t := range k.attempts {
 		if t.Attempt == a {
 			return t
 		}
@@ -107,16 +107,16 @@
 	return nil
 }
 
-func (k *Worker) report() *protocol.Heartbeat {
-	k.seq++
+func (k *Worker) heartbeat() *protocol.Heartbeat {
+	k.sequence++
 	r := &protocol.Heartbeat{
-		Machine: k.m.Name, Addr: k.m.Addr, Type: k.m.Type, Zone: k.m.Zone, Spot: k.m.Spot,
-		Incarnation: k.session, Sequence: k.seq, FencingToken: k.token, InterruptionInS: -1,
+		Machine: k.machine.Name, Addr: k.machine.Addr, Type: k.machine.Type, Zone: k.machine.Zone, Spot: k.machine.Spot,
+		Incarnation: k.incarnation, Sequence: k.sequence, FencingToken: k.fencingToken, InterruptionInS: -1,
 	}
-	if k.notice > 0 {
-		r.InterruptionInS = max(0, (k.notice - k.w.Now).Seconds())
+	if k.interruptionAt > 0 {
+		r.InterruptionInS = max(0, (k.interruptionAt - k.world.Now).Seconds())
 	}
-	for _, t := range k.tasks {
+	for _, t := range k.attempts {
 		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
 	return r
@@ -124,41 +124,41 @@
 
 // tick lets the worker's time pass: leases, images, runs, reports.
 func (k *Worker) tick() {
-	w, now := k.w, k.w.Now
-	if k.gone {
+	w, now := k.world, k.world.Now
+	if k.terminated {
 		return
 	}
-	if k.notice > 0 && now >= k.notice {
-		w.Cloud.Reclaim(k.m.Name)
+	if k.interruptionAt > 0 && now >= k.interruptionAt {
+		w.Cloud.Reclaim(k.machine.Name)
 		return
 	}
-	if now-k.leaseFrom > sec(w.Cfg.Settings.Workers.LeaseS) {
-		k.session++
-		w.KilledByLease += k.onMachine()
-		k.loseTasks()
-		k.leaseFrom, k.images = now, map[string]time.Duration{}
-		k.nextReport = now
+	if now-k.leaseRenewedAt > sec(w.Cfg.Settings.Workers.LeaseS) {
+		k.incarnation++
+		w.TasksLostToLeaseExpiry += k.attemptsOnMachine()
+		k.dropAttempts()
+		k.leaseRenewedAt, k.images = now, map[string]time.Duration{}
+		k.nextHeartbeatAt = now
 	}
 	if now < k.HangUntil {
 		return
 	}
-	for _, t := range k.tasks {
+	for _, t := range k.attempts {
 		k.advance(t)
 	}
-	if !k.inFlight && now >= k.nextReport {
-		k.sendReport()
+	if !k.heartbeatInFlight && now >= k.nextHeartbeatAt {
+		k.sendHeartbeat()
 	}
 }
 
-func (k *Worker) advance(t *work) {
-	w, now := k.w, k.w.Now
+func (k *Worker) advance(t *attempt) {
+	w, now := k.world, k.world.Now
 	switch t.State {
 	case protocol.Fetching:
-		if now < t.ready {
+		if now < t.imageReadyAt {
 			return
 		}
-		k.images[t.job.Submission.Image] = t.ready
-		k.occupy(t)
+		k.images[t.job.Submission.Image] = t.imageReadyAt
+		k.addToMachine(t)
 		w.checkStart(k, t)
 		if w.OnTaskPresent != nil {
 			w.OnTaskPresent(t.job, t.Task)
@@ -169,24 +169,24 @@
 		case t.job.DoneTasks[t.Task]:
 			k.exit(t, protocol.ExitDone)
 		case t.job.Submission.Kind == protocol.Gang:
-			t.State, t.ran = protocol.Waiting, now
-			k.soon()
+			t.State, t.startedAt = protocol.Waiting, now
+			k.heartbeatSoon()
 		default:
-			t.State, t.ran = protocol.Running, now
-			k.soon()
+			t.State, t.startedAt = protocol.Running, now
+			k.heartbeatSoon()
 		}
 	case protocol.Waiting:
 		if w.gangComplete(t) {
-			t.State, t.ran = protocol.Running, now
-			k.soon()
-		} else if now-t.ran > sec(w.Cfg.Settings.Workers.GangStartTimeoutS) {
+			t.State, t.startedAt = protocol.Running, now
+			k.heartbeatSoon()
+		} else if now-t.startedAt > sec(w.Cfg.Settings.Workers.GangStartTimeoutS) {
 			k.exit(t, protocol.ExitGangIncomplete)
 		}
 	case protocol.Running:
 		j := t.job
 		if j.Submission.Kind == protocol.Gang && !w.gangWhole(t) {
 			k.exit(t, protocol.ExitPeersGone)
-		} else if j.Submission.Kind != protocol.Service && now-t.ran >= j.RunTime-j.Saved[t.Task] {
+		} else if j.Submission.Kind != protocol.Service && now-t.startedAt >= j.RunTime-j.Saved[t.Task] {
 			j.DoneTasks[t.Task] = true
 			if j.Submission.Kind == protocol.Gang {
 				for i := range j.Submission.Tasks {
@@ -196,76 +196,78 @@
 			k.exit(t, protocol.ExitDone)
 		}
 	case protocol.Checkpointing:
-		if now >= t.saveBy {
+		if now >= t.checkpointDoneAt {
 			t.Checkpointed = true
-			t.job.Saved[t.Task] = min(t.job.RunTime, t.job.Saved[t.Task]+t.saveBy-t.ran)
+			t.job.Saved[t.Task] = min(t.job.RunTime, t.job.Saved[t.Task]+t.checkpointDoneAt-t.startedAt)
 			k.exit(t, protocol.ExitStopped)
 		}
 	}
 }
 
-func (k *Worker) exit(t *work, why protocol.ExitCause) {
-	k.leave(t)
+func (k *Worker) exit(t *attempt, why protocol.ExitCause) {
+	k.removeFromMachine(t)
 	t.State, t.ExitCause = protocol.Exited, why
-	k.soon()
+	k.heartbeatSoon()
 }
 
-// soon has a change reported, though not more often than every half second.
-func (k *Worker) soon() { k.nextReport = min(k.nextReport, k.w.Now+500*time.Millisecond) }
+// heartbeatSoon has a change reported, though not more often than every half second.
+func (k *Worker) heartbeatSoon() {
+	k.nextHeartbeatAt = min(k.nextHeartbeatAt, k.world.Now+500*time.Millisecond)
+}
 
-func (k *Worker) sendReport() {
-	w := k.w
-	r, sent, session := k.report(), w.Now, k.session
+func (k *Worker) sendHeartbeat() {
+	w := k.world
+	r, sent, session := k.heartbeat(), w.Now, k.incarnation
 	if w.OnHeartbeat != nil {
 		w.OnHeartbeat(*r)
 	}
-	k.inFlight = true
-	k.flight++
-	flight := k.flight
-	k.nextReport = w.Now + sec(w.Cfg.Settings.Workers.HeartbeatIntervalS)
-	node := k.target
-	over := func() bool { return k.gone || k.flight != flight || !k.inFlight }
+	k.heartbeatInFlight = true
+	k.heartbeatID++
+	flight := k.heartbeatID
+	k.nextHeartbeatAt = w.Now + sec(w.Cfg.Settings.Workers.HeartbeatIntervalS)
+	node := k.controllerIndex
+	over := func() bool { return k.terminated || k.heartbeatID != flight || !k.heartbeatInFlight }
 	fail := func() {
 		if !over() {
-			k.inFlight = false
-			k.target = (node + 1) % len(w.Controllers)
-			k.nextReport = w.Now + time.Second
+			k.heartbeatInFlight = false
+			k.controllerIndex = (node + 1) % len(w.Controllers)
+			k.nextHeartbeatAt = w.Now + time.Second
 		}
 	}
-	f := w.fate("report", k.m.Name, w.Controllers[node].Name)
+	f := w.deliveryOf("report", k.machine.Name, w.Controllers[node].Name)
 	w.After(4*time.Second, fail)
-	if f.Copy > 0 {
+	if f.DuplicateAfter > 0 {
 		// A late copy, whose answer nobody reads.
-		w.After(f.Copy, func() {
-			w.Controllers[node].deliver(message.HeartbeatRequest{Heartbeat: r}, func(message.Reply) {})
+		w.After(f.DuplicateAfter, func() {
+			w.Controllers[node].receive(message.HeartbeatRequest{Heartbeat: r}, func(message.Reply) {})
 		})
 	}
 	if f.LoseRequest {
 		return
 	}
-	w.After(f.Request, func() {
-		w.Controllers[node].deliver(message.HeartbeatRequest{Heartbeat: r}, func(a message.Reply) {
-			if f.LoseAnswer {
+	w.After(f.RequestDelay, func() {
+		w.Controllers[node].receive(message.HeartbeatRequest{Heartbeat: r}, func(a message.Reply) {
+			if f.LoseResponse {
 				return
 			}
-			w.After(f.Answer, func() {
+			w.After(f.ResponseDelay, func() {
 				if over() || w.Now < k.HangUntil {
 					return
 				}
 				switch a.Status {
 				case 200:
-					k.inFlight = false
-					if session == k.session {
-						k.answered(a.Body, sent)
+					k.heartbeatInFlight = false
+					if session == k.incarnation {
+						k.handleResponse(a.Body, sent)
 					}
 				case 421:
-					k.inFlight = false
-					k.nextReport = w.Now + time.Second
-					k.target = (node + 1) % len(w.Controllers)
+					k.heartbeatInFlight = false
+					k.nextHeartbeatAt = w.Now + time.Second
+					k.controllerIndex = (node + 1) % len(w.Controllers)
 					to := protocol.DecodeRedirect(a.Body)
 					for i, n := range w.Controllers {
 						if n.Name == to && i != node {
-							k.target, k.nextReport = i, w.Now+100*time.Millisecond
+							k.controllerIndex, k.nextHeartbeatAt = i, w.Now+100*time.Millisecond
 						}
 					}
 				default:
@@ -276,34 +278,34 @@
 	})
 }
 
-func (k *Worker) answered(body []byte, sent time.Duration) {
+func (k *Worker) handleResponse(body []byte, sent time.Duration) {
 	a, err := protocol.DecodeCommands(body)
 	if err != nil {
-		k.w.violation("worker", "an answer that can't be read: %v", err)
+		k.world.violation("worker", "an answer that can't be read: %v", err)
 		return
 	}
-	if a.FencingToken < k.token {
+	if a.FencingToken < k.fencingToken {
 		return
 	}
-	k.sawToken(a.FencingToken)
-	k.leaseFrom = max(k.leaseFrom, sent)
-	k.run(a.Commands)
+	k.observeToken(a.FencingToken)
+	k.leaseRenewedAt = max(k.leaseRenewedAt, sent)
+	k.runCommands(a.Commands)
 }
 
-// sawToken notes a token. A higher one is a change that is reported, though not more often
+// observeToken notes a token. A higher one is a change that is reported, though not more often
 // than once in half a lease.
-func (k *Worker) sawToken(token int64) {
-	if token <= k.token {
+func (k *Worker) observeToken(token int64) {
+	if token <= k.fencingToken {
 		return
 	}
-	k.token = token
-	if half := sec(k.w.Cfg.Settings.Workers.LeaseS) / 2; k.tokenAt == 0 || k.w.Now-k.tokenAt >= half {
-		k.tokenAt = k.w.Now
-		k.soon()
+	k.fencingToken = token
+	if half := sec(k.world.Cfg.Settings.Workers.LeaseS) / 2; k.tokenReportedAt == 0 || k.world.Now-k.tokenReportedAt >= half {
+		k.tokenReportedAt = k.world.Now
+		k.heartbeatSoon()
 	}
 }
 
-func (k *Worker) run(commands []protocol.Command) {
+func (k *Worker) runCommands(commands []protocol.Command) {
 	for _, c := range commands {
 		t := k.find(c.Attempt)
 		switch c.Verb {
@@ -317,15 +319,15 @@
 			}
 		case protocol.Forget:
 			if t != nil && t.State == protocol.Exited {
-				k.tasks = slices.DeleteFunc(k.tasks, func(x *work) bool { return x == t })
-				k.soon()
+				k.attempts = slices.DeleteFunc(k.attempts, func(x *attempt) bool { return x == t })
+				k.heartbeatSoon()
 			}
 		}
 	}
 }
 
 // stop has a task save what it can within the grace, and exit.
-func (k *Worker) stop(t *work, grace float64) {
+func (k *Worker) stop(t *attempt, grace float64) {
 	saves := t.job != nil && t.job.Submission.CheckpointIntervalS > 0 && t.job.Submission.Kind != protocol.Gang && grace >= t.job.Submission.CheckpointDurationS
 	switch {
 	case t.State == protocol.Checkpointing:
@@ -333,18 +335,18 @@
 			k.exit(t, protocol.ExitStopped)
 		}
 	case t.State == protocol.Running && saves:
-		t.State, t.saveBy = protocol.Checkpointing, k.w.Now+sec(t.job.Submission.CheckpointDurationS)
-		k.soon()
+		t.State, t.checkpointDoneAt = protocol.Checkpointing, k.world.Now+sec(t.job.Submission.CheckpointDurationS)
+		k.heartbeatSoon()
 	default:
 		k.exit(t, protocol.ExitStopped)
 	}
 }
 
 func (k *Worker) start(at protocol.Attempt) {
-	w := k.w
-	t := &work{TaskStatus: protocol.TaskStatus{Attempt: at, State: protocol.Fetching}, job: w.Jobs[at.Job], worker: k}
-	k.tasks = append(k.tasks, t)
-	k.soon()
+	w := k.world
+	t := &attempt{TaskStatus: protocol.TaskStatus{Attempt: at, State: protocol.Fetching}, job: w.Jobs[at.Job], worker: k}
+	k.attempts = append(k.attempts, t)
+	k.heartbeatSoon()
 	if t.job == nil {
 		k.exit(t, protocol.ExitUnknownJob)
 		return
@@ -354,7 +356,7 @@
 	}
 	s := t.job.Submission
 	cpus, gpus, mem := s.CPUs, s.GPUs, s.MemoryGB
-	for _, x := range k.tasks {
+	for _, x := range k.attempts {
 		if x == t || x.State == protocol.Exited {
 			continue
 		}
@@ -364,30 +366,30 @@
 		}
 		cpus, gpus, mem = cpus+x.job.Submission.CPUs, gpus+x.job.Submission.GPUs, mem+x.job.Submission.MemoryGB
 	}
-	if cpus > k.mt.CPUs+1e-6 || gpus > k.mt.GPUs+1e-6 || mem > k.mt.MemoryGB+1e-6 {
+	if cpus > k.machineType.CPUs+1e-6 || gpus > k.machineType.GPUs+1e-6 || mem > k.machineType.MemoryGB+1e-6 {
 		k.exit(t, protocol.ExitInsufficientResources)
 		return
 	}
-	t.ready = w.Now
+	t.imageReadyAt = w.Now
 	if _, ok := k.images[s.Image]; !ok {
-		t.ready += sec(s.ImageGB / k.mt.FetchGBPerS)
+		t.imageReadyAt += sec(s.ImageGB / k.machineType.FetchGBPerS)
 	}
 }
 
-// execute executes direct commands, however late they come.
-func (k *Worker) execute(c message.CommandsCall) message.CommandsResult {
+// executeDirect executes direct commands, however late they come.
+func (k *Worker) executeDirect(c message.CommandsCall) message.CommandsResult {
 	r := message.CommandsResult{ID: c.ID, Machine: c.Machine}
-	if c.FencingToken < k.token || c.Incarnation != k.session {
+	if c.FencingToken < k.fencingToken || c.Incarnation != k.incarnation {
 		r.Outcome = rpc.Conflict
 	} else {
-		k.sawToken(c.FencingToken)
+		k.observeToken(c.FencingToken)
 		o, err := protocol.DecodeCommands(protocol.EncodeCommands(c.FencingToken, c.Incarnation, c.Commands))
 		if err != nil {
-			k.w.violation("worker", "orders that can't be read: %v", err)
+			k.world.violation("worker", "orders that can't be read: %v", err)
 			return r
 		}
-		k.run(o.Commands)
+		k.runCommands(o.Commands)
 	}
-	r.Heartbeat = k.report()
+	r.Heartbeat = k.heartbeat()
 	return r
 }
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -16,9 +16,9 @@
 
 // Delivery is what the network does to one exchange.
 type Delivery struct {
-	Request, Answer         time.Duration
-	LoseRequest, LoseAnswer bool
-	Copy                    time.Duration // a second delivery of the request, so much later; 0: none
+	RequestDelay, ResponseDelay time.Duration
+	LoseRequest, LoseResponse   bool
+	DuplicateAfter              time.Duration // a second delivery of the request, so much later; 0: none
 }
 
 // World holds everything, and checks the rules as it goes.
@@ -43,17 +43,17 @@
 	// SeparateWrites has Network tell writes of pages apart, as "write", from the other
 	// calls to the state service.
 	SeparateWrites bool
-	// AsProduction is what is left of a stored value once the version in production has
+	// RewriteAsProduction is what is left of a stored value once the version in production has
 	// read it and written it back.
-	AsProduction func(key string, value []byte) []byte
+	RewriteAsProduction func(key string, value []byte) []byte
 
 	// OnEffect is told of every effect of a controller, before it is carried out.
 	OnEffect func(node string, effect message.Effect)
 
-	// KilledByLease counts tasks that workers ended because their lease had lapsed.
-	KilledByLease int
-	// TasksDied counts tasks that were on machines that died.
-	TasksDied int
+	// TasksLostToLeaseExpiry counts tasks that workers ended because their lease had lapsed.
+	TasksLostToLeaseExpiry int
+	// TasksLostWithMachine counts tasks that were on machines that died.
+	TasksLostWithMachine int
 	// OnStart is told of every start that a worker executes, OnTaskPresent of every task
 	// that has its image.
 	OnStart, OnTaskPresent func(j *Job, task int)
@@ -63,10 +63,10 @@
 	workerNames []string
 	jobNames    []string
 	pipelines   bool                  // some job names prerequisites
-	use         map[string][2]float64 // processors and GPUs of tasks on machines, by team
+	usageByTeam map[string][2]float64 // processors and GPUs of tasks on machines, by team
 	cancelled   []*Job                // their users were told so, and tasks may still be on machines
-	queue       events
-	ticked      time.Duration // when everybody last looked at what time calls for
+	events      events
+	lastTick    time.Duration // when everybody last looked at what time calls for
 	seq         int
 	seeds       uint64
 }
@@ -100,7 +100,7 @@
 	w := newWorld(s, Types())
 	drifts := []float64{0, 0.0005, -0.0005}
 	for i := range s.Size {
-		w.Controllers = append(w.Controllers, &Controller{w: w, Name: "n" + strconv.Itoa(i), Index: i, drift: drifts[i%len(drifts)]})
+		w.Controllers = append(w.Controllers, &Controller{world: w, Name: "n" + strconv.Itoa(i), Index: i, drift: drifts[i%len(drifts)]})
 	}
 	for _, n := range w.Controllers {
 		n.Start()
@@ -110,16 +110,16 @@
 
 // newWorld makes one without controllers.
 func newWorld(s config.Settings, types []protocol.MachineType) *World {
-	w := &World{Cfg: &config.Config{Settings: s}, Workers: map[string]*Worker{}, Jobs: map[string]*Job{}, use: map[string][2]float64{}}
+	w := &World{Cfg: &config.Config{Settings: s}, Workers: map[string]*Worker{}, Jobs: map[string]*Job{}, usageByTeam: map[string][2]float64{}}
 	w.State = newState(w, s.State)
-	w.Cloud = &Cloud{w: w, types: types, requests: map[string][]string{}, Capacity: 16}
+	w.Cloud = &Cloud{world: w, types: types, provisioned: map[string][]string{}, Capacity: 16}
 	return w
 }
 
 // After plans something.
 func (w *World) After(d time.Duration, do func()) {
 	w.seq++
-	w.queue.add(event{w.Now + d, w.seq, do})
+	w.events.add(event{w.Now + d, w.seq, do})
 }
 
 const step = 50 * time.Millisecond
@@ -128,13 +128,13 @@
 func (w *World) Run(d time.Duration) {
 	end := w.Now + d
 	for w.Now < end {
-		w.happen(w.Now + step)
+		w.runEvents(w.Now + step)
 		w.tick()
 	}
 }
 
-// Until runs until a condition holds, for so long at most.
-func (w *World) Until(d time.Duration, ok func() bool) bool {
+// RunUntil runs until a condition holds, for so long at most.
+func (w *World) RunUntil(d time.Duration, ok func() bool) bool {
 	end := w.Now + d
 	for w.Now < end {
 		if ok() {
@@ -145,7 +145,7 @@
 	return ok()
 }
 
-func (w *World) fate(kind, from, to string) Delivery {
+func (w *World) deliveryOf(kind, from, to string) Delivery {
 	if w.Network != nil {
 		return w.Network(kind, from, to)
 	}
@@ -154,11 +154,11 @@
 
 // Reliable is a network without faults.
 func Reliable() Delivery {
-	return Delivery{Request: 2 * time.Millisecond, Answer: 2 * time.Millisecond}
+	return Delivery{RequestDelay: 2 * time.Millisecond, ResponseDelay: 2 * time.Millisecond}
 }
 
-// node finds a node by its name.
-func (w *World) node(name string) *Controller {
+// controllerNamed finds a node by its name.
+func (w *World) controllerNamed(name string) *Controller {
 	for _, n := range w.Controllers {
 		if n.Name == name {
 			return n
@@ -201,7 +201,7 @@
 // Running counts a job's tasks that run.
 func (w *World) Running(id string) int {
 	n := 0
-	for t := range w.present(id) {
+	for t := range w.tasksOnMachines(id) {
 		if t.State == protocol.Running {
 			n++
 		}
@@ -209,10 +209,10 @@
 	return n
 }
 
-// present is the set of a job's tasks that are on machines.
-func (w *World) present(id string) map[*work]bool {
+// tasksOnMachines is the set of a job's tasks that are on machines.
+func (w *World) tasksOnMachines(id string) map[*attempt]bool {
 	if j := w.Jobs[id]; j != nil {
-		return j.on
+		return j.attemptsOnMachines
 	}
 	return nil
 }
@@ -220,8 +220,8 @@
 // MachinesOf names the machines on which a job has tasks.
 func (w *World) MachinesOf(id string) []string {
 	var out []string
-	for t := range w.present(id) {
-		out = append(out, t.worker.m.Name)
+	for t := range w.tasksOnMachines(id) {
+		out = append(out, t.worker.machine.Name)
 	}
 	slices.Sort(out)
 	return out
@@ -231,26 +231,26 @@
 func (w *World) MachineNames() []string {
 	var out []string
 	for _, name := range w.workerNames {
-		if !w.Workers[name].gone {
+		if !w.Workers[name].terminated {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// Notice has the cloud take a machine after a time.
-func (w *World) Notice(name string, in time.Duration) {
-	if k := w.Workers[name]; k != nil && !k.gone {
-		k.notice = w.Now + in
-		k.soon()
+// AnnounceInterruption has the cloud take a machine after a time.
+func (w *World) AnnounceInterruption(name string, in time.Duration) {
+	if k := w.Workers[name]; k != nil && !k.terminated {
+		k.interruptionAt = w.Now + in
+		k.heartbeatSoon()
 	}
 }
 
 // TypeOf is a machine's type.
-func (w *World) TypeOf(name string) string { return w.Workers[name].m.Type }
+func (w *World) TypeOf(name string) string { return w.Workers[name].machine.Type }
 
 // ZoneOf is a machine's zone.
-func (w *World) ZoneOf(name string) string { return w.Workers[name].m.Zone }
+func (w *World) ZoneOf(name string) string { return w.Workers[name].machine.Zone }
 
-// Session is a worker's present session.
-func (w *World) Session(name string) int64 { return w.Workers[name].session }
+// Incarnation is a worker's present session.
+func (w *World) Incarnation(name string) int64 { return w.Workers[name].incarnation }
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -45,9 +45,9 @@
 		end:   func(y *play) error { return y.controllers.startAll() },
 	},
 	"state": {
-		begin: func(y *play) error { y.loop.wait(func() { y.world.State.Outage(true) }); return nil },
+		begin: func(y *play) error { y.loop.wait(func() { y.world.State.SetOutage(true) }); return nil },
 		lasts: outageLasts,
-		end:   func(y *play) error { y.loop.wait(func() { y.world.State.Outage(false) }); return nil },
+		end:   func(y *play) error { y.loop.wait(func() { y.world.State.SetOutage(false) }); return nil },
 	},
 	"cut": {
 		begin: func(y *play) error {
@@ -120,7 +120,7 @@
 	y.loop.wait(func() {
 		y.meter.forget()
 		y.times.watch(y.world.Now)
-		killed, died, broken = y.world.KilledByLease, y.world.TasksDied, len(y.world.Violations)
+		killed, died, broken = y.world.TasksLostToLeaseExpiry, y.world.TasksLostWithMachine, len(y.world.Violations)
 	})
 	if err := f.begin(y); err != nil {
 		return nil, fmt.Errorf("fault %s: %w", name, err)
@@ -138,8 +138,8 @@
 	y.loop.wait(func() {
 		answers, starts := y.times.seen(y.world.Now)
 		r.WithoutAnswers, r.WithoutStarts = answers.Seconds(), starts.Seconds()
-		r.KilledByLease = y.world.KilledByLease - killed
-		r.TasksDied = y.world.TasksDied - died
+		r.KilledByLease = y.world.TasksLostToLeaseExpiry - killed
+		r.TasksDied = y.world.TasksLostWithMachine - died
 		r.Broken = len(y.world.Violations) - broken
 	})
 	return r, nil
--- a/internal/scale/loop.go
+++ b/internal/scale/loop.go
@@ -37,7 +37,7 @@
 		case <-timer.C:
 			l.world.Advance(time.Since(l.began))
 		}
-		timer.Reset(max(0, l.world.NextAt()-time.Since(l.began)))
+		timer.Reset(max(0, l.world.NextEventAt()-time.Since(l.began)))
 	}
 }
 
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -123,14 +123,14 @@
 		f := fake.Delivery{}
 		switch kind {
 		case "state":
-			f.Request = stateTook / 2
-			f.Answer = f.Request
+			f.RequestDelay = stateTook / 2
+			f.ResponseDelay = f.RequestDelay
 			if rng.Float64() < stateRarely {
-				f.Answer = stateTookNow
+				f.ResponseDelay = stateTookNow
 			}
 		case "cloud":
-			f.Request = cloudTook / 2
-			f.Answer = f.Request
+			f.RequestDelay = cloudTook / 2
+			f.ResponseDelay = f.RequestDelay
 		case "report":
 			f.LoseRequest = y.cut[from]
 		case "orders":
@@ -188,7 +188,7 @@
 		if left > often {
 			var workers, tasks, broken int
 			y.loop.wait(func() {
-				workers, tasks, broken = len(y.world.MachineNames()), y.world.OnMachines(), len(y.world.Violations)
+				workers, tasks, broken = len(y.world.MachineNames()), y.world.TasksOnMachines(), len(y.world.Violations)
 			})
 			y.say("  %s: %d workers up, %d tasks on machines, %d rules broken", what, workers, tasks, broken)
 		}
--- a/internal/scale/sample.go
+++ b/internal/scale/sample.go
@@ -29,7 +29,7 @@
 	}
 	y.loop.wait(func() {
 		s.starts, s.puts = y.times.startsSeen, y.world.State.Puts
-		s.workers, s.tasks = len(y.world.MachineNames()), y.world.OnMachines()
+		s.workers, s.tasks = len(y.world.MachineNames()), y.world.TasksOnMachines()
 	})
 	return s
 }
