--- a/internal/controller/archive_orderings_test.go
+++ b/internal/controller/archive_orderings_test.go
@@ -18,9 +18,9 @@
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
 		switch kind {
-		case "write":
+		case fake.KindWrite:
 			f.RequestDelay = 200 * time.Millisecond
-		case "state":
+		case fake.KindState:
 			f.ResponseDelay = 350 * time.Millisecond
 		}
 		return f
@@ -111,7 +111,7 @@
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
-		if kind == "write" {
+		if kind == fake.KindWrite {
 			writes++
 			f.LoseRequest = writes%3 == 0
 		}
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -192,7 +192,7 @@
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
-		if kind != "write" {
+		if kind != fake.KindWrite {
 			return f
 		}
 		writes++
@@ -418,7 +418,7 @@
 	leader := w.Leader()
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		f := fake.Reliable()
-		if kind == "state" && from == leader.Name {
+		if kind == fake.KindState && from == leader.Name {
 			f.ResponseDelay = 800 * time.Millisecond // the lookup's answer comes after the end of the term
 		}
 		return f
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -15,8 +15,8 @@
 	runs(t, w, j.Submission.ID, 2)
 	w.Network = func(kind, _, _ string) fake.Delivery { // no commands arrive from now on
 		f := fake.Reliable()
-		f.LoseResponse = kind == "report"
-		f.LoseRequest = kind == "orders"
+		f.LoseResponse = kind == fake.KindHeartbeat
+		f.LoseRequest = kind == fake.KindCommands
 		return f
 	}
 	w.CancelJob(j)
@@ -105,7 +105,7 @@
 				case "hears no worker":
 					w.Network = func(kind, a, b string) fake.Delivery {
 						f := fake.Reliable()
-						f.LoseRequest = kind == "report" && b == "n0" || kind == "orders" && a == "n0"
+						f.LoseRequest = kind == fake.KindHeartbeat && b == "n0" || kind == fake.KindCommands && a == "n0"
 						return f
 					}
 				}
--- a/internal/controller/close_looks_test.go
+++ b/internal/controller/close_looks_test.go
@@ -26,7 +26,7 @@
 			from := w.Now + at
 			w.Network = func(kind, _, _ string) fake.Delivery {
 				f := fake.Reliable()
-				f.LoseResponse = kind == "state" && w.Now >= from && w.Now < from+2*time.Second
+				f.LoseResponse = kind == fake.KindState && w.Now >= from && w.Now < from+2*time.Second
 				return f
 			}
 		},
@@ -34,7 +34,7 @@
 	slowly := func(w *fake.World) {
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			f := fake.Reliable()
-			if kind == "state" {
+			if kind == fake.KindState {
 				f.RequestDelay, f.ResponseDelay = 120*time.Millisecond, 30*time.Millisecond
 			}
 			return f
--- a/internal/controller/early_start_test.go
+++ b/internal/controller/early_start_test.go
@@ -76,7 +76,7 @@
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
-		if kind != "write" {
+		if kind != fake.KindWrite {
 			return f
 		}
 		writes++
@@ -106,9 +106,9 @@
 		switch {
 		case trouble == "cut off" && (slices.Contains(hosts, from) || slices.Contains(hosts, to)):
 			f.LoseRequest = true
-		case trouble == "reports late" && kind == "report" && slices.Contains(hosts, from):
+		case trouble == "reports late" && kind == fake.KindHeartbeat && slices.Contains(hosts, from):
 			f.LoseRequest, f.DuplicateAfter = true, 5*time.Second
-		case trouble == "reports late" && kind == "orders" && slices.Contains(hosts, to):
+		case trouble == "reports late" && kind == fake.KindCommands && slices.Contains(hosts, to):
 			f.LoseResponse = true
 		}
 		return f
@@ -223,7 +223,7 @@
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
-		if kind == "write" {
+		if kind == fake.KindWrite {
 			writes++
 			f.LoseRequest = writes == number
 		}
@@ -273,7 +273,7 @@
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
-		if kind == "write" {
+		if kind == fake.KindWrite {
 			writes++
 			f.LoseRequest = writes >= from && writes%2 == from%2
 		}
--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -226,7 +226,7 @@
 		f.LoseRequest = true
 		return f
 	}
-	if kind == "state" {
+	if kind == fake.KindState {
 		f.ResponseDelay += tw.latency
 	}
 	f.LoseRequest = tw.random.IntN(100) < tw.loss
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -18,7 +18,7 @@
 	lost, until := 0, w.Now+7*time.Second
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
-		if kind == "cloud" && w.Now < until {
+		if kind == fake.KindCloud && w.Now < until {
 			lost++
 			f.LoseResponse = true
 		}
@@ -83,7 +83,7 @@
 	w.Network = func(kind, from, to string) fake.Delivery {
 		f := fake.Reliable()
 		f.LoseRequest = from == cut || to == cut
-		if kind == "cloud" { // the types are had, and nothing more
+		if kind == fake.KindCloud { // the types are had, and nothing more
 			calls++
 			f.LoseRequest = calls > 1
 		}
@@ -173,7 +173,7 @@
 	}
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
-		if kind == "cloud" {
+		if kind == fake.KindCloud {
 			f.ResponseDelay = 900 * time.Millisecond
 		}
 		return f
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -73,9 +73,9 @@
 		f := fake.Reliable()
 		during := w.Now < from+g.outage+down
 		cut := g.peersCut && during && (g.heals == 0 || w.Now < from+g.heals)
-		f.LoseRequest = cut && (kind == "peer" || kind == "forward") && (a == "n0" && !g.oneWay || b == "n0") ||
-			g.noOrders && during && kind == "orders"
-		if kind == "state" && during {
+		f.LoseRequest = cut && (kind == fake.KindPeer || kind == fake.KindForward) && (a == "n0" && !g.oneWay || b == "n0") ||
+			g.noOrders && during && kind == fake.KindCommands
+		if kind == fake.KindState && during {
 			if g.slow {
 				f.ResponseDelay = 900 * time.Millisecond
 			}
--- a/internal/controller/hold_test.go
+++ b/internal/controller/hold_test.go
@@ -33,7 +33,7 @@
 			w.State.SetOutage(true)
 			w.Network = func(kind, from, to string) fake.Delivery {
 				f := fake.Reliable()
-				f.LoseRequest = x.trouble == "cut" && kind == "peer" && (from == "n1" || to == "n1")
+				f.LoseRequest = x.trouble == "cut" && kind == fake.KindPeer && (from == "n1" || to == "n1")
 				return f
 			}
 			if x.trouble == "restart" {
@@ -67,7 +67,7 @@
 	w.State.Unreachable["n0"] = true
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		f := fake.Reliable()
-		f.LoseResponse = kind == "state" && from != "n0" && taken()
+		f.LoseResponse = kind == fake.KindState && from != "n0" && taken()
 		return f
 	}
 	if !w.RunUntil(5*time.Second, taken) {
--- a/internal/controller/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -139,7 +139,7 @@
 		writes := 0
 		w.Network = func(kind, _, _ string) fake.Delivery { // the cancellation is written, and few of the ends
 			f := fake.Reliable()
-			if kind == "write" {
+			if kind == fake.KindWrite {
 				writes++
 				f.LoseRequest = writes > 1+step/4
 			}
@@ -262,7 +262,7 @@
 		held := false
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			f := fake.Reliable()
-			if kind == "write" && !held {
+			if kind == fake.KindWrite && !held {
 				held = true // the first is the acceptance
 				f.RequestDelay = 3 * time.Second
 			}
@@ -350,7 +350,7 @@
 	w.SeparateWrites = true
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
-		if kind == "write" {
+		if kind == fake.KindWrite {
 			writes++
 			f.LoseRequest = writes > 1
 		}
@@ -380,7 +380,7 @@
 	w.SeparateWrites = true
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
-		if kind == "write" {
+		if kind == fake.KindWrite {
 			sent++
 			f.LoseRequest = sent == writes+1 || sent == writes+2 // what comes after them arrives
 		}
--- a/internal/controller/late_controller_test.go
+++ b/internal/controller/late_controller_test.go
@@ -43,10 +43,10 @@
 	w.SeparateWrites = true
 	w.Network = func(kind, from, to string) fake.Delivery {
 		f := fake.Reliable()
-		if from == old.Name && old.RunsProduction && (kind == "write" || kind == "orders" || kind == "forward") {
+		if from == old.Name && old.RunsProduction && (kind == fake.KindWrite || kind == fake.KindCommands || kind == fake.KindForward) {
 			f.RequestDelay = late
 		}
-		if to == old.Name && kind == "forward" {
+		if to == old.Name && kind == fake.KindForward {
 			f.ResponseDelay = late
 		}
 		return f
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -107,7 +107,7 @@
 	}
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
-		f.LoseRequest = kind == "peer" || kind == "forward"
+		f.LoseRequest = kind == fake.KindPeer || kind == fake.KindForward
 		return f
 	}
 	w.Run(4 * time.Second)
@@ -169,7 +169,7 @@
 	}
 	w.Network = func(kind, from, to string) fake.Delivery {
 		f := fake.Reliable()
-		f.LoseRequest = kind == "report" && to == leader.Name || kind == "orders" && from == leader.Name
+		f.LoseRequest = kind == fake.KindHeartbeat && to == leader.Name || kind == fake.KindCommands && from == leader.Name
 		return f
 	}
 	w.Run(40 * time.Second)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -63,7 +63,7 @@
 	slow := w.MachinesOf(low.ID)[0] // one machine's tasks are gone later than the others'
 	w.Network = func(kind, _, b string) fake.Delivery {
 		f := fake.Reliable()
-		if kind == "orders" && b == slow {
+		if kind == fake.KindCommands && b == slow {
 			f.RequestDelay = 700 * time.Millisecond
 		}
 		return f
@@ -226,7 +226,7 @@
 		w.Cloud.Capacity = 1
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			f := fake.Reliable()
-			if kind == "orders" || kind == "report" {
+			if kind == fake.KindCommands || kind == fake.KindHeartbeat {
 				f.RequestDelay, f.ResponseDelay = slow/2, slow/2
 			}
 			return f
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -73,18 +73,18 @@
 				}
 				return f
 			}
-			if kind == "state" {
+			if kind == fake.KindState {
 				f.ResponseDelay += slow
 			}
 			draw := func(what string, share int) bool {
 				return share > 0 && rapid.IntRange(0, 99).Draw(t, what) < share
 			}
-			if mute[from] && kind == "report" {
+			if mute[from] && kind == fake.KindHeartbeat {
 				f.LoseRequest = true
 				return f
 			}
-			if deaf[to] && kind == "orders" || deaf[from] && kind == "report" {
-				if kind == "orders" {
+			if deaf[to] && kind == fake.KindCommands || deaf[from] && kind == fake.KindHeartbeat {
+				if kind == fake.KindCommands {
 					f.LoseRequest = true
 				}
 				f.LoseResponse = true
--- a/internal/controller/pauses_test.go
+++ b/internal/controller/pauses_test.go
@@ -204,7 +204,7 @@
 	goesOn := w.Now + 5*time.Second
 	w.Network = func(kind, _, to string) fake.Delivery {
 		f := fake.Reliable()
-		f.LoseRequest = kind == "report" && to == l.Name && w.Now < goesOn
+		f.LoseRequest = kind == fake.KindHeartbeat && to == l.Name && w.Now < goesOn
 		return f
 	}
 	l.PausedUntil = w.Now + 5*time.Second // longer than a machine may be silent, less than a lease
@@ -233,7 +233,7 @@
 	f.PausedUntil = w.Now + 10*time.Second
 	w.Network = func(kind, from, _ string) fake.Delivery { // its greetings take a little longer
 		well := fake.Reliable()
-		if kind == "peer" && from == f.Name {
+		if kind == fake.KindPeer && from == f.Name {
 			well.RequestDelay = 400 * time.Millisecond
 		}
 		return well
@@ -350,7 +350,7 @@
 	goesOn := w.Now + 9*time.Second
 	w.Network = func(kind, _, to string) fake.Delivery {
 		f := fake.Reliable()
-		f.LoseRequest = kind == "report" && to == l.Name && w.Now < goesOn
+		f.LoseRequest = kind == fake.KindHeartbeat && to == l.Name && w.Now < goesOn
 		return f
 	}
 	l.PausedUntil = goesOn
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -151,7 +151,7 @@
 			w.Network = func(kind, _, _ string) fake.Delivery {
 				f := fake.Reliable()
 				calls++
-				f.LoseResponse = kind == "state" && w.Now < from+4*time.Second && calls%2 == 0
+				f.LoseResponse = kind == fake.KindState && w.Now < from+4*time.Second && calls%2 == 0
 				return f
 			}
 		},
@@ -352,12 +352,12 @@
 		w.SeparateWrites = true
 		w.Network = func(kind, from, _ string) fake.Delivery {
 			f := fake.Reliable()
-			if kind == "write" && from == "n0" && !held {
+			if kind == fake.KindWrite && from == "n0" && !held {
 				held = true // the first write after the end
 				f.RequestDelay = 5 * time.Second
 			}
 			// The next leader hears of the end only after the cancellation.
-			f.LoseRequest = step%3 == 1 && kind == "report" && from == host && crashed > 0 && w.Now < crashed+6*time.Second
+			f.LoseRequest = step%3 == 1 && kind == fake.KindHeartbeat && from == host && crashed > 0 && w.Now < crashed+6*time.Second
 			return f
 		}
 		w.Run(time.Duration(step) * 60 * time.Millisecond)
--- a/internal/controller/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -28,7 +28,7 @@
 		lag := w.Now + 6*time.Second
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			f := fake.Reliable()
-			if kind == "state" && w.Now < lag {
+			if kind == fake.KindState && w.Now < lag {
 				f.RequestDelay, f.ResponseDelay = 350*time.Millisecond, 350*time.Millisecond
 			}
 			return f
--- a/internal/controller/starts_test.go
+++ b/internal/controller/starts_test.go
@@ -16,7 +16,7 @@
 	w := world(t)
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
-		if kind == "orders" {
+		if kind == fake.KindCommands {
 			f.DuplicateAfter = 25 * time.Second
 		}
 		return f
@@ -51,7 +51,7 @@
 			w.Network = func(kind, _, to string) fake.Delivery {
 				f := fake.Reliable()
 				switch {
-				case kind != "orders" || host != "" && to != host:
+				case kind != fake.KindCommands || host != "" && to != host:
 				case host == "":
 					host, f.RequestDelay = to, late*time.Millisecond
 				case w.Now < 60*time.Second:
@@ -79,11 +79,11 @@
 	var crashed time.Duration
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		f := fake.Reliable()
-		if kind == "orders" && from == "n0" {
+		if kind == fake.KindCommands && from == "n0" {
 			f.RequestDelay = 8 * time.Second
 		}
 		// The successor's answers are lost at first.
-		f.LoseResponse = kind == "report" && crashed > 0 && w.Now < crashed+9*time.Second
+		f.LoseResponse = kind == fake.KindHeartbeat && crashed > 0 && w.Now < crashed+9*time.Second
 		return f
 	}
 	j := w.Submit(service(1, 1), 0)
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -146,7 +146,7 @@
 		w.Network = func(kind, from, to string) fake.Delivery {
 			f := fake.Reliable()
 			f.LoseRequest = w.Incarnation(host) == session && (from == host || to == host)
-			if kind == "write" && placed() > 1 {
+			if kind == fake.KindWrite && placed() > 1 {
 				left--
 				f.LoseRequest = left < 0
 			}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -145,7 +145,7 @@
 				calls := 0
 				w.Network = func(kind, _, _ string) fake.Delivery {
 					f := fake.Reliable()
-					if kind == "state" {
+					if kind == fake.KindState {
 						f.RequestDelay += slow
 						f.DuplicateAfter = 3 * slow
 						calls++
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -23,7 +23,7 @@
 	lost := 0
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		f := fake.Reliable()
-		if kind == "state" && from == "n0" && w.State.WriteTransactions > 1 && lost < 2 {
+		if kind == fake.KindState && from == "n0" && w.State.WriteTransactions > 1 && lost < 2 {
 			lost++
 			f.LoseResponse = true
 		}
@@ -99,7 +99,7 @@
 		}
 		from, ended := w.State.WriteTransactions, false
 		w.Network = func(kind, _, _ string) fake.Delivery {
-			if l := w.Leader(); kind == "state" && l != nil && !ended && w.State.WriteTransactions >= from+writes {
+			if l := w.Leader(); kind == fake.KindState && l != nil && !ended && w.State.WriteTransactions >= from+writes {
 				ended = true
 				w.After(0, l.Crash) // its next write goes unsent
 				return fake.Delivery{LoseRequest: true}
@@ -210,7 +210,7 @@
 		w.Run(5 * time.Second)
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			f := fake.Reliable()
-			if kind == "state" {
+			if kind == fake.KindState {
 				f.ResponseDelay = 300 * time.Millisecond
 			}
 			return f
@@ -242,7 +242,7 @@
 				until := w.Now + 60*time.Second
 				w.Network = func(kind, _, _ string) fake.Delivery {
 					f := fake.Reliable()
-					if kind == "state" && w.Now < until {
+					if kind == fake.KindState && w.Now < until {
 						if writes++; writes%m.share == 0 {
 							f.LoseResponse = true
 							f.RequestDelay += m.late
--- /dev/null
+++ b/internal/fake/attempt.go
@@ -0,0 +1,143 @@
+package fake
+
+import (
+	"time"
+
+	"oakpick/internal/protocol"
+)
+
+// attempt is an attempt at a task on a worker.
+type attempt struct {
+	protocol.TaskStatus
+	job              *Job
+	worker           *Worker
+	onMachine        bool          // it has its image, see addToMachine
+	imageReadyAt     time.Duration // when its image is fetched
+	startedAt        time.Duration // when it began to run, or a gang's to wait for its peers
+	checkpointDoneAt time.Duration
+}
+
+// addToMachine notes that a task is on its machine from now on.
+func (worker *Worker) addToMachine(a *attempt) {
+	a.onMachine = true
+	if a.job.attemptsOnMachines == nil {
+		a.job.attemptsOnMachines = map[*attempt]bool{}
+	}
+	a.job.attemptsOnMachines[a] = true
+	worker.world.addUsage(a.job, 1)
+}
+
+// removeFromMachine notes that a task is no longer on its machine.
+func (worker *Worker) removeFromMachine(a *attempt) {
+	if !a.onMachine {
+		return
+	}
+	a.onMachine = false
+	delete(a.job.attemptsOnMachines, a)
+	worker.world.addUsage(a.job, -1)
+}
+
+// advance takes a task on to its next state if it is time.
+func (worker *Worker) advance(a *attempt) {
+	switch a.State {
+	case protocol.Fetching:
+		if worker.world.Now >= a.imageReadyAt {
+			worker.begin(a)
+		}
+	case protocol.Waiting:
+		worker.advanceWaiting(a)
+	case protocol.Running:
+		worker.advanceRunning(a)
+	case protocol.Checkpointing:
+		if worker.world.Now >= a.checkpointDoneAt {
+			worker.endCheckpoint(a)
+		}
+	}
+}
+
+// begin has a task run that has its image, or wait for the rest of its gang.
+func (worker *Worker) begin(a *attempt) {
+	w, job := worker.world, a.job
+	worker.images[job.Submission.Image] = a.imageReadyAt
+	worker.addToMachine(a)
+	w.checkStart(worker, a)
+	if w.OnTaskPresent != nil {
+		w.OnTaskPresent(job, a.Task)
+	}
+	switch {
+	case worker.FailsTasks || job.AlwaysFails:
+		worker.exit(a, protocol.ExitFailed)
+	case job.DoneTasks[a.Task]:
+		worker.exit(a, protocol.ExitDone)
+	case job.Submission.Kind == protocol.Gang:
+		worker.enter(a, protocol.Waiting)
+	default:
+		worker.enter(a, protocol.Running)
+	}
+}
+
+// enter has a task wait or run from now on.
+func (worker *Worker) enter(a *attempt, state protocol.TaskState) {
+	a.State, a.startedAt = state, worker.world.Now
+	worker.heartbeatSoon()
+}
+
+func (worker *Worker) advanceWaiting(a *attempt) {
+	timeout := seconds(worker.world.Cfg.Settings.Workers.GangStartTimeoutS)
+	if a.gangComplete() {
+		worker.enter(a, protocol.Running)
+	} else if worker.world.Now-a.startedAt > timeout {
+		worker.exit(a, protocol.ExitGangIncomplete)
+	}
+}
+
+func (worker *Worker) advanceRunning(a *attempt) {
+	job := a.job
+	if job.Submission.Kind == protocol.Gang && !worker.gangPeersPresent(a) {
+		worker.exit(a, protocol.ExitPeersGone)
+		return
+	}
+	ranFor := worker.world.Now - a.startedAt
+	if job.Submission.Kind == protocol.Service || ranFor < job.RunTime-job.Saved[a.Task] {
+		return
+	}
+	job.DoneTasks[a.Task] = true
+	if job.Submission.Kind == protocol.Gang {
+		for i := range job.Submission.Tasks {
+			job.DoneTasks[i] = true
+		}
+	}
+	worker.exit(a, protocol.ExitDone)
+}
+
+func (worker *Worker) endCheckpoint(a *attempt) {
+	job := a.job
+	a.Checkpointed = true
+	job.Saved[a.Task] = min(job.RunTime, job.Saved[a.Task]+a.checkpointDoneAt-a.startedAt)
+	worker.exit(a, protocol.ExitStopped)
+}
+
+func (worker *Worker) exit(a *attempt, cause protocol.ExitCause) {
+	worker.removeFromMachine(a)
+	a.State, a.ExitCause = protocol.Exited, cause
+	worker.heartbeatSoon()
+}
+
+// gangComplete tells whether every task of the attempt waits or runs.
+func (a *attempt) gangComplete() bool {
+	present := 0
+	for member := range a.job.attemptsOnMachines {
+		if member.Number == a.Number {
+			present++
+		}
+	}
+	return present == a.job.Submission.Tasks
+}
+
+// gangStartSpread is how far apart the tasks of a gang may begin to run.
+const gangStartSpread = time.Second
+
+// gangPeersPresent tells whether no task of a running gang has been lost.
+func (worker *Worker) gangPeersPresent(a *attempt) bool {
+	return worker.world.Now-a.startedAt < gangStartSpread || a.gangComplete() || a.job.DoneTasks[a.Task]
+}
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -10,6 +10,7 @@
 	"oakpick/internal/rpc"
 )
 
+// machine is a machine of the cloud.
 type machine struct {
 	protocol.Machine
 	provisionedAt time.Duration
@@ -18,104 +19,137 @@
 
 // Cloud rents machines.
 type Cloud struct {
+	// Down has every request refused.
+	Down bool
+	// Capacity is how many machines there are of each type, zone and capacity type.
+	Capacity int
+	// CapacityOf overrides Capacity for a machine type.
+	CapacityOf map[string]int
+	// BootDelay delays boots.
+	BootDelay time.Duration
+	// FailNextBoots is how many of the next machines never come up.
+	FailNextBoots int
+	// Address gives the address of the n-th machine; nil: one that nobody connects to.
+	Address func(n int) string
+
 	world       *World
 	types       []protocol.MachineType
 	machines    []*machine
-	provisioned map[string][]string
+	provisioned map[string][]string // names of machines by the ID of the request for them
 	lastNumber  int
-	Down        bool
-	// Capacity is how many machines there are of each kind and place.
-	Capacity int
-	// BootDelay delays boots; Never keeps the next machines from coming up.
-	BootDelay time.Duration
-	// CapacityOf overrides Most for a type.
-	CapacityOf map[string]int
-	// Address gives the address of the n-th machine; nil: one that nobody connects to.
-	Address       func(n int) string
-	FailNextBoots int
+}
+
+// defaultCapacity is Capacity of a new cloud.
+const defaultCapacity = 16
+
+func newCloud(w *World, types []protocol.MachineType) *Cloud {
+	return &Cloud{world: w, types: types, provisioned: map[string][]string{}, Capacity: defaultCapacity}
 }
 
 func (c *Cloud) execute(call message.CloudCall) message.CloudResult {
-	r := message.CloudResult{ID: call.ID}
+	result := message.CloudResult{ID: call.ID}
 	if c.Down {
-		r.Outcome = rpc.Refused
-		return r
+		result.Outcome = rpc.Refused
+		return result
 	}
 	switch call.Op {
 	case message.CloudListTypes:
-		r.Types = c.types
+		result.Types = c.types
 	case message.CloudListMachines:
-		for _, m := range c.machines {
-			// The list lags: it shows what was so a while ago.
-			lag := time.Duration(c.world.Cfg.Settings.Cloud.ListLagS * float64(time.Second))
-			if m.terminated || m.provisionedAt+lag > c.world.Now {
-				continue
-			}
-			e := m.Machine
-			e.AgeS = (c.world.Now - m.provisionedAt).Seconds()
-			r.List.Machines = append(r.List.Machines, e)
-		}
+		result.List.Machines = c.list()
 	case message.CloudScaleOut:
-		q := call.Provisioning
-		if q.Count < 1 || q.Count > 50 {
-			c.world.violation("cloud", "a rental of %d", q.Count)
-		}
-		if names, ok := c.provisioned[q.RequestID]; ok {
-			r.Machines = names
-			return r
-		}
-		if !slices.ContainsFunc(c.types, func(t protocol.MachineType) bool { return t.Name == q.Type }) {
-			r.Outcome = rpc.Invalid
-			return r
-		}
-		have := 0
-		for _, m := range c.machines {
-			if !m.terminated && m.Type == q.Type && m.Zone == q.Zone && m.Spot == q.Spot {
-				have++
-			}
-		}
-		most, ok := c.CapacityOf[q.Type]
-		if !ok {
-			most = c.Capacity
-		}
-		n := min(q.Count, most-have)
-		if n <= 0 {
-			r.Outcome = rpc.NotFound
-			return r
-		}
-		for range n {
-			r.Machines = append(r.Machines, c.Add(q.Type, q.Zone, q.Spot).Name)
-		}
-		c.provisioned[q.RequestID] = r.Machines
+		result.Machines, result.Outcome = c.scaleOut(call.Provisioning)
 	case message.CloudScaleIn:
-		if len(call.Machines) > 100 {
-			c.world.violation("cloud", "%d machines returned at once", len(call.Machines))
+		c.scaleIn(call.Machines)
+	}
+	return result
+}
+
+// list is the inventory, which lags: it shows what was so a while ago.
+func (c *Cloud) list() []protocol.Machine {
+	lag := seconds(c.world.Cfg.Settings.Cloud.ListLagS)
+	var machines []protocol.Machine
+	for _, m := range c.machines {
+		if m.terminated || m.provisionedAt+lag > c.world.Now {
+			continue
 		}
-		for _, name := range call.Machines {
-			c.Reclaim(name)
+		listed := m.Machine
+		listed.AgeS = (c.world.Now - m.provisionedAt).Seconds()
+		machines = append(machines, listed)
+	}
+	return machines
+}
+
+// The most machines that one request may ask for or return.
+const (
+	maxScaleOut = 50
+	maxScaleIn  = 100
+)
+
+// scaleOut executes a provisioning request. A repeated one gets the machines of the first.
+func (c *Cloud) scaleOut(request protocol.ProvisioningRequest) ([]string, rpc.Outcome) {
+	if request.Count < 1 || request.Count > maxScaleOut {
+		c.world.Violation("cloud", "a rental of %d", request.Count)
+	}
+	if names, ok := c.provisioned[request.RequestID]; ok {
+		return names, rpc.OK
+	}
+	if !slices.ContainsFunc(c.types, func(t protocol.MachineType) bool { return t.Name == request.Type }) {
+		return nil, rpc.Invalid
+	}
+	count := min(request.Count, c.available(request))
+	if count <= 0 {
+		return nil, rpc.NotFound
+	}
+	var names []string
+	for range count {
+		names = append(names, c.Add(request.Type, request.Zone, request.Spot).Name)
+	}
+	c.provisioned[request.RequestID] = names
+	return names, rpc.OK
+}
+
+// available is how many machines are left of what a request asks for.
+func (c *Cloud) available(request protocol.ProvisioningRequest) int {
+	capacity, ok := c.CapacityOf[request.Type]
+	if !ok {
+		capacity = c.Capacity
+	}
+	for _, m := range c.machines {
+		if !m.terminated && m.Type == request.Type && m.Zone == request.Zone && m.Spot == request.Spot {
+			capacity--
 		}
 	}
-	return r
+	return capacity
 }
 
-// Add makes a machine, which boots and starts to report.
-func (c *Cloud) Add(kind, zone string, spot bool) *machine {
+func (c *Cloud) scaleIn(names []string) {
+	if len(names) > maxScaleIn {
+		c.world.Violation("cloud", "%d machines returned at once", len(names))
+	}
+	for _, name := range names {
+		c.Reclaim(name)
+	}
+}
+
+// Add makes a machine, which boots and starts to send heartbeats.
+func (c *Cloud) Add(machineType, zone string, spot bool) *machine {
 	c.lastNumber++
 	addr := fmt.Sprintf("10.1.0.%d:9000", c.lastNumber)
 	if c.Address != nil {
 		addr = c.Address(c.lastNumber)
 	}
 	m := &machine{provisionedAt: c.world.Now, Machine: protocol.Machine{
-		Name: fmt.Sprintf("i-%06d", c.lastNumber), Addr: addr, Type: kind, Zone: zone, Spot: spot, Status: protocol.MachineBooting,
+		Name: fmt.Sprintf("i-%06d", c.lastNumber), Addr: addr, Type: machineType, Zone: zone, Spot: spot,
+		Status: protocol.MachineBooting,
 	}}
 	c.machines = append(c.machines, m)
 	if c.FailNextBoots > 0 {
 		c.FailNextBoots--
 		return m
 	}
-	i := slices.IndexFunc(c.types, func(t protocol.MachineType) bool { return t.Name == kind })
-	boot := time.Duration(c.types[i].BootS*float64(time.Second)) + c.BootDelay
-	c.world.After(boot, func() {
+	i := slices.IndexFunc(c.types, func(t protocol.MachineType) bool { return t.Name == machineType })
+	c.world.After(seconds(c.types[i].BootS)+c.BootDelay, func() {
 		if !m.terminated {
 			m.Status = protocol.MachineRunning
 			c.world.addWorker(m, c.types[i])
@@ -127,23 +161,27 @@
 // Reclaim takes a machine and all that is on it.
 func (c *Cloud) Reclaim(name string) {
 	for _, m := range c.machines {
-		if m.Name == name && !m.terminated {
-			m.terminated = true
-			if wk := c.world.Workers[name]; wk != nil {
-				wk.terminate()
-			}
+		if m.Name != name || m.terminated {
+			continue
+		}
+		m.terminated = true
+		if worker := c.world.Workers[name]; worker != nil {
+			worker.terminate()
 		}
 	}
 }
 
-// Fail stops a machine; the list shows it as failed half a minute later.
+// failureListedAfter is how long the inventory shows a failed machine as running.
+const failureListedAfter = 30 * time.Second
+
+// Fail stops a machine; the inventory shows it as failed half a minute later.
 func (c *Cloud) Fail(name string) {
-	if wk := c.world.Workers[name]; wk != nil {
-		wk.terminate()
+	if worker := c.world.Workers[name]; worker != nil {
+		worker.terminate()
 	}
 	for _, m := range c.machines {
 		if m.Name == name {
-			c.world.After(30*time.Second, func() { m.Status = protocol.MachineFailed })
+			c.world.After(failureListedAfter, func() { m.Status = protocol.MachineFailed })
 		}
 	}
 }
@@ -151,24 +189,24 @@
 // Types are the machine types that it rents, for a test to change.
 func (c *Cloud) Types() []protocol.MachineType { return c.types }
 
-// MachineNames names the machines that are rented.
+// MachineNames lists the machines that are rented.
 func (c *Cloud) MachineNames() []string {
-	var out []string
+	var names []string
 	for _, m := range c.machines {
 		if !m.terminated {
-			out = append(out, m.Name)
+			names = append(names, m.Name)
 		}
 	}
-	return out
+	return names
 }
 
 // CountOfType counts the machines of a type that are rented.
-func (c *Cloud) CountOfType(kind string) int {
-	n := 0
+func (c *Cloud) CountOfType(machineType string) int {
+	count := 0
 	for _, m := range c.machines {
-		if !m.terminated && m.Type == kind {
-			n++
+		if !m.terminated && m.Type == machineType {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/fake/live.go
+++ b/internal/fake/live.go
@@ -1,8 +1,6 @@
 package fake
 
 import (
-	"time"
-
 	"oakpick/internal/config"
 	"oakpick/internal/message"
 	"oakpick/internal/protocol"
@@ -23,139 +21,79 @@
 	return w
 }
 
-// Advance lets time pass until a moment.
-func (w *World) Advance(to time.Duration) {
-	for w.Now < to {
-		next := min(to, w.lastTick+step)
-		w.runEvents(next)
-		if next == w.lastTick+step {
-			w.tick()
-		}
-	}
-}
-
-// NextEventAt is when something happens next in the world.
-func (w *World) NextEventAt() time.Duration {
-	next := w.lastTick + step
-	if len(w.events) > 0 {
-		next = min(next, w.events[0].at)
-	}
-	return next
-}
-
-// runEvents lets everything happen that was planned until a moment.
-func (w *World) runEvents(until time.Duration) {
-	for len(w.events) > 0 && w.events[0].at <= until {
-		e := w.events.next()
-		w.Now = max(w.Now, e.at)
-		e.run()
-	}
-	w.Now = until
-}
-
-// tick has everybody look at what time calls for.
-func (w *World) tick() {
-	w.lastTick = w.Now
-	for _, name := range w.workerNames {
-		w.Workers[name].tick()
-	}
-	for _, n := range w.Controllers {
-		n.step(message.Tick{})
-	}
-	w.checkInvariants()
-}
-
 // ServeState executes a request to the state service, and answers it unless the network
 // keeps that from happening.
-func (w *World) ServeState(c storage.StateCall, answer func(storage.StateResult)) {
-	serve(w, "state", "state", func() (storage.StateResult, bool) { return w.State.Execute(c), true }, answer)
+func (w *World) ServeState(call storage.StateCall, answer func(storage.StateResult)) {
+	serve(w, KindState, stateService, func() (storage.StateResult, bool) { return w.State.Execute(call), true }, answer)
 }
 
 // ServeCloud executes a request to the cloud.
-func (w *World) ServeCloud(c message.CloudCall, answer func(message.CloudResult)) {
-	serve(w, "cloud", "cloud", func() (message.CloudResult, bool) { return w.Cloud.execute(c), true }, answer)
+func (w *World) ServeCloud(call message.CloudCall, answer func(message.CloudResult)) {
+	serve(w, KindCloud, cloudService, func() (message.CloudResult, bool) { return w.Cloud.execute(call), true }, answer)
 }
 
 // ServeCommands has a worker execute direct commands. A machine without power, one that
-// hangs or one that is cut off answers nothing.
-func (w *World) ServeCommands(c message.CommandsCall, answer func(message.CommandsResult)) {
-	serve(w, "orders", c.Machine, func() (message.CommandsResult, bool) { return w.command(c) }, answer)
+// hangs or one that is partitioned answers nothing.
+func (w *World) ServeCommands(call message.CommandsCall, answer func(message.CommandsResult)) {
+	serve(w, KindCommands, call.Machine, func() (message.CommandsResult, bool) { return w.command(call) }, answer)
 }
 
 // serve has a request from outside executed and answered as the network will.
 func serve[R any](w *World, kind, to string, execute func() (R, bool), answer func(R)) {
-	f := w.deliveryOf(kind, "", to)
-	if f.LoseRequest {
+	delivery := w.deliveryOf(kind, "", to)
+	if delivery.LoseRequest {
 		return
 	}
-	w.After(f.RequestDelay, func() {
-		if r, answered := execute(); answered && !f.LoseResponse {
-			w.After(f.ResponseDelay, func() { answer(r) })
+	w.After(delivery.RequestDelay, func() {
+		if result, answered := execute(); answered && !delivery.LoseResponse {
+			w.After(delivery.ResponseDelay, func() { answer(result) })
 		}
 	})
 }
 
 // command has a worker execute direct commands, when it resumes if it hangs.
-func (w *World) command(c message.CommandsCall) (r message.CommandsResult, answered bool) {
-	k := w.Workers[c.Machine]
-	if k == nil || k.terminated {
-		return r, false
+func (w *World) command(call message.CommandsCall) (result message.CommandsResult, answered bool) {
+	worker := w.Workers[call.Machine]
+	if worker == nil || worker.terminated {
+		return result, false
 	}
-	if w.Now < k.HangUntil {
-		w.After(k.HangUntil-w.Now, func() {
-			if !k.terminated {
-				k.executeDirect(c)
+	if worker.hangs() {
+		w.After(worker.HangUntil-w.Now, func() {
+			if !worker.terminated {
+				worker.executeDirect(call)
 			}
 		})
-		return r, false
+		return result, false
 	}
-	return k.executeDirect(c), true
-}
-
-// Poll asks some controller about a job.
-func (w *World) Poll(j *Job) { w.poll(w.pickController(), j) }
-
-// pickController chooses a controller for a user's request, as the load balancer does.
-func (w *World) pickController() *Controller {
-	for range w.Controllers {
-		w.seq++
-		if n := w.Controllers[w.seq%len(w.Controllers)]; !n.Unhealthy {
-			return n
-		}
-	}
-	return w.Controllers[w.seq%len(w.Controllers)]
-}
-
-// TasksOnMachines counts the tasks that are on machines.
-func (w *World) TasksOnMachines() int {
-	n := 0
-	for _, name := range w.workerNames {
-		n += w.Workers[name].attemptsOnMachine()
-	}
-	return n
+	return worker.executeDirect(call), true
 }
 
 // DuplicateStart has a task that runs on one machine start on another, too, behind the
 // controllers' back: it breaks a rule on purpose, to show that this is found.
 func (w *World) DuplicateStart() bool {
 	for _, name := range w.workerNames {
-		for _, t := range w.Workers[name].attempts {
-			if t.State != protocol.Running {
-				continue
-			}
-			for _, other := range w.workerNames {
-				k := w.Workers[other]
-				if other == name || k.terminated {
-					continue
-				}
-				k.start(t.Attempt)
-				if second := k.find(t.Attempt); second.State == protocol.Fetching {
-					second.imageReadyAt = w.Now // before the controllers hear of it and have it stopped
-					k.advance(second)
-					return true
-				}
+		for _, a := range w.Workers[name].attempts {
+			if a.State == protocol.Running && w.startElsewhere(name, a.Attempt) {
+				return true
 			}
 		}
 	}
 	return false
 }
+
+// startElsewhere has an attempt start on some other machine that has room for it.
+func (w *World) startElsewhere(machine string, id protocol.Attempt) bool {
+	for _, name := range w.workerNames {
+		worker := w.Workers[name]
+		if name == machine || worker.terminated {
+			continue
+		}
+		worker.start(id)
+		if second := worker.find(id); second.State == protocol.Fetching {
+			second.imageReadyAt = w.Now // before the controllers hear of it and have it stopped
+			worker.advance(second)
+			return true
+		}
+	}
+	return false
+}
--- a/internal/fake/pipelines.go
+++ b/internal/fake/pipelines.go
@@ -9,13 +9,13 @@
 
 // prerequisites are the jobs that a job names.
 func (w *World) prerequisites(j *Job) []*Job {
-	var out []*Job
+	var prerequisites []*Job
 	for _, id := range j.Submission.Prerequisites {
 		if p := w.Jobs[id]; p != nil {
-			out = append(out, p)
+			prerequisites = append(prerequisites, p)
 		}
 	}
-	return out
+	return prerequisites
 }
 
 // ancestors are all jobs that a job needs, directly or through others. What a job names
@@ -24,26 +24,27 @@
 	if j.ancestors != nil {
 		return j.ancestors
 	}
-	all := map[*Job]bool{}
-	j.ancestors = all // a job that names itself, which is refused, comes to an end, too
+	ancestors := map[*Job]bool{}
+	j.ancestors = ancestors // a job that names itself, which is refused, comes to an end, too
 	for _, p := range w.prerequisites(j) {
-		all[p] = true
-		maps.Copy(all, w.ancestors(p))
+		ancestors[p] = true
+		maps.Copy(ancestors, w.ancestors(p))
 	}
-	return all
+	return ancestors
 }
 
-// anyJob tells whether any of a set of jobs is as asked.
-func anyJob(jobs map[*Job]bool, ok func(*Job) bool) bool {
+// anyJob tells whether a condition holds for any of a set of jobs.
+func anyJob(jobs map[*Job]bool, condition func(*Job) bool) bool {
 	for j := range jobs {
-		if ok(j) {
+		if condition(j) {
 			return true
 		}
 	}
 	return false
 }
 
-// ancestorCancelRequested tells whether a user has asked to cancel a job that this one needs.
+// ancestorCancelRequested tells whether a user has asked to cancel a job that this one
+// needs.
 func (w *World) ancestorCancelRequested(j *Job) bool {
 	return anyJob(w.ancestors(j), func(p *Job) bool { return p.CancelRequested })
 }
@@ -54,36 +55,44 @@
 	return anyJob(w.ancestors(j), func(p *Job) bool { return p.Cancelled })
 }
 
-// checkPipeline checks what a user hears of a job against what was said of the jobs
+// checkPipeline checks what a user is told of a job against what was said of the jobs
 // that it needs, and of those that need it.
-func (w *World) checkPipeline(j *Job, status string, asked time.Duration) {
+func (w *World) checkPipeline(j *Job, status string, askedAt time.Duration) {
 	if !w.pipelines {
 		return
 	}
-	ancestors := w.ancestors(j)
 	if status == protocol.StatusQueued || status == protocol.StatusRunning {
-		for p := range ancestors {
-			if p.Cancelled && asked > p.CancelledAt+sec(w.Cfg.Settings.Workers.CancelWithinS) {
-				w.violation("orphaned", "%s is called %s, and %s is cancelled", j.Submission.ID, status, p.Submission.ID)
-			}
-			// Stricter than the rule: a job that waits has nothing to be stopped.
-			if p.Cancelled && asked > p.CancelledAt {
-				w.violation("orphaned", "%s is called %s after its user was told that %s is cancelled", j.Submission.ID, status, p.Submission.ID)
-			}
-		}
+		w.checkAncestors(j, status, askedAt)
 	}
 	for _, id := range w.jobNames {
-		d := w.Jobs[id]
-		needs := w.ancestors(d)
-		if !needs[j] {
-			continue
+		if descendant := w.Jobs[id]; w.ancestors(descendant)[j] {
+			w.checkDescendant(j, descendant, status)
 		}
-		if status == protocol.StatusCancelled && d.Started {
-			w.violation("went_back", "%s is called cancelled, and %s, which needs it, has begun", j.Submission.ID, id)
+	}
+}
+
+// checkAncestors checks that no job that an unfinished one needs is cancelled.
+func (w *World) checkAncestors(j *Job, status string, askedAt time.Duration) {
+	for ancestor := range w.ancestors(j) {
+		if ancestor.Cancelled && askedAt > ancestor.CancelledAt+w.cancelWithin() {
+			w.Violation("orphaned", "%s is called %s, and %s is cancelled", j.Submission.ID, status, ancestor.Submission.ID)
 		}
-		other := d.CancelRequested || anyJob(needs, func(p *Job) bool { return p != j && p.CancelRequested })
-		if status == protocol.StatusDone && d.Status == protocol.StatusCancelled && !other {
-			w.violation("went_back", "%s is done, and %s was called cancelled with it", j.Submission.ID, id)
+		// Stricter than the rule: a job that waits has nothing to be stopped.
+		if ancestor.Cancelled && askedAt > ancestor.CancelledAt {
+			w.Violation("orphaned", "%s is called %s after its user was told that %s is cancelled", j.Submission.ID, status, ancestor.Submission.ID)
 		}
 	}
 }
+
+// checkDescendant checks a job's end against what was so of a job that needs it.
+func (w *World) checkDescendant(j, descendant *Job, status string) {
+	id := descendant.Submission.ID
+	if status == protocol.StatusCancelled && descendant.Started {
+		w.Violation("went_back", "%s is called cancelled, and %s, which needs it, has begun", j.Submission.ID, id)
+	}
+	otherCancelled := descendant.CancelRequested ||
+		anyJob(w.ancestors(descendant), func(p *Job) bool { return p != j && p.CancelRequested })
+	if status == protocol.StatusDone && descendant.Status == protocol.StatusCancelled && !otherCancelled {
+		w.Violation("went_back", "%s is done, and %s was called cancelled with it", j.Submission.ID, id)
+	}
+}
--- /dev/null
+++ b/internal/fake/queries.go
@@ -0,0 +1,98 @@
+package fake
+
+import (
+	"encoding/json"
+	"slices"
+	"time"
+
+	"oakpick/internal/controller"
+	"oakpick/internal/message"
+	"oakpick/internal/protocol"
+)
+
+// KnownMachines is how many machines the leader knows of, as it tells operators; -1: no
+// controller leads.
+func (w *World) KnownMachines() int {
+	leader := w.Leader()
+	if leader == nil {
+		return -1
+	}
+	known := -1
+	leader.Request(message.AdminRequest{Kind: message.AdminStatus}, func(r message.Reply) {
+		var status controller.Status
+		if json.Unmarshal(r.Body, &status) != nil || status.Leads == nil {
+			return
+		}
+		known = 0
+		for _, m := range status.Leads.Machines {
+			known += m.Booting + m.Up + m.Silent
+		}
+	})
+	return known
+}
+
+// Running counts a job's tasks that run.
+func (w *World) Running(id string) int {
+	count := 0
+	for a := range w.attemptsOnMachines(id) {
+		if a.State == protocol.Running {
+			count++
+		}
+	}
+	return count
+}
+
+// attemptsOnMachines is the set of a job's tasks that are on machines.
+func (w *World) attemptsOnMachines(id string) map[*attempt]bool {
+	if j := w.Jobs[id]; j != nil {
+		return j.attemptsOnMachines
+	}
+	return nil
+}
+
+// TasksOnMachines counts the tasks that are on machines.
+func (w *World) TasksOnMachines() int {
+	count := 0
+	for _, name := range w.workerNames {
+		count += w.Workers[name].attemptsOnMachine()
+	}
+	return count
+}
+
+// MachinesOf names the machines on which a job has tasks.
+func (w *World) MachinesOf(id string) []string {
+	var names []string
+	for a := range w.attemptsOnMachines(id) {
+		names = append(names, a.worker.machine.Name)
+	}
+	slices.Sort(names)
+	return names
+}
+
+// MachineNames lists the machines that are up.
+func (w *World) MachineNames() []string {
+	var names []string
+	for _, name := range w.workerNames {
+		if !w.Workers[name].terminated {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+// TypeOf is a machine's type.
+func (w *World) TypeOf(name string) string { return w.Workers[name].machine.Type }
+
+// ZoneOf is a machine's zone.
+func (w *World) ZoneOf(name string) string { return w.Workers[name].machine.Zone }
+
+// Incarnation is the present incarnation of a machine's worker.
+func (w *World) Incarnation(name string) int64 { return w.Workers[name].incarnation }
+
+// AnnounceInterruption has the cloud take a machine after a time, and the worker know of it.
+func (w *World) AnnounceInterruption(name string, in time.Duration) {
+	if worker := w.Workers[name]; worker != nil && !worker.terminated {
+		worker.interruptionAt = w.Now + in
+		worker.heartbeatSoon()
+	}
+}
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -2,109 +2,102 @@
 
 import (
 	"fmt"
+	"net/http"
 	"time"
 
 	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
-// StatusOf asks a leader about a job and gives what it calls it; "": no answer, or the
-// job is unknown.
-func (w *World) StatusOf(id string) string {
-	status := ""
-	w.RunUntil(5*time.Second, func() bool {
-		if l := w.Leader(); l != nil {
-			l.Request(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply) {
-				var a protocol.JobResponse
-				if r.Status == 200 && protocol.Decode(r.Body, &a) == nil {
-					status = a.Status
-				}
-			})
-		}
-		return status != ""
-	})
-	return status
-}
-
-// Job is a job as its user and its tasks know it.
-type Job struct {
-	Submission  protocol.Submission
-	RunTime     time.Duration
-	AlwaysFails bool
-	Saved       map[int]time.Duration
-	DoneTasks   map[int]bool
-
-	// SubmittedAt is when it was first handed in, AcceptedAt when its user was told.
-	SubmittedAt, AcceptedAt time.Duration
-
-	Started            bool // a task was on a machine
-	RejectedWith       int  // its submission was refused for good, with this status
-	Accepted           bool
-	CancelRequested    bool // its user asked to cancel
-	CancelledAt        time.Duration
-	Cancelled          bool // and was told that it is
-	Status             string
-	statusReportedAt   time.Duration
-	attemptsOnMachines map[*attempt]bool // its tasks that are on machines
-	ancestors          map[*Job]bool     // see World.ancestors
-	// AnsweredAt is when a question about it was last answered with 200; 0: never.
-	AnsweredAt time.Duration
-}
-
-// Submit hands a job in, and again until it is accepted, as users do.
-func (w *World) Submit(s protocol.Submission, run time.Duration) *Job {
-	j := &Job{Submission: s, RunTime: run, Saved: map[int]time.Duration{}, DoneTasks: map[int]bool{}, SubmittedAt: w.Now}
-	w.pipelines = w.pipelines || len(s.Prerequisites) > 0
-	w.Jobs[s.ID] = j
-	w.jobNames = append(w.jobNames, s.ID)
-	w.submit(j)
-	return j
-}
+const (
+	userTimeout    = 5 * time.Second // of a user's request
+	userRetryDelay = time.Second     // at least
+)
 
+// submit hands a job in, and again until that is answered for good.
 func (w *World) submit(j *Job) {
-	s, asked := j.Submission, w.Now
-	w.request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, ok bool) {
+	s, askedAt := j.Submission, w.Now
+	w.request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, answered bool) {
 		switch {
-		case ok && (r.Status == 200 || r.Status == 201):
+		case answered && accepts(r.Status):
 			if !j.Accepted {
 				j.Accepted, j.AcceptedAt = true, w.Now
 			}
-			w.checkStatus(j, r, asked)
-		case ok && (r.Status == 400 || r.Status == 422):
+			w.checkStatus(j, r, askedAt)
+		case answered && rejects(r.Status):
 			if j.Accepted {
-				w.violation("forgotten", "%s: a repeat got %d", s.ID, r.Status)
+				w.Violation("forgotten", "%s: a repeat got %d", s.ID, r.Status)
 			}
 			j.RejectedWith = r.Status
 		default:
-			w.After(max(time.Second, time.Duration(r.RetryAfterS)*time.Second), func() { w.submit(j) })
+			retryAfter := time.Duration(r.RetryAfterS) * time.Second
+			w.After(max(userRetryDelay, retryAfter), func() { w.submit(j) })
 		}
 	})
 }
 
+// accepts tells whether a status says that a submission is accepted, now or earlier.
+func accepts(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
+
+// rejects tells whether a status says that a submission is refused for good.
+func rejects(status int) bool {
+	return status == http.StatusBadRequest || status == http.StatusUnprocessableEntity
+}
+
 // Resubmit hands an accepted job in once more.
 func (w *World) Resubmit(j *Job) { w.submit(j) }
 
-// request sends a user's request to some node.
-func (w *World) request(c message.UserRequest, done func(message.Reply, bool)) {
-	w.requestAt(w.pickController(), c, done)
+// pickController chooses a controller for a user's request, as the load balancer does.
+func (w *World) pickController() *Controller {
+	for range w.Controllers {
+		w.seq++
+		if c := w.Controllers[w.seq%len(w.Controllers)]; !c.Unhealthy {
+			return c
+		}
+	}
+	return w.Controllers[w.seq%len(w.Controllers)]
+}
+
+// request sends a user's request to some controller.
+func (w *World) request(request message.UserRequest, done func(r message.Reply, answered bool)) {
+	w.requestAt(w.pickController(), request, done)
 }
 
-func (w *World) requestAt(n *Controller, c message.UserRequest, done func(message.Reply, bool)) {
-	over := false
-	w.After(5*time.Second, func() {
-		if !over {
-			over = true
-			done(message.Reply{}, false)
+// requestAt sends a user's request to a controller. After the timeout it counts as not
+// answered.
+func (w *World) requestAt(c *Controller, request message.UserRequest, done func(r message.Reply, answered bool)) {
+	finished := false
+	finish := func(r message.Reply, answered bool) {
+		if !finished {
+			finished = true
+			done(r, answered)
 		}
-	})
-	n.receive(c, func(r message.Reply) {
-		if !over {
-			over = true
-			done(r, true)
+	}
+	w.After(userTimeout, func() { finish(message.Reply{}, false) })
+	c.Request(request, func(r message.Reply) { finish(r, true) })
+}
+
+// StatusOf asks a leader about a job and gives its status; "": no answer, or the job is
+// unknown.
+func (w *World) StatusOf(id string) string {
+	status := ""
+	w.RunUntil(userTimeout, func() bool {
+		if leader := w.Leader(); leader != nil {
+			leader.Request(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply) {
+				var response protocol.JobResponse
+				if r.Status == http.StatusOK && protocol.Decode(r.Body, &response) == nil {
+					status = response.Status
+				}
+			})
 		}
+		return status != ""
 	})
+	return status
 }
 
+// Poll asks some controller about a job.
+func (w *World) Poll(j *Job) { w.poll(w.pickController(), j) }
+
 // PollAll asks about every job, and about one that nobody has submitted.
 func (w *World) PollAll() {
 	for _, id := range w.jobNames {
@@ -115,54 +108,62 @@
 
 // PollEnded asks about a job that ended before the world began.
 func (w *World) PollEnded(id string) {
-	w.request(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply, ok bool) {
-		var a protocol.JobResponse
-		if ok && (r.Status == 404 || r.Status == 200 && (protocol.Decode(r.Body, &a) != nil || a.Status != protocol.StatusDone)) {
-			w.violation("forgotten", "%s, which is done: %d %s", id, r.Status, a.Status)
+	w.request(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply, answered bool) {
+		var response protocol.JobResponse
+		notDone := r.Status == http.StatusOK &&
+			(protocol.Decode(r.Body, &response) != nil || response.Status != protocol.StatusDone)
+		if answered && (r.Status == http.StatusNotFound || notDone) {
+			w.Violation("forgotten", "%s, which is done: %d %s", id, r.Status, response.Status)
 		}
 	})
 }
 
 // PollUnknown asks about a job that nobody has submitted.
 func (w *World) PollUnknown() {
-	w.request(message.UserRequest{Kind: message.Poll, Job: "wk-999999"}, func(r message.Reply, ok bool) {
-		if ok && r.Status == 200 {
-			w.violation("invented", "a job that nobody submitted")
+	w.request(message.UserRequest{Kind: message.Poll, Job: "wk-999999"}, func(r message.Reply, answered bool) {
+		if answered && r.Status == http.StatusOK {
+			w.Violation("invented", "a job that nobody submitted")
 		}
 	})
 }
 
-func (w *World) poll(n *Controller, j *Job) {
-	was, asked := j.Accepted || j.AnsweredAt > 0, w.Now
-	w.requestAt(n, message.UserRequest{Kind: message.Poll, Job: j.Submission.ID}, func(r message.Reply, ok bool) {
-		if ok && r.Status == 404 && was {
-			w.violation("forgotten", "%s", j.Submission.ID)
+func (w *World) poll(c *Controller, j *Job) {
+	known, askedAt := j.known(), w.Now
+	w.requestAt(c, message.UserRequest{Kind: message.Poll, Job: j.Submission.ID}, func(r message.Reply, answered bool) {
+		if answered && r.Status == http.StatusNotFound && known {
+			w.Violation("forgotten", "%s", j.Submission.ID)
 		}
-		if ok && r.Status == 200 {
-			w.checkStatus(j, r, asked)
+		if answered && r.Status == http.StatusOK {
+			w.checkStatus(j, r, askedAt)
 		}
 	})
 }
 
-// QueryEverywhere asks about a job at every node at once, and hands it in again there.
+// QueryEverywhere asks about a job at every controller at once, and hands it in again there.
 func (w *World) QueryEverywhere(j *Job) {
-	for _, n := range w.Controllers {
-		w.poll(n, j)
-		s, asked, was := j.Submission, w.Now, j.Accepted || j.AnsweredAt > 0
-		w.requestAt(n, message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, ok bool) {
-			switch {
-			case ok && (r.Status == 400 || r.Status == 422):
-				w.violation("forgotten", "%s: a repeat got %d", s.ID, r.Status)
-			case ok && r.Status == 201 && was:
-				w.violation("forgotten", "%s: a repeat was accepted as new", s.ID)
-			case ok && (r.Status == 200 || r.Status == 201):
-				j.Accepted = true
-				w.checkStatus(j, r, asked)
-			}
-		})
+	for _, c := range w.Controllers {
+		w.poll(c, j)
+		w.resubmitAt(c, j)
 	}
 }
 
+// resubmitAt hands a job in at a controller, which the controller has to recognize if its
+// user knows of it.
+func (w *World) resubmitAt(c *Controller, j *Job) {
+	s, askedAt, known := j.Submission, w.Now, j.known()
+	w.requestAt(c, message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, answered bool) {
+		switch {
+		case answered && rejects(r.Status):
+			w.Violation("forgotten", "%s: a repeat got %d", s.ID, r.Status)
+		case answered && r.Status == http.StatusCreated && known:
+			w.Violation("forgotten", "%s: a repeat was accepted as new", s.ID)
+		case answered && accepts(r.Status):
+			j.Accepted = true
+			w.checkStatus(j, r, askedAt)
+		}
+	})
+}
+
 // InvalidRequests sends what users send at times: jobs that can't run, of a team that
 // nobody knows, too large for any machine or for their team's limit. Each is
 // refused for good, or for now, and never accepted.
@@ -173,21 +174,23 @@
 		func(s *protocol.Submission) { s.Types = []string{"nothing"} },
 		func(s *protocol.Submission) { s.Team, s.Kind, s.Tasks = "red", protocol.Gang, 1000 },
 	} {
-		s := protocol.Submission{ID: fmt.Sprintf("wk-9%05d", i), Class: "odd", Team: "blue", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img"}
+		s := protocol.Submission{
+			ID: fmt.Sprintf("wk-9%05d", i), Class: "odd", Team: "blue", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img",
+		}
 		change(&s)
-		w.request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, ok bool) {
-			if ok && r.Status != 422 && r.Status != 503 {
-				w.violation("accepted", "%s, which can't run: %d", s.ID, r.Status)
+		w.request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, answered bool) {
+			if answered && r.Status != http.StatusUnprocessableEntity && r.Status != http.StatusServiceUnavailable {
+				w.Violation("accepted", "%s, which can't run: %d", s.ID, r.Status)
 			}
 		})
 	}
 }
 
-// CancelEverywhere asks every node at once to cancel a job, and repeats that as
+// CancelEverywhere asks every controller at once to cancel a job, and repeats that as
 // users do.
 func (w *World) CancelEverywhere(j *Job) {
-	for _, n := range w.Controllers {
-		w.cancelAt(n, j)
+	for _, c := range w.Controllers {
+		w.cancelAt(c, j)
 	}
 }
 
@@ -196,17 +199,17 @@
 	w.cancelAt(w.pickController(), j)
 }
 
-func (w *World) cancelAt(n *Controller, j *Job) {
+func (w *World) cancelAt(c *Controller, j *Job) {
 	j.CancelRequested = true
-	asked := w.Now
-	w.requestAt(n, message.UserRequest{Kind: message.Cancel, Job: j.Submission.ID}, func(r message.Reply, ok bool) {
-		if ok && r.Status == 200 {
-			w.checkStatus(j, r, asked)
+	askedAt := w.Now
+	w.requestAt(c, message.UserRequest{Kind: message.Cancel, Job: j.Submission.ID}, func(r message.Reply, answered bool) {
+		if answered && r.Status == http.StatusOK {
+			w.checkStatus(j, r, askedAt)
 			return
 		}
-		if ok && r.Status == 404 && j.Accepted {
-			w.violation("forgotten", "%s: cancelling it got 404", j.Submission.ID)
+		if answered && r.Status == http.StatusNotFound && j.Accepted {
+			w.Violation("forgotten", "%s: cancelling it got 404", j.Submission.ID)
 		}
-		w.After(time.Second, func() { w.CancelJob(j) })
+		w.After(userRetryDelay, func() { w.CancelJob(j) })
 	})
 }
--- /dev/null
+++ b/internal/fake/violations.go
@@ -0,0 +1,103 @@
+package fake
+
+import (
+	"fmt"
+	"slices"
+)
+
+// maxViolations is how many violations are kept.
+const maxViolations = 20
+
+// Violation notes that a rule was broken.
+func (w *World) Violation(rule, format string, args ...any) {
+	if len(w.Violations) < maxViolations {
+		w.Violations = append(w.Violations, fmt.Sprintf("%8.2f %s: %s", w.Now.Seconds(), rule, fmt.Sprintf(format, args...)))
+	}
+}
+
+// usage is what the tasks of a team on machines use.
+type usage struct {
+	cpus, gpus float64
+}
+
+// addUsage counts so many tasks more of a job on machines.
+func (w *World) addUsage(job *Job, tasks float64) {
+	s := job.Submission
+	used := w.usageByTeam[s.Team]
+	w.usageByTeam[s.Team] = usage{cpus: used.cpus + tasks*s.CPUs, gpus: used.gpus + tasks*s.GPUs}
+}
+
+// checkStart checks the rules for a task that has just got its image.
+func (w *World) checkStart(worker *Worker, a *attempt) {
+	job := a.job
+	for other := range job.attemptsOnMachines {
+		if other != a && other.Task == a.Task {
+			w.Violation("ran_twice", "%s/%d on %s while on %s", a.Job, a.Task, worker.machine.Name, other.worker.machine.Name)
+		}
+	}
+	w.checkPlacement(worker, a)
+	if job.Cancelled && w.Now > job.CancelledAt+w.cancelWithin() {
+		w.Violation("ran_cancelled", "%s/%d started", a.Job, a.Task)
+	}
+	job.Started = true
+	for _, p := range w.prerequisites(job) {
+		if len(p.DoneTasks) < p.Submission.Tasks {
+			w.Violation("too_early", "%s/%d started, and %s is not done", a.Job, a.Task, p.Submission.ID)
+		}
+	}
+}
+
+// checkPlacement checks the rules on machine types and zones.
+func (w *World) checkPlacement(worker *Worker, a *attempt) {
+	s, m := a.job.Submission, worker.machine
+	tasksByZone := map[string]int{m.Zone: 1}
+	for other := range a.job.attemptsOnMachines {
+		if other != a {
+			tasksByZone[other.worker.machine.Zone]++
+		}
+	}
+	wrongType := s.Types != nil && !slices.Contains(s.Types, m.Type) || !s.Spot && m.Spot
+	wrongZone := s.Zone != "" && s.Zone != m.Zone ||
+		s.OneZone && len(tasksByZone) > 1 ||
+		s.Spread && tasksByZone[m.Zone] > (s.Tasks+1)/2
+	if wrongType || wrongZone {
+		w.Violation("wrong_place", "%s/%d on %s (%s, %s, spot %v), zones %v", a.Job, a.Task, m.Name, m.Type, m.Zone, m.Spot, tasksByZone)
+	}
+}
+
+// checkInvariants checks the rules that hold at all times.
+func (w *World) checkInvariants() {
+	w.checkCancelled()
+	w.checkQuotas()
+	leaders := 0
+	for _, c := range w.Controllers {
+		if c.Leads() && !c.paused() {
+			leaders++
+		}
+	}
+	if leaders > 1 {
+		w.Violation("term", "%d nodes are certain to lead", leaders)
+	}
+}
+
+func (w *World) checkQuotas() {
+	for _, team := range w.Cfg.Settings.Teams {
+		used := w.usageByTeam[team.Name]
+		if team.CPULimit > 0 && used.cpus > team.CPULimit+tolerance || team.GPULimit > 0 && used.gpus > team.GPULimit+tolerance {
+			w.Violation("quota", "%s uses %v", team.Name, used)
+		}
+	}
+}
+
+// checkCancelled looks for tasks of cancelled jobs that are still on machines.
+func (w *World) checkCancelled() {
+	w.cancelled = slices.DeleteFunc(w.cancelled, func(j *Job) bool {
+		if w.Now <= j.CancelledAt+w.cancelWithin() {
+			return false
+		}
+		for a := range j.attemptsOnMachines {
+			w.Violation("ran_cancelled", "%s/%d is still on a machine", a.Job, a.Task)
+		}
+		return len(j.attemptsOnMachines) == 0 // what starts from now on is found by checkStart
+	})
+}
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -1,97 +1,73 @@
+// Package fake holds in-memory stand-ins for everything outside a controller:
+// state service, cloud, workers, users and the network between them. They are
+// strict where the protocol is: limits, leases, tokens, incarnations and versions.
+// Time is simulated, so a test names the interleaving that it is about.
 package fake
 
 import (
-	"encoding/json"
-	"slices"
 	"strconv"
 	"time"
 
+	"github.com/vmihailenco/msgpack/v5"
+
 	"oakpick/internal/config"
-	"oakpick/internal/controller"
 	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
-func sec(s float64) time.Duration { return config.Seconds(s) }
-
-// Delivery is what the network does to one exchange.
-type Delivery struct {
-	RequestDelay, ResponseDelay time.Duration
-	LoseRequest, LoseResponse   bool
-	DuplicateAfter              time.Duration // a second delivery of the request, so much later; 0: none
-}
-
 // World holds everything, and checks the rules as it goes.
 type World struct {
-	Now         time.Duration
+	// Now is how much time has passed.
+	Now time.Duration
+	// Cfg is what controllers are started with, apart from their names.
 	Cfg         *config.Config
 	State       *State
 	Cloud       *Cloud
 	Controllers []*Controller
-	Workers     map[string]*Worker
-	Jobs        map[string]*Job
-	// Network decides what happens to each exchange; nil: all is well.
-	Network func(kind, from, to string) Delivery
+	Workers     map[string]*Worker // by machine
+	Jobs        map[string]*Job    // by ID
 	// Violations lists the rules that were broken.
 	Violations []string
-	// Log has the nodes' lines.
+	// Log has the controllers' log lines, and what users were answered.
 	Log []string
-	// OnHeartbeat is told of every report that a worker sends, so that a test can
-	// keep copies and hand them in later.
-	OnHeartbeat func(r protocol.Heartbeat)
 
-	// SeparateWrites has Network tell writes of pages apart, as "write", from the other
+	// Network decides what happens to each exchange, see the Kind constants; nil: there are
+	// no faults.
+	Network func(kind, from, to string) Delivery
+	// SeparateWrites has Network tell writes of pages apart, as KindWrite, from the other
 	// calls to the state service.
 	SeparateWrites bool
-	// RewriteAsProduction is what is left of a stored value once the version in production has
-	// read it and written it back.
+	// RewriteAsProduction is what is left of a stored value once the version in production
+	// has read it and written it back.
 	RewriteAsProduction func(key string, value []byte) []byte
 
-	// OnEffect is told of every effect of a controller, before it is carried out.
-	OnEffect func(node string, effect message.Effect)
-
-	// TasksLostToLeaseExpiry counts tasks that workers ended because their lease had lapsed.
-	TasksLostToLeaseExpiry int
-	// TasksLostWithMachine counts tasks that were on machines that died.
-	TasksLostWithMachine int
+	// OnHeartbeat is told of every heartbeat that a worker sends, so that a test can
+	// keep copies and hand them in later.
+	OnHeartbeat func(heartbeat protocol.Heartbeat)
+	// OnEffect is told of every effect of a controller, before it is performed.
+	OnEffect func(controller string, effect message.Effect)
 	// OnStart is told of every start that a worker executes, OnTaskPresent of every task
 	// that has its image.
 	OnStart, OnTaskPresent func(j *Job, task int)
 	// OnBoot is told of every machine that comes up.
 	OnBoot func(m protocol.Machine)
 
-	workerNames []string
-	jobNames    []string
-	pipelines   bool                  // some job names prerequisites
-	usageByTeam map[string][2]float64 // processors and GPUs of tasks on machines, by team
-	cancelled   []*Job                // their users were told so, and tasks may still be on machines
-	events      events
-	lastTick    time.Duration // when everybody last looked at what time calls for
-	seq         int
-	seeds       uint64
-}
+	// TasksLostToLeaseExpiry counts tasks that workers ended because their lease had
+	// expired.
+	TasksLostToLeaseExpiry int
+	// TasksLostWithMachine counts tasks that were on machines that ended.
+	TasksLostWithMachine int
 
-// Settings gives small figures for a test.
-func Settings() config.Settings {
-	return config.Settings{
-		Size: 3, Zones: []string{"a", "b"},
-		Teams: []config.Team{
-			{Name: "red", GuaranteedCPUs: 8, CPULimit: 12},
-			{Name: "blue", GuaranteedCPUs: 4},
-		},
-		Workers: config.Workers{HeartbeatIntervalS: 2, LeaseS: 10, GangStartTimeoutS: 15, GangPeerTimeoutS: 3, CancelWithinS: 25},
-		State:   config.State{RPS: 200, WriteRPS: 40, ValueKB: 2, TxnOps: 4},
-		Cloud:   config.Cloud{RPS: 4, ListLagS: 4},
-		Limits:  config.Limits{CPU: 0.2, MemoryMB: 96, MaxConnections: 400},
-	}
-}
+	workerNames []string // in order
+	jobNames    []string // in the order of submission
+	pipelines   bool     // some job names prerequisites
+	usageByTeam map[string]usage
+	cancelled   []*Job // their users were told so, and tasks may still be on machines
 
-// Types are the machine types that the fake cloud rents.
-func Types() []protocol.MachineType {
-	return []protocol.MachineType{
-		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 100, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"a", "b"}},
-		{Name: "large", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchGBPerS: 2, Price: 4.4, SpotPrice: 1.5, BootS: 8, Zones: []string{"a"}},
-	}
+	events   eventQueue
+	lastTick time.Duration
+	seq      int    // of the last event or choice of a controller
+	seeds    uint64 // of the controllers' random numbers
 }
 
 // NewWorld makes a world with as many controllers as the settings say, which have just
@@ -100,157 +76,67 @@
 	w := newWorld(s, Types())
 	drifts := []float64{0, 0.0005, -0.0005}
 	for i := range s.Size {
-		w.Controllers = append(w.Controllers, &Controller{world: w, Name: "n" + strconv.Itoa(i), Index: i, drift: drifts[i%len(drifts)]})
+		c := &Controller{world: w, Name: "n" + strconv.Itoa(i), Index: i, drift: drifts[i%len(drifts)]}
+		w.Controllers = append(w.Controllers, c)
 	}
-	for _, n := range w.Controllers {
-		n.Start()
+	for _, c := range w.Controllers {
+		c.Start()
 	}
 	return w
 }
 
-// newWorld makes one without controllers.
+// newWorld makes a world without controllers.
 func newWorld(s config.Settings, types []protocol.MachineType) *World {
-	w := &World{Cfg: &config.Config{Settings: s}, Workers: map[string]*Worker{}, Jobs: map[string]*Job{}, usageByTeam: map[string][2]float64{}}
+	w := &World{
+		Cfg: &config.Config{Settings: s}, Workers: map[string]*Worker{}, Jobs: map[string]*Job{},
+		usageByTeam: map[string]usage{},
+	}
 	w.State = newState(w, s.State)
-	w.Cloud = &Cloud{world: w, types: types, provisioned: map[string][]string{}, Capacity: 16}
+	w.Cloud = newCloud(w, types)
 	return w
 }
 
-// After plans something.
-func (w *World) After(d time.Duration, do func()) {
-	w.seq++
-	w.events.add(event{w.Now + d, w.seq, do})
-}
-
-const step = 50 * time.Millisecond
+func seconds(s float64) time.Duration { return config.Seconds(s) }
 
-// Run lets time pass.
-func (w *World) Run(d time.Duration) {
-	end := w.Now + d
-	for w.Now < end {
-		w.runEvents(w.Now + step)
-		w.tick()
-	}
+func (w *World) heartbeatInterval() time.Duration {
+	return seconds(w.Cfg.Settings.Workers.HeartbeatIntervalS)
 }
 
-// RunUntil runs until a condition holds, for so long at most.
-func (w *World) RunUntil(d time.Duration, ok func() bool) bool {
-	end := w.Now + d
-	for w.Now < end {
-		if ok() {
-			return true
-		}
-		w.Run(step)
-	}
-	return ok()
-}
+// cancelWithin is how long after its user was told that a job is cancelled its last task has
+// to be off its machine.
+func (w *World) cancelWithin() time.Duration { return seconds(w.Cfg.Settings.Workers.CancelWithinS) }
 
-func (w *World) deliveryOf(kind, from, to string) Delivery {
-	if w.Network != nil {
-		return w.Network(kind, from, to)
+// rewriteAsProduction is a transaction as the version in production would have written it:
+// of each value, only what that version knows.
+func (w *World) rewriteAsProduction(txn protocol.Txn) protocol.Txn {
+	if w.RewriteAsProduction == nil {
+		return txn
 	}
-	return Reliable()
-}
-
-// Reliable is a network without faults.
-func Reliable() Delivery {
-	return Delivery{RequestDelay: 2 * time.Millisecond, ResponseDelay: 2 * time.Millisecond}
+	changes := make([]protocol.Change, len(txn.Then))
+	for i, change := range txn.Then {
+		change.Value = msgpack.RawMessage(w.RewriteAsProduction(change.Put, protocol.Encode(change.Value)))
+		changes[i] = change
+	}
+	txn.Then = changes
+	return txn
 }
 
-// controllerNamed finds a node by its name.
+// controllerNamed finds a controller by its name; nil: there is none.
 func (w *World) controllerNamed(name string) *Controller {
-	for _, n := range w.Controllers {
-		if n.Name == name {
-			return n
+	for _, c := range w.Controllers {
+		if c.Name == name {
+			return c
 		}
 	}
 	return nil
 }
 
-// Leader is the node that leads, if any.
+// Leader is the controller that leads; nil: none does.
 func (w *World) Leader() *Controller {
-	for _, n := range w.Controllers {
-		if n.Leads() {
-			return n
+	for _, c := range w.Controllers {
+		if c.Leads() {
+			return c
 		}
 	}
 	return nil
 }
-
-// KnownMachines is how many machines the leader knows of, as it tells operators; -1: nobody
-// leads.
-func (w *World) KnownMachines() int {
-	l := w.Leader()
-	if l == nil {
-		return -1
-	}
-	known := -1
-	l.Request(message.AdminRequest{Kind: message.AdminStatus}, func(r message.Reply) {
-		var status controller.Status
-		if json.Unmarshal(r.Body, &status) != nil || status.Leads == nil {
-			return
-		}
-		known = 0
-		for _, m := range status.Leads.Machines {
-			known += m.Booting + m.Up + m.Silent
-		}
-	})
-	return known
-}
-
-// Running counts a job's tasks that run.
-func (w *World) Running(id string) int {
-	n := 0
-	for t := range w.tasksOnMachines(id) {
-		if t.State == protocol.Running {
-			n++
-		}
-	}
-	return n
-}
-
-// tasksOnMachines is the set of a job's tasks that are on machines.
-func (w *World) tasksOnMachines(id string) map[*attempt]bool {
-	if j := w.Jobs[id]; j != nil {
-		return j.attemptsOnMachines
-	}
-	return nil
-}
-
-// MachinesOf names the machines on which a job has tasks.
-func (w *World) MachinesOf(id string) []string {
-	var out []string
-	for t := range w.tasksOnMachines(id) {
-		out = append(out, t.worker.machine.Name)
-	}
-	slices.Sort(out)
-	return out
-}
-
-// MachineNames lists the machines that are up.
-func (w *World) MachineNames() []string {
-	var out []string
-	for _, name := range w.workerNames {
-		if !w.Workers[name].terminated {
-			out = append(out, name)
-		}
-	}
-	return out
-}
-
-// AnnounceInterruption has the cloud take a machine after a time.
-func (w *World) AnnounceInterruption(name string, in time.Duration) {
-	if k := w.Workers[name]; k != nil && !k.terminated {
-		k.interruptionAt = w.Now + in
-		k.heartbeatSoon()
-	}
-}
-
-// TypeOf is a machine's type.
-func (w *World) TypeOf(name string) string { return w.Workers[name].machine.Type }
-
-// ZoneOf is a machine's zone.
-func (w *World) ZoneOf(name string) string { return w.Workers[name].machine.Zone }
-
-// Incarnation is a worker's present session.
-func (w *World) Incarnation(name string) int64 { return w.Workers[name].incarnation }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -122,18 +122,18 @@
 	return func(kind, from, to string) fake.Delivery {
 		f := fake.Delivery{}
 		switch kind {
-		case "state":
+		case fake.KindState:
 			f.RequestDelay = stateTook / 2
 			f.ResponseDelay = f.RequestDelay
 			if rng.Float64() < stateRarely {
 				f.ResponseDelay = stateTookNow
 			}
-		case "cloud":
+		case fake.KindCloud:
 			f.RequestDelay = cloudTook / 2
 			f.ResponseDelay = f.RequestDelay
-		case "report":
+		case fake.KindHeartbeat:
 			f.LoseRequest = y.cut[from]
-		case "orders":
+		case fake.KindCommands:
 			f.LoseRequest = y.cut[to]
 		}
 		return f
