--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -10,7 +10,7 @@
 	"oakpick/internal/message"
 )
 
-func admin(w *fake.World, n int, kind message.AdminRequestKind, body string) (status int, answer string) {
+func adminRequest(w *fake.World, n int, kind message.AdminRequestKind, body string) (status int, answer string) {
 	w.Controllers[n].Request(message.AdminRequest{Kind: kind, Body: []byte(body)}, func(r message.Reply) {
 		status, answer = r.Status, string(r.Body)
 	})
@@ -20,8 +20,8 @@
 
 // Operators' settings are checked, named when wrong, in force from any node and
 // kept over the end of all processes.
-func TestOperatorsSettings(t *testing.T) {
-	w := world(t)
+func TestAdminSettingsAreValidatedAndDurable(t *testing.T) {
+	w := newWorld(t)
 	w.Run(2 * time.Second)
 	for body, want := range map[string]string{
 		`{"sample": 0}`:          "sample",
@@ -32,11 +32,11 @@
 		`[1]`:                    "",
 		`{"takeover_wait_s": []`: "",
 	} {
-		if status, answer := admin(w, 0, message.AdminChange, body); status != 400 || !strings.Contains(answer, want) {
+		if status, answer := adminRequest(w, 0, message.AdminChange, body); status != 400 || !strings.Contains(answer, want) {
 			t.Errorf("%s: %d %s", body, status, answer)
 		}
 	}
-	if status, answer := admin(w, 1, message.AdminChange, `{"sample": 7, "warm_room": 0.5}`); status != 200 {
+	if status, answer := adminRequest(w, 1, message.AdminChange, `{"sample": 7, "warm_room": 0.5}`); status != 200 {
 		t.Fatalf("through a follower: %d %s", status, answer)
 	}
 	for _, n := range w.Controllers {
@@ -47,11 +47,11 @@
 	}
 	w.Run(6 * time.Second)
 	for n := range w.Controllers {
-		status, answer := admin(w, n, message.AdminRead, "")
+		status, answer := adminRequest(w, n, message.AdminRead, "")
 		if status != 200 || !strings.Contains(answer, `"sample": 7`) || !strings.Contains(answer, `"warm_room": 0.5`) {
 			t.Errorf("node %d: %d %s", n, status, answer)
 		}
-		if status, answer = admin(w, n, message.AdminStatus, ""); status != 200 || !strings.Contains(answer, fmt.Sprintf(`"node": "n%d"`, n)) {
+		if status, answer = adminRequest(w, n, message.AdminStatus, ""); status != 200 || !strings.Contains(answer, fmt.Sprintf(`"node": "n%d"`, n)) {
 			t.Errorf("status of node %d: %d %s", n, status, answer)
 		}
 	}
--- a/internal/controller/archive_orderings_test.go
+++ b/internal/controller/archive_orderings_test.go
@@ -11,9 +11,9 @@
 	"oakpick/internal/protocol"
 )
 
-// slowMoves has writes of pages carried out late, and answers to reads come later still, so
+// delayWrites has writes of pages carried out late, and answers to reads come later still, so
 // that much happens while a move or a read is under way.
-func slowMoves(w *fake.World) {
+func delayWrites(w *fake.World) {
 	w.SeparateWrites = true
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
@@ -27,8 +27,8 @@
 	}
 }
 
-// notLogged fails if a line of the log has a text.
-func notLogged(t *testing.T, w *fake.World, text string) {
+// requireNotLogged fails if a line of the log has a text.
+func requireNotLogged(t *testing.T, w *fake.World, text string) {
 	t.Helper()
 	for _, line := range w.Log {
 		if strings.Contains(line, text) {
@@ -39,12 +39,12 @@
 
 // A page of the archive is read for a job that nobody knows, a move into that page is carried
 // out, and only then does the answer to the read come: it says nothing of what was moved.
-func TestReadThatCrossesAMove(t *testing.T) {
-	w := worldOf(t, littleMemory())
-	spare(t, w)
-	w.Controllers[2].Crash()             // nothing is moved before it says that it reads the archive
-	jobs := endsJobs(t, w, 100_000, 600) // more pages than a leader keeps
-	slowMoves(w)
+func TestArchiveReadConcurrentWithMove(t *testing.T) {
+	w := newWorldWith(t, smallMemorySettings())
+	provisionIdleMachines(t, w)
+	w.Controllers[2].Crash()                 // nothing is moved before it says that it reads the archive
+	jobs := completeJobs(t, w, 100_000, 600) // more pages than a leader keeps
+	delayWrites(w)
 	w.Controllers[2].Start()
 	for n := range 400 {
 		if w.Leader() == nil {
@@ -56,29 +56,29 @@
 			w.QueryEverywhere(jobs[n/4%len(jobs)])
 		}
 		w.Run(50 * time.Millisecond)
-		noneVanishes(t, w, jobs)
+		requireRecorded(t, w, jobs)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 	w.Network = nil
-	askedAll(t, w, jobs)
+	requireAllDone(t, w, jobs)
 }
 
 // Jobs name ended ones while these are on their way to the archive, and the leader ends: the
 // successor finds nothing that it doesn't know.
-func TestPrerequisitesThatAreBeingMoved(t *testing.T) {
-	w := worldOf(t, littleMemory())
-	spare(t, w)
+func TestPrerequisitesDuringArchiveMove(t *testing.T) {
+	w := newWorldWith(t, smallMemorySettings())
+	provisionIdleMachines(t, w)
 	w.Controllers[2].Crash() // nothing is moved before it says that it reads the archive
-	jobs := endsJobs(t, w, 100_000, 120)
+	jobs := completeJobs(t, w, 100_000, 120)
 	long := w.Submit(job(50, protocol.Array, 1), 90*time.Second)
-	runs(t, w, long.Submission.ID, 1)
-	slowMoves(w)
+	waitRunning(t, w, long.Submission.ID, 1)
+	delayWrites(w)
 	w.Controllers[2].Start()
 	var after []*fake.Job
 	for n := range 60 {
 		s := job(600_000+n, protocol.Array, 1)
 		s.CPUs, s.MemoryGB, s.ImageGB = 0.05, 0.05, 0.01
-		after = append(after, accepted(t, w, s, 200*time.Millisecond, jobs[n], jobs[(n+60)%120], long))
+		after = append(after, submitAfter(t, w, s, 200*time.Millisecond, jobs[n], jobs[(n+60)%120], long))
 		w.Run(100 * time.Millisecond)
 		if n%20 == 19 {
 			if l := w.Leader(); l != nil {
@@ -89,9 +89,9 @@
 		}
 	}
 	w.Network = nil
-	pollFor(w, 120*time.Second)
-	notLogged(t, w, "a prerequisite is on no page")
-	check(t, w)
+	runAndPoll(w, 120*time.Second)
+	requireNotLogged(t, w, "a prerequisite is on no page")
+	requireNoViolations(t, w)
 	for _, j := range after {
 		if j.Status != protocol.StatusDone {
 			t.Errorf("%s is called %q", j.Submission.ID, j.Status)
@@ -101,12 +101,12 @@
 
 // Jobs of several blocks end, the removal of their other blocks is lost again and again, and
 // the leader ends: no block is left whose job is only in the archive.
-func TestBlocksGoBeforeTheirJobIsArchived(t *testing.T) {
-	s := littleMemory()
+func TestBlocksRemovedBeforeJobIsArchived(t *testing.T) {
+	s := smallMemorySettings()
 	s.State.TxnOps = 3
-	w := worldOf(t, s)
-	spare(t, w)
-	endsJobs(t, w, 100_000, 60)
+	w := newWorldWith(t, s)
+	provisionIdleMachines(t, w)
+	completeJobs(t, w, 100_000, 60)
 	w.SeparateWrites = true
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
@@ -119,7 +119,7 @@
 	}
 	var jobs []*fake.Job
 	for n := range 24 {
-		sub := severalBlocks(800_000+n, protocol.Array)
+		sub := multiBlockJob(800_000+n, protocol.Array)
 		sub.CPUs, sub.MemoryGB = 0.02, 0.02
 		jobs = append(jobs, w.Submit(sub, 300*time.Millisecond))
 		w.Run(500 * time.Millisecond)
@@ -134,11 +134,11 @@
 			w.Run(2 * time.Second)
 		}
 	}
-	pollFor(w, 40*time.Second)
+	runAndPoll(w, 40*time.Second)
 	w.Leader().Crash()
-	pollFor(w, 40*time.Second)
-	notLogged(t, w, "a block of an unknown job is dropped")
-	check(t, w)
+	runAndPoll(w, 40*time.Second)
+	requireNotLogged(t, w, "a block of an unknown job is dropped")
+	requireNoViolations(t, w)
 	for _, j := range jobs {
 		if j.Status != protocol.StatusDone {
 			t.Errorf("%s is called %q", j.Submission.ID, j.Status)
@@ -148,19 +148,19 @@
 
 // More ended jobs than are kept, and none of them may be moved since a job that waits names
 // them all: that there is nothing to move doesn't keep users from the archive.
-func TestNothingToMoveKeepsNobodyFromTheArchive(t *testing.T) {
-	w, jobs := withArchive(t, 600)
+func TestArchiveReadableWhileNothingCanMove(t *testing.T) {
+	w, jobs := newWorldWithArchive(t, 600)
 	long := w.Submit(job(50, protocol.Array, 1), time.Hour)
-	runs(t, w, long.Submission.ID, 1)
+	waitRunning(t, w, long.Submission.ID, 1)
 	needs := []*fake.Job{long}
-	for n := range keptWithLittleMemory + 8 {
+	for n := range terminalJobsInMemory + 8 {
 		s := job(700_000+n, protocol.Array, 1)
 		s.CPUs, s.MemoryGB, s.ImageGB = 0.05, 0.05, 0.01
 		needs = append(needs, w.Submit(s, 12*time.Second))
 	}
-	accepted(t, w, job(51, protocol.Array, 1), time.Second, needs...)
-	pollFor(w, 40*time.Second)
-	if pages, _ := placesOf(t, w); len(pages) <= keptWithLittleMemory {
+	submitAfter(t, w, job(51, protocol.Array, 1), time.Second, needs...)
+	runAndPoll(w, 40*time.Second)
+	if pages, _ := terminalRecords(t, w); len(pages) <= terminalJobsInMemory {
 		t.Fatalf("%d ended jobs are on pages, which may be moved", len(pages))
 	}
 	leader := w.Leader()
@@ -172,5 +172,5 @@
 			t.Errorf("%s: %d after 0.3 s", jobs[n].Submission.ID, status)
 		}
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -14,20 +14,20 @@
 	"oakpick/internal/storage"
 )
 
-// littleMemory are settings with which a leader keeps 32 ended jobs in memory, and four pages
+// smallMemorySettings are settings with which a leader keeps 32 ended jobs in memory, and four pages
 // of the archive.
-func littleMemory() config.Settings {
+func smallMemorySettings() config.Settings {
 	s := fake.Settings()
 	s.Limits.MemoryMB = 0.5
 	s.Teams[1].GuaranteedCPUs = 1000
 	return s
 }
 
-const keptWithLittleMemory = 32
+const terminalJobsInMemory = 32
 
-// placesOf tells for each ended job whether it is on a page that a take-over reads, and
+// terminalRecords tells for each ended job whether it is on a page that a take-over reads, and
 // whether it is in the archive.
-func placesOf(t *testing.T, w *fake.World) (pages, archive map[string]storage.TerminalRecord) {
+func terminalRecords(t *testing.T, w *fake.World) (pages, archive map[string]storage.TerminalRecord) {
 	t.Helper()
 	pages, archive = map[string]storage.TerminalRecord{}, map[string]storage.TerminalRecord{}
 	for key, value := range w.State.Values() {
@@ -56,10 +56,10 @@
 	return pages, archive
 }
 
-// noneVanishes fails if a job that was called done or cancelled is nowhere on record as such.
-func noneVanishes(t *testing.T, w *fake.World, jobs []*fake.Job) {
+// requireRecorded fails if a job that was called done or cancelled is nowhere on record as such.
+func requireRecorded(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
-	pages, archive := placesOf(t, w)
+	pages, archive := terminalRecords(t, w)
 	unfinished, _ := recordedJobs(t, pagesOf(w))
 	for _, j := range jobs {
 		if j.Status != protocol.StatusDone {
@@ -73,8 +73,8 @@
 	}
 }
 
-// endsJobs has so many small jobs come to their end.
-func endsJobs(t *testing.T, w *fake.World, first, count int) []*fake.Job {
+// completeJobs has so many small jobs come to their end.
+func completeJobs(t *testing.T, w *fake.World, first, count int) []*fake.Job {
 	t.Helper()
 	var jobs []*fake.Job
 	for n := range count {
@@ -83,42 +83,42 @@
 		jobs = append(jobs, w.Submit(s, 500*time.Millisecond))
 	}
 	done := func(j *fake.Job) bool { return j.Status == protocol.StatusDone }
-	for tries := 0; tries < 60 && !all(jobs, done); tries++ {
-		pollFor(w, 2*time.Second)
+	for tries := 0; tries < 60 && !allMatch(jobs, done); tries++ {
+		runAndPoll(w, 2*time.Second)
 	}
-	if !all(jobs, done) {
+	if !allMatch(jobs, done) {
 		t.Fatal("not all jobs are done")
 	}
 	return jobs
 }
 
-// archived lets time pass until no more ended jobs are to be moved.
-func archived(t *testing.T, w *fake.World, jobs []*fake.Job) {
+// waitArchived lets time pass until no more ended jobs are to be moved.
+func waitArchived(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
 	for range 600 {
 		w.Run(50 * time.Millisecond)
-		noneVanishes(t, w, jobs)
-		if pages, _ := placesOf(t, w); len(pages) <= keptWithLittleMemory {
+		requireRecorded(t, w, jobs)
+		if pages, _ := terminalRecords(t, w); len(pages) <= terminalJobsInMemory {
 			return
 		}
 	}
-	pages, archive := placesOf(t, w)
+	pages, archive := terminalRecords(t, w)
 	t.Fatalf("%d ended jobs are on pages, %d in the archive\n%s", len(pages), len(archive), strings.Join(w.Log[max(0, len(w.Log)-20):], "\n"))
 }
 
-// withArchive makes a world in which most of so many ended jobs are in the archive.
-func withArchive(t *testing.T, count int) (*fake.World, []*fake.Job) {
+// newWorldWithArchive makes a world in which most of so many ended jobs are in the archive.
+func newWorldWithArchive(t *testing.T, count int) (*fake.World, []*fake.Job) {
 	t.Helper()
-	w := worldOf(t, littleMemory())
-	spare(t, w)
-	jobs := endsJobs(t, w, 100_000, count)
-	archived(t, w, jobs)
+	w := newWorldWith(t, smallMemorySettings())
+	provisionIdleMachines(t, w)
+	jobs := completeJobs(t, w, 100_000, count)
+	waitArchived(t, w, jobs)
 	return w, jobs
 }
 
-// askedAll fails unless every job is called done by every node, when it is asked about, handed
+// requireAllDone fails unless every job is called done by every node, when it is asked about, handed
 // in again or cancelled.
-func askedAll(t *testing.T, w *fake.World, jobs []*fake.Job) {
+func requireAllDone(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
 	for _, j := range jobs {
 		before := j.AnsweredAt
@@ -139,14 +139,14 @@
 			t.Fatalf("%s is called %q", j.Submission.ID, j.Status)
 		}
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // Ended jobs are moved to the archive, all that asks after them goes on as before, and a
 // successor reads few of them.
-func TestEndedJobsAreArchived(t *testing.T) {
-	w, jobs := withArchive(t, 300)
-	askedAll(t, w, jobs[:60])
+func TestTerminalJobsAreArchived(t *testing.T) {
+	w, jobs := newWorldWithArchive(t, 300)
+	requireAllDone(t, w, jobs[:60])
 	w.PollUnknown()
 	for _, n := range w.Controllers {
 		n.Crash()
@@ -159,36 +159,36 @@
 		t.Fatal("nobody leads")
 	}
 	w.Run(4 * time.Second)
-	askedAll(t, w, jobs[200:260])
-	pages, archive := placesOf(t, w)
-	if len(pages) > keptWithLittleMemory+8 || len(archive) < 250 {
+	requireAllDone(t, w, jobs[200:260])
+	pages, archive := terminalRecords(t, w)
+	if len(pages) > terminalJobsInMemory+8 || len(archive) < 250 {
 		t.Errorf("%d ended jobs are on pages, %d in the archive", len(pages), len(archive))
 	}
 	if keys := len(pagesOf(w)); keys > 6 {
 		t.Errorf("%d pages of records are left: emptied ones are to be dropped or used again", keys)
 	}
 	// What comes next is accepted and done, too.
-	askedAll(t, w, endsJobs(t, w, 900_000, 10))
+	requireAllDone(t, w, completeJobs(t, w, 900_000, 10))
 }
 
 // The leader ends before, inside and after a move, whose transaction is lost, carried out
 // late, or only not answered.
-func TestLeaderEndsInsideAMove(t *testing.T) {
+func TestLeaderCrashDuringArchiveMove(t *testing.T) {
 	for _, trouble := range []string{"none", "request lost", "late", "answer lost"} {
 		for _, after := range []int{0, 1, 2, 5} {
 			t.Run(fmt.Sprint(trouble, " at write ", after), func(t *testing.T) {
 				t.Parallel()
-				leaderEndsInsideAMove(t, trouble, after)
+				testLeaderCrashDuringArchiveMove(t, trouble, after)
 			})
 		}
 	}
 }
 
-func leaderEndsInsideAMove(t *testing.T, trouble string, after int) {
-	w := worldOf(t, littleMemory())
-	spare(t, w)
+func testLeaderCrashDuringArchiveMove(t *testing.T, trouble string, after int) {
+	w := newWorldWith(t, smallMemorySettings())
+	provisionIdleMachines(t, w)
 	w.SeparateWrites = true
-	jobs := endsJobs(t, w, 100_000, 60)
+	jobs := completeJobs(t, w, 100_000, 60)
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
@@ -211,7 +211,7 @@
 	}
 	for range 20 {
 		w.Run(50 * time.Millisecond)
-		noneVanishes(t, w, jobs)
+		requireRecorded(t, w, jobs)
 	}
 	if l := w.Leader(); l != nil {
 		l.Crash()
@@ -220,33 +220,33 @@
 	w.Network = nil
 	for range 100 {
 		w.Run(50 * time.Millisecond)
-		noneVanishes(t, w, jobs)
+		requireRecorded(t, w, jobs)
 	}
-	askedAll(t, w, jobs)
-	archived(t, w, jobs)
-	askedAll(t, w, jobs)
+	requireAllDone(t, w, jobs)
+	waitArchived(t, w, jobs)
+	requireAllDone(t, w, jobs)
 }
 
 // A repeat of a submission comes to all nodes in the very moments in which its job is moved.
-func TestRepeatedSubmissionsMeetTheMove(t *testing.T) {
-	w := worldOf(t, littleMemory())
-	spare(t, w)
-	jobs := endsJobs(t, w, 100_000, 80)
+func TestRepeatedSubmissionDuringArchiveMove(t *testing.T) {
+	w := newWorldWith(t, smallMemorySettings())
+	provisionIdleMachines(t, w)
+	jobs := completeJobs(t, w, 100_000, 80)
 	for n := range 120 {
 		for _, j := range jobs[n%8 : min(len(jobs), n%8+20)] {
 			w.QueryEverywhere(j)
 		}
 		w.Run(50 * time.Millisecond)
-		noneVanishes(t, w, jobs)
+		requireRecorded(t, w, jobs)
 	}
-	archived(t, w, jobs)
-	askedAll(t, w, jobs)
+	waitArchived(t, w, jobs)
+	requireAllDone(t, w, jobs)
 }
 
 // Thousands of polls for jobs that nobody submitted, beside real work: they get 404 or are
 // told to come back, never 200, and what others hand in is accepted and done in good time.
-func TestPollsForUnknownJobsKeepNobodyOut(t *testing.T) {
-	w, jobs := withArchive(t, 200)
+func TestUnknownJobPollsDoNotStarveOthers(t *testing.T) {
+	w, jobs := newWorldWithArchive(t, 200)
 	statuses := map[int]int{}
 	for n := range 60 {
 		for i := range 50 {
@@ -281,96 +281,96 @@
 	if statuses[200] > 0 || statuses[404] == 0 {
 		t.Errorf("answers %v", statuses)
 	}
-	askedAll(t, w, jobs[:20])
+	requireAllDone(t, w, jobs[:20])
 }
 
 // Jobs that need archived ones: done ones let them start, cancelled ones cancel them, one
 // that nobody accepted is refused; a successor comes to the same.
-func TestPrerequisitesInTheArchive(t *testing.T) {
-	w := worldOf(t, littleMemory())
-	spare(t, w)
+func TestArchivedPrerequisites(t *testing.T) {
+	w := newWorldWith(t, smallMemorySettings())
+	provisionIdleMachines(t, w)
 	called := w.Submit(job(50, protocol.Array, 1), time.Hour)
-	runs(t, w, called.Submission.ID, 1)
+	waitRunning(t, w, called.Submission.ID, 1)
 	w.CancelJob(called)
-	jobs := endsJobs(t, w, 100_000, 150)
-	archived(t, w, jobs)
-	endsJobs(t, w, 300_000, 40) // so that the cancelled one goes, too
+	jobs := completeJobs(t, w, 100_000, 150)
+	waitArchived(t, w, jobs)
+	completeJobs(t, w, 300_000, 40) // so that the cancelled one goes, too
 	w.Run(10 * time.Second)
-	_, archive := placesOf(t, w)
+	_, archive := terminalRecords(t, w)
 	if _, ok := archive[called.Submission.ID]; !ok {
 		t.Fatal("the cancelled job is not in the archive")
 	}
-	after := accepted(t, w, job(60, protocol.Array, 1), time.Second, jobs[0], jobs[70], jobs[140])
-	with := accepted(t, w, job(61, protocol.Array, 1), time.Second, jobs[3], called)
+	after := submitAfter(t, w, job(60, protocol.Array, 1), time.Second, jobs[0], jobs[70], jobs[140])
+	with := submitAfter(t, w, job(61, protocol.Array, 1), time.Second, jobs[3], called)
 	s := job(62, protocol.Array, 1)
 	s.Prerequisites = []string{jobs[1].Submission.ID, "wk-777777"}
 	refused := w.Submit(s, time.Second)
 	w.Run(3 * time.Second)
 	w.Leader().Crash()
-	pollFor(w, 30*time.Second)
+	runAndPoll(w, 30*time.Second)
 	if after.Status != protocol.StatusDone || with.Status != protocol.StatusCancelled || refused.RejectedWith != 422 {
 		t.Errorf("after done ones %q, with a cancelled one %q, with an unknown one %d", after.Status, with.Status, refused.RejectedWith)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // A job that waits names ended ones while these would be moved: they stay until it is over,
 // so that a successor finds what it names.
-func TestNamedJobsAreNotMoved(t *testing.T) {
-	w := worldOf(t, littleMemory())
-	spare(t, w)
-	named := endsJobs(t, w, 500_000, 1)[0]
+func TestPrerequisitesOfWaitingJobsAreNotArchived(t *testing.T) {
+	w := newWorldWith(t, smallMemorySettings())
+	provisionIdleMachines(t, w)
+	named := completeJobs(t, w, 500_000, 1)[0]
 	running := w.Submit(job(50, protocol.Array, 1), 100*time.Second)
-	runs(t, w, running.Submission.ID, 1)
-	waits := accepted(t, w, job(51, protocol.Array, 1), time.Second, named, running)
-	jobs := endsJobs(t, w, 100_000, 100)
+	waitRunning(t, w, running.Submission.ID, 1)
+	waits := submitAfter(t, w, job(51, protocol.Array, 1), time.Second, named, running)
+	jobs := completeJobs(t, w, 100_000, 100)
 	w.Run(10 * time.Second)
-	pages, _ := placesOf(t, w)
+	pages, _ := terminalRecords(t, w)
 	if _, ok := pages[named.Submission.ID]; !ok {
 		t.Error("a job that another names was moved")
 	}
 	w.Leader().Crash()
 	for range 20 {
-		pollFor(w, 8*time.Second)
+		runAndPoll(w, 8*time.Second)
 	}
 	if waits.Status != protocol.StatusDone {
 		t.Errorf("the job that waits is called %q", waits.Status)
 	}
-	noneVanishes(t, w, jobs)
-	check(t, w)
+	requireRecorded(t, w, jobs)
+	requireNoViolations(t, w)
 }
 
 // Nothing is moved while a peer has not said that it reads the archive, nor for few ended
 // jobs.
-func TestNothingIsArchivedBeforeAllCanRead(t *testing.T) {
-	w := worldOf(t, littleMemory())
-	spare(t, w)
+func TestNothingArchivedUntilAllPeersReadArchive(t *testing.T) {
+	w := newWorldWith(t, smallMemorySettings())
+	provisionIdleMachines(t, w)
 	w.Controllers[2].Crash()
 	w.Controllers[2].RunsProduction = true
 	w.Controllers[2].Start()
-	endsJobs(t, w, 100_000, 100)
+	completeJobs(t, w, 100_000, 100)
 	w.Run(20 * time.Second)
-	if _, archive := placesOf(t, w); len(archive) > 0 {
+	if _, archive := terminalRecords(t, w); len(archive) > 0 {
 		t.Error("moved beside a version that doesn't read the archive")
 	}
 	upgrade(w, w.Controllers[2], time.Second)
-	jobs := endsJobs(t, w, 200_000, 5)
-	archived(t, w, jobs)
-	check(t, w)
+	jobs := completeJobs(t, w, 200_000, 5)
+	waitArchived(t, w, jobs)
+	requireNoViolations(t, w)
 
-	few := worldOf(t, littleMemory())
-	spare(t, few)
-	endsJobs(t, few, 100_000, keptWithLittleMemory-4)
+	few := newWorldWith(t, smallMemorySettings())
+	provisionIdleMachines(t, few)
+	completeJobs(t, few, 100_000, terminalJobsInMemory-4)
 	few.Run(20 * time.Second)
-	if _, archive := placesOf(t, few); len(archive) > 0 {
+	if _, archive := terminalRecords(t, few); len(archive) > 0 {
 		t.Error("moved for few ended jobs")
 	}
 }
 
 // A page of the archive is damaged: its jobs get 503, all others are served and the leader
 // leads on.
-func TestDamagedArchivePage(t *testing.T) {
-	w, jobs := withArchive(t, 300)
+func TestCorruptArchivePage(t *testing.T) {
+	w, jobs := newWorldWithArchive(t, 300)
 	var damaged string
 	lost := map[string]bool{}
 	for key, value := range w.State.Values() {
@@ -413,8 +413,8 @@
 
 // The state service refuses the leader alone while a lookup is out: nobody is told anything
 // that isn't so, and users come back to the next leader.
-func TestLookupWhileTheLeaderIsRefused(t *testing.T) {
-	w, jobs := withArchive(t, 200)
+func TestArchiveLookupWhileLeaderLosesStateService(t *testing.T) {
+	w, jobs := newWorldWithArchive(t, 200)
 	leader := w.Leader()
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		f := fake.Reliable()
@@ -432,35 +432,35 @@
 	}
 	w.Run(100 * time.Millisecond)
 	w.State.Unreachable[leader.Name] = true
-	lookRepeatedly(w, jobs[:10], 20, 200*time.Millisecond)
+	queryRepeatedly(w, jobs[:10], 20, 200*time.Millisecond)
 	w.Network = nil
 	w.State.Unreachable = map[string]bool{}
 	w.Run(15 * time.Second)
-	askedAll(t, w, jobs[:30])
+	requireAllDone(t, w, jobs[:30])
 }
 
 // The limits are lowered between two moves: pages of the archive that are too large by then
 // are divided when something is added, and every job on them is still found.
-func TestArchivePagesAreDividedForLowerLimits(t *testing.T) {
-	s := littleMemory()
+func TestArchivePagesSplitForLowerLimits(t *testing.T) {
+	s := smallMemorySettings()
 	s.State.ValueKB = 4
 	s.State.TxnOps = 8
-	w := worldOf(t, s)
-	spare(t, w)
-	jobs := endsJobs(t, w, 100_000, 250)
-	archived(t, w, jobs)
+	w := newWorldWith(t, s)
+	provisionIdleMachines(t, w)
+	jobs := completeJobs(t, w, 100_000, 250)
+	waitArchived(t, w, jobs)
 	w.Cfg.Settings.State.Next = nextLimits(2, 4, 40)
 	for _, n := range w.Controllers {
 		n.Crash()
 		n.Start()
 	}
 	w.Run(15 * time.Second)
-	half := endsJobs(t, w, 400_000, 40)
+	half := completeJobs(t, w, 400_000, 40)
 	w.State.LowerLimits()
-	more := endsJobs(t, w, 100_050, 80)
+	more := completeJobs(t, w, 100_050, 80)
 	jobs = slices.Concat(jobs, half, more)
-	archived(t, w, jobs)
-	askedAll(t, w, append(jobs[:40], more[:40]...))
+	waitArchived(t, w, jobs)
+	requireAllDone(t, w, append(jobs[:40], more[:40]...))
 }
 
 // A submission may name a cancelled job that is in the archive and another that is not over.
@@ -471,26 +471,26 @@
 			t.Errorf("the controller ended: %v", err)
 		}
 	}()
-	s := littleMemory()
+	s := smallMemorySettings()
 	s.Limits.MemoryMB = 0.02 // one ended job is kept in memory
-	w := worldOf(t, s)
-	cancelled := accepted(t, w, job(1, protocol.Array, 1), time.Minute)
+	w := newWorldWith(t, s)
+	cancelled := submitAfter(t, w, job(1, protocol.Array, 1), time.Minute)
 	w.Run(2 * time.Second)
 	w.CancelJob(cancelled)
-	endsJobs(t, w, 100, 6)
+	completeJobs(t, w, 100, 6)
 	inArchive := func() bool {
-		_, archive := placesOf(t, w)
+		_, archive := terminalRecords(t, w)
 		_, ok := archive[cancelled.Submission.ID]
 		return ok
 	}
 	if !w.RunUntil(time.Minute, inArchive) {
 		t.Fatal("the cancelled job is not in the archive")
 	}
-	unfinished := accepted(t, w, job(2, protocol.Array, 1), 5*time.Second)
-	dependent := accepted(t, w, job(3, protocol.Array, 1), time.Second, cancelled, unfinished)
-	pollFor(w, 30*time.Second)
+	unfinished := submitAfter(t, w, job(2, protocol.Array, 1), 5*time.Second)
+	dependent := submitAfter(t, w, job(3, protocol.Array, 1), time.Second, cancelled, unfinished)
+	runAndPoll(w, 30*time.Second)
 	if unfinished.Status != protocol.StatusDone || dependent.Status != protocol.StatusCancelled {
 		t.Errorf("users are told that the jobs are %q and %q", unfinished.Status, dependent.Status)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -9,10 +9,10 @@
 )
 
 // A job is cancelled, and the leader ends before any worker has heard of it.
-func TestSuccessorStopsWhatWasCancelled(t *testing.T) {
-	w := world(t)
+func TestCancellationSurvivesFailover(t *testing.T) {
+	w := newWorld(t)
 	j := w.Submit(service(1, 2), 0)
-	runs(t, w, j.Submission.ID, 2)
+	waitRunning(t, w, j.Submission.ID, 2)
 	w.Network = func(kind, _, _ string) fake.Delivery { // no commands arrive from now on
 		f := fake.Reliable()
 		f.LoseResponse = kind == fake.KindHeartbeat
@@ -29,15 +29,15 @@
 	if n := len(w.MachinesOf(j.Submission.ID)); n != 0 {
 		t.Errorf("%d tasks are left", n)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // The state service is gone just as a user cancels: nobody is told that the job
 // is cancelled before that is durable.
-func TestCancellationIsNotToldBeforeItIsDurable(t *testing.T) {
-	w := world(t)
+func TestCancellationConfirmedOnlyWhenDurable(t *testing.T) {
+	w := newWorld(t)
 	j := w.Submit(service(1, 1), 0)
-	runs(t, w, j.Submission.ID, 1)
+	waitRunning(t, w, j.Submission.ID, 1)
 	w.State.SetOutage(true)
 	w.CancelJob(j)
 	for range 10 {
@@ -52,14 +52,14 @@
 	if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) != 0 {
 		t.Errorf("told %q, on %v", j.Status, w.MachinesOf(j.Submission.ID))
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // A job is cancelled by the successor of a leader that alone still reaches its
 // worker. The user may hear of it only once the predecessor's hold and the
 // worker's lease will have ended the task in time, and is then told.
-func TestCancellationIsToldOnceItCanBeKept(t *testing.T) {
-	w, j := onlyItsWorker(t)
+func TestCancellationConfirmedAfterPartitionedLeaderExpires(t *testing.T) {
+	w, j := partitionLeaderWithOneWorker(t)
 	if !w.RunUntil(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
 		t.Fatal("nobody took over")
 	}
@@ -68,13 +68,13 @@
 		t.Fatal("never told that it is cancelled")
 	}
 	w.Run(60 * time.Second)
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // One job after the other is cancelled in the seconds in which the leadership
 // changes, by a leader that ends, is refused, gives up or stands still: from its
 // last renewal to its successor's first placements.
-func TestCancelledWhileTheLeadershipChanges(t *testing.T) {
+func TestCancellationDuringLeaderChange(t *testing.T) {
 	for _, how := range []string{"ends", "is refused", "stands still", "hears no worker"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
@@ -83,7 +83,7 @@
 				phases = 20
 			}
 			for phase := range phases {
-				w := world(t)
+				w := newWorld(t)
 				var jobs []*fake.Job
 				for i := range 30 {
 					s := service(i+1, 1)
@@ -91,7 +91,7 @@
 					jobs = append(jobs, w.Submit(s, 0))
 				}
 				for _, j := range jobs {
-					runs(t, w, j.Submission.ID, 1)
+					waitRunning(t, w, j.Submission.ID, 1)
 				}
 				w.Run(3*time.Second + 2*time.Second*time.Duration(phase)/time.Duration(phases))
 				n0 := w.Controllers[0]
@@ -118,11 +118,11 @@
 						}
 					})
 				}
-				lookRepeatedly(w, jobs, 30, time.Second)
+				queryRepeatedly(w, jobs, 30, time.Second)
 				delete(w.State.Unreachable, "n0")
 				w.Network = nil
 				w.Run(20 * time.Second)
-				check(t, w)
+				requireNoViolations(t, w)
 				for _, j := range jobs {
 					if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) > 0 {
 						t.Fatalf("%s: told %q, on %v", j.Submission.ID, j.Status, w.MachinesOf(j.Submission.ID))
--- a/internal/controller/close_looks_test.go
+++ b/internal/controller/close_looks_test.go
@@ -11,7 +11,7 @@
 // Users look closely at jobs that have just been accepted, are about to end, or
 // are being cancelled, at every node, while the leader ends, stands still, or
 // loses the state service at any moment of that: the record only moves forward.
-func TestCloseLooks(t *testing.T) {
+func TestRepeatedQueriesDuringFaults(t *testing.T) {
 	troubles := map[string]func(w *fake.World, at time.Duration){
 		"none":        func(*fake.World, time.Duration) {},
 		"leader ends": func(w *fake.World, at time.Duration) { w.After(at, w.Controllers[0].Crash) },
@@ -51,22 +51,22 @@
 			}
 			told := map[string]int{}
 			for step := range steps {
-				w := world(t)
-				spare(t, w)
+				w := newWorld(t)
+				provisionIdleMachines(t, w)
 				w.Run(time.Duration(step) * 30 * time.Millisecond)
 				trouble(w, 1500*time.Millisecond*time.Duration(step)/time.Duration(steps))
 				ends := w.Submit(job(1, protocol.Array, 2), 300*time.Millisecond)
 				called := w.Submit(service(2, 1), 0)
 				both := w.Submit(job(3, protocol.Array, 1), 500*time.Millisecond)
 				jobs := []*fake.Job{ends, called, both}
-				lookClosely(w, jobs, 3*time.Second)
+				queryRapidly(w, jobs, 3*time.Second)
 				w.After(400*time.Millisecond, func() { w.CancelEverywhere(called) })
 				for _, at := range []time.Duration{1000, 1600, 1900} { // about when it ends
 					w.After(at*time.Millisecond, func() { w.CancelEverywhere(both) })
 				}
 				w.Run(10 * time.Second)
-				pollFor(w, 18*time.Second)
-				check(t, w)
+				runAndPoll(w, 18*time.Second)
+				requireNoViolations(t, w)
 				if ends.Status != protocol.StatusDone || called.Status != protocol.StatusCancelled {
 					t.Errorf("step %d: told %q and %q", step, ends.Status, called.Status)
 				}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -20,7 +20,7 @@
 
 // The end of a chain hands its priority and its deadline back: to what it needs
 // directly, to what that needs, and not to anything else.
-func TestPriorityAndDeadlinePassBackwards(t *testing.T) {
+func TestPriorityAndDeadlinePropagateToPrerequisites(t *testing.T) {
 	d := newDependencies()
 	scrub, split := graphJob("scrub", protocol.Low, 0, 15), graphJob("split", protocol.Low, 0, 25)
 	push, other := graphJob("push", protocol.High, 200, 8), graphJob("other", protocol.Normal, 0, 50)
@@ -50,7 +50,7 @@
 }
 
 // A diamond: the last job waits for both branches, and is cancelled once with either.
-func TestDiamondWaitsForBothAndIsCancelledOnce(t *testing.T) {
+func TestDiamondDependency(t *testing.T) {
 	build := func() (*dependencies, []*job) {
 		d := newDependencies()
 		var jobs []*job
@@ -89,7 +89,7 @@
 }
 
 // A prerequisite that nothing is known of holds its dependent back for good.
-func TestUnknownPrerequisiteHoldsBack(t *testing.T) {
+func TestUnknownPrerequisiteBlocksDependent(t *testing.T) {
 	d := newDependencies()
 	known, j := graphJob("known", protocol.Low, 0, 1), graphJob("job", protocol.Low, 0, 1)
 	d.add(j, []*job{known}, 1)
@@ -100,7 +100,7 @@
 
 // Damaged records name jobs in a circle. Every job of it waits for good, and handing a
 // deadline back comes to an end.
-func TestEdgesInACircleHoldBack(t *testing.T) {
+func TestCyclicDependenciesNeverBecomeReady(t *testing.T) {
 	d := newDependencies()
 	a, b, c := graphJob("a", protocol.Low, 50, 1), graphJob("b", protocol.High, 0, 1), graphJob("c", protocol.Low, 9, 1)
 	if n := d.add(a, []*job{a}, 0); n != 1 || !a.waits() {
@@ -123,7 +123,7 @@
 
 // Thousands of jobs, as a chain, a fan and a ladder: adding, finishing and cancelling
 // cost what they touch, without recursion over what users name.
-func TestGraphOfThousandsCostsWhatItTouches(t *testing.T) {
+func TestLargeGraphCostIsProportionalToVisits(t *testing.T) {
 	const n = 20_000
 	d := newDependencies()
 	chain := []*job{graphJob("chain-0", protocol.Low, 0, 1)}
@@ -159,7 +159,7 @@
 
 // A job waits long for what it needs: its times count from the end of the last of these,
 // but for its deadline, which counts from its submission.
-func TestTimesOfAJobBeginWithItsLastPrerequisite(t *testing.T) {
+func TestReadyTimeStartsAtLastPrerequisite(t *testing.T) {
 	const submittedMs, doneMs = 1000, 90_000
 	for _, c := range []struct {
 		deadline float64
--- a/internal/controller/early_start_test.go
+++ b/internal/controller/early_start_test.go
@@ -13,17 +13,17 @@
 	"oakpick/internal/storage"
 )
 
-// onePageATransaction are settings with which such a job has three blocks, and
+// onePagePerTransaction are settings with which such a job has three blocks, and
 // each page a transaction of its own.
-func onePageATransaction() config.Settings {
+func onePagePerTransaction() config.Settings {
 	s := fake.Settings()
 	s.State.TxnOps = 1
 	return s
 }
 
-// severalBlocks is a job whose tasks all find room on one small machine, and take more
+// multiBlockJob is a job whose tasks all find room on one small machine, and take more
 // than one block.
-func severalBlocks(id int, shape protocol.JobKind) protocol.Submission {
+func multiBlockJob(id int, shape protocol.JobKind) protocol.Submission {
 	s := job(id, shape, 36)
 	s.CPUs, s.MemoryGB, s.ImageGB = 0.1, 0.1, 0.1
 	if shape == protocol.Service {
@@ -32,9 +32,9 @@
 	return s
 }
 
-// recordsBelong fails if a record is durable before the one that it belongs to: a block
+// requireParentRecords fails if a record is durable before the one that it belongs to: a block
 // without its job, a job without some of its prerequisites.
-func recordsBelong(t *testing.T, w *fake.World, prerequisites map[string]int) {
+func requireParentRecords(t *testing.T, w *fake.World, prerequisites map[string]int) {
 	t.Helper()
 	jobs, blocks, named := map[string]bool{}, map[string]bool{}, map[string]int{}
 	for key, value := range pagesOf(w) {
@@ -70,8 +70,8 @@
 	}
 }
 
-// firstWrite has the first transaction of a page meet a trouble, and all others pass.
-func firstWrite(w *fake.World, trouble string) {
+// disturbFirstWrite has the first transaction of a page meet a trouble, and all others pass.
+func disturbFirstWrite(w *fake.World, trouble string) {
 	w.SeparateWrites = true
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
@@ -94,9 +94,9 @@
 	}
 }
 
-// unreachable has machines meet a trouble for so long: cut off, hanging, or with reports
+// disturbMachines has machines meet a trouble for so long: cut off, hanging, or with reports
 // that arrive late.
-func unreachable(w *fake.World, hosts []string, trouble string, d time.Duration) {
+func disturbMachines(w *fake.World, hosts []string, trouble string, d time.Duration) {
 	until := w.Now + d
 	w.Network = func(kind, from, to string) fake.Delivery {
 		f := fake.Reliable()
@@ -125,14 +125,14 @@
 // again, and the machines that could have been told of the first acceptance can't be
 // asked. Nothing of a job starts before its record is durable (seen on an enlarged bench
 // day as "a block of an unknown job is dropped", with its starts).
-func TestNothingStartsBeforeItsJobIsDurable(t *testing.T) {
+func TestNoStartBeforeJobIsDurable(t *testing.T) {
 	for _, shape := range []protocol.JobKind{protocol.Array, protocol.Gang, protocol.Service} {
 		for _, write := range []string{"lost", "late", "refused"} {
 			for _, machine := range []string{"cut off", "hangs", "reports late"} {
 				for _, cancel := range []bool{false, true} {
 					t.Run(fmt.Sprint(shape, " write ", write, " machine ", machine, " cancel ", cancel), func(t *testing.T) {
 						t.Parallel()
-						startsBeforeItsJob(t, shape, write, machine, cancel)
+						testNoStartBeforeJobIsDurable(t, shape, write, machine, cancel)
 					})
 				}
 			}
@@ -140,15 +140,15 @@
 	}
 }
 
-func startsBeforeItsJob(t *testing.T, shape protocol.JobKind, write, machine string, cancel bool) {
-	w := worldOf(t, onePageATransaction())
-	hosts := spare(t, w)
+func testNoStartBeforeJobIsDurable(t *testing.T, shape protocol.JobKind, write, machine string, cancel bool) {
+	w := newWorldWith(t, onePagePerTransaction())
+	hosts := provisionIdleMachines(t, w)
 	w.Run(5 * time.Second) // nothing is left to be written
-	firstWrite(w, write)
-	j := w.Submit(severalBlocks(1, shape), 20*time.Second)
+	disturbFirstWrite(w, write)
+	j := w.Submit(multiBlockJob(1, shape), 20*time.Second)
 	for range 6 {
 		w.Run(50 * time.Millisecond)
-		recordsBelong(t, w, nil)
+		requireParentRecords(t, w, nil)
 	}
 	if on := w.MachinesOf(j.Submission.ID); len(on) > 0 {
 		if !j.Accepted && write != "refused" {
@@ -156,7 +156,7 @@
 		}
 		hosts = on
 	}
-	unreachable(w, hosts[:1], machine, 8*time.Second)
+	disturbMachines(w, hosts[:1], machine, 8*time.Second)
 	if l := w.Leader(); l != nil {
 		l.Crash()
 		w.After(4*time.Second, l.Start)
@@ -169,28 +169,28 @@
 			w.QueryEverywhere(j) // the user doesn't wait for an answer of the node that has ended
 		}
 		w.Run(100 * time.Millisecond)
-		recordsBelong(t, w, nil)
+		requireParentRecords(t, w, nil)
 	}
-	pollFor(w, 60*time.Second)
-	check(t, w)
+	runAndPoll(w, 60*time.Second)
+	requireNoViolations(t, w)
 	for _, line := range w.Log {
 		if strings.Contains(line, "a block of an unknown job is dropped") {
 			t.Error(line)
 		}
 	}
 	if !cancel {
-		served(t, w)
+		requireAllServed(t, w)
 	}
 }
 
 // All that a job needs is done, and its prerequisites take records of their own: it could
 // start at once, and must not be durable before they are, whichever write is lost.
-func TestNothingStartsBeforeItsPrerequisitesAreRecorded(t *testing.T) {
+func TestNoStartBeforePrerequisitesAreDurable(t *testing.T) {
 	for lost := 1; lost <= 4; lost++ {
 		t.Run(fmt.Sprint("write ", lost, " lost"), func(t *testing.T) {
 			t.Parallel()
-			w := worldOf(t, onePageATransaction())
-			spare(t, w)
+			w := newWorldWith(t, onePagePerTransaction())
+			provisionIdleMachines(t, w)
 			var needs []*fake.Job
 			for n := range 200 {
 				s := job(1000+n, protocol.Array, 1)
@@ -198,27 +198,27 @@
 				needs = append(needs, w.Submit(s, time.Second))
 			}
 			done := func(j *fake.Job) bool { return j.Status == protocol.StatusDone }
-			for tries := 0; tries < 60 && !all(needs, done); tries++ {
-				pollFor(w, 2*time.Second)
+			for tries := 0; tries < 60 && !allMatch(needs, done); tries++ {
+				runAndPoll(w, 2*time.Second)
 			}
-			if !all(needs, done) {
+			if !allMatch(needs, done) {
 				t.Fatal("the prerequisites are not done")
 			}
-			w.Network = losesWrite(w, lost)
-			j := accepted(t, w, severalBlocks(1, protocol.Array), time.Second, needs...)
+			w.Network = loseNthWrite(w, lost)
+			j := submitAfter(t, w, multiBlockJob(1, protocol.Array), time.Second, needs...)
 			for range 60 {
 				w.Run(50 * time.Millisecond)
-				recordsBelong(t, w, map[string]int{j.Submission.ID: len(needs)})
+				requireParentRecords(t, w, map[string]int{j.Submission.ID: len(needs)})
 			}
-			pollFor(w, 40*time.Second)
-			check(t, w)
-			served(t, w)
+			runAndPoll(w, 40*time.Second)
+			requireNoViolations(t, w)
+			requireAllServed(t, w)
 		})
 	}
 }
 
-// losesWrite loses one write of a page, counted from now on; the others pass.
-func losesWrite(w *fake.World, number int) func(kind, from, to string) fake.Delivery {
+// loseNthWrite loses one write of a page, counted from now on; the others pass.
+func loseNthWrite(w *fake.World, number int) func(kind, from, to string) fake.Delivery {
 	w.SeparateWrites = true
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
@@ -231,45 +231,45 @@
 	}
 }
 
-func all[T any](items []T, ok func(T) bool) bool {
+func allMatch[T any](items []T, ok func(T) bool) bool {
 	return !slices.ContainsFunc(items, func(x T) bool { return !ok(x) })
 }
 
 // The last block of an array ends, and its removal would be durable while the end of the
 // job is not, when the leader ends. The successor must not start the tasks again whose
 // ends are forgotten with the block.
-func TestBlocksOutliveTheEndOfTheirJob(t *testing.T) {
+func TestBlocksKeptUntilJobEndIsDurable(t *testing.T) {
 	for lost := 1; lost <= 6; lost++ {
 		t.Run(fmt.Sprint("lost from write ", lost), func(t *testing.T) {
-			w := worldOf(t, onePageATransaction())
-			spare(t, w)
-			j := w.Submit(severalBlocks(1, protocol.Array), 6*time.Second)
+			w := newWorldWith(t, onePagePerTransaction())
+			provisionIdleMachines(t, w)
+			j := w.Submit(multiBlockJob(1, protocol.Array), 6*time.Second)
 			if !w.RunUntil(30*time.Second, func() bool { return w.Running(j.Submission.ID) == j.Submission.Tasks }) {
 				t.Fatal("not all tasks run")
 			}
 			w.Run(2 * time.Second)
 			w.SeparateWrites = true
-			w.Network = losesEverySecond(lost)
+			w.Network = loseEverySecondWrite(lost)
 			before := w.Now
 			if !w.RunUntil(20*time.Second, func() bool { return len(j.DoneTasks) == j.Submission.Tasks }) {
 				t.Fatal("the tasks don't end")
 			}
 			for w.Now < before+10*time.Second {
 				w.Run(50 * time.Millisecond)
-				doneAreRecorded(t, w, j)
+				requireTaskEndsRecorded(t, w, j)
 			}
 			w.Leader().Crash()
 			w.Network = nil
-			pollFor(w, 30*time.Second)
-			check(t, w)
-			served(t, w)
+			runAndPoll(w, 30*time.Second)
+			requireNoViolations(t, w)
+			requireAllServed(t, w)
 		})
 	}
 }
 
-// losesEverySecond loses every second write of a page, from such a one on (the first is 1);
+// loseEverySecondWrite loses every second write of a page, from such a one on (the first is 1);
 // the others pass.
-func losesEverySecond(from int) func(kind, from, to string) fake.Delivery {
+func loseEverySecondWrite(from int) func(kind, from, to string) fake.Delivery {
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
@@ -281,9 +281,9 @@
 	}
 }
 
-// doneAreRecorded fails if a job is recorded as unfinished, and the ends of tasks that were
+// requireTaskEndsRecorded fails if a job is recorded as unfinished, and the ends of tasks that were
 // recorded are so no longer.
-func doneAreRecorded(t *testing.T, w *fake.World, j *fake.Job) {
+func requireTaskEndsRecorded(t *testing.T, w *fake.World, j *fake.Job) {
 	t.Helper()
 	unfinished, _ := recordedJobs(t, pagesOf(w))
 	if _, open := unfinished[j.Submission.ID]; !open {
@@ -291,15 +291,15 @@
 	}
 	tasks := 0
 	for _, value := range pagesOf(w) {
-		tasks += recordedTasks(t, value, j.Submission.ID)
+		tasks += countRecordedTasks(t, value, j.Submission.ID)
 	}
 	if tasks < j.Submission.Tasks {
 		t.Fatalf("%v: of %d tasks that were started %d are recorded as started or done", w.Now, j.Submission.Tasks, tasks)
 	}
 }
 
-// recordedTasks counts a job's tasks that a page names as started or done.
-func recordedTasks(t *testing.T, value []byte, id string) int {
+// countRecordedTasks counts a job's tasks that a page names as started or done.
+func countRecordedTasks(t *testing.T, value []byte, id string) int {
 	t.Helper()
 	var page storage.PageValue
 	if err := protocol.Decode(value, &page); err != nil {
@@ -341,11 +341,11 @@
 // the record with the attempt's number is not, when the leader ends. The successor starts
 // what is missing with the number that the others have: members of two attempts would wait
 // for each other in vain.
-func TestGangMembersHaveOneAttempt(t *testing.T) {
+func TestGangMembersShareOneAttemptNumber(t *testing.T) {
 	for lost := 2; lost <= 5; lost++ {
 		t.Run(fmt.Sprint("lost from write ", lost), func(t *testing.T) {
-			w := worldOf(t, onePageATransaction())
-			spare(t, w)
+			w := newWorldWith(t, onePagePerTransaction())
+			provisionIdleMachines(t, w)
 			w.Run(5 * time.Second)
 			tries := map[int64]bool{}
 			w.OnHeartbeat = func(r protocol.Heartbeat) {
@@ -355,13 +355,13 @@
 					}
 				}
 			}
-			w.Network = losesWrite(w, lost)
-			j := w.Submit(severalBlocks(1, protocol.Gang), 5*time.Second)
+			w.Network = loseNthWrite(w, lost)
+			j := w.Submit(multiBlockJob(1, protocol.Gang), 5*time.Second)
 			w.Run(300 * time.Millisecond)
 			w.Leader().Crash()
 			w.Network = nil
-			pollFor(w, 60*time.Second)
-			check(t, w)
+			runAndPoll(w, 60*time.Second)
+			requireNoViolations(t, w)
 			if len(tries) != 1 {
 				t.Errorf("members of %d attempts were started", len(tries))
 			}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -12,8 +12,8 @@
 	"oakpick/internal/protocol"
 )
 
-// broken hands in a job that fails on every machine.
-func broken(w *fake.World, s protocol.Submission) *fake.Job {
+// submitFailing hands in a job that fails on every machine.
+func submitFailing(w *fake.World, s protocol.Submission) *fake.Job {
 	j := w.Submit(s, 0)
 	j.AlwaysFails = true
 	return j
@@ -26,17 +26,17 @@
 	return starts
 }
 
-// mistakes hands in an array, a gang, a service and single jobs that fail everywhere.
-func mistakes(w *fake.World) []*fake.Job {
+// submitFailingJobs hands in an array, a gang, a service and single jobs that fail everywhere.
+func submitFailingJobs(w *fake.World) []*fake.Job {
 	array := job(1, protocol.Array, 3000)
 	array.CPUs, array.MemoryGB, array.Team = 0.01, 0.01, "red"
 	gang := job(2, protocol.Gang, 64)
 	gang.CPUs, gang.MemoryGB = 0.05, 0.1
 	alone := job(10, protocol.Array, 3) // on machines that nothing else needs
 	alone.GPUs = 2
-	jobs := []*fake.Job{broken(w, array), broken(w, gang), broken(w, service(3, 2)), broken(w, alone)}
+	jobs := []*fake.Job{submitFailing(w, array), submitFailing(w, gang), submitFailing(w, service(3, 2)), submitFailing(w, alone)}
 	for i := range 6 {
-		jobs = append(jobs, broken(w, job(4+i, protocol.Array, 1)))
+		jobs = append(jobs, submitFailing(w, job(4+i, protocol.Array, 1)))
 	}
 	return jobs
 }
@@ -44,9 +44,9 @@
 // Jobs with a mistake come from two teams at once. After the first tries each is started ever
 // more rarely, an array one task at a time; nothing is rented and no machine set aside for
 // them, other jobs go on, and to cancel them takes no longer than for any.
-func TestJobsWithAMistakeCostLittle(t *testing.T) {
-	without, _ := playMistakes(t, func(*fake.World) []*fake.Job { return nil })
-	with, starts := playMistakes(t, mistakes)
+func TestFailingJobsBackOff(t *testing.T) {
+	without, _ := runBesideFailingJobs(t, func(*fake.World) []*fake.Job { return nil })
+	with, starts := runBesideFailingJobs(t, submitFailingJobs)
 	if with > without+2 {
 		t.Errorf("%d machines were rented, %d without such jobs", with, without)
 	}
@@ -58,11 +58,11 @@
 	}
 }
 
-// playMistakes runs other jobs for two minutes beside some that fail everywhere, which have
+// runBesideFailingJobs runs other jobs for two minutes beside some that fail everywhere, which have
 // come half a minute before. It gives how many machines were rented in that time, and the
 // starts of each failing job, a gang's as one.
-func playMistakes(t *testing.T, submit func(*fake.World) []*fake.Job) (rented int64, starts map[string]int) {
-	w := world(t)
+func runBesideFailingJobs(t *testing.T, submit func(*fake.World) []*fake.Job) (rented int64, starts map[string]int) {
+	w := newWorld(t)
 	w.Submit(service(50, 2), 0)
 	w.Run(15 * time.Second)
 	jobs := submit(w)
@@ -85,7 +85,7 @@
 	if len(jobs) > 0 && starts[jobs[0].Submission.ID] == 0 {
 		t.Error("the array isn't tried any more")
 	}
-	if logged(w, "machine cordoned") {
+	if logContains(w, "machine cordoned") {
 		t.Error("a machine is set aside")
 	}
 	for _, j := range jobs {
@@ -97,87 +97,87 @@
 			t.Errorf("%s is called %q", j.Submission.ID, j.Status)
 		}
 	}
-	pollFor(w, 30*time.Second)
-	check(t, w)
-	served(t, w)
+	runAndPoll(w, 30*time.Second)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
 	return rented, starts
 }
 
 // The leader changes while jobs with a mistake are tried ever more rarely. The next one knows
 // nothing of their failures but how often they were started: it doesn't begin with all of
 // their tasks again.
-func TestSeriesOfFailuresOutlivesTheLeader(t *testing.T) {
-	w := world(t)
+func TestFailureBackoffSurvivesFailover(t *testing.T) {
+	w := newWorld(t)
 	w.Submit(service(50, 2), 0)
 	w.Run(15 * time.Second)
-	jobs := mistakes(w)
+	jobs := submitFailingJobs(w)
 	w.Run(60 * time.Second)
 	for range 3 {
 		starts := countStarts(w)
-		endLeader(w)
+		restartLeader(w)
 		w.Run(20 * time.Second)
 		if n := starts[jobs[0].Submission.ID]; n > 5 {
 			t.Errorf("the array of %d tasks was started %d times after a change of leader", jobs[0].Submission.Tasks, n)
 		}
 	}
 	good := w.Submit(job(70, protocol.Array, 6), 2*time.Second)
-	pollFor(w, 40*time.Second)
+	runAndPoll(w, 40*time.Second)
 	if good.Status != protocol.StatusDone {
 		t.Errorf("another job of the team is %q", good.Status)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // One machine really is faulty, among jobs with a mistake: it is still found, and only it.
-func TestFaultyMachineIsFoundAmongJobsWithAMistake(t *testing.T) {
-	w := world(t)
+func TestFaultyMachineCordonedAmongFailingJobs(t *testing.T) {
+	w := newWorld(t)
 	a := w.Submit(service(50, 1), 0)
-	runs(t, w, a.Submission.ID, 1)
+	waitRunning(t, w, a.Submission.ID, 1)
 	faulty := w.MachinesOf(a.Submission.ID)[0]
 	w.Workers[faulty].FailsTasks = true
-	mistakes(w)
+	submitFailingJobs(w)
 	for i := range 10 {
 		w.Submit(job(60+i, protocol.Array, 2), 2*time.Second)
 		w.Run(4 * time.Second)
 	}
-	pollFor(w, 60*time.Second)
+	runAndPoll(w, 60*time.Second)
 	for _, line := range w.Log {
 		if strings.Contains(line, "machine cordoned") && !strings.Contains(line, faulty) {
 			t.Errorf("another machine is set aside: %s", line)
 		}
 	}
-	if !logged(w, "machine cordoned [host "+faulty) {
+	if !logContains(w, "machine cordoned [host "+faulty) {
 		t.Error("the faulty machine isn't set aside")
 	}
-	check(t, w)
-	served(t, w)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
 }
 
 // A job fails on three faulty machines and is taken for the job's own fault. Its next try
 // completes: the rest of its tasks follow at once.
-func TestJobThatWasBlamedWronglyGoesOn(t *testing.T) {
-	w := world(t)
+func TestWronglyBlamedJobRecovers(t *testing.T) {
+	w := newWorld(t)
 	s := job(1, protocol.Array, 12)
 	s.CPUs = 2
-	j := broken(w, s) // as if every machine that it is tried on were faulty
+	j := submitFailing(w, s) // as if every machine that it is tried on were faulty
 	w.Run(40 * time.Second)
-	if !logged(w, "job fails on every machine") {
+	if !logContains(w, "job fails on every machine") {
 		t.Fatal("it isn't taken for the job's fault")
 	}
-	status := jobStatus(t, w, s.ID)
+	status := adminJobStatus(t, w, s.ID)
 	if status.Failures == nil || status.Failures.Fault != "job" || len(status.Failures.Machines) < 3 || status.Failures.Why == "" {
 		t.Errorf("operators are told %+v", status.Failures)
 	}
 	j.AlwaysFails = false
-	pollFor(w, 60*time.Second)
+	runAndPoll(w, 60*time.Second)
 	if j.Status != protocol.StatusDone {
 		t.Errorf("it is %q, %d of %d tasks done", j.Status, len(j.DoneTasks), s.Tasks)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
-// jobStatus is what the leader tells operators of a job.
-func jobStatus(t *testing.T, w *fake.World, id string) controller.JobStatus {
+// adminJobStatus is what the leader tells operators of a job.
+func adminJobStatus(t *testing.T, w *fake.World, id string) controller.JobStatus {
 	t.Helper()
 	var s controller.JobStatus
 	w.Leader().Request(message.AdminRequest{Kind: message.AdminJob, Job: id}, func(r message.Reply) {
--- a/internal/controller/five_controllers_test.go
+++ b/internal/controller/five_controllers_test.go
@@ -9,37 +9,37 @@
 	"oakpick/internal/protocol"
 )
 
-// fiveControllers are settings like those of a deployment of five.
-func fiveControllers() config.Settings {
+// fiveControllerSettings are settings like those of a deployment of five.
+func fiveControllerSettings() config.Settings {
 	s := fake.Settings()
 	s.Size = 5
 	return s
 }
 
-// dayOfFive submits work of all shapes and a pipeline, and gives the pipeline.
-func dayOfFive(t *testing.T, w *fake.World) []*fake.Job {
+// submitMixedWork submits work of all shapes and a pipeline, and gives the pipeline.
+func submitMixedWork(t *testing.T, w *fake.World) []*fake.Job {
 	t.Helper()
 	spread := service(50, 4)
 	spread.Spread, spread.CPUs = true, 2
 	w.Submit(spread, 0)
 	w.Submit(job(51, protocol.Gang, 3), 20*time.Second)
 	w.Submit(job(52, protocol.Array, 8), 6*time.Second)
-	return pipeline(t, w, 1)
+	return submitPipeline(t, w, 1)
 }
 
 // Two controllers at a time get the new version, also the leader, while workers move from
 // one controller to the next and a pipeline runs and is cancelled in the middle.
-func TestFiveControllersAreRolledTwoAtATime(t *testing.T) {
+func TestRollingUpgradeTwoOfFiveAtATime(t *testing.T) {
 	for _, pause := range []time.Duration{200 * time.Millisecond, 1500 * time.Millisecond, 5 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
 			t.Parallel()
-			s := fiveControllers()
+			s := fiveControllerSettings()
 			s.State.Next = nextLimits(1, 3, 25)
-			w := worldOf(t, s)
-			spare(t, w)
-			jobs := dayOfFive(t, w)
+			w := newWorldWith(t, s)
+			provisionIdleMachines(t, w)
+			jobs := submitMixedWork(t, w)
 			w.Run(3 * time.Second)
-			lookClosely(w, jobs, 2*time.Second)
+			queryRapidly(w, jobs, 2*time.Second)
 			for _, pair := range [][2]int{{0, 1}, {2, 3}, {4, 0}} {
 				for _, i := range pair {
 					w.Controllers[i].Crash()
@@ -53,17 +53,17 @@
 				w.PollAll()
 			}
 			w.State.LowerLimits()
-			pollFor(w, 90*time.Second)
-			check(t, w)
-			served(t, w)
-			settled(t, w, jobs)
+			runAndPoll(w, 90*time.Second)
+			requireNoViolations(t, w)
+			requireAllServed(t, w)
+			requirePipelineOutcome(t, w, jobs)
 		})
 	}
 }
 
 // Two zones can't reach each other, and both reach the controllers of the rest, the state
 // service and the cloud. The leader is in one of the two, or in neither, or ends meanwhile.
-func TestTwoZonesCannotReachEachOther(t *testing.T) {
+func TestPartitionBetweenTwoZones(t *testing.T) {
 	for name, inZone := range map[string]map[string]string{
 		"leader in zone a": {"n0": "a", "n1": "a", "n2": "b"},
 		"leader in zone b": {"n0": "b", "n1": "a", "n2": "a"},
@@ -72,9 +72,9 @@
 		for _, crash := range []bool{false, true} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				w := worldOf(t, fiveControllers())
-				spare(t, w)
-				jobs := dayOfFive(t, w)
+				w := newWorldWith(t, fiveControllerSettings())
+				provisionIdleMachines(t, w)
+				jobs := submitMixedWork(t, w)
 				w.Run(2 * time.Second)
 				zone := func(name string) string {
 					if w.Workers[name] != nil {
@@ -93,12 +93,12 @@
 					w.After(6*time.Second, w.Controllers[0].Crash)
 					w.After(14*time.Second, w.Controllers[0].Start)
 				}
-				lookRepeatedly(w, jobs, 40, time.Second)
+				queryRepeatedly(w, jobs, 40, time.Second)
 				w.Network = nil
-				pollFor(w, 90*time.Second)
-				check(t, w)
-				served(t, w)
-				settled(t, w, jobs)
+				runAndPoll(w, 90*time.Second)
+				requireNoViolations(t, w)
+				requireAllServed(t, w)
+				requirePipelineOutcome(t, w, jobs)
 			})
 		}
 	}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -12,8 +12,8 @@
 
 // A rental is carried out and its answer lost: it is asked again under its own
 // name, and nothing is rented twice.
-func TestRentalWithoutAnswerIsRepeatedUnderItsName(t *testing.T) {
-	w := world(t)
+func TestLostScaleOutResponseIsRetriedIdempotently(t *testing.T) {
+	w := newWorld(t)
 	w.Run(4 * time.Second)
 	lost, until := 0, w.Now+7*time.Second
 	w.Network = func(kind, _, _ string) fake.Delivery {
@@ -27,21 +27,21 @@
 	s := service(1, 1)
 	s.CPUs = 4
 	w.Submit(s, 0)
-	runs(t, w, s.ID, 1)
+	waitRunning(t, w, s.ID, 1)
 	w.Run(10 * time.Second)
 	if st := w.Controllers[0].Stats(); lost == 0 || int64(len(w.MachineNames())) != st.MachinesScaledOut-st.MachinesScaledIn {
 		n := st.MachinesScaledOut - st.MachinesScaledIn
 		t.Errorf("%d lost answers, %d machines known of %d", lost, n, len(w.MachineNames()))
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // An empty machine is cut off while the leader ends. The successor hears of it
 // only from the cloud's list, where it runs: it is not taken for one that never
 // came up, and is there when the cut is over.
-func TestCutMachineIsNotTakenForOneThatNeverCameUp(t *testing.T) {
-	w := world(t)
-	hosts := spare(t, w)
+func TestPartitionedMachineIsNotScaledInAfterFailover(t *testing.T) {
+	w := newWorld(t)
+	hosts := provisionIdleMachines(t, w)
 	cut := w.Now + 20*time.Second
 	w.Network = func(_, from, to string) fake.Delivery {
 		f := fake.Reliable()
@@ -53,29 +53,29 @@
 	if log := strings.Join(w.Log, "\n"); strings.Contains(log, "machine returned [host "+hosts[0]) {
 		t.Errorf("given back\n%s", log)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // Of a job's two tasks, which may not be in one zone, one runs and the other
 // waits for a machine elsewhere. The leader ends. The successor hears from an
 // empty machine, and not yet from the one that has the task, nor from the
 // cloud's list: it doesn't know that both are in the same zone.
-func TestUnknownZoneMayBeAnyZone(t *testing.T) {
-	w := world(t)
-	if status, answer := admin(w, 0, message.AdminChange, `{"warm_room": 0}`); status != 200 {
+func TestSpreadWaitsForUnknownTaskZones(t *testing.T) {
+	w := newWorld(t)
+	if status, answer := adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`); status != 200 {
 		t.Fatal(answer)
 	}
 	first := service(1, 2)
 	first.CPUs, first.Zone, first.Types = 4, "a", []string{"small"}
 	j := w.Submit(first, 0)
-	runs(t, w, first.ID, 2)
+	waitRunning(t, w, first.ID, 2)
 	w.CancelJob(j) // leaves two empty machines in zone a
 	w.Run(3 * time.Second)
 	w.Cloud.Down = true
 	s := service(2, 2)
 	s.CPUs, s.Spread, s.Types = 4, true, []string{"small"}
 	w.Submit(s, 0)
-	runs(t, w, s.ID, 1)
+	waitRunning(t, w, s.ID, 1)
 	w.Run(3 * time.Second)
 	cut, calls := w.MachinesOf(s.ID)[0], 0
 	w.Controllers[0].Crash()
@@ -90,36 +90,36 @@
 		return f
 	}
 	w.Run(9 * time.Second)
-	check(t, w)
+	requireNoViolations(t, w)
 	if w.Leader() == nil || w.Running(s.ID) != 1 {
 		t.Errorf("%d run", w.Running(s.ID))
 	}
 	cut = ""
 	w.Network = nil
-	runs(t, w, s.ID, 2)
-	check(t, w)
+	waitRunning(t, w, s.ID, 2)
+	requireNoViolations(t, w)
 }
 
 // A replica that needs no GPU is left alone on a machine with GPUs, and there is
 // room on a cheap one: it moves there, and the dear machine is given back. From
 // the cheap one it isn't moved to a dear one, however little is used.
-func TestReplicasMoveFromDearToCheapMachines(t *testing.T) {
-	w := world(t)
+func TestReplicasMoveToCheaperMachines(t *testing.T) {
+	w := newWorld(t)
 	w.Run(2 * time.Second)
-	if status, answer := admin(w, 0, message.AdminChange, `{"warm_room": 0, "idle_s": 5}`); status != 200 {
+	if status, answer := adminRequest(w, 0, message.AdminChange, `{"warm_room": 0, "idle_s": 5}`); status != 200 {
 		t.Fatal(answer)
 	}
 	kind := func(j *fake.Job) string { return w.TypeOf(w.MachinesOf(j.Submission.ID)[0]) }
 	gpu := service(1, 1)
 	gpu.GPUs = 1
 	c := w.Submit(gpu, 0)
-	runs(t, w, gpu.ID, 1)
+	waitRunning(t, w, gpu.ID, 1)
 	d := w.Submit(service(2, 1), 0)
-	runs(t, w, d.Submission.ID, 1)
+	waitRunning(t, w, d.Submission.ID, 1)
 	small := service(3, 1)
 	small.Types = []string{"small"}
 	f := w.Submit(small, 0)
-	runs(t, w, small.ID, 1)
+	waitRunning(t, w, small.ID, 1)
 	if kind(d) != "large" {
 		t.Fatalf("on a %s machine at first", kind(d))
 	}
@@ -131,20 +131,20 @@
 	w.CancelJob(f)
 	gpu.ID = "wk-000004"
 	w.Submit(gpu, 0)
-	runs(t, w, gpu.ID, 1)
+	waitRunning(t, w, gpu.ID, 1)
 	w.Run(60 * time.Second)
 	if kind(d) != "small" {
 		t.Errorf("moved to a %s machine", kind(d))
 	}
-	check(t, w)
-	served(t, w)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
 }
 
 // A first leader finds no machines and rents some; more jobs come at once. Their
 // machines are rented then, not when those of the first have had time to report.
-func TestFirstLeaderDoesNotWaitForItsOwnMachines(t *testing.T) {
-	w := world(t)
-	status, answer := admin(w, 0, message.AdminChange, `{"takeover_wait_s": 60, "warm_room": 0}`)
+func TestFirstLeaderScalesOutWithoutWaiting(t *testing.T) {
+	w := newWorld(t)
+	status, answer := adminRequest(w, 0, message.AdminChange, `{"takeover_wait_s": 60, "warm_room": 0}`)
 	if status != 200 && status != 0 {
 		t.Fatal(answer)
 	}
@@ -157,13 +157,13 @@
 	if n := w.Controllers[0].Stats().MachinesScaledOut; n != 2 {
 		t.Errorf("%d machines rented", n)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // Hundreds of tasks find no place at once, as after a zone is lost: the requests
 // for machines go out together, not one after the other's answer.
-func TestManyMachinesAreRentedTogether(t *testing.T) {
-	w := world(t)
+func TestConcurrentScaleOutRequests(t *testing.T) {
+	w := newWorld(t)
 	w.Run(2 * time.Second)
 	w.Cloud.Capacity = 300
 	for i := range 10 {
@@ -182,14 +182,14 @@
 	if n := w.Controllers[0].Stats().MachinesScaledOut; n < 120 {
 		t.Errorf("%d machines rented 2.5 s after 200 tasks came", n)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // A dear machine boots, with room for tasks that a cheap one would serve sooner. The cheap
 // ones are rented once, not again with every plan until the dear one is up.
-func TestRentedMachinesAreNotRentedAgainWhileADearOneBoots(t *testing.T) {
-	w := world(t)
-	admin(w, 0, message.AdminChange, `{"warm_room": 0}`)
+func TestNoDuplicateScaleOutWhileExpensiveMachineBoots(t *testing.T) {
+	w := newWorld(t)
+	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
 	w.Cloud.BootDelay = 4 * time.Second // booting takes several plans
 	dear := service(1, 1)
 	dear.GPUs, dear.CPUs = 1, 1
@@ -202,19 +202,19 @@
 	if n := w.Cloud.CountOfType("small"); n != 4 {
 		t.Errorf("%d cheap machines are rented for four tasks", n)
 	}
-	runs(t, w, cheap.ID, 4)
-	check(t, w)
+	waitRunning(t, w, cheap.ID, 4)
+	requireNoViolations(t, w)
 }
 
 // A machine with a replica dies. Room for two is rented, since of two machines one is up
 // sooner than either, and the other one is returned.
-func TestRoomForALostReplicaIsRentedTwice(t *testing.T) {
-	w := world(t)
-	admin(w, 0, message.AdminChange, `{"warm_room": 0}`)
+func TestLostReplicaScalesOutTwoMachines(t *testing.T) {
+	w := newWorld(t)
+	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
 	s := service(1, 1)
 	s.CPUs = 4 // all of a small machine
 	w.Submit(s, 0)
-	runs(t, w, s.ID, 1)
+	waitRunning(t, w, s.ID, 1)
 	w.Run(40 * time.Second)
 	if n := len(w.Cloud.MachineNames()); n != 1 {
 		t.Fatalf("%d machines are rented for one replica", n)
@@ -236,14 +236,14 @@
 	if n := len(w.Cloud.MachineNames()); n != 1 {
 		t.Errorf("%d machines are rented later", n)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // A replica waits for a machine that should be up and isn't. Another one is rented a little
 // later, not only when the first can hardly come any more.
-func TestWaitingReplicaDoesNotCountOnALateMachine(t *testing.T) {
-	w := world(t)
-	admin(w, 0, message.AdminChange, `{"warm_room": 0}`)
+func TestLateMachineIsReplaced(t *testing.T) {
+	w := newWorld(t)
+	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
 	w.Run(3 * time.Second)
 	w.Cloud.BootDelay = 60 * time.Second
 	s := service(1, 1)
@@ -255,5 +255,5 @@
 	if after := w.Cloud.CountOfType("small"); before != 1 || after != 2 {
 		t.Errorf("%d, then %d machines are rented for one replica", before, after)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -118,8 +118,8 @@
 	}
 )
 
-// writtenBack decodes a message as the version in production does, and encodes it again.
-func writtenBack[T any](message []byte) []byte {
+// roundTrip decodes a message as the version in production does, and encodes it again.
+func roundTrip[T any](message []byte) []byte {
 	var v T
 	if err := msgpack.Unmarshal(message, &v); err != nil {
 		panic(err)
@@ -131,25 +131,25 @@
 	return out
 }
 
-// asProduction is what is left of a stored value once the version in production has
+// roundTripProduction is what is left of a stored value once the version in production has
 // read it and written it back.
-func asProduction(key string, value []byte) []byte {
+func roundTripProduction(key string, value []byte) []byte {
 	if key == controller.LeaderKey {
-		return writtenBack[productionLeader](value)
+		return roundTrip[productionLeader](value)
 	}
-	return writtenBack[productionPage](value)
+	return roundTrip[productionPage](value)
 }
 
-// asPipelines is the same for the first version with prerequisites.
-func asPipelines(key string, value []byte) []byte {
+// roundTripFirstPipelines is the same for the first version with prerequisites.
+func roundTripFirstPipelines(key string, value []byte) []byte {
 	if key == controller.LeaderKey {
-		return writtenBack[productionLeader](value)
+		return roundTrip[productionLeader](value)
 	}
-	return writtenBack[pipelinesPage](value)
+	return roundTrip[pipelinesPage](value)
 }
 
-// golden is a value that an earlier version stored, or a message that it sent.
-type golden struct {
+// storedValue is a value that an earlier version stored, or a message that it sent.
+type storedValue struct {
 	Key   string `json:"key"`
 	Value string `json:"value"` // base64
 }
@@ -161,7 +161,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []golden
+	var list []storedValue
 	if err := json.Unmarshal(text, &list); err != nil {
 		t.Fatal(err)
 	}
@@ -210,7 +210,7 @@
 
 // What earlier versions wrote is read, and written back to the byte: a renamed field, a
 // changed order or a lost record would show.
-func TestWhatEarlierVersionsWroteIsKeptToTheByte(t *testing.T) {
+func TestEarlierFormatsRoundTripByteForByte(t *testing.T) {
 	for _, c := range []struct {
 		file  string
 		kinds []string
@@ -225,16 +225,16 @@
 			var again []byte
 			switch {
 			case key == "peer/step-down":
-				again = writtenBack[protocol.StepDown](value)
+				again = roundTrip[protocol.StepDown](value)
 			case key == "peer/step-down-answer":
-				again = writtenBack[protocol.StepDownResponse](value)
+				again = roundTrip[protocol.StepDownResponse](value)
 			case strings.HasPrefix(key, storage.PagePrefix):
-				again = writtenBack[storage.PageValue](value)
+				again = roundTrip[storage.PageValue](value)
 				for kind, n := range recordKinds(t, value) {
 					kinds[kind] += n
 				}
 			case key == controller.LeaderKey:
-				again = writtenBack[productionLeader](value)
+				again = roundTrip[productionLeader](value)
 			default:
 				t.Errorf("%s: an unknown key %s", c.file, key)
 			}
@@ -281,8 +281,8 @@
 	return unfinished, finished
 }
 
-// restored makes a world whose controllers find the pages of an earlier version.
-func restored(pages map[string][]byte) *fake.World {
+// newWorldFromPages makes a world whose controllers find the pages of an earlier version.
+func newWorldFromPages(pages map[string][]byte) *fake.World {
 	s := fake.Settings()
 	s.State.ValueKB, s.State.TxnOps = 8, 8
 	s.State.Next = nextLimits(1, 3, 25)
@@ -294,7 +294,7 @@
 // A leader of this version takes over the pages of an earlier one, also from the middle
 // of a division. It knows every job, whose end it tells, and keeps all of them when it
 // divides the pages for the limits to come.
-func TestLeaderTakesOverWhatEarlierVersionsWrote(t *testing.T) {
+func TestTakeOverOfEarlierVersionsPages(t *testing.T) {
 	for _, file := range []string{productionFile, pipelinesFile, dividingFile} {
 		t.Run(file, func(t *testing.T) {
 			pages := goldenPages(t, file)
@@ -302,7 +302,7 @@
 			if len(unfinished) == 0 {
 				t.Fatal("no job is left to go on with")
 			}
-			w := restored(pages)
+			w := newWorldFromPages(pages)
 			w.Run(15 * time.Second)
 			for id := range unfinished {
 				status := w.StatusOf(id)
@@ -321,29 +321,29 @@
 					t.Errorf("%s is on no page", id)
 				}
 			}
-			check(t, w)
+			requireNoViolations(t, w)
 		})
 	}
 }
 
 // Stored values that are damaged, cut short, of a wrong type or with fields that nobody
 // knows, never end a controller's process: it can read them, or leads no term.
-func TestDamagedPagesEndNoProcess(t *testing.T) {
+func TestCorruptPagesDoNotCrashControllers(t *testing.T) {
 	for _, file := range []string{productionFile, pipelinesFile} {
 		for key, value := range goldenPages(t, file) {
-			for _, damaged := range damage(t, value) {
+			for _, damaged := range corruptedCopies(t, value) {
 				pages := goldenPages(t, file)
 				pages[key] = damaged
-				w := restored(pages)
+				w := newWorldFromPages(pages)
 				w.Run(4 * time.Second)
 			}
 		}
 	}
 }
 
-// damage gives copies of a page's value that are cut, have a byte replaced, or hold
+// corruptedCopies gives copies of a page's value that are cut, have a byte replaced, or hold
 // something else under one of its fields.
-func damage(t *testing.T, value []byte) [][]byte {
+func corruptedCopies(t *testing.T, value []byte) [][]byte {
 	t.Helper()
 	const cuts = 12
 	out := [][]byte{{}, {0xc0}, {0x93, 1, 2, 3}}
@@ -373,13 +373,13 @@
 }
 
 // What the peers say to each other is read by both versions alike.
-func TestPeerMessagesAreThoseOfProduction(t *testing.T) {
+func TestPeerMessagesMatchProduction(t *testing.T) {
 	ask := protocol.Encode(protocol.StepDown{Term: 1 << 40, Leader: "n1"})
-	if !bytes.Equal(writtenBack[productionStepDown](ask), ask) {
+	if !bytes.Equal(roundTrip[productionStepDown](ask), ask) {
 		t.Error("production reads another step-down request")
 	}
 	answer := protocol.Encode(protocol.StepDownResponse{SteppedDown: true, LastLoadedTerm: 1 << 40, UptimeMs: 5})
-	if !bytes.Equal(writtenBack[productionStepDownAnswer](answer), answer) {
+	if !bytes.Equal(roundTrip[productionStepDownAnswer](answer), answer) {
 		t.Error("production reads another answer")
 	}
 }
@@ -387,16 +387,16 @@
 // With prerequisites in use, every value that is stored is one that the first version
 // with them could have written: it reads it and writes it back to the byte, so that it
 // may run beside this one.
-func TestPipelinesAreWrittenAsTheirFirstVersionDid(t *testing.T) {
+func TestPipelineRecordsMatchFirstVersion(t *testing.T) {
 	s := fake.Settings()
 	s.State.Next = nextLimits(1, 3, 25)
-	w := worldOf(t, s)
-	jobs := pipeline(t, w, 1)
+	w := newWorldWith(t, s)
+	jobs := submitPipeline(t, w, 1)
 	extensions := 0
 	for range 40 {
 		w.Run(500 * time.Millisecond)
 		for key, value := range w.State.Values() {
-			if !bytes.Equal(asPipelines(key, value), value) {
+			if !bytes.Equal(roundTripFirstPipelines(key, value), value) {
 				t.Fatalf("%s holds what the first version with prerequisites would not write: %x", key, value)
 			}
 			if strings.HasPrefix(key, storage.PagePrefix) {
@@ -407,20 +407,20 @@
 	if extensions == 0 {
 		t.Error("no extension was stored")
 	}
-	pollFor(w, 30*time.Second)
-	check(t, w)
-	settled(t, w, jobs)
+	runAndPoll(w, 30*time.Second)
+	requireNoViolations(t, w)
+	requirePipelineOutcome(t, w, jobs)
 }
 
 // While nothing new is used, every value that is stored is one that production could
 // have written: it reads it and writes it back to the byte.
-func TestNothingNewIsWrittenWhileNothingNewIsUsed(t *testing.T) {
+func TestProductionFormatUnlessNewFeaturesUsed(t *testing.T) {
 	w := fake.NewWorld(fake.Settings())
 	seen := 0
 	look := func() {
 		for key, value := range w.State.Values() {
 			seen++
-			if !bytes.Equal(asProduction(key, value), value) {
+			if !bytes.Equal(roundTripProduction(key, value), value) {
 				t.Fatalf("%s holds what production would not write: %x", key, value)
 			}
 		}
@@ -445,5 +445,5 @@
 	if seen == 0 {
 		t.Error("nothing was stored")
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -12,10 +12,10 @@
 
 var fine = flag.Bool("fine", false, "sweep the meetings of troubles in finer steps")
 
-// gap is a day on which the state service refuses the leader alone, jobs are
+// failoverScenario is a day on which the state service refuses the leader alone, jobs are
 // cancelled through the others, and then the state service is down for all, for
 // longer than a cancellation may take. Times count from the refusal.
-type gap struct {
+type failoverScenario struct {
 	phase     time.Duration // by which the refusal is late against the workers' reports
 	cancel    time.Duration
 	outage    time.Duration
@@ -32,15 +32,15 @@
 	restarts  bool          // and so does the old leader's, but it ends and is back at once
 }
 
-func (g gap) String() string {
-	return strings.ReplaceAll(fmt.Sprintf("%+v", struct{ gap }{g}), " ", ",")
+func (g failoverScenario) String() string {
+	return strings.ReplaceAll(fmt.Sprintf("%+v", struct{ failoverScenario }{g}), " ", ",")
 }
 
-// play tells how many jobs were confirmed as cancelled, and how many of them while
+// run tells how many jobs were confirmed as cancelled, and how many of them while
 // the old leader still answered a worker.
-func (g gap) play(t *testing.T) (told, held int) {
+func (g failoverScenario) run(t *testing.T) (told, held int) {
 	t.Helper()
-	w := world(t)
+	w := newWorld(t)
 	var jobs []*fake.Job
 	for i := range 4 {
 		s := service(i+1, 2)
@@ -48,7 +48,7 @@
 		jobs = append(jobs, w.Submit(s, 0))
 	}
 	for _, j := range jobs {
-		runs(t, w, j.Submission.ID, 2)
+		waitRunning(t, w, j.Submission.ID, 2)
 	}
 	kept := jobs[3] // which nobody cancels
 	w.Run(4*time.Second + g.phase)
@@ -142,8 +142,8 @@
 // The users' gap, swept: at every offset of cancellation and outage from the
 // refusal, and of the refusal from the workers' reports, whoever was told that a
 // job is cancelled finds its tasks gone in time, by the world's own record.
-func TestCancelledInTheGap(t *testing.T) {
-	kinds := map[string]gap{
+func TestCancellationDuringFailover(t *testing.T) {
+	kinds := map[string]failoverScenario{
 		"plain":                                        {},
 		"old leader alone":                             {peersCut: true},
 		"slow answers":                                 {slow: true},
@@ -183,7 +183,7 @@
 						} else {
 							g.outage = 500*time.Millisecond + time.Duration(o*o*11.5*float64(time.Second))
 						}
-						a, b := g.play(t)
+						a, b := g.run(t)
 						told, held = told+a, held+b
 					}
 				}
--- a/internal/controller/guests_test.go
+++ b/internal/controller/guests_test.go
@@ -10,15 +10,15 @@
 	"oakpick/internal/protocol"
 )
 
-// guestWorld is a world with a team that has no guarantee.
-func guestWorld(t *testing.T) *fake.World {
+// newBestEffortWorld is a world with a team that has no guarantee.
+func newBestEffortWorld(t *testing.T) *fake.World {
 	t.Helper()
 	s := fake.Settings()
 	s.Teams = append(s.Teams, config.Team{Name: "guests"})
-	return worldOf(t, s)
+	return newWorldWith(t, s)
 }
 
-func guestJob(id int, shape protocol.JobKind, tasks int) protocol.Submission {
+func bestEffortJob(id int, shape protocol.JobKind, tasks int) protocol.Submission {
 	s := job(id, shape, tasks)
 	s.Team, s.Priority, s.Spot = "guests", protocol.Low, true
 	return s
@@ -27,8 +27,8 @@
 // Guests bring far more work than the cheap machines hold, and leaders end in between.
 // No controller rents a machine for them where a place costs more than twice the cheapest;
 // the work is done all the same.
-func TestGuestsAreRentedOnlyWhatTheirWorkIsWorth(t *testing.T) {
-	w := guestWorld(t)
+func TestBestEffortScaleOutIsLimitedByCost(t *testing.T) {
+	w := newBestEffortWorld(t)
 	w.Cloud.CapacityOf = map[string]int{"small": 3}
 	dear := 0
 	w.OnBoot = func(m protocol.Machine) {
@@ -36,17 +36,17 @@
 			dear++
 		}
 	}
-	w.Submit(guestJob(1, protocol.Array, 120), 4*time.Second)
-	w.Submit(guestJob(2, protocol.Array, 20), 4*time.Second)
+	w.Submit(bestEffortJob(1, protocol.Array, 120), 4*time.Second)
+	w.Submit(bestEffortJob(2, protocol.Array, 20), 4*time.Second)
 	for range 3 {
 		w.Run(15 * time.Second)
 		l := w.Leader()
 		l.Crash()
 		w.After(2*time.Second, l.Start)
 	}
-	pollFor(w, 120*time.Second)
-	check(t, w)
-	served(t, w)
+	runAndPoll(w, 120*time.Second)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
 	if dear > 0 {
 		t.Errorf("%d machines that cost more were rented for guests", dear)
 	}
@@ -55,15 +55,15 @@
 // All cheap machines are full of a guest's long work. Another guest's job finds room beside
 // a guaranteed team's, on a machine that is dear for it: it waits, but not for ever, also
 // if the leader changes meanwhile.
-func TestGuestTakesAnyRoomInTheEnd(t *testing.T) {
+func TestBestEffortJobEventuallyUsesAnyMachine(t *testing.T) {
 	for _, ends := range []bool{false, true} {
-		w := guestWorld(t)
+		w := newBestEffortWorld(t)
 		w.Cloud.CapacityOf = map[string]int{"small": 0}
 		paying := service(1, 1)
 		paying.CPUs, paying.GPUs, paying.MemoryGB = 2, 1, 4
 		w.Submit(paying, 0)
-		runs(t, w, paying.ID, 1)
-		s := guestJob(2, protocol.Array, 1)
+		waitRunning(t, w, paying.ID, 1)
+		s := bestEffortJob(2, protocol.Array, 1)
 		s.CPUs, s.Spot = 3, false
 		w.Submit(s, 30*time.Second)
 		began := w.Now
@@ -79,24 +79,24 @@
 		if !w.RunUntil(90*time.Second, func() bool { return w.Running(s.ID) == 1 }) {
 			t.Errorf("the guest's job still waits after %v", w.Now-began)
 		}
-		pollFor(w, 20*time.Second)
-		check(t, w)
+		runAndPoll(w, 20*time.Second)
+		requireNoViolations(t, w)
 	}
 }
 
 // A guest's tasks that save are left alone on a machine that is dear for them, once a
 // guaranteed team's have gone. They are stopped, save, and go on where it is cheap, and the
 // machine is given back, also by a successor.
-func TestMachineIsNotKeptForGuestsAlone(t *testing.T) {
+func TestMachineNotKeptForBestEffortAlone(t *testing.T) {
 	for _, ends := range []bool{false, true} {
-		w := guestWorld(t)
+		w := newBestEffortWorld(t)
 		w.Cloud.CapacityOf = map[string]int{"small": 0}
 		paying := service(1, 1)
 		paying.CPUs, paying.GPUs = 2, 2
 		w.Submit(paying, 0)
-		runs(t, w, paying.ID, 1)
+		waitRunning(t, w, paying.ID, 1)
 		host := w.MachinesOf(paying.ID)[0]
-		s := guestJob(2, protocol.Array, 3)
+		s := bestEffortJob(2, protocol.Array, 3)
 		s.CPUs, s.EstimatedRunS = 2, 400
 		j := w.Submit(s, 400*time.Second)
 		if !w.RunUntil(60*time.Second, func() bool { return w.Running(s.ID) > 0 }) {
@@ -119,20 +119,20 @@
 			}
 		}
 		w.CancelEverywhere(j)
-		pollFor(w, 10*time.Second)
-		check(t, w)
+		runAndPoll(w, 10*time.Second)
+		requireNoViolations(t, w)
 	}
 }
 
 // An array of guests far larger than the fleet keeps the write budget busy, and the leader ends
 // in the middle of it. What a guaranteed team submits is taken at once, by whoever leads.
-func TestGuestsWritesKeepNobodyWaiting(t *testing.T) {
+func TestBestEffortWritesDoNotDelayOthers(t *testing.T) {
 	s := fake.Settings()
 	s.Teams = append(s.Teams, config.Team{Name: "guests"})
 	s.State.WriteRPS = 3
-	w := worldOf(t, s)
+	w := newWorldWith(t, s)
 	w.Cloud.CapacityOf = map[string]int{"small": 16}
-	array := guestJob(1, protocol.Array, 25_000)
+	array := bestEffortJob(1, protocol.Array, 25_000)
 	array.CPUs, array.MemoryGB, array.EstimatedRunS = 0.05, 0.1, 3
 	w.Submit(array, 3*time.Second)
 	w.Run(20 * time.Second)
@@ -153,5 +153,5 @@
 	if most := time.Second; worst > most {
 		t.Errorf("a submission took %v behind guests' writes, at most %v", worst, most)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -11,14 +11,14 @@
 	"oakpick/internal/protocol"
 )
 
-// world makes one in which n0 leads.
-func world(t *testing.T) *fake.World {
+// newWorld makes one in which n0 leads.
+func newWorld(t *testing.T) *fake.World {
 	t.Helper()
-	return worldOf(t, fake.Settings())
+	return newWorldWith(t, fake.Settings())
 }
 
-// worldOf makes one with such settings in which n0 leads.
-func worldOf(t *testing.T, s config.Settings) *fake.World {
+// newWorldWith makes one with such settings in which n0 leads.
+func newWorldWith(t *testing.T, s config.Settings) *fake.World {
 	t.Helper()
 	w := fake.NewWorld(s)
 	for _, n := range w.Controllers[1:] {
@@ -33,7 +33,7 @@
 	return w
 }
 
-func runs(t *testing.T, w *fake.World, id string, tasks int) {
+func waitRunning(t *testing.T, w *fake.World, id string, tasks int) {
 	t.Helper()
 	if !w.RunUntil(90*time.Second, func() bool { return w.Running(id) == tasks }) {
 		t.Fatalf("%s: %d of %d run\n%s", id, w.Running(id), tasks, strings.Join(w.Log, "\n"))
@@ -46,21 +46,21 @@
 	return s
 }
 
-// spare makes a world with two empty machines that are up, and gives their names.
-func spare(t *testing.T, w *fake.World) []string {
+// provisionIdleMachines makes a world with two empty machines that are up, and gives their names.
+func provisionIdleMachines(t *testing.T, w *fake.World) []string {
 	t.Helper()
 	s := service(90, 2)
 	s.CPUs = 4
 	j := w.Submit(s, 0)
-	runs(t, w, s.ID, 2)
+	waitRunning(t, w, s.ID, 2)
 	hosts := w.MachinesOf(s.ID)
 	w.CancelJob(j)
 	w.Run(4 * time.Second)
 	return hosts
 }
 
-// lookClosely looks at a job at every node again and again within milliseconds, for so long.
-func lookClosely(w *fake.World, jobs []*fake.Job, d time.Duration) {
+// queryRapidly looks at a job at every node again and again within milliseconds, for so long.
+func queryRapidly(w *fake.World, jobs []*fake.Job, d time.Duration) {
 	for at := time.Duration(0); at < d; at += 7 * time.Millisecond {
 		w.After(at, func() {
 			for _, j := range jobs {
@@ -70,8 +70,8 @@
 	}
 }
 
-// pollFor lets time pass, and has every job asked about as it does.
-func pollFor(w *fake.World, d time.Duration) {
+// runAndPoll lets time pass, and has every job asked about as it does.
+func runAndPoll(w *fake.World, d time.Duration) {
 	for end := w.Now + d; w.Now < end; {
 		w.Run(2 * time.Second)
 		w.PollAll()
@@ -86,7 +86,7 @@
 	}
 }
 
-func check(t interface{ Fatalf(string, ...any) }, w *fake.World) {
+func requireNoViolations(t interface{ Fatalf(string, ...any) }, w *fake.World) {
 	if len(w.Violations) > 0 {
 		tail := w.Log[max(0, len(w.Log)-60):]
 		t.Fatalf("rules broken:\n%s\nlog:\n%s", strings.Join(w.Violations, "\n"), strings.Join(tail, "\n"))
@@ -100,8 +100,8 @@
 	}
 }
 
-// served fails unless every job that was accepted and not cancelled is served.
-func served(t interface{ Fatalf(string, ...any) }, w *fake.World) {
+// requireAllServed fails unless every job that was accepted and not cancelled is served.
+func requireAllServed(t interface{ Fatalf(string, ...any) }, w *fake.World) {
 	for id, j := range w.Jobs {
 		if j.CancelRequested || j.AlwaysFails {
 			continue
@@ -125,9 +125,9 @@
 	}
 }
 
-// lookRepeatedly asks about jobs at every node, and hands them in again there, so many
+// queryRepeatedly asks about jobs at every node, and hands them in again there, so many
 // times, each time after a while.
-func lookRepeatedly(w *fake.World, jobs []*fake.Job, times int, after time.Duration) {
+func queryRepeatedly(w *fake.World, jobs []*fake.Job, times int, after time.Duration) {
 	for range times {
 		w.Run(after)
 		for _, j := range jobs {
--- a/internal/controller/hold_test.go
+++ b/internal/controller/hold_test.go
@@ -17,7 +17,7 @@
 // all are, and none runs twice. While all peers say that they haven't led, none
 // is lost however long it takes; but a peer whose process has begun since then
 // can't know.
-func TestStateOutageOnBothSidesOfTheHold(t *testing.T) {
+func TestStateOutageAroundHeartbeatGracePeriod(t *testing.T) {
 	for _, x := range []struct {
 		down    time.Duration
 		trouble string
@@ -25,9 +25,9 @@
 	}{{12 * time.Second, "cut", true}, {20 * time.Second, "cut", true}, {45 * time.Second, "cut", false},
 		{90 * time.Second, "", true}, {45 * time.Second, "restart", false}} {
 		t.Run(x.down.String()+x.trouble, func(t *testing.T) {
-			w := world(t)
+			w := newWorld(t)
 			j := w.Submit(service(1, 2), 0)
-			runs(t, w, j.Submission.ID, 2)
+			waitRunning(t, w, j.Submission.ID, 2)
 			w.Run(10 * time.Second)
 			hosts := w.MachinesOf(j.Submission.ID)
 			w.State.SetOutage(true)
@@ -47,8 +47,8 @@
 				t.Errorf("kept %v\n%s", kept, strings.Join(w.Log[max(0, len(w.Log)-20):], "\n"))
 			}
 			w.Run(90 * time.Second)
-			check(t, w)
-			served(t, w)
+			requireNoViolations(t, w)
+			requireAllServed(t, w)
 		})
 	}
 }
@@ -57,10 +57,10 @@
 // has read the records the service is down for all, for much longer than a lease. It
 // asks nobody to let go for that, and nobody has told or started anything: what
 // runs is kept, and when the outage is over a job can be cancelled.
-func TestSuccessorThatCannotReadTheBooks(t *testing.T) {
-	w := world(t)
+func TestSuccessorCannotLoadRecords(t *testing.T) {
+	w := newWorld(t)
 	j := w.Submit(service(1, 2), 0)
-	runs(t, w, j.Submission.ID, 2)
+	waitRunning(t, w, j.Submission.ID, 2)
 	w.Run(5 * time.Second)
 	hosts := w.MachinesOf(j.Submission.ID)
 	taken := func() bool { h := w.State.WriterOf(controller.LeaderKey); return h != "n0" && h != "" }
@@ -88,17 +88,17 @@
 	if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) != 0 {
 		t.Errorf("told %q, on %v", j.Status, w.MachinesOf(j.Submission.ID))
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
-// onlyItsWorker makes a world in which the leader, n0, reaches nothing any more but
+// partitionLeaderWithOneWorker makes a world in which the leader, n0, reaches nothing any more but
 // the worker that runs a job's replica, which nobody else reaches.
-func onlyItsWorker(t *testing.T) (*fake.World, *fake.Job) {
+func partitionLeaderWithOneWorker(t *testing.T) (*fake.World, *fake.Job) {
 	t.Helper()
-	w := world(t)
-	spare(t, w)
+	w := newWorld(t)
+	provisionIdleMachines(t, w)
 	j := w.Submit(service(1, 1), 0)
-	runs(t, w, j.Submission.ID, 1)
+	waitRunning(t, w, j.Submission.ID, 1)
 	host := w.MachinesOf(j.Submission.ID)[0]
 	w.Network = func(_, from, to string) fake.Delivery {
 		f := fake.Reliable()
@@ -111,10 +111,10 @@
 
 // The leader keeps nothing but one worker. It goes on answering that one for
 // its hold; the successor, which hears nothing of either, waits that long.
-func TestLeaderWithOnlyItsWorkersLeft(t *testing.T) {
-	w, j := onlyItsWorker(t)
+func TestPartitionedLeaderWithOneWorker(t *testing.T) {
+	w, j := partitionLeaderWithOneWorker(t)
 	w.Run(80 * time.Second)
-	check(t, w)
+	requireNoViolations(t, w)
 	if w.Leader() == nil || w.Leader().Name == "n0" {
 		t.Fatal("nobody took over")
 	}
@@ -123,14 +123,14 @@
 	}
 	w.Network = nil
 	w.Run(30 * time.Second)
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // The predecessor has ended and its next process says so: the wait is shorter.
-func TestPeersLettingGoShortensTheWait(t *testing.T) {
-	w := world(t)
+func TestSteppedDownPeerShortensFailover(t *testing.T) {
+	w := newWorld(t)
 	j := w.Submit(service(1, 1), 0)
-	runs(t, w, j.Submission.ID, 1)
+	waitRunning(t, w, j.Submission.ID, 1)
 	host := w.MachinesOf(j.Submission.ID)[0]
 	w.Controllers[0].Crash()
 	w.After(3*time.Second, w.Controllers[0].Start)
@@ -138,15 +138,15 @@
 	if !w.RunUntil(22*time.Second, func() bool { return w.Running(j.Submission.ID) == 1 }) {
 		t.Errorf("not replaced in 22 s\n%s", strings.Join(w.Log, "\n"))
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // A process stands still for longer than its hold and then finds workers'
 // reports waiting: a successor counts on it not to answer them any more.
-func TestReportThatWaitedOutTheHoldIsRefused(t *testing.T) {
-	w := world(t)
+func TestHeartbeatAfterGracePeriodIsRefused(t *testing.T) {
+	w := newWorld(t)
 	j := w.Submit(service(1, 1), 0)
-	runs(t, w, j.Submission.ID, 1)
+	waitRunning(t, w, j.Submission.ID, 1)
 	host := w.MachinesOf(j.Submission.ID)[0]
 	n0 := w.Controllers[0]
 	n0.PausedUntil = w.Now + 60*time.Second
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -15,10 +15,10 @@
 	largeFleet = 4000
 	// rackMachines is how many of them are lost at a time.
 	rackMachines = 40
-	replicasEach = 50 // of each job that fleetOf submits
+	replicasEach = 50 // of each job that newFleet submits
 )
 
-// allReplicasRun tells whether every replica of fleetOf's jobs runs.
+// allReplicasRun tells whether every replica of newFleet's jobs runs.
 func allReplicasRun(w *fake.World) bool {
 	for i := range largeFleet / replicasEach {
 		if w.Running(service(i+1, replicasEach).ID) != replicasEach {
@@ -32,7 +32,7 @@
 func machinesUp(t *testing.T, w *fake.World) (up int) {
 	t.Helper()
 	var status controller.Status
-	_, answer := admin(w, w.Leader().Index, message.AdminStatus, "")
+	_, answer := adminRequest(w, w.Leader().Index, message.AdminStatus, "")
 	if err := json.Unmarshal([]byte(answer), &status); err != nil || status.Leads == nil {
 		t.Fatalf("%v: %s", err, answer)
 	}
@@ -45,8 +45,8 @@
 // A leader's end, the loss of a rack and the return of everything, at the largest fleet that
 // users run: every machine is used by the new leader, every lost replica runs again elsewhere,
 // and no machine stays rented. A limit that stands below the fleet's size would leave some out.
-func TestLargeFleetThroughTakeOverRackLossAndReturn(t *testing.T) {
-	w, leader := fleetOf(t, largeFleet)
+func TestLargeFleetFailoverRackLossAndScaleIn(t *testing.T) {
+	w, leader := newFleet(t, largeFleet)
 	w.Cloud.Capacity += rackMachines // room for machines in place of those that die
 	if !w.RunUntil(time.Minute, func() bool { return allReplicasRun(w) }) {
 		t.Fatal("not every replica runs")
@@ -81,18 +81,18 @@
 	if !w.RunUntil(10*time.Minute, func() bool { return len(w.Cloud.MachineNames()) == 0 }) {
 		t.Errorf("%d machines stay rented", len(w.Cloud.MachineNames()))
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // An operator may have every machine of a large fleet looked at for a task. Whatever the
 // settings make the defaults, an operator can hand them back: with 1,001 written keys a second
 // the default of moves_per_min was out of its own range, and no figure could be changed at all.
-func TestSettingsForALargeFleetAreInRange(t *testing.T) {
+func TestLargeFleetSettingsAreInRange(t *testing.T) {
 	s := fake.Settings()
 	s.State.WriteRPS = largeFleet
-	w := worldOf(t, s)
+	w := newWorldWith(t, s)
 	w.Run(2 * time.Second)
-	if status, answer := admin(w, 0, message.AdminChange, `{"sample": 4000}`); status != 200 {
+	if status, answer := adminRequest(w, 0, message.AdminChange, `{"sample": 4000}`); status != 200 {
 		t.Errorf("%d %s", status, answer)
 	}
 }
--- a/internal/controller/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -14,15 +14,15 @@
 	"oakpick/internal/storage"
 )
 
-// smallestBudgets are the limits of a state service that has lowered them.
-func smallestBudgets() config.Settings {
+// smallestStateLimits are the limits of a state service that has lowered them.
+func smallestStateLimits() config.Settings {
 	s := fake.Settings()
 	s.State = config.State{RPS: 120, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
 	return s
 }
 
-// acceptedAll lets users submit until every job is accepted.
-func acceptedAll(t *testing.T, w *fake.World, jobs []*fake.Job) {
+// waitAllAccepted lets users submit until every job is accepted.
+func waitAllAccepted(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
 	waits := func(j *fake.Job) bool { return !j.Accepted }
 	if !w.RunUntil(5*time.Minute, func() bool { return !slices.ContainsFunc(jobs, waits) }) {
@@ -34,7 +34,7 @@
 // root is cancelled, and the leader ends while the ends of what needs it are written: all
 // nodes call every job cancelled from the first moment on, the ends are written within
 // cancel_s, and others' submissions are still accepted in good time.
-func TestLargePipelinesAreCancelledAtTheRoot(t *testing.T) {
+func TestCancelRootOfLargePipeline(t *testing.T) {
 	const size = 260
 	shapes := map[string]func(w *fake.World, root *fake.Job, n int, all []*fake.Job) []*fake.Job{
 		"chain": func(_ *fake.World, _ *fake.Job, _ int, all []*fake.Job) []*fake.Job { return all[len(all)-1:] },
@@ -50,15 +50,15 @@
 		for _, crash := range []time.Duration{-1, 0, 300 * time.Millisecond, 2 * time.Second} {
 			t.Run(fmt.Sprint(name, " ", crash), func(t *testing.T) {
 				t.Parallel()
-				w := worldOf(t, smallestBudgets())
-				spare(t, w)
-				root := accepted(t, w, job(1, protocol.Array, 1), time.Hour)
-				runs(t, w, root.Submission.ID, 1)
+				w := newWorldWith(t, smallestStateLimits())
+				provisionIdleMachines(t, w)
+				root := submitAfter(t, w, job(1, protocol.Array, 1), time.Hour)
+				waitRunning(t, w, root.Submission.ID, 1)
 				all := []*fake.Job{root}
 				for n := 1; n <= size; n++ {
-					all = append(all, accepted(t, w, job(1000+n, protocol.Array, 1), time.Second, needs(w, root, n, all)...))
+					all = append(all, submitAfter(t, w, job(1000+n, protocol.Array, 1), time.Second, needs(w, root, n, all)...))
 				}
-				acceptedAll(t, w, all)
+				waitAllAccepted(t, w, all)
 				w.CancelJob(root)
 				if !w.RunUntil(10*time.Second, func() bool { return root.Cancelled }) {
 					t.Fatal("not told that it is cancelled")
@@ -70,7 +70,7 @@
 						w.After(2*time.Second, l.Start)
 					}
 				}
-				lookClosely(w, all[len(all)-5:], 300*time.Millisecond)
+				queryRapidly(w, all[len(all)-5:], 300*time.Millisecond)
 				w.Run(400 * time.Millisecond)
 				if last := all[len(all)-1]; crash < 0 && last.Status != protocol.StatusCancelled {
 					t.Errorf("%s is called %q after 0.7 s", last.Submission.ID, last.Status)
@@ -92,13 +92,13 @@
 				if open, _ := recordedJobs(t, pagesOf(w)); len(open) > 1 {
 					t.Errorf("the ends of %d jobs aren't written", len(open))
 				}
-				pollFor(w, 15*time.Second)
+				runAndPoll(w, 15*time.Second)
 				for _, j := range all {
 					if j.Status != protocol.StatusCancelled {
 						t.Fatalf("%s is called %q", j.Submission.ID, j.Status)
 					}
 				}
-				check(t, w)
+				requireNoViolations(t, w)
 			})
 		}
 	}
@@ -108,12 +108,12 @@
 // another that needs it: by the times of their submissions the second comes before the
 // first. A job before both is cancelled, and the leader ends before the others' ends are
 // written. The next leader cancels them all the same, in whatever order it finds them.
-func TestClocksPutAPipelineInTheWrongOrder(t *testing.T) {
+func TestClockSkewReordersPipeline(t *testing.T) {
 	for step := range 12 {
 		s := fake.Settings()
 		s.State.TxnOps = 1 // the end of each job has a transaction of its own
-		w := worldOf(t, s)
-		spare(t, w)
+		w := newWorldWith(t, s)
+		provisionIdleMachines(t, w)
 		w.Controllers[0].ClockOffset = 5 * time.Second
 		w.Controllers[1].ClockOffset, w.Controllers[2].ClockOffset = -5*time.Second, -5*time.Second
 		long := func(n int) protocol.Submission { // each on a page of its own
@@ -121,16 +121,16 @@
 			s.Class = fmt.Sprintf("%01400d", n)
 			return s
 		}
-		first := accepted(t, w, long(1), time.Hour)
-		runs(t, w, first.Submission.ID, 1)
-		second := accepted(t, w, long(2), time.Second, first)
+		first := submitAfter(t, w, long(1), time.Hour)
+		waitRunning(t, w, first.Submission.ID, 1)
+		second := submitAfter(t, w, long(2), time.Second, first)
 		if !w.RunUntil(10*time.Second, func() bool { return second.Accepted }) {
 			t.Fatal("not accepted")
 		}
 		w.Controllers[0].Crash()
 		w.After(10*time.Second, w.Controllers[0].Start)
-		third := accepted(t, w, long(3), time.Second, second)
-		fourth := accepted(t, w, long(4), time.Second, third)
+		third := submitAfter(t, w, long(3), time.Second, second)
+		fourth := submitAfter(t, w, long(4), time.Second, third)
 		if !w.RunUntil(20*time.Second, func() bool { return fourth.Accepted }) {
 			t.Fatal("not accepted")
 		}
@@ -156,10 +156,10 @@
 		}
 		w.Network = nil
 		jobs := []*fake.Job{first, second, third, fourth}
-		lookRepeatedly(w, jobs, 20, 200*time.Millisecond)
-		pollFor(w, 40*time.Second)
-		check(t, w)
-		settled(t, w, jobs)
+		queryRepeatedly(w, jobs, 20, 200*time.Millisecond)
+		runAndPoll(w, 40*time.Second)
+		requireNoViolations(t, w)
+		requirePipelineOutcome(t, w, jobs)
 		if first.Status != protocol.StatusCancelled {
 			t.Fatalf("the first is called %q", first.Status)
 		}
@@ -169,10 +169,10 @@
 // Jobs that need the same one are submitted in the same millisecond at all nodes, some of
 // them twice; it is done, and known from the final records only, after every process
 // has been replaced.
-func TestPrerequisiteThatIsLongOver(t *testing.T) {
-	w := world(t)
+func TestPrerequisiteEndedBeforeAllRestarts(t *testing.T) {
+	w := newWorld(t)
 	done := w.Submit(job(1, protocol.Gang, 2), time.Second)
-	pollFor(w, 30*time.Second)
+	runAndPoll(w, 30*time.Second)
 	if done.Status != protocol.StatusDone {
 		t.Fatalf("the first is called %q", done.Status)
 	}
@@ -201,7 +201,7 @@
 		s.Prerequisites = []string{done.Submission.ID}
 		jobs = append(jobs, w.Submit(s, time.Second))
 	}
-	pollFor(w, 30*time.Second)
+	runAndPoll(w, 30*time.Second)
 	if statuses[201] != len(jobs) || statuses[422] > 0 || statuses[400] > 0 {
 		t.Errorf("answers %v to %d jobs", statuses, len(jobs))
 	}
@@ -210,16 +210,16 @@
 			t.Errorf("%s is called %q", j.Submission.ID, j.Status)
 		}
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // The middle or the last job of a pipeline is cancelled just as the first one ends: the
 // first stays done, what comes after the cancelled one goes with it, and nothing else.
-func TestCancellationFurtherOnMeetsTheEndOfTheFirst(t *testing.T) {
+func TestCancelDependentAsPrerequisiteEnds(t *testing.T) {
 	for step := range 30 {
-		w := world(t)
-		spare(t, w)
-		jobs := pipeline(t, w, 1)
+		w := newWorld(t)
+		provisionIdleMachines(t, w)
+		jobs := submitPipeline(t, w, 1)
 		which := 1 + step%3
 		if !w.RunUntil(60*time.Second, func() bool { return len(jobs[0].DoneTasks) == jobs[0].Submission.Tasks }) {
 			t.Fatal("the first job does not end")
@@ -234,10 +234,10 @@
 				}
 			})
 		}
-		lookRepeatedly(w, jobs, 30, 150*time.Millisecond)
-		pollFor(w, 60*time.Second)
-		check(t, w)
-		settled(t, w, jobs)
+		queryRepeatedly(w, jobs, 30, 150*time.Millisecond)
+		runAndPoll(w, 60*time.Second)
+		requireNoViolations(t, w)
+		requirePipelineOutcome(t, w, jobs)
 		if jobs[0].Status != protocol.StatusDone || jobs[which].Status != protocol.StatusCancelled {
 			t.Fatalf("the first is called %q, the cancelled one %q", jobs[0].Status, jobs[which].Status)
 		}
@@ -247,16 +247,16 @@
 // The write that accepts a job has no answer yet. A job that it needs is cancelled
 // meanwhile, and its user submits it again: it is cancelled with the other, once it is
 // accepted, and recorded once.
-func TestRepeatMeetsACancellationBeforeTheAcceptance(t *testing.T) {
+func TestResubmissionWhilePrerequisiteIsCancelled(t *testing.T) {
 	for step := range 12 {
 		s := fake.Settings()
 		s.State.TxnOps = 1
-		w := worldOf(t, s)
-		spare(t, w)
+		w := newWorldWith(t, s)
+		provisionIdleMachines(t, w)
 		first := job(1, protocol.Array, 1)
 		first.Class = strings.Repeat("c", 1400) // what needs it is on another page
-		needed := accepted(t, w, first, time.Hour)
-		runs(t, w, needed.Submission.ID, 1)
+		needed := submitAfter(t, w, first, time.Hour)
+		waitRunning(t, w, needed.Submission.ID, 1)
 		w.Run(3 * time.Second)
 		w.SeparateWrites = true
 		held := false
@@ -268,14 +268,14 @@
 			}
 			return f
 		}
-		j := accepted(t, w, job(2, protocol.Array, 1), time.Second, needed)
+		j := submitAfter(t, w, job(2, protocol.Array, 1), time.Second, needed)
 		w.RunUntil(time.Second, func() bool { return held })
 		w.CancelEverywhere(needed)
 		for range 20 + step {
 			w.Run(70 * time.Millisecond)
 			w.QueryEverywhere(j)
 		}
-		pollFor(w, 20*time.Second)
+		runAndPoll(w, 20*time.Second)
 		if j.Status != protocol.StatusCancelled || !j.Accepted {
 			t.Fatalf("accepted %t, called %q", j.Accepted, j.Status)
 		}
@@ -288,7 +288,7 @@
 				t.Errorf("%s still has the record of %s", key, r.ID)
 			}
 		}
-		check(t, w)
+		requireNoViolations(t, w)
 	}
 }
 
@@ -296,28 +296,28 @@
 // of its acceptance, while its user repeats the submission, and also while a job that it
 // needs is cancelled: the job is found with all its prerequisites or not at all. It begins
 // once the last of them is done, or is cancelled with one, and leaves no record behind.
-func TestMorePrerequisitesThanAPageHolds(t *testing.T) {
+func TestMorePrerequisitesThanOnePageHolds(t *testing.T) {
 	for writes := range 5 {
 		for _, cancelled := range []string{"", "at once", "later"} {
 			t.Run(fmt.Sprint(writes, " ", cancelled), func(t *testing.T) {
 				t.Parallel()
-				playManyPrerequisites(t, writes, cancelled)
+				testManyPrerequisites(t, writes, cancelled)
 			})
 		}
 	}
 }
 
-// manyPrerequisites makes a world in which many jobs are done and one still runs, and a
+// newWorldWithManyPrerequisites makes a world in which many jobs are done and one still runs, and a
 // submission that names them all.
-func manyPrerequisites(t *testing.T) (*fake.World, protocol.Submission, *fake.Job) {
+func newWorldWithManyPrerequisites(t *testing.T) (*fake.World, protocol.Submission, *fake.Job) {
 	t.Helper()
 	const named = 400
 	s := fake.Settings()
 	s.State = config.State{RPS: 200, WriteRPS: 60, ValueKB: 1, TxnOps: 4}
-	w := worldOf(t, s)
-	spare(t, w)
-	held := accepted(t, w, job(1, protocol.Array, 1), 45*time.Second)
-	runs(t, w, held.Submission.ID, 1)
+	w := newWorldWith(t, s)
+	provisionIdleMachines(t, w)
+	held := submitAfter(t, w, job(1, protocol.Array, 1), 45*time.Second)
+	waitRunning(t, w, held.Submission.ID, 1)
 	needs := []*fake.Job{held}
 	for n := range named {
 		small := job(1000+n, protocol.Array, 1)
@@ -327,7 +327,7 @@
 			w.Run(time.Second)
 		}
 	}
-	acceptedAll(t, w, needs)
+	waitAllAccepted(t, w, needs)
 	w.Run(10 * time.Second)
 	last := job(2, protocol.Array, 1)
 	for _, p := range needs {
@@ -338,8 +338,8 @@
 
 // The leader ends while it records the prerequisites, and the user doesn't come back: the
 // job was never accepted, and nothing is left of it.
-func TestPrerequisitesOfAnAbandonedSubmissionAreRemoved(t *testing.T) {
-	w, last, _ := manyPrerequisites(t)
+func TestAbandonedSubmissionLeavesNoPrerequisites(t *testing.T) {
+	w, last, _ := newWorldWithManyPrerequisites(t)
 	parts := func() (n int) {
 		for _, value := range pagesOf(w) {
 			n += recordKinds(t, value)["prerequisites"]
@@ -371,11 +371,11 @@
 	if status := w.StatusOf(last.ID); status != "" {
 		t.Errorf("the job is called %q", status)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
-func playManyPrerequisites(t *testing.T, writes int, cancelled string) {
-	w, last, held := manyPrerequisites(t)
+func testManyPrerequisites(t *testing.T, writes int, cancelled string) {
+	w, last, held := newWorldWithManyPrerequisites(t)
 	sent := 0
 	w.SeparateWrites = true
 	w.Network = func(kind, _, _ string) fake.Delivery {
@@ -391,7 +391,7 @@
 	if cancelled == "at once" {
 		w.CancelEverywhere(held)
 	}
-	lookClosely(w, []*fake.Job{j}, 500*time.Millisecond)
+	queryRapidly(w, []*fake.Job{j}, 500*time.Millisecond)
 	w.Run(300 * time.Millisecond)
 	w.Leader().Crash()
 	w.After(2*time.Second, w.Controllers[0].Start)
@@ -403,9 +403,9 @@
 	if cancelled == "later" {
 		w.CancelEverywhere(held)
 	}
-	pollFor(w, 90*time.Second)
-	check(t, w)
-	settled(t, w, []*fake.Job{held, j})
+	runAndPoll(w, 90*time.Second)
+	requireNoViolations(t, w)
+	requirePipelineOutcome(t, w, []*fake.Job{held, j})
 	if j.RejectedWith != 0 || cancelled != "" && held.Status != protocol.StatusCancelled {
 		t.Errorf("refused with %d; the job that it needs is called %q", j.RejectedWith, held.Status)
 	}
--- a/internal/controller/late_controller_test.go
+++ b/internal/controller/late_controller_test.go
@@ -14,21 +14,21 @@
 // held and with writes on their way, and is ended at last. Its writes and its answers are
 // late: by then the others have the new version, the limits are lowered, pages are divided
 // and a pipeline is cancelled.
-func TestOldLeaderHangsThroughTheRoll(t *testing.T) {
+func TestHungLeaderDuringRollingUpgrade(t *testing.T) {
 	for _, hang := range []time.Duration{2 * time.Second, 9 * time.Second, 25 * time.Second} {
 		for _, late := range []time.Duration{4 * time.Second, 12 * time.Second, 30 * time.Second} {
 			for _, resumes := range []bool{false, true} {
 				t.Run(fmt.Sprint(hang, " ", late, " ", resumes), func(t *testing.T) {
 					t.Parallel()
-					playHangingLeader(t, hang, late, resumes)
+					testHungLeaderDuringRollingUpgrade(t, hang, late, resumes)
 				})
 			}
 		}
 	}
 }
 
-func playHangingLeader(t *testing.T, hang, late time.Duration, resumes bool) {
-	w := rolled(t)
+func testHungLeaderDuringRollingUpgrade(t *testing.T, hang, late time.Duration, resumes bool) {
+	w := newProductionWorld(t)
 	large := job(1, protocol.Array, 70)
 	large.CPUs, large.Team = 0.5, "red"
 	w.Submit(large, 8*time.Second)
@@ -75,13 +75,13 @@
 	upgrade(w, old, 500*time.Millisecond)
 	w.Run(time.Second)
 	w.State.LowerLimits()
-	jobs := pipeline(t, w, 300)
+	jobs := submitPipeline(t, w, 300)
 	w.CancelEverywhere(jobs[1])
-	lookRepeatedly(w, jobs, 80, 500*time.Millisecond)
-	pollFor(w, 120*time.Second)
-	check(t, w)
-	served(t, w)
-	settled(t, w, jobs)
+	queryRepeatedly(w, jobs, 80, 500*time.Millisecond)
+	runAndPoll(w, 120*time.Second)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
+	requirePipelineOutcome(t, w, jobs)
 	if called.Status != protocol.StatusCancelled {
 		t.Errorf("the job that the hanging leader was asked to cancel is called %q", called.Status)
 	}
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -16,21 +16,21 @@
 )
 
 // A node's next process needn't wait for the term of the one before to run out.
-func TestNextProcessOfTheLeaderTakesOverAtOnce(t *testing.T) {
-	w := world(t)
+func TestRestartedLeaderLeadsImmediately(t *testing.T) {
+	w := newWorld(t)
 	w.Run(time.Second)
 	w.Controllers[0].Crash()
 	w.Controllers[0].Start()
 	if !w.RunUntil(500*time.Millisecond, w.Controllers[0].Leads) {
 		t.Error("it does not lead after half a second")
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // A leader looks whether an earlier copy of its write landed, loses its lease
 // before the answer, and leads again. The answer, which was about the earlier
 // term's write, comes then: it says nothing about the new term.
-func TestAnswerFromAnEarlierReign(t *testing.T) {
+func TestResponseFromEarlierTermIsIgnored(t *testing.T) {
 	settings := fake.Settings()
 	n := controller.New(&config.Config{Node: "n0", Settings: settings}, "boot", 1)
 	var held, renewal message.StateCall
@@ -96,8 +96,8 @@
 // Controllers refuse each other's connections: a follower sees the leader's key,
 // and can't hand it a request. It says that it isn't healthy, so that users go
 // to the leader; it is healthy again once the leader answers.
-func TestFollowerThatCannotReachTheLeader(t *testing.T) {
-	w := world(t)
+func TestFollowerUnhealthyWithoutLeaderConnection(t *testing.T) {
+	w := newWorld(t)
 	w.Run(5 * time.Second)
 	healthy := func() []bool {
 		return []bool{w.Controllers[0].Healthy(), w.Controllers[1].Healthy(), w.Controllers[2].Healthy()}
@@ -119,16 +119,16 @@
 	if h := healthy(); !slices.Equal(h, []bool{true, true, true}) {
 		t.Errorf("afterwards %v", h)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // The state service refuses the leader alone. Another takes the term and tells
 // it so: the former leader hands its users on at once, and stays healthy, though
 // it can read nothing about who leads.
-func TestFormerLeaderRefusedByTheStateServiceFollows(t *testing.T) {
-	w := world(t)
+func TestFormerLeaderWithoutStateServiceFollows(t *testing.T) {
+	w := newWorld(t)
 	a := w.Submit(service(1, 1), 0)
-	runs(t, w, a.Submission.ID, 1)
+	waitRunning(t, w, a.Submission.ID, 1)
 	w.State.Unreachable["n0"] = true
 	if !w.RunUntil(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
 		t.Fatal("nobody else leads")
@@ -142,13 +142,13 @@
 			t.Fatalf("at %v status %d, healthy %t", w.Now, status, w.Controllers[0].Healthy())
 		}
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // The leader keeps the state service and its peers, but hears no worker. Every
 // worker would be sent back to it until its lease has run out: so it gives the
 // term up at once, and nothing that runs is lost.
-func TestLeaderThatHearsNoWorkerGivesUp(t *testing.T) {
+func TestLeaderWithoutHeartbeatsResigns(t *testing.T) {
 	s := fake.Settings()
 	s.Workers.HeartbeatIntervalS, s.Workers.LeaseS, s.Workers.CancelWithinS = 3, 14, 34
 	w := fake.NewWorld(s)
@@ -181,19 +181,19 @@
 			t.Errorf("%s has lost its tasks", name)
 		}
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // The three tasks of a job end far apart, two of them on machines that hang, and
 // the leader changes between any two ends: each counts once, and the job is done.
-func TestTasksEndFarApartWhileLeadersChange(t *testing.T) {
+func TestTaskEndsSpreadOverLeaderChanges(t *testing.T) {
 	for _, shape := range []protocol.JobKind{protocol.Array, protocol.Gang} {
 		for step := range 6 {
-			w := world(t)
+			w := newWorld(t)
 			s := job(1, shape, 3)
 			s.CPUs, s.CheckpointIntervalS = 4, 0 // a machine each
 			j := w.Submit(s, 4*time.Second)
-			runs(t, w, s.ID, 3)
+			waitRunning(t, w, s.ID, 3)
 			for i, host := range w.MachinesOf(s.ID)[:2] {
 				w.Workers[host].HangUntil = w.Now + time.Duration(4+4*i)*time.Second
 			}
@@ -205,9 +205,9 @@
 				}
 				w.PollAll()
 			}
-			pollFor(w, 60*time.Second)
-			check(t, w)
-			served(t, w)
+			runAndPoll(w, 60*time.Second)
+			requireNoViolations(t, w)
+			requireAllServed(t, w)
 			if len(j.DoneTasks) != 3 {
 				t.Errorf("step %d: %d tasks done", step, len(j.DoneTasks))
 			}
@@ -217,9 +217,9 @@
 
 // Leaders change ten times in two minutes, by ends, refusals and standing still,
 // half of it inside outages, while jobs come, end and are called off.
-func TestLeadersChangeTenTimes(t *testing.T) {
+func TestTenLeaderChanges(t *testing.T) {
 	for seed := range 6 {
-		w := world(t)
+		w := newWorld(t)
 		id := 0
 		for change := range 10 {
 			id++
@@ -257,24 +257,24 @@
 			w.Run(4 * time.Second)
 			w.PollAll()
 		}
-		pollFor(w, 80*time.Second)
-		check(t, w)
-		served(t, w)
+		runAndPoll(w, 80*time.Second)
+		requireNoViolations(t, w)
+		requireAllServed(t, w)
 	}
 }
 
 // Every controller is away for longer than a worker's lease, and then they come
 // back, or only one does: nothing starts before what ran is certainly gone, and
 // then all of it runs again.
-func TestAllControllersAwayForLongerThanALease(t *testing.T) {
+func TestAllControllersDownLongerThanLease(t *testing.T) {
 	for _, back := range []int{1, 3} {
 		for away := 8 * time.Second; away <= 16*time.Second; away += 700 * time.Millisecond {
-			w := world(t)
+			w := newWorld(t)
 			a := w.Submit(service(1, 3), 0)
 			w.Submit(job(2, protocol.Array, 4), 20*time.Second)
 			called := w.Submit(service(3, 2), 0)
-			runs(t, w, a.Submission.ID, 3)
-			runs(t, w, called.Submission.ID, 2)
+			waitRunning(t, w, a.Submission.ID, 3)
+			waitRunning(t, w, called.Submission.ID, 2)
 			w.CancelEverywhere(called)
 			w.Run(20 * time.Millisecond)
 			for _, n := range w.Controllers {
@@ -284,14 +284,14 @@
 			for _, n := range w.Controllers[:back] {
 				n.Start()
 			}
-			pollFor(w, 10*time.Second)
+			runAndPoll(w, 10*time.Second)
 			for _, n := range w.Controllers[back:] {
 				n.Start()
 			}
 			w.CancelEverywhere(called)
-			pollFor(w, 70*time.Second)
-			check(t, w)
-			served(t, w)
+			runAndPoll(w, 70*time.Second)
+			requireNoViolations(t, w)
+			requireAllServed(t, w)
 		}
 	}
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -11,28 +11,28 @@
 )
 
 // Two jobs of a team that together exceed its limit: the second waits.
-func TestTeamLimitCountsWhatMayStillRun(t *testing.T) {
-	w := world(t)
+func TestQuotaCountsStoppingTasks(t *testing.T) {
+	w := newWorld(t)
 	a, b := service(1, 4), service(2, 4)
 	a.Team, b.Team, a.CPUs, b.CPUs = "red", "red", 2, 2
 	ja := w.Submit(a, 0)
-	runs(t, w, a.ID, 4)
+	waitRunning(t, w, a.ID, 4)
 	w.Submit(b, 0)
-	runs(t, w, b.ID, 2) // 12 CPUs at most
+	waitRunning(t, w, b.ID, 2) // 12 CPUs at most
 	w.Run(5 * time.Second)
 	w.CancelJob(ja)
-	runs(t, w, b.ID, 4)
-	check(t, w)
+	waitRunning(t, w, b.ID, 4)
+	requireNoViolations(t, w)
 }
 
 // Higher priority needs room on a full fleet: the batch task yields, saving.
-func TestLowerPriorityYields(t *testing.T) {
-	w := world(t)
+func TestPreemptionOfLowerPriority(t *testing.T) {
+	w := newWorld(t)
 	w.Cloud.Capacity = 1
 	low := job(1, protocol.Array, 4)
 	low.Priority, low.CPUs, low.Types = protocol.Low, 2, []string{"small"}
 	j := w.Submit(low, 60*time.Second)
-	runs(t, w, low.ID, 4)
+	waitRunning(t, w, low.ID, 4)
 	w.Run(5 * time.Second)
 	high := service(2, 1)
 	high.Priority, high.CPUs, high.Types = protocol.Production, 4, []string{"small"}
@@ -43,19 +43,19 @@
 	if len(j.Saved) == 0 {
 		t.Error("what yielded saved nothing")
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // A team is at its limit with batch work when a service of its own comes, and more
 // batch work waits, in tasks small enough to take what comes free first. There are
 // machines enough: as much of the batch yields as the service needs, saving, and
 // the limit holds throughout.
-func TestTeamsOwnBatchYieldsAtItsLimit(t *testing.T) {
-	w := world(t)
+func TestPreemptionWithinQuota(t *testing.T) {
+	w := newWorld(t)
 	low := job(1, protocol.Array, 12)
 	low.Team, low.Priority = "red", protocol.Low
 	batch := w.Submit(low, 40*time.Second)
-	runs(t, w, low.ID, 12) // red may use 12 CPUs
+	waitRunning(t, w, low.ID, 12) // red may use 12 CPUs
 	more := job(2, protocol.Array, 6)
 	more.Team, more.Priority, more.CPUs = "red", protocol.Low, 0.5
 	w.Submit(more, 3*time.Second)
@@ -83,53 +83,53 @@
 		w.Run(3 * time.Second)
 		w.PollAll()
 	}
-	check(t, w)
-	served(t, w)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
 }
 
 // A team's services take its whole limit and more of them wait, and so does its
 // batch work. When one ends, work that ends gets its part of the limit first, since
 // services would keep it waiting for good; the waiting service follows it.
-func TestServicesLeaveWorkThatEndsItsPart(t *testing.T) {
-	w := world(t)
+func TestServicesLeaveQuotaToBatch(t *testing.T) {
+	w := newWorld(t)
 	full := func(id int) *fake.Job {
 		s := service(id, 2)
 		s.Team, s.Priority, s.CPUs = "red", protocol.Production, 3 // of 12 CPUs at most
 		return w.Submit(s, 0)
 	}
 	a, b := full(1), full(2)
-	runs(t, w, a.Submission.ID, 2)
-	runs(t, w, b.Submission.ID, 2)
+	waitRunning(t, w, a.Submission.ID, 2)
+	waitRunning(t, w, b.Submission.ID, 2)
 	low := job(3, protocol.Array, 4)
 	low.Team, low.Priority = "red", protocol.Low
 	w.Submit(low, 8*time.Second)
 	c := full(4)
 	w.Run(3 * time.Second)
 	w.CancelJob(a)
-	runs(t, w, low.ID, 4)
+	waitRunning(t, w, low.ID, 4)
 	if n := w.Running(c.Submission.ID); n != 0 {
 		t.Errorf("%d replicas run that leave no part to the batch", n)
 	}
-	runs(t, w, c.Submission.ID, 2)
-	pollFor(w, 15*time.Second)
-	check(t, w)
-	served(t, w)
+	waitRunning(t, w, c.Submission.ID, 2)
+	runAndPoll(w, 15*time.Second)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
 }
 
 // A job within its team's guarantee finds no room; what runs is of a higher
 // priority, beyond its own team's guarantee. The queue would give the room
 // straight back, so nothing is stopped.
-func TestPreemptionFollowsTheQueue(t *testing.T) {
-	w := world(t)
+func TestPreemptionFollowsQueueOrder(t *testing.T) {
+	w := newWorld(t)
 	w.Cloud.Capacity = 1
 	beyond := service(1, 2)
 	beyond.Priority, beyond.CPUs, beyond.Types, beyond.Zone, beyond.Team = protocol.Production, 2, []string{"small"}, "a", "blue"
 	w.Submit(beyond, 0)
 	more := service(3, 1) // blue is now beyond its four CPUs
 	more.Priority, more.CPUs, more.Types, more.Zone, more.Team = protocol.Production, 2, []string{"small"}, "b", "blue"
-	runs(t, w, beyond.ID, 2)
+	waitRunning(t, w, beyond.ID, 2)
 	w.Submit(more, 0)
-	runs(t, w, more.ID, 1)
+	waitRunning(t, w, more.ID, 1)
 	sure := service(2, 1)
 	sure.Priority, sure.CPUs, sure.Types, sure.Zone, sure.Team = protocol.High, 4, []string{"small"}, "b", "red"
 	w.Submit(sure, 0)
@@ -137,13 +137,13 @@
 	if n := w.Controllers[0].Stats().TasksPreempted; n != 0 || w.Running(more.ID) != 1 {
 		t.Errorf("%d stopped, %d of 1 run", n, w.Running(more.ID))
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // Every team is at its limit. Jobs are cancelled whose machines are cut off, hang,
 // or hear nothing, and the leader changes: what may still run counts, and once it
 // is proved gone the room is used again.
-func TestTeamsAtTheirLimitWhileMachinesAreAway(t *testing.T) {
+func TestQuotaWhileMachinesAreUnreachable(t *testing.T) {
 	for _, trouble := range []string{"cut", "hang", "deaf", "mute"} {
 		for _, change := range []time.Duration{0, 300 * time.Millisecond, 2 * time.Second, 6 * time.Second} {
 			t.Run(fmt.Sprint(trouble, change), func(t *testing.T) {
@@ -159,7 +159,7 @@
 					first = append(first, w.Submit(s, 0))
 				}
 				for _, j := range first {
-					runs(t, w, j.Submission.ID, 2)
+					waitRunning(t, w, j.Submission.ID, 2)
 				}
 				for i, team := range []string{"red", "red", "blue"} {
 					s := service(i+11, 2)
@@ -203,10 +203,10 @@
 					}
 				}
 				for _, j := range next {
-					runs(t, w, j.Submission.ID, 2)
+					waitRunning(t, w, j.Submission.ID, 2)
 				}
 				w.Run(40 * time.Second)
-				check(t, w)
+				requireNoViolations(t, w)
 				for _, j := range next {
 					if n := w.Running(j.Submission.ID); n != 2 {
 						t.Errorf("%s: %d run", j.Submission.ID, n)
@@ -220,9 +220,9 @@
 // There is more work than room, urgent and not, and everything on the way to and
 // from workers takes more than a second: what comes first in the queue runs, what
 // yields is told once, and when the urgent work has gone the rest is served.
-func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
+func TestOverloadWithSlowNetwork(t *testing.T) {
 	for _, slow := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1400 * time.Millisecond} {
-		w := world(t)
+		w := newWorld(t)
 		w.Cloud.Capacity = 1
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			f := fake.Reliable()
@@ -254,26 +254,26 @@
 		for _, j := range urgent {
 			w.CancelEverywhere(j)
 		}
-		pollFor(w, 90*time.Second)
-		check(t, w)
-		served(t, w)
+		runAndPoll(w, 90*time.Second)
+		requireNoViolations(t, w)
+		requireAllServed(t, w)
 	}
 }
 
 // A gang is done as one of its members says, while the machine of another hangs since just
 // before: that member is still on its machine, and counts for its team's limit until it is
 // gone.
-func TestMemberOfADoneGangOnAHangingMachineCountsForTheLimit(t *testing.T) {
+func TestQuotaCountsHungGangMember(t *testing.T) {
 	for step := range 20 {
-		w := world(t)
+		w := newWorld(t)
 		other := service(50, 2) // of another team, whose machines are empty when the gang is done
 		other.CPUs, other.Types = 8, []string{"large"}
 		filler := w.Submit(other, 0)
-		runs(t, w, other.ID, 2)
+		waitRunning(t, w, other.ID, 2)
 		gang := job(1, protocol.Gang, 3)
 		gang.Team, gang.CPUs, gang.Types = "red", 3, []string{"small"}
 		j := w.Submit(gang, 10*time.Second)
-		runs(t, w, gang.ID, 3)
+		waitRunning(t, w, gang.ID, 3)
 		rest := job(2, protocol.Array, 12)
 		rest.Team, rest.Types = "red", []string{"large"}
 		w.Submit(rest, 30*time.Second)
@@ -283,6 +283,6 @@
 		}
 		w.CancelJob(filler)
 		w.Run(25 * time.Second)
-		check(t, w)
+		requireNoViolations(t, w)
 	}
 }
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -31,10 +31,10 @@
 	os.Exit(m.Run())
 }
 
-// TestRulesHoldUnderAnyOrdering draws days: jobs of all shapes, and crashes,
+// TestInvariantsUnderRandomFaults draws days: jobs of all shapes, and crashes,
 // cuts, outages, hangs, losses, late and repeated messages in any order. The
 // rules hold throughout, and once the troubles are over everything is served.
-func TestRulesHoldUnderAnyOrdering(t *testing.T) {
+func TestInvariantsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := fake.Settings()
 		if rapid.Bool().Draw(t, "limits to come") {
@@ -46,7 +46,7 @@
 			teams = append(teams, "guests")
 		}
 		w := fake.NewWorld(settings)
-		w.RewriteAsProduction = asProduction
+		w.RewriteAsProduction = roundTripProduction
 		rolls := rapid.Bool().Draw(t, "rolls")
 		for _, n := range w.Controllers {
 			if n.RunsProduction = rolls; rolls { // the day begins with the version in production
@@ -303,7 +303,7 @@
 					kept, w.OnHeartbeat = nil, nil
 				}
 			}
-			check(t, w)
+			requireNoViolations(t, w)
 		}
 		loss, late, copies, slow = 0, 0, 0, 0
 		for _, n := range w.Controllers {
@@ -329,8 +329,8 @@
 			w.PollAll()
 		}
 		w.Run(time.Second)
-		check(t, w)
-		served(t, w)
+		requireNoViolations(t, w)
+		requireAllServed(t, w)
 		for id, j := range w.Jobs {
 			if j.Accepted && j.AnsweredAt < max(over, w.Now-75*time.Second) {
 				t.Fatalf("%s: no question was answered since %v", id, j.AnsweredAt)
--- a/internal/controller/packing_test.go
+++ b/internal/controller/packing_test.go
@@ -145,7 +145,7 @@
 
 // A plan is the same as when every bin was looked at for every task: what is rented, and
 // which machines are needed.
-func TestPlanIsTheSameAsByScanning(t *testing.T) {
+func TestPackingMatchesExhaustiveScan(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		e := plannedFleet(t, zones)
@@ -168,7 +168,7 @@
 }
 
 // Of 400 machines none is looked at again for each of 300 tasks.
-func TestPlanLooksAtEachMachineOnceAJob(t *testing.T) {
+func TestPackingExaminesEachMachineOncePerJob(t *testing.T) {
 	zones := []string{"a"}
 	e := &engine{n: &Controller{}, fleet: fleet{refused: map[offer]time.Duration{}}}
 	e.fleet.types = []protocol.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.5, BootS: 10, Zones: zones}}
--- a/internal/controller/pauses_test.go
+++ b/internal/controller/pauses_test.go
@@ -13,18 +13,18 @@
 	"oakpick/internal/storage"
 )
 
-// logged tells whether any controller has logged such a line.
-func logged(w *fake.World, line string) bool {
+// logContains tells whether any controller has logged such a line.
+func logContains(w *fake.World, line string) bool {
 	return strings.Contains(strings.Join(w.Log, "\n"), line)
 }
 
 // The leader gives an idle machine back, and stands still between the decision and the call
 // to the cloud. Another leads and starts a task there. When the first goes on, it must not
 // return the machine.
-func TestLeaderStandsStillBeforeItReturnsAMachine(t *testing.T) {
+func TestLeaderPausedBeforeScaleIn(t *testing.T) {
 	for _, stall := range []time.Duration{3 * time.Second, 16 * time.Second, 40 * time.Second} {
-		w := world(t)
-		spare(t, w)
+		w := newWorld(t)
+		provisionIdleMachines(t, w)
 		idle := len(w.MachineNames())
 		w.Cloud.CapacityOf = map[string]int{"small": 1, "large": 0} // nothing else can be had
 		l := w.Leader()
@@ -50,18 +50,18 @@
 		if n := w.TasksLostWithMachine; n > 0 {
 			t.Errorf("%v: %d tasks were on a machine that the former leader returned", stall, n)
 		}
-		check(t, w)
+		requireNoViolations(t, w)
 	}
 }
 
 // The leader stands still with a start to be sent. Its lease ends meanwhile, and the state
 // service goes out before it goes on: in doubt, nothing may start.
-func TestLeaderInDoubtSendsNoStartThatIsLate(t *testing.T) {
-	w := world(t)
-	spare(t, w)
+func TestNoLateStartWhileLeaseIsUncertain(t *testing.T) {
+	w := newWorld(t)
+	provisionIdleMachines(t, w)
 	l, stood := w.Leader(), false
 	l.StallBefore = func(effect message.Effect) time.Duration {
-		if c, ok := effect.(message.CommandsCall); !ok || stood || !starts(c) {
+		if c, ok := effect.(message.CommandsCall); !ok || stood || !containsStart(c) {
 			return 0
 		}
 		stood = true
@@ -78,18 +78,18 @@
 		t.Error("a leader in doubt has started a task")
 	}
 	w.State.SetOutage(false)
-	runs(t, w, s.ID, 1)
-	check(t, w)
+	waitRunning(t, w, s.ID, 1)
+	requireNoViolations(t, w)
 }
 
-func starts(c message.CommandsCall) bool {
+func containsStart(c message.CommandsCall) bool {
 	return slices.ContainsFunc(c.Commands, func(c protocol.Command) bool { return c.Verb == protocol.Start })
 }
 
 // The leader stands still before it carries out an effect: an answer to a user, a command to
 // a worker, a call to the cloud, a renewal or a write. It goes on within its lease, within its
 // hold, or after another has led for long. Jobs come, end and are called off all the while.
-func TestLeaderStandsStillBeforeAnEffect(t *testing.T) {
+func TestLeaderPausedBeforeEffect(t *testing.T) {
 	kinds := map[string]func(message.Effect) bool{
 		"answer": func(e message.Effect) bool { _, ok := e.(message.Reply); return ok },
 		"orders": func(e message.Effect) bool { _, ok := e.(message.CommandsCall); return ok },
@@ -101,15 +101,15 @@
 			for _, skip := range []int{0, 1, 3} {
 				t.Run(fmt.Sprintf("%s after %d for %v", name, skip, stall), func(t *testing.T) {
 					t.Parallel()
-					playStall(t, is, skip, stall)
+					testLeaderPausedBeforeEffect(t, is, skip, stall)
 				})
 			}
 		}
 	}
 }
 
-func playStall(t *testing.T, is func(message.Effect) bool, skip int, stall time.Duration) {
-	w := world(t)
+func testLeaderPausedBeforeEffect(t *testing.T, is func(message.Effect) bool, skip int, stall time.Duration) {
+	w := newWorld(t)
 	w.Submit(service(1, 3), 0)
 	called := w.Submit(service(2, 2), 0)
 	w.Submit(job(3, protocol.Array, 6), 8*time.Second)
@@ -129,9 +129,9 @@
 	w.CancelEverywhere(called)
 	w.After(stall/2, func() { w.CancelEverywhere(called) })
 	w.Submit(job(5, protocol.Array, 2), 2*time.Second)
-	pollFor(w, stall+60*time.Second)
-	check(t, w)
-	served(t, w)
+	runAndPoll(w, stall+60*time.Second)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
 	if !stood {
 		t.Error("the leader never stood still")
 	}
@@ -143,12 +143,12 @@
 // The leader ends, and its successor stands still before one of the first effects after it has
 // asked for the term: while it takes it, reads the records or begins to lead. A third takes
 // over, or it goes on itself.
-func TestSuccessorStandsStillWhileItTakesOver(t *testing.T) {
+func TestSuccessorPausedDuringTakeOver(t *testing.T) {
 	for _, stall := range []time.Duration{2 * time.Second, 9 * time.Second, 32 * time.Second} {
 		for skip := range 8 {
 			t.Run(fmt.Sprintf("after %d for %v", skip, stall), func(t *testing.T) {
 				t.Parallel()
-				w := world(t)
+				w := newWorld(t)
 				w.Submit(service(1, 3), 0)
 				called := w.Submit(service(2, 2), 0)
 				w.Submit(job(3, protocol.Array, 6), 8*time.Second)
@@ -168,9 +168,9 @@
 					}
 				}
 				w.CancelEverywhere(called)
-				pollFor(w, stall+70*time.Second)
-				check(t, w)
-				served(t, w)
+				runAndPoll(w, stall+70*time.Second)
+				requireNoViolations(t, w)
+				requireAllServed(t, w)
 				if called.Status != protocol.StatusCancelled {
 					t.Errorf("the cancelled job is called %q", called.Status)
 				}
@@ -182,8 +182,8 @@
 // The leader stands still while the state service is out, so that nobody can take its term,
 // and both end together. What it has not heard says nothing of the machines: it keeps the
 // term, and rents, returns, moves and loses nothing.
-func TestNothingIsConcludedFromAnOwnPause(t *testing.T) {
-	w := world(t)
+func TestNoConclusionsFromOwnPause(t *testing.T) {
+	w := newWorld(t)
 	for i := range 3 {
 		s := service(i+1, 2)
 		s.CPUs = 2
@@ -215,19 +215,19 @@
 	if !l.Leads() || after.TermsTaken != before.TermsTaken {
 		t.Errorf("the term is lost: %s", strings.Join(w.Log[mark:], "\n"))
 	}
-	if after.Pauses != 1 || after.LongestPauseMs < 5000 || !logged(w, "process stood still [for 5") {
+	if after.Pauses != 1 || after.LongestPauseMs < 5000 || !logContains(w, "process stood still [for 5") {
 		t.Errorf("%d pauses, the longest %d ms", after.Pauses, after.LongestPauseMs)
 	}
 	if after.MachinesScaledOut != before.MachinesScaledOut || after.MachinesScaledIn != before.MachinesScaledIn || after.ReplicasMoved != before.ReplicasMoved || after.TasksLost != before.TasksLost {
 		t.Errorf("%+v before, %+v after", before, after)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // A follower stands still, and its peers with it say nothing to it meanwhile. When it goes on
 // it knows of no fault of the leader: it stays healthy, and hands its users on.
-func TestFollowerThatStoodStillIsHealthyAtOnce(t *testing.T) {
-	w := world(t)
+func TestResumedFollowerIsHealthyImmediately(t *testing.T) {
+	w := newWorld(t)
 	w.Run(5 * time.Second)
 	f := w.Controllers[1]
 	f.PausedUntil = w.Now + 10*time.Second
@@ -246,14 +246,14 @@
 	if !f.Healthy() {
 		t.Error("it isn't healthy though the leader answers")
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // The leader stands still with users' requests that a follower has handed to it, and more come
 // while nobody leads. All are answered by the next leader, within a second and a half of its
 // beginning, and none is told to come back.
-func TestRequestsOutliveALeaderThatStandsStill(t *testing.T) {
-	w := world(t)
+func TestForwardedRequestsSurvivePausedLeader(t *testing.T) {
+	w := newWorld(t)
 	w.Run(5 * time.Second)
 	l := w.Leader()
 	l.PausedUntil = w.Now + 30*time.Second
@@ -278,13 +278,13 @@
 	if answers != asked {
 		t.Errorf("%d of %d requests are answered, %d refused", answers, asked, refused)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // One controller stands still every few seconds. It costs a term at most each time, and after
 // the first the others keep the term.
-func TestControllerThatKeepsStandingStill(t *testing.T) {
-	w := world(t)
+func TestRepeatedlyPausedController(t *testing.T) {
+	w := newWorld(t)
 	w.Submit(service(1, 3), 0)
 	w.Run(12 * time.Second)
 	l := w.Leader()
@@ -307,16 +307,16 @@
 	if w.TasksLostToLeaseExpiry > 0 {
 		t.Errorf("%d tasks ended by their lease", w.TasksLostToLeaseExpiry)
 	}
-	pollFor(w, 20*time.Second)
-	check(t, w)
-	served(t, w)
+	runAndPoll(w, 20*time.Second)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
 }
 
 // The leader ends, and its lease lapses just as another controller goes on after it has stood
 // still. The third, which hasn't, has the first turn at the term.
-func TestTermGoesToAControllerThatHasNotStoodStill(t *testing.T) {
+func TestElectionPrefersControllerThatWasNotPaused(t *testing.T) {
 	for ahead := 500 * time.Millisecond; ahead <= 1100*time.Millisecond; ahead += 50 * time.Millisecond {
-		w := world(t)
+		w := newWorld(t)
 		w.Run(5 * time.Second)
 		slow := w.Controllers[1]
 		slow.PausedUntil = w.Now + 4*time.Second
@@ -327,14 +327,14 @@
 		if slow.Leads() {
 			t.Errorf("the one that had stood still leads, %v after the leader's end", ahead)
 		}
-		check(t, w)
+		requireNoViolations(t, w)
 	}
 }
 
 // Machines boot while the leader stands still, the state service being out. When it goes on,
 // they are up and have not been heard yet: none is called late, and no other is rented.
-func TestMachinesThatBootDuringAPauseAreNotRentedAgain(t *testing.T) {
-	w := world(t)
+func TestMachinesBootedDuringPauseAreNotReplaced(t *testing.T) {
+	w := newWorld(t)
 	w.Run(20 * time.Second)
 	l := w.Leader()
 	before := l.Stats().MachinesScaledOut
@@ -356,18 +356,18 @@
 	l.PausedUntil = goesOn
 	w.Run(9 * time.Second)
 	w.State.SetOutage(false)
-	runs(t, w, s.ID, 3)
+	waitRunning(t, w, s.ID, 3)
 	if rented := l.Stats().MachinesScaledOut; rented != before || !l.Leads() {
 		t.Errorf("%d machines rented before the pause, %d after", before, rented)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // The leader and another stand still together for as long as a worker's lease. The third leads
 // within a second or two. By the protocol a worker waits four seconds at each of the two and
 // one more before the next node, so that it comes to the third after ten seconds and a report
 // interval at most: where the lease is longer than that, no task ends by it.
-func TestTwoOfThreeStandStill(t *testing.T) {
+func TestTwoOfThreeControllersPaused(t *testing.T) {
 	for leader := range 3 {
 		for other := range 3 {
 			if other == leader {
@@ -397,22 +397,22 @@
 			if !w.RunUntil(3*time.Second, third.Leads) {
 				t.Errorf("the third doesn't lead after 3 s")
 			}
-			pollFor(w, 40*time.Second)
+			runAndPoll(w, 40*time.Second)
 			if n := w.TasksLostToLeaseExpiry - killed; n > 0 {
 				t.Errorf("leader %d and %d: %d tasks ended by their lease", leader, other, n)
 			}
-			check(t, w)
-			served(t, w)
+			requireNoViolations(t, w)
+			requireAllServed(t, w)
 		}
 	}
 }
 
 // The leader stands still while the state service refuses one of the others: the third leads,
 // and users of each are served.
-func TestLeaderStandsStillWhileAnotherIsRefused(t *testing.T) {
-	w := world(t)
+func TestLeaderPausedWhilePeerLosesStateService(t *testing.T) {
+	w := newWorld(t)
 	j := w.Submit(service(1, 2), 0)
-	runs(t, w, j.Submission.ID, 2)
+	waitRunning(t, w, j.Submission.ID, 2)
 	w.State.Unreachable["n1"] = true
 	w.Controllers[0].PausedUntil = w.Now + 20*time.Second
 	if !w.RunUntil(5*time.Second, w.Controllers[2].Leads) {
@@ -421,12 +421,12 @@
 	w.Run(2 * time.Second)
 	called := w.Submit(service(2, 1), 0)
 	w.CancelEverywhere(j)
-	pollFor(w, 12*time.Second)
+	runAndPoll(w, 12*time.Second)
 	if !called.Accepted || j.Status != protocol.StatusCancelled {
 		t.Errorf("accepted %t, told %q", called.Accepted, j.Status)
 	}
 	delete(w.State.Unreachable, "n1")
-	pollFor(w, 30*time.Second)
-	check(t, w)
-	served(t, w)
+	runAndPoll(w, 30*time.Second)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
 }
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -13,8 +13,8 @@
 	"oakpick/internal/protocol"
 )
 
-// accepted submits a job that needs others, as users do: once these are accepted.
-func accepted(t testing.TB, w *fake.World, s protocol.Submission, run time.Duration, needs ...*fake.Job) *fake.Job {
+// submitAfter submits a job that needs others, as users do: once these are accepted.
+func submitAfter(t testing.TB, w *fake.World, s protocol.Submission, run time.Duration, needs ...*fake.Job) *fake.Job {
 	t.Helper()
 	for _, p := range needs {
 		if !w.RunUntil(30*time.Second, func() bool { return p.Accepted }) {
@@ -25,21 +25,21 @@
 	return w.Submit(s, run)
 }
 
-// pipeline submits four jobs, each after the one before: arrays, a gang, and an urgent
+// submitPipeline submits four jobs, each after the one before: arrays, a gang, and an urgent
 // end with a deadline.
-func pipeline(t testing.TB, w *fake.World, first int) []*fake.Job {
+func submitPipeline(t testing.TB, w *fake.World, first int) []*fake.Job {
 	t.Helper()
 	scrub, split, grade, push := job(first, protocol.Array, 2), job(first+1, protocol.Array, 4), job(first+2, protocol.Gang, 2), job(first+3, protocol.Array, 1)
 	scrub.Priority, split.Priority, push.Priority, push.DeadlineS = protocol.Low, protocol.Low, protocol.High, 90
-	a := accepted(t, w, scrub, 2*time.Second)
-	b := accepted(t, w, split, 3*time.Second, a)
-	c := accepted(t, w, grade, 2*time.Second, b)
-	d := accepted(t, w, push, time.Second, c)
+	a := submitAfter(t, w, scrub, 2*time.Second)
+	b := submitAfter(t, w, split, 3*time.Second, a)
+	c := submitAfter(t, w, grade, 2*time.Second, b)
+	d := submitAfter(t, w, push, time.Second, c)
 	return []*fake.Job{a, b, c, d}
 }
 
-// settled fails unless every job of a pipeline is done, or cancelled from one on.
-func settled(t testing.TB, w *fake.World, jobs []*fake.Job) {
+// requirePipelineOutcome fails unless every job of a pipeline is done, or cancelled from one on.
+func requirePipelineOutcome(t testing.TB, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
 	cancelled := false
 	for _, j := range jobs {
@@ -57,8 +57,8 @@
 // Each job begins only when the one before is done, also the last one, which comes
 // when the others are long over.
 func TestPipelineRunsInOrder(t *testing.T) {
-	w := world(t)
-	jobs := pipeline(t, w, 1)
+	w := newWorld(t)
+	jobs := submitPipeline(t, w, 1)
 	w.Run(time.Second)
 	for _, j := range jobs {
 		w.QueryEverywhere(j)
@@ -69,29 +69,29 @@
 			t.Errorf("%s is called %q while it waits", j.Submission.ID, j.Status)
 		}
 	}
-	pollFor(w, 60*time.Second)
-	settled(t, w, jobs)
-	late := accepted(t, w, job(9, protocol.Array, 1), time.Second, jobs...)
-	pollFor(w, 20*time.Second)
+	runAndPoll(w, 60*time.Second)
+	requirePipelineOutcome(t, w, jobs)
+	late := submitAfter(t, w, job(9, protocol.Array, 1), time.Second, jobs...)
+	runAndPoll(w, 20*time.Second)
 	if late.Status != protocol.StatusDone {
 		t.Errorf("the job that came later is called %q", late.Status)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // The leader ends after every single write in turn, and its successor goes on: nothing
 // starts too early, nothing is lost, whatever was durable by then. With a cancellation
 // of the second job, from just after its first task began until its last has ended,
 // the result is the same for all: the others are cancelled with it, or none is.
-func TestLeaderEndsBetweenTheWritesOfAPipeline(t *testing.T) {
+func TestLeaderCrashBetweenPipelineWrites(t *testing.T) {
 	for _, cancelAt := range []time.Duration{0, 4 * time.Second, 6 * time.Second, 7800 * time.Millisecond, 8200 * time.Millisecond, 8600 * time.Millisecond} {
 		t.Run(fmt.Sprint("cancelled after ", cancelAt), func(t *testing.T) {
 			t.Parallel()
 			outcomes := map[string]int{}
 			for writes := range 40 {
-				w := world(t)
-				spare(t, w)
-				jobs := pipeline(t, w, 1)
+				w := newWorld(t)
+				provisionIdleMachines(t, w)
+				jobs := submitPipeline(t, w, 1)
 				from := w.State.WriteTransactions
 				if cancelAt > 0 {
 					w.After(cancelAt, func() { w.CancelEverywhere(jobs[1]) })
@@ -112,9 +112,9 @@
 						}
 					}
 				}
-				pollFor(w, 40*time.Second)
-				check(t, w)
-				settled(t, w, jobs)
+				runAndPoll(w, 40*time.Second)
+				requireNoViolations(t, w)
+				requirePipelineOutcome(t, w, jobs)
 				outcomes[jobs[1].Status]++
 			}
 			if cancelAt == 0 && outcomes[protocol.StatusDone] != 40 {
@@ -129,7 +129,7 @@
 // the state service or its answers: from the moment that any node says so, no node
 // calls what needs it queued or running, and a job that is called cancelled with it
 // stays so.
-func TestPrerequisiteIsCancelledWhileTheLeadershipChanges(t *testing.T) {
+func TestPrerequisiteCancelledDuringLeaderChange(t *testing.T) {
 	troubles := map[string]func(w *fake.World){
 		"leader ends":  func(w *fake.World) { w.Controllers[0].Crash(); w.After(4*time.Second, w.Controllers[0].Start) },
 		"stands still": func(w *fake.World) { w.Controllers[0].PausedUntil = w.Now + 6*time.Second },
@@ -170,25 +170,25 @@
 			t.Parallel()
 			told := 0
 			for step := range 10 {
-				w := world(t)
-				spare(t, w)
-				jobs := pipeline(t, w, 1)
-				long := accepted(t, w, job(20, protocol.Array, 2), time.Hour)
-				after := accepted(t, w, job(21, protocol.Gang, 2), time.Second, long)
-				last := accepted(t, w, job(22, protocol.Array, 2), time.Second, after, jobs[3])
+				w := newWorld(t)
+				provisionIdleMachines(t, w)
+				jobs := submitPipeline(t, w, 1)
+				long := submitAfter(t, w, job(20, protocol.Array, 2), time.Hour)
+				after := submitAfter(t, w, job(21, protocol.Gang, 2), time.Second, long)
+				last := submitAfter(t, w, job(22, protocol.Array, 2), time.Second, after, jobs[3])
 				w.Run(3 * time.Second)
 				all := append(slices.Clone(jobs), long, after, last)
-				lookClosely(w, all, 3*time.Second)
+				queryRapidly(w, all, 3*time.Second)
 				w.After(500*time.Millisecond, func() { trouble(w) })
 				w.After(time.Duration(step)*150*time.Millisecond, func() { w.CancelEverywhere(long) })
 				if step%2 == 0 {
 					w.After(time.Duration(step)*200*time.Millisecond, func() { w.CancelJob(jobs[1]) })
 				}
-				lookRepeatedly(w, all, 70, time.Second)
-				pollFor(w, 60*time.Second)
-				check(t, w)
-				settled(t, w, jobs)
-				settled(t, w, []*fake.Job{long, after, last})
+				queryRepeatedly(w, all, 70, time.Second)
+				runAndPoll(w, 60*time.Second)
+				requireNoViolations(t, w)
+				requirePipelineOutcome(t, w, jobs)
+				requirePipelineOutcome(t, w, []*fake.Job{long, after, last})
 				if long.Status != protocol.StatusCancelled {
 					t.Fatalf("the long job is called %q", long.Status)
 				}
@@ -202,15 +202,15 @@
 }
 
 // What a job that names others is told when it is submitted.
-func TestSubmissionsThatNameOtherJobs(t *testing.T) {
-	w := world(t)
+func TestSubmissionsWithPrerequisites(t *testing.T) {
+	w := newWorld(t)
 	done := w.Submit(job(1, protocol.Array, 1), time.Second)
-	pollFor(w, 15*time.Second)
-	long := accepted(t, w, job(2, protocol.Array, 1), time.Hour)
-	runs(t, w, long.Submission.ID, 1)
-	standing := accepted(t, w, service(3, 1), 0)
-	called := accepted(t, w, job(4, protocol.Array, 1), time.Hour)
-	through := accepted(t, w, job(5, protocol.Array, 1), time.Second, called)
+	runAndPoll(w, 15*time.Second)
+	long := submitAfter(t, w, job(2, protocol.Array, 1), time.Hour)
+	waitRunning(t, w, long.Submission.ID, 1)
+	standing := submitAfter(t, w, service(3, 1), 0)
+	called := submitAfter(t, w, job(4, protocol.Array, 1), time.Hour)
+	through := submitAfter(t, w, job(5, protocol.Array, 1), time.Second, called)
 	w.CancelJob(called)
 	w.Run(5 * time.Second)
 	for i, c := range []struct {
@@ -232,7 +232,7 @@
 		}
 		s.Prerequisites = c.needs
 		j := w.Submit(s, time.Second)
-		pollFor(w, 12*time.Second)
+		runAndPoll(w, 12*time.Second)
 		switch {
 		case c.status == 422 && j.RejectedWith != 422:
 			t.Errorf("needs %v: accepted %t, refused %d", c.needs, j.Accepted, j.RejectedWith)
@@ -240,7 +240,7 @@
 			t.Errorf("needs %v: accepted %t, called %q, not %q", c.needs, j.Accepted, j.Status, c.told)
 		}
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 
 	// The acceptance of what it needs is not durable: neither yes nor no can be said.
 	w.State.SetOutage(true)
@@ -269,20 +269,20 @@
 
 // A job that waits holds nothing: no room, no limit, no machine, no place in the queue;
 // and it counts for nobody's guarantee.
-func TestWaitingJobHoldsNothing(t *testing.T) {
+func TestWaitingJobHoldsNoResources(t *testing.T) {
 	s := fake.Settings()
 	s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 4, CPULimit: 4}, {Name: "blue", GuaranteedCPUs: 4, CPULimit: 8}}
 	w := fake.NewWorld(s)
 	w.Run(2 * time.Second)
 	first := job(1, protocol.Array, 1)
 	first.Team = "blue"
-	long := accepted(t, w, first, time.Hour)
-	runs(t, w, long.Submission.ID, 1)
+	long := submitAfter(t, w, first, time.Hour)
+	waitRunning(t, w, long.Submission.ID, 1)
 	w.Run(60 * time.Second)
 	machines := len(w.Cloud.MachineNames())
 	waits := job(2, protocol.Gang, 4)
 	waits.Team, waits.Priority = "red", protocol.Production
-	waiting := accepted(t, w, waits, time.Second, long)
+	waiting := submitAfter(t, w, waits, time.Second, long)
 	w.Run(30 * time.Second)
 	if n := len(w.Cloud.MachineNames()); n > machines {
 		t.Errorf("%d machines are rented, %d were before", n, machines)
@@ -290,23 +290,23 @@
 	other := job(3, protocol.Gang, 4) // all that the team may use
 	other.Team, other.Priority = "red", protocol.Low
 	w.Submit(other, 3*time.Second)
-	runs(t, w, other.ID, 4)
-	pollFor(w, 20*time.Second)
+	waitRunning(t, w, other.ID, 4)
+	runAndPoll(w, 20*time.Second)
 	if waiting.Status != protocol.StatusQueued || waiting.Started {
 		t.Errorf("the waiting job is called %q", waiting.Status)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // An array of low priority stands before an urgent job. Work of normal priority takes
 // all room that there is; the array doesn't wait behind it, nor stop production.
-func TestLowArrayBeforeAnUrgentEndIsNotStarved(t *testing.T) {
-	w := world(t)
+func TestPriorityInheritancePreventsStarvation(t *testing.T) {
+	w := newWorld(t)
 	w.Cloud.Capacity = 1 // of each type in each zone
 	production := service(1, 1)
 	production.CPUs, production.Priority = 4, protocol.Production
 	kept := w.Submit(production, 0)
-	runs(t, w, kept.Submission.ID, 1)
+	waitRunning(t, w, kept.Submission.ID, 1)
 	for i := range 30 {
 		s := job(10+i, protocol.Array, 2)
 		s.CPUs, s.CheckpointIntervalS, s.CheckpointDurationS = 2, 1, 0.5
@@ -315,16 +315,16 @@
 	w.Run(20 * time.Second)
 	low, urgent := job(2, protocol.Array, 2), job(3, protocol.Array, 1)
 	low.Priority, urgent.Priority, urgent.DeadlineS = protocol.Low, protocol.High, 60
-	a := accepted(t, w, low, 3*time.Second)
-	b := accepted(t, w, urgent, time.Second, a)
-	pollFor(w, 40*time.Second)
+	a := submitAfter(t, w, low, 3*time.Second)
+	b := submitAfter(t, w, urgent, time.Second, a)
+	runAndPoll(w, 40*time.Second)
 	if a.Status != protocol.StatusDone || b.Status != protocol.StatusDone {
 		t.Errorf("the low array is called %q, the urgent end %q", a.Status, b.Status)
 	}
 	if w.Running(kept.Submission.ID) != 1 {
 		t.Error("production was pushed out")
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // The write that says that a job is done is held up, the leader ends before it is
@@ -332,18 +332,18 @@
 // have begun by then. In the same way a job is submitted that needs one whose
 // cancellation is held up, and which is done after all: it must not have been called
 // cancelled.
-func TestEndOfAPrerequisiteIsHeldUp(t *testing.T) {
+func TestDelayedWriteOfPrerequisiteEnd(t *testing.T) {
 	outcomes := map[string]int{}
 	for step := range 36 {
 		s := fake.Settings()
 		s.State.TxnOps = 1 // each page has a transaction of its own
-		w := worldOf(t, s)
-		spare(t, w)
+		w := newWorldWith(t, s)
+		provisionIdleMachines(t, w)
 		long := job(1, protocol.Array, 1)
 		long.Class = strings.Repeat("c", 1400) // what needs it is on another page
-		first := accepted(t, w, long, 2*time.Second)
-		jobs := []*fake.Job{first, accepted(t, w, job(2, protocol.Array, 1), time.Second, first)}
-		runs(t, w, first.Submission.ID, 1)
+		first := submitAfter(t, w, long, 2*time.Second)
+		jobs := []*fake.Job{first, submitAfter(t, w, job(2, protocol.Array, 1), time.Second, first)}
+		waitRunning(t, w, first.Submission.ID, 1)
 		host := w.MachinesOf(first.Submission.ID)[0]
 		if !w.RunUntil(20*time.Second, func() bool { return len(first.DoneTasks) == 1 }) {
 			t.Fatal("the first job does not end")
@@ -363,7 +363,7 @@
 		w.Run(time.Duration(step) * 60 * time.Millisecond)
 		if step%3 == 0 {
 			w.CancelJob(first)
-			jobs = append(jobs, accepted(t, w, job(3, protocol.Array, 1), time.Second, first))
+			jobs = append(jobs, submitAfter(t, w, job(3, protocol.Array, 1), time.Second, first))
 		}
 		w.Run(300 * time.Millisecond)
 		w.Controllers[0].Crash()
@@ -371,12 +371,12 @@
 		if step%3 == 1 {
 			w.After(700*time.Millisecond, func() { w.CancelEverywhere(first) })
 		}
-		lookRepeatedly(w, jobs, 120, 50*time.Millisecond)
+		queryRepeatedly(w, jobs, 120, 50*time.Millisecond)
 		w.Controllers[0].Start()
-		pollFor(w, 40*time.Second)
-		check(t, w)
+		runAndPoll(w, 40*time.Second)
+		requireNoViolations(t, w)
 		for _, j := range jobs[1:] {
-			settled(t, w, []*fake.Job{first, j})
+			requirePipelineOutcome(t, w, []*fake.Job{first, j})
 		}
 		outcomes[first.Status]++
 	}
@@ -388,21 +388,21 @@
 
 // A job is cancelled whose machine hangs, so that its end can't be written yet. A
 // submission that names it is accepted and cancelled all the same.
-func TestSubmissionNamesAJobThatIsStillBeingStopped(t *testing.T) {
-	w := world(t)
-	long := accepted(t, w, job(1, protocol.Array, 1), time.Hour)
-	runs(t, w, long.Submission.ID, 1)
+func TestSubmissionWhilePrerequisiteIsStopping(t *testing.T) {
+	w := newWorld(t)
+	long := submitAfter(t, w, job(1, protocol.Array, 1), time.Hour)
+	waitRunning(t, w, long.Submission.ID, 1)
 	w.Run(5 * time.Second)
 	w.Workers[w.MachinesOf(long.Submission.ID)[0]].HangUntil = w.Now + 9*time.Second
 	w.CancelJob(long)
 	if !w.RunUntil(3*time.Second, func() bool { return long.Status == protocol.StatusCancelled }) {
 		t.Fatalf("the long job is called %q", long.Status)
 	}
-	j := accepted(t, w, job(2, protocol.Array, 1), time.Second, long)
-	pollFor(w, 3*time.Second)
+	j := submitAfter(t, w, job(2, protocol.Array, 1), time.Second, long)
+	runAndPoll(w, 3*time.Second)
 	if !j.Accepted || j.Status != protocol.StatusCancelled {
 		t.Errorf("accepted %t, called %q", j.Accepted, j.Status)
 	}
 	w.Run(20 * time.Second)
-	check(t, w)
+	requireNoViolations(t, w)
 }
--- a/internal/controller/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -14,13 +14,13 @@
 // Machines are up at once and get work while writes lag, and the leader ends at
 // any moment of that: every start that a worker has is recorded, no machine is
 // forgotten, and none is rented twice for long.
-func TestMachinesUpAtOnceWhileWritesLag(t *testing.T) {
+func TestMachinesBootWhileWritesLag(t *testing.T) {
 	steps := 16
 	if *fine {
 		steps = 120
 	}
 	for step := range steps {
-		w := world(t)
+		w := newWorld(t)
 		for i := range w.Cloud.Types() {
 			w.Cloud.Types()[i].BootS = 0.5
 		}
@@ -45,10 +45,10 @@
 			w.After(3*time.Second, l.Start)
 		}
 		for _, j := range jobs {
-			runs(t, w, j.Submission.ID, 2)
+			waitRunning(t, w, j.Submission.ID, 2)
 		}
 		w.Run(150 * time.Second) // every machine that isn't needed has been given back
-		check(t, w)
+		requireNoViolations(t, w)
 		used := map[string]bool{}
 		for _, j := range jobs {
 			for _, h := range w.MachinesOf(j.Submission.ID) {
@@ -64,26 +64,26 @@
 // Reports of a worker are kept, from its earlier session too, and handed to every
 // controller just as another leads: they prove neither that a task is absent nor
 // that it is there, nor that the machine lives, nor that its lease has ended.
-func TestOldReportsMeetANewLeader(t *testing.T) {
+func TestStaleHeartbeatsReachNewLeader(t *testing.T) {
 	for _, died := range []bool{false, true} {
 		t.Run(fmt.Sprint("machine has died ", died), func(t *testing.T) {
 			for step := range 20 {
-				w := world(t)
+				w := newWorld(t)
 				var kept []protocol.Heartbeat
 				w.OnHeartbeat = func(r protocol.Heartbeat) {
 					r.Tasks = slices.Clone(r.Tasks)
 					kept = append(kept, r)
 				}
 				before := w.Submit(service(1, 2), 0)
-				runs(t, w, before.Submission.ID, 2)
+				waitRunning(t, w, before.Submission.ID, 2)
 				host := w.MachinesOf(before.Submission.ID)[0]
 				if step%2 == 1 { // an earlier session: it hangs past its lease and comes back
 					w.Workers[host].HangUntil = w.Now + 12*time.Second
 					w.Run(14 * time.Second)
-					runs(t, w, before.Submission.ID, 2)
+					waitRunning(t, w, before.Submission.ID, 2)
 				}
 				after := w.Submit(service(2, 2), 0)
-				runs(t, w, after.Submission.ID, 2)
+				waitRunning(t, w, after.Submission.ID, 2)
 				w.Run(3 * time.Second)
 				// The machine itself is away at first, so that only copies speak for it.
 				away, back := w.MachinesOf(after.Submission.ID)[0], w.Now+6*time.Second
@@ -118,11 +118,11 @@
 				if !taken {
 					t.Fatal("nobody took over")
 				}
-				runs(t, w, before.Submission.ID, 2)
-				runs(t, w, after.Submission.ID, 2)
+				waitRunning(t, w, before.Submission.ID, 2)
+				waitRunning(t, w, after.Submission.ID, 2)
 				w.Run(30 * time.Second)
-				check(t, w)
-				served(t, w)
+				requireNoViolations(t, w)
+				requireAllServed(t, w)
 			}
 		})
 	}
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -10,9 +10,9 @@
 	"oakpick/internal/protocol"
 )
 
-// fleetOf makes a world with so many machines up, each with a replica of a job of
+// newFleet makes a world with so many machines up, each with a replica of a job of
 // fifty, and the leader among its nodes.
-func fleetOf(t testing.TB, machines int) (*fake.World, *fake.Controller) {
+func newFleet(t testing.TB, machines int) (*fake.World, *fake.Controller) {
 	t.Helper()
 	s := fake.Settings()
 	s.Teams = s.Teams[:1]
@@ -38,8 +38,8 @@
 	return w, n
 }
 
-// waiting hands in jobs for which there is no room and will be none.
-func waiting(w *fake.World, jobs int) {
+// submitUnplaceable hands in jobs for which there is no room and will be none.
+func submitUnplaceable(w *fake.World, jobs int) {
 	for i := range jobs {
 		j := service(1000+i, 4)
 		j.Team, j.CPUs, j.Types = "red", 4, []string{"small"}
@@ -49,10 +49,10 @@
 
 // What is looked at grows with the machines, or with what waits, but not with
 // one times the other, and not at all for what concerns one job or machine.
-func TestWorkGrowsWithWhatChanged(t *testing.T) {
+func TestCostGrowsWithChange(t *testing.T) {
 	for _, machines := range []int{100, 400} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
-			w, n := fleetOf(t, machines)
+			w, n := newFleet(t, machines)
 			seen := func(do func()) (hosts, jobs int64) {
 				before := n.Stats()
 				do()
@@ -84,10 +84,10 @@
 				t.Errorf("20 submissions: %d machines and %d jobs looked at", hosts, jobs)
 			}
 			t.Logf("a submission looks at %d machines and %d jobs", hosts/20, jobs/20)
-			waiting(w, 10)
+			submitUnplaceable(w, 10)
 			w.Run(2 * time.Second)
 			few, _ := seen(func() { w.Run(2 * time.Second) })
-			waiting(w, 100)
+			submitUnplaceable(w, 100)
 			w.Run(2 * time.Second)
 			many, jobs := seen(func() { w.Run(2 * time.Second) })
 			if many > 3*few+int64(30*machines) {
@@ -96,7 +96,7 @@
 			if jobs > 100*int64(110+machines/50) {
 				t.Errorf("two seconds with 110 jobs waiting: %d jobs looked at", jobs)
 			}
-			check(t, w)
+			requireNoViolations(t, w)
 		})
 	}
 }
@@ -105,7 +105,7 @@
 // pass, the stand-ins of everything outside are in the figure too.
 func BenchmarkStep(b *testing.B) {
 	for _, machines := range []int{100, 400, 1600} {
-		_, n := fleetOf(b, machines)
+		_, n := newFleet(b, machines)
 		run := func(name string, request func() message.Request) {
 			b.Run(fmt.Sprintf("%s/%d", name, machines), func(b *testing.B) {
 				for range b.N {
@@ -132,8 +132,8 @@
 			s.Team = "red"
 			return message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}
 		})
-		w, _ := fleetOf(b, machines)
-		waiting(w, 300)
+		w, _ := newFleet(b, machines)
+		submitUnplaceable(w, 300)
 		w.Run(2 * time.Second)
 		b.Run(fmt.Sprintf("second with 1200 tasks waiting/%d", machines), func(b *testing.B) {
 			for range b.N {
@@ -153,9 +153,9 @@
 	}
 }
 
-// peak is a fleet at the users' next size: so many machines, half of them with replicas,
+// peakLoad is a fleet at the users' next size: so many machines, half of them with replicas,
 // and arrays that make so many starts a second with so many tasks running.
-type peak struct {
+type peakLoad struct {
 	w     *fake.World
 	n     *fake.Controller
 	rate  float64 // arrays a second
@@ -165,18 +165,18 @@
 	next  int
 }
 
-func peakOf(t testing.TB, machines, running int, starts float64) *peak {
+func newPeakLoad(t testing.TB, machines, running int, starts float64) *peakLoad {
 	t.Helper()
-	w, n := fleetOf(t, machines)
-	p := &peak{w: w, n: n, rate: 3.2, next: 10_000}
+	w, n := newFleet(t, machines)
+	p := &peakLoad{w: w, n: n, rate: 3.2, next: 10_000}
 	p.tasks = int(starts / p.rate)
 	p.run = time.Duration(float64(running) / starts * float64(time.Second))
-	p.pass(time.Duration(float64(p.run) * 1.2))
+	p.advance(time.Duration(float64(p.run) * 1.2))
 	return p
 }
 
-// pass lets time pass, with arrays submitted as it does.
-func (p *peak) pass(d time.Duration) {
+// advance lets time pass, with arrays submitted as it does.
+func (p *peakLoad) advance(d time.Duration) {
 	const step = 50 * time.Millisecond
 	for ; d > 0; d -= step {
 		for p.due += p.rate * step.Seconds(); p.due >= 1; p.due-- {
@@ -197,14 +197,14 @@
 		starts            float64
 	}{{600, 6500, 245}, {2400, 26000, 980}} {
 		b.Run(fmt.Sprintf("%d machines %d tasks %.0f starts", size.machines, size.running, size.starts), func(b *testing.B) {
-			p := peakOf(b, size.machines, size.running, size.starts)
+			p := newPeakLoad(b, size.machines, size.running, size.starts)
 			b.ResetTimer()
 			began := p.n.Stats().TasksStarted
 			for range b.N {
-				p.pass(time.Second)
+				p.advance(time.Second)
 			}
 			b.ReportMetric(float64(p.n.Stats().TasksStarted-began)/float64(b.N), "starts/op")
-			check(b, p.w)
+			requireNoViolations(b, p.w)
 		})
 	}
 }
--- a/internal/controller/starts_test.go
+++ b/internal/controller/starts_test.go
@@ -12,8 +12,8 @@
 
 // A start is carried out, the task ends, and then a copy of the start arrives:
 // first within the term, then after the job has moved on.
-func TestCopyOfAStartDoesNotRunAgain(t *testing.T) {
-	w := world(t)
+func TestDuplicateStartDoesNotRunAgain(t *testing.T) {
+	w := newWorld(t)
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
 		if kind == fake.KindCommands {
@@ -31,8 +31,8 @@
 			}
 		}
 	}
-	check(t, w)
-	served(t, w)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
 }
 
 // A start gets no answer, and further commands don't arrive either. Reports do,
@@ -40,12 +40,12 @@
 // which a raised token makes it; it may arrive just before, or much later. The
 // job comes at any time between two reports, so that one falls between the
 // commands that are given up and the next try.
-func TestStartWithoutAnswerIsVoidedFirst(t *testing.T) {
+func TestUnconfirmedStartIsFencedBeforeRetry(t *testing.T) {
 	for at := range 40 {
 		late := []time.Duration{2500, 2900, 3300, 30_000}[at%4]
 		t.Run(fmt.Sprint(late*time.Millisecond, " ", at), func(t *testing.T) {
-			w := world(t)
-			spare(t, w)
+			w := newWorld(t)
+			provisionIdleMachines(t, w)
 			w.Run(time.Duration(at) * 50 * time.Millisecond)
 			host := ""
 			w.Network = func(kind, _, to string) fake.Delivery {
@@ -60,12 +60,12 @@
 				return f
 			}
 			j := w.Submit(service(1, 1), 0)
-			runs(t, w, j.Submission.ID, 1)
+			waitRunning(t, w, j.Submission.ID, 1)
 			w.Run(60 * time.Second)
 			if w.Running(j.Submission.ID) != 1 || len(w.MachinesOf(j.Submission.ID)) != 1 {
 				t.Errorf("on %v", w.MachinesOf(j.Submission.ID))
 			}
-			check(t, w)
+			requireNoViolations(t, w)
 		})
 	}
 }
@@ -73,9 +73,9 @@
 // A start is on its way when the leader ends. The successor hears from the
 // machine, which has not seen the new token and does not have the task: that
 // proves nothing, since the start may still arrive.
-func TestReportWithoutTheNewTokenProvesNoAbsence(t *testing.T) {
-	w := world(t)
-	spare(t, w)
+func TestHeartbeatWithoutNewTokenProvesNoAbsence(t *testing.T) {
+	w := newWorld(t)
+	provisionIdleMachines(t, w)
 	var crashed time.Duration
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		f := fake.Reliable()
@@ -100,16 +100,16 @@
 	if log := strings.Join(w.Log, "\n"); strings.Contains(log, "task lost [job wk-000001") {
 		t.Errorf("absence believed\n%s", log)
 	}
-	runs(t, w, j.Submission.ID, 1)
+	waitRunning(t, w, j.Submission.ID, 1)
 	w.Run(30 * time.Second)
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // A machine fails every task; others don't. It is set aside and given back.
-func TestSickMachineIsSetAside(t *testing.T) {
-	w := world(t)
+func TestFailingMachineIsCordoned(t *testing.T) {
+	w := newWorld(t)
 	a := w.Submit(service(1, 1), 0)
-	runs(t, w, a.Submission.ID, 1)
+	waitRunning(t, w, a.Submission.ID, 1)
 	sick := w.MachinesOf(a.Submission.ID)[0]
 	w.Workers[sick].FailsTasks = true
 	for i := range 5 {
@@ -122,13 +122,13 @@
 	if !strings.Contains(strings.Join(w.Log, "\n"), "machine cordoned [host "+sick) {
 		t.Errorf("not set aside\n%s", strings.Join(w.Log, "\n"))
 	}
-	served(t, w)
-	check(t, w)
+	requireAllServed(t, w)
+	requireNoViolations(t, w)
 }
 
 // A job fails wherever it goes: no machine is blamed, and it is not retried hot.
-func TestJobThatAlwaysFailsBlamesNoMachine(t *testing.T) {
-	w := world(t)
+func TestFailingJobCordonsNoMachine(t *testing.T) {
+	w := newWorld(t)
 	for i := range 3 {
 		j := w.Submit(service(i+1, 1), 0)
 		j.AlwaysFails = true
@@ -139,20 +139,20 @@
 		t.Errorf("%d failures in 90 s", st.TasksFailed)
 	}
 	good := w.Submit(service(9, 1), 0)
-	runs(t, w, good.Submission.ID, 1)
-	check(t, w)
+	waitRunning(t, w, good.Submission.ID, 1)
+	requireNoViolations(t, w)
 }
 
 // A member of a gang is lost: the rest end, and the next attempt starts as one.
-func TestGangStartsAgainTogether(t *testing.T) {
-	w := world(t)
+func TestGangRestartsTogether(t *testing.T) {
+	w := newWorld(t)
 	s := job(1, protocol.Gang, 3)
 	s.CPUs, s.Spread = 3, true
 	j := w.Submit(s, 40*time.Second)
-	runs(t, w, s.ID, 3)
+	waitRunning(t, w, s.ID, 3)
 	w.Cloud.Fail(w.MachinesOf(s.ID)[1])
 	w.Run(2 * time.Second)
-	runs(t, w, s.ID, 3)
+	waitRunning(t, w, s.ID, 3)
 	for range 40 {
 		w.Run(2 * time.Second)
 		w.PollAll()
@@ -160,5 +160,5 @@
 	if j.Status != protocol.StatusDone {
 		t.Errorf("told %q", j.Status)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -14,9 +14,9 @@
 	"oakpick/internal/storage"
 )
 
-// takesOver has a new controller take the term, with each request to the state service
+// takeOver has a new controller take the term, with each request to the state service
 // answered at once, and gives how many entries it was given.
-func takesOver(t testing.TB, w *fake.World, cfg *config.Config) (entries int) {
+func takeOver(t testing.TB, w *fake.World, cfg *config.Config) (entries int) {
 	t.Helper()
 	n := controller.New(cfg, "boot", 1)
 	now := message.Now{WallMs: 1_000_000}
@@ -43,9 +43,9 @@
 	return entries
 }
 
-// recordedFleet is a state service with so many jobs that aren't over, as many ended ones as
+// newRecordedState is a state service with so many jobs that aren't over, as many ended ones as
 // a leader keeps, and so many in the archive.
-func recordedFleet(unfinished, kept, archived int) (*fake.World, *config.Config) {
+func newRecordedState(unfinished, kept, archived int) (*fake.World, *config.Config) {
 	s := fake.Settings()
 	s.State.ValueKB = 8
 	w := fake.NewWorld(s)
@@ -92,10 +92,10 @@
 }
 
 // What a take-over reads doesn't grow with what is in the archive.
-func TestTakeOverDoesNotReadTheArchive(t *testing.T) {
-	few, cfg := recordedFleet(100, 100, 0)
-	many, _ := recordedFleet(100, 100, 20_000)
-	a, b := takesOver(t, few, cfg), takesOver(t, many, cfg)
+func TestTakeOverDoesNotReadArchive(t *testing.T) {
+	few, cfg := newRecordedState(100, 100, 0)
+	many, _ := newRecordedState(100, 100, 20_000)
+	a, b := takeOver(t, few, cfg), takeOver(t, many, cfg)
 	if b > a+1 { // one to see that there is an archive
 		t.Errorf("%d entries with an empty archive, %d with a full one", a, b)
 	}
@@ -107,12 +107,12 @@
 	const unfinished, kept = 2600, 6000
 	for _, archived := range []int{0, 26_000, 1_040_000} {
 		b.Run(fmt.Sprintf("ended=%d", archived), func(b *testing.B) {
-			w, cfg := recordedFleet(unfinished, kept, archived)
+			w, cfg := newRecordedState(unfinished, kept, archived)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				cfg.Node = fmt.Sprint("n", 10+i)
-				takesOver(b, w, cfg)
+				takeOver(b, w, cfg)
 				b.StopTimer()
 				w.Run(5 * time.Second) // the lease of the last one ends
 				b.StartTimer()
@@ -125,9 +125,9 @@
 // next one hears of the new session and starts the machine's tasks there again; it ends when
 // only some of these starts are durable. Its successor finds starts of both sessions on the
 // machine, and hears of the newer one only: the older ones are gone.
-func TestStartsOfTwoSessionsOnOneMachine(t *testing.T) {
+func TestStartsOfTwoIncarnationsOnOneMachine(t *testing.T) {
 	for durable := range 5 {
-		w := world(t)
+		w := newWorld(t)
 		w.Cloud.CapacityOf = map[string]int{"small": 1, "large": 0}
 		for i := range 80 { // on more pages than a transaction takes
 			s := service(i+1, 1)
@@ -153,21 +153,21 @@
 			return f
 		}
 		w.Run(3 * time.Second)
-		endLeader(w)
+		restartLeader(w)
 		if !w.RunUntil(30*time.Second, func() bool { return placed() > 1 }) {
 			t.Fatal("the replicas aren't started again")
 		}
 		w.Run(400 * time.Millisecond)
-		endLeader(w)
+		restartLeader(w)
 		w.Network = nil
-		pollFor(w, 60*time.Second)
-		check(t, w)
-		served(t, w)
+		runAndPoll(w, 60*time.Second)
+		requireNoViolations(t, w)
+		requireAllServed(t, w)
 	}
 }
 
-// endLeader ends the leader's process, which is back after three seconds.
-func endLeader(w *fake.World) {
+// restartLeader ends the leader's process, which is back after three seconds.
+func restartLeader(w *fake.World) {
 	l := w.Leader()
 	l.Crash()
 	w.After(3*time.Second, l.Start)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -14,15 +14,15 @@
 	"oakpick/internal/storage"
 )
 
-// rolled makes a world in which all controllers run as the version in production, with
+// newProductionWorld makes a world in which all controllers run as the version in production, with
 // lower limits to come.
-func rolled(t *testing.T) *fake.World {
+func newProductionWorld(t *testing.T) *fake.World {
 	t.Helper()
 	s := fake.Settings()
 	s.State.ValueKB, s.State.TxnOps = 8, 8
 	s.State.Next = nextLimits(1, 3, 25)
 	w := fake.NewWorld(s)
-	w.RewriteAsProduction = asProduction
+	w.RewriteAsProduction = roundTripProduction
 	for _, n := range w.Controllers {
 		n.Crash()
 		n.RunsProduction = true
@@ -49,12 +49,12 @@
 
 // The versions lead in turns, several times, also within a second and in an outage:
 // nothing is lost and every rule holds, whoever wrote a page last.
-func TestVersionsLeadInTurns(t *testing.T) {
+func TestVersionsAlternateAsLeader(t *testing.T) {
 	for _, pause := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 9 * time.Second} {
 		for _, outage := range []bool{false, true} {
 			t.Run(pause.String(), func(t *testing.T) {
 				t.Parallel()
-				w := rolled(t)
+				w := newProductionWorld(t)
 				large := job(1, protocol.Array, 70)
 				large.CPUs, large.Team = 0.5, "red"
 				w.Submit(large, 8*time.Second)
@@ -87,9 +87,9 @@
 					n.RunsProduction = false
 					n.Start()
 				}
-				pollFor(w, 90*time.Second)
-				check(t, w)
-				served(t, w)
+				runAndPoll(w, 90*time.Second)
+				requireNoViolations(t, w)
+				requireAllServed(t, w)
 				if called.Status != protocol.StatusCancelled {
 					t.Errorf("told %q", called.Status)
 				}
@@ -102,12 +102,12 @@
 // the old version left, and with writes in flight: what is on them still changes. A
 // first copy of a write may be carried out late, after the same write was refused for
 // its size and its pages were divided: by then it is of an earlier term.
-func TestLimitsDropAfterARoll(t *testing.T) {
+func TestLimitsLoweredAfterRollingUpgrade(t *testing.T) {
 	for _, wait := range []time.Duration{0, 500 * time.Millisecond, 20 * time.Second} {
 		for _, slow := range []time.Duration{0, 150 * time.Millisecond} {
 			t.Run(wait.String()+" "+slow.String(), func(t *testing.T) {
 				t.Parallel()
-				w := rolled(t)
+				w := newProductionWorld(t)
 				large := job(1, protocol.Array, 70)
 				large.CPUs, large.Team = 0.5, "red"
 				w.Submit(large, 8*time.Second)
@@ -179,9 +179,9 @@
 				w.CancelEverywhere(called)
 				w.Submit(job(3, protocol.Gang, 2), 2*time.Second)
 				w.Submit(service(4, 2), 0)
-				pollFor(w, 150*time.Second)
-				check(t, w)
-				served(t, w)
+				runAndPoll(w, 150*time.Second)
+				requireNoViolations(t, w)
+				requireAllServed(t, w)
 				if called.Status != protocol.StatusCancelled {
 					t.Errorf("told %q", called.Status)
 				}
@@ -195,7 +195,7 @@
 
 // A job's blocks are cut for pages of 8 KiB, and pages of 1 KiB are to come: the starts
 // of a whole block don't fit one. What doesn't has to wait, and its turn comes.
-func TestBlockCutForLargerPagesRunsOutOfRoom(t *testing.T) {
+func TestBlockTooLargeForLoweredPages(t *testing.T) {
 	s := fake.Settings()
 	s.State.ValueKB, s.State.Next = 8, nextLimits(1, 4, 40)
 	w := fake.NewWorld(s)
@@ -212,16 +212,16 @@
 		t.Errorf("%d of 60 tasks ran at a time", most)
 	}
 	w.State.LowerLimits()
-	pollFor(w, 60*time.Second)
+	runAndPoll(w, 60*time.Second)
 	if j.Status != protocol.StatusDone {
 		t.Errorf("told %q, %d tasks done", j.Status, len(j.DoneTasks))
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // The limits were lowered and the settings say so: the same number of a block would mean
 // other tasks now, but for the length that is recorded.
-func TestBlockLengthIsWhatWasRecorded(t *testing.T) {
+func TestBlockLengthIsReadFromRecords(t *testing.T) {
 	s := fake.Settings()
 	s.State.ValueKB, s.State.Next = 4, nextLimits(1, 4, 40)
 	w := fake.NewWorld(s)
@@ -260,21 +260,21 @@
 	for _, n := range w.Controllers {
 		n.Start()
 	}
-	pollFor(w, 90*time.Second)
+	runAndPoll(w, 90*time.Second)
 	if j.Status != protocol.StatusDone {
 		t.Errorf("told %q, %d tasks done", j.Status, len(j.DoneTasks))
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // The operators change value_kb itself, without saying before what is to come. A job of
 // several blocks that this version accepted is carried on by the length that it recorded.
-func TestJobsOfSeveralBlocksOutliveAnotherValueSize(t *testing.T) {
+func TestMultiBlockJobSurvivesValueSizeChange(t *testing.T) {
 	for _, sizes := range [][2]float64{{4, 1}, {1, 4}} {
 		t.Run(fmt.Sprint(sizes), func(t *testing.T) {
 			s := fake.Settings()
 			s.State.ValueKB = sizes[0]
-			w := worldOf(t, s)
+			w := newWorldWith(t, s)
 			large := job(1, protocol.Array, 60)
 			large.CPUs, large.Team = 0.5, "red"
 			j := w.Submit(large, 4*time.Second)
@@ -285,18 +285,18 @@
 			if n := len(j.DoneTasks); n > 50 {
 				t.Fatalf("%d of 60 tasks are done: this shows nothing", n)
 			}
-			changeValueSize(w, sizes[1])
-			pollFor(w, 90*time.Second)
+			restartWithValueSize(w, sizes[1])
+			runAndPoll(w, 90*time.Second)
 			if j.Status != protocol.StatusDone {
 				t.Errorf("told %q, %d tasks done", j.Status, len(j.DoneTasks))
 			}
-			check(t, w)
+			requireNoViolations(t, w)
 		})
 	}
 }
 
-// changeValueSize restarts every controller with another value_kb.
-func changeValueSize(w *fake.World, kilobytes float64) {
+// restartWithValueSize restarts every controller with another value_kb.
+func restartWithValueSize(w *fake.World, kilobytes float64) {
 	for _, n := range w.Controllers {
 		n.Crash()
 	}
@@ -310,11 +310,11 @@
 // A job of several blocks that the version in production accepted has no such length
 // recorded. If value_kb is changed and its records disagree, nobody leads, and the log
 // says why: no task is taken for another.
-func TestBlocksThatDisagreeWithTheSettingsAreRefused(t *testing.T) {
+func TestBlocksInconsistentWithSettingsAreRefused(t *testing.T) {
 	s := fake.Settings()
 	s.State.ValueKB = 4
 	w := fake.NewWorld(s)
-	w.RewriteAsProduction = asProduction
+	w.RewriteAsProduction = roundTripProduction
 	for _, n := range w.Controllers {
 		n.Crash()
 		n.RunsProduction = true
@@ -323,11 +323,11 @@
 	large := job(1, protocol.Array, 60)
 	large.CPUs, large.Team = 0.5, "red"
 	w.Submit(large, 30*time.Second)
-	runs(t, w, large.ID, 24)
+	waitRunning(t, w, large.ID, 24)
 	for _, n := range w.Controllers {
 		n.RunsProduction = false
 	}
-	changeValueSize(w, 1)
+	restartWithValueSize(w, 1)
 	w.Run(10 * time.Second)
 	if w.Leader() != nil {
 		t.Error("a controller leads")
@@ -336,8 +336,8 @@
 	if !slices.ContainsFunc(w.Log, said) {
 		t.Error("no log line says why")
 	}
-	changeValueSize(w, 4)
-	pollFor(w, 150*time.Second)
-	check(t, w)
-	served(t, w)
+	restartWithValueSize(w, 4)
+	runAndPoll(w, 150*time.Second)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
 }
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -14,22 +14,22 @@
 // renewals aren't refused; nothing that runs is lost; whoever can't be served is told so
 // at once, with a time to come back; and once writes are taken again the cancellations
 // don't wait behind new work.
-func TestWritesAreRefusedForLongerThanALease(t *testing.T) {
-	w := worldOf(t, smallestBudgets())
-	spare(t, w)
+func TestWritesRefusedLongerThanLease(t *testing.T) {
+	w := newWorldWith(t, smallestStateLimits())
+	provisionIdleMachines(t, w)
 	standing := w.Submit(service(1, 2), 0)
-	runs(t, w, standing.Submission.ID, 2)
+	waitRunning(t, w, standing.Submission.ID, 2)
 	var called []*fake.Job
 	for i := range 8 {
 		s := service(10+i, 1)
 		s.CPUs = 0.1
-		called = append(called, accepted(t, w, s, 0))
+		called = append(called, submitAfter(t, w, s, 0))
 	}
 	for _, j := range called {
-		runs(t, w, j.Submission.ID, 1)
+		waitRunning(t, w, j.Submission.ID, 1)
 	}
-	after := accepted(t, w, job(30, protocol.Array, 1), time.Hour)
-	dependent := accepted(t, w, job(31, protocol.Array, 1), time.Second, after)
+	after := submitAfter(t, w, job(30, protocol.Array, 1), time.Hour)
+	dependent := submitAfter(t, w, job(31, protocol.Array, 1), time.Second, after)
 	w.Run(5 * time.Second)
 	terms, lost := w.Controllers[0].Stats().TermsTaken, w.Controllers[0].Stats().TasksLost
 	w.State.RejectWrites = true
@@ -79,12 +79,12 @@
 	if n := len(open) + len(ended); n > answers-refused/2 {
 		t.Errorf("%d jobs are recorded, %d of %d submissions were refused", n, refused, answers)
 	}
-	pollFor(w, 60*time.Second)
+	runAndPoll(w, 60*time.Second)
 	if again := w.Submit(job(40, protocol.Array, 1), time.Second); !w.RunUntil(time.Second, func() bool { return again.Accepted }) {
 		t.Error("a submission is not accepted, though writes are taken again")
 	}
 	if w.Running(standing.Submission.ID) != 2 || dependent.Status != protocol.StatusCancelled {
 		t.Errorf("%d of 2 replicas run; the dependent is called %q", w.Running(standing.Submission.ID), dependent.Status)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -17,8 +17,8 @@
 
 // The answer to a write is lost, and the write landed: it is recognised by its
 // own id, and the leader goes on.
-func TestWriteThatLandedWithoutAnAnswer(t *testing.T) {
-	w := world(t)
+func TestCommittedWriteWithLostResponse(t *testing.T) {
+	w := newWorld(t)
 	w.Run(5 * time.Second)
 	lost := 0
 	w.Network = func(kind, from, _ string) fake.Delivery {
@@ -30,16 +30,16 @@
 		return f
 	}
 	a := w.Submit(service(1, 1), 0)
-	runs(t, w, a.Submission.ID, 1)
+	waitRunning(t, w, a.Submission.ID, 1)
 	if lost == 0 || !w.Controllers[0].Leads() || w.Controllers[0].Stats().TermsTaken != 1 {
 		t.Errorf("%d answers lost, terms %d", lost, w.Controllers[0].Stats().TermsTaken)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // More tasks than fit a page, block by block, over a change of leader.
-func TestManyTasksFitSmallPages(t *testing.T) {
-	w := world(t)
+func TestLargeArrayOnSmallPages(t *testing.T) {
+	w := newWorld(t)
 	s := job(1, protocol.Array, 300)
 	s.Team, s.CheckpointIntervalS = "blue", 0
 	j := w.Submit(s, time.Second)
@@ -52,13 +52,13 @@
 	if j.Status != protocol.StatusDone || len(j.DoneTasks) != 300 {
 		t.Errorf("told %q, %d done\n%s", j.Status, len(j.DoneTasks), strings.Join(w.Log[max(0, len(w.Log)-20):], "\n"))
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // The leader ends when the first of a job's blocks is wholly done and others are
 // not. The first block carries the job's own record, which has to stay.
-func TestFirstBlockDoneWhenTheLeaderEnds(t *testing.T) {
-	w := world(t)
+func TestLeaderCrashAfterFirstBlockDone(t *testing.T) {
+	w := newWorld(t)
 	s := job(1, protocol.Array, 30)
 	s.CheckpointIntervalS, s.Team = 0, "red" // whose limit lets a block's worth run at once
 	j := w.Submit(s, 8*time.Second)
@@ -79,14 +79,14 @@
 		w.Run(3 * time.Second)
 		w.PollAll()
 	}
-	check(t, w)
-	served(t, w)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
 }
 
 // A job's last task is done, and the leader ends after any of the writes that
 // say so: the final state may be durable while other pages still have blocks
 // of the job.
-func TestLeaderEndsBetweenTheWritesOfAnEnd(t *testing.T) {
+func TestLeaderCrashBetweenWritesOfJobEnd(t *testing.T) {
 	for writes := range 6 {
 		settings := fake.Settings()
 		settings.State.TxnOps = 1
@@ -119,16 +119,16 @@
 		if !ended || j.Status != protocol.StatusDone {
 			t.Errorf("after %d writes: ended %t, told %q\n%s", writes, ended, j.Status, strings.Join(w.Log[max(0, len(w.Log)-10):], "\n"))
 		}
-		check(t, w)
+		requireNoViolations(t, w)
 	}
 }
 
 // What is over stays known when every process has ended.
-func TestFinalStatesOutliveAllProcesses(t *testing.T) {
-	w := world(t)
+func TestTerminalStatesSurviveAllRestarts(t *testing.T) {
+	w := newWorld(t)
 	a := w.Submit(job(1, protocol.Array, 2), time.Second)
 	b := w.Submit(service(2, 1), 0)
-	runs(t, w, b.Submission.ID, 1)
+	waitRunning(t, w, b.Submission.ID, 1)
 	w.CancelJob(b)
 	w.Run(10 * time.Second)
 	for _, n := range w.Controllers {
@@ -146,12 +146,12 @@
 	if a.Status != protocol.StatusDone || b.Status != protocol.StatusCancelled {
 		t.Errorf("told %q and %q", a.Status, b.Status)
 	}
-	check(t, w)
+	requireNoViolations(t, w)
 }
 
 // A submission that can't be made durable is refused when that is known, not
 // when its user has waited long enough; one that can be, however slowly, waits.
-func TestSubmissionIsRefusedAtOnceOrWaitsForItsCommit(t *testing.T) {
+func TestSubmissionRefusedImmediatelyOrCommitted(t *testing.T) {
 	type answer struct {
 		status int
 		after  time.Duration
@@ -164,7 +164,7 @@
 		return a
 	}
 	t.Run("outage", func(t *testing.T) {
-		w := world(t)
+		w := newWorld(t)
 		w.Run(5 * time.Second)
 		w.State.SetOutage(true)
 		first := ask(w, 1)
@@ -182,7 +182,7 @@
 		}
 	})
 	t.Run("long queue", func(t *testing.T) {
-		w := world(t)
+		w := newWorld(t)
 		w.Run(5 * time.Second)
 		var all []*answer
 		const asked = 600 // more than the write budget lets through while they wait
@@ -206,7 +206,7 @@
 		}
 	})
 	t.Run("slow", func(t *testing.T) {
-		w := world(t)
+		w := newWorld(t)
 		w.Run(5 * time.Second)
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			f := fake.Reliable()
@@ -225,7 +225,7 @@
 
 // Every kind of write of a day is carried out and its answer lost, or carried out
 // only after newer ones, while others read: each is recognised, none counts twice.
-func TestWritesWithoutAnswer(t *testing.T) {
+func TestWritesWithLostResponses(t *testing.T) {
 	type meeting struct {
 		share   int           // one of so many gets no answer
 		late    time.Duration // and is carried out so much later; 0: at once
@@ -237,7 +237,7 @@
 		t.Run(fmt.Sprintf("one of %d, %v, %t", m.share, m.late, m.crashes), func(t *testing.T) {
 			t.Parallel()
 			for seed := range 8 {
-				w := world(t)
+				w := newWorld(t)
 				writes := seed
 				until := w.Now + 60*time.Second
 				w.Network = func(kind, _, _ string) fake.Delivery {
@@ -269,9 +269,9 @@
 						w.After(2*time.Second, l.Start)
 					}
 				}
-				pollFor(w, 120*time.Second)
-				check(t, w)
-				served(t, w)
+				runAndPoll(w, 120*time.Second)
+				requireNoViolations(t, w)
+				requireAllServed(t, w)
 				if services[0].Status != protocol.StatusCancelled {
 					t.Errorf("told %q", services[0].Status)
 				}
@@ -286,7 +286,7 @@
 // One-task jobs come four a second for minutes, a quarter of them cancelled, at the
 // smallest budget of writes: they are accepted as they come or refused at once, no
 // queue grows, and a take-over reads the records as fast at the end as at first.
-func TestManySmallJobsAtTheSmallestBudget(t *testing.T) {
+func TestManySmallJobsAtSmallestWriteBudget(t *testing.T) {
 	s := fake.Settings()
 	s.State.WriteRPS, s.State.RPS, s.State.ValueKB = 25, 120, 4
 	s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 400, CPULimit: 400}, {Name: "blue", GuaranteedCPUs: 400}}
@@ -320,7 +320,7 @@
 		t.Errorf("%d of %d jobs not accepted within 1.5 s, %d not within 30 s", slow, len(jobs), never)
 	}
 	old := w.Leader()
-	status, answer := admin(w, old.Index, message.AdminStatus, "")
+	status, answer := adminRequest(w, old.Index, message.AdminStatus, "")
 	if status != 200 {
 		t.Fatalf("status: %d %s", status, answer)
 	}
@@ -329,9 +329,9 @@
 		t.Errorf("nobody leads after 5 s\n%s", strings.Join(w.Log[max(0, len(w.Log)-10):], "\n"))
 	}
 	old.Start()
-	pollFor(w, 48*time.Second)
-	check(t, w)
-	served(t, w)
+	runAndPoll(w, 48*time.Second)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
 	for _, j := range jobs {
 		if j.CancelRequested && j.Status != protocol.StatusCancelled && j.Status != protocol.StatusDone {
 			t.Errorf("%s: told %q", j.Submission.ID, j.Status)
@@ -341,7 +341,7 @@
 
 // A write is refused for a condition, and the page holds neither what it was nor
 // our own write: another leads. Nobody is told that what was asked is durable.
-func TestWriteThatMetAnotherLeaders(t *testing.T) {
+func TestConflictingWriteOfAnotherLeader(t *testing.T) {
 	n := controller.New(&config.Config{Node: "n0", Settings: fake.Settings()}, "boot", 1)
 	now := message.Now{}
 	var replies []message.Reply
