--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -6,18 +6,9 @@
 	"testing"
 	"time"
 
-	"oakpick/internal/fake"
 	"oakpick/internal/message"
 )
 
-func adminRequest(w *fake.World, n int, kind message.AdminRequestKind, body string) (status int, answer string) {
-	w.Controllers[n].Request(message.AdminRequest{Kind: kind, Body: []byte(body)}, func(r message.Reply) {
-		status, answer = r.Status, string(r.Body)
-	})
-	w.Run(time.Second)
-	return status, answer
-}
-
 // Operators' settings are checked, named when wrong, in force from any node and
 // kept over the end of all processes.
 func TestAdminSettingsAreValidatedAndDurable(t *testing.T) {
--- a/internal/controller/archive_orderings_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 	"time"
 
@@ -11,30 +10,76 @@
 	"oakpick/internal/protocol"
 )
 
-// delayWrites has writes of pages carried out late, and answers to reads come later still, so
-// that much happens while a move or a read is under way.
-func delayWrites(w *fake.World) {
+// The leader ends before, inside and after a move, whose transaction is lost, carried out
+// late, or only not answered.
+func TestLeaderCrashDuringArchiveMove(t *testing.T) {
+	for _, trouble := range []string{"none", "request lost", "late", "answer lost"} {
+		for _, after := range []int{0, 1, 2, 5} {
+			t.Run(fmt.Sprint(trouble, " at write ", after), func(t *testing.T) {
+				t.Parallel()
+				testLeaderCrashDuringArchiveMove(t, trouble, after)
+			})
+		}
+	}
+}
+
+func testLeaderCrashDuringArchiveMove(t *testing.T, trouble string, after int) {
+	w := newWorldWith(t, smallMemorySettings())
+	provisionIdleMachines(t, w)
 	w.SeparateWrites = true
+	jobs := completeJobs(t, w, 100_000, 60)
+	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		f := fake.Reliable()
-		switch kind {
-		case fake.KindWrite:
-			f.RequestDelay = 200 * time.Millisecond
-		case fake.KindState:
-			f.ResponseDelay = 350 * time.Millisecond
+		if kind != fake.KindWrite {
+			return f
+		}
+		writes++
+		if writes <= after {
+			return f
+		}
+		switch trouble {
+		case "request lost":
+			f.LoseRequest = true
+		case "late":
+			f.LoseRequest, f.DuplicateAfter = true, 3*time.Second
+		case "answer lost":
+			f.LoseResponse = true
 		}
 		return f
 	}
+	for range 20 {
+		w.Run(50 * time.Millisecond)
+		requireRecorded(t, w, jobs)
+	}
+	if l := w.Leader(); l != nil {
+		l.Crash()
+		w.After(3*time.Second, l.Start)
+	}
+	w.Network = nil
+	for range 100 {
+		w.Run(50 * time.Millisecond)
+		requireRecorded(t, w, jobs)
+	}
+	requireAllDone(t, w, jobs)
+	waitArchived(t, w, jobs)
+	requireAllDone(t, w, jobs)
 }
 
-// requireNotLogged fails if a line of the log has a text.
-func requireNotLogged(t *testing.T, w *fake.World, text string) {
-	t.Helper()
-	for _, line := range w.Log {
-		if strings.Contains(line, text) {
-			t.Fatal(line)
+// A repeat of a submission comes to all nodes in the very moments in which its job is moved.
+func TestRepeatedSubmissionDuringArchiveMove(t *testing.T) {
+	w := newWorldWith(t, smallMemorySettings())
+	provisionIdleMachines(t, w)
+	jobs := completeJobs(t, w, 100_000, 80)
+	for n := range 120 {
+		for _, j := range jobs[n%8 : min(len(jobs), n%8+20)] {
+			w.QueryEverywhere(j)
 		}
+		w.Run(50 * time.Millisecond)
+		requireRecorded(t, w, jobs)
 	}
+	waitArchived(t, w, jobs)
+	requireAllDone(t, w, jobs)
 }
 
 // A page of the archive is read for a job that nobody knows, a move into that page is carried
@@ -63,42 +108,6 @@
 	requireAllDone(t, w, jobs)
 }
 
-// Jobs name ended ones while these are on their way to the archive, and the leader ends: the
-// successor finds nothing that it doesn't know.
-func TestPrerequisitesDuringArchiveMove(t *testing.T) {
-	w := newWorldWith(t, smallMemorySettings())
-	provisionIdleMachines(t, w)
-	w.Controllers[2].Crash() // nothing is moved before it says that it reads the archive
-	jobs := completeJobs(t, w, 100_000, 120)
-	long := w.Submit(job(50, protocol.Array, 1), 90*time.Second)
-	waitRunning(t, w, long.Submission.ID, 1)
-	delayWrites(w)
-	w.Controllers[2].Start()
-	var after []*fake.Job
-	for n := range 60 {
-		s := job(600_000+n, protocol.Array, 1)
-		s.CPUs, s.MemoryGB, s.ImageGB = 0.05, 0.05, 0.01
-		after = append(after, submitAfter(t, w, s, 200*time.Millisecond, jobs[n], jobs[(n+60)%120], long))
-		w.Run(100 * time.Millisecond)
-		if n%20 == 19 {
-			if l := w.Leader(); l != nil {
-				l.Crash()
-				w.After(2*time.Second, l.Start)
-			}
-			w.Run(5 * time.Second)
-		}
-	}
-	w.Network = nil
-	runAndPoll(w, 120*time.Second)
-	requireNotLogged(t, w, "a prerequisite is on no page")
-	requireNoViolations(t, w)
-	for _, j := range after {
-		if j.Status != protocol.StatusDone {
-			t.Errorf("%s is called %q", j.Submission.ID, j.Status)
-		}
-	}
-}
-
 // Jobs of several blocks end, the removal of their other blocks is lost again and again, and
 // the leader ends: no block is left whose job is only in the archive.
 func TestBlocksRemovedBeforeJobIsArchived(t *testing.T) {
--- a/internal/controller/gap_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -1,7 +1,6 @@
 package controller_test
 
 import (
-	"flag"
 	"fmt"
 	"strings"
 	"testing"
@@ -10,8 +9,6 @@
 	"oakpick/internal/fake"
 )
 
-var fine = flag.Bool("fine", false, "sweep the meetings of troubles in finer steps")
-
 // failoverScenario is a day on which the state service refuses the leader alone, jobs are
 // cancelled through the others, and then the state service is down for all, for
 // longer than a cancellation may take. Times count from the refusal.
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -1,14 +1,11 @@
 package controller_test
 
 import (
-	"encoding/json"
 	"strings"
 	"testing"
 	"time"
 
-	"oakpick/internal/controller"
 	"oakpick/internal/fake"
-	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -176,14 +173,40 @@
 	requireNoViolations(t, w)
 }
 
-// adminJobStatus is what the leader tells operators of a job.
-func adminJobStatus(t *testing.T, w *fake.World, id string) controller.JobStatus {
-	t.Helper()
-	var s controller.JobStatus
-	w.Leader().Request(message.AdminRequest{Kind: message.AdminJob, Job: id}, func(r message.Reply) {
-		if err := json.Unmarshal(r.Body, &s); err != nil || r.Status != 200 {
-			t.Errorf("status %d, %v: %s", r.Status, err, r.Body)
-		}
-	})
-	return s
+// A machine fails every task; others don't. It is set aside and given back.
+func TestFailingMachineIsCordoned(t *testing.T) {
+	w := newWorld(t)
+	a := w.Submit(service(1, 1), 0)
+	waitRunning(t, w, a.Submission.ID, 1)
+	sick := w.MachinesOf(a.Submission.ID)[0]
+	w.Workers[sick].FailsTasks = true
+	for i := range 5 {
+		w.Submit(job(i+2, protocol.Array, 2), time.Second)
+	}
+	for range 25 {
+		w.Run(2 * time.Second)
+		w.PollAll()
+	}
+	if !strings.Contains(strings.Join(w.Log, "\n"), "machine cordoned [host "+sick) {
+		t.Errorf("not set aside\n%s", strings.Join(w.Log, "\n"))
+	}
+	requireAllServed(t, w)
+	requireNoViolations(t, w)
+}
+
+// A job fails wherever it goes: no machine is blamed, and it is not retried hot.
+func TestFailingJobCordonsNoMachine(t *testing.T) {
+	w := newWorld(t)
+	for i := range 3 {
+		j := w.Submit(service(i+1, 1), 0)
+		j.AlwaysFails = true
+	}
+	w.Run(90 * time.Second)
+	st := w.Controllers[0].Stats()
+	if st.TasksFailed < 6 || st.TasksFailed > 60 {
+		t.Errorf("%d failures in 90 s", st.TasksFailed)
+	}
+	good := w.Submit(service(9, 1), 0)
+	waitRunning(t, w, good.Submission.ID, 1)
+	requireNoViolations(t, w)
 }
--- a/internal/controller/starts_test.go
+++ b/internal/controller/fencing_test.go
@@ -105,60 +105,47 @@
 	requireNoViolations(t, w)
 }
 
-// A machine fails every task; others don't. It is set aside and given back.
-func TestFailingMachineIsCordoned(t *testing.T) {
-	w := newWorld(t)
-	a := w.Submit(service(1, 1), 0)
-	waitRunning(t, w, a.Submission.ID, 1)
-	sick := w.MachinesOf(a.Submission.ID)[0]
-	w.Workers[sick].FailsTasks = true
-	for i := range 5 {
-		w.Submit(job(i+2, protocol.Array, 2), time.Second)
-	}
-	for range 25 {
-		w.Run(2 * time.Second)
-		w.PollAll()
-	}
-	if !strings.Contains(strings.Join(w.Log, "\n"), "machine cordoned [host "+sick) {
-		t.Errorf("not set aside\n%s", strings.Join(w.Log, "\n"))
-	}
-	requireAllServed(t, w)
-	requireNoViolations(t, w)
-}
-
-// A job fails wherever it goes: no machine is blamed, and it is not retried hot.
-func TestFailingJobCordonsNoMachine(t *testing.T) {
-	w := newWorld(t)
-	for i := range 3 {
-		j := w.Submit(service(i+1, 1), 0)
-		j.AlwaysFails = true
-	}
-	w.Run(90 * time.Second)
-	st := w.Controllers[0].Stats()
-	if st.TasksFailed < 6 || st.TasksFailed > 60 {
-		t.Errorf("%d failures in 90 s", st.TasksFailed)
-	}
-	good := w.Submit(service(9, 1), 0)
-	waitRunning(t, w, good.Submission.ID, 1)
-	requireNoViolations(t, w)
-}
-
-// A member of a gang is lost: the rest end, and the next attempt starts as one.
-func TestGangRestartsTogether(t *testing.T) {
-	w := newWorld(t)
-	s := job(1, protocol.Gang, 3)
-	s.CPUs, s.Spread = 3, true
-	j := w.Submit(s, 40*time.Second)
-	waitRunning(t, w, s.ID, 3)
-	w.Cloud.Fail(w.MachinesOf(s.ID)[1])
-	w.Run(2 * time.Second)
-	waitRunning(t, w, s.ID, 3)
-	for range 40 {
-		w.Run(2 * time.Second)
-		w.PollAll()
-	}
-	if j.Status != protocol.StatusDone {
-		t.Errorf("told %q", j.Status)
+// A machine is cut off until its worker's lease has ended, and the leader ends meanwhile. The
+// next one hears of the new session and starts the machine's tasks there again; it ends when
+// only some of these starts are durable. Its successor finds starts of both sessions on the
+// machine, and hears of the newer one only: the older ones are gone.
+func TestStartsOfTwoIncarnationsOnOneMachine(t *testing.T) {
+	for durable := range 5 {
+		w := newWorld(t)
+		w.Cloud.CapacityOf = map[string]int{"small": 1, "large": 0}
+		for i := range 80 { // on more pages than a transaction takes
+			s := service(i+1, 1)
+			s.CPUs, s.MemoryGB, s.Zone = 0.05, 0.1, "a" // there is one machine that they may have
+			w.Submit(s, 0)
+		}
+		if !w.RunUntil(60*time.Second, func() bool { return len(w.MachineNames()) > 0 && w.Running("wk-000080") == 1 }) {
+			t.Fatal("the replicas don't run")
+		}
+		w.Run(5 * time.Second)
+		host := w.MachinesOf("wk-000001")[0]
+		session := w.Incarnation(host)
+		w.SeparateWrites = true
+		placed := func() int { return strings.Count(strings.Join(w.Log, "\n"), "task placed [job wk-000001 ") }
+		left := durable
+		w.Network = func(kind, from, to string) fake.Delivery {
+			f := fake.Reliable()
+			f.LoseRequest = w.Incarnation(host) == session && (from == host || to == host)
+			if kind == fake.KindWrite && placed() > 1 {
+				left--
+				f.LoseRequest = left < 0
+			}
+			return f
+		}
+		w.Run(3 * time.Second)
+		restartLeader(w)
+		if !w.RunUntil(30*time.Second, func() bool { return placed() > 1 }) {
+			t.Fatal("the replicas aren't started again")
+		}
+		w.Run(400 * time.Millisecond)
+		restartLeader(w)
+		w.Network = nil
+		runAndPoll(w, 60*time.Second)
+		requireNoViolations(t, w)
+		requireAllServed(t, w)
 	}
-	requireNoViolations(t, w)
 }
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -2,212 +2,16 @@
 
 import (
 	"bytes"
-	"encoding/base64"
-	"encoding/json"
-	"maps"
-	"os"
 	"strings"
 	"testing"
 	"time"
 
-	"github.com/vmihailenco/msgpack/v5"
-
 	"oakpick/internal/controller"
 	"oakpick/internal/fake"
 	"oakpick/internal/protocol"
 	"oakpick/internal/storage"
 )
 
-// The record types of the version in production (deploy/service.toml names its
-// commit), as they were. They must not be changed with the sources: they stand for
-// processes that run beside these, read what these write, and write it back.
-type (
-	productionStart struct {
-		//lint:ignore U1000 read by the MessagePack library
-		_msgpack struct{} `msgpack:",as_array"`
-
-		Task    int
-		Try     int64
-		Host    string
-		Session int64
-	}
-	productionJob struct {
-		//lint:ignore U1000 read by the MessagePack library
-		_msgpack struct{} `msgpack:",as_array"`
-
-		ID, Class, Team, Image, Zone string
-		Shape                        uint8
-		Priority                     uint8
-		Tasks                        int
-		CPUs, GPUs, MemoryGB         float64
-		ImageGB                      float64
-		AnyType                      bool
-		Types                        []string
-		OneZone, Spread, Spot        bool
-		Estimate, SaveEach, SaveTime float64
-		Deadline                     float64
-		SubmittedMs                  int64
-		Cancelled                    bool
-		Try                          int64
-		Full                         string
-	}
-	productionBlock struct {
-		//lint:ignore U1000 read by the MessagePack library
-		_msgpack struct{} `msgpack:",as_array"`
-
-		Job    string
-		Block  int
-		Try    int64
-		Done   string
-		Starts []productionStart
-	}
-	productionFinal struct {
-		//lint:ignore U1000 read by the MessagePack library
-		_msgpack struct{} `msgpack:",as_array"`
-
-		ID        string
-		Cancelled bool
-		Tasks     int
-	}
-	productionRental struct {
-		//lint:ignore U1000 read by the MessagePack library
-		_msgpack struct{} `msgpack:",as_array"`
-
-		Request, Type, Zone string
-		Spot                bool
-		Count               int
-		Answered            bool
-		Hosts               []string
-		AtMs                int64
-	}
-	productionPage struct {
-		ID      string             `msgpack:"id"`
-		Jobs    []productionJob    `msgpack:"j,omitempty"`
-		Blocks  []productionBlock  `msgpack:"b,omitempty"`
-		Finals  []productionFinal  `msgpack:"f,omitempty"`
-		Rentals []productionRental `msgpack:"r,omitempty"`
-		Options string             `msgpack:"o,omitempty"`
-	}
-	// The first version with prerequisites has one more field of a page.
-	pipelinesExtension struct {
-		//lint:ignore U1000 read by the MessagePack library
-		_msgpack struct{} `msgpack:",as_array"`
-
-		Job           string
-		BlockTasks    int
-		Prerequisites []string
-	}
-	pipelinesPage struct {
-		productionPage
-		Extensions []pipelinesExtension `msgpack:"x,omitempty"`
-	}
-	productionLeader struct {
-		Node  string `msgpack:"node"`
-		Boot  string `msgpack:"boot"`
-		Lease int64  `msgpack:"permit"`
-		Raise int64  `msgpack:"raise"`
-	}
-	productionStepDown struct {
-		Term   int64  `msgpack:"term"`
-		Leader string `msgpack:"leader"`
-	}
-	productionStepDownAnswer struct {
-		SteppedDown bool  `msgpack:"released"`
-		Led         int64 `msgpack:"taken"`
-		UpMs        int64 `msgpack:"up_ms"`
-	}
-)
-
-// roundTrip decodes a message as the version in production does, and encodes it again.
-func roundTrip[T any](message []byte) []byte {
-	var v T
-	if err := msgpack.Unmarshal(message, &v); err != nil {
-		panic(err)
-	}
-	out, err := msgpack.Marshal(v)
-	if err != nil {
-		panic(err)
-	}
-	return out
-}
-
-// roundTripProduction is what is left of a stored value once the version in production has
-// read it and written it back.
-func roundTripProduction(key string, value []byte) []byte {
-	if key == controller.LeaderKey {
-		return roundTrip[productionLeader](value)
-	}
-	return roundTrip[productionPage](value)
-}
-
-// roundTripFirstPipelines is the same for the first version with prerequisites.
-func roundTripFirstPipelines(key string, value []byte) []byte {
-	if key == controller.LeaderKey {
-		return roundTrip[productionLeader](value)
-	}
-	return roundTrip[pipelinesPage](value)
-}
-
-// storedValue is a value that an earlier version stored, or a message that it sent.
-type storedValue struct {
-	Key   string `json:"key"`
-	Value string `json:"value"` // base64
-}
-
-// goldenValues reads a file of testdata: see the README beside it.
-func goldenValues(t *testing.T, file string) map[string][]byte {
-	t.Helper()
-	text, err := os.ReadFile("../../testdata/" + file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var list []storedValue
-	if err := json.Unmarshal(text, &list); err != nil {
-		t.Fatal(err)
-	}
-	out := map[string][]byte{}
-	for _, g := range list {
-		if out[g.Key], err = base64.StdEncoding.DecodeString(g.Value); err != nil {
-			t.Fatal(err)
-		}
-	}
-	return out
-}
-
-// goldenPages are the pages among the values of a file.
-func goldenPages(t *testing.T, file string) map[string][]byte {
-	t.Helper()
-	return onlyPages(goldenValues(t, file))
-}
-
-// pagesOf are the pages that a world's state service holds.
-func pagesOf(w *fake.World) map[string][]byte { return onlyPages(w.State.Values()) }
-
-func onlyPages(values map[string][]byte) map[string][]byte {
-	maps.DeleteFunc(values, func(key string, _ []byte) bool { return !strings.HasPrefix(key, storage.PagePrefix) })
-	return values
-}
-
-const (
-	productionFile = "production/values.json"
-	pipelinesFile  = "pipelines/values.json"
-	dividingFile   = "pipelines/dividing.json"
-)
-
-// recordKinds counts the records of a page by their kind.
-func recordKinds(t *testing.T, value []byte) map[string]int {
-	t.Helper()
-	var page storage.PageValue
-	if err := protocol.Decode(value, &page); err != nil {
-		t.Fatal(err)
-	}
-	return map[string]int{
-		"jobs": len(page.Jobs), "blocks": len(page.Blocks), "finals": len(page.Terminal), "rentals": len(page.Provisioning),
-		"options": len(page.Options), "extensions": len(page.Extensions),
-		"prerequisites": len(page.Prerequisites),
-	}
-}
-
 // What earlier versions wrote is read, and written back to the byte: a renamed field, a
 // changed order or a lost record would show.
 func TestEarlierFormatsRoundTripByteForByte(t *testing.T) {
@@ -255,42 +59,6 @@
 	}
 }
 
-// unfinished are the jobs that the pages of an earlier version call neither done nor
-// cancelled, as a user's submission; finished maps the others to what they are called.
-func recordedJobs(t *testing.T, pages map[string][]byte) (unfinished map[string]protocol.Submission, finished map[string]string) {
-	t.Helper()
-	unfinished, finished = map[string]protocol.Submission{}, map[string]string{}
-	for _, value := range pages {
-		var page storage.PageValue
-		if err := protocol.Decode(value, &page); err != nil {
-			t.Fatal(err)
-		}
-		for _, r := range page.Jobs {
-			unfinished[r.ID] = protocol.Submission{ID: r.ID, Kind: r.Kind, Tasks: r.Tasks}
-		}
-		for _, r := range page.Terminal {
-			finished[r.ID] = protocol.StatusDone
-			if r.Cancelled {
-				finished[r.ID] = protocol.StatusCancelled
-			}
-		}
-	}
-	for id := range finished {
-		delete(unfinished, id)
-	}
-	return unfinished, finished
-}
-
-// newWorldFromPages makes a world whose controllers find the pages of an earlier version.
-func newWorldFromPages(pages map[string][]byte) *fake.World {
-	s := fake.Settings()
-	s.State.ValueKB, s.State.TxnOps = 8, 8
-	s.State.Next = nextLimits(1, 3, 25)
-	w := fake.NewWorld(s)
-	w.State.Restore(pages)
-	return w
-}
-
 // A leader of this version takes over the pages of an earlier one, also from the middle
 // of a division. It knows every job, whose end it tells, and keeps all of them when it
 // divides the pages for the limits to come.
@@ -341,37 +109,6 @@
 	}
 }
 
-// corruptedCopies gives copies of a page's value that are cut, have a byte replaced, or hold
-// something else under one of its fields.
-func corruptedCopies(t *testing.T, value []byte) [][]byte {
-	t.Helper()
-	const cuts = 12
-	out := [][]byte{{}, {0xc0}, {0x93, 1, 2, 3}}
-	for i := range cuts {
-		out = append(out, value[:len(value)*i/cuts])
-		replaced := bytes.Clone(value)
-		replaced[len(value)*i/cuts] ^= 0xff
-		out = append(out, replaced)
-	}
-	var fields map[string]any
-	if err := msgpack.Unmarshal(value, &fields); err != nil {
-		t.Fatal(err)
-	}
-	odd := []any{nil, true, "text", -1, []any{}, []any{nil}, []any{[]any{}}, []any{[]any{"wk-000001", -5, "wk-000001"}}, map[string]any{"a": 1}}
-	for _, field := range []string{"id", "j", "b", "f", "r", "o", "x", "unknown"} {
-		for _, v := range odd {
-			changed := maps.Clone(fields)
-			changed[field] = v
-			encoded, err := msgpack.Marshal(changed)
-			if err != nil {
-				t.Fatal(err)
-			}
-			out = append(out, encoded)
-		}
-	}
-	return out
-}
-
 // What the peers say to each other is read by both versions alike.
 func TestPeerMessagesMatchProduction(t *testing.T) {
 	ask := protocol.Encode(protocol.StepDown{Term: 1 << 40, Leader: "n1"})
--- /dev/null
+++ b/internal/controller/gang_test.go
@@ -0,0 +1,64 @@
+package controller_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"oakpick/internal/protocol"
+)
+
+// A member of a gang is lost: the rest end, and the next attempt starts as one.
+func TestGangRestartsTogether(t *testing.T) {
+	w := newWorld(t)
+	s := job(1, protocol.Gang, 3)
+	s.CPUs, s.Spread = 3, true
+	j := w.Submit(s, 40*time.Second)
+	waitRunning(t, w, s.ID, 3)
+	w.Cloud.Fail(w.MachinesOf(s.ID)[1])
+	w.Run(2 * time.Second)
+	waitRunning(t, w, s.ID, 3)
+	for range 40 {
+		w.Run(2 * time.Second)
+		w.PollAll()
+	}
+	if j.Status != protocol.StatusDone {
+		t.Errorf("told %q", j.Status)
+	}
+	requireNoViolations(t, w)
+}
+
+// A gang is accepted, and of its first attempt the starts of some blocks are durable, and
+// the record with the attempt's number is not, when the leader ends. The successor starts
+// what is missing with the number that the others have: members of two attempts would wait
+// for each other in vain.
+func TestGangMembersShareOneAttemptNumber(t *testing.T) {
+	for lost := 2; lost <= 5; lost++ {
+		t.Run(fmt.Sprint("lost from write ", lost), func(t *testing.T) {
+			w := newWorldWith(t, onePagePerTransaction())
+			provisionIdleMachines(t, w)
+			w.Run(5 * time.Second)
+			tries := map[int64]bool{}
+			w.OnHeartbeat = func(r protocol.Heartbeat) {
+				for _, task := range r.Tasks {
+					if task.Job == "wk-000001" {
+						tries[task.Number] = true
+					}
+				}
+			}
+			w.Network = loseNthWrite(w, lost)
+			j := w.Submit(multiBlockJob(1, protocol.Gang), 5*time.Second)
+			w.Run(300 * time.Millisecond)
+			w.Leader().Crash()
+			w.Network = nil
+			runAndPoll(w, 60*time.Second)
+			requireNoViolations(t, w)
+			if len(tries) != 1 {
+				t.Errorf("members of %d attempts were started", len(tries))
+			}
+			if j.Status != protocol.StatusDone {
+				t.Errorf("the gang is called %q", j.Status)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/helpers_durability_test.go
@@ -0,0 +1,203 @@
+package controller_test
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"oakpick/internal/config"
+	"oakpick/internal/fake"
+	"oakpick/internal/protocol"
+	"oakpick/internal/storage"
+)
+
+// onePagePerTransaction are settings with which such a job has three blocks, and
+// each page a transaction of its own.
+func onePagePerTransaction() config.Settings {
+	s := fake.Settings()
+	s.State.TxnOps = 1
+	return s
+}
+
+// multiBlockJob is a job whose tasks all find room on one small machine, and take more
+// than one block.
+func multiBlockJob(id int, shape protocol.JobKind) protocol.Submission {
+	s := job(id, shape, 36)
+	s.CPUs, s.MemoryGB, s.ImageGB = 0.1, 0.1, 0.1
+	if shape == protocol.Service {
+		s.CheckpointIntervalS = 0
+	}
+	return s
+}
+
+// requireParentRecords fails if a record is durable before the one that it belongs to: a block
+// without its job, a job without some of its prerequisites.
+func requireParentRecords(t *testing.T, w *fake.World, prerequisites map[string]int) {
+	t.Helper()
+	jobs, blocks, named := map[string]bool{}, map[string]bool{}, map[string]int{}
+	for key, value := range pagesOf(w) {
+		var page storage.PageValue
+		if err := protocol.Decode(value, &page); err != nil {
+			t.Fatalf("%s: %v", key, err)
+		}
+		for _, r := range page.Jobs {
+			jobs[r.ID] = true
+		}
+		for _, r := range page.Terminal {
+			jobs[r.ID], named[r.ID] = true, prerequisites[r.ID]
+		}
+		for _, r := range page.Blocks {
+			blocks[r.Job] = true
+		}
+		for _, r := range page.Extensions {
+			named[r.Job] += len(r.Prerequisites)
+		}
+		for _, r := range page.Prerequisites {
+			named[r.Job] += len(r.IDs)
+		}
+	}
+	for id := range blocks {
+		if !jobs[id] {
+			t.Fatalf("%v: a block of %s is durable before the job is", w.Now, id)
+		}
+	}
+	for id, want := range prerequisites {
+		if jobs[id] && named[id] != want {
+			t.Fatalf("%v: %s is durable with %d of %d prerequisites", w.Now, id, named[id], want)
+		}
+	}
+}
+
+// disturbFirstWrite has the first transaction of a page meet a trouble, and all others pass.
+func disturbFirstWrite(w *fake.World, trouble string) {
+	w.SeparateWrites = true
+	writes := 0
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
+		if kind != fake.KindWrite {
+			return f
+		}
+		writes++
+		switch {
+		case trouble == "lost" && writes == 1:
+			f.LoseRequest = true
+		case trouble == "late" && writes == 1:
+			f.LoseRequest, f.DuplicateAfter = true, 4*time.Second
+		case trouble == "refused" && writes == 1:
+			w.After(f.RequestDelay, func() { w.State.RejectWrites = true })
+		case trouble == "refused" && writes == 2:
+			w.After(f.RequestDelay, func() { w.State.RejectWrites = false })
+		}
+		return f
+	}
+}
+
+// disturbMachines has machines meet a trouble for so long: cut off, hanging, or with reports
+// that arrive late.
+func disturbMachines(w *fake.World, hosts []string, trouble string, d time.Duration) {
+	until := w.Now + d
+	w.Network = func(kind, from, to string) fake.Delivery {
+		f := fake.Reliable()
+		if w.Now >= until {
+			return f
+		}
+		switch {
+		case trouble == "cut off" && (slices.Contains(hosts, from) || slices.Contains(hosts, to)):
+			f.LoseRequest = true
+		case trouble == "reports late" && kind == fake.KindHeartbeat && slices.Contains(hosts, from):
+			f.LoseRequest, f.DuplicateAfter = true, 5*time.Second
+		case trouble == "reports late" && kind == fake.KindCommands && slices.Contains(hosts, to):
+			f.LoseResponse = true
+		}
+		return f
+	}
+	if trouble == "hangs" {
+		for _, name := range hosts {
+			w.Workers[name].HangUntil = until
+		}
+	}
+}
+
+// loseNthWrite loses one write of a page, counted from now on; the others pass.
+func loseNthWrite(w *fake.World, number int) func(kind, from, to string) fake.Delivery {
+	w.SeparateWrites = true
+	writes := 0
+	return func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
+		if kind == fake.KindWrite {
+			writes++
+			f.LoseRequest = writes == number
+		}
+		return f
+	}
+}
+
+// loseEverySecondWrite loses every second write of a page, from such a one on (the first is 1);
+// the others pass.
+func loseEverySecondWrite(from int) func(kind, from, to string) fake.Delivery {
+	writes := 0
+	return func(kind, _, _ string) fake.Delivery {
+		f := fake.Reliable()
+		if kind == fake.KindWrite {
+			writes++
+			f.LoseRequest = writes >= from && writes%2 == from%2
+		}
+		return f
+	}
+}
+
+// requireTaskEndsRecorded fails if a job is recorded as unfinished, and the ends of tasks that were
+// recorded are so no longer.
+func requireTaskEndsRecorded(t *testing.T, w *fake.World, j *fake.Job) {
+	t.Helper()
+	unfinished, _ := recordedJobs(t, pagesOf(w))
+	if _, open := unfinished[j.Submission.ID]; !open {
+		return
+	}
+	tasks := 0
+	for _, value := range pagesOf(w) {
+		tasks += countRecordedTasks(t, value, j.Submission.ID)
+	}
+	if tasks < j.Submission.Tasks {
+		t.Fatalf("%v: of %d tasks that were started %d are recorded as started or done", w.Now, j.Submission.Tasks, tasks)
+	}
+}
+
+// countRecordedTasks counts a job's tasks that a page names as started or done.
+func countRecordedTasks(t *testing.T, value []byte, id string) int {
+	t.Helper()
+	var page storage.PageValue
+	if err := protocol.Decode(value, &page); err != nil {
+		t.Fatal(err)
+	}
+	blockTasks := storage.BlockTasks(storage.PageBytes(fake.Settings().State.ValueKB))
+	n := 0
+	full := storage.Bitmap{}
+	for _, r := range page.Jobs {
+		if r.ID != id {
+			continue
+		}
+		full, _ = storage.ParseBitmap(r.CompletedBlocks)
+		for b := 0; b*blockTasks < r.Tasks; b++ {
+			if full.Has(b) {
+				n += min(blockTasks, r.Tasks-b*blockTasks)
+			}
+		}
+	}
+	for _, r := range page.Blocks {
+		if r.Job != id || full.Has(r.Block) {
+			continue
+		}
+		done, err := storage.ParseBitmap(r.Done)
+		if err != nil {
+			t.Fatal(err)
+		}
+		n += len(r.Starts)
+		for i := range blockTasks {
+			if done.Has(i) {
+				n++
+			}
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/internal/controller/helpers_takeover_test.go
@@ -0,0 +1,91 @@
+package controller_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"oakpick/internal/config"
+	"oakpick/internal/controller"
+	"oakpick/internal/fake"
+	"oakpick/internal/message"
+	"oakpick/internal/protocol"
+	"oakpick/internal/storage"
+)
+
+// takeOver has a new controller take the term, with each request to the state service
+// answered at once, and gives how many entries it was given.
+func takeOver(t testing.TB, w *fake.World, cfg *config.Config) (entries int) {
+	t.Helper()
+	n := controller.New(cfg, "boot", 1)
+	now := message.Now{WallMs: 1_000_000}
+	var give func(command message.Event)
+	give = func(command message.Event) {
+		now.Monotonic += time.Millisecond
+		for _, effect := range n.Step(now, []message.Event{command}) {
+			if c, ok := effect.(message.StateCall); ok && n.Role() != "leader" {
+				r := w.State.Execute(c.StateCall)
+				entries += len(r.List.Entries)
+				give(message.StateResult{StateResult: r})
+			}
+		}
+	}
+	for range 10 {
+		if n.Role() != "leader" {
+			now.Monotonic += 500 * time.Millisecond
+			give(message.Tick{})
+		}
+	}
+	if n.Role() != "leader" {
+		t.Fatalf("is %s", n.Role())
+	}
+	return entries
+}
+
+// newRecordedState is a state service with so many jobs that aren't over, as many ended ones as
+// a leader keeps, and so many in the archive.
+func newRecordedState(unfinished, kept, archived int) (*fake.World, *config.Config) {
+	s := fake.Settings()
+	s.State.ValueKB = 8
+	w := fake.NewWorld(s)
+	for _, n := range w.Controllers {
+		n.Crash()
+	}
+	w.State.MaxListed = 200
+	values := map[string][]byte{}
+	pages := 0
+	add := func(v storage.PageValue) {
+		v.WriteID = "1-1"
+		values[fmt.Sprintf("%s%06d", storage.PagePrefix, pages)] = protocol.Encode(v)
+		pages++
+	}
+	for first := 0; first < unfinished; first += 20 {
+		var v storage.PageValue
+		for i := first; i < min(first+20, unfinished); i++ {
+			sub := job(i, protocol.Array, 4)
+			v.Jobs = append(v.Jobs, storage.NewJobRecord(&sub, 1000))
+		}
+		add(v)
+	}
+	for first := 0; first < kept; first += 200 {
+		var v storage.PageValue
+		for i := first; i < min(first+200, kept); i++ {
+			v.Terminal = append(v.Terminal, storage.TerminalRecord{ID: fmt.Sprintf("wk-8%08d", i), Tasks: 4})
+		}
+		add(v)
+	}
+	const each = 200
+	for first := 0; first < archived; first += each {
+		v := storage.ArchiveValue{WriteID: "1-1"}
+		for i := first; i < min(first+each, archived); i++ {
+			v.Terminal = append(v.Terminal, storage.TerminalRecord{ID: fmt.Sprintf("wk-9%08d", i), Tasks: 4})
+		}
+		bound := fmt.Sprintf("wk-9%08d", first+each)
+		if first+each >= archived {
+			bound = storage.LastUpperBound
+		}
+		values[storage.ArchivePrefix+bound] = protocol.Encode(v)
+	}
+	w.State.Restore(values)
+	return w, &config.Config{Node: "n9", Settings: s}
+}
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -1,13 +1,17 @@
 package controller_test
 
 import (
+	"encoding/json"
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"oakpick/internal/config"
+	"oakpick/internal/controller"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -135,3 +139,39 @@
 		}
 	}
 }
+
+// restartLeader ends the leader's process, which is back after three seconds.
+func restartLeader(w *fake.World) {
+	l := w.Leader()
+	l.Crash()
+	w.After(3*time.Second, l.Start)
+}
+
+func allMatch[T any](items []T, ok func(T) bool) bool {
+	return !slices.ContainsFunc(items, func(x T) bool { return !ok(x) })
+}
+
+// logContains tells whether any controller has logged such a line.
+func logContains(w *fake.World, line string) bool {
+	return strings.Contains(strings.Join(w.Log, "\n"), line)
+}
+
+func adminRequest(w *fake.World, n int, kind message.AdminRequestKind, body string) (status int, answer string) {
+	w.Controllers[n].Request(message.AdminRequest{Kind: kind, Body: []byte(body)}, func(r message.Reply) {
+		status, answer = r.Status, string(r.Body)
+	})
+	w.Run(time.Second)
+	return status, answer
+}
+
+// adminJobStatus is what the leader tells operators of a job.
+func adminJobStatus(t *testing.T, w *fake.World, id string) controller.JobStatus {
+	t.Helper()
+	var s controller.JobStatus
+	w.Leader().Request(message.AdminRequest{Kind: message.AdminJob, Job: id}, func(r message.Reply) {
+		if err := json.Unmarshal(r.Body, &s); err != nil || r.Status != 200 {
+			t.Errorf("status %d, %v: %s", r.Status, err, r.Body)
+		}
+	})
+	return s
+}
--- /dev/null
+++ b/internal/controller/helpers_upgrade_test.go
@@ -0,0 +1,54 @@
+package controller_test
+
+import (
+	"testing"
+	"time"
+
+	"oakpick/internal/config"
+	"oakpick/internal/fake"
+)
+
+// newProductionWorld makes a world in which all controllers run as the version in production, with
+// lower limits to come.
+func newProductionWorld(t *testing.T) *fake.World {
+	t.Helper()
+	s := fake.Settings()
+	s.State.ValueKB, s.State.TxnOps = 8, 8
+	s.State.Next = nextLimits(1, 3, 25)
+	w := fake.NewWorld(s)
+	w.RewriteAsProduction = roundTripProduction
+	for _, n := range w.Controllers {
+		n.Crash()
+		n.RunsProduction = true
+	}
+	for _, n := range w.Controllers {
+		n.Start()
+	}
+	if !w.RunUntil(10*time.Second, func() bool { return w.Leader() != nil }) {
+		t.Fatal("nobody leads")
+	}
+	return w
+}
+
+func nextLimits(valueKB float64, txnOps int, writeRPS float64) *config.StateNext {
+	return &config.StateNext{ValueKB: &valueKB, TxnOps: &txnOps, WriteRPS: &writeRPS}
+}
+
+// upgrade replaces a controller's process by one of the new version.
+func upgrade(w *fake.World, n *fake.Controller, after time.Duration) {
+	n.Crash()
+	n.RunsProduction = false
+	w.After(after, n.Start)
+}
+
+// restartWithValueSize restarts every controller with another value_kb.
+func restartWithValueSize(w *fake.World, kilobytes float64) {
+	for _, n := range w.Controllers {
+		n.Crash()
+	}
+	w.Cfg.Settings.State.ValueKB = kilobytes
+	w.State.SetMaxValueKB(kilobytes)
+	for _, n := range w.Controllers {
+		n.Start()
+	}
+}
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -1,9 +1,7 @@
 package controller_test
 
 import (
-	"flag"
 	"fmt"
-	"os"
 	"slices"
 	"testing"
 	"time"
@@ -16,21 +14,6 @@
 	"oakpick/internal/protocol"
 )
 
-// TestMain fixes the seed of drawn tests unless one is given, so that the same
-// sources always get the same verdict: go test ./internal/controller
-// -rapid.seed=N -rapid.checks=5000 draws others.
-func TestMain(m *testing.M) {
-	flag.Parse()
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "rapid.seed" || f.Name == "rapid.failfile" })
-	if !given {
-		if err := flag.Set("rapid.seed", "20261201"); err != nil {
-			panic(err)
-		}
-	}
-	os.Exit(m.Run())
-}
-
 // TestInvariantsUnderRandomFaults draws days: jobs of all shapes, and crashes,
 // cuts, outages, hangs, losses, late and repeated messages in any order. The
 // rules hold throughout, and once the troubles are over everything is served.
--- a/internal/controller/pauses_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -13,11 +13,6 @@
 	"oakpick/internal/storage"
 )
 
-// logContains tells whether any controller has logged such a line.
-func logContains(w *fake.World, line string) bool {
-	return strings.Contains(strings.Join(w.Log, "\n"), line)
-}
-
 // The leader gives an idle machine back, and stands still between the decision and the call
 // to the cloud. Another leads and starts a task there. When the first goes on, it must not
 // return the machine.
@@ -224,113 +219,6 @@
 	requireNoViolations(t, w)
 }
 
-// A follower stands still, and its peers with it say nothing to it meanwhile. When it goes on
-// it knows of no fault of the leader: it stays healthy, and hands its users on.
-func TestResumedFollowerIsHealthyImmediately(t *testing.T) {
-	w := newWorld(t)
-	w.Run(5 * time.Second)
-	f := w.Controllers[1]
-	f.PausedUntil = w.Now + 10*time.Second
-	w.Network = func(kind, from, _ string) fake.Delivery { // its greetings take a little longer
-		well := fake.Reliable()
-		if kind == fake.KindPeer && from == f.Name {
-			well.RequestDelay = 400 * time.Millisecond
-		}
-		return well
-	}
-	w.Run(10*time.Second + 100*time.Millisecond)
-	if !f.Healthy() {
-		t.Error("it takes the leader for unreachable because it stood still itself")
-	}
-	w.Run(3 * time.Second)
-	if !f.Healthy() {
-		t.Error("it isn't healthy though the leader answers")
-	}
-	requireNoViolations(t, w)
-}
-
-// The leader stands still with users' requests that a follower has handed to it, and more come
-// while nobody leads. All are answered by the next leader, within a second and a half of its
-// beginning, and none is told to come back.
-func TestForwardedRequestsSurvivePausedLeader(t *testing.T) {
-	w := newWorld(t)
-	w.Run(5 * time.Second)
-	l := w.Leader()
-	l.PausedUntil = w.Now + 30*time.Second
-	answers, refused := 0, 0
-	const asked = 20
-	for i := range asked {
-		w.After(time.Duration(i)*60*time.Millisecond, func() {
-			s := service(100+i, 1)
-			w.Controllers[1+i%2].Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) {
-				if r.Status == 201 || r.Status == 200 {
-					answers++
-				} else {
-					refused++
-				}
-			})
-		})
-	}
-	if !w.RunUntil(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
-		t.Fatal("nobody else leads")
-	}
-	w.Run(1500 * time.Millisecond)
-	if answers != asked {
-		t.Errorf("%d of %d requests are answered, %d refused", answers, asked, refused)
-	}
-	requireNoViolations(t, w)
-}
-
-// One controller stands still every few seconds. It costs a term at most each time, and after
-// the first the others keep the term.
-func TestRepeatedlyPausedController(t *testing.T) {
-	w := newWorld(t)
-	w.Submit(service(1, 3), 0)
-	w.Run(12 * time.Second)
-	l := w.Leader()
-	terms := func() int64 {
-		sum := int64(0)
-		for _, n := range w.Controllers {
-			sum += n.Stats().TermsTaken
-		}
-		return sum
-	}
-	before := terms()
-	for range 12 {
-		l.PausedUntil = w.Now + 3*time.Second
-		w.Run(5 * time.Second)
-		w.PollAll()
-	}
-	if n := terms() - before; n > 2 {
-		t.Errorf("%d terms for a controller that stands still twelve times", n)
-	}
-	if w.TasksLostToLeaseExpiry > 0 {
-		t.Errorf("%d tasks ended by their lease", w.TasksLostToLeaseExpiry)
-	}
-	runAndPoll(w, 20*time.Second)
-	requireNoViolations(t, w)
-	requireAllServed(t, w)
-}
-
-// The leader ends, and its lease lapses just as another controller goes on after it has stood
-// still. The third, which hasn't, has the first turn at the term.
-func TestElectionPrefersControllerThatWasNotPaused(t *testing.T) {
-	for ahead := 500 * time.Millisecond; ahead <= 1100*time.Millisecond; ahead += 50 * time.Millisecond {
-		w := newWorld(t)
-		w.Run(5 * time.Second)
-		slow := w.Controllers[1]
-		slow.PausedUntil = w.Now + 4*time.Second
-		w.After(4*time.Second-ahead, w.Controllers[0].Crash)
-		if !w.RunUntil(10*time.Second, func() bool { return slow.Leads() || w.Controllers[2].Leads() }) {
-			t.Fatal("nobody leads")
-		}
-		if slow.Leads() {
-			t.Errorf("the one that had stood still leads, %v after the leader's end", ahead)
-		}
-		requireNoViolations(t, w)
-	}
-}
-
 // Machines boot while the leader stands still, the state service being out. When it goes on,
 // they are up and have not been heard yet: none is called late, and no other is rented.
 func TestMachinesBootedDuringPauseAreNotReplaced(t *testing.T) {
@@ -363,70 +251,34 @@
 	requireNoViolations(t, w)
 }
 
-// The leader and another stand still together for as long as a worker's lease. The third leads
-// within a second or two. By the protocol a worker waits four seconds at each of the two and
-// one more before the next node, so that it comes to the third after ten seconds and a report
-// interval at most: where the lease is longer than that, no task ends by it.
-func TestTwoOfThreeControllersPaused(t *testing.T) {
-	for leader := range 3 {
-		for other := range 3 {
-			if other == leader {
-				continue
-			}
-			s := fake.Settings()
-			s.Workers.HeartbeatIntervalS, s.Workers.LeaseS, s.Workers.CancelWithinS = 3, 14, 34
-			w := fake.NewWorld(s)
-			for i := range 4 {
-				w.Submit(service(i+1, 3), 0)
-			}
-			w.Run(30 * time.Second)
-			for w.Leader() != w.Controllers[leader] { // hand the term on until the right one has it
-				l := w.Leader()
-				if l == nil {
-					w.Run(time.Second)
-					continue
+// The leader stands still with users' requests that a follower has handed to it, and more come
+// while nobody leads. All are answered by the next leader, within a second and a half of its
+// beginning, and none is told to come back.
+func TestForwardedRequestsSurvivePausedLeader(t *testing.T) {
+	w := newWorld(t)
+	w.Run(5 * time.Second)
+	l := w.Leader()
+	l.PausedUntil = w.Now + 30*time.Second
+	answers, refused := 0, 0
+	const asked = 20
+	for i := range asked {
+		w.After(time.Duration(i)*60*time.Millisecond, func() {
+			s := service(100+i, 1)
+			w.Controllers[1+i%2].Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) {
+				if r.Status == 201 || r.Status == 200 {
+					answers++
+				} else {
+					refused++
 				}
-				l.PausedUntil = w.Now + 2*time.Second
-				w.Run(4 * time.Second)
-			}
-			w.Run(20 * time.Second)
-			third := w.Controllers[3-leader-other]
-			killed := w.TasksLostToLeaseExpiry
-			w.Controllers[leader].PausedUntil = w.Now + 14*time.Second
-			w.Controllers[other].PausedUntil = w.Now + 14*time.Second
-			if !w.RunUntil(3*time.Second, third.Leads) {
-				t.Errorf("the third doesn't lead after 3 s")
-			}
-			runAndPoll(w, 40*time.Second)
-			if n := w.TasksLostToLeaseExpiry - killed; n > 0 {
-				t.Errorf("leader %d and %d: %d tasks ended by their lease", leader, other, n)
-			}
-			requireNoViolations(t, w)
-			requireAllServed(t, w)
-		}
+			})
+		})
 	}
-}
-
-// The leader stands still while the state service refuses one of the others: the third leads,
-// and users of each are served.
-func TestLeaderPausedWhilePeerLosesStateService(t *testing.T) {
-	w := newWorld(t)
-	j := w.Submit(service(1, 2), 0)
-	waitRunning(t, w, j.Submission.ID, 2)
-	w.State.Unreachable["n1"] = true
-	w.Controllers[0].PausedUntil = w.Now + 20*time.Second
-	if !w.RunUntil(5*time.Second, w.Controllers[2].Leads) {
-		t.Fatal("the third doesn't lead")
+	if !w.RunUntil(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
+		t.Fatal("nobody else leads")
 	}
-	w.Run(2 * time.Second)
-	called := w.Submit(service(2, 1), 0)
-	w.CancelEverywhere(j)
-	runAndPoll(w, 12*time.Second)
-	if !called.Accepted || j.Status != protocol.StatusCancelled {
-		t.Errorf("accepted %t, told %q", called.Accepted, j.Status)
+	w.Run(1500 * time.Millisecond)
+	if answers != asked {
+		t.Errorf("%d of %d requests are answered, %d refused", answers, asked, refused)
 	}
-	delete(w.State.Unreachable, "n1")
-	runAndPoll(w, 30*time.Second)
 	requireNoViolations(t, w)
-	requireAllServed(t, w)
 }
--- /dev/null
+++ b/internal/controller/write_responses_test.go
@@ -0,0 +1,223 @@
+package controller_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"oakpick/internal/config"
+	"oakpick/internal/controller"
+	"oakpick/internal/fake"
+	"oakpick/internal/message"
+	"oakpick/internal/protocol"
+	"oakpick/internal/rpc"
+	"oakpick/internal/storage"
+)
+
+// The answer to a write is lost, and the write landed: it is recognised by its
+// own id, and the leader goes on.
+func TestCommittedWriteWithLostResponse(t *testing.T) {
+	w := newWorld(t)
+	w.Run(5 * time.Second)
+	lost := 0
+	w.Network = func(kind, from, _ string) fake.Delivery {
+		f := fake.Reliable()
+		if kind == fake.KindState && from == "n0" && w.State.WriteTransactions > 1 && lost < 2 {
+			lost++
+			f.LoseResponse = true
+		}
+		return f
+	}
+	a := w.Submit(service(1, 1), 0)
+	waitRunning(t, w, a.Submission.ID, 1)
+	if lost == 0 || !w.Controllers[0].Leads() || w.Controllers[0].Stats().TermsTaken != 1 {
+		t.Errorf("%d answers lost, terms %d", lost, w.Controllers[0].Stats().TermsTaken)
+	}
+	requireNoViolations(t, w)
+}
+
+// A submission that can't be made durable is refused when that is known, not
+// when its user has waited long enough; one that can be, however slowly, waits.
+func TestSubmissionRefusedImmediatelyOrCommitted(t *testing.T) {
+	type answer struct {
+		status int
+		after  time.Duration
+	}
+	ask := func(w *fake.World, id int) *answer {
+		s, a, since := service(id, 3), &answer{}, w.Now
+		w.Controllers[0].Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) {
+			*a = answer{r.Status, w.Now - since}
+		})
+		return a
+	}
+	t.Run("outage", func(t *testing.T) {
+		w := newWorld(t)
+		w.Run(5 * time.Second)
+		w.State.SetOutage(true)
+		first := ask(w, 1)
+		w.Run(1500 * time.Millisecond) // the term's lease is a second
+		if first.status != 503 || first.after > 1200*time.Millisecond {
+			t.Errorf("when the outage began: %d after %v", first.status, first.after)
+		}
+		if next := ask(w, 2); next.status != 503 {
+			t.Errorf("in the outage: %d", next.status)
+		}
+		w.State.SetOutage(false)
+		w.Run(5 * time.Second)
+		if again := ask(w, 1); again.status != 200 {
+			t.Errorf("the first, asked again: %d", again.status)
+		}
+	})
+	t.Run("long queue", func(t *testing.T) {
+		w := newWorld(t)
+		w.Run(5 * time.Second)
+		var all []*answer
+		const asked = 600 // more than the write budget lets through while they wait
+		for i := range asked {
+			all = append(all, ask(w, i+1))
+		}
+		refused := 0
+		for _, a := range all {
+			if a.status == 503 {
+				refused++
+			}
+		}
+		w.Run(4 * time.Second)
+		for i, a := range all {
+			if a.status != 503 && a.status != 201 || a.after > protocol.SubmitTimeoutS*time.Second*3/4 {
+				t.Fatalf("number %d: %d after %v", i, a.status, a.after)
+			}
+		}
+		if refused == 0 || refused > 300 {
+			t.Errorf("%d of %d refused at once", refused, asked)
+		}
+	})
+	t.Run("slow", func(t *testing.T) {
+		w := newWorld(t)
+		w.Run(5 * time.Second)
+		w.Network = func(kind, _, _ string) fake.Delivery {
+			f := fake.Reliable()
+			if kind == fake.KindState {
+				f.ResponseDelay = 300 * time.Millisecond
+			}
+			return f
+		}
+		a := ask(w, 1)
+		w.Run(2 * time.Second)
+		if a.status != 201 || a.after < 300*time.Millisecond {
+			t.Errorf("%d after %v", a.status, a.after)
+		}
+	})
+}
+
+// Every kind of write of a day is carried out and its answer lost, or carried out
+// only after newer ones, while others read: each is recognised, none counts twice.
+func TestWritesWithLostResponses(t *testing.T) {
+	type meeting struct {
+		share   int           // one of so many gets no answer
+		late    time.Duration // and is carried out so much later; 0: at once
+		crashes bool
+	}
+	for _, m := range []meeting{
+		{2, 0, false}, {3, 0, true}, {3, 2 * time.Second, false}, {4, 12 * time.Second, true}, {2, 5 * time.Second, true}, {5, 700 * time.Millisecond, true},
+	} {
+		t.Run(fmt.Sprintf("one of %d, %v, %t", m.share, m.late, m.crashes), func(t *testing.T) {
+			t.Parallel()
+			for seed := range 8 {
+				w := newWorld(t)
+				writes := seed
+				until := w.Now + 60*time.Second
+				w.Network = func(kind, _, _ string) fake.Delivery {
+					f := fake.Reliable()
+					if kind == fake.KindState && w.Now < until {
+						if writes++; writes%m.share == 0 {
+							f.LoseResponse = true
+							f.RequestDelay += m.late
+						}
+					}
+					return f
+				}
+				var services []*fake.Job
+				for i := range 12 {
+					if i%3 == 0 {
+						services = append(services, w.Submit(service(i+1, 1), 0))
+					} else {
+						w.Submit(job(i+1, protocol.JobKind(i%2), 1+i%3), 4*time.Second)
+					}
+					w.Run(1700 * time.Millisecond)
+					w.PollAll()
+					if i == 8 {
+						w.CancelEverywhere(services[0])
+					}
+				}
+				if m.crashes {
+					if l := w.Leader(); l != nil {
+						l.Crash()
+						w.After(2*time.Second, l.Start)
+					}
+				}
+				runAndPoll(w, 120*time.Second)
+				requireNoViolations(t, w)
+				requireAllServed(t, w)
+				if services[0].Status != protocol.StatusCancelled {
+					t.Errorf("told %q", services[0].Status)
+				}
+				if known, there := w.KnownMachines(), len(w.Cloud.MachineNames()); !m.crashes && known != there {
+					t.Errorf("%d machines known of %d", known, there)
+				}
+			}
+		})
+	}
+}
+
+// A write is refused for a condition, and the page holds neither what it was nor
+// our own write: another leads. Nobody is told that what was asked is durable.
+func TestConflictingWriteOfAnotherLeader(t *testing.T) {
+	n := controller.New(&config.Config{Node: "n0", Settings: fake.Settings()}, "boot", 1)
+	now := message.Now{}
+	var replies []message.Reply
+	refused := 0
+	var give func(commands ...message.Event)
+	give = func(commands ...message.Event) {
+		now.Monotonic += time.Millisecond
+		for _, effect := range n.Step(now, commands) {
+			switch c := effect.(type) {
+			case message.Reply:
+				replies = append(replies, c)
+			case message.CloudCall:
+				if c.Op == message.CloudListTypes {
+					give(message.CloudResult{ID: c.ID, Types: fake.Types()})
+				}
+			case message.StateCall:
+				r := storage.StateResult{ID: c.ID, Revision: 7}
+				switch {
+				case c.Op == storage.StateGet && c.Key == controller.LeaderKey:
+					r.Outcome = rpc.NotFound
+				case c.Op == storage.StateGet:
+					r.Entry = protocol.Entry{Key: c.Key, Version: 9, Value: protocol.Encode(storage.PageValue{WriteID: "another-1"})}
+				case c.Op == storage.StateTxn && len(c.Txn.Then) > 0 && c.Txn.Then[0].Put != controller.LeaderKey:
+					r.Outcome = rpc.Conflict
+					refused++
+				}
+				give(message.StateResult{StateResult: r})
+			}
+		}
+	}
+	for range 4 {
+		now.Monotonic += 400 * time.Millisecond
+		give(message.Tick{})
+	}
+	if n.Role() != "leader" {
+		t.Fatalf("is %s", n.Role())
+	}
+	s := service(1, 1)
+	give(message.UserRequest{ID: 1, Kind: message.Submit, Job: s.ID, Submission: &s})
+	if refused == 0 || n.Role() == "leader" {
+		t.Errorf("%d writes refused, and is %s", refused, n.Role())
+	}
+	for _, r := range replies {
+		if r.Status < 400 {
+			t.Errorf("told %d", r.Status)
+		}
+	}
+}
