--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -30,12 +30,8 @@
 	if status, answer := adminRequest(w, 1, message.AdminChange, `{"sample": 7, "warm_room": 0.5}`); status != 200 {
 		t.Fatalf("through a follower: %d %s", status, answer)
 	}
-	for _, n := range w.Controllers {
-		n.Crash()
-	}
-	for _, n := range w.Controllers {
-		n.Start()
-	}
+	crashAll(w)
+	startAll(w)
 	w.Run(6 * time.Second)
 	for n := range w.Controllers {
 		status, answer := adminRequest(w, n, message.AdminRead, "")
--- a/internal/controller/archive_moves_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -52,10 +52,7 @@
 		w.Run(50 * time.Millisecond)
 		requireRecorded(t, w, jobs)
 	}
-	if l := w.Leader(); l != nil {
-		l.Crash()
-		w.After(3*time.Second, l.Start)
-	}
+	crashLeader(w, 3*time.Second)
 	w.Network = nil
 	for range 100 {
 		w.Run(50 * time.Millisecond)
@@ -135,11 +132,7 @@
 		if n%6 == 5 {
 			w.Leader().Crash()
 			w.Run(4 * time.Second)
-			for _, node := range w.Controllers {
-				if !node.Up {
-					node.Start()
-				}
-			}
+			startDown(w)
 			w.Run(2 * time.Second)
 		}
 	}
--- a/internal/controller/archive_prerequisites_test.go
+++ b/internal/controller/archive_prerequisites_test.go
@@ -13,19 +13,19 @@
 func TestArchivedPrerequisites(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
-	called := w.Submit(job(50, protocol.Array, 1), time.Hour)
-	waitRunning(t, w, called.Submission.ID, 1)
-	w.CancelJob(called)
+	cancelled := w.Submit(job(50, protocol.Array, 1), time.Hour)
+	waitRunning(t, w, cancelled.Submission.ID, 1)
+	w.CancelJob(cancelled)
 	jobs := completeJobs(t, w, 100_000, 150)
 	waitArchived(t, w, jobs)
 	completeJobs(t, w, 300_000, 40) // so that the cancelled one goes, too
 	w.Run(10 * time.Second)
 	_, archive := terminalRecords(t, w)
-	if _, ok := archive[called.Submission.ID]; !ok {
+	if _, ok := archive[cancelled.Submission.ID]; !ok {
 		t.Fatal("the cancelled job is not in the archive")
 	}
 	after := submitAfter(t, w, job(60, protocol.Array, 1), time.Second, jobs[0], jobs[70], jobs[140])
-	with := submitAfter(t, w, job(61, protocol.Array, 1), time.Second, jobs[3], called)
+	with := submitAfter(t, w, job(61, protocol.Array, 1), time.Second, jobs[3], cancelled)
 	s := job(62, protocol.Array, 1)
 	s.Prerequisites = []string{jobs[1].Submission.ID, "wk-777777"}
 	refused := w.Submit(s, time.Second)
@@ -114,10 +114,7 @@
 		after = append(after, submitAfter(t, w, s, 200*time.Millisecond, jobs[n], jobs[(n+60)%120], long))
 		w.Run(100 * time.Millisecond)
 		if n%20 == 19 {
-			if l := w.Leader(); l != nil {
-				l.Crash()
-				w.After(2*time.Second, l.Start)
-			}
+			crashLeader(w, 2*time.Second)
 			w.Run(5 * time.Second)
 		}
 	}
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -19,16 +19,10 @@
 	w, jobs := newWorldWithArchive(t, 300)
 	requireAllDone(t, w, jobs[:60])
 	w.PollUnknown()
-	for _, n := range w.Controllers {
-		n.Crash()
-	}
+	crashAll(w)
 	w.Run(12 * time.Second)
-	for _, n := range w.Controllers {
-		n.Start()
-	}
-	if !w.RunUntil(10*time.Second, func() bool { return w.Leader() != nil }) {
-		t.Fatal("nobody leads")
-	}
+	startAll(w)
+	waitLeader(t, w, 10*time.Second)
 	w.Run(4 * time.Second)
 	requireAllDone(t, w, jobs[200:260])
 	pages, archive := terminalRecords(t, w)
@@ -193,9 +187,9 @@
 	jobs := completeJobs(t, w, 100_000, 250)
 	waitArchived(t, w, jobs)
 	w.Cfg.Settings.State.Next = nextLimits(2, 4, 40)
-	for _, n := range w.Controllers {
-		n.Crash()
-		n.Start()
+	for _, c := range w.Controllers {
+		c.Crash()
+		c.Start()
 	}
 	w.Run(15 * time.Second)
 	half := completeJobs(t, w, 400_000, 40)
--- a/internal/controller/best_effort_test.go
+++ b/internal/controller/best_effort_test.go
@@ -40,9 +40,7 @@
 	w.Submit(bestEffortJob(2, protocol.Array, 20), 4*time.Second)
 	for range 3 {
 		w.Run(15 * time.Second)
-		l := w.Leader()
-		l.Crash()
-		w.After(2*time.Second, l.Start)
+		restartLeader(w, 2*time.Second)
 	}
 	runAndPoll(w, 120*time.Second)
 	requireNoViolations(t, w)
@@ -72,9 +70,7 @@
 			t.Errorf("%d of the guest's tasks run on processors that unused GPUs need", n)
 		}
 		if ends {
-			l := w.Leader()
-			l.Crash()
-			w.After(2*time.Second, l.Start)
+			restartLeader(w, 2*time.Second)
 		}
 		if !w.RunUntil(90*time.Second, func() bool { return w.Running(s.ID) == 1 }) {
 			t.Errorf("the guest's job still waits after %v", w.Now-began)
@@ -95,7 +91,7 @@
 		paying.CPUs, paying.GPUs = 2, 2
 		w.Submit(paying, 0)
 		waitRunning(t, w, paying.ID, 1)
-		host := w.MachinesOf(paying.ID)[0]
+		machine := w.MachinesOf(paying.ID)[0]
 		s := bestEffortJob(2, protocol.Array, 3)
 		s.CPUs, s.EstimatedRunS = 2, 400
 		j := w.Submit(s, 400*time.Second)
@@ -107,8 +103,8 @@
 			w.Leader().Crash()
 		}
 		w.Cloud.CapacityOf["small"] = 4
-		if !w.RunUntil(150*time.Second, func() bool { return !slices.Contains(w.MachineNames(), host) }) {
-			t.Errorf("%s is kept for %v", host, w.MachinesOf(s.ID))
+		if !w.RunUntil(150*time.Second, func() bool { return !slices.Contains(w.MachineNames(), machine) }) {
+			t.Errorf("%s is kept for %v", machine, w.MachinesOf(s.ID))
 		}
 		if !w.RunUntil(90*time.Second, func() bool { return w.Running(s.ID) == 3 }) {
 			t.Errorf("%d of 3 of the guest's tasks go on", w.Running(s.ID))
@@ -136,9 +132,7 @@
 	array.CPUs, array.MemoryGB, array.EstimatedRunS = 0.05, 0.1, 3
 	w.Submit(array, 3*time.Second)
 	w.Run(20 * time.Second)
-	l := w.Leader()
-	l.Crash()
-	w.After(2*time.Second, l.Start)
+	restartLeader(w, 2*time.Second)
 	w.Run(8 * time.Second)
 	worst := time.Duration(0)
 	for i := range 6 {
--- a/internal/controller/block_length_test.go
+++ b/internal/controller/block_length_test.go
@@ -53,11 +53,11 @@
 	w.RunUntil(60*time.Second, func() bool { return w.Running(large.ID) >= 30 })
 	for _, line := range w.Log {
 		var task int
-		var host string
+		var machine string
 		if _, after, ok := strings.Cut(line, "task placed [job wk-000001 class c task "); ok {
-			if n, _ := fmt.Sscanf(after, "%d host %s", &task, &host); n == 2 && task < 24 {
-				w.Workers[host].HangUntil = w.Now + 7500*time.Millisecond
-				first = append(first, host)
+			if n, _ := fmt.Sscanf(after, "%d host %s", &task, &machine); n == 2 && task < 24 {
+				w.Workers[machine].HangUntil = w.Now + 7500*time.Millisecond
+				first = append(first, machine)
 			}
 		}
 	}
@@ -67,17 +67,13 @@
 		t.Fatalf("%d of 60 tasks are done", n)
 	}
 	w.State.LowerLimits()
-	for _, host := range first {
-		w.Cloud.Fail(host)
-	}
-	for _, n := range w.Controllers {
-		n.Crash()
+	for _, machine := range first {
+		w.Cloud.Fail(machine)
 	}
+	crashAll(w)
 	w.Cfg.Settings.State = s.State.Smallest()
 	w.Cfg.Settings.State.Next = nil
-	for _, n := range w.Controllers {
-		n.Start()
-	}
+	startAll(w)
 	runAndPoll(w, 90*time.Second)
 	if j.Status != protocol.StatusDone {
 		t.Errorf("told %q, %d tasks done", j.Status, len(j.DoneTasks))
@@ -121,17 +117,17 @@
 	s.State.ValueKB = 4
 	w := fake.NewWorld(s)
 	w.RewriteAsProduction = roundTripProduction
-	for _, n := range w.Controllers {
-		n.Crash()
-		n.RunsProduction = true
-		n.Start()
+	for _, c := range w.Controllers {
+		c.Crash()
+		c.RunsProduction = true
+		c.Start()
 	}
 	large := job(1, protocol.Array, 60)
 	large.CPUs, large.Team = 0.5, "red"
 	w.Submit(large, 30*time.Second)
 	waitRunning(t, w, large.ID, 24)
-	for _, n := range w.Controllers {
-		n.RunsProduction = false
+	for _, c := range w.Controllers {
+		c.RunsProduction = false
 	}
 	restartWithValueSize(w, 1)
 	w.Run(10 * time.Second)
--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -57,9 +57,9 @@
 	}
 	others := func(do func(*fake.Controller)) func() {
 		return func() {
-			for _, n := range w.Controllers[1:] {
-				if n.AnswersWorkers() {
-					do(n)
+			for _, c := range w.Controllers[1:] {
+				if c.AnswersWorkers() {
+					do(c)
 					return
 				}
 			}
@@ -116,14 +116,10 @@
 			}
 		}
 	}
-	for _, n := range w.Controllers {
-		if !n.Up {
-			n.Start()
-		}
-	}
+	startDown(w)
 	w.Run(30 * time.Second)
 	if len(w.Violations) > 0 {
-		t.Fatalf("%s: %s\n%s", g, strings.Join(w.Violations, "\n"), strings.Join(w.Log[max(0, len(w.Log)-60):], "\n"))
+		t.Fatalf("%s: %s\n%s", g, strings.Join(w.Violations, "\n"), logTail(w, 60))
 	}
 	for _, j := range jobs[:3] {
 		if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) > 0 {
@@ -131,7 +127,7 @@
 		}
 	}
 	if n := w.Running(kept.Submission.ID); n != 2 {
-		t.Fatalf("%s: %d of 2 replicas of the job that was not cancelled run\n%s", g, n, strings.Join(w.Log[max(0, len(w.Log)-60):], "\n"))
+		t.Fatalf("%s: %d of 2 replicas of the job that was not cancelled run\n%s", g, n, logTail(w, 60))
 	}
 	return told, held
 }
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -13,44 +13,44 @@
 func TestCostGrowsWithChange(t *testing.T) {
 	for _, machines := range []int{100, 400} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
-			w, n := newFleet(t, machines)
-			seen := func(do func()) (hosts, jobs int64) {
-				before := n.Stats()
-				do()
-				after := n.Stats()
+			w, leader := newFleet(t, machines)
+			measure := func(action func()) (examined, jobs int64) {
+				before := leader.Stats()
+				action()
+				after := leader.Stats()
 				return after.MachinesExamined - before.MachinesExamined, after.JobsExamined - before.JobsExamined
 			}
-			hosts, jobs := seen(func() {
+			examined, jobs := measure(func() {
 				for range 100 {
-					n.Request(message.UserRequest{Kind: message.Poll, Job: "wk-000001"}, func(message.Reply) {})
+					leader.Request(message.UserRequest{Kind: message.Poll, Job: "wk-000001"}, func(message.Reply) {})
 				}
 			})
-			if hosts > int64(2*machines) || jobs > int64(2*machines) {
-				t.Errorf("100 polls: %d machines and %d jobs looked at", hosts, jobs)
+			if examined > int64(2*machines) || jobs > int64(2*machines) {
+				t.Errorf("100 polls: %d machines and %d jobs looked at", examined, jobs)
 			}
-			hosts, _ = seen(func() { w.Run(time.Second) })
-			if hosts > int64(15*machines) {
-				t.Errorf("a quiet second: %d machines looked at", hosts)
+			examined, _ = measure(func() { w.Run(time.Second) })
+			if examined > int64(15*machines) {
+				t.Errorf("a quiet second: %d machines looked at", examined)
 			}
 			// One that finds a place costs a pass, which looks at each machine a few
 			// times, whatever else is there.
-			hosts, jobs = seen(func() {
+			examined, jobs = measure(func() {
 				for i := range 20 {
 					s := service(500+i, 1)
 					s.Team = "red"
-					n.Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(message.Reply) {})
+					leader.Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(message.Reply) {})
 				}
 			})
-			if hosts > int64(20*4*(machines+64)) || jobs > int64(20*(machines/50+20)) {
-				t.Errorf("20 submissions: %d machines and %d jobs looked at", hosts, jobs)
+			if examined > int64(20*4*(machines+64)) || jobs > int64(20*(machines/50+20)) {
+				t.Errorf("20 submissions: %d machines and %d jobs looked at", examined, jobs)
 			}
-			t.Logf("a submission looks at %d machines and %d jobs", hosts/20, jobs/20)
+			t.Logf("a submission looks at %d machines and %d jobs", examined/20, jobs/20)
 			submitUnplaceable(w, 10)
 			w.Run(2 * time.Second)
-			few, _ := seen(func() { w.Run(2 * time.Second) })
+			few, _ := measure(func() { w.Run(2 * time.Second) })
 			submitUnplaceable(w, 100)
 			w.Run(2 * time.Second)
-			many, jobs := seen(func() { w.Run(2 * time.Second) })
+			many, jobs := measure(func() { w.Run(2 * time.Second) })
 			if many > 3*few+int64(30*machines) {
 				t.Errorf("two seconds with 440 tasks waiting: %d machines looked at; with 40: %d", many, few)
 			}
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -32,7 +32,7 @@
 
 func testNoStartBeforeJobIsDurable(t *testing.T, shape protocol.JobKind, write, machine string, cancel bool) {
 	w := newWorldWith(t, onePagePerTransaction())
-	hosts := provisionIdleMachines(t, w)
+	machines := provisionIdleMachines(t, w)
 	w.Run(5 * time.Second) // nothing is left to be written
 	disturbFirstWrite(w, write)
 	j := w.Submit(multiBlockJob(1, shape), 20*time.Second)
@@ -44,13 +44,10 @@
 		if !j.Accepted && write != "refused" {
 			t.Errorf("%d tasks are on machines, and the job is not accepted", len(on))
 		}
-		hosts = on
-	}
-	disturbMachines(w, hosts[:1], machine, 8*time.Second)
-	if l := w.Leader(); l != nil {
-		l.Crash()
-		w.After(4*time.Second, l.Start)
+		machines = on
 	}
+	disturbMachines(w, machines[:1], machine, 8*time.Second)
+	crashLeader(w, 4*time.Second)
 	if cancel {
 		w.CancelEverywhere(j)
 	}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -1,11 +1,14 @@
 package controller_test
 
 import (
+	"encoding/json"
 	"strings"
 	"testing"
 	"time"
 
+	"oakpick/internal/controller"
 	"oakpick/internal/fake"
+	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
@@ -111,7 +114,7 @@
 	w.Run(60 * time.Second)
 	for range 3 {
 		starts := countStarts(w)
-		restartLeader(w)
+		restartLeader(w, 3*time.Second)
 		w.Run(20 * time.Second)
 		if n := starts[jobs[0].Submission.ID]; n > 5 {
 			t.Errorf("the array of %d tasks was started %d times after a change of leader", jobs[0].Submission.Tasks, n)
@@ -187,7 +190,7 @@
 		w.Run(2 * time.Second)
 		w.PollAll()
 	}
-	if !strings.Contains(strings.Join(w.Log, "\n"), "machine cordoned [host "+sick) {
+	if !logContains(w, "machine cordoned [host "+sick) {
 		t.Errorf("not set aside\n%s", strings.Join(w.Log, "\n"))
 	}
 	requireAllServed(t, w)
@@ -210,3 +213,15 @@
 	waitRunning(t, w, good.Submission.ID, 1)
 	requireNoViolations(t, w)
 }
+
+// adminJobStatus is what the leader tells operators of a job.
+func adminJobStatus(t *testing.T, w *fake.World, id string) controller.JobStatus {
+	t.Helper()
+	var s controller.JobStatus
+	w.Leader().Request(message.AdminRequest{Kind: message.AdminJob, Job: id}, func(r message.Reply) {
+		if err := json.Unmarshal(r.Body, &s); err != nil || r.Status != 200 {
+			t.Errorf("status %d, %v: %s", r.Status, err, r.Body)
+		}
+	})
+	return s
+}
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -47,13 +47,13 @@
 			w := newWorld(t)
 			provisionIdleMachines(t, w)
 			w.Run(time.Duration(at) * 50 * time.Millisecond)
-			host := ""
+			machine := ""
 			w.Network = func(kind, _, to string) fake.Delivery {
 				f := fake.Reliable()
 				switch {
-				case kind != fake.KindCommands || host != "" && to != host:
-				case host == "":
-					host, f.RequestDelay = to, late*time.Millisecond
+				case kind != fake.KindCommands || machine != "" && to != machine:
+				case machine == "":
+					machine, f.RequestDelay = to, late*time.Millisecond
 				case w.Now < 60*time.Second:
 					f.LoseRequest = true
 				}
@@ -122,14 +122,14 @@
 			t.Fatal("the replicas don't run")
 		}
 		w.Run(5 * time.Second)
-		host := w.MachinesOf("wk-000001")[0]
-		session := w.Incarnation(host)
+		machine := w.MachinesOf("wk-000001")[0]
+		session := w.Incarnation(machine)
 		w.SeparateWrites = true
 		placed := func() int { return strings.Count(strings.Join(w.Log, "\n"), "task placed [job wk-000001 ") }
 		left := durable
 		w.Network = func(kind, from, to string) fake.Delivery {
 			f := fake.Reliable()
-			f.LoseRequest = w.Incarnation(host) == session && (from == host || to == host)
+			f.LoseRequest = w.Incarnation(machine) == session && (from == machine || to == machine)
 			if kind == fake.KindWrite && placed() > 1 {
 				left--
 				f.LoseRequest = left < 0
@@ -137,12 +137,12 @@
 			return f
 		}
 		w.Run(3 * time.Second)
-		restartLeader(w)
+		restartLeader(w, 3*time.Second)
 		if !w.RunUntil(30*time.Second, func() bool { return placed() > 1 }) {
 			t.Fatal("the replicas aren't started again")
 		}
 		w.Run(400 * time.Millisecond)
-		restartLeader(w)
+		restartLeader(w, 3*time.Second)
 		w.Network = nil
 		runAndPoll(w, 60*time.Second)
 		requireNoViolations(t, w)
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -41,16 +41,16 @@
 // came up, and is there when the cut is over.
 func TestPartitionedMachineIsNotScaledInAfterFailover(t *testing.T) {
 	w := newWorld(t)
-	hosts := provisionIdleMachines(t, w)
+	machines := provisionIdleMachines(t, w)
 	cut := w.Now + 20*time.Second
 	w.Network = func(_, from, to string) fake.Delivery {
 		f := fake.Reliable()
-		f.LoseRequest = w.Now < cut && (from == hosts[0] || to == hosts[0])
+		f.LoseRequest = w.Now < cut && (from == machines[0] || to == machines[0])
 		return f
 	}
 	w.Controllers[0].Crash()
 	w.Run(25 * time.Second)
-	if log := strings.Join(w.Log, "\n"); strings.Contains(log, "machine returned [host "+hosts[0]) {
+	if log := strings.Join(w.Log, "\n"); strings.Contains(log, "machine returned [host "+machines[0]) {
 		t.Errorf("given back\n%s", log)
 	}
 	requireNoViolations(t, w)
--- a/internal/controller/grace_period_test.go
+++ b/internal/controller/grace_period_test.go
@@ -29,7 +29,7 @@
 			j := w.Submit(service(1, 2), 0)
 			waitRunning(t, w, j.Submission.ID, 2)
 			w.Run(10 * time.Second)
-			hosts := w.MachinesOf(j.Submission.ID)
+			machines := w.MachinesOf(j.Submission.ID)
 			w.State.SetOutage(true)
 			w.Network = func(kind, from, to string) fake.Delivery {
 				f := fake.Reliable()
@@ -42,9 +42,9 @@
 			}
 			w.After(x.down, func() { w.State.SetOutage(false) })
 			w.Run(x.down + 8*time.Second)
-			kept := slices.Equal(w.MachinesOf(j.Submission.ID), hosts) && w.Incarnation(hosts[0]) == 1
+			kept := slices.Equal(w.MachinesOf(j.Submission.ID), machines) && w.Incarnation(machines[0]) == 1
 			if kept != x.kept {
-				t.Errorf("kept %v\n%s", kept, strings.Join(w.Log[max(0, len(w.Log)-20):], "\n"))
+				t.Errorf("kept %v\n%s", kept, logTail(w, 20))
 			}
 			w.Run(90 * time.Second)
 			requireNoViolations(t, w)
@@ -62,7 +62,7 @@
 	j := w.Submit(service(1, 2), 0)
 	waitRunning(t, w, j.Submission.ID, 2)
 	w.Run(5 * time.Second)
-	hosts := w.MachinesOf(j.Submission.ID)
+	machines := w.MachinesOf(j.Submission.ID)
 	taken := func() bool { h := w.State.WriterOf(controller.LeaderKey); return h != "n0" && h != "" }
 	w.State.Unreachable["n0"] = true
 	w.Network = func(kind, from, _ string) fake.Delivery {
@@ -76,8 +76,8 @@
 	w.Run(100 * time.Millisecond)
 	w.State.SetOutage(true)
 	w.Run(40 * time.Second)
-	if w.Incarnation(hosts[0]) != 1 || !slices.Equal(w.MachinesOf(j.Submission.ID), hosts) {
-		t.Errorf("what ran was lost in the outage\n%s", strings.Join(w.Log[max(0, len(w.Log)-20):], "\n"))
+	if w.Incarnation(machines[0]) != 1 || !slices.Equal(w.MachinesOf(j.Submission.ID), machines) {
+		t.Errorf("what ran was lost in the outage\n%s", logTail(w, 20))
 	}
 	w.Network = nil
 	delete(w.State.Unreachable, "n0")
@@ -99,10 +99,10 @@
 	provisionIdleMachines(t, w)
 	j := w.Submit(service(1, 1), 0)
 	waitRunning(t, w, j.Submission.ID, 1)
-	host := w.MachinesOf(j.Submission.ID)[0]
+	machine := w.MachinesOf(j.Submission.ID)[0]
 	w.Network = func(_, from, to string) fake.Delivery {
 		f := fake.Reliable()
-		alone := func(x string) bool { return x == "n0" || x == host }
+		alone := func(x string) bool { return x == "n0" || x == machine }
 		f.LoseRequest = alone(from) != alone(to)
 		return f
 	}
@@ -131,10 +131,10 @@
 	w := newWorld(t)
 	j := w.Submit(service(1, 1), 0)
 	waitRunning(t, w, j.Submission.ID, 1)
-	host := w.MachinesOf(j.Submission.ID)[0]
+	machine := w.MachinesOf(j.Submission.ID)[0]
 	w.Controllers[0].Crash()
 	w.After(3*time.Second, w.Controllers[0].Start)
-	w.Cloud.Fail(host)
+	w.Cloud.Fail(machine)
 	if !w.RunUntil(22*time.Second, func() bool { return w.Running(j.Submission.ID) == 1 }) {
 		t.Errorf("not replaced in 22 s\n%s", strings.Join(w.Log, "\n"))
 	}
@@ -147,12 +147,12 @@
 	w := newWorld(t)
 	j := w.Submit(service(1, 1), 0)
 	waitRunning(t, w, j.Submission.ID, 1)
-	host := w.MachinesOf(j.Submission.ID)[0]
+	machine := w.MachinesOf(j.Submission.ID)[0]
 	n0 := w.Controllers[0]
 	n0.PausedUntil = w.Now + 60*time.Second
 	got := -1
 	w.After(0, func() { // the first thing that it finds
-		r := protocol.Heartbeat{Machine: host, Type: "small", Zone: "a", Incarnation: 9, Sequence: 1}
+		r := protocol.Heartbeat{Machine: machine, Type: "small", Zone: "a", Incarnation: 9, Sequence: 1}
 		n0.Request(message.HeartbeatRequest{Heartbeat: &r}, func(a message.Reply) { got = a.Status })
 	})
 	w.Run(61 * time.Second)
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -40,10 +40,7 @@
 			jobs = append(jobs, w.Submit(s, 0))
 		}
 		w.Run(6 * time.Second * time.Duration(step) / time.Duration(steps))
-		if l := w.Leader(); l != nil {
-			l.Crash()
-			w.After(3*time.Second, l.Start)
-		}
+		crashLeader(w, 3*time.Second)
 		for _, j := range jobs {
 			waitRunning(t, w, j.Submission.ID, 2)
 		}
@@ -76,9 +73,9 @@
 				}
 				before := w.Submit(service(1, 2), 0)
 				waitRunning(t, w, before.Submission.ID, 2)
-				host := w.MachinesOf(before.Submission.ID)[0]
+				machine := w.MachinesOf(before.Submission.ID)[0]
 				if step%2 == 1 { // an earlier session: it hangs past its lease and comes back
-					w.Workers[host].HangUntil = w.Now + 12*time.Second
+					w.Workers[machine].HangUntil = w.Now + 12*time.Second
 					w.Run(14 * time.Second)
 					waitRunning(t, w, before.Submission.ID, 2)
 				}
@@ -102,8 +99,8 @@
 						if i%5 != step%5 {
 							continue
 						}
-						for _, n := range w.Controllers {
-							n.Request(message.HeartbeatRequest{Heartbeat: &r}, func(message.Reply) {})
+						for _, c := range w.Controllers {
+							c.Request(message.HeartbeatRequest{Heartbeat: &r}, func(message.Reply) {})
 						}
 					}
 				}
--- a/internal/controller/helpers_archive_test.go
+++ b/internal/controller/helpers_archive_test.go
@@ -100,7 +100,7 @@
 		}
 	}
 	pages, archive := terminalRecords(t, w)
-	t.Fatalf("%d ended jobs are on pages, %d in the archive\n%s", len(pages), len(archive), strings.Join(w.Log[max(0, len(w.Log)-20):], "\n"))
+	t.Fatalf("%d ended jobs are on pages, %d in the archive\n%s", len(pages), len(archive), logTail(w, 20))
 }
 
 // newWorldWithArchive makes a world in which most of so many ended jobs are in the archive.
--- a/internal/controller/helpers_durability_test.go
+++ b/internal/controller/helpers_durability_test.go
@@ -94,7 +94,7 @@
 
 // disturbMachines has machines meet a trouble for so long: cut off, hanging, or with reports
 // that arrive late.
-func disturbMachines(w *fake.World, hosts []string, trouble string, d time.Duration) {
+func disturbMachines(w *fake.World, machines []string, trouble string, d time.Duration) {
 	until := w.Now + d
 	w.Network = func(kind, from, to string) fake.Delivery {
 		f := fake.Reliable()
@@ -102,17 +102,17 @@
 			return f
 		}
 		switch {
-		case trouble == "cut off" && (slices.Contains(hosts, from) || slices.Contains(hosts, to)):
+		case trouble == "cut off" && (slices.Contains(machines, from) || slices.Contains(machines, to)):
 			f.LoseRequest = true
-		case trouble == "reports late" && kind == fake.KindHeartbeat && slices.Contains(hosts, from):
+		case trouble == "reports late" && kind == fake.KindHeartbeat && slices.Contains(machines, from):
 			f.LoseRequest, f.DuplicateAfter = true, 5*time.Second
-		case trouble == "reports late" && kind == fake.KindCommands && slices.Contains(hosts, to):
+		case trouble == "reports late" && kind == fake.KindCommands && slices.Contains(machines, to):
 			f.LoseResponse = true
 		}
 		return f
 	}
 	if trouble == "hangs" {
-		for _, name := range hosts {
+		for _, name := range machines {
 			w.Workers[name].HangUntil = until
 		}
 	}
--- a/internal/controller/helpers_pipeline_test.go
+++ b/internal/controller/helpers_pipeline_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"strings"
 	"testing"
 	"time"
 
@@ -63,7 +62,7 @@
 			want = protocol.StatusCancelled
 		}
 		if j.Status != want {
-			t.Fatalf("%s is called %q, not %q\n%s", j.Submission.ID, j.Status, want, strings.Join(w.Log[max(0, len(w.Log)-60):], "\n"))
+			t.Fatalf("%s is called %q, not %q\n%s", j.Submission.ID, j.Status, want, logTail(w, 60))
 		}
 	}
 }
--- a/internal/controller/helpers_takeover_test.go
+++ b/internal/controller/helpers_takeover_test.go
@@ -48,9 +48,7 @@
 	s := fake.Settings()
 	s.State.ValueKB = 8
 	w := fake.NewWorld(s)
-	for _, n := range w.Controllers {
-		n.Crash()
-	}
+	crashAll(w)
 	w.State.MaxListed = 200
 	values := map[string][]byte{}
 	pages := 0
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -1,7 +1,6 @@
 package controller_test
 
 import (
-	"encoding/json"
 	"fmt"
 	"slices"
 	"strings"
@@ -9,68 +8,119 @@
 	"time"
 
 	"oakpick/internal/config"
-	"oakpick/internal/controller"
 	"oakpick/internal/fake"
 	"oakpick/internal/message"
 	"oakpick/internal/protocol"
 )
 
-// newWorld makes one in which n0 leads.
+// failer is what the checks need of a test: that of testing.TB which drawn tests have, too.
+type failer interface {
+	Helper()
+	Fatalf(format string, args ...any)
+}
+
+// newWorld makes a world in which n0 leads.
 func newWorld(t *testing.T) *fake.World {
 	t.Helper()
 	return newWorldWith(t, fake.Settings())
 }
 
-// newWorldWith makes one with such settings in which n0 leads.
+// newWorldWith makes a world with such settings in which n0 leads.
 func newWorldWith(t *testing.T, s config.Settings) *fake.World {
 	t.Helper()
 	w := fake.NewWorld(s)
-	for _, n := range w.Controllers[1:] {
-		n.Crash()
+	for _, c := range w.Controllers[1:] {
+		c.Crash()
 	}
 	if !w.RunUntil(5*time.Second, w.Controllers[0].Leads) {
 		t.Fatal("nobody leads")
 	}
-	for _, n := range w.Controllers[1:] {
-		n.Start()
+	for _, c := range w.Controllers[1:] {
+		c.Start()
 	}
 	return w
 }
 
-func waitRunning(t *testing.T, w *fake.World, id string, tasks int) {
-	t.Helper()
-	if !w.RunUntil(90*time.Second, func() bool { return w.Running(id) == tasks }) {
-		t.Fatalf("%s: %d of %d run\n%s", id, w.Running(id), tasks, strings.Join(w.Log, "\n"))
+// job is a submission of small tasks.
+func job(id int, kind protocol.JobKind, tasks int) protocol.Submission {
+	return protocol.Submission{
+		ID: fmt.Sprintf("wk-%06d", id), Class: "c", Team: "blue", Kind: kind, Priority: protocol.Normal, Tasks: tasks,
+		CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimatedRunS: 5, CheckpointIntervalS: 2, CheckpointDurationS: 1,
 	}
 }
 
-func service(id, tasks int) protocol.Submission {
-	s := job(id, protocol.Service, tasks)
+// service is a submission of replicas that run until they are cancelled.
+func service(id, replicas int) protocol.Submission {
+	s := job(id, protocol.Service, replicas)
 	s.CheckpointIntervalS = 0
 	return s
 }
 
-// provisionIdleMachines makes a world with two empty machines that are up, and gives their names.
+// provisionIdleMachines makes two empty machines that are up, and gives their names.
 func provisionIdleMachines(t *testing.T, w *fake.World) []string {
 	t.Helper()
 	s := service(90, 2)
 	s.CPUs = 4
 	j := w.Submit(s, 0)
 	waitRunning(t, w, s.ID, 2)
-	hosts := w.MachinesOf(s.ID)
+	machines := w.MachinesOf(s.ID)
 	w.CancelJob(j)
 	w.Run(4 * time.Second)
-	return hosts
+	return machines
 }
 
-// queryRapidly looks at a job at every node again and again within milliseconds, for so long.
-func queryRapidly(w *fake.World, jobs []*fake.Job, d time.Duration) {
-	for at := time.Duration(0); at < d; at += 7 * time.Millisecond {
-		w.After(at, func() {
-			for _, j := range jobs {
-				w.QueryEverywhere(j)
-			}
-		})
+// waitRunning lets time pass until so many of a job's tasks run.
+func waitRunning(t *testing.T, w *fake.World, id string, tasks int) {
+	t.Helper()
+	if !w.RunUntil(90*time.Second, func() bool { return w.Running(id) == tasks }) {
+		t.Fatalf("%s: %d of %d run\n%s", id, w.Running(id), tasks, strings.Join(w.Log, "\n"))
+	}
+}
+
+// waitLeader lets time pass until a controller leads.
+func waitLeader(t testing.TB, w *fake.World, timeout time.Duration) {
+	t.Helper()
+	if !w.RunUntil(timeout, func() bool { return w.Leader() != nil }) {
+		t.Fatal("nobody leads")
+	}
+}
+
+// crashFor crashes a controller, whose next process starts after the time.
+func crashFor(w *fake.World, c *fake.Controller, downFor time.Duration) {
+	c.Crash()
+	w.After(downFor, c.Start)
+}
+
+// restartLeader crashes the leader for a time; there has to be one.
+func restartLeader(w *fake.World, downFor time.Duration) { crashFor(w, w.Leader(), downFor) }
+
+// crashLeader crashes the leader for a time, if there is one.
+func crashLeader(w *fake.World, downFor time.Duration) {
+	if leader := w.Leader(); leader != nil {
+		crashFor(w, leader, downFor)
+	}
+}
+
+// crashAll crashes every controller.
+func crashAll(w *fake.World) {
+	for _, c := range w.Controllers {
+		c.Crash()
+	}
+}
+
+// startAll starts every controller.
+func startAll(w *fake.World) {
+	for _, c := range w.Controllers {
+		c.Start()
+	}
+}
+
+// startDown starts the controllers that are down.
+func startDown(w *fake.World) {
+	for _, c := range w.Controllers {
+		if !c.Up {
+			c.Start()
+		}
 	}
 }
 
@@ -83,95 +133,86 @@
 	w.Run(time.Second)
 }
 
-func job(id int, shape protocol.JobKind, tasks int) protocol.Submission {
-	return protocol.Submission{
-		ID: fmt.Sprintf("wk-%06d", id), Class: "c", Team: "blue", Kind: shape, Priority: protocol.Normal, Tasks: tasks,
-		CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimatedRunS: 5, CheckpointIntervalS: 2, CheckpointDurationS: 1,
+// queryRapidly plans queries for jobs at every controller, milliseconds apart, for so long.
+func queryRapidly(w *fake.World, jobs []*fake.Job, d time.Duration) {
+	for at := time.Duration(0); at < d; at += 7 * time.Millisecond {
+		w.After(at, func() {
+			for _, j := range jobs {
+				w.QueryEverywhere(j)
+			}
+		})
+	}
+}
+
+// queryRepeatedly asks about jobs at every controller, and hands them in again there, so many
+// times, each time after an interval.
+func queryRepeatedly(w *fake.World, jobs []*fake.Job, times int, interval time.Duration) {
+	for range times {
+		w.Run(interval)
+		for _, j := range jobs {
+			w.QueryEverywhere(j)
+		}
 	}
 }
 
-func requireNoViolations(t interface{ Fatalf(string, ...any) }, w *fake.World) {
+// adminRequest sends an operator's request to a controller.
+func adminRequest(w *fake.World, controller int, kind message.AdminRequestKind, body string) (status int, answer string) {
+	w.Controllers[controller].Request(message.AdminRequest{Kind: kind, Body: []byte(body)}, func(r message.Reply) {
+		status, answer = r.Status, string(r.Body)
+	})
+	w.Run(time.Second)
+	return status, answer
+}
+
+// requireNoViolations fails if a rule was broken, or a leader's counts differ from its tasks.
+func requireNoViolations(t failer, w *fake.World) {
+	t.Helper()
 	if len(w.Violations) > 0 {
-		tail := w.Log[max(0, len(w.Log)-60):]
-		t.Fatalf("rules broken:\n%s\nlog:\n%s", strings.Join(w.Violations, "\n"), strings.Join(tail, "\n"))
+		t.Fatalf("rules broken:\n%s\nlog:\n%s", strings.Join(w.Violations, "\n"), logTail(w, 60))
 	}
-	for _, n := range w.Controllers {
-		if node := n.Controller(); node != nil {
-			if err := node.CheckCounts(); err != nil {
-				t.Fatalf("%s: %v", n.Name, err)
+	for _, c := range w.Controllers {
+		if impl := c.Controller(); impl != nil {
+			if err := impl.CheckCounts(); err != nil {
+				t.Fatalf("%s: %v", c.Name, err)
 			}
 		}
 	}
 }
 
-// requireAllServed fails unless every job that was accepted and not cancelled is served.
-func requireAllServed(t interface{ Fatalf(string, ...any) }, w *fake.World) {
+// requireAllServed fails unless every job that wasn't cancelled is accepted and served: batch
+// work is done, and all replicas of services run.
+func requireAllServed(t failer, w *fake.World) {
+	t.Helper()
 	for id, j := range w.Jobs {
-		if j.CancelRequested || j.AlwaysFails {
-			continue
-		}
-		if !j.Accepted {
+		switch {
+		case j.CancelRequested || j.AlwaysFails:
+		case !j.Accepted:
 			t.Fatalf("%s was never accepted", id)
-		}
-		if w.CancelledByAncestor(j) {
+		case w.CancelledByAncestor(j):
 			if j.Status != protocol.StatusCancelled {
-				t.Fatalf("%s is called %q, and a job that it needs is cancelled", id, j.Status)
+				t.Fatalf("%s has status %q, and a job that it needs is cancelled", id, j.Status)
 			}
-			continue
-		}
-		if j.Submission.Kind == protocol.Service {
+		case j.Submission.Kind == protocol.Service:
 			if n := w.Running(id); n != j.Submission.Tasks {
-				t.Fatalf("%s: %d of %d replicas run\n%s", id, n, j.Submission.Tasks, strings.Join(w.Log[max(0, len(w.Log)-60):], "\n"))
+				t.Fatalf("%s: %d of %d replicas run\n%s", id, n, j.Submission.Tasks, logTail(w, 60))
 			}
-		} else if j.Status != protocol.StatusDone {
-			t.Fatalf("%s is not done but %q, %d of %d tasks: %+v\n%s", id, j.Status, len(j.DoneTasks), j.Submission.Tasks, j.Submission, strings.Join(w.Log[max(0, len(w.Log)-60):], "\n"))
+		case j.Status != protocol.StatusDone:
+			t.Fatalf("%s is not done but %q, %d of %d tasks: %+v\n%s", id, j.Status, len(j.DoneTasks), j.Submission.Tasks, j.Submission, logTail(w, 60))
 		}
 	}
 }
 
-// queryRepeatedly asks about jobs at every node, and hands them in again there, so many
-// times, each time after a while.
-func queryRepeatedly(w *fake.World, jobs []*fake.Job, times int, after time.Duration) {
-	for range times {
-		w.Run(after)
-		for _, j := range jobs {
-			w.QueryEverywhere(j)
-		}
-	}
-}
-
-// restartLeader ends the leader's process, which is back after three seconds.
-func restartLeader(w *fake.World) {
-	l := w.Leader()
-	l.Crash()
-	w.After(3*time.Second, l.Start)
-}
-
-func allMatch[T any](items []T, ok func(T) bool) bool {
-	return !slices.ContainsFunc(items, func(x T) bool { return !ok(x) })
+// logTail is the last lines of the world's log.
+func logTail(w *fake.World, lines int) string {
+	return strings.Join(w.Log[max(0, len(w.Log)-lines):], "\n")
 }
 
-// logContains tells whether any controller has logged such a line.
-func logContains(w *fake.World, line string) bool {
-	return strings.Contains(strings.Join(w.Log, "\n"), line)
+// logContains tells whether a text is in the world's log.
+func logContains(w *fake.World, text string) bool {
+	return strings.Contains(strings.Join(w.Log, "\n"), text)
 }
 
-func adminRequest(w *fake.World, n int, kind message.AdminRequestKind, body string) (status int, answer string) {
-	w.Controllers[n].Request(message.AdminRequest{Kind: kind, Body: []byte(body)}, func(r message.Reply) {
-		status, answer = r.Status, string(r.Body)
-	})
-	w.Run(time.Second)
-	return status, answer
-}
-
-// adminJobStatus is what the leader tells operators of a job.
-func adminJobStatus(t *testing.T, w *fake.World, id string) controller.JobStatus {
-	t.Helper()
-	var s controller.JobStatus
-	w.Leader().Request(message.AdminRequest{Kind: message.AdminJob, Job: id}, func(r message.Reply) {
-		if err := json.Unmarshal(r.Body, &s); err != nil || r.Status != 200 {
-			t.Errorf("status %d, %v: %s", r.Status, err, r.Body)
-		}
-	})
-	return s
+// allMatch tells whether a condition holds for every item.
+func allMatch[T any](items []T, condition func(T) bool) bool {
+	return !slices.ContainsFunc(items, func(item T) bool { return !condition(item) })
 }
--- a/internal/controller/helpers_upgrade_test.go
+++ b/internal/controller/helpers_upgrade_test.go
@@ -17,16 +17,12 @@
 	s.State.Next = nextLimits(1, 3, 25)
 	w := fake.NewWorld(s)
 	w.RewriteAsProduction = roundTripProduction
-	for _, n := range w.Controllers {
-		n.Crash()
-		n.RunsProduction = true
-	}
-	for _, n := range w.Controllers {
-		n.Start()
-	}
-	if !w.RunUntil(10*time.Second, func() bool { return w.Leader() != nil }) {
-		t.Fatal("nobody leads")
+	for _, c := range w.Controllers {
+		c.Crash()
+		c.RunsProduction = true
 	}
+	startAll(w)
+	waitLeader(t, w, 10*time.Second)
 	return w
 }
 
@@ -43,12 +39,8 @@
 
 // restartWithValueSize restarts every controller with another value_kb.
 func restartWithValueSize(w *fake.World, kilobytes float64) {
-	for _, n := range w.Controllers {
-		n.Crash()
-	}
+	crashAll(w)
 	w.Cfg.Settings.State.ValueKB = kilobytes
 	w.State.SetMaxValueKB(kilobytes)
-	for _, n := range w.Controllers {
-		n.Start()
-	}
+	startAll(w)
 }
--- a/internal/controller/hung_leader_test.go
+++ b/internal/controller/hung_leader_test.go
@@ -37,7 +37,7 @@
 		s.CPUs = 0.1
 		w.Submit(s, 0)
 	}
-	called := w.Submit(service(2, 2), 0)
+	cancelled := w.Submit(service(2, 2), 0)
 	w.Run(25 * time.Second)
 	old := w.Leader()
 	w.SeparateWrites = true
@@ -51,7 +51,7 @@
 		}
 		return f
 	}
-	w.CancelEverywhere(called)
+	w.CancelEverywhere(cancelled)
 	for i := range 8 { // several transactions are on their way when it hangs
 		w.Submit(job(200+i, protocol.Array, 2), 2*time.Second)
 	}
@@ -62,12 +62,12 @@
 	}
 	held := 0
 	for range 5 { // requests that it holds
-		old.Request(message.UserRequest{Kind: message.Poll, Job: called.Submission.ID}, func(message.Reply) { held++ })
+		old.Request(message.UserRequest{Kind: message.Poll, Job: cancelled.Submission.ID}, func(message.Reply) { held++ })
 	}
-	for _, n := range w.Controllers {
-		if n != old {
+	for _, c := range w.Controllers {
+		if c != old {
 			w.Run(hang / 3)
-			upgrade(w, n, 400*time.Millisecond)
+			upgrade(w, c, 400*time.Millisecond)
 		}
 	}
 	w.Run(hang)
@@ -82,8 +82,8 @@
 	requireNoViolations(t, w)
 	requireAllServed(t, w)
 	requirePipelineOutcome(t, w, jobs)
-	if called.Status != protocol.StatusCancelled {
-		t.Errorf("the job that the hanging leader was asked to cancel is called %q", called.Status)
+	if cancelled.Status != protocol.StatusCancelled {
+		t.Errorf("the job that the hanging leader was asked to cancel is called %q", cancelled.Status)
 	}
 	if resumes && held == 0 {
 		t.Error("the hanging leader answered nothing when it resumed")
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -52,9 +52,7 @@
 		t.Fatal("not every replica runs")
 	}
 	leader.Crash()
-	if !w.RunUntil(30*time.Second, func() bool { return w.Leader() != nil }) {
-		t.Fatal("nobody leads")
-	}
+	waitLeader(t, w, 30*time.Second)
 	w.Run(10 * time.Second) // two reports
 	if up := machinesUp(t, w); up != largeFleet {
 		t.Errorf("the new leader has heard of %d of %d machines", up, largeFleet)
@@ -64,8 +62,8 @@
 		t.Error("a take-over has ended replicas")
 	}
 
-	for _, host := range w.MachineNames()[:rackMachines] {
-		w.Cloud.Fail(host)
+	for _, machine := range w.MachineNames()[:rackMachines] {
+		w.Cloud.Fail(machine)
 	}
 	w.Run(time.Second)
 	if allReplicasRun(w) {
--- a/internal/controller/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -46,10 +46,7 @@
 				}
 				if crash >= 0 {
 					w.Run(crash)
-					if l := w.Leader(); l != nil {
-						l.Crash()
-						w.After(2*time.Second, l.Start)
-					}
+					crashLeader(w, 2*time.Second)
 				}
 				queryRapidly(w, all[len(all)-5:], 300*time.Millisecond)
 				w.Run(400 * time.Millisecond)
@@ -131,10 +128,7 @@
 			t.Fatal("not told that it is cancelled")
 		}
 		w.Run(time.Duration(step%4) * 50 * time.Millisecond)
-		if l := w.Leader(); l != nil {
-			l.Crash()
-			w.After(5*time.Second, l.Start)
-		}
+		crashLeader(w, 5*time.Second)
 		w.Network = nil
 		jobs := []*fake.Job{first, second, third, fourth}
 		queryRepeatedly(w, jobs, 20, 200*time.Millisecond)
@@ -157,16 +151,10 @@
 	if done.Status != protocol.StatusDone {
 		t.Fatalf("the first is called %q", done.Status)
 	}
-	for _, n := range w.Controllers {
-		n.Crash()
-	}
+	crashAll(w)
 	w.Run(20 * time.Second)
-	for _, n := range w.Controllers {
-		n.Start()
-	}
-	if !w.RunUntil(10*time.Second, func() bool { return w.Leader() != nil }) {
-		t.Fatal("nobody leads")
-	}
+	startAll(w)
+	waitLeader(t, w, 10*time.Second)
 	w.Run(time.Second)
 	statuses := map[int]int{}
 	for i, n := range w.Controllers {
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -173,7 +173,7 @@
 		return f
 	}
 	w.Run(40 * time.Second)
-	if l := w.Leader(); l == nil || l == leader {
+	if successor := w.Leader(); successor == nil || successor == leader {
 		t.Fatal("nobody else leads")
 	}
 	for name, session := range before {
@@ -194,14 +194,14 @@
 			s.CPUs, s.CheckpointIntervalS = 4, 0 // a machine each
 			j := w.Submit(s, 4*time.Second)
 			waitRunning(t, w, s.ID, 3)
-			for i, host := range w.MachinesOf(s.ID)[:2] {
-				w.Workers[host].HangUntil = w.Now + time.Duration(4+4*i)*time.Second
+			for i, machine := range w.MachinesOf(s.ID)[:2] {
+				w.Workers[machine].HangUntil = w.Now + time.Duration(4+4*i)*time.Second
 			}
 			for i := range 3 {
 				w.Run(time.Duration(1500+700*step) * time.Millisecond)
-				if l := w.Leader(); l != nil && i < 2 {
-					l.Crash()
-					w.After(time.Second, l.Start)
+				if leader := w.Leader(); leader != nil && i < 2 {
+					leader.Crash()
+					w.After(time.Second, leader.Start)
 				}
 				w.PollAll()
 			}
@@ -228,27 +228,27 @@
 			id++
 			w.Submit(job(id, protocol.Array, 2), 5*time.Second)
 			w.Run(time.Duration(5+(seed+change)%4) * time.Second)
-			l := w.Leader()
-			if l == nil {
+			leader := w.Leader()
+			if leader == nil {
 				w.Run(4 * time.Second)
 				continue
 			}
 			switch (seed + change) % 5 {
 			case 0:
-				l.Crash()
-				l.Start() // back at once
+				leader.Crash()
+				leader.Start() // back at once
 			case 1:
-				l.Crash()
-				w.After(3*time.Second, l.Start)
+				leader.Crash()
+				w.After(3*time.Second, leader.Start)
 			case 2:
-				w.State.Unreachable[l.Name] = true
-				w.After(6*time.Second, func() { delete(w.State.Unreachable, l.Name) })
+				w.State.Unreachable[leader.Name] = true
+				w.After(6*time.Second, func() { delete(w.State.Unreachable, leader.Name) })
 			case 3:
-				l.PausedUntil = w.Now + 4*time.Second
+				leader.PausedUntil = w.Now + 4*time.Second
 			case 4:
 				w.State.SetOutage(true)
-				w.After(time.Second, l.Crash)
-				w.After(1500*time.Millisecond, l.Start)
+				w.After(time.Second, leader.Crash)
+				w.After(1500*time.Millisecond, leader.Start)
 				w.After(7*time.Second, func() { w.State.SetOutage(false) })
 			}
 			if change%3 == 1 {
@@ -272,23 +272,21 @@
 			w := newWorld(t)
 			a := w.Submit(service(1, 3), 0)
 			w.Submit(job(2, protocol.Array, 4), 20*time.Second)
-			called := w.Submit(service(3, 2), 0)
+			cancelled := w.Submit(service(3, 2), 0)
 			waitRunning(t, w, a.Submission.ID, 3)
-			waitRunning(t, w, called.Submission.ID, 2)
-			w.CancelEverywhere(called)
+			waitRunning(t, w, cancelled.Submission.ID, 2)
+			w.CancelEverywhere(cancelled)
 			w.Run(20 * time.Millisecond)
-			for _, n := range w.Controllers {
-				n.Crash()
-			}
+			crashAll(w)
 			w.Run(away)
-			for _, n := range w.Controllers[:back] {
-				n.Start()
+			for _, c := range w.Controllers[:back] {
+				c.Start()
 			}
 			runAndPoll(w, 10*time.Second)
-			for _, n := range w.Controllers[back:] {
-				n.Start()
+			for _, c := range w.Controllers[back:] {
+				c.Start()
 			}
-			w.CancelEverywhere(called)
+			w.CancelEverywhere(cancelled)
 			runAndPoll(w, 70*time.Second)
 			requireNoViolations(t, w)
 			requireAllServed(t, w)
--- a/internal/controller/paused_controllers_test.go
+++ b/internal/controller/paused_controllers_test.go
@@ -39,17 +39,17 @@
 	w := newWorld(t)
 	w.Submit(service(1, 3), 0)
 	w.Run(12 * time.Second)
-	l := w.Leader()
+	leader := w.Leader()
 	terms := func() int64 {
 		sum := int64(0)
-		for _, n := range w.Controllers {
-			sum += n.Stats().TermsTaken
+		for _, c := range w.Controllers {
+			sum += c.Stats().TermsTaken
 		}
 		return sum
 	}
 	before := terms()
 	for range 12 {
-		l.PausedUntil = w.Now + 3*time.Second
+		leader.PausedUntil = w.Now + 3*time.Second
 		w.Run(5 * time.Second)
 		w.PollAll()
 	}
@@ -88,9 +88,9 @@
 // one more before the next node, so that it comes to the third after ten seconds and a report
 // interval at most: where the lease is longer than that, no task ends by it.
 func TestTwoOfThreeControllersPaused(t *testing.T) {
-	for leader := range 3 {
-		for other := range 3 {
-			if other == leader {
+	for first := range 3 {
+		for second := range 3 {
+			if first == second {
 				continue
 			}
 			s := fake.Settings()
@@ -100,26 +100,26 @@
 				w.Submit(service(i+1, 3), 0)
 			}
 			w.Run(30 * time.Second)
-			for w.Leader() != w.Controllers[leader] { // hand the term on until the right one has it
-				l := w.Leader()
-				if l == nil {
+			for w.Leader() != w.Controllers[first] { // hand the term on until the right one has it
+				leader := w.Leader()
+				if leader == nil {
 					w.Run(time.Second)
 					continue
 				}
-				l.PausedUntil = w.Now + 2*time.Second
+				leader.PausedUntil = w.Now + 2*time.Second
 				w.Run(4 * time.Second)
 			}
 			w.Run(20 * time.Second)
-			third := w.Controllers[3-leader-other]
+			third := w.Controllers[3-first-second]
 			killed := w.TasksLostToLeaseExpiry
-			w.Controllers[leader].PausedUntil = w.Now + 14*time.Second
-			w.Controllers[other].PausedUntil = w.Now + 14*time.Second
+			w.Controllers[first].PausedUntil = w.Now + 14*time.Second
+			w.Controllers[second].PausedUntil = w.Now + 14*time.Second
 			if !w.RunUntil(3*time.Second, third.Leads) {
 				t.Errorf("the third doesn't lead after 3 s")
 			}
 			runAndPoll(w, 40*time.Second)
 			if n := w.TasksLostToLeaseExpiry - killed; n > 0 {
-				t.Errorf("leader %d and %d: %d tasks ended by their lease", leader, other, n)
+				t.Errorf("leader %d and %d: %d tasks ended by their lease", first, second, n)
 			}
 			requireNoViolations(t, w)
 			requireAllServed(t, w)
@@ -139,11 +139,11 @@
 		t.Fatal("the third doesn't lead")
 	}
 	w.Run(2 * time.Second)
-	called := w.Submit(service(2, 1), 0)
+	submitted := w.Submit(service(2, 1), 0)
 	w.CancelEverywhere(j)
 	runAndPoll(w, 12*time.Second)
-	if !called.Accepted || j.Status != protocol.StatusCancelled {
-		t.Errorf("accepted %t, told %q", called.Accepted, j.Status)
+	if !submitted.Accepted || j.Status != protocol.StatusCancelled {
+		t.Errorf("accepted %t, told %q", submitted.Accepted, j.Status)
 	}
 	delete(w.State.Unreachable, "n1")
 	runAndPoll(w, 30*time.Second)
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -22,9 +22,9 @@
 		provisionIdleMachines(t, w)
 		idle := len(w.MachineNames())
 		w.Cloud.CapacityOf = map[string]int{"small": 1, "large": 0} // nothing else can be had
-		l := w.Leader()
+		leader := w.Leader()
 		var stalled []string
-		l.StallBefore = func(effect message.Effect) time.Duration {
+		leader.StallBefore = func(effect message.Effect) time.Duration {
 			c, ok := effect.(message.CloudCall)
 			if !ok || c.Op != message.CloudScaleIn || stalled != nil {
 				return 0
@@ -54,18 +54,18 @@
 func TestNoLateStartWhileLeaseIsUncertain(t *testing.T) {
 	w := newWorld(t)
 	provisionIdleMachines(t, w)
-	l, stood := w.Leader(), false
-	l.StallBefore = func(effect message.Effect) time.Duration {
-		if c, ok := effect.(message.CommandsCall); !ok || stood || !containsStart(c) {
+	leader, paused := w.Leader(), false
+	leader.StallBefore = func(effect message.Effect) time.Duration {
+		if c, ok := effect.(message.CommandsCall); !ok || paused || !containsStart(c) {
 			return 0
 		}
-		stood = true
+		paused = true
 		w.State.SetOutage(true)
 		return 3 * time.Second
 	}
 	s := service(1, 1)
 	w.Submit(s, 0)
-	if !w.RunUntil(20*time.Second, func() bool { return stood }) {
+	if !w.RunUntil(20*time.Second, func() bool { return paused }) {
 		t.Fatal("nothing is started")
 	}
 	w.Run(6 * time.Second)
@@ -106,32 +106,32 @@
 func testLeaderPausedBeforeEffect(t *testing.T, is func(message.Effect) bool, skip int, stall time.Duration) {
 	w := newWorld(t)
 	w.Submit(service(1, 3), 0)
-	called := w.Submit(service(2, 2), 0)
+	cancelled := w.Submit(service(2, 2), 0)
 	w.Submit(job(3, protocol.Array, 6), 8*time.Second)
 	w.Run(12 * time.Second)
-	l, left, stood := w.Leader(), skip, false
-	l.StallBefore = func(effect message.Effect) time.Duration {
-		if stood || !is(effect) {
+	leader, left, paused := w.Leader(), skip, false
+	leader.StallBefore = func(effect message.Effect) time.Duration {
+		if paused || !is(effect) {
 			return 0
 		}
 		if left--; left >= 0 {
 			return 0
 		}
-		stood = true
+		paused = true
 		return stall
 	}
 	w.Submit(job(4, protocol.Gang, 2), 3*time.Second)
-	w.CancelEverywhere(called)
-	w.After(stall/2, func() { w.CancelEverywhere(called) })
+	w.CancelEverywhere(cancelled)
+	w.After(stall/2, func() { w.CancelEverywhere(cancelled) })
 	w.Submit(job(5, protocol.Array, 2), 2*time.Second)
 	runAndPoll(w, stall+60*time.Second)
 	requireNoViolations(t, w)
 	requireAllServed(t, w)
-	if !stood {
+	if !paused {
 		t.Error("the leader never stood still")
 	}
-	if called.Status != protocol.StatusCancelled {
-		t.Errorf("the cancelled job is called %q", called.Status)
+	if cancelled.Status != protocol.StatusCancelled {
+		t.Errorf("the cancelled job is called %q", cancelled.Status)
 	}
 }
 
@@ -145,29 +145,29 @@
 				t.Parallel()
 				w := newWorld(t)
 				w.Submit(service(1, 3), 0)
-				called := w.Submit(service(2, 2), 0)
+				cancelled := w.Submit(service(2, 2), 0)
 				w.Submit(job(3, protocol.Array, 6), 8*time.Second)
 				w.Run(12 * time.Second)
 				w.Leader().Crash()
-				left, stood := skip, false
+				left, paused := skip, false
 				for _, n := range w.Controllers[1:] {
 					n.StallBefore = func(effect message.Effect) time.Duration {
-						if c, ok := effect.(message.StateCall); stood || ok && c.Op == storage.StateGet {
+						if c, ok := effect.(message.StateCall); paused || ok && c.Op == storage.StateGet {
 							return 0 // a look at who leads
 						}
 						if left--; left >= 0 {
 							return 0
 						}
-						stood = true
+						paused = true
 						return stall
 					}
 				}
-				w.CancelEverywhere(called)
+				w.CancelEverywhere(cancelled)
 				runAndPoll(w, stall+70*time.Second)
 				requireNoViolations(t, w)
 				requireAllServed(t, w)
-				if called.Status != protocol.StatusCancelled {
-					t.Errorf("the cancelled job is called %q", called.Status)
+				if cancelled.Status != protocol.StatusCancelled {
+					t.Errorf("the cancelled job is called %q", cancelled.Status)
 				}
 			})
 		}
@@ -184,11 +184,11 @@
 		s.CPUs = 2
 		w.Submit(s, 0)
 	}
-	l := w.Leader()
-	for returned := int64(-1); returned != l.Stats().MachinesScaledIn; w.Run(40 * time.Second) {
-		returned = l.Stats().MachinesScaledIn
+	leader := w.Leader()
+	for returned := int64(-1); returned != leader.Stats().MachinesScaledIn; w.Run(40 * time.Second) {
+		returned = leader.Stats().MachinesScaledIn
 	}
-	before, machines := l.Stats(), len(w.MachineNames())
+	before, machines := leader.Stats(), len(w.MachineNames())
 	if machines < 3 {
 		t.Fatalf("only %d machines", machines)
 	}
@@ -196,18 +196,18 @@
 	w.State.SetOutage(true)
 	w.Run(time.Second)
 	// The workers wait in vain, and are on their way from node to node when it goes on.
-	goesOn := w.Now + 5*time.Second
+	resumesAt := w.Now + 5*time.Second
 	w.Network = func(kind, _, to string) fake.Delivery {
 		f := fake.Reliable()
-		f.LoseRequest = kind == fake.KindHeartbeat && to == l.Name && w.Now < goesOn
+		f.LoseRequest = kind == fake.KindHeartbeat && to == leader.Name && w.Now < resumesAt
 		return f
 	}
-	l.PausedUntil = w.Now + 5*time.Second // longer than a machine may be silent, less than a lease
+	leader.PausedUntil = w.Now + 5*time.Second // longer than a machine may be silent, less than a lease
 	w.Run(5 * time.Second)
 	w.State.SetOutage(false)
 	w.Run(20 * time.Second)
-	after := l.Stats()
-	if !l.Leads() || after.TermsTaken != before.TermsTaken {
+	after := leader.Stats()
+	if !leader.Leads() || after.TermsTaken != before.TermsTaken {
 		t.Errorf("the term is lost: %s", strings.Join(w.Log[mark:], "\n"))
 	}
 	if after.Pauses != 1 || after.LongestPauseMs < 5000 || !logContains(w, "process stood still [for 5") {
@@ -224,28 +224,28 @@
 func TestMachinesBootedDuringPauseAreNotReplaced(t *testing.T) {
 	w := newWorld(t)
 	w.Run(20 * time.Second)
-	l := w.Leader()
-	before := l.Stats().MachinesScaledOut
+	leader := w.Leader()
+	before := leader.Stats().MachinesScaledOut
 	s := service(1, 3)
 	s.CPUs = 4 // a machine each
 	w.Submit(s, 0)
-	if !w.RunUntil(5*time.Second, func() bool { return l.Stats().MachinesScaledOut > before }) {
+	if !w.RunUntil(5*time.Second, func() bool { return leader.Stats().MachinesScaledOut > before }) {
 		t.Fatal("nothing is rented")
 	}
 	w.Run(time.Second)
-	before = l.Stats().MachinesScaledOut
+	before = leader.Stats().MachinesScaledOut
 	w.State.SetOutage(true)
-	goesOn := w.Now + 9*time.Second
+	resumesAt := w.Now + 9*time.Second
 	w.Network = func(kind, _, to string) fake.Delivery {
 		f := fake.Reliable()
-		f.LoseRequest = kind == fake.KindHeartbeat && to == l.Name && w.Now < goesOn
+		f.LoseRequest = kind == fake.KindHeartbeat && to == leader.Name && w.Now < resumesAt
 		return f
 	}
-	l.PausedUntil = goesOn
+	leader.PausedUntil = resumesAt
 	w.Run(9 * time.Second)
 	w.State.SetOutage(false)
 	waitRunning(t, w, s.ID, 3)
-	if rented := l.Stats().MachinesScaledOut; rented != before || !l.Leads() {
+	if rented := leader.Stats().MachinesScaledOut; rented != before || !leader.Leads() {
 		t.Errorf("%d machines rented before the pause, %d after", before, rented)
 	}
 	requireNoViolations(t, w)
@@ -257,8 +257,8 @@
 func TestForwardedRequestsSurvivePausedLeader(t *testing.T) {
 	w := newWorld(t)
 	w.Run(5 * time.Second)
-	l := w.Leader()
-	l.PausedUntil = w.Now + 30*time.Second
+	leader := w.Leader()
+	leader.PausedUntil = w.Now + 30*time.Second
 	answers, refused := 0, 0
 	const asked = 20
 	for i := range asked {
--- a/internal/controller/pipeline_cancellation_test.go
+++ b/internal/controller/pipeline_cancellation_test.go
@@ -44,8 +44,8 @@
 		"slow": func(w *fake.World) { // several times slower, and again and again
 			for i := range 12 {
 				w.After(time.Duration(i)*700*time.Millisecond, func() {
-					for _, n := range w.Controllers {
-						n.PausedUntil = w.Now + 500*time.Millisecond
+					for _, c := range w.Controllers {
+						c.PausedUntil = w.Now + 500*time.Millisecond
 					}
 				})
 			}
@@ -104,7 +104,7 @@
 		first := submitAfter(t, w, long, 2*time.Second)
 		jobs := []*fake.Job{first, submitAfter(t, w, job(2, protocol.Array, 1), time.Second, first)}
 		waitRunning(t, w, first.Submission.ID, 1)
-		host := w.MachinesOf(first.Submission.ID)[0]
+		machine := w.MachinesOf(first.Submission.ID)[0]
 		if !w.RunUntil(20*time.Second, func() bool { return len(first.DoneTasks) == 1 }) {
 			t.Fatal("the first job does not end")
 		}
@@ -117,7 +117,7 @@
 				f.RequestDelay = 5 * time.Second
 			}
 			// The next leader hears of the end only after the cancellation.
-			f.LoseRequest = step%3 == 1 && kind == fake.KindHeartbeat && from == host && crashed > 0 && w.Now < crashed+6*time.Second
+			f.LoseRequest = step%3 == 1 && kind == fake.KindHeartbeat && from == machine && crashed > 0 && w.Now < crashed+6*time.Second
 			return f
 		}
 		w.Run(time.Duration(step) * 60 * time.Millisecond)
@@ -182,10 +182,7 @@
 		w.CancelEverywhere(jobs[which])
 		if step%2 == 0 {
 			w.After(200*time.Millisecond, func() {
-				if l := w.Leader(); l != nil {
-					l.Crash()
-					w.After(3*time.Second, l.Start)
-				}
+				crashLeader(w, 3*time.Second)
 			})
 		}
 		queryRepeatedly(w, jobs, 30, 150*time.Millisecond)
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -58,10 +58,7 @@
 					w.Run(50 * time.Millisecond)
 					if !ended && w.State.WriteTransactions >= from+writes {
 						ended = true
-						if l := w.Leader(); l != nil {
-							l.Crash()
-							w.After(3*time.Second, l.Start)
-						}
+						crashLeader(w, 3*time.Second)
 					}
 					if int(w.Now/(50*time.Millisecond))%10 == 0 {
 						for _, j := range jobs {
@@ -90,9 +87,9 @@
 	long := submitAfter(t, w, job(2, protocol.Array, 1), time.Hour)
 	waitRunning(t, w, long.Submission.ID, 1)
 	standing := submitAfter(t, w, service(3, 1), 0)
-	called := submitAfter(t, w, job(4, protocol.Array, 1), time.Hour)
-	through := submitAfter(t, w, job(5, protocol.Array, 1), time.Second, called)
-	w.CancelJob(called)
+	cancelled := submitAfter(t, w, job(4, protocol.Array, 1), time.Hour)
+	through := submitAfter(t, w, job(5, protocol.Array, 1), time.Second, cancelled)
+	w.CancelJob(cancelled)
 	w.Run(5 * time.Second)
 	for i, c := range []struct {
 		needs  []string
@@ -101,7 +98,7 @@
 	}{
 		{[]string{done.Submission.ID}, 201, protocol.StatusDone},
 		{[]string{done.Submission.ID, long.Submission.ID}, 201, protocol.StatusQueued},
-		{[]string{called.Submission.ID}, 201, protocol.StatusCancelled},
+		{[]string{cancelled.Submission.ID}, 201, protocol.StatusCancelled},
 		{[]string{long.Submission.ID, through.Submission.ID}, 201, protocol.StatusCancelled},
 		{[]string{"wk-777777"}, 422, ""},
 		{[]string{"wk-000105"}, 422, ""}, // its own
@@ -127,10 +124,10 @@
 	w.State.SetOutage(true)
 	p, d := job(200, protocol.Array, 1), job(201, protocol.Array, 1)
 	d.Prerequisites = []string{p.ID}
-	l := w.Leader()
+	leader := w.Leader()
 	status := 0
-	l.Request(message.UserRequest{Kind: message.Submit, Job: p.ID, Submission: &p}, func(message.Reply) {})
-	l.Request(message.UserRequest{Kind: message.Submit, Job: d.ID, Submission: &d}, func(r message.Reply) { status = r.Status })
+	leader.Request(message.UserRequest{Kind: message.Submit, Job: p.ID, Submission: &p}, func(message.Reply) {})
+	leader.Request(message.UserRequest{Kind: message.Submit, Job: d.ID, Submission: &d}, func(r message.Reply) { status = r.Status })
 	w.Run(100 * time.Millisecond)
 	if status != 503 {
 		t.Errorf("needs a job that isn't durable: %d", status)
@@ -140,8 +137,8 @@
 	w.Run(5 * time.Second)
 	again := long.Submission
 	again.Prerequisites = []string{"wk-777777"}
-	l = w.Leader()
-	l.Request(message.UserRequest{Kind: message.Submit, Job: again.ID, Submission: &again}, func(r message.Reply) { status = r.Status })
+	leader = w.Leader()
+	leader.Request(message.UserRequest{Kind: message.Submit, Job: again.ID, Submission: &again}, func(r message.Reply) { status = r.Status })
 	w.Run(100 * time.Millisecond)
 	if status != 200 {
 		t.Errorf("a repeat that names a job nobody knows: %d", status)
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -197,11 +197,7 @@
 					w.After(time.Second, func() { w.CancelEverywhere(j) })
 				}
 				w.Run(5 * time.Second)
-				for _, n := range w.Controllers {
-					if !n.Up {
-						n.Start()
-					}
-				}
+				startDown(w)
 				for _, j := range next {
 					waitRunning(t, w, j.Submission.ID, 2)
 				}
--- a/internal/controller/repeated_queries_test.go
+++ b/internal/controller/repeated_queries_test.go
@@ -56,19 +56,19 @@
 				w.Run(time.Duration(step) * 30 * time.Millisecond)
 				trouble(w, 1500*time.Millisecond*time.Duration(step)/time.Duration(steps))
 				ends := w.Submit(job(1, protocol.Array, 2), 300*time.Millisecond)
-				called := w.Submit(service(2, 1), 0)
+				cancelled := w.Submit(service(2, 1), 0)
 				both := w.Submit(job(3, protocol.Array, 1), 500*time.Millisecond)
-				jobs := []*fake.Job{ends, called, both}
+				jobs := []*fake.Job{ends, cancelled, both}
 				queryRapidly(w, jobs, 3*time.Second)
-				w.After(400*time.Millisecond, func() { w.CancelEverywhere(called) })
+				w.After(400*time.Millisecond, func() { w.CancelEverywhere(cancelled) })
 				for _, at := range []time.Duration{1000, 1600, 1900} { // about when it ends
 					w.After(at*time.Millisecond, func() { w.CancelEverywhere(both) })
 				}
 				w.Run(10 * time.Second)
 				runAndPoll(w, 18*time.Second)
 				requireNoViolations(t, w)
-				if ends.Status != protocol.StatusDone || called.Status != protocol.StatusCancelled {
-					t.Errorf("step %d: told %q and %q", step, ends.Status, called.Status)
+				if ends.Status != protocol.StatusDone || cancelled.Status != protocol.StatusCancelled {
+					t.Errorf("step %d: told %q and %q", step, ends.Status, cancelled.Status)
 				}
 				told[both.Status]++
 			}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -24,39 +24,39 @@
 				large.CPUs, large.Team = 0.5, "red"
 				w.Submit(large, 8*time.Second)
 				w.Submit(service(2, 3), 0)
-				called := w.Submit(service(3, 2), 0)
+				cancelled := w.Submit(service(3, 2), 0)
 				w.Run(20 * time.Second)
 				for round := range 8 {
 					if outage && round == 3 {
 						w.State.SetOutage(true)
 						w.After(3*time.Second, func() { w.State.SetOutage(false) })
 					}
-					l := w.Leader()
-					if l == nil {
+					leader := w.Leader()
+					if leader == nil {
 						w.Run(time.Second)
 						continue
 					}
 					// It dies before its turn and comes back old, or it has its turn, or goes back.
-					l.Crash()
-					l.RunsProduction = round%2 == 1
-					w.After(pause, l.Start)
+					leader.Crash()
+					leader.RunsProduction = round%2 == 1
+					w.After(pause, leader.Start)
 					w.Submit(job(10+round, protocol.JobKind(round%2), 2), 2*time.Second)
 					if round == 5 {
-						w.CancelEverywhere(called)
+						w.CancelEverywhere(cancelled)
 					}
 					w.Run(pause + 2500*time.Millisecond)
 					w.PollAll()
 				}
-				for _, n := range w.Controllers {
-					n.Crash()
-					n.RunsProduction = false
-					n.Start()
+				for _, c := range w.Controllers {
+					c.Crash()
+					c.RunsProduction = false
+					c.Start()
 				}
 				runAndPoll(w, 90*time.Second)
 				requireNoViolations(t, w)
 				requireAllServed(t, w)
-				if called.Status != protocol.StatusCancelled {
-					t.Errorf("told %q", called.Status)
+				if cancelled.Status != protocol.StatusCancelled {
+					t.Errorf("told %q", cancelled.Status)
 				}
 			})
 		}
@@ -76,7 +76,7 @@
 				large := job(1, protocol.Array, 70)
 				large.CPUs, large.Team = 0.5, "red"
 				w.Submit(large, 8*time.Second)
-				called := w.Submit(service(2, 2), 0)
+				cancelled := w.Submit(service(2, 2), 0)
 				for i := range 40 {
 					if i%2 == 0 {
 						w.Submit(job(100+i, protocol.Array, 1), time.Second)
@@ -119,19 +119,19 @@
 					return f
 				}
 				// The leader last: with no time to wait, the new version has never led.
-				l := w.Leader()
+				leader := w.Leader()
 				nodes := slices.Clone(w.Controllers)
 				slices.SortStableFunc(nodes, func(a, b *fake.Controller) int {
-					if a == l {
+					if a == leader {
 						return 1
 					}
-					if b == l {
+					if b == leader {
 						return -1
 					}
 					return 0
 				})
-				for _, n := range nodes {
-					upgrade(w, n, 500*time.Millisecond)
+				for _, c := range nodes {
+					upgrade(w, c, 500*time.Millisecond)
 					w.Run(2 * time.Second)
 				}
 				w.Run(wait)
@@ -141,14 +141,14 @@
 					}
 				}
 				w.State.LowerLimits()
-				w.CancelEverywhere(called)
+				w.CancelEverywhere(cancelled)
 				w.Submit(job(3, protocol.Gang, 2), 2*time.Second)
 				w.Submit(service(4, 2), 0)
 				runAndPoll(w, 150*time.Second)
 				requireNoViolations(t, w)
 				requireAllServed(t, w)
-				if called.Status != protocol.StatusCancelled {
-					t.Errorf("told %q", called.Status)
+				if cancelled.Status != protocol.StatusCancelled {
+					t.Errorf("told %q", cancelled.Status)
 				}
 				if w.State.RejectedForSize > 3*len(w.Controllers) {
 					t.Errorf("%d transactions were refused for their size", w.State.RejectedForSize)
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -19,13 +19,13 @@
 	provisionIdleMachines(t, w)
 	standing := w.Submit(service(1, 2), 0)
 	waitRunning(t, w, standing.Submission.ID, 2)
-	var called []*fake.Job
+	var cancelled []*fake.Job
 	for i := range 8 {
 		s := service(10+i, 1)
 		s.CPUs = 0.1
-		called = append(called, submitAfter(t, w, s, 0))
+		cancelled = append(cancelled, submitAfter(t, w, s, 0))
 	}
-	for _, j := range called {
+	for _, j := range cancelled {
 		waitRunning(t, w, j.Submission.ID, 1)
 	}
 	after := submitAfter(t, w, job(30, protocol.Array, 1), time.Hour)
@@ -52,7 +52,7 @@
 			w.Run(1 * time.Second / 30)
 		}
 		if second == 3 {
-			for _, j := range called {
+			for _, j := range cancelled {
 				w.CancelJob(j)
 			}
 			w.CancelJob(after)
@@ -61,7 +61,7 @@
 			w.State.RejectWrites = false
 		}
 		if second == 14 {
-			for _, j := range append(called, after) {
+			for _, j := range append(cancelled, after) {
 				if j.Status != protocol.StatusCancelled {
 					t.Errorf("%s is called %q a second after writes are taken again", j.Submission.ID, j.Status)
 				}
--- a/internal/controller/write_responses_test.go
+++ b/internal/controller/write_responses_test.go
@@ -151,10 +151,7 @@
 					}
 				}
 				if m.crashes {
-					if l := w.Leader(); l != nil {
-						l.Crash()
-						w.After(2*time.Second, l.Start)
-					}
+					crashLeader(w, 2*time.Second)
 				}
 				runAndPoll(w, 120*time.Second)
 				requireNoViolations(t, w)
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -1,7 +1,6 @@
 package controller_test
 
 import (
-	"strings"
 	"testing"
 	"time"
 
@@ -24,7 +23,7 @@
 		w.PollAll()
 	}
 	if j.Status != protocol.StatusDone || len(j.DoneTasks) != 300 {
-		t.Errorf("told %q, %d done\n%s", j.Status, len(j.DoneTasks), strings.Join(w.Log[max(0, len(w.Log)-20):], "\n"))
+		t.Errorf("told %q, %d done\n%s", j.Status, len(j.DoneTasks), logTail(w, 20))
 	}
 	requireNoViolations(t, w)
 }
@@ -73,25 +72,21 @@
 		}
 		from, ended := w.State.WriteTransactions, false
 		w.Network = func(kind, _, _ string) fake.Delivery {
-			if l := w.Leader(); kind == fake.KindState && l != nil && !ended && w.State.WriteTransactions >= from+writes {
+			if leader := w.Leader(); kind == fake.KindState && leader != nil && !ended && w.State.WriteTransactions >= from+writes {
 				ended = true
-				w.After(0, l.Crash) // its next write goes unsent
+				w.After(0, leader.Crash) // its next write goes unsent
 				return fake.Delivery{LoseRequest: true}
 			}
 			return fake.Reliable()
 		}
 		w.Run(10 * time.Second)
-		for _, n := range w.Controllers {
-			if !n.Up {
-				n.Start()
-			}
-		}
+		startDown(w)
 		for range 8 {
 			w.Run(3 * time.Second)
 			w.PollAll()
 		}
 		if !ended || j.Status != protocol.StatusDone {
-			t.Errorf("after %d writes: ended %t, told %q\n%s", writes, ended, j.Status, strings.Join(w.Log[max(0, len(w.Log)-10):], "\n"))
+			t.Errorf("after %d writes: ended %t, told %q\n%s", writes, ended, j.Status, logTail(w, 10))
 		}
 		requireNoViolations(t, w)
 	}
@@ -105,13 +100,9 @@
 	waitRunning(t, w, b.Submission.ID, 1)
 	w.CancelJob(b)
 	w.Run(10 * time.Second)
-	for _, n := range w.Controllers {
-		n.Crash()
-	}
+	crashAll(w)
 	w.Run(time.Second)
-	for _, n := range w.Controllers {
-		n.Start()
-	}
+	startAll(w)
 	w.Run(10 * time.Second)
 	w.Resubmit(a)
 	w.Resubmit(b)
@@ -166,7 +157,7 @@
 	}
 	old.Crash()
 	if !w.RunUntil(5*time.Second, func() bool { return w.Leader() != nil }) {
-		t.Errorf("nobody leads after 5 s\n%s", strings.Join(w.Log[max(0, len(w.Log)-10):], "\n"))
+		t.Errorf("nobody leads after 5 s\n%s", logTail(w, 10))
 	}
 	old.Start()
 	runAndPoll(w, 48*time.Second)
