--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -9,7 +9,7 @@
 	"oakpick/internal/message"
 )
 
-// Operators' settings are checked, named when wrong, in force from any node and
+// Operators' settings are checked, named when wrong, in force from any controller and
 // kept over the end of all processes.
 func TestAdminSettingsAreValidatedAndDurable(t *testing.T) {
 	w := newWorld(t)
--- a/internal/controller/archive_moves_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -10,20 +10,20 @@
 	"oakpick/internal/protocol"
 )
 
-// The leader ends before, inside and after a move, whose transaction is lost, carried out
+// The leader crashes before, inside and after a move, whose transaction is lost, carried out
 // late, or only not answered.
 func TestLeaderCrashDuringArchiveMove(t *testing.T) {
-	for _, trouble := range []string{"none", "request lost", "late", "answer lost"} {
+	for _, fault := range []string{"none", "request lost", "late", "answer lost"} {
 		for _, after := range []int{0, 1, 2, 5} {
-			t.Run(fmt.Sprint(trouble, " at write ", after), func(t *testing.T) {
+			t.Run(fmt.Sprint(fault, " at write ", after), func(t *testing.T) {
 				t.Parallel()
-				testLeaderCrashDuringArchiveMove(t, trouble, after)
+				testLeaderCrashDuringArchiveMove(t, fault, after)
 			})
 		}
 	}
 }
 
-func testLeaderCrashDuringArchiveMove(t *testing.T, trouble string, after int) {
+func testLeaderCrashDuringArchiveMove(t *testing.T, fault string, after int) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
 	w.SeparateWrites = true
@@ -38,7 +38,7 @@
 		if writes <= after {
 			return f
 		}
-		switch trouble {
+		switch fault {
 		case "request lost":
 			f.LoseRequest = true
 		case "late":
@@ -63,7 +63,7 @@
 	requireAllDone(t, w, jobs)
 }
 
-// A repeat of a submission comes to all nodes in the very moments in which its job is moved.
+// A repeat of a submission comes to all controllers in the very moments in which its job is moved.
 func TestRepeatedSubmissionDuringArchiveMove(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
@@ -106,7 +106,7 @@
 }
 
 // Jobs of several blocks end, the removal of their other blocks is lost again and again, and
-// the leader ends: no block is left whose job is only in the archive.
+// the leader crashes: no block is left whose job is only in the archive.
 func TestBlocksRemovedBeforeJobIsArchived(t *testing.T) {
 	s := smallMemorySettings()
 	s.State.TxnOps = 3
@@ -143,7 +143,7 @@
 	requireNoViolations(t, w)
 	for _, j := range jobs {
 		if j.Status != protocol.StatusDone {
-			t.Errorf("%s is called %q", j.Submission.ID, j.Status)
+			t.Errorf("%s has status %q", j.Submission.ID, j.Status)
 		}
 	}
 }
--- a/internal/controller/archive_prerequisites_test.go
+++ b/internal/controller/archive_prerequisites_test.go
@@ -58,7 +58,7 @@
 		runAndPoll(w, 8*time.Second)
 	}
 	if waits.Status != protocol.StatusDone {
-		t.Errorf("the job that waits is called %q", waits.Status)
+		t.Errorf("the job that waits has status %q", waits.Status)
 	}
 	requireRecorded(t, w, jobs)
 	requireNoViolations(t, w)
@@ -96,7 +96,7 @@
 	requireNoViolations(t, w)
 }
 
-// Jobs name ended ones while these are on their way to the archive, and the leader ends: the
+// Jobs name ended ones while these are on their way to the archive, and the leader crashes: the
 // successor finds nothing that it doesn't know.
 func TestPrerequisitesDuringArchiveMove(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
@@ -124,7 +124,7 @@
 	requireNoViolations(t, w)
 	for _, j := range after {
 		if j.Status != protocol.StatusDone {
-			t.Errorf("%s is called %q", j.Submission.ID, j.Status)
+			t.Errorf("%s has status %q", j.Submission.ID, j.Status)
 		}
 	}
 }
--- a/internal/controller/best_effort_test.go
+++ b/internal/controller/best_effort_test.go
@@ -18,22 +18,22 @@
 	return newWorldWith(t, s)
 }
 
-func bestEffortJob(id int, shape protocol.JobKind, tasks int) protocol.Submission {
-	s := job(id, shape, tasks)
+func bestEffortJob(id int, kind protocol.JobKind, tasks int) protocol.Submission {
+	s := job(id, kind, tasks)
 	s.Team, s.Priority, s.Spot = "guests", protocol.Low, true
 	return s
 }
 
-// Guests bring far more work than the cheap machines hold, and leaders end in between.
-// No controller rents a machine for them where a place costs more than twice the cheapest;
+// Best-effort teams bring far more work than the cheap machines hold, and leaders crash in between.
+// No controller provisions a machine for them where a place costs more than twice the cheapest;
 // the work is done all the same.
 func TestBestEffortScaleOutIsLimitedByCost(t *testing.T) {
 	w := newBestEffortWorld(t)
 	w.Cloud.CapacityOf = map[string]int{"small": 3}
-	dear := 0
+	expensive := 0
 	w.OnBoot = func(m protocol.Machine) {
 		if !m.Spot { // ordinary ones are 2.5 times the price
-			dear++
+			expensive++
 		}
 	}
 	w.Submit(bestEffortJob(1, protocol.Array, 120), 4*time.Second)
@@ -45,13 +45,13 @@
 	runAndPoll(w, 120*time.Second)
 	requireNoViolations(t, w)
 	requireAllServed(t, w)
-	if dear > 0 {
-		t.Errorf("%d machines that cost more were rented for guests", dear)
+	if expensive > 0 {
+		t.Errorf("%d machines that cost more were provisioned for best-effort teams", expensive)
 	}
 }
 
-// All cheap machines are full of a guest's long work. Another guest's job finds room beside
-// a guaranteed team's, on a machine that is dear for it: it waits, but not for ever, also
+// All cheap machines are full of a best-effort team's long work. Another best-effort team's job finds room beside
+// a guaranteed team's, on a machine that is expensive for it: it waits, but not for ever, also
 // if the leader changes meanwhile.
 func TestBestEffortJobEventuallyUsesAnyMachine(t *testing.T) {
 	for _, ends := range []bool{false, true} {
@@ -67,22 +67,22 @@
 		began := w.Now
 		w.Run(20 * time.Second)
 		if n := w.Running(s.ID); n != 0 {
-			t.Errorf("%d of the guest's tasks run on processors that unused GPUs need", n)
+			t.Errorf("%d of the best-effort tasks run on processors that unused GPUs need", n)
 		}
 		if ends {
 			restartLeader(w, 2*time.Second)
 		}
 		if !w.RunUntil(90*time.Second, func() bool { return w.Running(s.ID) == 1 }) {
-			t.Errorf("the guest's job still waits after %v", w.Now-began)
+			t.Errorf("the best-effort job still waits after %v", w.Now-began)
 		}
 		runAndPoll(w, 20*time.Second)
 		requireNoViolations(t, w)
 	}
 }
 
-// A guest's tasks that save are left alone on a machine that is dear for them, once a
+// A best-effort team's tasks that save are left alone on a machine that is expensive for them, once a
 // guaranteed team's have gone. They are stopped, save, and go on where it is cheap, and the
-// machine is given back, also by a successor.
+// machine is scaled in, also by a successor.
 func TestMachineNotKeptForBestEffortAlone(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		w := newBestEffortWorld(t)
@@ -96,7 +96,7 @@
 		s.CPUs, s.EstimatedRunS = 2, 400
 		j := w.Submit(s, 400*time.Second)
 		if !w.RunUntil(60*time.Second, func() bool { return w.Running(s.ID) > 0 }) {
-			t.Fatal("the guest's tasks don't run")
+			t.Fatal("the best-effort tasks don't run")
 		}
 		w.CancelEverywhere(w.Jobs[paying.ID])
 		if ends {
@@ -107,11 +107,11 @@
 			t.Errorf("%s is kept for %v", machine, w.MachinesOf(s.ID))
 		}
 		if !w.RunUntil(90*time.Second, func() bool { return w.Running(s.ID) == 3 }) {
-			t.Errorf("%d of 3 of the guest's tasks go on", w.Running(s.ID))
+			t.Errorf("%d of 3 of the best-effort tasks go on", w.Running(s.ID))
 		}
 		for _, h := range w.MachinesOf(s.ID) {
 			if w.TypeOf(h) != "small" {
-				t.Errorf("a guest's task is on a %s", w.TypeOf(h))
+				t.Errorf("a best-effort task is on a %s", w.TypeOf(h))
 			}
 		}
 		w.CancelEverywhere(j)
@@ -120,7 +120,7 @@
 	}
 }
 
-// An array of guests far larger than the fleet keeps the write budget busy, and the leader ends
+// An array of a best-effort team far larger than the fleet keeps the write budget busy, and the leader crashes
 // in the middle of it. What a guaranteed team submits is taken at once, by whoever leads.
 func TestBestEffortWritesDoNotDelayOthers(t *testing.T) {
 	s := fake.Settings()
@@ -145,7 +145,7 @@
 		w.Run(time.Second)
 	}
 	if most := time.Second; worst > most {
-		t.Errorf("a submission took %v behind guests' writes, at most %v", worst, most)
+		t.Errorf("a submission took %v behind best-effort teams' writes, at most %v", worst, most)
 	}
 	requireNoViolations(t, w)
 }
--- a/internal/controller/block_length_test.go
+++ b/internal/controller/block_length_test.go
@@ -32,7 +32,7 @@
 	w.State.LowerLimits()
 	runAndPoll(w, 60*time.Second)
 	if j.Status != protocol.StatusDone {
-		t.Errorf("told %q, %d tasks done", j.Status, len(j.DoneTasks))
+		t.Errorf("status %q, %d tasks done", j.Status, len(j.DoneTasks))
 	}
 	requireNoViolations(t, w)
 }
@@ -47,7 +47,7 @@
 	large := job(1, protocol.Array, 60)
 	large.CPUs = 0.5
 	j := w.Submit(large, 5*time.Second)
-	// Tasks of the first block stand still, so that later ones end before them, and are
+	// Tasks of the first block are paused, so that later ones end before them, and are
 	// lost with their machines when the controllers restart.
 	var first []string
 	w.RunUntil(60*time.Second, func() bool { return w.Running(large.ID) >= 30 })
@@ -76,7 +76,7 @@
 	startAll(w)
 	runAndPoll(w, 90*time.Second)
 	if j.Status != protocol.StatusDone {
-		t.Errorf("told %q, %d tasks done", j.Status, len(j.DoneTasks))
+		t.Errorf("status %q, %d tasks done", j.Status, len(j.DoneTasks))
 	}
 	requireNoViolations(t, w)
 }
@@ -102,7 +102,7 @@
 			restartWithValueSize(w, sizes[1])
 			runAndPoll(w, 90*time.Second)
 			if j.Status != protocol.StatusDone {
-				t.Errorf("told %q, %d tasks done", j.Status, len(j.DoneTasks))
+				t.Errorf("status %q, %d tasks done", j.Status, len(j.DoneTasks))
 			}
 			requireNoViolations(t, w)
 		})
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -8,7 +8,7 @@
 	"oakpick/internal/protocol"
 )
 
-// A job is cancelled, and the leader ends before any worker has heard of it.
+// A job is cancelled, and the leader crashes before any worker has heard of it.
 func TestCancellationSurvivesFailover(t *testing.T) {
 	w := newWorld(t)
 	j := w.Submit(service(1, 2), 0)
@@ -45,18 +45,18 @@
 		w.PollAll()
 	}
 	if j.Status != protocol.StatusRunning {
-		t.Errorf("told %q during the outage", j.Status)
+		t.Errorf("status %q during the outage", j.Status)
 	}
 	w.State.SetOutage(false)
 	w.Run(20 * time.Second)
 	if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) != 0 {
-		t.Errorf("told %q, on %v", j.Status, w.MachinesOf(j.Submission.ID))
+		t.Errorf("status %q, on %v", j.Status, w.MachinesOf(j.Submission.ID))
 	}
 	requireNoViolations(t, w)
 }
 
 // A job is cancelled by the successor of a leader that alone still reaches its
-// worker. The user may hear of it only once the predecessor's hold and the
+// worker. The user may hear of it only once the predecessor's heartbeat grace period and the
 // worker's lease will have ended the task in time, and is then told.
 func TestCancellationConfirmedAfterPartitionedLeaderExpires(t *testing.T) {
 	w, j := partitionLeaderWithOneWorker(t)
@@ -72,10 +72,10 @@
 }
 
 // One job after the other is cancelled in the seconds in which the leadership
-// changes, by a leader that ends, is refused, gives up or stands still: from its
+// changes, by a leader that ends, is refused, gives up or is paused: from its
 // last renewal to its successor's first placements.
 func TestCancellationDuringLeaderChange(t *testing.T) {
-	for _, how := range []string{"ends", "is refused", "stands still", "hears no worker"} {
+	for _, how := range []string{"ends", "is refused", "is paused", "hears no worker"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			phases := 3
@@ -100,7 +100,7 @@
 					n0.Crash()
 				case "is refused":
 					w.State.Unreachable["n0"] = true
-				case "stands still":
+				case "is paused":
 					n0.PausedUntil = w.Now + 8*time.Second
 				case "hears no worker":
 					w.Network = func(kind, a, b string) fake.Delivery {
@@ -125,7 +125,7 @@
 				requireNoViolations(t, w)
 				for _, j := range jobs {
 					if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) > 0 {
-						t.Fatalf("%s: told %q, on %v", j.Submission.ID, j.Status, w.MachinesOf(j.Submission.ID))
+						t.Fatalf("%s: status %q, on %v", j.Submission.ID, j.Status, w.MachinesOf(j.Submission.ID))
 					}
 				}
 			}
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -8,7 +8,7 @@
 	"oakpick/internal/message"
 )
 
-// What is looked at grows with the machines, or with what waits, but not with
+// What is examined grows with the machines, or with what waits, but not with
 // one times the other, and not at all for what concerns one job or machine.
 func TestCostGrowsWithChange(t *testing.T) {
 	for _, machines := range []int{100, 400} {
@@ -26,13 +26,13 @@
 				}
 			})
 			if examined > int64(2*machines) || jobs > int64(2*machines) {
-				t.Errorf("100 polls: %d machines and %d jobs looked at", examined, jobs)
+				t.Errorf("100 polls: %d machines and %d jobs examined", examined, jobs)
 			}
 			examined, _ = measure(func() { w.Run(time.Second) })
 			if examined > int64(15*machines) {
-				t.Errorf("a quiet second: %d machines looked at", examined)
+				t.Errorf("a quiet second: %d machines examined", examined)
 			}
-			// One that finds a place costs a pass, which looks at each machine a few
+			// One that finds a place costs a pass, which examines each machine a few
 			// times, whatever else is there.
 			examined, jobs = measure(func() {
 				for i := range 20 {
@@ -42,9 +42,9 @@
 				}
 			})
 			if examined > int64(20*4*(machines+64)) || jobs > int64(20*(machines/50+20)) {
-				t.Errorf("20 submissions: %d machines and %d jobs looked at", examined, jobs)
+				t.Errorf("20 submissions: %d machines and %d jobs examined", examined, jobs)
 			}
-			t.Logf("a submission looks at %d machines and %d jobs", examined/20, jobs/20)
+			t.Logf("a submission examines %d machines and %d jobs", examined/20, jobs/20)
 			submitUnplaceable(w, 10)
 			w.Run(2 * time.Second)
 			few, _ := measure(func() { w.Run(2 * time.Second) })
@@ -52,10 +52,10 @@
 			w.Run(2 * time.Second)
 			many, jobs := measure(func() { w.Run(2 * time.Second) })
 			if many > 3*few+int64(30*machines) {
-				t.Errorf("two seconds with 440 tasks waiting: %d machines looked at; with 40: %d", many, few)
+				t.Errorf("two seconds with 440 tasks waiting: %d machines examined; with 40: %d", many, few)
 			}
 			if jobs > 100*int64(110+machines/50) {
-				t.Errorf("two seconds with 110 jobs waiting: %d jobs looked at", jobs)
+				t.Errorf("two seconds with 110 jobs waiting: %d jobs examined", jobs)
 			}
 			requireNoViolations(t, w)
 		})
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -11,18 +11,18 @@
 )
 
 // The transaction with a job's record is lost, late or refused, those with its other
-// blocks pass, and the leader ends. The successor knows no such job, its user submits it
+// blocks pass, and the leader crashes. The successor knows no such job, its user submits it
 // again, and the machines that could have been told of the first acceptance can't be
 // asked. Nothing of a job starts before its record is durable (seen on an enlarged bench
 // day as "a block of an unknown job is dropped", with its starts).
 func TestNoStartBeforeJobIsDurable(t *testing.T) {
-	for _, shape := range []protocol.JobKind{protocol.Array, protocol.Gang, protocol.Service} {
+	for _, kind := range []protocol.JobKind{protocol.Array, protocol.Gang, protocol.Service} {
 		for _, write := range []string{"lost", "late", "refused"} {
-			for _, machine := range []string{"cut off", "hangs", "reports late"} {
+			for _, machine := range []string{"partitioned", "hangs", "heartbeats late"} {
 				for _, cancel := range []bool{false, true} {
-					t.Run(fmt.Sprint(shape, " write ", write, " machine ", machine, " cancel ", cancel), func(t *testing.T) {
+					t.Run(fmt.Sprint(kind, " write ", write, " machine ", machine, " cancel ", cancel), func(t *testing.T) {
 						t.Parallel()
-						testNoStartBeforeJobIsDurable(t, shape, write, machine, cancel)
+						testNoStartBeforeJobIsDurable(t, kind, write, machine, cancel)
 					})
 				}
 			}
@@ -30,12 +30,12 @@
 	}
 }
 
-func testNoStartBeforeJobIsDurable(t *testing.T, shape protocol.JobKind, write, machine string, cancel bool) {
+func testNoStartBeforeJobIsDurable(t *testing.T, kind protocol.JobKind, write, machine string, cancel bool) {
 	w := newWorldWith(t, onePagePerTransaction())
 	machines := provisionIdleMachines(t, w)
 	w.Run(5 * time.Second) // nothing is left to be written
 	disturbFirstWrite(w, write)
-	j := w.Submit(multiBlockJob(1, shape), 20*time.Second)
+	j := w.Submit(multiBlockJob(1, kind), 20*time.Second)
 	for range 6 {
 		w.Run(50 * time.Millisecond)
 		requireParentRecords(t, w, nil)
@@ -53,7 +53,7 @@
 	}
 	for n := range 80 {
 		if n%10 == 5 {
-			w.QueryEverywhere(j) // the user doesn't wait for an answer of the node that has ended
+			w.QueryEverywhere(j) // the user doesn't wait for an answer of the controller that has ended
 		}
 		w.Run(100 * time.Millisecond)
 		requireParentRecords(t, w, nil)
@@ -105,7 +105,7 @@
 }
 
 // The last block of an array ends, and its removal would be durable while the end of the
-// job is not, when the leader ends. The successor must not start the tasks again whose
+// job is not, when the leader crashes. The successor must not start the tasks again whose
 // ends are forgotten with the block.
 func TestBlocksKeptUntilJobEndIsDurable(t *testing.T) {
 	for lost := 1; lost <= 6; lost++ {
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -42,13 +42,13 @@
 }
 
 // Jobs with a mistake come from two teams at once. After the first tries each is started ever
-// more rarely, an array one task at a time; nothing is rented and no machine set aside for
+// more rarely, an array one task at a time; nothing is provisioned and no machine cordoned for
 // them, other jobs go on, and to cancel them takes no longer than for any.
 func TestFailingJobsBackOff(t *testing.T) {
 	without, _ := runBesideFailingJobs(t, func(*fake.World) []*fake.Job { return nil })
 	with, starts := runBesideFailingJobs(t, submitFailingJobs)
 	if with > without+2 {
-		t.Errorf("%d machines were rented, %d without such jobs", with, without)
+		t.Errorf("%d machines were provisioned, %d without such jobs", with, without)
 	}
 	// In two minutes a job that waits two leases between tries has six or seven.
 	for id, n := range starts {
@@ -59,7 +59,7 @@
 }
 
 // runBesideFailingJobs runs other jobs for two minutes beside some that fail everywhere, which have
-// come half a minute before. It gives how many machines were rented in that time, and the
+// come half a minute before. It gives how many machines were provisioned in that time, and the
 // starts of each failing job, a gang's as one.
 func runBesideFailingJobs(t *testing.T, submit func(*fake.World) []*fake.Job) (rented int64, starts map[string]int) {
 	w := newWorld(t)
@@ -86,7 +86,7 @@
 		t.Error("the array isn't tried any more")
 	}
 	if logContains(w, "machine cordoned") {
-		t.Error("a machine is set aside")
+		t.Error("a machine is cordoned")
 	}
 	for _, j := range jobs {
 		w.CancelEverywhere(j)
@@ -94,7 +94,7 @@
 	w.Run(4 * time.Second)
 	for _, j := range jobs {
 		if j.Status != protocol.StatusCancelled {
-			t.Errorf("%s is called %q", j.Submission.ID, j.Status)
+			t.Errorf("%s has status %q", j.Submission.ID, j.Status)
 		}
 	}
 	runAndPoll(w, 30*time.Second)
@@ -143,11 +143,11 @@
 	runAndPoll(w, 60*time.Second)
 	for _, line := range w.Log {
 		if strings.Contains(line, "machine cordoned") && !strings.Contains(line, faulty) {
-			t.Errorf("another machine is set aside: %s", line)
+			t.Errorf("another machine is cordoned: %s", line)
 		}
 	}
 	if !logContains(w, "machine cordoned [host "+faulty) {
-		t.Error("the faulty machine isn't set aside")
+		t.Error("the faulty machine isn't cordoned")
 	}
 	requireNoViolations(t, w)
 	requireAllServed(t, w)
@@ -176,7 +176,7 @@
 	requireNoViolations(t, w)
 }
 
-// A machine fails every task; others don't. It is set aside and given back.
+// A machine fails every task; others don't. It is cordoned and scaled in.
 func TestFailingMachineIsCordoned(t *testing.T) {
 	w := newWorld(t)
 	a := w.Submit(service(1, 1), 0)
@@ -191,7 +191,7 @@
 		w.PollAll()
 	}
 	if !logContains(w, "machine cordoned [host "+sick) {
-		t.Errorf("not set aside\n%s", strings.Join(w.Log, "\n"))
+		t.Errorf("not cordoned\n%s", strings.Join(w.Log, "\n"))
 	}
 	requireAllServed(t, w)
 	requireNoViolations(t, w)
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -35,10 +35,10 @@
 	requireAllServed(t, w)
 }
 
-// A start gets no answer, and further commands don't arrive either. Reports do,
+// A start gets no answer, and further commands don't arrive either. Heartbeats do,
 // and don't name the task: it must not run elsewhere until the start is void,
 // which a raised token makes it; it may arrive just before, or much later. The
-// job comes at any time between two reports, so that one falls between the
+// job comes at any time between two heartbeats, so that one falls between the
 // commands that are given up and the next try.
 func TestUnconfirmedStartIsFencedBeforeRetry(t *testing.T) {
 	for at := range 40 {
@@ -70,7 +70,7 @@
 	}
 }
 
-// A start is on its way when the leader ends. The successor hears from the
+// A start is on its way when the leader crashes. The successor hears from the
 // machine, which has not seen the new token and does not have the task: that
 // proves nothing, since the start may still arrive.
 func TestHeartbeatWithoutNewTokenProvesNoAbsence(t *testing.T) {
@@ -105,9 +105,9 @@
 	requireNoViolations(t, w)
 }
 
-// A machine is cut off until its worker's lease has ended, and the leader ends meanwhile. The
-// next one hears of the new session and starts the machine's tasks there again; it ends when
-// only some of these starts are durable. Its successor finds starts of both sessions on the
+// A machine is partitioned until its worker's lease has ended, and the leader crashes meanwhile. The
+// next one hears of the new incarnation and starts the machine's tasks there again; it ends when
+// only some of these starts are durable. Its successor finds starts of both incarnations on the
 // machine, and hears of the newer one only: the older ones are gone.
 func TestStartsOfTwoIncarnationsOnOneMachine(t *testing.T) {
 	for durable := range 5 {
@@ -123,13 +123,13 @@
 		}
 		w.Run(5 * time.Second)
 		machine := w.MachinesOf("wk-000001")[0]
-		session := w.Incarnation(machine)
+		incarnation := w.Incarnation(machine)
 		w.SeparateWrites = true
 		placed := func() int { return strings.Count(strings.Join(w.Log, "\n"), "task placed [job wk-000001 ") }
 		left := durable
 		w.Network = func(kind, from, to string) fake.Delivery {
 			f := fake.Reliable()
-			f.LoseRequest = w.Incarnation(machine) == session && (from == machine || to == machine)
+			f.LoseRequest = w.Incarnation(machine) == incarnation && (from == machine || to == machine)
 			if kind == fake.KindWrite && placed() > 1 {
 				left--
 				f.LoseRequest = left < 0
--- a/internal/controller/five_controllers_test.go
+++ b/internal/controller/five_controllers_test.go
@@ -16,7 +16,7 @@
 	return s
 }
 
-// submitMixedWork submits work of all shapes and a pipeline, and gives the pipeline.
+// submitMixedWork submits work of all kinds and a pipeline, and gives the pipeline.
 func submitMixedWork(t *testing.T, w *fake.World) []*fake.Job {
 	t.Helper()
 	spread := service(50, 4)
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/protocol"
 )
 
-// A rental is carried out and its answer lost: it is asked again under its own
-// name, and nothing is rented twice.
+// A scale-out request is carried out and its answer lost: it is asked again under its own
+// name, and nothing is provisioned twice.
 func TestLostScaleOutResponseIsRetriedIdempotently(t *testing.T) {
 	w := newWorld(t)
 	w.Run(4 * time.Second)
@@ -36,7 +36,7 @@
 	requireNoViolations(t, w)
 }
 
-// An empty machine is cut off while the leader ends. The successor hears of it
+// An empty machine is partitioned while the leader crashes. The successor hears of it
 // only from the cloud's list, where it runs: it is not taken for one that never
 // came up, and is there when the cut is over.
 func TestPartitionedMachineIsNotScaledInAfterFailover(t *testing.T) {
@@ -51,13 +51,13 @@
 	w.Controllers[0].Crash()
 	w.Run(25 * time.Second)
 	if log := strings.Join(w.Log, "\n"); strings.Contains(log, "machine returned [host "+machines[0]) {
-		t.Errorf("given back\n%s", log)
+		t.Errorf("scaled in\n%s", log)
 	}
 	requireNoViolations(t, w)
 }
 
 // Of a job's two tasks, which may not be in one zone, one runs and the other
-// waits for a machine elsewhere. The leader ends. The successor hears from an
+// waits for a machine elsewhere. The leader crashes. The successor hears from an
 // empty machine, and not yet from the one that has the task, nor from the
 // cloud's list: it doesn't know that both are in the same zone.
 func TestSpreadWaitsForUnknownTaskZones(t *testing.T) {
@@ -101,8 +101,8 @@
 }
 
 // A replica that needs no GPU is left alone on a machine with GPUs, and there is
-// room on a cheap one: it moves there, and the dear machine is given back. From
-// the cheap one it isn't moved to a dear one, however little is used.
+// room on a cheap one: it moves there, and the expensive machine is scaled in. From
+// the cheap one it isn't moved to an expensive one, however little is used.
 func TestReplicasMoveToCheaperMachines(t *testing.T) {
 	w := newWorld(t)
 	w.Run(2 * time.Second)
@@ -140,8 +140,8 @@
 	requireAllServed(t, w)
 }
 
-// A first leader finds no machines and rents some; more jobs come at once. Their
-// machines are rented then, not when those of the first have had time to report.
+// A first leader finds no machines and provisions some; more jobs come at once. Their
+// machines are provisioned then, not when those of the first have had time to report.
 func TestFirstLeaderScalesOutWithoutWaiting(t *testing.T) {
 	w := newWorld(t)
 	status, answer := adminRequest(w, 0, message.AdminChange, `{"takeover_wait_s": 60, "warm_room": 0}`)
@@ -155,7 +155,7 @@
 		w.Run(3 * time.Second)
 	}
 	if n := w.Controllers[0].Stats().MachinesScaledOut; n != 2 {
-		t.Errorf("%d machines rented", n)
+		t.Errorf("%d machines provisioned", n)
 	}
 	requireNoViolations(t, w)
 }
@@ -180,33 +180,33 @@
 	}
 	w.Run(2500 * time.Millisecond)
 	if n := w.Controllers[0].Stats().MachinesScaledOut; n < 120 {
-		t.Errorf("%d machines rented 2.5 s after 200 tasks came", n)
+		t.Errorf("%d machines provisioned 2.5 s after 200 tasks came", n)
 	}
 	requireNoViolations(t, w)
 }
 
-// A dear machine boots, with room for tasks that a cheap one would serve sooner. The cheap
-// ones are rented once, not again with every plan until the dear one is up.
+// A expensive machine boots, with room for tasks that a cheap one would serve sooner. The cheap
+// ones are provisioned once, not again with every plan until the expensive one is up.
 func TestNoDuplicateScaleOutWhileExpensiveMachineBoots(t *testing.T) {
 	w := newWorld(t)
 	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
 	w.Cloud.BootDelay = 4 * time.Second // booting takes several plans
-	dear := service(1, 1)
-	dear.GPUs, dear.CPUs = 1, 1
-	w.Submit(dear, 0)
+	expensive := service(1, 1)
+	expensive.GPUs, expensive.CPUs = 1, 1
+	w.Submit(expensive, 0)
 	w.Run(time.Second)
 	cheap := job(2, protocol.Array, 4)
 	cheap.CPUs = 3
 	w.Submit(cheap, 30*time.Second)
 	w.Run(6 * time.Second)
 	if n := w.Cloud.CountOfType("small"); n != 4 {
-		t.Errorf("%d cheap machines are rented for four tasks", n)
+		t.Errorf("%d cheap machines are provisioned for four tasks", n)
 	}
 	waitRunning(t, w, cheap.ID, 4)
 	requireNoViolations(t, w)
 }
 
-// A machine with a replica dies. Room for two is rented, since of two machines one is up
+// A machine with a replica dies. Room for two is provisioned, since of two machines one is up
 // sooner than either, and the other one is returned.
 func TestLostReplicaScalesOutTwoMachines(t *testing.T) {
 	w := newWorld(t)
@@ -217,7 +217,7 @@
 	waitRunning(t, w, s.ID, 1)
 	w.Run(40 * time.Second)
 	if n := len(w.Cloud.MachineNames()); n != 1 {
-		t.Fatalf("%d machines are rented for one replica", n)
+		t.Fatalf("%d machines are provisioned for one replica", n)
 	}
 	before := w.Leader().Stats().MachinesScaledOut
 	rented := func() int64 { return w.Leader().Stats().MachinesScaledOut - before }
@@ -226,7 +226,7 @@
 	w.RunUntil(40*time.Second, func() bool { return rented() > 0 })
 	w.Run(2 * time.Second) // before either could be late
 	if n := rented(); n != 2 {
-		t.Errorf("%d machines are rented for a lost replica", n)
+		t.Errorf("%d machines are provisioned for a lost replica", n)
 	}
 	w.Run(6 * time.Second)
 	if n := w.Running(s.ID); n != 1 {
@@ -234,12 +234,12 @@
 	}
 	w.Run(80 * time.Second)
 	if n := len(w.Cloud.MachineNames()); n != 1 {
-		t.Errorf("%d machines are rented later", n)
+		t.Errorf("%d machines are provisioned later", n)
 	}
 	requireNoViolations(t, w)
 }
 
-// A replica waits for a machine that should be up and isn't. Another one is rented a little
+// A replica waits for a machine that should be up and isn't. Another one is provisioned a little
 // later, not only when the first can hardly come any more.
 func TestLateMachineIsReplaced(t *testing.T) {
 	w := newWorld(t)
@@ -253,7 +253,7 @@
 	before := w.Cloud.CountOfType("small")
 	w.Run(1800 * time.Millisecond)
 	if after := w.Cloud.CountOfType("small"); before != 1 || after != 2 {
-		t.Errorf("%d, then %d machines are rented for one replica", before, after)
+		t.Errorf("%d, then %d machines are provisioned for one replica", before, after)
 	}
 	requireNoViolations(t, w)
 }
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -80,7 +80,7 @@
 			}
 			for id, want := range finished {
 				if status := w.StatusOf(id); status != want {
-					t.Errorf("%s is called %q, not %q", id, status, want)
+					t.Errorf("%s has status %q, not %q", id, status, want)
 				}
 			}
 			stillOpen, ended := recordedJobs(t, pagesOf(w))
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -23,13 +23,13 @@
 		w.PollAll()
 	}
 	if j.Status != protocol.StatusDone {
-		t.Errorf("told %q", j.Status)
+		t.Errorf("status %q", j.Status)
 	}
 	requireNoViolations(t, w)
 }
 
 // A gang is accepted, and of its first attempt the starts of some blocks are durable, and
-// the record with the attempt's number is not, when the leader ends. The successor starts
+// the record with the attempt's number is not, when the leader crashes. The successor starts
 // what is missing with the number that the others have: members of two attempts would wait
 // for each other in vain.
 func TestGangMembersShareOneAttemptNumber(t *testing.T) {
@@ -57,7 +57,7 @@
 				t.Errorf("members of %d attempts were started", len(tries))
 			}
 			if j.Status != protocol.StatusDone {
-				t.Errorf("the gang is called %q", j.Status)
+				t.Errorf("the gang has status %q", j.Status)
 			}
 		})
 	}
--- a/internal/controller/grace_period_test.go
+++ b/internal/controller/grace_period_test.go
@@ -13,18 +13,18 @@
 )
 
 // The state service is down, and one peer can't say whether it has led. For less
-// than what the hold and a worker's lease allow: no replica is lost. For longer:
+// than what the heartbeat grace period and a worker's lease allow: no replica is lost. For longer:
 // all are, and none runs twice. While all peers say that they haven't led, none
 // is lost however long it takes; but a peer whose process has begun since then
 // can't know.
 func TestStateOutageAroundHeartbeatGracePeriod(t *testing.T) {
 	for _, x := range []struct {
-		down    time.Duration
-		trouble string
-		kept    bool
-	}{{12 * time.Second, "cut", true}, {20 * time.Second, "cut", true}, {45 * time.Second, "cut", false},
-		{90 * time.Second, "", true}, {45 * time.Second, "restart", false}} {
-		t.Run(x.down.String()+x.trouble, func(t *testing.T) {
+		down  time.Duration
+		fault string
+		kept  bool
+	}{{12 * time.Second, "peer partitioned", true}, {20 * time.Second, "peer partitioned", true}, {45 * time.Second, "peer partitioned", false},
+		{90 * time.Second, "", true}, {45 * time.Second, "peer restarts", false}} {
+		t.Run(x.down.String()+x.fault, func(t *testing.T) {
 			w := newWorld(t)
 			j := w.Submit(service(1, 2), 0)
 			waitRunning(t, w, j.Submission.ID, 2)
@@ -33,10 +33,10 @@
 			w.State.SetOutage(true)
 			w.Network = func(kind, from, to string) fake.Delivery {
 				f := fake.Reliable()
-				f.LoseRequest = x.trouble == "cut" && kind == fake.KindPeer && (from == "n1" || to == "n1")
+				f.LoseRequest = x.fault == "peer partitioned" && kind == fake.KindPeer && (from == "n1" || to == "n1")
 				return f
 			}
-			if x.trouble == "restart" {
+			if x.fault == "peer restarts" {
 				w.After(3*time.Second, w.Controllers[1].Crash)
 				w.After(4*time.Second, w.Controllers[1].Start)
 			}
@@ -86,7 +86,7 @@
 	w.CancelEverywhere(j)
 	w.Run(20 * time.Second)
 	if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) != 0 {
-		t.Errorf("told %q, on %v", j.Status, w.MachinesOf(j.Submission.ID))
+		t.Errorf("status %q, on %v", j.Status, w.MachinesOf(j.Submission.ID))
 	}
 	requireNoViolations(t, w)
 }
@@ -110,7 +110,7 @@
 }
 
 // The leader keeps nothing but one worker. It goes on answering that one for
-// its hold; the successor, which hears nothing of either, waits that long.
+// its heartbeat grace period; the successor, which hears nothing of either, waits that long.
 func TestPartitionedLeaderWithOneWorker(t *testing.T) {
 	w, j := partitionLeaderWithOneWorker(t)
 	w.Run(80 * time.Second)
@@ -141,8 +141,8 @@
 	requireNoViolations(t, w)
 }
 
-// A process stands still for longer than its hold and then finds workers'
-// reports waiting: a successor counts on it not to answer them any more.
+// A process is paused for longer than its heartbeat grace period and then finds workers'
+// heartbeats waiting: a successor counts on it not to answer them any more.
 func TestHeartbeatAfterGracePeriodIsRefused(t *testing.T) {
 	w := newWorld(t)
 	j := w.Submit(service(1, 1), 0)
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -11,9 +11,9 @@
 	"oakpick/internal/protocol"
 )
 
-// Machines are up at once and get work while writes lag, and the leader ends at
+// Machines are up at once and get work while writes lag, and the leader crashes at
 // any moment of that: every start that a worker has is recorded, no machine is
-// forgotten, and none is rented twice for long.
+// forgotten, and none is provisioned twice for long.
 func TestMachinesBootWhileWritesLag(t *testing.T) {
 	steps := 16
 	if *fine {
@@ -44,7 +44,7 @@
 		for _, j := range jobs {
 			waitRunning(t, w, j.Submission.ID, 2)
 		}
-		w.Run(150 * time.Second) // every machine that isn't needed has been given back
+		w.Run(150 * time.Second) // every machine that isn't needed has been scaled in
 		requireNoViolations(t, w)
 		used := map[string]bool{}
 		for _, j := range jobs {
@@ -53,12 +53,12 @@
 			}
 		}
 		if have := len(w.Cloud.MachineNames()); have > len(used)+8 { // and what is kept free for the next
-			t.Errorf("step %d: %d machines are rented, %d used", step, have, len(used))
+			t.Errorf("step %d: %d machines are provisioned, %d used", step, have, len(used))
 		}
 	}
 }
 
-// Reports of a worker are kept, from its earlier session too, and handed to every
+// Heartbeats of a worker are kept, from its earlier incarnation too, and handed to every
 // controller just as another leads: they prove neither that a task is absent nor
 // that it is there, nor that the machine lives, nor that its lease has ended.
 func TestStaleHeartbeatsReachNewLeader(t *testing.T) {
@@ -74,7 +74,7 @@
 				before := w.Submit(service(1, 2), 0)
 				waitRunning(t, w, before.Submission.ID, 2)
 				machine := w.MachinesOf(before.Submission.ID)[0]
-				if step%2 == 1 { // an earlier session: it hangs past its lease and comes back
+				if step%2 == 1 { // an earlier incarnation: it hangs past its lease and comes back
 					w.Workers[machine].HangUntil = w.Now + 12*time.Second
 					w.Run(14 * time.Second)
 					waitRunning(t, w, before.Submission.ID, 2)
--- a/internal/controller/helpers_archive_test.go
+++ b/internal/controller/helpers_archive_test.go
@@ -113,7 +113,7 @@
 	return w, jobs
 }
 
-// requireAllDone fails unless every job is called done by every node, when it is asked about, handed
+// requireAllDone fails unless every job is called done by every controller, when it is asked about, handed
 // in again or cancelled.
 func requireAllDone(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
@@ -133,7 +133,7 @@
 	w.Run(3 * time.Second)
 	for _, j := range jobs {
 		if j.Status != protocol.StatusDone {
-			t.Fatalf("%s is called %q", j.Submission.ID, j.Status)
+			t.Fatalf("%s has status %q", j.Submission.ID, j.Status)
 		}
 	}
 	requireNoViolations(t, w)
--- a/internal/controller/helpers_durability_test.go
+++ b/internal/controller/helpers_durability_test.go
@@ -21,10 +21,10 @@
 
 // multiBlockJob is a job whose tasks all find room on one small machine, and take more
 // than one block.
-func multiBlockJob(id int, shape protocol.JobKind) protocol.Submission {
-	s := job(id, shape, 36)
+func multiBlockJob(id int, kind protocol.JobKind) protocol.Submission {
+	s := job(id, kind, 36)
 	s.CPUs, s.MemoryGB, s.ImageGB = 0.1, 0.1, 0.1
-	if shape == protocol.Service {
+	if kind == protocol.Service {
 		s.CheckpointIntervalS = 0
 	}
 	return s
@@ -68,8 +68,8 @@
 	}
 }
 
-// disturbFirstWrite has the first transaction of a page meet a trouble, and all others pass.
-func disturbFirstWrite(w *fake.World, trouble string) {
+// disturbFirstWrite has the first transaction of a page meet a fault, and all others pass.
+func disturbFirstWrite(w *fake.World, fault string) {
 	w.SeparateWrites = true
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
@@ -79,22 +79,22 @@
 		}
 		writes++
 		switch {
-		case trouble == "lost" && writes == 1:
+		case fault == "lost" && writes == 1:
 			f.LoseRequest = true
-		case trouble == "late" && writes == 1:
+		case fault == "late" && writes == 1:
 			f.LoseRequest, f.DuplicateAfter = true, 4*time.Second
-		case trouble == "refused" && writes == 1:
+		case fault == "refused" && writes == 1:
 			w.After(f.RequestDelay, func() { w.State.RejectWrites = true })
-		case trouble == "refused" && writes == 2:
+		case fault == "refused" && writes == 2:
 			w.After(f.RequestDelay, func() { w.State.RejectWrites = false })
 		}
 		return f
 	}
 }
 
-// disturbMachines has machines meet a trouble for so long: cut off, hanging, or with reports
+// disturbMachines has machines meet a fault for so long: partitioned, hanging, or with reports
 // that arrive late.
-func disturbMachines(w *fake.World, machines []string, trouble string, d time.Duration) {
+func disturbMachines(w *fake.World, machines []string, fault string, d time.Duration) {
 	until := w.Now + d
 	w.Network = func(kind, from, to string) fake.Delivery {
 		f := fake.Reliable()
@@ -102,16 +102,16 @@
 			return f
 		}
 		switch {
-		case trouble == "cut off" && (slices.Contains(machines, from) || slices.Contains(machines, to)):
+		case fault == "partitioned" && (slices.Contains(machines, from) || slices.Contains(machines, to)):
 			f.LoseRequest = true
-		case trouble == "reports late" && kind == fake.KindHeartbeat && slices.Contains(machines, from):
+		case fault == "heartbeats late" && kind == fake.KindHeartbeat && slices.Contains(machines, from):
 			f.LoseRequest, f.DuplicateAfter = true, 5*time.Second
-		case trouble == "reports late" && kind == fake.KindCommands && slices.Contains(machines, to):
+		case fault == "heartbeats late" && kind == fake.KindCommands && slices.Contains(machines, to):
 			f.LoseResponse = true
 		}
 		return f
 	}
-	if trouble == "hangs" {
+	if fault == "hangs" {
 		for _, name := range machines {
 			w.Workers[name].HangUntil = until
 		}
--- a/internal/controller/helpers_fleet_test.go
+++ b/internal/controller/helpers_fleet_test.go
@@ -8,7 +8,7 @@
 )
 
 // newFleet makes a world with so many machines up, each with a replica of a job of
-// fifty, and the leader among its nodes.
+// fifty, and the leader among its controllers.
 func newFleet(t testing.TB, machines int) (*fake.World, *fake.Controller) {
 	t.Helper()
 	s := fake.Settings()
--- a/internal/controller/helpers_formats_test.go
+++ b/internal/controller/helpers_formats_test.go
@@ -128,9 +128,9 @@
 	if err := msgpack.Unmarshal(value, &fields); err != nil {
 		t.Fatal(err)
 	}
-	odd := []any{nil, true, "text", -1, []any{}, []any{nil}, []any{[]any{}}, []any{[]any{"wk-000001", -5, "wk-000001"}}, map[string]any{"a": 1}}
+	invalidValues := []any{nil, true, "text", -1, []any{}, []any{nil}, []any{[]any{}}, []any{[]any{"wk-000001", -5, "wk-000001"}}, map[string]any{"a": 1}}
 	for _, field := range []string{"id", "j", "b", "f", "r", "o", "x", "unknown"} {
-		for _, v := range odd {
+		for _, v := range invalidValues {
 			changed := maps.Clone(fields)
 			changed[field] = v
 			encoded, err := msgpack.Marshal(changed)
--- a/internal/controller/helpers_pipeline_test.go
+++ b/internal/controller/helpers_pipeline_test.go
@@ -62,7 +62,7 @@
 			want = protocol.StatusCancelled
 		}
 		if j.Status != want {
-			t.Fatalf("%s is called %q, not %q\n%s", j.Submission.ID, j.Status, want, logTail(w, 60))
+			t.Fatalf("%s has status %q, not %q\n%s", j.Submission.ID, j.Status, want, logTail(w, 60))
 		}
 	}
 }
--- a/internal/controller/hung_leader_test.go
+++ b/internal/controller/hung_leader_test.go
@@ -10,7 +10,7 @@
 	"oakpick/internal/protocol"
 )
 
-// The leader of the version in production hangs through the whole roll, with requests
+// The leader of the version in production hangs through the whole rolling upgrade, with requests
 // held and with writes on their way, and is ended at last. Its writes and its answers are
 // late: by then the others have the new version, the limits are lowered, pages are divided
 // and a pipeline is cancelled.
@@ -83,7 +83,7 @@
 	requireAllServed(t, w)
 	requirePipelineOutcome(t, w, jobs)
 	if cancelled.Status != protocol.StatusCancelled {
-		t.Errorf("the job that the hanging leader was asked to cancel is called %q", cancelled.Status)
+		t.Errorf("the job that the hanging leader was asked to cancel has status %q", cancelled.Status)
 	}
 	if resumes && held == 0 {
 		t.Error("the hanging leader answered nothing when it resumed")
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -44,7 +44,7 @@
 
 // A leader's end, the loss of a rack and the return of everything, at the largest fleet that
 // users run: every machine is used by the new leader, every lost replica runs again elsewhere,
-// and no machine stays rented. A limit that stands below the fleet's size would leave some out.
+// and no machine stays provisioned. A limit that stands below the fleet's size would leave some out.
 func TestLargeFleetFailoverRackLossAndScaleIn(t *testing.T) {
 	w, leader := newFleet(t, largeFleet)
 	w.Cloud.Capacity += rackMachines // room for machines in place of those that die
@@ -53,7 +53,7 @@
 	}
 	leader.Crash()
 	waitLeader(t, w, 30*time.Second)
-	w.Run(10 * time.Second) // two reports
+	w.Run(10 * time.Second) // two heartbeats
 	if up := machinesUp(t, w); up != largeFleet {
 		t.Errorf("the new leader has heard of %d of %d machines", up, largeFleet)
 	}
@@ -77,12 +77,12 @@
 		w.CancelJob(j)
 	}
 	if !w.RunUntil(10*time.Minute, func() bool { return len(w.Cloud.MachineNames()) == 0 }) {
-		t.Errorf("%d machines stay rented", len(w.Cloud.MachineNames()))
+		t.Errorf("%d machines stay provisioned", len(w.Cloud.MachineNames()))
 	}
 	requireNoViolations(t, w)
 }
 
-// An operator may have every machine of a large fleet looked at for a task. Whatever the
+// An operator may have every machine of a large fleet examined for a task. Whatever the
 // settings make the defaults, an operator can hand them back: with 1,001 written keys a second
 // the default of moves_per_min was out of its own range, and no figure could be changed at all.
 func TestLargeFleetSettingsAreInRange(t *testing.T) {
--- a/internal/controller/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -12,7 +12,7 @@
 )
 
 // Pipelines of great depth, of great width, and of diamonds, at the smallest budgets. The
-// root is cancelled, and the leader ends while the ends of what needs it are written: all
+// root is cancelled, and the leader crashes while the ends of what needs it are written: all
 // nodes call every job cancelled from the first moment on, the ends are written within
 // cancel_s, and others' submissions are still accepted in good time.
 func TestCancelRootOfLargePipeline(t *testing.T) {
@@ -51,7 +51,7 @@
 				queryRapidly(w, all[len(all)-5:], 300*time.Millisecond)
 				w.Run(400 * time.Millisecond)
 				if last := all[len(all)-1]; crash < 0 && last.Status != protocol.StatusCancelled {
-					t.Errorf("%s is called %q after 0.7 s", last.Submission.ID, last.Status)
+					t.Errorf("%s has status %q after 0.7 s", last.Submission.ID, last.Status)
 				}
 				other := w.Submit(job(5, protocol.Array, 1), time.Second)
 				from, acceptedAfter := w.Now, time.Duration(0)
@@ -73,7 +73,7 @@
 				runAndPoll(w, 15*time.Second)
 				for _, j := range all {
 					if j.Status != protocol.StatusCancelled {
-						t.Fatalf("%s is called %q", j.Submission.ID, j.Status)
+						t.Fatalf("%s has status %q", j.Submission.ID, j.Status)
 					}
 				}
 				requireNoViolations(t, w)
@@ -84,7 +84,7 @@
 
 // A leader whose clock is ahead accepts a job, the next one, whose clock is behind, accepts
 // another that needs it: by the times of their submissions the second comes before the
-// first. A job before both is cancelled, and the leader ends before the others' ends are
+// first. A job before both is cancelled, and the leader crashes before the others' ends are
 // written. The next leader cancels them all the same, in whatever order it finds them.
 func TestClockSkewReordersPipeline(t *testing.T) {
 	for step := range 12 {
@@ -136,12 +136,12 @@
 		requireNoViolations(t, w)
 		requirePipelineOutcome(t, w, jobs)
 		if first.Status != protocol.StatusCancelled {
-			t.Fatalf("the first is called %q", first.Status)
+			t.Fatalf("the first has status %q", first.Status)
 		}
 	}
 }
 
-// Jobs that need the same one are submitted in the same millisecond at all nodes, some of
+// Jobs that need the same one are submitted in the same millisecond at all controllers, some of
 // them twice; it is done, and known from the final records only, after every process
 // has been replaced.
 func TestPrerequisiteEndedBeforeAllRestarts(t *testing.T) {
@@ -149,7 +149,7 @@
 	done := w.Submit(job(1, protocol.Gang, 2), time.Second)
 	runAndPoll(w, 30*time.Second)
 	if done.Status != protocol.StatusDone {
-		t.Fatalf("the first is called %q", done.Status)
+		t.Fatalf("the first has status %q", done.Status)
 	}
 	crashAll(w)
 	w.Run(20 * time.Second)
@@ -176,7 +176,7 @@
 	}
 	for _, j := range jobs {
 		if j.Status != protocol.StatusDone {
-			t.Errorf("%s is called %q", j.Submission.ID, j.Status)
+			t.Errorf("%s has status %q", j.Submission.ID, j.Status)
 		}
 	}
 	requireNoViolations(t, w)
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -15,7 +15,7 @@
 	"oakpick/internal/storage"
 )
 
-// A node's next process needn't wait for the term of the one before to run out.
+// A controller's next process needn't wait for the term of the one before to run out.
 func TestRestartedLeaderLeadsImmediately(t *testing.T) {
 	w := newWorld(t)
 	w.Run(time.Second)
@@ -77,7 +77,7 @@
 	}
 	give(message.AdminRequest{ID: 1, Kind: message.AdminChange, Body: []byte(`{"sample": 7}`)})
 	if writes != 1 || held.ID == 0 {
-		t.Fatalf("%d writes, %+v looked at", writes, held)
+		t.Fatalf("%d writes, %+v examined", writes, held)
 	}
 	give(message.StateResult{StateResult: storage.StateResult{ID: renewal.ID, Outcome: rpc.NotFound}})
 	if leads() {
@@ -112,7 +112,7 @@
 	}
 	w.Run(4 * time.Second)
 	if h := healthy(); !slices.Equal(h, []bool{true, false, false}) {
-		t.Errorf("cut off from each other: %v", h)
+		t.Errorf("partitioned from each other: %v", h)
 	}
 	w.Network = nil
 	w.Run(2 * time.Second)
@@ -176,8 +176,8 @@
 	if successor := w.Leader(); successor == nil || successor == leader {
 		t.Fatal("nobody else leads")
 	}
-	for name, session := range before {
-		if w.Incarnation(name) != session {
+	for name, incarnation := range before {
+		if w.Incarnation(name) != incarnation {
 			t.Errorf("%s has lost its tasks", name)
 		}
 	}
@@ -187,10 +187,10 @@
 // The three tasks of a job end far apart, two of them on machines that hang, and
 // the leader changes between any two ends: each counts once, and the job is done.
 func TestTaskEndsSpreadOverLeaderChanges(t *testing.T) {
-	for _, shape := range []protocol.JobKind{protocol.Array, protocol.Gang} {
+	for _, kind := range []protocol.JobKind{protocol.Array, protocol.Gang} {
 		for step := range 6 {
 			w := newWorld(t)
-			s := job(1, shape, 3)
+			s := job(1, kind, 3)
 			s.CPUs, s.CheckpointIntervalS = 4, 0 // a machine each
 			j := w.Submit(s, 4*time.Second)
 			waitRunning(t, w, s.ID, 3)
@@ -215,8 +215,8 @@
 	}
 }
 
-// Leaders change ten times in two minutes, by ends, refusals and standing still,
-// half of it inside outages, while jobs come, end and are called off.
+// Leaders change ten times in two minutes, by ends, refusals and pauses,
+// half of it inside outages, while jobs come, end and are cancelled.
 func TestTenLeaderChanges(t *testing.T) {
 	for seed := range 6 {
 		w := newWorld(t)
--- a/internal/controller/many_prerequisites_test.go
+++ b/internal/controller/many_prerequisites_test.go
@@ -11,7 +11,7 @@
 	"oakpick/internal/protocol"
 )
 
-// A job names far more others than one page holds. The leader ends between any two writes
+// A job names far more others than one page holds. The leader crashes between any two writes
 // of its acceptance, while its user repeats the submission, and also while a job that it
 // needs is cancelled: the job is found with all its prerequisites or not at all. It begins
 // once the last of them is done, or is cancelled with one, and leaves no record behind.
@@ -55,7 +55,7 @@
 	return w, last, held
 }
 
-// The leader ends while it records the prerequisites, and the user doesn't come back: the
+// The leader crashes while it records the prerequisites, and the user doesn't come back: the
 // job was never accepted, and nothing is left of it.
 func TestAbandonedSubmissionLeavesNoPrerequisites(t *testing.T) {
 	w, last, _ := newWorldWithManyPrerequisites(t)
@@ -88,7 +88,7 @@
 		t.Errorf("%d parts are left", n)
 	}
 	if status := w.StatusOf(last.ID); status != "" {
-		t.Errorf("the job is called %q", status)
+		t.Errorf("the job has status %q", status)
 	}
 	requireNoViolations(t, w)
 }
@@ -126,7 +126,7 @@
 	requireNoViolations(t, w)
 	requirePipelineOutcome(t, w, []*fake.Job{held, j})
 	if j.RejectedWith != 0 || cancelled != "" && held.Status != protocol.StatusCancelled {
-		t.Errorf("refused with %d; the job that it needs is called %q", j.RejectedWith, held.Status)
+		t.Errorf("refused with %d; the job that it needs has status %q", j.RejectedWith, held.Status)
 	}
 	for key, value := range pagesOf(w) {
 		if n := recordKinds(t, value)["prerequisites"]; n > 0 {
--- a/internal/controller/paused_controllers_test.go
+++ b/internal/controller/paused_controllers_test.go
@@ -8,7 +8,7 @@
 	"oakpick/internal/protocol"
 )
 
-// A follower stands still, and its peers with it say nothing to it meanwhile. When it goes on
+// A follower is paused, and its peers with it say nothing to it meanwhile. When it resumes
 // it knows of no fault of the leader: it stays healthy, and hands its users on.
 func TestResumedFollowerIsHealthyImmediately(t *testing.T) {
 	w := newWorld(t)
@@ -24,7 +24,7 @@
 	}
 	w.Run(10*time.Second + 100*time.Millisecond)
 	if !f.Healthy() {
-		t.Error("it takes the leader for unreachable because it stood still itself")
+		t.Error("it takes the leader for unreachable because it was paused itself")
 	}
 	w.Run(3 * time.Second)
 	if !f.Healthy() {
@@ -33,7 +33,7 @@
 	requireNoViolations(t, w)
 }
 
-// One controller stands still every few seconds. It costs a term at most each time, and after
+// One controller is paused every few seconds. It costs a term at most each time, and after
 // the first the others keep the term.
 func TestRepeatedlyPausedController(t *testing.T) {
 	w := newWorld(t)
@@ -54,7 +54,7 @@
 		w.PollAll()
 	}
 	if n := terms() - before; n > 2 {
-		t.Errorf("%d terms for a controller that stands still twelve times", n)
+		t.Errorf("%d terms for a controller that is paused twelve times", n)
 	}
 	if w.TasksLostToLeaseExpiry > 0 {
 		t.Errorf("%d tasks ended by their lease", w.TasksLostToLeaseExpiry)
@@ -64,8 +64,8 @@
 	requireAllServed(t, w)
 }
 
-// The leader ends, and its lease lapses just as another controller goes on after it has stood
-// still. The third, which hasn't, has the first turn at the term.
+// The leader crashes, and its lease expires just as another controller resumes after a
+// pause. The third, which was not paused, has the first turn at the term.
 func TestElectionPrefersControllerThatWasNotPaused(t *testing.T) {
 	for ahead := 500 * time.Millisecond; ahead <= 1100*time.Millisecond; ahead += 50 * time.Millisecond {
 		w := newWorld(t)
@@ -77,15 +77,15 @@
 			t.Fatal("nobody leads")
 		}
 		if slow.Leads() {
-			t.Errorf("the one that had stood still leads, %v after the leader's end", ahead)
+			t.Errorf("the one that had been paused leads, %v after the leader's crash", ahead)
 		}
 		requireNoViolations(t, w)
 	}
 }
 
-// The leader and another stand still together for as long as a worker's lease. The third leads
+// The leader and another are paused together for as long as a worker's lease. The third leads
 // within a second or two. By the protocol a worker waits four seconds at each of the two and
-// one more before the next node, so that it comes to the third after ten seconds and a report
+// one more before the next controller, so that it comes to the third after ten seconds and a heartbeat
 // interval at most: where the lease is longer than that, no task ends by it.
 func TestTwoOfThreeControllersPaused(t *testing.T) {
 	for first := range 3 {
@@ -127,7 +127,7 @@
 	}
 }
 
-// The leader stands still while the state service refuses one of the others: the third leads,
+// The leader is paused while the state service refuses one of the others: the third leads,
 // and users of each are served.
 func TestLeaderPausedWhilePeerLosesStateService(t *testing.T) {
 	w := newWorld(t)
@@ -143,7 +143,7 @@
 	w.CancelEverywhere(j)
 	runAndPoll(w, 12*time.Second)
 	if !submitted.Accepted || j.Status != protocol.StatusCancelled {
-		t.Errorf("accepted %t, told %q", submitted.Accepted, j.Status)
+		t.Errorf("accepted %t, status %q", submitted.Accepted, j.Status)
 	}
 	delete(w.State.Unreachable, "n1")
 	runAndPoll(w, 30*time.Second)
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -13,8 +13,8 @@
 	"oakpick/internal/storage"
 )
 
-// The leader gives an idle machine back, and stands still between the decision and the call
-// to the cloud. Another leads and starts a task there. When the first goes on, it must not
+// The leader scales an idle machine in, and is paused between the decision and the call
+// to the cloud. Another leads and starts a task there. When the first resumes, it must not
 // return the machine.
 func TestLeaderPausedBeforeScaleIn(t *testing.T) {
 	for _, stall := range []time.Duration{3 * time.Second, 16 * time.Second, 40 * time.Second} {
@@ -33,7 +33,7 @@
 			return stall
 		}
 		if !w.RunUntil(60*time.Second, func() bool { return stalled != nil }) {
-			t.Fatal("no machine is given back")
+			t.Fatal("no machine is scaled in")
 		}
 		s := service(1, idle)
 		s.CPUs = 4 // a machine each
@@ -49,8 +49,8 @@
 	}
 }
 
-// The leader stands still with a start to be sent. Its lease ends meanwhile, and the state
-// service goes out before it goes on: in doubt, nothing may start.
+// The leader is paused with a start to be sent. Its lease ends meanwhile, and the state
+// service goes out before it resumes: while the lease is uncertain, nothing may start.
 func TestNoLateStartWhileLeaseIsUncertain(t *testing.T) {
 	w := newWorld(t)
 	provisionIdleMachines(t, w)
@@ -81,9 +81,9 @@
 	return slices.ContainsFunc(c.Commands, func(c protocol.Command) bool { return c.Verb == protocol.Start })
 }
 
-// The leader stands still before it carries out an effect: an answer to a user, a command to
-// a worker, a call to the cloud, a renewal or a write. It goes on within its lease, within its
-// hold, or after another has led for long. Jobs come, end and are called off all the while.
+// The leader is paused before it carries out an effect: an answer to a user, a command to
+// a worker, a call to the cloud, a renewal or a write. It resumes within its lease, within its
+// hold, or after another has led for long. Jobs come, end and are cancelled all the while.
 func TestLeaderPausedBeforeEffect(t *testing.T) {
 	kinds := map[string]func(message.Effect) bool{
 		"answer": func(e message.Effect) bool { _, ok := e.(message.Reply); return ok },
@@ -128,16 +128,16 @@
 	requireNoViolations(t, w)
 	requireAllServed(t, w)
 	if !paused {
-		t.Error("the leader never stood still")
+		t.Error("the leader was never paused")
 	}
 	if cancelled.Status != protocol.StatusCancelled {
-		t.Errorf("the cancelled job is called %q", cancelled.Status)
+		t.Errorf("the cancelled job has status %q", cancelled.Status)
 	}
 }
 
-// The leader ends, and its successor stands still before one of the first effects after it has
+// The leader crashes, and its successor is paused before one of the first effects after it has
 // asked for the term: while it takes it, reads the records or begins to lead. A third takes
-// over, or it goes on itself.
+// over, or it resumes itself.
 func TestSuccessorPausedDuringTakeOver(t *testing.T) {
 	for _, stall := range []time.Duration{2 * time.Second, 9 * time.Second, 32 * time.Second} {
 		for skip := range 8 {
@@ -167,16 +167,16 @@
 				requireNoViolations(t, w)
 				requireAllServed(t, w)
 				if cancelled.Status != protocol.StatusCancelled {
-					t.Errorf("the cancelled job is called %q", cancelled.Status)
+					t.Errorf("the cancelled job has status %q", cancelled.Status)
 				}
 			})
 		}
 	}
 }
 
-// The leader stands still while the state service is out, so that nobody can take its term,
+// The leader is paused while the state service is out, so that nobody can take its term,
 // and both end together. What it has not heard says nothing of the machines: it keeps the
-// term, and rents, returns, moves and loses nothing.
+// term, and provisions, returns, moves and loses nothing.
 func TestNoConclusionsFromOwnPause(t *testing.T) {
 	w := newWorld(t)
 	for i := range 3 {
@@ -195,7 +195,7 @@
 	mark := len(w.Log)
 	w.State.SetOutage(true)
 	w.Run(time.Second)
-	// The workers wait in vain, and are on their way from node to node when it goes on.
+	// The workers wait in vain, and are on their way from controller to controller when it resumes.
 	resumesAt := w.Now + 5*time.Second
 	w.Network = func(kind, _, to string) fake.Delivery {
 		f := fake.Reliable()
@@ -219,8 +219,8 @@
 	requireNoViolations(t, w)
 }
 
-// Machines boot while the leader stands still, the state service being out. When it goes on,
-// they are up and have not been heard yet: none is called late, and no other is rented.
+// Machines boot while the leader is paused, the state service being out. When it resumes,
+// they are up and have not been heard yet: none is called late, and no other is provisioned.
 func TestMachinesBootedDuringPauseAreNotReplaced(t *testing.T) {
 	w := newWorld(t)
 	w.Run(20 * time.Second)
@@ -230,7 +230,7 @@
 	s.CPUs = 4 // a machine each
 	w.Submit(s, 0)
 	if !w.RunUntil(5*time.Second, func() bool { return leader.Stats().MachinesScaledOut > before }) {
-		t.Fatal("nothing is rented")
+		t.Fatal("nothing is provisioned")
 	}
 	w.Run(time.Second)
 	before = leader.Stats().MachinesScaledOut
@@ -246,12 +246,12 @@
 	w.State.SetOutage(false)
 	waitRunning(t, w, s.ID, 3)
 	if rented := leader.Stats().MachinesScaledOut; rented != before || !leader.Leads() {
-		t.Errorf("%d machines rented before the pause, %d after", before, rented)
+		t.Errorf("%d machines provisioned before the pause, %d after", before, rented)
 	}
 	requireNoViolations(t, w)
 }
 
-// The leader stands still with users' requests that a follower has handed to it, and more come
+// The leader is paused with users' requests that a follower has handed to it, and more come
 // while nobody leads. All are answered by the next leader, within a second and a half of its
 // beginning, and none is told to come back.
 func TestForwardedRequestsSurvivePausedLeader(t *testing.T) {
--- a/internal/controller/pipeline_cancellation_test.go
+++ b/internal/controller/pipeline_cancellation_test.go
@@ -11,14 +11,14 @@
 	"oakpick/internal/storage"
 )
 
-// A job is cancelled in the seconds in which the leader changes, stands still, loses
-// the state service or its answers: from the moment that any node says so, no node
+// A job is cancelled in the seconds in which the leader changes, is paused, loses
+// the state service or its answers: from the moment that any controller says so, no controller
 // calls what needs it queued or running, and a job that is called cancelled with it
 // stays so.
 func TestPrerequisiteCancelledDuringLeaderChange(t *testing.T) {
-	troubles := map[string]func(w *fake.World){
-		"leader ends":  func(w *fake.World) { w.Controllers[0].Crash(); w.After(4*time.Second, w.Controllers[0].Start) },
-		"stands still": func(w *fake.World) { w.Controllers[0].PausedUntil = w.Now + 6*time.Second },
+	faults := map[string]func(w *fake.World){
+		"leader crashes": func(w *fake.World) { w.Controllers[0].Crash(); w.After(4*time.Second, w.Controllers[0].Start) },
+		"is paused":      func(w *fake.World) { w.Controllers[0].PausedUntil = w.Now + 6*time.Second },
 		"refused": func(w *fake.World) {
 			w.State.Unreachable["n0"] = true
 			w.After(12*time.Second, func() { delete(w.State.Unreachable, "n0") })
@@ -51,7 +51,7 @@
 			}
 		},
 	}
-	for name, trouble := range troubles {
+	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			told := 0
@@ -65,7 +65,7 @@
 				w.Run(3 * time.Second)
 				all := append(slices.Clone(jobs), long, after, last)
 				queryRapidly(w, all, 3*time.Second)
-				w.After(500*time.Millisecond, func() { trouble(w) })
+				w.After(500*time.Millisecond, func() { fault(w) })
 				w.After(time.Duration(step)*150*time.Millisecond, func() { w.CancelEverywhere(long) })
 				if step%2 == 0 {
 					w.After(time.Duration(step)*200*time.Millisecond, func() { w.CancelJob(jobs[1]) })
@@ -76,7 +76,7 @@
 				requirePipelineOutcome(t, w, jobs)
 				requirePipelineOutcome(t, w, []*fake.Job{long, after, last})
 				if long.Status != protocol.StatusCancelled {
-					t.Fatalf("the long job is called %q", long.Status)
+					t.Fatalf("the long job has status %q", long.Status)
 				}
 				told++
 			}
@@ -87,7 +87,7 @@
 	}
 }
 
-// The write that says that a job is done is held up, the leader ends before it is
+// The write that says that a job is done is held up, the leader crashes before it is
 // carried out, and the job is cancelled through the next one: what needs it must not
 // have begun by then. In the same way a job is submitted that needs one whose
 // cancellation is held up, and which is done after all: it must not have been called
@@ -156,12 +156,12 @@
 	w.Workers[w.MachinesOf(long.Submission.ID)[0]].HangUntil = w.Now + 9*time.Second
 	w.CancelJob(long)
 	if !w.RunUntil(3*time.Second, func() bool { return long.Status == protocol.StatusCancelled }) {
-		t.Fatalf("the long job is called %q", long.Status)
+		t.Fatalf("the long job has status %q", long.Status)
 	}
 	j := submitAfter(t, w, job(2, protocol.Array, 1), time.Second, long)
 	runAndPoll(w, 3*time.Second)
 	if !j.Accepted || j.Status != protocol.StatusCancelled {
-		t.Errorf("accepted %t, called %q", j.Accepted, j.Status)
+		t.Errorf("accepted %t, status %q", j.Accepted, j.Status)
 	}
 	w.Run(20 * time.Second)
 	requireNoViolations(t, w)
@@ -190,7 +190,7 @@
 		requireNoViolations(t, w)
 		requirePipelineOutcome(t, w, jobs)
 		if jobs[0].Status != protocol.StatusDone || jobs[which].Status != protocol.StatusCancelled {
-			t.Fatalf("the first is called %q, the cancelled one %q", jobs[0].Status, jobs[which].Status)
+			t.Fatalf("the first has status %q, the cancelled one %q", jobs[0].Status, jobs[which].Status)
 		}
 	}
 }
@@ -228,7 +228,7 @@
 		}
 		runAndPoll(w, 20*time.Second)
 		if j.Status != protocol.StatusCancelled || !j.Accepted {
-			t.Fatalf("accepted %t, called %q", j.Accepted, j.Status)
+			t.Fatalf("accepted %t, status %q", j.Accepted, j.Status)
 		}
 		for key, value := range pagesOf(w) {
 			var page storage.PageValue
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -140,13 +140,13 @@
 	requireNoViolations(t, w)
 }
 
-// Every team is at its limit. Jobs are cancelled whose machines are cut off, hang,
+// Every team is at its limit. Jobs are cancelled whose machines are partitioned, hang,
 // or hear nothing, and the leader changes: what may still run counts, and once it
 // is proved gone the room is used again.
 func TestQuotaWhileMachinesAreUnreachable(t *testing.T) {
-	for _, trouble := range []string{"cut", "hang", "deaf", "mute"} {
+	for _, fault := range []string{"partitioned", "hangs", "unanswered", "heartbeats lost"} {
 		for _, change := range []time.Duration{0, 300 * time.Millisecond, 2 * time.Second, 6 * time.Second} {
-			t.Run(fmt.Sprint(trouble, change), func(t *testing.T) {
+			t.Run(fmt.Sprint(fault, " ", change), func(t *testing.T) {
 				t.Parallel()
 				s := fake.Settings()
 				s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 8, CPULimit: 8}, {Name: "blue", GuaranteedCPUs: 4, CPULimit: 4}}
@@ -177,17 +177,17 @@
 					if w.Now > from+lasts {
 						return f
 					}
-					switch trouble {
-					case "cut":
+					switch fault {
+					case "partitioned":
 						f.LoseRequest = away[a] || away[b]
-					case "deaf":
+					case "unanswered":
 						f.LoseRequest, f.LoseResponse = away[b], away[a]
-					case "mute":
+					case "heartbeats lost":
 						f.LoseRequest = away[a]
 					}
 					return f
 				}
-				if trouble == "hang" {
+				if fault == "hangs" {
 					for h := range away {
 						w.Workers[h].HangUntil = w.Now + lasts
 					}
--- a/internal/controller/repeated_queries_test.go
+++ b/internal/controller/repeated_queries_test.go
@@ -9,13 +9,13 @@
 )
 
 // Users look closely at jobs that have just been accepted, are about to end, or
-// are being cancelled, at every node, while the leader ends, stands still, or
+// are being cancelled, at every controller, while the leader crashes, is paused, or
 // loses the state service at any moment of that: the record only moves forward.
 func TestRepeatedQueriesDuringFaults(t *testing.T) {
-	troubles := map[string]func(w *fake.World, at time.Duration){
-		"none":        func(*fake.World, time.Duration) {},
-		"leader ends": func(w *fake.World, at time.Duration) { w.After(at, w.Controllers[0].Crash) },
-		"stands still": func(w *fake.World, at time.Duration) {
+	faults := map[string]func(w *fake.World, at time.Duration){
+		"none":           func(*fake.World, time.Duration) {},
+		"leader crashes": func(w *fake.World, at time.Duration) { w.After(at, w.Controllers[0].Crash) },
+		"is paused": func(w *fake.World, at time.Duration) {
 			w.After(at, func() { w.Controllers[0].PausedUntil = w.Now + 3*time.Second })
 		},
 		"refused": func(w *fake.World, at time.Duration) {
@@ -40,9 +40,9 @@
 			return f
 		}
 	}
-	troubles["slow writes"] = func(w *fake.World, _ time.Duration) { slowly(w) }
-	troubles["slow writes, leader ends"] = func(w *fake.World, at time.Duration) { slowly(w); w.After(at/8, w.Controllers[0].Crash) }
-	for name, trouble := range troubles {
+	faults["slow writes"] = func(w *fake.World, _ time.Duration) { slowly(w) }
+	faults["slow writes, leader crashes"] = func(w *fake.World, at time.Duration) { slowly(w); w.After(at/8, w.Controllers[0].Crash) }
+	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			steps := 12
@@ -54,7 +54,7 @@
 				w := newWorld(t)
 				provisionIdleMachines(t, w)
 				w.Run(time.Duration(step) * 30 * time.Millisecond)
-				trouble(w, 1500*time.Millisecond*time.Duration(step)/time.Duration(steps))
+				fault(w, 1500*time.Millisecond*time.Duration(step)/time.Duration(steps))
 				ends := w.Submit(job(1, protocol.Array, 2), 300*time.Millisecond)
 				cancelled := w.Submit(service(2, 1), 0)
 				both := w.Submit(job(3, protocol.Array, 1), 500*time.Millisecond)
@@ -68,7 +68,7 @@
 				runAndPoll(w, 18*time.Second)
 				requireNoViolations(t, w)
 				if ends.Status != protocol.StatusDone || cancelled.Status != protocol.StatusCancelled {
-					t.Errorf("step %d: told %q and %q", step, ends.Status, cancelled.Status)
+					t.Errorf("step %d: status %q and %q", step, ends.Status, cancelled.Status)
 				}
 				told[both.Status]++
 			}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -56,14 +56,14 @@
 				requireNoViolations(t, w)
 				requireAllServed(t, w)
 				if cancelled.Status != protocol.StatusCancelled {
-					t.Errorf("told %q", cancelled.Status)
+					t.Errorf("status %q", cancelled.Status)
 				}
 			})
 		}
 	}
 }
 
-// The limits drop after a roll, with and without time to split the large pages that
+// The limits drop after a rolling upgrade, with and without time to split the large pages that
 // the old version left, and with writes in flight: what is on them still changes. A
 // first copy of a write may be carried out late, after the same write was refused for
 // its size and its pages were divided: by then it is of an earlier term.
@@ -148,7 +148,7 @@
 				requireNoViolations(t, w)
 				requireAllServed(t, w)
 				if cancelled.Status != protocol.StatusCancelled {
-					t.Errorf("told %q", cancelled.Status)
+					t.Errorf("status %q", cancelled.Status)
 				}
 				if w.State.RejectedForSize > 3*len(w.Controllers) {
 					t.Errorf("%d transactions were refused for their size", w.State.RejectedForSize)
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -63,7 +63,7 @@
 		if second == 14 {
 			for _, j := range append(cancelled, after) {
 				if j.Status != protocol.StatusCancelled {
-					t.Errorf("%s is called %q a second after writes are taken again", j.Submission.ID, j.Status)
+					t.Errorf("%s has status %q a second after writes are taken again", j.Submission.ID, j.Status)
 				}
 			}
 		}
@@ -84,7 +84,7 @@
 		t.Error("a submission is not accepted, though writes are taken again")
 	}
 	if w.Running(standing.Submission.ID) != 2 || dependent.Status != protocol.StatusCancelled {
-		t.Errorf("%d of 2 replicas run; the dependent is called %q", w.Running(standing.Submission.ID), dependent.Status)
+		t.Errorf("%d of 2 replicas run; the dependent has status %q", w.Running(standing.Submission.ID), dependent.Status)
 	}
 	requireNoViolations(t, w)
 }
--- a/internal/controller/write_responses_test.go
+++ b/internal/controller/write_responses_test.go
@@ -157,7 +157,7 @@
 				requireNoViolations(t, w)
 				requireAllServed(t, w)
 				if services[0].Status != protocol.StatusCancelled {
-					t.Errorf("told %q", services[0].Status)
+					t.Errorf("status %q", services[0].Status)
 				}
 				if known, there := w.KnownMachines(), len(w.Cloud.MachineNames()); !m.crashes && known != there {
 					t.Errorf("%d machines known of %d", known, there)
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -23,12 +23,12 @@
 		w.PollAll()
 	}
 	if j.Status != protocol.StatusDone || len(j.DoneTasks) != 300 {
-		t.Errorf("told %q, %d done\n%s", j.Status, len(j.DoneTasks), logTail(w, 20))
+		t.Errorf("status %q, %d done\n%s", j.Status, len(j.DoneTasks), logTail(w, 20))
 	}
 	requireNoViolations(t, w)
 }
 
-// The leader ends when the first of a job's blocks is wholly done and others are
+// The leader crashes when the first of a job's blocks is wholly done and others are
 // not. The first block carries the job's own record, which has to stay.
 func TestLeaderCrashAfterFirstBlockDone(t *testing.T) {
 	w := newWorld(t)
@@ -56,7 +56,7 @@
 	requireAllServed(t, w)
 }
 
-// A job's last task is done, and the leader ends after any of the writes that
+// A job's last task is done, and the leader crashes after any of the writes that
 // say so: the final state may be durable while other pages still have blocks
 // of the job.
 func TestLeaderCrashBetweenWritesOfJobEnd(t *testing.T) {
@@ -86,7 +86,7 @@
 			w.PollAll()
 		}
 		if !ended || j.Status != protocol.StatusDone {
-			t.Errorf("after %d writes: ended %t, told %q\n%s", writes, ended, j.Status, logTail(w, 10))
+			t.Errorf("after %d writes: ended %t, status %q\n%s", writes, ended, j.Status, logTail(w, 10))
 		}
 		requireNoViolations(t, w)
 	}
@@ -109,7 +109,7 @@
 	w.PollAll()
 	w.Run(5 * time.Second)
 	if a.Status != protocol.StatusDone || b.Status != protocol.StatusCancelled {
-		t.Errorf("told %q and %q", a.Status, b.Status)
+		t.Errorf("status %q and %q", a.Status, b.Status)
 	}
 	requireNoViolations(t, w)
 }
@@ -165,7 +165,7 @@
 	requireAllServed(t, w)
 	for _, j := range jobs {
 		if j.CancelRequested && j.Status != protocol.StatusCancelled && j.Status != protocol.StatusDone {
-			t.Errorf("%s: told %q", j.Submission.ID, j.Status)
+			t.Errorf("%s: status %q", j.Submission.ID, j.Status)
 		}
 	}
 }
