--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -9,80 +9,141 @@
 	"oakpick/internal/fake"
 )
 
-// failoverScenario is a day on which the state service refuses the leader alone, jobs are
-// cancelled through the others, and then the state service is down for all, for
-// longer than a cancellation may take. Times count from the refusal.
+// outageDuration is how long the state service is down for all: longer than a cancellation may
+// take.
+const outageDuration = 45 * time.Second
+
+// failoverScenario is one in which the state service refuses the leader alone, jobs are
+// cancelled through the others, and then the state service is down for all. Times count from
+// the refusal; 0: it doesn't happen.
 type failoverScenario struct {
-	phase     time.Duration // by which the refusal is late against the workers' reports
-	cancel    time.Duration
-	outage    time.Duration
-	peersCut  bool          // the old leader reaches no other controller, nor they it
-	heals     time.Duration // when they reach each other again; 0: when all is over
-	oneWay    bool          // the old leader still reaches the others, and hears their answers
-	noOrders  bool          // direct commands don't arrive any more
-	slow      bool          // answers of the state service take a second from before
-	unread    bool          // what it says of the records is lost to whoever takes over
-	unknowing bool          // so are its answers to whoever takes the term
-	ends      time.Duration
-	again     time.Duration // and after so long that process is back
-	stands    time.Duration // the new leader's process stands still from then on, for 12 s
-	restarts  bool          // and so does the old leader's, but it ends and is back at once
+	// phase is by how much the refusal comes after the workers' heartbeats.
+	phase time.Duration
+	// cancelAt is when the first job is cancelled, outageAt when the outage begins.
+	cancelAt, outageAt time.Duration
+
+	// peersPartitioned has the old leader reach no other controller, nor they it, until healAt;
+	// 0: until all is over.
+	peersPartitioned bool
+	healAt           time.Duration
+	// oneWay lets the old leader still reach the others, and hear their answers.
+	oneWay bool
+	// commandsLost drops all direct commands.
+	commandsLost bool
+
+	// slowResponses has answers of the state service take a second from before the refusal.
+	slowResponses bool
+	// recordsUnreadable loses what the state service says of the records to whoever takes over,
+	// termUnknown its answers to whoever takes the term as well.
+	recordsUnreadable, termUnknown bool
+
+	// successorCrashAt is when the new leader crashes; it is back after successorDownFor.
+	successorCrashAt, successorDownFor time.Duration
+	// successorPauseAt is when the new leader is paused, for 12 s.
+	successorPauseAt time.Duration
+	// oldLeaderRestarts has the old leader crash and be back at once in the outage.
+	oldLeaderRestarts bool
+}
+
+// String has the fields in one word.
+func (s failoverScenario) String() string {
+	type fields failoverScenario // without this method
+	return strings.ReplaceAll(fmt.Sprintf("%+v", fields(s)), " ", ",")
 }
 
-func (g failoverScenario) String() string {
-	return strings.ReplaceAll(fmt.Sprintf("%+v", struct{ failoverScenario }{g}), " ", ",")
+// failover is a world in which a failoverScenario is played.
+type failover struct {
+	failoverScenario
+	world *fake.World
+	jobs  []*fake.Job // of which all but the last are cancelled
+	start time.Duration
+
+	counted map[*fake.Job]bool
+	// confirmed counts the jobs whose user was told that they are cancelled,
+	// confirmedOnMachine those of them that still had a task on a machine.
+	confirmed, confirmedOnMachine int
 }
 
-// run tells how many jobs were confirmed as cancelled, and how many of them while
-// the old leader still answered a worker.
-func (g failoverScenario) run(t *testing.T) (told, held int) {
+// newFailover makes a world in which the jobs run and the refusal is about to begin.
+func newFailover(t *testing.T, scenario failoverScenario) *failover {
 	t.Helper()
-	w := newWorld(t)
-	var jobs []*fake.Job
+	r := &failover{failoverScenario: scenario, world: newWorld(t), counted: map[*fake.Job]bool{}}
 	for i := range 4 {
 		s := service(i+1, 2)
 		s.CPUs = 2
-		jobs = append(jobs, w.Submit(s, 0))
+		r.jobs = append(r.jobs, r.world.Submit(s, 0))
 	}
-	for _, j := range jobs {
-		waitRunning(t, w, j.Submission.ID, 2)
+	for _, j := range r.jobs {
+		waitRunning(t, r.world, j.Submission.ID, 2)
 	}
-	kept := jobs[3] // which nobody cancels
-	w.Run(4*time.Second + g.phase)
-	from := w.Now
-	at := func(d time.Duration, do func()) {
-		if d > 0 {
-			w.After(d, do)
-		}
+	r.world.Run(4*time.Second + scenario.phase)
+	r.start = r.world.Now
+	return r
+}
+
+// toCancel are the jobs that are cancelled.
+func (r *failover) toCancel() []*fake.Job { return r.jobs[:3] }
+
+// kept is the job that nobody cancels.
+func (r *failover) kept() *fake.Job { return r.jobs[3] }
+
+// outageEnd is when the state service serves all again.
+func (r *failover) outageEnd() time.Duration { return r.start + r.outageAt + outageDuration }
+
+// deliver is the World's Network.
+func (r *failover) deliver(kind, from, to string) fake.Delivery {
+	delivery := fake.Reliable()
+	if r.world.Now >= r.outageEnd() {
+		return delivery
 	}
-	others := func(do func(*fake.Controller)) func() {
-		return func() {
-			for _, c := range w.Controllers[1:] {
-				if c.AnswersWorkers() {
-					do(c)
-					return
-				}
-			}
+	switch kind {
+	case fake.KindPeer, fake.KindForward:
+		partitioned := r.peersPartitioned && (r.healAt == 0 || r.world.Now < r.start+r.healAt)
+		delivery.LoseRequest = partitioned && (from == "n0" && !r.oneWay || to == "n0")
+	case fake.KindCommands:
+		delivery.LoseRequest = r.commandsLost
+	case fake.KindState:
+		if r.slowResponses {
+			delivery.ResponseDelay = 900 * time.Millisecond
 		}
+		delivery.LoseResponse = from != "n0" && r.losesStateResponse()
+	}
+	return delivery
+}
+
+// losesStateResponse tells whether the others don't hear from the state service at present.
+func (r *failover) losesStateResponse() bool {
+	since := r.world.Now - r.start
+	return r.termUnknown && since > 500*time.Millisecond ||
+		r.recordsUnreadable && r.world.Leader() == nil && since > 1500*time.Millisecond
+}
+
+// at plans a call, unless the time is 0.
+func (r *failover) at(d time.Duration, call func()) {
+	if d > 0 {
+		r.world.After(d, call)
 	}
-	const down = 45 * time.Second
-	w.Network = func(kind, a, b string) fake.Delivery {
-		f := fake.Reliable()
-		during := w.Now < from+g.outage+down
-		cut := g.peersCut && during && (g.heals == 0 || w.Now < from+g.heals)
-		f.LoseRequest = cut && (kind == fake.KindPeer || kind == fake.KindForward) && (a == "n0" && !g.oneWay || b == "n0") ||
-			g.noOrders && during && kind == fake.KindCommands
-		if kind == fake.KindState && during {
-			if g.slow {
-				f.ResponseDelay = 900 * time.Millisecond
+}
+
+// toSuccessor gives a call for whatever controller is the new leader by then.
+func (r *failover) toSuccessor(call func(*fake.Controller)) func() {
+	return func() {
+		for _, c := range r.world.Controllers[1:] {
+			if c.AnswersWorkers() {
+				call(c)
+				return
 			}
-			f.LoseResponse = a != "n0" && (g.unknowing && w.Now > from+500*time.Millisecond || g.unread && w.Leader() == nil && w.Now > from+1500*time.Millisecond)
 		}
-		return f
 	}
+}
+
+// plan plans the cancellations and the faults.
+func (r *failover) plan() {
+	w := r.world
+	w.Network = r.deliver
 	w.State.Unreachable["n0"] = true
-	for i, j := range jobs[:3] {
-		at(g.cancel+time.Duration(i)*400*time.Millisecond, func() {
+	for i, j := range r.toCancel() {
+		r.at(r.cancelAt+time.Duration(i)*400*time.Millisecond, func() {
 			if i == 0 {
 				w.CancelEverywhere(j)
 			} else {
@@ -90,100 +151,135 @@
 			}
 		})
 	}
-	at(g.outage, func() { w.State.SetOutage(true) })
-	at(g.outage+down, func() { w.State.SetOutage(false); delete(w.State.Unreachable, "n0") })
-	at(g.ends, others(func(n *fake.Controller) {
-		n.Crash()
-		at(g.again, n.Start)
+	r.at(r.outageAt, func() { w.State.SetOutage(true) })
+	r.at(r.outageAt+outageDuration, func() {
+		w.State.SetOutage(false)
+		delete(w.State.Unreachable, "n0")
+	})
+	r.at(r.successorCrashAt, r.toSuccessor(func(c *fake.Controller) {
+		c.Crash()
+		r.at(r.successorDownFor, c.Start)
 	}))
-	at(g.stands, others(func(n *fake.Controller) { n.PausedUntil = w.Now + 12*time.Second }))
-	if g.restarts {
-		at(g.outage+2*time.Second, func() { w.Controllers[0].Crash(); w.Controllers[0].Start() })
+	r.at(r.successorPauseAt, r.toSuccessor(func(c *fake.Controller) { c.PausedUntil = w.Now + 12*time.Second }))
+	if r.oldLeaderRestarts {
+		r.at(r.outageAt+2*time.Second, func() {
+			w.Controllers[0].Crash()
+			w.Controllers[0].Start()
+		})
 	}
-	counted := map[*fake.Job]bool{}
-	for w.Now < from+g.outage+down+40*time.Second {
+}
+
+// play lets time pass until well after the outage, with queries for all jobs.
+func (r *failover) play() {
+	w := r.world
+	for w.Now < r.outageEnd()+40*time.Second {
 		w.Run(500 * time.Millisecond)
-		for _, j := range jobs {
-			if !g.peersCut || int(w.Now/time.Second)%3 == 0 {
+		for _, j := range r.jobs {
+			if !r.peersPartitioned || int(w.Now/time.Second)%3 == 0 {
 				w.QueryEverywhere(j)
 			}
-			if j.Cancelled && !counted[j] {
-				counted[j] = true
-				told++
-				if len(w.MachinesOf(j.Submission.ID)) > 0 {
-					held++
-				}
-			}
+			r.countConfirmed(j)
 		}
 	}
 	startDown(w)
 	w.Run(30 * time.Second)
+}
+
+func (r *failover) countConfirmed(j *fake.Job) {
+	if !j.Cancelled || r.counted[j] {
+		return
+	}
+	r.counted[j] = true
+	r.confirmed++
+	if len(r.world.MachinesOf(j.Submission.ID)) > 0 {
+		r.confirmedOnMachine++
+	}
+}
+
+// requireOutcome fails unless the cancelled jobs are gone and the other one runs.
+func (r *failover) requireOutcome(t *testing.T) {
+	t.Helper()
+	w := r.world
 	if len(w.Violations) > 0 {
-		t.Fatalf("%s: %s\n%s", g, strings.Join(w.Violations, "\n"), logTail(w, 60))
+		t.Fatalf("%s: %s\n%s", r.failoverScenario, strings.Join(w.Violations, "\n"), logTail(w, 60))
 	}
-	for _, j := range jobs[:3] {
+	for _, j := range r.toCancel() {
 		if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) > 0 {
-			t.Fatalf("%s: %s told %q, on %v", g, j.Submission.ID, j.Status, w.MachinesOf(j.Submission.ID))
+			t.Fatalf("%s: %s status %q, on %v", r.failoverScenario, j.Submission.ID, j.Status, w.MachinesOf(j.Submission.ID))
 		}
 	}
-	if n := w.Running(kept.Submission.ID); n != 2 {
-		t.Fatalf("%s: %d of 2 replicas of the job that was not cancelled run\n%s", g, n, logTail(w, 60))
+	if n := w.Running(r.kept().Submission.ID); n != 2 {
+		t.Fatalf("%s: %d of 2 replicas of the job that was not cancelled run\n%s", r.failoverScenario, n, logTail(w, 60))
 	}
-	return told, held
 }
 
-// The users' gap, swept: at every offset of cancellation and outage from the
-// refusal, and of the refusal from the workers' reports, whoever was told that a
-// job is cancelled finds its tasks gone in time, by the world's own record.
+// failoverKinds are the scenarios that TestCancellationDuringFailover sweeps.
+var failoverKinds = map[string]failoverScenario{
+	"no other fault":                         {},
+	"old leader partitioned":                 {peersPartitioned: true},
+	"slow responses":                         {slowResponses: true},
+	"records unreadable":                     {recordsUnreadable: true},
+	"term unknown":                           {termUnknown: true},
+	"term unknown, partitioned":              {termUnknown: true, peersPartitioned: true},
+	"records unreadable, partitioned":        {recordsUnreadable: true, peersPartitioned: true},
+	"successor crashes":                      {successorCrashAt: 6 * time.Second},
+	"successor crashes, partitioned":         {successorCrashAt: 6 * time.Second, peersPartitioned: true},
+	"successor restarts at once":             {successorCrashAt: 5 * time.Second, successorDownFor: 200 * time.Millisecond, peersPartitioned: true},
+	"successor crashes early":                {successorCrashAt: 2200 * time.Millisecond, successorDownFor: 3 * time.Second, peersPartitioned: true},
+	"successor paused":                       {successorPauseAt: 4 * time.Second, peersPartitioned: true},
+	"old leader hears a restarted successor": {peersPartitioned: true, outageAt: 7 * time.Second, successorCrashAt: 9 * time.Second, successorDownFor: 200 * time.Millisecond, healAt: 10 * time.Second},
+	"old leader can ask and not be asked":    {peersPartitioned: true, oneWay: true},
+	"no direct commands":                     {commandsLost: true},
+	"no direct commands, partitioned":        {commandsLost: true, peersPartitioned: true},
+	"old leader restarts":                    {oldLeaderRestarts: true},
+	"old leader restarts, successor crashes": {oldLeaderRestarts: true, successorCrashAt: 4 * time.Second, successorDownFor: time.Second},
+}
+
+// sweep gives the scenario at every offset of cancellation and outage from the refusal, and of
+// the refusal from the workers' heartbeats.
+func (s failoverScenario) sweep(phases, steps int) []failoverScenario {
+	var scenarios []failoverScenario
+	for phase := range phases {
+		for cancel := range steps {
+			for outage := range steps {
+				swept := s
+				swept.phase = 2 * time.Second * time.Duration(phase) / time.Duration(phases) // of the heartbeat interval
+				swept.cancelAt = 100*time.Millisecond + 3*time.Second*time.Duration(cancel)/time.Duration(steps)
+				part := float64(outage) / float64(steps-1)
+				if s.outageAt > 0 {
+					swept.outageAt += time.Duration(part * float64(time.Second))
+				} else {
+					swept.outageAt = 500*time.Millisecond + time.Duration(part*part*11.5*float64(time.Second))
+				}
+				scenarios = append(scenarios, swept)
+			}
+		}
+	}
+	return scenarios
+}
+
+// Cancellations during a failover, swept over the offsets of all that happens: whoever was told
+// that a job is cancelled finds its tasks gone in time, by the world's own record.
 func TestCancellationDuringFailover(t *testing.T) {
-	kinds := map[string]failoverScenario{
-		"plain":                                        {},
-		"old leader alone":                             {peersCut: true},
-		"slow answers":                                 {slow: true},
-		"records not read":                             {unread: true},
-		"term not known":                               {unknowing: true},
-		"term not known, alone":                        {unknowing: true, peersCut: true},
-		"records not read, alone":                      {unread: true, peersCut: true},
-		"new leader ends":                              {ends: 6 * time.Second},
-		"new leader ends, alone":                       {ends: 6 * time.Second, peersCut: true},
-		"new leader is back at once":                   {ends: 5 * time.Second, again: 200 * time.Millisecond, peersCut: true},
-		"new leader ends early":                        {ends: 2200 * time.Millisecond, again: 3 * time.Second, peersCut: true},
-		"new leader stands still":                      {stands: 4 * time.Second, peersCut: true},
-		"old leader hears the next process of the new": {peersCut: true, outage: 7 * time.Second, ends: 9 * time.Second, again: 200 * time.Millisecond, heals: 10 * time.Second},
-		"old leader can ask and not be asked":          {peersCut: true, oneWay: true},
-		"no direct commands":                           {noOrders: true},
-		"no direct commands, alone":                    {noOrders: true, peersCut: true},
-		"old leader is back at once":                   {restarts: true},
-		"old leader restarts, others":                  {restarts: true, ends: 4 * time.Second, again: time.Second},
-	}
-	for name, kind := range kinds {
+	phases, steps := 2, 5
+	if *fine {
+		phases, steps = 5, 16
+	}
+	for name, kind := range failoverKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			told, held := 0, 0
-			steps, phases := 5, 2
-			if *fine {
-				steps, phases = 16, 5
-			}
-			for phase := range phases {
-				for cancel := range steps {
-					for outage := range steps {
-						g := kind
-						g.phase = 2 * time.Second * time.Duration(phase) / time.Duration(phases) // of the time between two reports
-						g.cancel = 100*time.Millisecond + 3*time.Second*time.Duration(cancel)/time.Duration(steps)
-						o := float64(outage) / float64(steps-1)
-						if kind.outage > 0 {
-							g.outage += time.Duration(o * float64(time.Second))
-						} else {
-							g.outage = 500*time.Millisecond + time.Duration(o*o*11.5*float64(time.Second))
-						}
-						a, b := g.run(t)
-						told, held = told+a, held+b
-					}
-				}
+			confirmed, confirmedOnMachine := 0, 0
+			for _, scenario := range kind.sweep(phases, steps) {
+				r := newFailover(t, scenario)
+				r.plan()
+				r.play()
+				r.requireOutcome(t)
+				confirmed += r.confirmed
+				confirmedOnMachine += r.confirmedOnMachine
 			}
-			t.Logf("%d cancellations confirmed, %d while a task was on a machine", told, held)
-			if told == 0 {
-				t.Error("nobody was told anything: this day shows nothing")
+			t.Logf("%d cancellations confirmed, %d while a task was on a machine", confirmed, confirmedOnMachine)
+			if confirmed == 0 {
+				t.Error("no cancellation was confirmed: this scenario shows nothing")
 			}
 		})
 	}
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"testing"
 	"time"
 
@@ -23,7 +24,7 @@
 	w.Run(time.Second)
 	for _, j := range jobs[1:] {
 		if j.Status != protocol.StatusQueued {
-			t.Errorf("%s is called %q while it waits", j.Submission.ID, j.Status)
+			t.Errorf("%s has status %q while it waits", j.Submission.ID, j.Status)
 		}
 	}
 	runAndPoll(w, 60*time.Second)
@@ -31,12 +32,12 @@
 	late := submitAfter(t, w, job(9, protocol.Array, 1), time.Second, jobs...)
 	runAndPoll(w, 20*time.Second)
 	if late.Status != protocol.StatusDone {
-		t.Errorf("the job that came later is called %q", late.Status)
+		t.Errorf("the job that came later has status %q", late.Status)
 	}
 	requireNoViolations(t, w)
 }
 
-// The leader ends after every single write in turn, and its successor goes on: nothing
+// The leader crashes after every single write in turn, and its successor goes on: nothing
 // starts too early, nothing is lost, whatever was durable by then. With a cancellation
 // of the second job, from just after its first task began until its last has ended,
 // the result is the same for all: the others are cancelled with it, or none is.
@@ -79,7 +80,7 @@
 	}
 }
 
-// What a job that names others is told when it is submitted.
+// What is answered to a submission that names other jobs.
 func TestSubmissionsWithPrerequisites(t *testing.T) {
 	w := newWorld(t)
 	done := w.Submit(job(1, protocol.Array, 1), time.Second)
@@ -88,60 +89,72 @@
 	waitRunning(t, w, long.Submission.ID, 1)
 	standing := submitAfter(t, w, service(3, 1), 0)
 	cancelled := submitAfter(t, w, job(4, protocol.Array, 1), time.Hour)
-	through := submitAfter(t, w, job(5, protocol.Array, 1), time.Second, cancelled)
+	dependent := submitAfter(t, w, job(5, protocol.Array, 1), time.Second, cancelled)
 	w.CancelJob(cancelled)
 	w.Run(5 * time.Second)
-	for i, c := range []struct {
-		needs  []string
-		status int
-		told   string
+	for i, test := range []struct {
+		name          string
+		prerequisites []string
+		wantCode      int
+		wantStatus    string
 	}{
-		{[]string{done.Submission.ID}, 201, protocol.StatusDone},
-		{[]string{done.Submission.ID, long.Submission.ID}, 201, protocol.StatusQueued},
-		{[]string{cancelled.Submission.ID}, 201, protocol.StatusCancelled},
-		{[]string{long.Submission.ID, through.Submission.ID}, 201, protocol.StatusCancelled},
-		{[]string{"wk-777777"}, 422, ""},
-		{[]string{"wk-000105"}, 422, ""}, // its own
-		{[]string{standing.Submission.ID}, 422, ""},
+		{"done", []string{done.Submission.ID}, http.StatusCreated, protocol.StatusDone},
+		{"done and running", []string{done.Submission.ID, long.Submission.ID}, http.StatusCreated, protocol.StatusQueued},
+		{"cancelled", []string{cancelled.Submission.ID}, http.StatusCreated, protocol.StatusCancelled},
+		{"running and cancelled with another", []string{long.Submission.ID, dependent.Submission.ID}, http.StatusCreated, protocol.StatusCancelled},
+		{"unknown", []string{"wk-777777"}, http.StatusUnprocessableEntity, ""},
+		{"itself", []string{"wk-000105"}, http.StatusUnprocessableEntity, ""},
+		{"service", []string{standing.Submission.ID}, http.StatusUnprocessableEntity, ""},
 	} {
-		s := job(100+i, protocol.Array, 1)
-		if i == 5 {
-			s = job(105, protocol.Array, 1)
-		}
-		s.Prerequisites = c.needs
-		j := w.Submit(s, time.Second)
-		runAndPoll(w, 12*time.Second)
-		switch {
-		case c.status == 422 && j.RejectedWith != 422:
-			t.Errorf("needs %v: accepted %t, refused %d", c.needs, j.Accepted, j.RejectedWith)
-		case c.status == 201 && (!j.Accepted || j.Status != c.told):
-			t.Errorf("needs %v: accepted %t, called %q, not %q", c.needs, j.Accepted, j.Status, c.told)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			s := job(100+i, protocol.Array, 1)
+			s.Prerequisites = test.prerequisites
+			j := w.Submit(s, time.Second)
+			runAndPoll(w, 12*time.Second)
+			switch {
+			case test.wantCode == http.StatusUnprocessableEntity && j.RejectedWith != http.StatusUnprocessableEntity:
+				t.Errorf("accepted %t, refused %d", j.Accepted, j.RejectedWith)
+			case test.wantCode == http.StatusCreated && (!j.Accepted || j.Status != test.wantStatus):
+				t.Errorf("accepted %t, status %q, not %q", j.Accepted, j.Status, test.wantStatus)
+			}
+		})
 	}
 	requireNoViolations(t, w)
+	requireUndecidedUntilDurable(t, w)
+	requireRepeatAnswered(t, w, long)
+}
 
-	// The acceptance of what it needs is not durable: neither yes nor no can be said.
+// requireUndecidedUntilDurable submits a job and one that names it in an outage of the state
+// service: while the acceptance of the first is not durable, neither yes nor no can be said to
+// the second.
+func requireUndecidedUntilDurable(t *testing.T, w *fake.World) {
+	t.Helper()
 	w.State.SetOutage(true)
-	p, d := job(200, protocol.Array, 1), job(201, protocol.Array, 1)
-	d.Prerequisites = []string{p.ID}
+	first, second := job(200, protocol.Array, 1), job(201, protocol.Array, 1)
+	second.Prerequisites = []string{first.ID}
 	leader := w.Leader()
-	status := 0
-	leader.Request(message.UserRequest{Kind: message.Submit, Job: p.ID, Submission: &p}, func(message.Reply) {})
-	leader.Request(message.UserRequest{Kind: message.Submit, Job: d.ID, Submission: &d}, func(r message.Reply) { status = r.Status })
+	code := 0
+	leader.Request(message.UserRequest{Kind: message.Submit, Job: first.ID, Submission: &first}, func(message.Reply) {})
+	leader.Request(message.UserRequest{Kind: message.Submit, Job: second.ID, Submission: &second}, func(r message.Reply) { code = r.Status })
 	w.Run(100 * time.Millisecond)
-	if status != 503 {
-		t.Errorf("needs a job that isn't durable: %d", status)
+	if code != http.StatusServiceUnavailable {
+		t.Errorf("needs a job that isn't durable: %d", code)
 	}
-	// A repeat is answered by the job's state, whatever it names now.
 	w.State.SetOutage(false)
 	w.Run(5 * time.Second)
-	again := long.Submission
+}
+
+// requireRepeatAnswered repeats a submission, which is answered by the job's state, whatever it
+// names now.
+func requireRepeatAnswered(t *testing.T, w *fake.World, j *fake.Job) {
+	t.Helper()
+	again := j.Submission
 	again.Prerequisites = []string{"wk-777777"}
-	leader = w.Leader()
-	leader.Request(message.UserRequest{Kind: message.Submit, Job: again.ID, Submission: &again}, func(r message.Reply) { status = r.Status })
+	code := 0
+	w.Leader().Request(message.UserRequest{Kind: message.Submit, Job: again.ID, Submission: &again}, func(r message.Reply) { code = r.Status })
 	w.Run(100 * time.Millisecond)
-	if status != 200 {
-		t.Errorf("a repeat that names a job nobody knows: %d", status)
+	if code != http.StatusOK {
+		t.Errorf("a repeat that names a job nobody knows: %d", code)
 	}
 }
 
@@ -163,7 +176,7 @@
 	waiting := submitAfter(t, w, waits, time.Second, long)
 	w.Run(30 * time.Second)
 	if n := len(w.Cloud.MachineNames()); n > machines {
-		t.Errorf("%d machines are rented, %d were before", n, machines)
+		t.Errorf("%d machines are provisioned, %d were before", n, machines)
 	}
 	other := job(3, protocol.Gang, 4) // all that the team may use
 	other.Team, other.Priority = "red", protocol.Low
@@ -171,7 +184,7 @@
 	waitRunning(t, w, other.ID, 4)
 	runAndPoll(w, 20*time.Second)
 	if waiting.Status != protocol.StatusQueued || waiting.Started {
-		t.Errorf("the waiting job is called %q", waiting.Status)
+		t.Errorf("the waiting job has status %q", waiting.Status)
 	}
 	requireNoViolations(t, w)
 }
@@ -197,7 +210,7 @@
 	b := submitAfter(t, w, urgent, time.Second, a)
 	runAndPoll(w, 40*time.Second)
 	if a.Status != protocol.StatusDone || b.Status != protocol.StatusDone {
-		t.Errorf("the low array is called %q, the urgent end %q", a.Status, b.Status)
+		t.Errorf("the low array has status %q, the urgent end %q", a.Status, b.Status)
 	}
 	if w.Running(kept.Submission.ID) != 1 {
 		t.Error("production was pushed out")
