--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -65,62 +65,71 @@
 	for _, died := range []bool{false, true} {
 		t.Run(fmt.Sprint("machine has died ", died), func(t *testing.T) {
 			for step := range 20 {
-				w := newWorld(t)
-				var kept []protocol.Heartbeat
-				w.OnHeartbeat = func(r protocol.Heartbeat) {
-					r.Tasks = slices.Clone(r.Tasks)
-					kept = append(kept, r)
-				}
-				before := w.Submit(service(1, 2), 0)
-				waitRunning(t, w, before.Submission.ID, 2)
-				machine := w.MachinesOf(before.Submission.ID)[0]
-				if step%2 == 1 { // an earlier incarnation: it hangs past its lease and comes back
-					w.Workers[machine].HangUntil = w.Now + 12*time.Second
-					w.Run(14 * time.Second)
-					waitRunning(t, w, before.Submission.ID, 2)
-				}
-				after := w.Submit(service(2, 2), 0)
-				waitRunning(t, w, after.Submission.ID, 2)
-				w.Run(3 * time.Second)
-				// The machine itself is away at first, so that only copies speak for it.
-				away, back := w.MachinesOf(after.Submission.ID)[0], w.Now+6*time.Second
-				if died {
-					w.Cloud.Fail(away)
-				}
-				w.Network = func(_, a, b string) fake.Delivery {
-					f := fake.Reliable()
-					f.LoseRequest = step%4 < 2 && w.Now < back && (a == away || b == away)
-					return f
-				}
-				w.Controllers[0].Crash()
-				copies := slices.Clone(kept)
-				flood := func() {
-					for i, r := range copies {
-						if i%5 != step%5 {
-							continue
-						}
-						for _, c := range w.Controllers {
-							c.Request(message.HeartbeatRequest{Heartbeat: &r}, func(message.Reply) {})
-						}
-					}
-				}
-				taken := false
-				for range 400 { // as soon as it leads, and then for a while
-					w.Run(50 * time.Millisecond)
-					if w.Leader() != nil && (!taken || step%4 == 0 && int(w.Now/time.Millisecond)%500 == 0) {
-						taken = true
-						flood()
-					}
-				}
-				if !taken {
-					t.Fatal("nobody took over")
-				}
-				waitRunning(t, w, before.Submission.ID, 2)
-				waitRunning(t, w, after.Submission.ID, 2)
-				w.Run(30 * time.Second)
-				requireNoViolations(t, w)
-				requireAllServed(t, w)
+				testStaleHeartbeatsReachNewLeader(t, step, died)
 			}
 		})
 	}
 }
+
+// testStaleHeartbeatsReachNewLeader varies with the step: an earlier incarnation, a machine that
+// is partitioned at first, heartbeats replayed once or again and again, and which of them.
+func testStaleHeartbeatsReachNewLeader(t *testing.T, step int, died bool) {
+	t.Helper()
+	w := newWorld(t)
+	var recorded []protocol.Heartbeat
+	w.OnHeartbeat = func(heartbeat protocol.Heartbeat) {
+		heartbeat.Tasks = slices.Clone(heartbeat.Tasks)
+		recorded = append(recorded, heartbeat)
+	}
+	before := w.Submit(service(1, 2), 0)
+	waitRunning(t, w, before.Submission.ID, 2)
+	machine := w.MachinesOf(before.Submission.ID)[0]
+	if step%2 == 1 { // an earlier incarnation: it hangs past its lease and comes back
+		w.Workers[machine].HangUntil = w.Now + 12*time.Second
+		w.Run(14 * time.Second)
+		waitRunning(t, w, before.Submission.ID, 2)
+	}
+	after := w.Submit(service(2, 2), 0)
+	waitRunning(t, w, after.Submission.ID, 2)
+	w.Run(3 * time.Second)
+	// The machine itself is partitioned at first, so that only copies speak for it.
+	partitioned, healAt := w.MachinesOf(after.Submission.ID)[0], w.Now+6*time.Second
+	if died {
+		w.Cloud.Fail(partitioned)
+	}
+	w.Network = func(_, from, to string) fake.Delivery {
+		delivery := fake.Reliable()
+		delivery.LoseRequest = step%4 < 2 && w.Now < healAt && (from == partitioned || to == partitioned)
+		return delivery
+	}
+	w.Controllers[0].Crash()
+	stale := slices.Clone(recorded)
+	taken := false
+	for range 400 { // as soon as it leads, and then for a while
+		w.Run(50 * time.Millisecond)
+		if w.Leader() != nil && (!taken || step%4 == 0 && int(w.Now/time.Millisecond)%500 == 0) {
+			taken = true
+			replayEveryFifth(w, stale, step%5)
+		}
+	}
+	if !taken {
+		t.Fatal("nobody took over")
+	}
+	waitRunning(t, w, before.Submission.ID, 2)
+	waitRunning(t, w, after.Submission.ID, 2)
+	w.Run(30 * time.Second)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
+}
+
+// replayEveryFifth sends every fifth heartbeat to every controller.
+func replayEveryFifth(w *fake.World, heartbeats []protocol.Heartbeat, first int) {
+	for i, heartbeat := range heartbeats {
+		if i%5 != first {
+			continue
+		}
+		for _, c := range w.Controllers {
+			c.Request(message.HeartbeatRequest{Heartbeat: &heartbeat}, func(message.Reply) {})
+		}
+	}
+}
--- a/internal/controller/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -11,77 +11,96 @@
 	"oakpick/internal/protocol"
 )
 
+// pipelineSize is how many jobs a large pipeline has after its root.
+const pipelineSize = 260
+
+// pipelineShapes give the jobs that the n-th job of a pipeline needs, of all before it.
+var pipelineShapes = map[string]func(n int, all []*fake.Job) []*fake.Job{
+	"chain": func(_ int, all []*fake.Job) []*fake.Job { return all[len(all)-1:] },
+	"fan":   func(_ int, all []*fake.Job) []*fake.Job { return all[:1] },
+	"diamonds": func(n int, all []*fake.Job) []*fake.Job {
+		if n%3 == 0 { // the foot of one, and the top of the next
+			return all[max(0, len(all)-2):]
+		}
+		return all[(n-1)/3*3 : (n-1)/3*3+1]
+	},
+}
+
 // Pipelines of great depth, of great width, and of diamonds, at the smallest budgets. The
 // root is cancelled, and the leader crashes while the ends of what needs it are written: all
-// nodes call every job cancelled from the first moment on, the ends are written within
+// controllers call every job cancelled from the first moment on, the ends are written within
 // cancel_s, and others' submissions are still accepted in good time.
 func TestCancelRootOfLargePipeline(t *testing.T) {
-	const size = 260
-	shapes := map[string]func(w *fake.World, root *fake.Job, n int, all []*fake.Job) []*fake.Job{
-		"chain": func(_ *fake.World, _ *fake.Job, _ int, all []*fake.Job) []*fake.Job { return all[len(all)-1:] },
-		"fan":   func(_ *fake.World, root *fake.Job, _ int, _ []*fake.Job) []*fake.Job { return []*fake.Job{root} },
-		"diamonds": func(_ *fake.World, _ *fake.Job, n int, all []*fake.Job) []*fake.Job {
-			if n%3 == 0 { // the foot of one, and the top of the next
-				return all[max(0, len(all)-2):]
-			}
-			return all[(n-1)/3*3 : (n-1)/3*3+1]
-		},
-	}
-	for name, needs := range shapes {
-		for _, crash := range []time.Duration{-1, 0, 300 * time.Millisecond, 2 * time.Second} {
-			t.Run(fmt.Sprint(name, " ", crash), func(t *testing.T) {
+	for name, needs := range pipelineShapes {
+		for _, crashAfter := range []time.Duration{-1, 0, 300 * time.Millisecond, 2 * time.Second} {
+			t.Run(fmt.Sprint(name, " ", crashAfter), func(t *testing.T) {
 				t.Parallel()
-				w := newWorldWith(t, smallestStateLimits())
-				provisionIdleMachines(t, w)
-				root := submitAfter(t, w, job(1, protocol.Array, 1), time.Hour)
-				waitRunning(t, w, root.Submission.ID, 1)
-				all := []*fake.Job{root}
-				for n := 1; n <= size; n++ {
-					all = append(all, submitAfter(t, w, job(1000+n, protocol.Array, 1), time.Second, needs(w, root, n, all)...))
-				}
-				waitAllAccepted(t, w, all)
-				w.CancelJob(root)
-				if !w.RunUntil(10*time.Second, func() bool { return root.Cancelled }) {
-					t.Fatal("not told that it is cancelled")
-				}
-				if crash >= 0 {
-					w.Run(crash)
-					crashLeader(w, 2*time.Second)
-				}
-				queryRapidly(w, all[len(all)-5:], 300*time.Millisecond)
-				w.Run(400 * time.Millisecond)
-				if last := all[len(all)-1]; crash < 0 && last.Status != protocol.StatusCancelled {
-					t.Errorf("%s has status %q after 0.7 s", last.Submission.ID, last.Status)
-				}
-				other := w.Submit(job(5, protocol.Array, 1), time.Second)
-				from, acceptedAfter := w.Now, time.Duration(0)
-				for w.Now < root.CancelledAt+config.Seconds(w.Cfg.Settings.Workers.CancelWithinS) {
-					w.Run(500 * time.Millisecond)
-					for _, j := range all[len(all)-5:] {
-						w.QueryEverywhere(j)
-					}
-					if other.Accepted && acceptedAfter == 0 {
-						acceptedAfter = w.Now - from
-					}
-				}
-				if acceptedAfter == 0 || crash < 0 && acceptedAfter > 500*time.Millisecond || acceptedAfter > 8*time.Second {
-					t.Errorf("another's submission was accepted after %v", acceptedAfter)
-				}
-				if open, _ := recordedJobs(t, pagesOf(w)); len(open) > 1 {
-					t.Errorf("the ends of %d jobs aren't written", len(open))
-				}
-				runAndPoll(w, 15*time.Second)
-				for _, j := range all {
-					if j.Status != protocol.StatusCancelled {
-						t.Fatalf("%s has status %q", j.Submission.ID, j.Status)
-					}
-				}
-				requireNoViolations(t, w)
+				testCancelRootOfLargePipeline(t, needs, crashAfter)
 			})
 		}
 	}
 }
 
+// testCancelRootOfLargePipeline crashes the leader some time after the cancellation is
+// confirmed; -1: it doesn't.
+func testCancelRootOfLargePipeline(t *testing.T, needs func(int, []*fake.Job) []*fake.Job, crashAfter time.Duration) {
+	t.Helper()
+	w := newWorldWith(t, smallestStateLimits())
+	provisionIdleMachines(t, w)
+	root := submitAfter(t, w, job(1, protocol.Array, 1), time.Hour)
+	waitRunning(t, w, root.Submission.ID, 1)
+	all := []*fake.Job{root}
+	for n := 1; n <= pipelineSize; n++ {
+		all = append(all, submitAfter(t, w, job(1000+n, protocol.Array, 1), time.Second, needs(n, all)...))
+	}
+	waitAllAccepted(t, w, all)
+	w.CancelJob(root)
+	if !w.RunUntil(10*time.Second, func() bool { return root.Cancelled }) {
+		t.Fatal("not told that it is cancelled")
+	}
+	if crashAfter >= 0 {
+		w.Run(crashAfter)
+		crashLeader(w, 2*time.Second)
+	}
+	last := all[len(all)-5:]
+	queryRapidly(w, last, 300*time.Millisecond)
+	w.Run(400 * time.Millisecond)
+	if j := last[4]; crashAfter < 0 && j.Status != protocol.StatusCancelled {
+		t.Errorf("%s has status %q after 0.7 s", j.Submission.ID, j.Status)
+	}
+	acceptedAfter := submitWhileEndsAreWritten(w, root, last)
+	if acceptedAfter == 0 || crashAfter < 0 && acceptedAfter > 500*time.Millisecond || acceptedAfter > 8*time.Second {
+		t.Errorf("another's submission was accepted after %v", acceptedAfter)
+	}
+	if open, _ := recordedJobs(t, pagesOf(w)); len(open) > 1 {
+		t.Errorf("the ends of %d jobs aren't written", len(open))
+	}
+	runAndPoll(w, 15*time.Second)
+	for _, j := range all {
+		if j.Status != protocol.StatusCancelled {
+			t.Fatalf("%s has status %q", j.Submission.ID, j.Status)
+		}
+	}
+	requireNoViolations(t, w)
+}
+
+// submitWhileEndsAreWritten submits another job, lets cancel_s pass with queries for the jobs of
+// the pipeline, and gives after what time the other was accepted; 0: it wasn't.
+func submitWhileEndsAreWritten(w *fake.World, root *fake.Job, queried []*fake.Job) (acceptedAfter time.Duration) {
+	other := w.Submit(job(5, protocol.Array, 1), time.Second)
+	from := w.Now
+	for w.Now < root.CancelledAt+config.Seconds(w.Cfg.Settings.Workers.CancelWithinS) {
+		w.Run(500 * time.Millisecond)
+		for _, j := range queried {
+			w.QueryEverywhere(j)
+		}
+		if other.Accepted && acceptedAfter == 0 {
+			acceptedAfter = w.Now - from
+		}
+	}
+	return acceptedAfter
+}
+
 // A leader whose clock is ahead accepts a job, the next one, whose clock is behind, accepts
 // another that needs it: by the times of their submissions the second comes before the
 // first. A job before both is cancelled, and the leader crashes before the others' ends are
--- a/internal/controller/pipeline_cancellation_test.go
+++ b/internal/controller/pipeline_cancellation_test.go
@@ -11,82 +11,94 @@
 	"oakpick/internal/storage"
 )
 
+// leaderFaults are ways in which the leader n0 changes or falls behind, from now on.
+var leaderFaults = map[string]func(w *fake.World){
+	"leader crashes": func(w *fake.World) { crashFor(w, w.Controllers[0], 4*time.Second) },
+	"leader paused":  func(w *fake.World) { w.Controllers[0].PausedUntil = w.Now + 6*time.Second },
+	"leader refused": func(w *fake.World) {
+		w.State.Unreachable["n0"] = true
+		w.After(12*time.Second, func() { delete(w.State.Unreachable, "n0") })
+	},
+	"outage": func(w *fake.World) {
+		w.State.SetOutage(true)
+		w.After(5*time.Second, func() { w.State.SetOutage(false) })
+	},
+	"leader refused, then an outage": func(w *fake.World) {
+		w.State.Unreachable["n0"] = true
+		w.After(1500*time.Millisecond, func() { w.State.SetOutage(true) })
+		w.After(45*time.Second, func() {
+			w.State.SetOutage(false)
+			delete(w.State.Unreachable, "n0")
+		})
+	},
+	"responses lost": func(w *fake.World) {
+		from, calls := w.Now, 0
+		w.Network = func(kind, _, _ string) fake.Delivery {
+			delivery := fake.Reliable()
+			calls++
+			delivery.LoseResponse = kind == fake.KindState && w.Now < from+4*time.Second && calls%2 == 0
+			return delivery
+		}
+	},
+	"slow controllers": func(w *fake.World) { // several times slower, and again and again
+		for i := range 12 {
+			w.After(time.Duration(i)*700*time.Millisecond, func() {
+				for _, c := range w.Controllers {
+					c.PausedUntil = w.Now + 500*time.Millisecond
+				}
+			})
+		}
+	},
+}
+
 // A job is cancelled in the seconds in which the leader changes, is paused, loses
 // the state service or its answers: from the moment that any controller says so, no controller
 // calls what needs it queued or running, and a job that is called cancelled with it
 // stays so.
 func TestPrerequisiteCancelledDuringLeaderChange(t *testing.T) {
-	faults := map[string]func(w *fake.World){
-		"leader crashes": func(w *fake.World) { w.Controllers[0].Crash(); w.After(4*time.Second, w.Controllers[0].Start) },
-		"is paused":      func(w *fake.World) { w.Controllers[0].PausedUntil = w.Now + 6*time.Second },
-		"refused": func(w *fake.World) {
-			w.State.Unreachable["n0"] = true
-			w.After(12*time.Second, func() { delete(w.State.Unreachable, "n0") })
-		},
-		"outage": func(w *fake.World) {
-			w.State.SetOutage(true)
-			w.After(5*time.Second, func() { w.State.SetOutage(false) })
-		},
-		"refused, then an outage": func(w *fake.World) {
-			w.State.Unreachable["n0"] = true
-			w.After(1500*time.Millisecond, func() { w.State.SetOutage(true) })
-			w.After(45*time.Second, func() { w.State.SetOutage(false); delete(w.State.Unreachable, "n0") })
-		},
-		"answers lost": func(w *fake.World) {
-			from, calls := w.Now, 0
-			w.Network = func(kind, _, _ string) fake.Delivery {
-				f := fake.Reliable()
-				calls++
-				f.LoseResponse = kind == fake.KindState && w.Now < from+4*time.Second && calls%2 == 0
-				return f
-			}
-		},
-		"slow": func(w *fake.World) { // several times slower, and again and again
-			for i := range 12 {
-				w.After(time.Duration(i)*700*time.Millisecond, func() {
-					for _, c := range w.Controllers {
-						c.PausedUntil = w.Now + 500*time.Millisecond
-					}
-				})
-			}
-		},
-	}
-	for name, fault := range faults {
+	for name, fault := range leaderFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			told := 0
-			for step := range 10 {
-				w := newWorld(t)
-				provisionIdleMachines(t, w)
-				jobs := submitPipeline(t, w, 1)
-				long := submitAfter(t, w, job(20, protocol.Array, 2), time.Hour)
-				after := submitAfter(t, w, job(21, protocol.Gang, 2), time.Second, long)
-				last := submitAfter(t, w, job(22, protocol.Array, 2), time.Second, after, jobs[3])
-				w.Run(3 * time.Second)
-				all := append(slices.Clone(jobs), long, after, last)
-				queryRapidly(w, all, 3*time.Second)
-				w.After(500*time.Millisecond, func() { fault(w) })
-				w.After(time.Duration(step)*150*time.Millisecond, func() { w.CancelEverywhere(long) })
-				if step%2 == 0 {
-					w.After(time.Duration(step)*200*time.Millisecond, func() { w.CancelJob(jobs[1]) })
-				}
-				queryRepeatedly(w, all, 70, time.Second)
-				runAndPoll(w, 60*time.Second)
-				requireNoViolations(t, w)
-				requirePipelineOutcome(t, w, jobs)
-				requirePipelineOutcome(t, w, []*fake.Job{long, after, last})
-				if long.Status != protocol.StatusCancelled {
-					t.Fatalf("the long job has status %q", long.Status)
-				}
-				told++
+			const steps = 10
+			completed := 0
+			for step := range steps {
+				testPrerequisiteCancelledDuringLeaderChange(t, step, fault)
+				completed++
 			}
-			if told != 10 {
-				t.Errorf("%d of 10 days", told)
+			if completed != steps {
+				t.Errorf("%d of %d scenarios", completed, steps)
 			}
 		})
 	}
 }
 
+// testPrerequisiteCancelledDuringLeaderChange cancels the later the higher the step is.
+func testPrerequisiteCancelledDuringLeaderChange(t *testing.T, step int, fault func(*fake.World)) {
+	t.Helper()
+	w := newWorld(t)
+	provisionIdleMachines(t, w)
+	jobs := submitPipeline(t, w, 1)
+	long := submitAfter(t, w, job(20, protocol.Array, 2), time.Hour)
+	after := submitAfter(t, w, job(21, protocol.Gang, 2), time.Second, long)
+	last := submitAfter(t, w, job(22, protocol.Array, 2), time.Second, after, jobs[3])
+	w.Run(3 * time.Second)
+	all := append(slices.Clone(jobs), long, after, last)
+	queryRapidly(w, all, 3*time.Second)
+	w.After(500*time.Millisecond, func() { fault(w) })
+	w.After(time.Duration(step)*150*time.Millisecond, func() { w.CancelEverywhere(long) })
+	if step%2 == 0 {
+		w.After(time.Duration(step)*200*time.Millisecond, func() { w.CancelJob(jobs[1]) })
+	}
+	queryRepeatedly(w, all, 70, time.Second)
+	runAndPoll(w, 60*time.Second)
+	requireNoViolations(t, w)
+	requirePipelineOutcome(t, w, jobs)
+	requirePipelineOutcome(t, w, []*fake.Job{long, after, last})
+	if long.Status != protocol.StatusCancelled {
+		t.Fatalf("the long job has status %q", long.Status)
+	}
+}
+
 // The write that says that a job is done is held up, the leader crashes before it is
 // carried out, and the job is cancelled through the next one: what needs it must not
 // have begun by then. In the same way a job is submitted that needs one whose
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -148,71 +148,85 @@
 		for _, change := range []time.Duration{0, 300 * time.Millisecond, 2 * time.Second, 6 * time.Second} {
 			t.Run(fmt.Sprint(fault, " ", change), func(t *testing.T) {
 				t.Parallel()
-				s := fake.Settings()
-				s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 8, CPULimit: 8}, {Name: "blue", GuaranteedCPUs: 4, CPULimit: 4}}
-				w := fake.NewWorld(s)
-				w.Run(2 * time.Second)
-				var first, next []*fake.Job
-				for i, team := range []string{"red", "red", "blue"} {
-					s := service(i+1, 2)
-					s.Team, s.CPUs = team, 2
-					first = append(first, w.Submit(s, 0))
-				}
-				for _, j := range first {
-					waitRunning(t, w, j.Submission.ID, 2)
-				}
-				for i, team := range []string{"red", "red", "blue"} {
-					s := service(i+11, 2)
-					s.Team, s.CPUs = team, 2
-					next = append(next, w.Submit(s, 0))
-				}
-				w.Run(3 * time.Second)
-				away, from := map[string]bool{}, w.Now
-				for _, j := range first {
-					away[w.MachinesOf(j.Submission.ID)[0]] = true
-				}
-				const lasts = 30 * time.Second
-				w.Network = func(_, a, b string) fake.Delivery {
-					f := fake.Reliable()
-					if w.Now > from+lasts {
-						return f
-					}
-					switch fault {
-					case "partitioned":
-						f.LoseRequest = away[a] || away[b]
-					case "unanswered":
-						f.LoseRequest, f.LoseResponse = away[b], away[a]
-					case "heartbeats lost":
-						f.LoseRequest = away[a]
-					}
-					return f
-				}
-				if fault == "hangs" {
-					for h := range away {
-						w.Workers[h].HangUntil = w.Now + lasts
-					}
-				}
-				w.After(change, w.Leader().Crash)
-				for _, j := range first {
-					w.After(time.Second, func() { w.CancelEverywhere(j) })
-				}
-				w.Run(5 * time.Second)
-				startDown(w)
-				for _, j := range next {
-					waitRunning(t, w, j.Submission.ID, 2)
-				}
-				w.Run(40 * time.Second)
-				requireNoViolations(t, w)
-				for _, j := range next {
-					if n := w.Running(j.Submission.ID); n != 2 {
-						t.Errorf("%s: %d run", j.Submission.ID, n)
-					}
-				}
+				testQuotaWhileMachinesAreUnreachable(t, fault, change)
 			})
 		}
 	}
 }
 
+// testQuotaWhileMachinesAreUnreachable crashes the leader some time after the fault of a machine
+// of each job has begun.
+func testQuotaWhileMachinesAreUnreachable(t *testing.T, fault string, crashAfter time.Duration) {
+	t.Helper()
+	settings := fake.Settings()
+	settings.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 8, CPULimit: 8}, {Name: "blue", GuaranteedCPUs: 4, CPULimit: 4}}
+	w := fake.NewWorld(settings)
+	w.Run(2 * time.Second)
+	first := submitUpToQuota(w, 1)
+	for _, j := range first {
+		waitRunning(t, w, j.Submission.ID, 2)
+	}
+	next := submitUpToQuota(w, 11)
+	w.Run(3 * time.Second)
+	unreachable := map[string]bool{}
+	for _, j := range first {
+		unreachable[w.MachinesOf(j.Submission.ID)[0]] = true
+	}
+	makeUnreachable(w, unreachable, fault, 30*time.Second)
+	w.After(crashAfter, w.Leader().Crash)
+	for _, j := range first {
+		w.After(time.Second, func() { w.CancelEverywhere(j) })
+	}
+	w.Run(5 * time.Second)
+	startDown(w)
+	for _, j := range next {
+		waitRunning(t, w, j.Submission.ID, 2)
+	}
+	w.Run(40 * time.Second)
+	requireNoViolations(t, w)
+	for _, j := range next {
+		if n := w.Running(j.Submission.ID); n != 2 {
+			t.Errorf("%s: %d run", j.Submission.ID, n)
+		}
+	}
+}
+
+// submitUpToQuota submits services that use all that both teams may, numbered from the first.
+func submitUpToQuota(w *fake.World, first int) []*fake.Job {
+	var jobs []*fake.Job
+	for i, team := range []string{"red", "red", "blue"} {
+		s := service(i+first, 2)
+		s.Team, s.CPUs = team, 2
+		jobs = append(jobs, w.Submit(s, 0))
+	}
+	return jobs
+}
+
+// makeUnreachable lets a fault of machines last for so long.
+func makeUnreachable(w *fake.World, machines map[string]bool, fault string, duration time.Duration) {
+	from := w.Now
+	w.Network = func(_, sender, receiver string) fake.Delivery {
+		delivery := fake.Reliable()
+		if w.Now > from+duration {
+			return delivery
+		}
+		switch fault {
+		case "partitioned":
+			delivery.LoseRequest = machines[sender] || machines[receiver]
+		case "unanswered":
+			delivery.LoseRequest, delivery.LoseResponse = machines[receiver], machines[sender]
+		case "heartbeats lost":
+			delivery.LoseRequest = machines[sender]
+		}
+		return delivery
+	}
+	if fault == "hangs" {
+		for machine := range machines {
+			w.Workers[machine].HangUntil = w.Now + duration
+		}
+	}
+}
+
 // There is more work than room, urgent and not, and everything on the way to and
 // from workers takes more than a second: what comes first in the queue runs, what
 // yields is told once, and when the urgent work has gone the rest is served.
--- a/internal/controller/write_responses_test.go
+++ b/internal/controller/write_responses_test.go
@@ -36,78 +36,91 @@
 	requireNoViolations(t, w)
 }
 
+// submissionAnswer is how and after what time a submission was answered; 0: not yet.
+type submissionAnswer struct {
+	status int
+	after  time.Duration
+}
+
+// submitOnce submits a service to n0 once.
+func submitOnce(w *fake.World, id int) *submissionAnswer {
+	s, answer, sentAt := service(id, 3), &submissionAnswer{}, w.Now
+	w.Controllers[0].Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) {
+		*answer = submissionAnswer{r.Status, w.Now - sentAt}
+	})
+	return answer
+}
+
 // A submission that can't be made durable is refused when that is known, not
 // when its user has waited long enough; one that can be, however slowly, waits.
 func TestSubmissionRefusedImmediatelyOrCommitted(t *testing.T) {
-	type answer struct {
-		status int
-		after  time.Duration
-	}
-	ask := func(w *fake.World, id int) *answer {
-		s, a, since := service(id, 3), &answer{}, w.Now
-		w.Controllers[0].Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) {
-			*a = answer{r.Status, w.Now - since}
-		})
-		return a
-	}
-	t.Run("outage", func(t *testing.T) {
-		w := newWorld(t)
-		w.Run(5 * time.Second)
-		w.State.SetOutage(true)
-		first := ask(w, 1)
-		w.Run(1500 * time.Millisecond) // the term's lease is a second
-		if first.status != 503 || first.after > 1200*time.Millisecond {
-			t.Errorf("when the outage began: %d after %v", first.status, first.after)
-		}
-		if next := ask(w, 2); next.status != 503 {
-			t.Errorf("in the outage: %d", next.status)
-		}
-		w.State.SetOutage(false)
-		w.Run(5 * time.Second)
-		if again := ask(w, 1); again.status != 200 {
-			t.Errorf("the first, asked again: %d", again.status)
-		}
-	})
-	t.Run("long queue", func(t *testing.T) {
-		w := newWorld(t)
-		w.Run(5 * time.Second)
-		var all []*answer
-		const asked = 600 // more than the write budget lets through while they wait
-		for i := range asked {
-			all = append(all, ask(w, i+1))
-		}
-		refused := 0
-		for _, a := range all {
-			if a.status == 503 {
-				refused++
-			}
-		}
-		w.Run(4 * time.Second)
-		for i, a := range all {
-			if a.status != 503 && a.status != 201 || a.after > protocol.SubmitTimeoutS*time.Second*3/4 {
-				t.Fatalf("number %d: %d after %v", i, a.status, a.after)
-			}
-		}
-		if refused == 0 || refused > 300 {
-			t.Errorf("%d of %d refused at once", refused, asked)
+	t.Run("outage", testSubmissionInOutage)
+	t.Run("long queue", testSubmissionBehindLongQueue)
+	t.Run("slow", testSubmissionToSlowStateService)
+}
+
+func testSubmissionInOutage(t *testing.T) {
+	t.Helper()
+	w := newWorld(t)
+	w.Run(5 * time.Second)
+	w.State.SetOutage(true)
+	first := submitOnce(w, 1)
+	w.Run(1500 * time.Millisecond) // the term's lease is a second
+	if first.status != 503 || first.after > 1200*time.Millisecond {
+		t.Errorf("when the outage began: %d after %v", first.status, first.after)
+	}
+	if next := submitOnce(w, 2); next.status != 503 {
+		t.Errorf("in the outage: %d", next.status)
+	}
+	w.State.SetOutage(false)
+	w.Run(5 * time.Second)
+	if again := submitOnce(w, 1); again.status != 200 {
+		t.Errorf("the first, asked again: %d", again.status)
+	}
+}
+
+func testSubmissionBehindLongQueue(t *testing.T) {
+	t.Helper()
+	w := newWorld(t)
+	w.Run(5 * time.Second)
+	var answers []*submissionAnswer
+	const submitted = 600 // more than the write budget lets through while they wait
+	for i := range submitted {
+		answers = append(answers, submitOnce(w, i+1))
+	}
+	refused := 0
+	for _, a := range answers {
+		if a.status == 503 {
+			refused++
 		}
-	})
-	t.Run("slow", func(t *testing.T) {
-		w := newWorld(t)
-		w.Run(5 * time.Second)
-		w.Network = func(kind, _, _ string) fake.Delivery {
-			f := fake.Reliable()
-			if kind == fake.KindState {
-				f.ResponseDelay = 300 * time.Millisecond
-			}
-			return f
+	}
+	w.Run(4 * time.Second)
+	for i, a := range answers {
+		if a.status != 503 && a.status != 201 || a.after > protocol.SubmitTimeoutS*time.Second*3/4 {
+			t.Fatalf("number %d: %d after %v", i, a.status, a.after)
 		}
-		a := ask(w, 1)
-		w.Run(2 * time.Second)
-		if a.status != 201 || a.after < 300*time.Millisecond {
-			t.Errorf("%d after %v", a.status, a.after)
+	}
+	if refused == 0 || refused > 300 {
+		t.Errorf("%d of %d refused at once", refused, submitted)
+	}
+}
+
+func testSubmissionToSlowStateService(t *testing.T) {
+	t.Helper()
+	w := newWorld(t)
+	w.Run(5 * time.Second)
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		delivery := fake.Reliable()
+		if kind == fake.KindState {
+			delivery.ResponseDelay = 300 * time.Millisecond
 		}
-	})
+		return delivery
+	}
+	answer := submitOnce(w, 1)
+	w.Run(2 * time.Second)
+	if answer.status != 201 || answer.after < 300*time.Millisecond {
+		t.Errorf("%d after %v", answer.status, answer.after)
+	}
 }
 
 // Every kind of write of a day is carried out and its answer lost, or carried out
