--- a/internal/controller/archive_moves_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -24,6 +24,7 @@
 }
 
 func testLeaderCrashDuringArchiveMove(t *testing.T, fault string, after int) {
+	t.Helper()
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
 	w.SeparateWrites = true
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -71,64 +71,71 @@
 	requireNoViolations(t, w)
 }
 
+// leaderChanges are ways in which the leader n0 is replaced.
+var leaderChanges = map[string]func(w *fake.World){
+	"crashes": func(w *fake.World) { w.Controllers[0].Crash() },
+	"refused": func(w *fake.World) { w.State.Unreachable["n0"] = true },
+	"paused":  func(w *fake.World) { w.Controllers[0].PausedUntil = w.Now + 8*time.Second },
+	"hears no worker": func(w *fake.World) {
+		w.Network = func(kind, from, to string) fake.Delivery {
+			delivery := fake.Reliable()
+			delivery.LoseRequest = kind == fake.KindHeartbeat && to == "n0" || kind == fake.KindCommands && from == "n0"
+			return delivery
+		}
+	},
+}
+
 // One job after the other is cancelled in the seconds in which the leadership
-// changes, by a leader that ends, is refused, gives up or is paused: from its
+// changes, by a leader that crashes, is refused, resigns or is paused: from its
 // last renewal to its successor's first placements.
 func TestCancellationDuringLeaderChange(t *testing.T) {
-	for _, how := range []string{"ends", "is refused", "is paused", "hears no worker"} {
-		t.Run(how, func(t *testing.T) {
+	phases := 3
+	if *fine {
+		phases = 20
+	}
+	for name, change := range leaderChanges {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			phases := 3
-			if *fine {
-				phases = 20
-			}
 			for phase := range phases {
-				w := newWorld(t)
-				var jobs []*fake.Job
-				for i := range 30 {
-					s := service(i+1, 1)
-					s.Team, s.CPUs = "blue", 1
-					jobs = append(jobs, w.Submit(s, 0))
-				}
-				for _, j := range jobs {
-					waitRunning(t, w, j.Submission.ID, 1)
-				}
-				w.Run(3*time.Second + 2*time.Second*time.Duration(phase)/time.Duration(phases))
-				n0 := w.Controllers[0]
-				switch how {
-				case "ends":
-					n0.Crash()
-				case "is refused":
-					w.State.Unreachable["n0"] = true
-				case "is paused":
-					n0.PausedUntil = w.Now + 8*time.Second
-				case "hears no worker":
-					w.Network = func(kind, a, b string) fake.Delivery {
-						f := fake.Reliable()
-						f.LoseRequest = kind == fake.KindHeartbeat && b == "n0" || kind == fake.KindCommands && a == "n0"
-						return f
-					}
-				}
-				for i, j := range jobs { // every 150 ms
-					w.After(time.Duration(i)*150*time.Millisecond, func() {
-						if i%2 == 0 {
-							w.CancelEverywhere(j)
-						} else {
-							w.CancelJob(j)
-						}
-					})
-				}
-				queryRepeatedly(w, jobs, 30, time.Second)
-				delete(w.State.Unreachable, "n0")
-				w.Network = nil
-				w.Run(20 * time.Second)
-				requireNoViolations(t, w)
-				for _, j := range jobs {
-					if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) > 0 {
-						t.Fatalf("%s: status %q, on %v", j.Submission.ID, j.Status, w.MachinesOf(j.Submission.ID))
-					}
-				}
+				part := 2 * time.Second * time.Duration(phase) / time.Duration(phases)
+				testCancellationDuringLeaderChange(t, part, change)
+			}
+		})
+	}
+}
+
+// testCancellationDuringLeaderChange changes the leader at a time within the heartbeat interval.
+func testCancellationDuringLeaderChange(t *testing.T, phase time.Duration, change func(*fake.World)) {
+	t.Helper()
+	w := newWorld(t)
+	var jobs []*fake.Job
+	for i := range 30 {
+		s := service(i+1, 1)
+		s.Team, s.CPUs = "blue", 1
+		jobs = append(jobs, w.Submit(s, 0))
+	}
+	for _, j := range jobs {
+		waitRunning(t, w, j.Submission.ID, 1)
+	}
+	w.Run(3*time.Second + phase)
+	change(w)
+	for i, j := range jobs { // every 150 ms
+		w.After(time.Duration(i)*150*time.Millisecond, func() {
+			if i%2 == 0 {
+				w.CancelEverywhere(j)
+			} else {
+				w.CancelJob(j)
 			}
 		})
 	}
+	queryRepeatedly(w, jobs, 30, time.Second)
+	delete(w.State.Unreachable, "n0")
+	w.Network = nil
+	w.Run(20 * time.Second)
+	requireNoViolations(t, w)
+	for _, j := range jobs {
+		if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) > 0 {
+			t.Fatalf("%s: status %q, on %v", j.Submission.ID, j.Status, w.MachinesOf(j.Submission.ID))
+		}
+	}
 }
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -31,6 +31,7 @@
 }
 
 func testNoStartBeforeJobIsDurable(t *testing.T, kind protocol.JobKind, write, machine string, cancel bool) {
+	t.Helper()
 	w := newWorldWith(t, onePagePerTransaction())
 	machines := provisionIdleMachines(t, w)
 	w.Run(5 * time.Second) // nothing is left to be written
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -62,6 +62,7 @@
 // come half a minute before. It gives how many machines were provisioned in that time, and the
 // starts of each failing job, a gang's as one.
 func runBesideFailingJobs(t *testing.T, submit func(*fake.World) []*fake.Job) (rented int64, starts map[string]int) {
+	t.Helper()
 	w := newWorld(t)
 	w.Submit(service(50, 2), 0)
 	w.Run(15 * time.Second)
--- a/internal/controller/hung_leader_test.go
+++ b/internal/controller/hung_leader_test.go
@@ -28,6 +28,7 @@
 }
 
 func testHungLeaderDuringRollingUpgrade(t *testing.T, hang, late time.Duration, resumes bool) {
+	t.Helper()
 	w := newProductionWorld(t)
 	large := job(1, protocol.Array, 70)
 	large.CPUs, large.Team = 0.5, "red"
--- a/internal/controller/many_prerequisites_test.go
+++ b/internal/controller/many_prerequisites_test.go
@@ -94,6 +94,7 @@
 }
 
 func testManyPrerequisites(t *testing.T, writes int, cancelled string) {
+	t.Helper()
 	w, last, held := newWorldWithManyPrerequisites(t)
 	sent := 0
 	w.SeparateWrites = true
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -104,6 +104,7 @@
 }
 
 func testLeaderPausedBeforeEffect(t *testing.T, is func(message.Effect) bool, skip int, stall time.Duration) {
+	t.Helper()
 	w := newWorld(t)
 	w.Submit(service(1, 3), 0)
 	cancelled := w.Submit(service(2, 2), 0)
--- a/internal/controller/write_responses_test.go
+++ b/internal/controller/write_responses_test.go
@@ -123,63 +123,76 @@
 	}
 }
 
-// Every kind of write of a day is carried out and its answer lost, or carried out
+// lossyWrites says which requests to the state service get no response.
+type lossyWrites struct {
+	oneOf   int           // one of so many
+	late    time.Duration // and is executed so much later; 0: at once
+	crashes bool          // the leader crashes, too
+}
+
+// Every kind of write is carried out and its answer lost, or carried out
 // only after newer ones, while others read: each is recognised, none counts twice.
 func TestWritesWithLostResponses(t *testing.T) {
-	type meeting struct {
-		share   int           // one of so many gets no answer
-		late    time.Duration // and is carried out so much later; 0: at once
-		crashes bool
-	}
-	for _, m := range []meeting{
-		{2, 0, false}, {3, 0, true}, {3, 2 * time.Second, false}, {4, 12 * time.Second, true}, {2, 5 * time.Second, true}, {5, 700 * time.Millisecond, true},
+	for _, lossy := range []lossyWrites{
+		{oneOf: 2},
+		{oneOf: 3, crashes: true},
+		{oneOf: 3, late: 2 * time.Second},
+		{oneOf: 4, late: 12 * time.Second, crashes: true},
+		{oneOf: 2, late: 5 * time.Second, crashes: true},
+		{oneOf: 5, late: 700 * time.Millisecond, crashes: true},
 	} {
-		t.Run(fmt.Sprintf("one of %d, %v, %t", m.share, m.late, m.crashes), func(t *testing.T) {
+		t.Run(fmt.Sprintf("one of %d, %v, %t", lossy.oneOf, lossy.late, lossy.crashes), func(t *testing.T) {
 			t.Parallel()
-			for seed := range 8 {
-				w := newWorld(t)
-				writes := seed
-				until := w.Now + 60*time.Second
-				w.Network = func(kind, _, _ string) fake.Delivery {
-					f := fake.Reliable()
-					if kind == fake.KindState && w.Now < until {
-						if writes++; writes%m.share == 0 {
-							f.LoseResponse = true
-							f.RequestDelay += m.late
-						}
-					}
-					return f
-				}
-				var services []*fake.Job
-				for i := range 12 {
-					if i%3 == 0 {
-						services = append(services, w.Submit(service(i+1, 1), 0))
-					} else {
-						w.Submit(job(i+1, protocol.JobKind(i%2), 1+i%3), 4*time.Second)
-					}
-					w.Run(1700 * time.Millisecond)
-					w.PollAll()
-					if i == 8 {
-						w.CancelEverywhere(services[0])
-					}
-				}
-				if m.crashes {
-					crashLeader(w, 2*time.Second)
-				}
-				runAndPoll(w, 120*time.Second)
-				requireNoViolations(t, w)
-				requireAllServed(t, w)
-				if services[0].Status != protocol.StatusCancelled {
-					t.Errorf("status %q", services[0].Status)
-				}
-				if known, there := w.KnownMachines(), len(w.Cloud.MachineNames()); !m.crashes && known != there {
-					t.Errorf("%d machines known of %d", known, there)
-				}
+			for first := range 8 {
+				testWritesWithLostResponses(t, lossy, first)
 			}
 		})
 	}
 }
 
+// testWritesWithLostResponses varies with the first request that is counted.
+func testWritesWithLostResponses(t *testing.T, lossy lossyWrites, first int) {
+	t.Helper()
+	w := newWorld(t)
+	requests, until := first, w.Now+60*time.Second
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		delivery := fake.Reliable()
+		if kind == fake.KindState && w.Now < until {
+			requests++
+			if requests%lossy.oneOf == 0 {
+				delivery.LoseResponse = true
+				delivery.RequestDelay += lossy.late
+			}
+		}
+		return delivery
+	}
+	var services []*fake.Job
+	for i := range 12 {
+		if i%3 == 0 {
+			services = append(services, w.Submit(service(i+1, 1), 0))
+		} else {
+			w.Submit(job(i+1, protocol.JobKind(i%2), 1+i%3), 4*time.Second)
+		}
+		w.Run(1700 * time.Millisecond)
+		w.PollAll()
+		if i == 8 {
+			w.CancelEverywhere(services[0])
+		}
+	}
+	if lossy.crashes {
+		crashLeader(w, 2*time.Second)
+	}
+	runAndPoll(w, 120*time.Second)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
+	if services[0].Status != protocol.StatusCancelled {
+		t.Errorf("status %q", services[0].Status)
+	}
+	if known, there := w.KnownMachines(), len(w.Cloud.MachineNames()); !lossy.crashes && known != there {
+		t.Errorf("%d machines known of %d", known, there)
+	}
+}
+
 // A write is refused for a condition, and the page holds neither what it was nor
 // our own write: another leads. Nobody is told that what was asked is durable.
 func TestConflictingWriteOfAnotherLeader(t *testing.T) {
