--- a/internal/controller/helpers_takeover_test.go
+++ b/internal/controller/helpers_takeover_test.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"oakpick/internal/config"
-	"oakpick/internal/controller"
 	"oakpick/internal/fake"
 	"oakpick/internal/message"
 	"oakpick/internal/protocol"
@@ -17,27 +16,24 @@
 // answered at once, and gives how many entries it was given.
 func takeOver(t testing.TB, w *fake.World, cfg *config.Config) (entries int) {
 	t.Helper()
-	n := controller.New(cfg, "boot", 1)
-	now := message.Now{WallMs: 1_000_000}
-	var give func(command message.Event)
-	give = func(command message.Event) {
-		now.Monotonic += time.Millisecond
-		for _, effect := range n.Step(now, []message.Event{command}) {
-			if c, ok := effect.(message.StateCall); ok && n.Role() != "leader" {
-				r := w.State.Execute(c.StateCall)
-				entries += len(r.List.Entries)
-				give(message.StateResult{StateResult: r})
-			}
+	var c *steppedController
+	c = newSteppedController(cfg, func(effect message.Effect) message.Event {
+		call, ok := effect.(message.StateCall)
+		if !ok || c.leads() {
+			return nil
 		}
-	}
+		result := w.State.Execute(call.StateCall)
+		entries += len(result.List.Entries)
+		return message.StateResult{StateResult: result}
+	})
+	c.now.WallMs = 1_000_000
 	for range 10 {
-		if n.Role() != "leader" {
-			now.Monotonic += 500 * time.Millisecond
-			give(message.Tick{})
+		if !c.leads() {
+			c.tick(500 * time.Millisecond)
 		}
 	}
-	if n.Role() != "leader" {
-		t.Fatalf("is %s", n.Role())
+	if !c.leads() {
+		t.Fatalf("is %s", c.Role())
 	}
 	return entries
 }
--- a/internal/controller/hung_leader_test.go
+++ b/internal/controller/hung_leader_test.go
@@ -27,6 +27,8 @@
 	}
 }
 
+// testHungLeaderDuringRollingUpgrade has the leader hang for so long, resume at the end if told
+// to, and its writes and answers arrive so late.
 func testHungLeaderDuringRollingUpgrade(t *testing.T, hang, late time.Duration, resumes bool) {
 	t.Helper()
 	w := newProductionWorld(t)
@@ -42,16 +44,7 @@
 	w.Run(25 * time.Second)
 	old := w.Leader()
 	w.SeparateWrites = true
-	w.Network = func(kind, from, to string) fake.Delivery {
-		f := fake.Reliable()
-		if from == old.Name && old.RunsProduction && (kind == fake.KindWrite || kind == fake.KindCommands || kind == fake.KindForward) {
-			f.RequestDelay = late
-		}
-		if to == old.Name && kind == fake.KindForward {
-			f.ResponseDelay = late
-		}
-		return f
-	}
+	w.Network = delayOldLeader(old, late)
 	w.CancelEverywhere(cancelled)
 	for i := range 8 { // several transactions are on their way when it hangs
 		w.Submit(job(200+i, protocol.Array, 2), 2*time.Second)
@@ -61,20 +54,11 @@
 	if resumes {
 		old.PausedUntil = w.Now + hang - 500*time.Millisecond
 	}
-	held := 0
+	answered := 0
 	for range 5 { // requests that it holds
-		old.Request(message.UserRequest{Kind: message.Poll, Job: cancelled.Submission.ID}, func(message.Reply) { held++ })
-	}
-	for _, c := range w.Controllers {
-		if c != old {
-			w.Run(hang / 3)
-			upgrade(w, c, 400*time.Millisecond)
-		}
+		old.Request(message.UserRequest{Kind: message.Poll, Job: cancelled.Submission.ID}, func(message.Reply) { answered++ })
 	}
-	w.Run(hang)
-	old.PausedUntil = 0
-	upgrade(w, old, 500*time.Millisecond)
-	w.Run(time.Second)
+	upgradeAroundHungLeader(w, old, hang)
 	w.State.LowerLimits()
 	jobs := submitPipeline(t, w, 300)
 	w.CancelEverywhere(jobs[1])
@@ -86,7 +70,38 @@
 	if cancelled.Status != protocol.StatusCancelled {
 		t.Errorf("the job that the hanging leader was asked to cancel has status %q", cancelled.Status)
 	}
-	if resumes && held == 0 {
+	if resumes && answered == 0 {
 		t.Error("the hanging leader answered nothing when it resumed")
 	}
 }
+
+// delayOldLeader is a network on which a leader's writes, commands and forwarded requests arrive
+// late while it runs as the version in production, and its answers to forwarded ones always.
+func delayOldLeader(old *fake.Controller, late time.Duration) func(kind, from, to string) fake.Delivery {
+	return func(kind, from, to string) fake.Delivery {
+		delivery := fake.Reliable()
+		delayed := kind == fake.KindWrite || kind == fake.KindCommands || kind == fake.KindForward
+		if from == old.Name && old.RunsProduction && delayed {
+			delivery.RequestDelay = late
+		}
+		if to == old.Name && kind == fake.KindForward {
+			delivery.ResponseDelay = late
+		}
+		return delivery
+	}
+}
+
+// upgradeAroundHungLeader gives the others the new version while the leader hangs, and then the
+// leader.
+func upgradeAroundHungLeader(w *fake.World, old *fake.Controller, hang time.Duration) {
+	for _, c := range w.Controllers {
+		if c != old {
+			w.Run(hang / 3)
+			upgrade(w, c, 400*time.Millisecond)
+		}
+	}
+	w.Run(hang)
+	old.PausedUntil = 0
+	upgrade(w, old, 500*time.Millisecond)
+	w.Run(time.Second)
+}
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -27,68 +27,66 @@
 	requireNoViolations(t, w)
 }
 
+// heldStateService answers at once, but for reads of pages and renewals of leases, whose last
+// calls it holds.
+type heldStateService struct {
+	read, renewal message.StateCall
+	term          int64 // of the last write of the leader's key
+	pageWrites    int   // each of which is refused for a condition
+}
+
+func (s *heldStateService) respond(effect message.Effect) message.Event {
+	call, ok := effect.(message.StateCall)
+	if !ok {
+		return nil
+	}
+	result := storage.StateResult{ID: call.ID}
+	switch {
+	case call.Op == storage.StateGet && call.Key == controller.LeaderKey:
+		result.Outcome = rpc.NotFound
+	case call.Op == storage.StateGet:
+		s.read = call
+		return nil
+	case call.Op == storage.StateRenewLease:
+		s.renewal = call
+		return nil
+	case len(call.Txn.Then) > 0 && call.Txn.Then[0].Put == controller.LeaderKey:
+		s.term += 10
+		result.Revision = s.term
+	case len(call.Txn.Then) > 0:
+		s.pageWrites++
+		result.Outcome = rpc.Conflict
+	default:
+		result.Revision = 7
+	}
+	return message.StateResult{StateResult: result}
+}
+
 // A leader looks whether an earlier copy of its write landed, loses its lease
 // before the answer, and leads again. The answer, which was about the earlier
 // term's write, comes then: it says nothing about the new term.
 func TestResponseFromEarlierTermIsIgnored(t *testing.T) {
-	settings := fake.Settings()
-	n := controller.New(&config.Config{Node: "n0", Settings: settings}, "boot", 1)
-	var held, renewal message.StateCall
-	term, writes := int64(0), 0
-	now := message.Now{}
-	var give func(commands ...message.Event)
-	give = func(commands ...message.Event) {
-		now.Monotonic += time.Millisecond
-		for _, effect := range n.Step(now, commands) {
-			c, ok := effect.(message.StateCall)
-			if !ok {
-				continue
-			}
-			r := storage.StateResult{ID: c.ID}
-			switch {
-			case c.Op == storage.StateGet && c.Key == controller.LeaderKey:
-				r.Outcome = rpc.NotFound
-			case c.Op == storage.StateGet:
-				held = c
-				continue
-			case c.Op == storage.StateRenewLease:
-				renewal = c
-				continue
-			case len(c.Txn.Then) > 0 && c.Txn.Then[0].Put == controller.LeaderKey:
-				term += 10
-				r.Revision = term
-			case len(c.Txn.Then) > 0:
-				writes++
-				r.Outcome = rpc.Conflict
-			default:
-				r.Revision = 7
-			}
-			give(message.StateResult{StateResult: r})
-		}
-	}
-	leads := func() bool { return n.Role() == "leader" }
-	tick := func() {
-		now.Monotonic += 500 * time.Millisecond
-		give(message.Tick{})
-	}
-	tick()
-	if !leads() {
+	state := &heldStateService{}
+	c := newSteppedController(&config.Config{Node: "n0", Settings: fake.Settings()}, state.respond)
+	c.tick(500 * time.Millisecond)
+	if !c.leads() {
 		t.Fatal("does not lead")
 	}
-	give(message.AdminRequest{ID: 1, Kind: message.AdminChange, Body: []byte(`{"sample": 7}`)})
-	if writes != 1 || held.ID == 0 {
-		t.Fatalf("%d writes, %+v examined", writes, held)
+	c.deliver(message.AdminRequest{ID: 1, Kind: message.AdminChange, Body: []byte(`{"sample": 7}`)})
+	if state.pageWrites != 1 || state.read.ID == 0 {
+		t.Fatalf("%d writes, %+v read", state.pageWrites, state.read)
 	}
-	give(message.StateResult{StateResult: storage.StateResult{ID: renewal.ID, Outcome: rpc.NotFound}})
-	if leads() {
+	c.deliver(message.StateResult{StateResult: storage.StateResult{ID: state.renewal.ID, Outcome: rpc.NotFound}})
+	if c.leads() {
 		t.Fatal("leads without a lease")
 	}
-	tick()
-	if !leads() || term != 20 {
-		t.Fatalf("does not lead again, term %d", term)
+	c.tick(500 * time.Millisecond)
+	if !c.leads() || state.term != 20 {
+		t.Fatalf("does not lead again, term %d", state.term)
 	}
-	give(message.StateResult{StateResult: storage.StateResult{ID: held.ID, Entry: protocol.Entry{Key: held.Key, Version: 3}}})
-	if !leads() {
+	late := protocol.Entry{Key: state.read.Key, Version: 3}
+	c.deliver(message.StateResult{StateResult: storage.StateResult{ID: state.read.ID, Entry: late}})
+	if !c.leads() {
 		t.Error("the late answer ended the new term")
 	}
 }
--- a/internal/controller/write_responses_test.go
+++ b/internal/controller/write_responses_test.go
@@ -193,54 +193,61 @@
 	}
 }
 
+// conflictingStateService refuses every write of a page for a condition, and says that another
+// leader has written the page.
+type conflictingStateService struct {
+	refused int
+	replies []message.Reply // of the controller to its users
+}
+
+func (s *conflictingStateService) respond(effect message.Effect) message.Event {
+	switch call := effect.(type) {
+	case message.Reply:
+		s.replies = append(s.replies, call)
+	case message.CloudCall:
+		if call.Op == message.CloudListTypes {
+			return message.CloudResult{ID: call.ID, Types: fake.Types()}
+		}
+	case message.StateCall:
+		return message.StateResult{StateResult: s.execute(call)}
+	}
+	return nil
+}
+
+func (s *conflictingStateService) execute(call message.StateCall) storage.StateResult {
+	result := storage.StateResult{ID: call.ID, Revision: 7}
+	switch {
+	case call.Op == storage.StateGet && call.Key == controller.LeaderKey:
+		result.Outcome = rpc.NotFound
+	case call.Op == storage.StateGet:
+		another := protocol.Encode(storage.PageValue{WriteID: "another-1"})
+		result.Entry = protocol.Entry{Key: call.Key, Version: 9, Value: another}
+	case call.Op == storage.StateTxn && len(call.Txn.Then) > 0 && call.Txn.Then[0].Put != controller.LeaderKey:
+		result.Outcome = rpc.Conflict
+		s.refused++
+	}
+	return result
+}
+
 // A write is refused for a condition, and the page holds neither what it was nor
 // our own write: another leads. Nobody is told that what was asked is durable.
 func TestConflictingWriteOfAnotherLeader(t *testing.T) {
-	n := controller.New(&config.Config{Node: "n0", Settings: fake.Settings()}, "boot", 1)
-	now := message.Now{}
-	var replies []message.Reply
-	refused := 0
-	var give func(commands ...message.Event)
-	give = func(commands ...message.Event) {
-		now.Monotonic += time.Millisecond
-		for _, effect := range n.Step(now, commands) {
-			switch c := effect.(type) {
-			case message.Reply:
-				replies = append(replies, c)
-			case message.CloudCall:
-				if c.Op == message.CloudListTypes {
-					give(message.CloudResult{ID: c.ID, Types: fake.Types()})
-				}
-			case message.StateCall:
-				r := storage.StateResult{ID: c.ID, Revision: 7}
-				switch {
-				case c.Op == storage.StateGet && c.Key == controller.LeaderKey:
-					r.Outcome = rpc.NotFound
-				case c.Op == storage.StateGet:
-					r.Entry = protocol.Entry{Key: c.Key, Version: 9, Value: protocol.Encode(storage.PageValue{WriteID: "another-1"})}
-				case c.Op == storage.StateTxn && len(c.Txn.Then) > 0 && c.Txn.Then[0].Put != controller.LeaderKey:
-					r.Outcome = rpc.Conflict
-					refused++
-				}
-				give(message.StateResult{StateResult: r})
-			}
-		}
-	}
+	state := &conflictingStateService{}
+	c := newSteppedController(&config.Config{Node: "n0", Settings: fake.Settings()}, state.respond)
 	for range 4 {
-		now.Monotonic += 400 * time.Millisecond
-		give(message.Tick{})
+		c.tick(400 * time.Millisecond)
 	}
-	if n.Role() != "leader" {
-		t.Fatalf("is %s", n.Role())
+	if !c.leads() {
+		t.Fatalf("is %s", c.Role())
 	}
 	s := service(1, 1)
-	give(message.UserRequest{ID: 1, Kind: message.Submit, Job: s.ID, Submission: &s})
-	if refused == 0 || n.Role() == "leader" {
-		t.Errorf("%d writes refused, and is %s", refused, n.Role())
+	c.deliver(message.UserRequest{ID: 1, Kind: message.Submit, Job: s.ID, Submission: &s})
+	if state.refused == 0 || c.leads() {
+		t.Errorf("%d writes refused, and is %s", state.refused, c.Role())
 	}
-	for _, r := range replies {
+	for _, r := range state.replies {
 		if r.Status < 400 {
-			t.Errorf("told %d", r.Status)
+			t.Errorf("status %d", r.Status)
 		}
 	}
 }
