--- a/internal/controller/archive_moves_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -23,6 +23,8 @@
 	}
 }
 
+// testLeaderCrashDuringArchiveMove lets so many writes of the move pass, has the
+// others meet the fault, and crashes the leader.
 func testLeaderCrashDuringArchiveMove(t *testing.T, fault string, after int) {
 	t.Helper()
 	w := newWorldWith(t, smallMemorySettings())
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -74,6 +74,8 @@
 	next  int
 }
 
+// newPeakLoad makes a fleet at its peak, with so many tasks running and so many starts a
+// second.
 func newPeakLoad(t testing.TB, machines, running int, starts float64) *peakLoad {
 	t.Helper()
 	w, n := newFleet(t, machines)
--- a/internal/controller/best_effort_test.go
+++ b/internal/controller/best_effort_test.go
@@ -18,6 +18,7 @@
 	return newWorldWith(t, s)
 }
 
+// bestEffortJob is a submission of the team that has no guarantee.
 func bestEffortJob(id int, kind protocol.JobKind, tasks int) protocol.Submission {
 	s := job(id, kind, tasks)
 	s.Team, s.Priority, s.Spot = "guests", protocol.Low, true
--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -185,6 +185,7 @@
 	w.Run(30 * time.Second)
 }
 
+// countConfirmed counts a job once its user was told that it is cancelled.
 func (r *failover) countConfirmed(j *fake.Job) {
 	if !j.Cancelled || r.counted[j] {
 		return
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -30,6 +30,8 @@
 	}
 }
 
+// testNoStartBeforeJobIsDurable has the first write of the job and one of its machines meet
+// faults, and crashes the leader in between.
 func testNoStartBeforeJobIsDurable(t *testing.T, kind protocol.JobKind, write, machine string, cancel bool) {
 	t.Helper()
 	w := newWorldWith(t, onePagePerTransaction())
--- a/internal/controller/helpers_formats_test.go
+++ b/internal/controller/helpers_formats_test.go
@@ -51,6 +51,7 @@
 // pagesOf are the pages that a world's state service holds.
 func pagesOf(w *fake.World) map[string][]byte { return onlyPages(w.State.Values()) }
 
+// onlyPages removes what is not a page.
 func onlyPages(values map[string][]byte) map[string][]byte {
 	maps.DeleteFunc(values, func(key string, _ []byte) bool { return !strings.HasPrefix(key, storage.PagePrefix) })
 	return values
--- a/internal/controller/helpers_upgrade_test.go
+++ b/internal/controller/helpers_upgrade_test.go
@@ -26,6 +26,7 @@
 	return w
 }
 
+// nextLimits are limits of the state service that are to come.
 func nextLimits(valueKB float64, txnOps int, writeRPS float64) *config.StateNext {
 	return &config.StateNext{ValueKB: &valueKB, TxnOps: &txnOps, WriteRPS: &writeRPS}
 }
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -35,6 +35,7 @@
 	pageWrites    int   // each of which is refused for a condition
 }
 
+// respond answers the calls that it doesn't hold.
 func (s *heldStateService) respond(effect message.Effect) message.Event {
 	call, ok := effect.(message.StateCall)
 	if !ok {
--- a/internal/controller/many_prerequisites_test.go
+++ b/internal/controller/many_prerequisites_test.go
@@ -93,6 +93,8 @@
 	requireNoViolations(t, w)
 }
 
+// testManyPrerequisites loses two writes after so many of the acceptance, crashes the leader
+// and cancels a prerequisite, if told to.
 func testManyPrerequisites(t *testing.T, writes int, cancelled string) {
 	t.Helper()
 	w, last, held := newWorldWithManyPrerequisites(t)
--- a/internal/controller/model_actions_test.go
+++ b/internal/controller/model_actions_test.go
@@ -54,22 +54,26 @@
 	{"lower limits", (*drawnWorld).lowerLimits},
 }
 
+// drawAction draws the next action.
 func drawAction(t *rapid.T) action { return rapid.SampledFrom(actions).Draw(t, "action") }
 
 // What users do.
 
+// cancel has a job cancelled by its user.
 func (d *drawnWorld) cancel() {
 	if j := d.job(); j != nil && !j.CancelRequested && j.Accepted {
 		d.world.CancelJob(j)
 	}
 }
 
+// resubmit has an accepted job submitted once more.
 func (d *drawnWorld) resubmit() {
 	if j := d.job(); j != nil && j.Accepted {
 		d.world.Resubmit(j)
 	}
 }
 
+// queryRapidly has every job queried at every controller, milliseconds apart.
 func (d *drawnWorld) queryRapidly() {
 	for range 5 {
 		for i := range d.jobs {
@@ -100,6 +104,7 @@
 	}
 }
 
+// lowerLimits lowers the limits of the state service once every controller has the new version.
 func (d *drawnWorld) lowerLimits() {
 	if d.upgraded() {
 		d.world.State.LowerLimits()
@@ -108,20 +113,24 @@
 
 // Faults of controllers.
 
+// crash crashes a controller for a time.
 func (d *drawnWorld) crash(c *fake.Controller) {
 	if c.Up {
 		crashFor(d.world, c, d.millis("for", 0, 8000))
 	}
 }
 
+// crashOne crashes some controller.
 func (d *drawnWorld) crashOne() { d.crash(d.controller()) }
 
+// crashAll crashes every controller.
 func (d *drawnWorld) crashAll() {
 	for _, c := range d.world.Controllers {
 		d.crash(c)
 	}
 }
 
+// pauseController leaves a controller without processor time.
 func (d *drawnWorld) pauseController() {
 	c := d.controller()
 	c.PausedUntil = d.world.Now + d.millis("for", 100, 6000)
@@ -164,27 +173,32 @@
 
 // Faults of the services.
 
+// stateOutage has the state service refuse everybody.
 func (d *drawnWorld) stateOutage() {
 	d.world.State.SetOutage(true)
 	d.world.After(d.seconds("for", 1, 40), func() { d.world.State.SetOutage(false) })
 }
 
+// stateUnreachable has the state service refuse one controller.
 func (d *drawnWorld) stateUnreachable() {
 	c := d.controller()
 	d.world.State.Unreachable[c.Name] = true
 	d.world.After(d.seconds("for", 1, 40), func() { d.world.State.Unreachable[c.Name] = false })
 }
 
+// slowState delays the responses of the state service.
 func (d *drawnWorld) slowState() {
 	d.network.stateLatency = d.millis("by", 50, 900)
 	d.world.After(d.seconds("for", 1, 20), func() { d.network.stateLatency = 0 })
 }
 
+// cloudOutage has the cloud refuse everything.
 func (d *drawnWorld) cloudOutage() {
 	d.world.Cloud.Down = true
 	d.world.After(d.seconds("for", 1, 30), func() { d.world.Cloud.Down = false })
 }
 
+// disturbNetwork draws how many messages are lost, late and duplicated from now on.
 func (d *drawnWorld) disturbNetwork() {
 	d.network.loss = d.between("loss", 0, 20)
 	d.network.late = d.between("late", 0, 10)
@@ -193,6 +207,7 @@
 
 // Faults of machines.
 
+// partitionMachine cuts a machine off from every controller.
 func (d *drawnWorld) partitionMachine() {
 	_, machine := d.worker()
 	var controllers []string
@@ -203,12 +218,14 @@
 	d.world.After(d.seconds("for", 1, 40), func() { d.network.heal(machine, controllers...) })
 }
 
+// loseResponsesToMachine keeps responses and commands from a machine.
 func (d *drawnWorld) loseResponsesToMachine() {
 	_, machine := d.worker()
 	d.network.unanswered[machine] = true
 	d.world.After(d.seconds("for", 1, 40), func() { delete(d.network.unanswered, machine) })
 }
 
+// loseHeartbeats loses the heartbeats of a machine.
 func (d *drawnWorld) loseHeartbeats() {
 	_, machine := d.worker()
 	d.network.noHeartbeats[machine] = true
@@ -226,23 +243,27 @@
 	}
 }
 
+// hangWorker has a worker hang, while its lease goes on.
 func (d *drawnWorld) hangWorker() {
 	if worker, _ := d.worker(); worker != nil {
 		worker.HangUntil = d.world.Now + d.seconds("for", 1, 30)
 	}
 }
 
+// interruptMachine has the cloud announce that it takes a machine.
 func (d *drawnWorld) interruptMachine() {
 	_, machine := d.worker()
 	d.world.AnnounceInterruption(machine, d.seconds("in", 1, 15))
 }
 
+// failMachine ends a machine.
 func (d *drawnWorld) failMachine() {
 	if _, machine := d.worker(); machine != "" {
 		d.world.Cloud.Fail(machine)
 	}
 }
 
+// failTasks has a machine fail every task for a time.
 func (d *drawnWorld) failTasks() {
 	if worker, _ := d.worker(); worker != nil {
 		worker.FailsTasks = true
--- a/internal/controller/model_network_test.go
+++ b/internal/controller/model_network_test.go
@@ -24,6 +24,7 @@
 	stateLatency           time.Duration // of responses of the state service
 }
 
+// newDrawnNetwork makes a network without faults.
 func newDrawnNetwork(t *rapid.T) *drawnNetwork {
 	return &drawnNetwork{
 		t: t, blocked: map[link]bool{}, unanswered: map[string]bool{}, noHeartbeats: map[string]bool{},
@@ -91,6 +92,7 @@
 	return share > 0 && rapid.IntRange(0, 99).Draw(n.t, label) < share
 }
 
+// seconds draws a delay.
 func (n *drawnNetwork) seconds(label string) time.Duration {
 	return time.Duration(rapid.IntRange(1, 40).Draw(n.t, label)) * time.Second
 }
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -134,6 +134,7 @@
 	j.AlwaysFails = d.between("always fails", 0, 19) == 0
 }
 
+// submission draws a submission.
 func (d *drawnWorld) submission() protocol.Submission {
 	kind := protocol.JobKind(d.between("kind", 0, 2))
 	s := job(d.jobs, kind, d.between("tasks", 1, 4))
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -77,6 +77,7 @@
 	requireNoViolations(t, w)
 }
 
+// containsStart tells whether a start is among commands.
 func containsStart(c message.CommandsCall) bool {
 	return slices.ContainsFunc(c.Commands, func(c protocol.Command) bool { return c.Verb == protocol.Start })
 }
@@ -103,6 +104,8 @@
 	}
 }
 
+// testLeaderPausedBeforeEffect pauses the leader before an effect of the kind, after so many that
+// pass.
 func testLeaderPausedBeforeEffect(t *testing.T, is func(message.Effect) bool, skip int, stall time.Duration) {
 	t.Helper()
 	w := newWorld(t)
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -28,6 +28,7 @@
 	}
 }
 
+// submit submits the next job.
 func (l *submissionLoad) submit() {
 	l.id++
 	w := l.world
--- a/internal/controller/write_responses_test.go
+++ b/internal/controller/write_responses_test.go
@@ -59,6 +59,7 @@
 	t.Run("slow", testSubmissionToSlowStateService)
 }
 
+// testSubmissionInOutage submits as an outage begins, in it and after it.
 func testSubmissionInOutage(t *testing.T) {
 	t.Helper()
 	w := newWorld(t)
@@ -79,6 +80,7 @@
 	}
 }
 
+// testSubmissionBehindLongQueue submits more at once than the write rate lets through.
 func testSubmissionBehindLongQueue(t *testing.T) {
 	t.Helper()
 	w := newWorld(t)
@@ -105,6 +107,7 @@
 	}
 }
 
+// testSubmissionToSlowStateService submits while writes take long.
 func testSubmissionToSlowStateService(t *testing.T) {
 	t.Helper()
 	w := newWorld(t)
@@ -200,6 +203,7 @@
 	replies []message.Reply // of the controller to its users
 }
 
+// respond answers an effect at once.
 func (s *conflictingStateService) respond(effect message.Effect) message.Event {
 	switch call := effect.(type) {
 	case message.Reply:
@@ -214,6 +218,7 @@
 	return nil
 }
 
+// execute answers a call to the state service.
 func (s *conflictingStateService) execute(call message.StateCall) storage.StateResult {
 	result := storage.StateResult{ID: call.ID, Revision: 7}
 	switch {
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -89,7 +89,7 @@
 // scaleOut executes a provisioning request. A repeated one gets the machines of the first.
 func (c *Cloud) scaleOut(request protocol.ProvisioningRequest) ([]string, rpc.Outcome) {
 	if request.Count < 1 || request.Count > maxScaleOut {
-		c.world.Violation("cloud", "a rental of %d", request.Count)
+		c.world.Violation(ruleCloud, "%d machines requested at once", request.Count)
 	}
 	if names, ok := c.provisioned[request.RequestID]; ok {
 		return names, rpc.OK
@@ -103,7 +103,7 @@
 	}
 	var names []string
 	for range count {
-		names = append(names, c.Add(request.Type, request.Zone, request.Spot).Name)
+		names = append(names, c.add(request.Type, request.Zone, request.Spot))
 	}
 	c.provisioned[request.RequestID] = names
 	return names, rpc.OK
@@ -125,15 +125,15 @@
 
 func (c *Cloud) scaleIn(names []string) {
 	if len(names) > maxScaleIn {
-		c.world.Violation("cloud", "%d machines returned at once", len(names))
+		c.world.Violation(ruleCloud, "%d machines returned at once", len(names))
 	}
 	for _, name := range names {
 		c.Reclaim(name)
 	}
 }
 
-// Add makes a machine, which boots and starts to send heartbeats.
-func (c *Cloud) Add(machineType, zone string, spot bool) *machine {
+// add makes a machine, which boots and starts to send heartbeats, and gives its name.
+func (c *Cloud) add(machineType, zone string, spot bool) string {
 	c.lastNumber++
 	addr := fmt.Sprintf("10.1.0.%d:9000", c.lastNumber)
 	if c.Address != nil {
@@ -146,7 +146,7 @@
 	c.machines = append(c.machines, m)
 	if c.FailNextBoots > 0 {
 		c.FailNextBoots--
-		return m
+		return m.Name
 	}
 	i := slices.IndexFunc(c.types, func(t protocol.MachineType) bool { return t.Name == machineType })
 	c.world.After(seconds(c.types[i].BootS)+c.BootDelay, func() {
@@ -155,7 +155,7 @@
 			c.world.addWorker(m, c.types[i])
 		}
 	})
-	return m
+	return m.Name
 }
 
 // Reclaim takes a machine and all that is on it.
--- a/internal/fake/peers.go
+++ b/internal/fake/peers.go
@@ -28,7 +28,7 @@
 	w := c.world
 	pending, ok := c.pending[e.ID]
 	if !ok {
-		w.Violation("forward", "%s hands on what is no request", c.Name)
+		w.Violation(ruleForward, "%s hands on what is no request", c.Name)
 		return
 	}
 	delete(c.pending, e.ID)
@@ -57,7 +57,7 @@
 	})
 }
 
-// redirectForwarded has requests that are with a former leader decided anew, which forwards
+// redirectForwarded has requests that are with a former leader handled again, which forwards
 // them to the present one.
 func (c *Controller) redirectForwarded() {
 	if !c.Up {
--- a/internal/fake/violations.go
+++ b/internal/fake/violations.go
@@ -5,6 +5,28 @@
 	"slices"
 )
 
+// The rules that a World checks, as a violation names them.
+const (
+	ruleState            = "state"             // requests to the state service are within its limits
+	ruleCloud            = "cloud"             // requests to the cloud are within its limits
+	ruleWorker           = "worker"            // what workers are sent can be read
+	ruleForward          = "forward"           // only requests are forwarded
+	ruleAnswer           = "answer"            // what users are answered can be read and is of their job
+	ruleTerm             = "term"              // one controller leads at a time
+	ruleQuota            = "quota"             // teams stay within their limits
+	ruleRanTwice         = "ran_twice"         // a task is on one machine at a time
+	ruleWrongPlace       = "wrong_place"       // machine types, zones and capacity types are as submitted
+	ruleTooEarly         = "too_early"         // nothing starts before its prerequisites are done
+	ruleStartedCancelled = "started_cancelled" // nothing is started once its user was told that it is cancelled
+	ruleRanCancelled     = "ran_cancelled"     // and nothing of it is on a machine cancel_s later
+	ruleOrphaned         = "orphaned"          // what needs a cancelled job is cancelled, too
+	ruleNotDone          = "not_done"          // a job that is called done has run to its end
+	ruleWentBack         = "went_back"         // statuses only move forward
+	ruleForgotten        = "forgotten"         // an accepted job stays known
+	ruleInvented         = "invented"          // a job that nobody submitted is unknown
+	ruleAccepted         = "accepted"          // a job that can't run isn't accepted
+)
+
 // maxViolations is how many violations are kept.
 const maxViolations = 20
 
@@ -32,17 +54,17 @@
 	job := a.job
 	for other := range job.attemptsOnMachines {
 		if other != a && other.Task == a.Task {
-			w.Violation("ran_twice", "%s/%d on %s while on %s", a.Job, a.Task, worker.machine.Name, other.worker.machine.Name)
+			w.Violation(ruleRanTwice, "%s/%d on %s while on %s", a.Job, a.Task, worker.machine.Name, other.worker.machine.Name)
 		}
 	}
 	w.checkPlacement(worker, a)
 	if job.Cancelled && w.Now > job.CancelledAt+w.cancelWithin() {
-		w.Violation("ran_cancelled", "%s/%d started", a.Job, a.Task)
+		w.Violation(ruleRanCancelled, "%s/%d started", a.Job, a.Task)
 	}
 	job.Started = true
 	for _, p := range w.prerequisites(job) {
 		if len(p.DoneTasks) < p.Submission.Tasks {
-			w.Violation("too_early", "%s/%d started, and %s is not done", a.Job, a.Task, p.Submission.ID)
+			w.Violation(ruleTooEarly, "%s/%d started, and %s is not done", a.Job, a.Task, p.Submission.ID)
 		}
 	}
 }
@@ -61,7 +83,7 @@
 		s.OneZone && len(tasksByZone) > 1 ||
 		s.Spread && tasksByZone[m.Zone] > (s.Tasks+1)/2
 	if wrongType || wrongZone {
-		w.Violation("wrong_place", "%s/%d on %s (%s, %s, spot %v), zones %v", a.Job, a.Task, m.Name, m.Type, m.Zone, m.Spot, tasksByZone)
+		w.Violation(ruleWrongPlace, "%s/%d on %s (%s, %s, spot %v), zones %v", a.Job, a.Task, m.Name, m.Type, m.Zone, m.Spot, tasksByZone)
 	}
 }
 
@@ -76,7 +98,7 @@
 		}
 	}
 	if leaders > 1 {
-		w.Violation("term", "%d nodes are certain to lead", leaders)
+		w.Violation(ruleTerm, "%d controllers are certain to lead", leaders)
 	}
 }
 
@@ -84,7 +106,7 @@
 	for _, team := range w.Cfg.Settings.Teams {
 		used := w.usageByTeam[team.Name]
 		if team.CPULimit > 0 && used.cpus > team.CPULimit+tolerance || team.GPULimit > 0 && used.gpus > team.GPULimit+tolerance {
-			w.Violation("quota", "%s uses %v", team.Name, used)
+			w.Violation(ruleQuota, "%s uses %v", team.Name, used)
 		}
 	}
 }
@@ -96,7 +118,7 @@
 			return false
 		}
 		for a := range j.attemptsOnMachines {
-			w.Violation("ran_cancelled", "%s/%d is still on a machine", a.Job, a.Task)
+			w.Violation(ruleRanCancelled, "%s/%d is still on a machine", a.Job, a.Task)
 		}
 		return len(j.attemptsOnMachines) == 0 // what starts from now on is found by checkStart
 	})
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -20,12 +20,16 @@
 	// Now is how much time has passed.
 	Now time.Duration
 	// Cfg is what controllers are started with, apart from their names.
-	Cfg         *config.Config
-	State       *State
-	Cloud       *Cloud
+	Cfg *config.Config
+	// State is the state service, Cloud the cloud.
+	State *State
+	Cloud *Cloud
+	// Controllers are in the order of their Index.
 	Controllers []*Controller
-	Workers     map[string]*Worker // by machine
-	Jobs        map[string]*Job    // by ID
+	// Workers has those of every machine that came up, by the machine's name.
+	Workers map[string]*Worker
+	// Jobs has those that users submitted, by ID.
+	Jobs map[string]*Job
 	// Violations lists the rules that were broken.
 	Violations []string
 	// Log has the controllers' log lines, and what users were answered.
@@ -41,15 +45,15 @@
 	// has read it and written it back.
 	RewriteAsProduction func(key string, value []byte) []byte
 
-	// OnHeartbeat is told of every heartbeat that a worker sends, so that a test can
+	// OnHeartbeat is called with every heartbeat that a worker sends, so that a test can
 	// keep copies and hand them in later.
 	OnHeartbeat func(heartbeat protocol.Heartbeat)
-	// OnEffect is told of every effect of a controller, before it is performed.
+	// OnEffect is called with every effect of a controller, before it is performed.
 	OnEffect func(controller string, effect message.Effect)
-	// OnStart is told of every start that a worker executes, OnTaskPresent of every task
+	// OnStart is called with every start that a worker executes, OnTaskPresent of every task
 	// that has its image.
 	OnStart, OnTaskPresent func(j *Job, task int)
-	// OnBoot is told of every machine that comes up.
+	// OnBoot is called with every machine that comes up.
 	OnBoot func(m protocol.Machine)
 
 	// TasksLostToLeaseExpiry counts tasks that workers ended because their lease had
