--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -14,7 +14,7 @@
 func TestAdminSettingsAreValidatedAndDurable(t *testing.T) {
 	w := newWorld(t)
 	w.Run(2 * time.Second)
-	for body, want := range map[string]string{
+	for body, wantNamed := range map[string]string{
 		`{"sample": 0}`:          "sample",
 		`{"idle_s": "long"}`:     "idle_s",
 		`{"write_share": 2}`:     "write_share",
@@ -23,9 +23,12 @@
 		`[1]`:                    "",
 		`{"takeover_wait_s": []`: "",
 	} {
-		if status, answer := adminRequest(w, 0, message.AdminChange, body); status != 400 || !strings.Contains(answer, want) {
-			t.Errorf("%s: %d %s", body, status, answer)
-		}
+		t.Run(body, func(t *testing.T) {
+			status, answer := adminRequest(w, 0, message.AdminChange, body)
+			if status != 400 || !strings.Contains(answer, wantNamed) {
+				t.Errorf("%d %s", status, answer)
+			}
+		})
 	}
 	if status, answer := adminRequest(w, 1, message.AdminChange, `{"sample": 7, "warm_room": 0.5}`); status != 200 {
 		t.Fatalf("through a follower: %d %s", status, answer)
@@ -33,13 +36,13 @@
 	crashAll(w)
 	startAll(w)
 	w.Run(6 * time.Second)
-	for n := range w.Controllers {
-		status, answer := adminRequest(w, n, message.AdminRead, "")
+	for i, c := range w.Controllers {
+		status, answer := adminRequest(w, i, message.AdminRead, "")
 		if status != 200 || !strings.Contains(answer, `"sample": 7`) || !strings.Contains(answer, `"warm_room": 0.5`) {
-			t.Errorf("node %d: %d %s", n, status, answer)
+			t.Errorf("%s: %d %s", c.Name, status, answer)
 		}
-		if status, answer = adminRequest(w, n, message.AdminStatus, ""); status != 200 || !strings.Contains(answer, fmt.Sprintf(`"node": "n%d"`, n)) {
-			t.Errorf("status of node %d: %d %s", n, status, answer)
+		if status, answer = adminRequest(w, i, message.AdminStatus, ""); status != 200 || !strings.Contains(answer, fmt.Sprintf(`"node": "n%d"`, i)) {
+			t.Errorf("status of %s: %d %s", c.Name, status, answer)
 		}
 	}
 }
--- a/internal/controller/block_length_test.go
+++ b/internal/controller/block_length_test.go
@@ -85,7 +85,7 @@
 // several blocks that this version accepted is carried on by the length that it recorded.
 func TestMultiBlockJobSurvivesValueSizeChange(t *testing.T) {
 	for _, sizes := range [][2]float64{{4, 1}, {1, 4}} {
-		t.Run(fmt.Sprint(sizes), func(t *testing.T) {
+		t.Run(fmt.Sprintf("from %v to %v KiB", sizes[0], sizes[1]), func(t *testing.T) {
 			s := fake.Settings()
 			s.State.ValueKB = sizes[0]
 			w := newWorldWith(t, s)
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -12,7 +12,7 @@
 // one times the other, and not at all for what concerns one job or machine.
 func TestCostGrowsWithChange(t *testing.T) {
 	for _, machines := range []int{100, 400} {
-		t.Run(fmt.Sprint(machines), func(t *testing.T) {
+		t.Run(fmt.Sprint(machines, " machines"), func(t *testing.T) {
 			w, leader := newFleet(t, machines)
 			measure := func(action func()) (examined, jobs int64) {
 				before := leader.Stats()
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -43,7 +43,7 @@
 func TestUnconfirmedStartIsFencedBeforeRetry(t *testing.T) {
 	for at := range 40 {
 		late := []time.Duration{2500, 2900, 3300, 30_000}[at%4]
-		t.Run(fmt.Sprint(late*time.Millisecond, " ", at), func(t *testing.T) {
+		t.Run(fmt.Sprintf("start %v late, step %d", late*time.Millisecond, at), func(t *testing.T) {
 			w := newWorld(t)
 			provisionIdleMachines(t, w)
 			w.Run(time.Duration(at) * 50 * time.Millisecond)
--- a/internal/controller/five_controllers_test.go
+++ b/internal/controller/five_controllers_test.go
@@ -1,6 +1,7 @@
 package controller_test
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -70,7 +71,7 @@
 		"leader elsewhere": {"n1": "a", "n2": "b", "n3": "b"},
 	} {
 		for _, crash := range []bool{false, true} {
-			t.Run(name, func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, crashes %t", name, crash), func(t *testing.T) {
 				t.Parallel()
 				w := newWorldWith(t, fiveControllerSettings())
 				provisionIdleMachines(t, w)
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -15,48 +15,56 @@
 // What earlier versions wrote is read, and written back to the byte: a renamed field, a
 // changed order or a lost record would show.
 func TestEarlierFormatsRoundTripByteForByte(t *testing.T) {
-	for _, c := range []struct {
-		file  string
-		kinds []string
-		none  []string
+	for _, test := range []struct {
+		file   string
+		has    []string // kinds of records
+		hasNot []string
 	}{
 		{productionFile, []string{"jobs", "blocks", "finals", "rentals", "options"}, []string{"extensions"}},
 		{pipelinesFile, []string{"jobs", "blocks", "finals", "rentals", "options", "extensions"}, nil},
 		{dividingFile, []string{"jobs", "blocks"}, nil},
 	} {
-		kinds := map[string]int{}
-		for key, value := range goldenValues(t, c.file) {
-			var again []byte
-			switch {
-			case key == "peer/step-down":
-				again = roundTrip[protocol.StepDown](value)
-			case key == "peer/step-down-answer":
-				again = roundTrip[protocol.StepDownResponse](value)
-			case strings.HasPrefix(key, storage.PagePrefix):
-				again = roundTrip[storage.PageValue](value)
-				for kind, n := range recordKinds(t, value) {
-					kinds[kind] += n
+		t.Run(test.file, func(t *testing.T) {
+			records := map[string]int{}
+			for key, value := range goldenValues(t, test.file) {
+				if again := roundTripStored(t, key, value); !bytes.Equal(again, value) {
+					t.Errorf("%s: %x was written, %x is written back", key, value, again)
+				}
+				if strings.HasPrefix(key, storage.PagePrefix) {
+					for kind, n := range recordKinds(t, value) {
+						records[kind] += n
+					}
 				}
-			case key == controller.LeaderKey:
-				again = roundTrip[productionLeader](value)
-			default:
-				t.Errorf("%s: an unknown key %s", c.file, key)
-			}
-			if !bytes.Equal(again, value) {
-				t.Errorf("%s: %s: %x was written, %x is written back", c.file, key, value, again)
 			}
-		}
-		for _, kind := range c.kinds {
-			if kinds[kind] == 0 {
-				t.Errorf("%s has no %s", c.file, kind)
+			for _, kind := range test.has {
+				if records[kind] == 0 {
+					t.Errorf("there are no %s", kind)
+				}
 			}
-		}
-		for _, kind := range c.none {
-			if kinds[kind] > 0 {
-				t.Errorf("%s has %s", c.file, kind)
+			for _, kind := range test.hasNot {
+				if records[kind] > 0 {
+					t.Errorf("there are %s", kind)
+				}
 			}
-		}
+		})
+	}
+}
+
+// roundTripStored is what this version writes back of a stored value or a message.
+func roundTripStored(t *testing.T, key string, value []byte) []byte {
+	t.Helper()
+	switch {
+	case key == "peer/step-down":
+		return roundTrip[protocol.StepDown](value)
+	case key == "peer/step-down-answer":
+		return roundTrip[protocol.StepDownResponse](value)
+	case strings.HasPrefix(key, storage.PagePrefix):
+		return roundTrip[storage.PageValue](value)
+	case key == controller.LeaderKey:
+		return roundTrip[productionLeader](value)
 	}
+	t.Errorf("an unknown key %s", key)
+	return nil
 }
 
 // A leader of this version takes over the pages of an earlier one, also from the middle
--- a/internal/controller/grace_period_test.go
+++ b/internal/controller/grace_period_test.go
@@ -18,13 +18,19 @@
 // is lost however long it takes; but a peer whose process has begun since then
 // can't know.
 func TestStateOutageAroundHeartbeatGracePeriod(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
+		name  string
 		down  time.Duration
 		fault string
 		kept  bool
-	}{{12 * time.Second, "peer partitioned", true}, {20 * time.Second, "peer partitioned", true}, {45 * time.Second, "peer partitioned", false},
-		{90 * time.Second, "", true}, {45 * time.Second, "peer restarts", false}} {
-		t.Run(x.down.String()+x.fault, func(t *testing.T) {
+	}{
+		{"12 s, peer partitioned", 12 * time.Second, "peer partitioned", true},
+		{"20 s, peer partitioned", 20 * time.Second, "peer partitioned", true},
+		{"45 s, peer partitioned", 45 * time.Second, "peer partitioned", false},
+		{"90 s, all peers answer", 90 * time.Second, "", true},
+		{"45 s, peer restarts", 45 * time.Second, "peer restarts", false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
 			w := newWorld(t)
 			j := w.Submit(service(1, 2), 0)
 			waitRunning(t, w, j.Submission.ID, 2)
@@ -33,17 +39,17 @@
 			w.State.SetOutage(true)
 			w.Network = func(kind, from, to string) fake.Delivery {
 				f := fake.Reliable()
-				f.LoseRequest = x.fault == "peer partitioned" && kind == fake.KindPeer && (from == "n1" || to == "n1")
+				f.LoseRequest = test.fault == "peer partitioned" && kind == fake.KindPeer && (from == "n1" || to == "n1")
 				return f
 			}
-			if x.fault == "peer restarts" {
+			if test.fault == "peer restarts" {
 				w.After(3*time.Second, w.Controllers[1].Crash)
 				w.After(4*time.Second, w.Controllers[1].Start)
 			}
-			w.After(x.down, func() { w.State.SetOutage(false) })
-			w.Run(x.down + 8*time.Second)
+			w.After(test.down, func() { w.State.SetOutage(false) })
+			w.Run(test.down + 8*time.Second)
 			kept := slices.Equal(w.MachinesOf(j.Submission.ID), machines) && w.Incarnation(machines[0]) == 1
-			if kept != x.kept {
+			if kept != test.kept {
 				t.Errorf("kept %v\n%s", kept, logTail(w, 20))
 			}
 			w.Run(90 * time.Second)
--- a/internal/controller/hung_leader_test.go
+++ b/internal/controller/hung_leader_test.go
@@ -18,7 +18,7 @@
 	for _, hang := range []time.Duration{2 * time.Second, 9 * time.Second, 25 * time.Second} {
 		for _, late := range []time.Duration{4 * time.Second, 12 * time.Second, 30 * time.Second} {
 			for _, resumes := range []bool{false, true} {
-				t.Run(fmt.Sprint(hang, " ", late, " ", resumes), func(t *testing.T) {
+				t.Run(fmt.Sprintf("hangs %v, late %v, resumes %t", hang, late, resumes), func(t *testing.T) {
 					t.Parallel()
 					testHungLeaderDuringRollingUpgrade(t, hang, late, resumes)
 				})
--- a/internal/controller/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -33,7 +33,7 @@
 func TestCancelRootOfLargePipeline(t *testing.T) {
 	for name, needs := range pipelineShapes {
 		for _, crashAfter := range []time.Duration{-1, 0, 300 * time.Millisecond, 2 * time.Second} {
-			t.Run(fmt.Sprint(name, " ", crashAfter), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, crash after %v", name, crashAfter), func(t *testing.T) {
 				t.Parallel()
 				testCancelRootOfLargePipeline(t, needs, crashAfter)
 			})
--- a/internal/controller/many_prerequisites_test.go
+++ b/internal/controller/many_prerequisites_test.go
@@ -17,8 +17,8 @@
 // once the last of them is done, or is cancelled with one, and leaves no record behind.
 func TestMorePrerequisitesThanOnePageHolds(t *testing.T) {
 	for writes := range 5 {
-		for _, cancelled := range []string{"", "at once", "later"} {
-			t.Run(fmt.Sprint(writes, " ", cancelled), func(t *testing.T) {
+		for _, cancelled := range []string{"never", "at once", "later"} {
+			t.Run(fmt.Sprintf("crash after %d writes, cancelled %s", writes, cancelled), func(t *testing.T) {
 				t.Parallel()
 				testManyPrerequisites(t, writes, cancelled)
 			})
@@ -128,7 +128,7 @@
 	runAndPoll(w, 90*time.Second)
 	requireNoViolations(t, w)
 	requirePipelineOutcome(t, w, []*fake.Job{held, j})
-	if j.RejectedWith != 0 || cancelled != "" && held.Status != protocol.StatusCancelled {
+	if j.RejectedWith != 0 || cancelled != "never" && held.Status != protocol.StatusCancelled {
 		t.Errorf("refused with %d; the job that it needs has status %q", j.RejectedWith, held.Status)
 	}
 	for key, value := range pagesOf(w) {
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"slices"
 	"strings"
 	"testing"
@@ -17,7 +18,7 @@
 func TestVersionsAlternateAsLeader(t *testing.T) {
 	for _, pause := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 9 * time.Second} {
 		for _, outage := range []bool{false, true} {
-			t.Run(pause.String(), func(t *testing.T) {
+			t.Run(fmt.Sprintf("down for %v, outage %t", pause, outage), func(t *testing.T) {
 				t.Parallel()
 				w := newProductionWorld(t)
 				large := job(1, protocol.Array, 70)
@@ -70,7 +71,7 @@
 func TestLimitsLoweredAfterRollingUpgrade(t *testing.T) {
 	for _, wait := range []time.Duration{0, 500 * time.Millisecond, 20 * time.Second} {
 		for _, slow := range []time.Duration{0, 150 * time.Millisecond} {
-			t.Run(wait.String()+" "+slow.String(), func(t *testing.T) {
+			t.Run(fmt.Sprintf("after %v, latency %v", wait, slow), func(t *testing.T) {
 				t.Parallel()
 				testLimitsLoweredAfterRollingUpgrade(t, wait, slow)
 			})
