--- a/internal/controller/archive_moves_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -33,23 +33,23 @@
 	jobs := completeJobs(t, w, 100_000, 60)
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if kind != fake.KindWrite {
-			return f
+			return delivery
 		}
 		writes++
 		if writes <= after {
-			return f
+			return delivery
 		}
 		switch fault {
 		case "request lost":
-			f.LoseRequest = true
+			delivery.LoseRequest = true
 		case "late":
-			f.LoseRequest, f.DuplicateAfter = true, 3*time.Second
+			delivery.LoseRequest, delivery.DuplicateAfter = true, 3*time.Second
 		case "answer lost":
-			f.LoseResponse = true
+			delivery.LoseResponse = true
 		}
-		return f
+		return delivery
 	}
 	for range 20 {
 		w.Run(50 * time.Millisecond)
@@ -119,12 +119,12 @@
 	w.SeparateWrites = true
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if kind == fake.KindWrite {
 			writes++
-			f.LoseRequest = writes%3 == 0
+			delivery.LoseRequest = writes%3 == 0
 		}
-		return f
+		return delivery
 	}
 	var jobs []*fake.Job
 	for n := range 24 {
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -154,11 +154,11 @@
 	w, jobs := newWorldWithArchive(t, 200)
 	leader := w.Leader()
 	w.Network = func(kind, from, _ string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if kind == fake.KindState && from == leader.Name {
-			f.ResponseDelay = 800 * time.Millisecond // the lookup's answer comes after the end of the term
+			delivery.ResponseDelay = 800 * time.Millisecond // the lookup's answer comes after the end of the term
 		}
-		return f
+		return delivery
 	}
 	for _, j := range jobs[:30] {
 		leader.Request(message.UserRequest{Kind: message.Poll, Job: j.Submission.ID}, func(r message.Reply) {
--- a/internal/controller/best_effort_test.go
+++ b/internal/controller/best_effort_test.go
@@ -52,7 +52,7 @@
 }
 
 // All cheap machines are full of a best-effort team's long work. Another best-effort team's job finds room beside
-// a guaranteed team's, on a machine that is expensive for it: it waits, but not for ever, also
+// a guaranteed team's, on a machine that is expensive for it: it waits for a limited time, also
 // if the leader changes meanwhile.
 func TestBestEffortJobEventuallyUsesAnyMachine(t *testing.T) {
 	for _, ends := range []bool{false, true} {
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -14,10 +14,10 @@
 	j := w.Submit(service(1, 2), 0)
 	waitRunning(t, w, j.Submission.ID, 2)
 	w.Network = func(kind, _, _ string) fake.Delivery { // no commands arrive from now on
-		f := fake.Reliable()
-		f.LoseResponse = kind == fake.KindHeartbeat
-		f.LoseRequest = kind == fake.KindCommands
-		return f
+		delivery := fake.Reliable()
+		delivery.LoseResponse = kind == fake.KindHeartbeat
+		delivery.LoseRequest = kind == fake.KindCommands
+		return delivery
 	}
 	w.CancelJob(j)
 	if !w.RunUntil(time.Second, func() bool { return j.Cancelled }) {
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -13,8 +13,8 @@
 // The transaction with a job's record is lost, late or refused, those with its other
 // blocks pass, and the leader crashes. The successor knows no such job, its user submits it
 // again, and the machines that could have been told of the first acceptance can't be
-// asked. Nothing of a job starts before its record is durable (seen on an enlarged bench
-// day as "a block of an unknown job is dropped", with its starts).
+// asked. Nothing of a job starts before its record is durable (seen in an enlarged bench
+// run as "a block of an unknown job is dropped", with its starts).
 func TestNoStartBeforeJobIsDurable(t *testing.T) {
 	for _, kind := range []protocol.JobKind{protocol.Array, protocol.Gang, protocol.Service} {
 		for _, write := range []string{"lost", "late", "refused"} {
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -41,9 +41,9 @@
 	return jobs
 }
 
-// Jobs with a mistake come from two teams at once. After the first tries each is started ever
-// more rarely, an array one task at a time; nothing is provisioned and no machine cordoned for
-// them, other jobs go on, and to cancel them takes no longer than for any.
+// Jobs that always fail come from two teams at once. After the first attempts each is retried with
+// a growing backoff, an array one task at a time; nothing is provisioned and no machine cordoned
+// for them, other jobs go on, and to cancel them takes no longer than for any.
 func TestFailingJobsBackOff(t *testing.T) {
 	without, _ := runBesideFailingJobs(t, func(*fake.World) []*fake.Job { return nil })
 	with, starts := runBesideFailingJobs(t, submitFailingJobs)
@@ -104,7 +104,7 @@
 	return rented, starts
 }
 
-// The leader changes while jobs with a mistake are tried ever more rarely. The next one knows
+// The leader changes while failing jobs are retried with a growing backoff. The next one knows
 // nothing of their failures but how often they were started: it doesn't begin with all of
 // their tasks again.
 func TestFailureBackoffSurvivesFailover(t *testing.T) {
@@ -129,7 +129,7 @@
 	requireNoViolations(t, w)
 }
 
-// One machine really is faulty, among jobs with a mistake: it is still found, and only it.
+// One machine really is faulty, among jobs that always fail: it is still found, and only it.
 func TestFaultyMachineCordonedAmongFailingJobs(t *testing.T) {
 	w := newWorld(t)
 	a := w.Submit(service(50, 1), 0)
@@ -198,7 +198,7 @@
 	requireNoViolations(t, w)
 }
 
-// A job fails wherever it goes: no machine is blamed, and it is not retried hot.
+// A job fails wherever it goes: no machine is cordoned, and it is retried with a backoff.
 func TestFailingJobCordonsNoMachine(t *testing.T) {
 	w := newWorld(t)
 	for i := range 3 {
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -15,11 +15,11 @@
 func TestDuplicateStartDoesNotRunAgain(t *testing.T) {
 	w := newWorld(t)
 	w.Network = func(kind, _, _ string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if kind == fake.KindCommands {
-			f.DuplicateAfter = 25 * time.Second
+			delivery.DuplicateAfter = 25 * time.Second
 		}
-		return f
+		return delivery
 	}
 	j := w.Submit(job(1, protocol.Array, 3), 2*time.Second)
 	for range 30 {
@@ -49,15 +49,15 @@
 			w.Run(time.Duration(at) * 50 * time.Millisecond)
 			machine := ""
 			w.Network = func(kind, _, to string) fake.Delivery {
-				f := fake.Reliable()
+				delivery := fake.Reliable()
 				switch {
 				case kind != fake.KindCommands || machine != "" && to != machine:
 				case machine == "":
-					machine, f.RequestDelay = to, late*time.Millisecond
+					machine, delivery.RequestDelay = to, late*time.Millisecond
 				case w.Now < 60*time.Second:
-					f.LoseRequest = true
+					delivery.LoseRequest = true
 				}
-				return f
+				return delivery
 			}
 			j := w.Submit(service(1, 1), 0)
 			waitRunning(t, w, j.Submission.ID, 1)
@@ -78,13 +78,13 @@
 	provisionIdleMachines(t, w)
 	var crashed time.Duration
 	w.Network = func(kind, from, _ string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if kind == fake.KindCommands && from == "n0" {
-			f.RequestDelay = 8 * time.Second
+			delivery.RequestDelay = 8 * time.Second
 		}
 		// The successor's answers are lost at first.
-		f.LoseResponse = kind == fake.KindHeartbeat && crashed > 0 && w.Now < crashed+9*time.Second
-		return f
+		delivery.LoseResponse = kind == fake.KindHeartbeat && crashed > 0 && w.Now < crashed+9*time.Second
+		return delivery
 	}
 	j := w.Submit(service(1, 1), 0)
 	w.Run(time.Second)
@@ -128,13 +128,13 @@
 		placed := func() int { return strings.Count(strings.Join(w.Log, "\n"), "task placed [job wk-000001 ") }
 		left := durable
 		w.Network = func(kind, from, to string) fake.Delivery {
-			f := fake.Reliable()
-			f.LoseRequest = w.Incarnation(machine) == incarnation && (from == machine || to == machine)
+			delivery := fake.Reliable()
+			delivery.LoseRequest = w.Incarnation(machine) == incarnation && (from == machine || to == machine)
 			if kind == fake.KindWrite && placed() > 1 {
 				left--
-				f.LoseRequest = left < 0
+				delivery.LoseRequest = left < 0
 			}
-			return f
+			return delivery
 		}
 		w.Run(3 * time.Second)
 		restartLeader(w, 3*time.Second)
--- a/internal/controller/five_controllers_test.go
+++ b/internal/controller/five_controllers_test.go
@@ -84,10 +84,10 @@
 					return inZone[name]
 				}
 				w.Network = func(_, from, to string) fake.Delivery {
-					f := fake.Reliable()
+					delivery := fake.Reliable()
 					a, b := zone(from), zone(to)
-					f.LoseRequest = a == "a" && b == "b" || a == "b" && b == "a"
-					return f
+					delivery.LoseRequest = a == "a" && b == "b" || a == "b" && b == "a"
+					return delivery
 				}
 				w.After(4*time.Second, func() { w.CancelEverywhere(jobs[1]) })
 				if crash {
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -17,12 +17,12 @@
 	w.Run(4 * time.Second)
 	lost, until := 0, w.Now+7*time.Second
 	w.Network = func(kind, _, _ string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if kind == fake.KindCloud && w.Now < until {
 			lost++
-			f.LoseResponse = true
+			delivery.LoseResponse = true
 		}
-		return f
+		return delivery
 	}
 	s := service(1, 1)
 	s.CPUs = 4
@@ -44,9 +44,9 @@
 	machines := provisionIdleMachines(t, w)
 	cut := w.Now + 20*time.Second
 	w.Network = func(_, from, to string) fake.Delivery {
-		f := fake.Reliable()
-		f.LoseRequest = w.Now < cut && (from == machines[0] || to == machines[0])
-		return f
+		delivery := fake.Reliable()
+		delivery.LoseRequest = w.Now < cut && (from == machines[0] || to == machines[0])
+		return delivery
 	}
 	w.Controllers[0].Crash()
 	w.Run(25 * time.Second)
@@ -81,13 +81,13 @@
 	w.Controllers[0].Crash()
 	w.Cloud.Down = false
 	w.Network = func(kind, from, to string) fake.Delivery {
-		f := fake.Reliable()
-		f.LoseRequest = from == cut || to == cut
+		delivery := fake.Reliable()
+		delivery.LoseRequest = from == cut || to == cut
 		if kind == fake.KindCloud { // the types are had, and nothing more
 			calls++
-			f.LoseRequest = calls > 1
+			delivery.LoseRequest = calls > 1
 		}
-		return f
+		return delivery
 	}
 	w.Run(9 * time.Second)
 	requireNoViolations(t, w)
@@ -112,29 +112,29 @@
 	kind := func(j *fake.Job) string { return w.TypeOf(w.MachinesOf(j.Submission.ID)[0]) }
 	gpu := service(1, 1)
 	gpu.GPUs = 1
-	c := w.Submit(gpu, 0)
+	gpuJob := w.Submit(gpu, 0)
 	waitRunning(t, w, gpu.ID, 1)
-	d := w.Submit(service(2, 1), 0)
-	waitRunning(t, w, d.Submission.ID, 1)
+	moved := w.Submit(service(2, 1), 0)
+	waitRunning(t, w, moved.Submission.ID, 1)
 	small := service(3, 1)
 	small.Types = []string{"small"}
-	f := w.Submit(small, 0)
+	smallJob := w.Submit(small, 0)
 	waitRunning(t, w, small.ID, 1)
-	if kind(d) != "large" {
-		t.Fatalf("on a %s machine at first", kind(d))
+	if kind(moved) != "large" {
+		t.Fatalf("on a %s machine at first", kind(moved))
 	}
-	w.CancelJob(c)
+	w.CancelJob(gpuJob)
 	w.Run(60 * time.Second)
-	if kind(d) != "small" || len(w.MachinesOf(d.Submission.ID)) != 1 {
-		t.Errorf("still on a %s machine", kind(d))
+	if kind(moved) != "small" || len(w.MachinesOf(moved.Submission.ID)) != 1 {
+		t.Errorf("still on a %s machine", kind(moved))
 	}
-	w.CancelJob(f)
+	w.CancelJob(smallJob)
 	gpu.ID = "wk-000004"
 	w.Submit(gpu, 0)
 	waitRunning(t, w, gpu.ID, 1)
 	w.Run(60 * time.Second)
-	if kind(d) != "small" {
-		t.Errorf("moved to a %s machine", kind(d))
+	if kind(moved) != "small" {
+		t.Errorf("moved to a %s machine", kind(moved))
 	}
 	requireNoViolations(t, w)
 	requireAllServed(t, w)
@@ -172,11 +172,11 @@
 		w.Submit(s, 0)
 	}
 	w.Network = func(kind, _, _ string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if kind == fake.KindCloud {
-			f.ResponseDelay = 900 * time.Millisecond
+			delivery.ResponseDelay = 900 * time.Millisecond
 		}
-		return f
+		return delivery
 	}
 	w.Run(2500 * time.Millisecond)
 	if n := w.Controllers[0].Stats().MachinesScaledOut; n < 120 {
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -141,7 +141,7 @@
 	for range 40 {
 		w.Run(500 * time.Millisecond)
 		for key, value := range w.State.Values() {
-			if !bytes.Equal(roundTripFirstPipelines(key, value), value) {
+			if !bytes.Equal(roundTripPipelines(key, value), value) {
 				t.Fatalf("%s holds what the first version with prerequisites would not write: %x", key, value)
 			}
 			if strings.HasPrefix(key, storage.PagePrefix) {
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -31,7 +31,7 @@
 // A gang is accepted, and of its first attempt the starts of some blocks are durable, and
 // the record with the attempt's number is not, when the leader crashes. The successor starts
 // what is missing with the number that the others have: members of two attempts would wait
-// for each other in vain.
+// for each other until they time out.
 func TestGangMembersShareOneAttemptNumber(t *testing.T) {
 	for lost := 2; lost <= 5; lost++ {
 		t.Run(fmt.Sprint("lost from write ", lost), func(t *testing.T) {
--- a/internal/controller/grace_period_test.go
+++ b/internal/controller/grace_period_test.go
@@ -38,9 +38,9 @@
 			machines := w.MachinesOf(j.Submission.ID)
 			w.State.SetOutage(true)
 			w.Network = func(kind, from, to string) fake.Delivery {
-				f := fake.Reliable()
-				f.LoseRequest = test.fault == "peer partitioned" && kind == fake.KindPeer && (from == "n1" || to == "n1")
-				return f
+				delivery := fake.Reliable()
+				delivery.LoseRequest = test.fault == "peer partitioned" && kind == fake.KindPeer && (from == "n1" || to == "n1")
+				return delivery
 			}
 			if test.fault == "peer restarts" {
 				w.After(3*time.Second, w.Controllers[1].Crash)
@@ -61,7 +61,7 @@
 
 // The state service refuses the leader alone; another takes the term, and before it
 // has read the records the service is down for all, for much longer than a lease. It
-// asks nobody to let go for that, and nobody has told or started anything: what
+// asks nobody to step down for that, and nobody has confirmed or started anything: what
 // runs is kept, and when the outage is over a job can be cancelled.
 func TestSuccessorCannotLoadRecords(t *testing.T) {
 	w := newWorld(t)
@@ -72,9 +72,9 @@
 	taken := func() bool { h := w.State.WriterOf(controller.LeaderKey); return h != "n0" && h != "" }
 	w.State.Unreachable["n0"] = true
 	w.Network = func(kind, from, _ string) fake.Delivery {
-		f := fake.Reliable()
-		f.LoseResponse = kind == fake.KindState && from != "n0" && taken()
-		return f
+		delivery := fake.Reliable()
+		delivery.LoseResponse = kind == fake.KindState && from != "n0" && taken()
+		return delivery
 	}
 	if !w.RunUntil(5*time.Second, taken) {
 		t.Fatal("nobody took the term")
@@ -107,10 +107,10 @@
 	waitRunning(t, w, j.Submission.ID, 1)
 	machine := w.MachinesOf(j.Submission.ID)[0]
 	w.Network = func(_, from, to string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		alone := func(x string) bool { return x == "n0" || x == machine }
-		f.LoseRequest = alone(from) != alone(to)
-		return f
+		delivery.LoseRequest = alone(from) != alone(to)
+		return delivery
 	}
 	return w, j
 }
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -27,11 +27,11 @@
 		w.Run(3 * time.Second)
 		lag := w.Now + 6*time.Second
 		w.Network = func(kind, _, _ string) fake.Delivery {
-			f := fake.Reliable()
+			delivery := fake.Reliable()
 			if kind == fake.KindState && w.Now < lag {
-				f.RequestDelay, f.ResponseDelay = 350*time.Millisecond, 350*time.Millisecond
+				delivery.RequestDelay, delivery.ResponseDelay = 350*time.Millisecond, 350*time.Millisecond
 			}
-			return f
+			return delivery
 		}
 		var jobs []*fake.Job
 		for i := range 6 {
--- a/internal/controller/helpers_archive_test.go
+++ b/internal/controller/helpers_archive_test.go
@@ -144,14 +144,14 @@
 func delayWrites(w *fake.World) {
 	w.SeparateWrites = true
 	w.Network = func(kind, _, _ string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		switch kind {
 		case fake.KindWrite:
-			f.RequestDelay = 200 * time.Millisecond
+			delivery.RequestDelay = 200 * time.Millisecond
 		case fake.KindState:
-			f.ResponseDelay = 350 * time.Millisecond
+			delivery.ResponseDelay = 350 * time.Millisecond
 		}
-		return f
+		return delivery
 	}
 }
 
--- a/internal/controller/helpers_durability_test.go
+++ b/internal/controller/helpers_durability_test.go
@@ -73,22 +73,22 @@
 	w.SeparateWrites = true
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if kind != fake.KindWrite {
-			return f
+			return delivery
 		}
 		writes++
 		switch {
 		case fault == "lost" && writes == 1:
-			f.LoseRequest = true
+			delivery.LoseRequest = true
 		case fault == "late" && writes == 1:
-			f.LoseRequest, f.DuplicateAfter = true, 4*time.Second
+			delivery.LoseRequest, delivery.DuplicateAfter = true, 4*time.Second
 		case fault == "refused" && writes == 1:
-			w.After(f.RequestDelay, func() { w.State.RejectWrites = true })
+			w.After(delivery.RequestDelay, func() { w.State.RejectWrites = true })
 		case fault == "refused" && writes == 2:
-			w.After(f.RequestDelay, func() { w.State.RejectWrites = false })
+			w.After(delivery.RequestDelay, func() { w.State.RejectWrites = false })
 		}
-		return f
+		return delivery
 	}
 }
 
@@ -97,19 +97,19 @@
 func disturbMachines(w *fake.World, machines []string, fault string, d time.Duration) {
 	until := w.Now + d
 	w.Network = func(kind, from, to string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if w.Now >= until {
-			return f
+			return delivery
 		}
 		switch {
 		case fault == "partitioned" && (slices.Contains(machines, from) || slices.Contains(machines, to)):
-			f.LoseRequest = true
+			delivery.LoseRequest = true
 		case fault == "heartbeats late" && kind == fake.KindHeartbeat && slices.Contains(machines, from):
-			f.LoseRequest, f.DuplicateAfter = true, 5*time.Second
+			delivery.LoseRequest, delivery.DuplicateAfter = true, 5*time.Second
 		case fault == "heartbeats late" && kind == fake.KindCommands && slices.Contains(machines, to):
-			f.LoseResponse = true
+			delivery.LoseResponse = true
 		}
-		return f
+		return delivery
 	}
 	if fault == "hangs" {
 		for _, name := range machines {
@@ -123,12 +123,12 @@
 	w.SeparateWrites = true
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if kind == fake.KindWrite {
 			writes++
-			f.LoseRequest = writes == number
+			delivery.LoseRequest = writes == number
 		}
-		return f
+		return delivery
 	}
 }
 
@@ -137,12 +137,12 @@
 func loseEverySecondWrite(from int) func(kind, from, to string) fake.Delivery {
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if kind == fake.KindWrite {
 			writes++
-			f.LoseRequest = writes >= from && writes%2 == from%2
+			delivery.LoseRequest = writes >= from && writes%2 == from%2
 		}
-		return f
+		return delivery
 	}
 }
 
--- a/internal/controller/helpers_fleet_test.go
+++ b/internal/controller/helpers_fleet_test.go
@@ -28,11 +28,11 @@
 		t.Fatalf("%d machines are up", len(w.MachineNames()))
 	}
 	w.Run(10 * time.Second)
-	n := w.Leader()
-	if n == nil {
+	leader := w.Leader()
+	if leader == nil {
 		t.Fatal("nobody leads")
 	}
-	return w, n
+	return w, leader
 }
 
 // submitUnplaceable hands in jobs for which there is no room and will be none.
--- a/internal/controller/helpers_upgrade_test.go
+++ b/internal/controller/helpers_upgrade_test.go
@@ -32,10 +32,10 @@
 }
 
 // upgrade replaces a controller's process by one of the new version.
-func upgrade(w *fake.World, n *fake.Controller, after time.Duration) {
-	n.Crash()
-	n.RunsProduction = false
-	w.After(after, n.Start)
+func upgrade(w *fake.World, c *fake.Controller, after time.Duration) {
+	c.Crash()
+	c.RunsProduction = false
+	w.After(after, c.Start)
 }
 
 // restartWithValueSize restarts every controller with another value_kb.
--- a/internal/controller/hung_leader_test.go
+++ b/internal/controller/hung_leader_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// testHungLeaderDuringRollingUpgrade has the leader hang for so long, resume at the end if told
-// to, and its writes and answers arrive so late.
+// testHungLeaderDuringRollingUpgrade has the leader hang for so long, resume at the end if
+// wanted, and its writes and answers arrive so late.
 func testHungLeaderDuringRollingUpgrade(t *testing.T, hang, late time.Duration, resumes bool) {
 	t.Helper()
 	w := newProductionWorld(t)
--- a/internal/controller/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -135,12 +135,12 @@
 		w.SeparateWrites = true
 		writes := 0
 		w.Network = func(kind, _, _ string) fake.Delivery { // the cancellation is written, and few of the ends
-			f := fake.Reliable()
+			delivery := fake.Reliable()
 			if kind == fake.KindWrite {
 				writes++
-				f.LoseRequest = writes > 1+step/4
+				delivery.LoseRequest = writes > 1+step/4
 			}
-			return f
+			return delivery
 		}
 		w.CancelEverywhere(first)
 		if !w.RunUntil(5*time.Second, func() bool { return first.Cancelled }) {
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -105,9 +105,9 @@
 		t.Fatalf("at first %v", h)
 	}
 	w.Network = func(kind, _, _ string) fake.Delivery {
-		f := fake.Reliable()
-		f.LoseRequest = kind == fake.KindPeer || kind == fake.KindForward
-		return f
+		delivery := fake.Reliable()
+		delivery.LoseRequest = kind == fake.KindPeer || kind == fake.KindForward
+		return delivery
 	}
 	w.Run(4 * time.Second)
 	if h := healthy(); !slices.Equal(h, []bool{true, false, false}) {
@@ -167,9 +167,9 @@
 		t.Fatalf("only %d machines", len(before))
 	}
 	w.Network = func(kind, from, to string) fake.Delivery {
-		f := fake.Reliable()
-		f.LoseRequest = kind == fake.KindHeartbeat && to == leader.Name || kind == fake.KindCommands && from == leader.Name
-		return f
+		delivery := fake.Reliable()
+		delivery.LoseRequest = kind == fake.KindHeartbeat && to == leader.Name || kind == fake.KindCommands && from == leader.Name
+		return delivery
 	}
 	w.Run(40 * time.Second)
 	if successor := w.Leader(); successor == nil || successor == leader {
@@ -262,8 +262,8 @@
 	}
 }
 
-// Every controller is away for longer than a worker's lease, and then they come
-// back, or only one does: nothing starts before what ran is certainly gone, and
+// Every controller is down for longer than a worker's lease, and then they come
+// back, or only one does: nothing starts before what ran has certainly ended, and
 // then all of it runs again.
 func TestAllControllersDownLongerThanLease(t *testing.T) {
 	for _, back := range []int{1, 3} {
--- a/internal/controller/many_prerequisites_test.go
+++ b/internal/controller/many_prerequisites_test.go
@@ -68,12 +68,12 @@
 	writes := 0
 	w.SeparateWrites = true
 	w.Network = func(kind, _, _ string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if kind == fake.KindWrite {
 			writes++
-			f.LoseRequest = writes > 1
+			delivery.LoseRequest = writes > 1
 		}
-		return f
+		return delivery
 	}
 	w.Controllers[0].Request(message.UserRequest{Kind: message.Submit, Job: last.ID, Submission: &last}, func(message.Reply) {})
 	w.Run(500 * time.Millisecond)
@@ -94,19 +94,19 @@
 }
 
 // testManyPrerequisites loses two writes after so many of the acceptance, crashes the leader
-// and cancels a prerequisite, if told to.
+// and cancels a prerequisite, unless that is "never".
 func testManyPrerequisites(t *testing.T, writes int, cancelled string) {
 	t.Helper()
 	w, last, held := newWorldWithManyPrerequisites(t)
 	sent := 0
 	w.SeparateWrites = true
 	w.Network = func(kind, _, _ string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if kind == fake.KindWrite {
 			sent++
-			f.LoseRequest = sent == writes+1 || sent == writes+2 // what comes after them arrives
+			delivery.LoseRequest = sent == writes+1 || sent == writes+2 // what comes after them arrives
 		}
-		return f
+		return delivery
 	}
 	j := w.Submit(last, time.Second)
 	w.Run(200 * time.Millisecond)
--- a/internal/controller/paused_controllers_test.go
+++ b/internal/controller/paused_controllers_test.go
@@ -13,21 +13,21 @@
 func TestResumedFollowerIsHealthyImmediately(t *testing.T) {
 	w := newWorld(t)
 	w.Run(5 * time.Second)
-	f := w.Controllers[1]
-	f.PausedUntil = w.Now + 10*time.Second
+	follower := w.Controllers[1]
+	follower.PausedUntil = w.Now + 10*time.Second
 	w.Network = func(kind, from, _ string) fake.Delivery { // its greetings take a little longer
-		well := fake.Reliable()
-		if kind == fake.KindPeer && from == f.Name {
-			well.RequestDelay = 400 * time.Millisecond
+		delivery := fake.Reliable()
+		if kind == fake.KindPeer && from == follower.Name {
+			delivery.RequestDelay = 400 * time.Millisecond
 		}
-		return well
+		return delivery
 	}
 	w.Run(10*time.Second + 100*time.Millisecond)
-	if !f.Healthy() {
+	if !follower.Healthy() {
 		t.Error("it takes the leader for unreachable because it was paused itself")
 	}
 	w.Run(3 * time.Second)
-	if !f.Healthy() {
+	if !follower.Healthy() {
 		t.Error("it isn't healthy though the leader answers")
 	}
 	requireNoViolations(t, w)
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -84,7 +84,7 @@
 
 // The leader is paused before it carries out an effect: an answer to a user, a command to
 // a worker, a call to the cloud, a renewal or a write. It resumes within its lease, within its
-// hold, or after another has led for long. Jobs come, end and are cancelled all the while.
+// grace period, or after another has led for long. Jobs come, end and are cancelled all the while.
 func TestLeaderPausedBeforeEffect(t *testing.T) {
 	kinds := map[string]func(message.Effect) bool{
 		"answer": func(e message.Effect) bool { _, ok := e.(message.Reply); return ok },
@@ -199,12 +199,12 @@
 	mark := len(w.Log)
 	w.State.SetOutage(true)
 	w.Run(time.Second)
-	// The workers wait in vain, and are on their way from controller to controller when it resumes.
+	// The workers get no answer, and try one controller after the other when it resumes.
 	resumesAt := w.Now + 5*time.Second
 	w.Network = func(kind, _, to string) fake.Delivery {
-		f := fake.Reliable()
-		f.LoseRequest = kind == fake.KindHeartbeat && to == leader.Name && w.Now < resumesAt
-		return f
+		delivery := fake.Reliable()
+		delivery.LoseRequest = kind == fake.KindHeartbeat && to == leader.Name && w.Now < resumesAt
+		return delivery
 	}
 	leader.PausedUntil = w.Now + 5*time.Second // longer than a machine may be silent, less than a lease
 	w.Run(5 * time.Second)
@@ -241,9 +241,9 @@
 	w.State.SetOutage(true)
 	resumesAt := w.Now + 9*time.Second
 	w.Network = func(kind, _, to string) fake.Delivery {
-		f := fake.Reliable()
-		f.LoseRequest = kind == fake.KindHeartbeat && to == leader.Name && w.Now < resumesAt
-		return f
+		delivery := fake.Reliable()
+		delivery.LoseRequest = kind == fake.KindHeartbeat && to == leader.Name && w.Now < resumesAt
+		return delivery
 	}
 	leader.PausedUntil = resumesAt
 	w.Run(9 * time.Second)
--- a/internal/controller/pipeline_cancellation_test.go
+++ b/internal/controller/pipeline_cancellation_test.go
@@ -123,14 +123,14 @@
 		held, crashed := false, time.Duration(0)
 		w.SeparateWrites = true
 		w.Network = func(kind, from, _ string) fake.Delivery {
-			f := fake.Reliable()
+			delivery := fake.Reliable()
 			if kind == fake.KindWrite && from == "n0" && !held {
 				held = true // the first write after the end
-				f.RequestDelay = 5 * time.Second
+				delivery.RequestDelay = 5 * time.Second
 			}
 			// The next leader hears of the end only after the cancellation.
-			f.LoseRequest = step%3 == 1 && kind == fake.KindHeartbeat && from == machine && crashed > 0 && w.Now < crashed+6*time.Second
-			return f
+			delivery.LoseRequest = step%3 == 1 && kind == fake.KindHeartbeat && from == machine && crashed > 0 && w.Now < crashed+6*time.Second
+			return delivery
 		}
 		w.Run(time.Duration(step) * 60 * time.Millisecond)
 		if step%3 == 0 {
@@ -224,12 +224,12 @@
 		w.SeparateWrites = true
 		held := false
 		w.Network = func(kind, _, _ string) fake.Delivery {
-			f := fake.Reliable()
+			delivery := fake.Reliable()
 			if kind == fake.KindWrite && !held {
 				held = true // the first is the acceptance
-				f.RequestDelay = 3 * time.Second
+				delivery.RequestDelay = 3 * time.Second
 			}
-			return f
+			return delivery
 		}
 		j := submitAfter(t, w, job(2, protocol.Array, 1), time.Second, needed)
 		w.RunUntil(time.Second, func() bool { return held })
--- a/internal/controller/production_formats_test.go
+++ b/internal/controller/production_formats_test.go
@@ -128,8 +128,8 @@
 	return roundTrip[productionPage](value)
 }
 
-// roundTripFirstPipelines is the same for the first version with prerequisites.
-func roundTripFirstPipelines(key string, value []byte) []byte {
+// roundTripPipelines is the same for the first version with prerequisites.
+func roundTripPipelines(key string, value []byte) []byte {
 	if key == controller.LeaderKey {
 		return roundTrip[productionLeader](value)
 	}
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -62,11 +62,11 @@
 	w.Run(5 * time.Second)
 	slow := w.MachinesOf(low.ID)[0] // one machine's tasks are gone later than the others'
 	w.Network = func(kind, _, b string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if kind == fake.KindCommands && b == slow {
-			f.RequestDelay = 700 * time.Millisecond
+			delivery.RequestDelay = 700 * time.Millisecond
 		}
-		return f
+		return delivery
 	}
 	high := service(3, 2)
 	high.Team, high.Priority, high.CPUs = "red", protocol.Production, 3
@@ -229,17 +229,17 @@
 
 // There is more work than room, urgent and not, and everything on the way to and
 // from workers takes more than a second: what comes first in the queue runs, what
-// yields is told once, and when the urgent work has gone the rest is served.
+// yields gets one command, and when the urgent work has gone the rest is served.
 func TestOverloadWithSlowNetwork(t *testing.T) {
 	for _, slow := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1400 * time.Millisecond} {
 		w := newWorld(t)
 		w.Cloud.Capacity = 1
 		w.Network = func(kind, _, _ string) fake.Delivery {
-			f := fake.Reliable()
+			delivery := fake.Reliable()
 			if kind == fake.KindCommands || kind == fake.KindHeartbeat {
-				f.RequestDelay, f.ResponseDelay = slow/2, slow/2
+				delivery.RequestDelay, delivery.ResponseDelay = slow/2, slow/2
 			}
-			return f
+			return delivery
 		}
 		for i := range 5 {
 			low := job(i+1, protocol.Array, 4)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -37,7 +37,7 @@
 						w.Run(time.Second)
 						continue
 					}
-					// It dies before its turn and comes back old, or it has its turn, or goes back.
+					// It crashes and restarts as the old version, is upgraded, or is rolled back.
 					leader.Crash()
 					leader.RunsProduction = round%2 == 1
 					w.After(pause, leader.Start)
--- a/internal/controller/write_responses_test.go
+++ b/internal/controller/write_responses_test.go
@@ -21,12 +21,12 @@
 	w.Run(5 * time.Second)
 	lost := 0
 	w.Network = func(kind, from, _ string) fake.Delivery {
-		f := fake.Reliable()
+		delivery := fake.Reliable()
 		if kind == fake.KindState && from == "n0" && w.State.WriteTransactions > 1 && lost < 2 {
 			lost++
-			f.LoseResponse = true
+			delivery.LoseResponse = true
 		}
-		return f
+		return delivery
 	}
 	a := w.Submit(service(1, 1), 0)
 	waitRunning(t, w, a.Submission.ID, 1)
