--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -20,9 +20,7 @@
 		return delivery
 	}
 	w.CancelJob(j)
-	if !w.RunUntil(time.Second, func() bool { return j.Cancelled }) {
-		t.Fatal("never told that it is cancelled")
-	}
+	waitCancelled(t, w, j, time.Second)
 	w.Controllers[0].Crash()
 	w.Network = nil
 	w.Run(40 * time.Second)
@@ -64,9 +62,7 @@
 		t.Fatal("nobody took over")
 	}
 	w.CancelJob(j)
-	if !w.RunUntil(25*time.Second, func() bool { return j.Cancelled }) {
-		t.Fatal("never told that it is cancelled")
-	}
+	waitCancelled(t, w, j, 25*time.Second)
 	w.Run(60 * time.Second)
 	requireNoViolations(t, w)
 }
--- a/internal/controller/helpers_durability_test.go
+++ b/internal/controller/helpers_durability_test.go
@@ -132,6 +132,20 @@
 	}
 }
 
+// loseWritesAfter lets so many writes of pages pass, and loses the others.
+func loseWritesAfter(w *fake.World, count int) func(kind, from, to string) fake.Delivery {
+	w.SeparateWrites = true
+	writes := 0
+	return func(kind, _, _ string) fake.Delivery {
+		delivery := fake.Reliable()
+		if kind == fake.KindWrite {
+			writes++
+			delivery.LoseRequest = writes > count
+		}
+		return delivery
+	}
+}
+
 // loseEverySecondWrite loses every second write of a page, from such a one on (the first is 1);
 // the others pass.
 func loseEverySecondWrite(from int) func(kind, from, to string) fake.Delivery {
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -85,6 +85,22 @@
 	}
 }
 
+// waitAccepted lets time pass until a job is accepted.
+func waitAccepted(t *testing.T, w *fake.World, j *fake.Job, timeout time.Duration) {
+	t.Helper()
+	if !w.RunUntil(timeout, func() bool { return j.Accepted }) {
+		t.Fatalf("%s is not accepted", j.Submission.ID)
+	}
+}
+
+// waitCancelled lets time pass until a job's user was told that it is cancelled.
+func waitCancelled(t *testing.T, w *fake.World, j *fake.Job, timeout time.Duration) {
+	t.Helper()
+	if !w.RunUntil(timeout, func() bool { return j.Cancelled }) {
+		t.Fatalf("%s: not told that it is cancelled", j.Submission.ID)
+	}
+}
+
 // crashFor crashes a controller, whose next process starts after the time.
 func crashFor(w *fake.World, c *fake.Controller, downFor time.Duration) {
 	c.Crash()
--- a/internal/controller/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -55,9 +55,7 @@
 	}
 	waitAllAccepted(t, w, all)
 	w.CancelJob(root)
-	if !w.RunUntil(10*time.Second, func() bool { return root.Cancelled }) {
-		t.Fatal("not told that it is cancelled")
-	}
+	waitCancelled(t, w, root, 10*time.Second)
 	if crashAfter >= 0 {
 		w.Run(crashAfter)
 		crashLeader(w, 2*time.Second)
@@ -107,49 +105,14 @@
 // written. The next leader cancels them all the same, in whatever order it finds them.
 func TestClockSkewReordersPipeline(t *testing.T) {
 	for step := range 12 {
-		s := fake.Settings()
-		s.State.TxnOps = 1 // the end of each job has a transaction of its own
-		w := newWorldWith(t, s)
-		provisionIdleMachines(t, w)
-		w.Controllers[0].ClockOffset = 5 * time.Second
-		w.Controllers[1].ClockOffset, w.Controllers[2].ClockOffset = -5*time.Second, -5*time.Second
-		long := func(n int) protocol.Submission { // each on a page of its own
-			s := job(n, protocol.Array, 1)
-			s.Class = fmt.Sprintf("%01400d", n)
-			return s
-		}
-		first := submitAfter(t, w, long(1), time.Hour)
-		waitRunning(t, w, first.Submission.ID, 1)
-		second := submitAfter(t, w, long(2), time.Second, first)
-		if !w.RunUntil(10*time.Second, func() bool { return second.Accepted }) {
-			t.Fatal("not accepted")
-		}
-		w.Controllers[0].Crash()
-		w.After(10*time.Second, w.Controllers[0].Start)
-		third := submitAfter(t, w, long(3), time.Second, second)
-		fourth := submitAfter(t, w, long(4), time.Second, third)
-		if !w.RunUntil(20*time.Second, func() bool { return fourth.Accepted }) {
-			t.Fatal("not accepted")
-		}
-		w.Run(12 * time.Second)
-		w.SeparateWrites = true
-		writes := 0
-		w.Network = func(kind, _, _ string) fake.Delivery { // the cancellation is written, and few of the ends
-			delivery := fake.Reliable()
-			if kind == fake.KindWrite {
-				writes++
-				delivery.LoseRequest = writes > 1+step/4
-			}
-			return delivery
-		}
+		w, jobs := newSkewedPipeline(t)
+		first := jobs[0]
+		w.Network = loseWritesAfter(w, 1+step/4) // the cancellation is written, and few of the ends
 		w.CancelEverywhere(first)
-		if !w.RunUntil(5*time.Second, func() bool { return first.Cancelled }) {
-			t.Fatal("not told that it is cancelled")
-		}
+		waitCancelled(t, w, first, 5*time.Second)
 		w.Run(time.Duration(step%4) * 50 * time.Millisecond)
 		crashLeader(w, 5*time.Second)
 		w.Network = nil
-		jobs := []*fake.Job{first, second, third, fourth}
 		queryRepeatedly(w, jobs, 20, 200*time.Millisecond)
 		runAndPoll(w, 40*time.Second)
 		requireNoViolations(t, w)
@@ -160,6 +123,33 @@
 	}
 }
 
+// newSkewedPipeline makes a world with a pipeline of four jobs, of which a leader whose clock is
+// ahead accepted the first two, and one whose clock is behind the others.
+func newSkewedPipeline(t *testing.T) (*fake.World, []*fake.Job) {
+	t.Helper()
+	s := fake.Settings()
+	s.State.TxnOps = 1 // the end of each job has a transaction of its own
+	w := newWorldWith(t, s)
+	provisionIdleMachines(t, w)
+	w.Controllers[0].ClockOffset = 5 * time.Second
+	w.Controllers[1].ClockOffset, w.Controllers[2].ClockOffset = -5*time.Second, -5*time.Second
+	ownPage := func(id int) protocol.Submission {
+		s := job(id, protocol.Array, 1)
+		s.Class = fmt.Sprintf("%01400d", id) // so long that its record fills a page
+		return s
+	}
+	first := submitAfter(t, w, ownPage(1), time.Hour)
+	waitRunning(t, w, first.Submission.ID, 1)
+	second := submitAfter(t, w, ownPage(2), time.Second, first)
+	waitAccepted(t, w, second, 10*time.Second)
+	crashFor(w, w.Controllers[0], 10*time.Second)
+	third := submitAfter(t, w, ownPage(3), time.Second, second)
+	fourth := submitAfter(t, w, ownPage(4), time.Second, third)
+	waitAccepted(t, w, fourth, 20*time.Second)
+	w.Run(12 * time.Second)
+	return w, []*fake.Job{first, second, third, fourth}
+}
+
 // Jobs that need the same one are submitted in the same millisecond at all controllers, some of
 // them twice; it is done, and known from the final records only, after every process
 // has been replaced.
--- a/internal/controller/many_prerequisites_test.go
+++ b/internal/controller/many_prerequisites_test.go
@@ -65,16 +65,7 @@
 		}
 		return n
 	}
-	writes := 0
-	w.SeparateWrites = true
-	w.Network = func(kind, _, _ string) fake.Delivery {
-		delivery := fake.Reliable()
-		if kind == fake.KindWrite {
-			writes++
-			delivery.LoseRequest = writes > 1
-		}
-		return delivery
-	}
+	w.Network = loseWritesAfter(w, 1)
 	w.Controllers[0].Request(message.UserRequest{Kind: message.Submit, Job: last.ID, Submission: &last}, func(message.Reply) {})
 	w.Run(500 * time.Millisecond)
 	if parts() == 0 {
@@ -118,9 +109,7 @@
 	w.Leader().Crash()
 	w.After(2*time.Second, w.Controllers[0].Start)
 	w.Network = nil
-	if !w.RunUntil(40*time.Second, func() bool { return j.Accepted }) {
-		t.Fatal("not accepted")
-	}
+	waitAccepted(t, w, j, 40*time.Second)
 	w.QueryEverywhere(j)
 	if cancelled == "later" {
 		w.CancelEverywhere(held)
--- a/internal/controller/pipeline_cancellation_test.go
+++ b/internal/controller/pipeline_cancellation_test.go
@@ -107,50 +107,7 @@
 func TestDelayedWriteOfPrerequisiteEnd(t *testing.T) {
 	outcomes := map[string]int{}
 	for step := range 36 {
-		s := fake.Settings()
-		s.State.TxnOps = 1 // each page has a transaction of its own
-		w := newWorldWith(t, s)
-		provisionIdleMachines(t, w)
-		long := job(1, protocol.Array, 1)
-		long.Class = strings.Repeat("c", 1400) // what needs it is on another page
-		first := submitAfter(t, w, long, 2*time.Second)
-		jobs := []*fake.Job{first, submitAfter(t, w, job(2, protocol.Array, 1), time.Second, first)}
-		waitRunning(t, w, first.Submission.ID, 1)
-		machine := w.MachinesOf(first.Submission.ID)[0]
-		if !w.RunUntil(20*time.Second, func() bool { return len(first.DoneTasks) == 1 }) {
-			t.Fatal("the first job does not end")
-		}
-		held, crashed := false, time.Duration(0)
-		w.SeparateWrites = true
-		w.Network = func(kind, from, _ string) fake.Delivery {
-			delivery := fake.Reliable()
-			if kind == fake.KindWrite && from == "n0" && !held {
-				held = true // the first write after the end
-				delivery.RequestDelay = 5 * time.Second
-			}
-			// The next leader hears of the end only after the cancellation.
-			delivery.LoseRequest = step%3 == 1 && kind == fake.KindHeartbeat && from == machine && crashed > 0 && w.Now < crashed+6*time.Second
-			return delivery
-		}
-		w.Run(time.Duration(step) * 60 * time.Millisecond)
-		if step%3 == 0 {
-			w.CancelJob(first)
-			jobs = append(jobs, submitAfter(t, w, job(3, protocol.Array, 1), time.Second, first))
-		}
-		w.Run(300 * time.Millisecond)
-		w.Controllers[0].Crash()
-		crashed = w.Now
-		if step%3 == 1 {
-			w.After(700*time.Millisecond, func() { w.CancelEverywhere(first) })
-		}
-		queryRepeatedly(w, jobs, 120, 50*time.Millisecond)
-		w.Controllers[0].Start()
-		runAndPoll(w, 40*time.Second)
-		requireNoViolations(t, w)
-		for _, j := range jobs[1:] {
-			requirePipelineOutcome(t, w, []*fake.Job{first, j})
-		}
-		outcomes[first.Status]++
+		outcomes[testDelayedWriteOfPrerequisiteEnd(t, step)]++
 	}
 	t.Log(outcomes)
 	if len(outcomes) != 2 {
@@ -158,6 +115,58 @@
 	}
 }
 
+// testDelayedWriteOfPrerequisiteEnd gives the status of the job whose end is held up. By the
+// step the job is cancelled before the crash, after it, or not at all.
+func testDelayedWriteOfPrerequisiteEnd(t *testing.T, step int) string {
+	t.Helper()
+	cancelBefore, cancelAfter := step%3 == 0, step%3 == 1
+	s := fake.Settings()
+	s.State.TxnOps = 1 // each page has a transaction of its own
+	w := newWorldWith(t, s)
+	provisionIdleMachines(t, w)
+	long := job(1, protocol.Array, 1)
+	long.Class = strings.Repeat("c", 1400) // what needs it is on another page
+	first := submitAfter(t, w, long, 2*time.Second)
+	jobs := []*fake.Job{first, submitAfter(t, w, job(2, protocol.Array, 1), time.Second, first)}
+	waitRunning(t, w, first.Submission.ID, 1)
+	machine := w.MachinesOf(first.Submission.ID)[0]
+	if !w.RunUntil(20*time.Second, func() bool { return len(first.DoneTasks) == 1 }) {
+		t.Fatal("the first job does not end")
+	}
+	held, crashedAt := false, time.Duration(0)
+	w.SeparateWrites = true
+	w.Network = func(kind, from, _ string) fake.Delivery {
+		delivery := fake.Reliable()
+		if kind == fake.KindWrite && from == "n0" && !held {
+			held = true // the first write after the end
+			delivery.RequestDelay = 5 * time.Second
+		}
+		// The next leader hears of the end only after the cancellation.
+		justCrashed := crashedAt > 0 && w.Now < crashedAt+6*time.Second
+		delivery.LoseRequest = cancelAfter && kind == fake.KindHeartbeat && from == machine && justCrashed
+		return delivery
+	}
+	w.Run(time.Duration(step) * 60 * time.Millisecond)
+	if cancelBefore {
+		w.CancelJob(first)
+		jobs = append(jobs, submitAfter(t, w, job(3, protocol.Array, 1), time.Second, first))
+	}
+	w.Run(300 * time.Millisecond)
+	w.Controllers[0].Crash()
+	crashedAt = w.Now
+	if cancelAfter {
+		w.After(700*time.Millisecond, func() { w.CancelEverywhere(first) })
+	}
+	queryRepeatedly(w, jobs, 120, 50*time.Millisecond)
+	w.Controllers[0].Start()
+	runAndPoll(w, 40*time.Second)
+	requireNoViolations(t, w)
+	for _, j := range jobs[1:] {
+		requirePipelineOutcome(t, w, []*fake.Job{first, j})
+	}
+	return first.Status
+}
+
 // A job is cancelled whose machine hangs, so that its end can't be written yet. A
 // submission that names it is accepted and cancelled all the same.
 func TestSubmissionWhilePrerequisiteIsStopping(t *testing.T) {
