--- a/internal/controller/archive_moves_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -13,6 +13,7 @@
 // The leader crashes before, inside and after a move, whose transaction is lost, carried out
 // late, or only not answered.
 func TestLeaderCrashDuringArchiveMove(t *testing.T) {
+	t.Parallel()
 	for _, fault := range []string{"none", "request lost", "late", "answer lost"} {
 		for _, after := range []int{0, 1, 2, 5} {
 			t.Run(fmt.Sprint(fault, " at write ", after), func(t *testing.T) {
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -85,6 +85,7 @@
 // changes, by a leader that crashes, is refused, resigns or is paused: from its
 // last renewal to its successor's first placements.
 func TestCancellationDuringLeaderChange(t *testing.T) {
+	t.Parallel()
 	phases := 3
 	if *fine {
 		phases = 20
--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -262,6 +262,7 @@
 // Cancellations during a failover, swept over the offsets of all that happens: whoever was told
 // that a job is cancelled finds its tasks gone in time, by the world's own record.
 func TestCancellationDuringFailover(t *testing.T) {
+	t.Parallel()
 	phases, steps := 2, 5
 	if *fine {
 		phases, steps = 5, 16
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -16,6 +16,7 @@
 // asked. Nothing of a job starts before its record is durable (seen in an enlarged bench
 // run as "a block of an unknown job is dropped", with its starts).
 func TestNoStartBeforeJobIsDurable(t *testing.T) {
+	t.Parallel()
 	for _, kind := range []protocol.JobKind{protocol.Array, protocol.Gang, protocol.Service} {
 		for _, write := range []string{"lost", "late", "refused"} {
 			for _, machine := range []string{"partitioned", "hangs", "heartbeats late"} {
@@ -76,6 +77,7 @@
 // All that a job needs is done, and its prerequisites take records of their own: it could
 // start at once, and must not be durable before they are, whichever write is lost.
 func TestNoStartBeforePrerequisitesAreDurable(t *testing.T) {
+	t.Parallel()
 	for lost := 1; lost <= 4; lost++ {
 		t.Run(fmt.Sprint("write ", lost, " lost"), func(t *testing.T) {
 			t.Parallel()
--- a/internal/controller/five_controllers_test.go
+++ b/internal/controller/five_controllers_test.go
@@ -31,6 +31,7 @@
 // Two controllers at a time get the new version, also the leader, while workers move from
 // one controller to the next and a pipeline runs and is cancelled in the middle.
 func TestRollingUpgradeTwoOfFiveAtATime(t *testing.T) {
+	t.Parallel()
 	for _, pause := range []time.Duration{200 * time.Millisecond, 1500 * time.Millisecond, 5 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
 			t.Parallel()
@@ -65,6 +66,7 @@
 // Two zones can't reach each other, and both reach the controllers of the rest, the state
 // service and the cloud. The leader is in one of the two, or in neither, or ends meanwhile.
 func TestPartitionBetweenTwoZones(t *testing.T) {
+	t.Parallel()
 	for name, inZone := range map[string]map[string]string{
 		"leader in zone a": {"n0": "a", "n1": "a", "n2": "b"},
 		"leader in zone b": {"n0": "b", "n1": "a", "n2": "a"},
--- a/internal/controller/helpers_durability_test.go
+++ b/internal/controller/helpers_durability_test.go
@@ -191,7 +191,10 @@
 		if r.ID != id {
 			continue
 		}
-		full, _ = storage.ParseBitmap(r.CompletedBlocks)
+		var err error
+		if full, err = storage.ParseBitmap(r.CompletedBlocks); err != nil {
+			t.Fatal(err)
+		}
 		for b := 0; b*blockTasks < r.Tasks; b++ {
 			if full.Has(b) {
 				n += min(blockTasks, r.Tasks-b*blockTasks)
--- a/internal/controller/hung_leader_test.go
+++ b/internal/controller/hung_leader_test.go
@@ -15,6 +15,7 @@
 // late: by then the others have the new version, the limits are lowered, pages are divided
 // and a pipeline is cancelled.
 func TestHungLeaderDuringRollingUpgrade(t *testing.T) {
+	t.Parallel()
 	for _, hang := range []time.Duration{2 * time.Second, 9 * time.Second, 25 * time.Second} {
 		for _, late := range []time.Duration{4 * time.Second, 12 * time.Second, 30 * time.Second} {
 			for _, resumes := range []bool{false, true} {
--- a/internal/controller/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -31,6 +31,7 @@
 // controllers call every job cancelled from the first moment on, the ends are written within
 // cancel_s, and others' submissions are still accepted in good time.
 func TestCancelRootOfLargePipeline(t *testing.T) {
+	t.Parallel()
 	for name, needs := range pipelineShapes {
 		for _, crashAfter := range []time.Duration{-1, 0, 300 * time.Millisecond, 2 * time.Second} {
 			t.Run(fmt.Sprintf("%s, crash after %v", name, crashAfter), func(t *testing.T) {
--- a/internal/controller/many_prerequisites_test.go
+++ b/internal/controller/many_prerequisites_test.go
@@ -16,6 +16,7 @@
 // needs is cancelled: the job is found with all its prerequisites or not at all. It begins
 // once the last of them is done, or is cancelled with one, and leaves no record behind.
 func TestMorePrerequisitesThanOnePageHolds(t *testing.T) {
+	t.Parallel()
 	for writes := range 5 {
 		for _, cancelled := range []string{"never", "at once", "later"} {
 			t.Run(fmt.Sprintf("crash after %d writes, cancelled %s", writes, cancelled), func(t *testing.T) {
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -86,6 +86,7 @@
 // a worker, a call to the cloud, a renewal or a write. It resumes within its lease, within its
 // grace period, or after another has led for long. Jobs come, end and are cancelled all the while.
 func TestLeaderPausedBeforeEffect(t *testing.T) {
+	t.Parallel()
 	kinds := map[string]func(message.Effect) bool{
 		"answer": func(e message.Effect) bool { _, ok := e.(message.Reply); return ok },
 		"orders": func(e message.Effect) bool { _, ok := e.(message.CommandsCall); return ok },
@@ -143,6 +144,7 @@
 // asked for the term: while it takes it, reads the records or begins to lead. A third takes
 // over, or it resumes itself.
 func TestSuccessorPausedDuringTakeOver(t *testing.T) {
+	t.Parallel()
 	for _, stall := range []time.Duration{2 * time.Second, 9 * time.Second, 32 * time.Second} {
 		for skip := range 8 {
 			t.Run(fmt.Sprintf("after %d for %v", skip, stall), func(t *testing.T) {
--- a/internal/controller/pipeline_cancellation_test.go
+++ b/internal/controller/pipeline_cancellation_test.go
@@ -56,6 +56,7 @@
 // calls what needs it queued or running, and a job that is called cancelled with it
 // stays so.
 func TestPrerequisiteCancelledDuringLeaderChange(t *testing.T) {
+	t.Parallel()
 	for name, fault := range leaderFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -42,6 +42,7 @@
 // of the second job, from just after its first task began until its last has ended,
 // the result is the same for all: the others are cancelled with it, or none is.
 func TestLeaderCrashBetweenPipelineWrites(t *testing.T) {
+	t.Parallel()
 	for _, cancelAt := range []time.Duration{0, 4 * time.Second, 6 * time.Second, 7800 * time.Millisecond, 8200 * time.Millisecond, 8600 * time.Millisecond} {
 		t.Run(fmt.Sprint("cancelled after ", cancelAt), func(t *testing.T) {
 			t.Parallel()
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -144,6 +144,7 @@
 // or hear nothing, and the leader changes: what may still run counts, and once it
 // is proved gone the room is used again.
 func TestQuotaWhileMachinesAreUnreachable(t *testing.T) {
+	t.Parallel()
 	for _, fault := range []string{"partitioned", "hangs", "unanswered", "heartbeats lost"} {
 		for _, change := range []time.Duration{0, 300 * time.Millisecond, 2 * time.Second, 6 * time.Second} {
 			t.Run(fmt.Sprint(fault, " ", change), func(t *testing.T) {
--- a/internal/controller/repeated_queries_test.go
+++ b/internal/controller/repeated_queries_test.go
@@ -47,6 +47,7 @@
 // are being cancelled, at every controller, while the leader crashes, is paused, or
 // loses the state service at any moment of that: statuses only move forward.
 func TestRepeatedQueriesDuringFaults(t *testing.T) {
+	t.Parallel()
 	steps := 12
 	if *fine {
 		steps = 60
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -16,6 +16,7 @@
 // The versions lead in turns, several times, also within a second and in an outage:
 // nothing is lost and every rule holds, whoever wrote a page last.
 func TestVersionsAlternateAsLeader(t *testing.T) {
+	t.Parallel()
 	for _, pause := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 9 * time.Second} {
 		for _, outage := range []bool{false, true} {
 			t.Run(fmt.Sprintf("down for %v, outage %t", pause, outage), func(t *testing.T) {
@@ -69,6 +70,7 @@
 // first copy of a write may be carried out late, after the same write was refused for
 // its size and its pages were divided: by then it is of an earlier term.
 func TestLimitsLoweredAfterRollingUpgrade(t *testing.T) {
+	t.Parallel()
 	for _, wait := range []time.Duration{0, 500 * time.Millisecond, 20 * time.Second} {
 		for _, slow := range []time.Duration{0, 150 * time.Millisecond} {
 			t.Run(fmt.Sprintf("after %v, latency %v", wait, slow), func(t *testing.T) {
--- a/internal/controller/write_responses_test.go
+++ b/internal/controller/write_responses_test.go
@@ -136,6 +136,7 @@
 // Every kind of write is carried out and its answer lost, or carried out
 // only after newer ones, while others read: each is recognised, none counts twice.
 func TestWritesWithLostResponses(t *testing.T) {
+	t.Parallel()
 	for _, lossy := range []lossyWrites{
 		{oneOf: 2},
 		{oneOf: 3, crashes: true},
