--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -74,9 +74,9 @@
 
 // newPeakLoad makes a fleet at its peak, with so many tasks running and so many starts a
 // second.
-func newPeakLoad(t testing.TB, machines, running int, starts float64) *peakLoad {
-	t.Helper()
-	w, leader := newFleet(t, machines)
+func newPeakLoad(tb testing.TB, machines, running int, starts float64) *peakLoad {
+	tb.Helper()
+	w, leader := newFleet(tb, machines)
 	p := &peakLoad{world: w, leader: leader, arraysPerSecond: 3.2, lastID: 10_000}
 	p.tasksEach = int(starts / p.arraysPerSecond)
 	p.runTime = time.Duration(float64(running) / starts * float64(time.Second))
--- a/internal/controller/best_effort_test.go
+++ b/internal/controller/best_effort_test.go
@@ -18,9 +18,9 @@
 	return newWorldWith(t, s)
 }
 
-// bestEffortJob is a submission of the team that has no guarantee.
-func bestEffortJob(id int, kind protocol.JobKind, tasks int) protocol.Submission {
-	s := job(id, kind, tasks)
+// bestEffortJob is an array of the team that has no guarantee.
+func bestEffortJob(id, tasks int) protocol.Submission {
+	s := job(id, protocol.Array, tasks)
 	s.Team, s.Priority, s.Spot = "guests", protocol.Low, true
 	return s
 }
@@ -37,8 +37,8 @@
 			expensive++
 		}
 	}
-	w.Submit(bestEffortJob(1, protocol.Array, 120), 4*time.Second)
-	w.Submit(bestEffortJob(2, protocol.Array, 20), 4*time.Second)
+	w.Submit(bestEffortJob(1, 120), 4*time.Second)
+	w.Submit(bestEffortJob(2, 20), 4*time.Second)
 	for range 3 {
 		w.Run(15 * time.Second)
 		restartLeader(w, 2*time.Second)
@@ -62,7 +62,7 @@
 		paying.CPUs, paying.GPUs, paying.MemoryGB = 2, 1, 4
 		w.Submit(paying, 0)
 		waitRunning(t, w, paying.ID, 1)
-		s := bestEffortJob(2, protocol.Array, 1)
+		s := bestEffortJob(2, 1)
 		s.CPUs, s.Spot = 3, false
 		w.Submit(s, 30*time.Second)
 		began := w.Now
@@ -93,7 +93,7 @@
 		w.Submit(paying, 0)
 		waitRunning(t, w, paying.ID, 1)
 		machine := w.MachinesOf(paying.ID)[0]
-		s := bestEffortJob(2, protocol.Array, 3)
+		s := bestEffortJob(2, 3)
 		s.CPUs, s.EstimatedRunS = 2, 400
 		j := w.Submit(s, 400*time.Second)
 		if !w.RunUntil(60*time.Second, func() bool { return w.Running(s.ID) > 0 }) {
@@ -129,7 +129,7 @@
 	s.State.WriteRPS = 3
 	w := newWorldWith(t, s)
 	w.Cloud.CapacityOf = map[string]int{"small": 16}
-	array := bestEffortJob(1, protocol.Array, 25_000)
+	array := bestEffortJob(1, 25_000)
 	array.CPUs, array.MemoryGB, array.EstimatedRunS = 0.05, 0.1, 3
 	w.Submit(array, 3*time.Second)
 	w.Run(20 * time.Second)
--- a/internal/controller/helpers_fleet_test.go
+++ b/internal/controller/helpers_fleet_test.go
@@ -9,8 +9,8 @@
 
 // newFleet makes a world with so many machines up, each with a replica of a job of
 // fifty, and the leader among its controllers.
-func newFleet(t testing.TB, machines int) (*fake.World, *fake.Controller) {
-	t.Helper()
+func newFleet(tb testing.TB, machines int) (*fake.World, *fake.Controller) {
+	tb.Helper()
 	s := fake.Settings()
 	s.Teams = s.Teams[:1]
 	s.Teams[0].GuaranteedCPUs, s.Teams[0].CPULimit = 1e6, 0
@@ -25,12 +25,12 @@
 		w.Submit(j, 0)
 	}
 	if !w.RunUntil(60*time.Second, func() bool { return len(w.MachineNames()) >= machines }) {
-		t.Fatalf("%d machines are up", len(w.MachineNames()))
+		tb.Fatalf("%d machines are up", len(w.MachineNames()))
 	}
 	w.Run(10 * time.Second)
 	leader := w.Leader()
 	if leader == nil {
-		t.Fatal("nobody leads")
+		tb.Fatal("nobody leads")
 	}
 	return w, leader
 }
--- a/internal/controller/helpers_pipeline_test.go
+++ b/internal/controller/helpers_pipeline_test.go
@@ -27,7 +27,7 @@
 }
 
 // submitAfter submits a job that needs others, as users do: once these are accepted.
-func submitAfter(t testing.TB, w *fake.World, s protocol.Submission, run time.Duration, needs ...*fake.Job) *fake.Job {
+func submitAfter(t *testing.T, w *fake.World, s protocol.Submission, run time.Duration, needs ...*fake.Job) *fake.Job {
 	t.Helper()
 	for _, p := range needs {
 		if !w.RunUntil(30*time.Second, func() bool { return p.Accepted }) {
@@ -40,7 +40,7 @@
 
 // submitPipeline submits four jobs, each after the one before: arrays, a gang, and an urgent
 // end with a deadline.
-func submitPipeline(t testing.TB, w *fake.World, first int) []*fake.Job {
+func submitPipeline(t *testing.T, w *fake.World, first int) []*fake.Job {
 	t.Helper()
 	scrub, split, grade, push := job(first, protocol.Array, 2), job(first+1, protocol.Array, 4), job(first+2, protocol.Gang, 2), job(first+3, protocol.Array, 1)
 	scrub.Priority, split.Priority, push.Priority, push.DeadlineS = protocol.Low, protocol.Low, protocol.High, 90
@@ -52,7 +52,7 @@
 }
 
 // requirePipelineOutcome fails unless every job of a pipeline is done, or cancelled from one on.
-func requirePipelineOutcome(t testing.TB, w *fake.World, jobs []*fake.Job) {
+func requirePipelineOutcome(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
 	cancelled := false
 	for _, j := range jobs {
--- a/internal/controller/helpers_takeover_test.go
+++ b/internal/controller/helpers_takeover_test.go
@@ -14,8 +14,8 @@
 
 // takeOver has a new controller take the term, with each request to the state service
 // answered at once, and gives how many entries it was given.
-func takeOver(t testing.TB, w *fake.World, cfg *config.Config) (entries int) {
-	t.Helper()
+func takeOver(tb testing.TB, w *fake.World, cfg *config.Config) (entries int) {
+	tb.Helper()
 	var c *steppedController
 	c = newSteppedController(cfg, func(effect message.Effect) message.Event {
 		call, ok := effect.(message.StateCall)
@@ -33,7 +33,7 @@
 		}
 	}
 	if !c.leads() {
-		t.Fatalf("is %s", c.Role())
+		tb.Fatalf("is %s", c.Role())
 	}
 	return entries
 }
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -78,10 +78,10 @@
 }
 
 // waitLeader lets time pass until a controller leads.
-func waitLeader(t testing.TB, w *fake.World, timeout time.Duration) {
-	t.Helper()
+func waitLeader(tb testing.TB, w *fake.World, timeout time.Duration) {
+	tb.Helper()
 	if !w.RunUntil(timeout, func() bool { return w.Leader() != nil }) {
-		t.Fatal("nobody leads")
+		tb.Fatal("nobody leads")
 	}
 }
 
--- a/internal/controller/model_actions_test.go
+++ b/internal/controller/model_actions_test.go
@@ -155,7 +155,7 @@
 	c := d.controller()
 	others := []string{"state", "cloud", "n0", "n1", "n2"}
 	d.network.partition(c.Name, others...)
-	d.world.After(d.seconds("for", 1, 60), func() { d.network.heal(c.Name, others...) })
+	d.world.After(d.seconds("for", 60), func() { d.network.heal(c.Name, others...) })
 }
 
 // partitionZone leaves a controller and a machine to themselves.
@@ -168,7 +168,7 @@
 		}
 	}
 	d.network.blocked[link{c.Name, "state"}], d.network.blocked[link{c.Name, "cloud"}] = true, true
-	d.world.After(d.seconds("for", 1, 60), func() { clear(d.network.blocked) })
+	d.world.After(d.seconds("for", 60), func() { clear(d.network.blocked) })
 }
 
 // Faults of the services.
@@ -176,26 +176,26 @@
 // stateOutage has the state service refuse everybody.
 func (d *drawnWorld) stateOutage() {
 	d.world.State.SetOutage(true)
-	d.world.After(d.seconds("for", 1, 40), func() { d.world.State.SetOutage(false) })
+	d.world.After(d.seconds("for", 40), func() { d.world.State.SetOutage(false) })
 }
 
 // stateUnreachable has the state service refuse one controller.
 func (d *drawnWorld) stateUnreachable() {
 	c := d.controller()
 	d.world.State.Unreachable[c.Name] = true
-	d.world.After(d.seconds("for", 1, 40), func() { d.world.State.Unreachable[c.Name] = false })
+	d.world.After(d.seconds("for", 40), func() { d.world.State.Unreachable[c.Name] = false })
 }
 
 // slowState delays the responses of the state service.
 func (d *drawnWorld) slowState() {
 	d.network.stateLatency = d.millis("by", 50, 900)
-	d.world.After(d.seconds("for", 1, 20), func() { d.network.stateLatency = 0 })
+	d.world.After(d.seconds("for", 20), func() { d.network.stateLatency = 0 })
 }
 
 // cloudOutage has the cloud refuse everything.
 func (d *drawnWorld) cloudOutage() {
 	d.world.Cloud.Down = true
-	d.world.After(d.seconds("for", 1, 30), func() { d.world.Cloud.Down = false })
+	d.world.After(d.seconds("for", 30), func() { d.world.Cloud.Down = false })
 }
 
 // disturbNetwork draws how many messages are lost, late and duplicated from now on.
@@ -215,21 +215,21 @@
 		controllers = append(controllers, c.Name)
 	}
 	d.network.partition(machine, controllers...)
-	d.world.After(d.seconds("for", 1, 40), func() { d.network.heal(machine, controllers...) })
+	d.world.After(d.seconds("for", 40), func() { d.network.heal(machine, controllers...) })
 }
 
 // loseResponsesToMachine keeps responses and commands from a machine.
 func (d *drawnWorld) loseResponsesToMachine() {
 	_, machine := d.worker()
 	d.network.unanswered[machine] = true
-	d.world.After(d.seconds("for", 1, 40), func() { delete(d.network.unanswered, machine) })
+	d.world.After(d.seconds("for", 40), func() { delete(d.network.unanswered, machine) })
 }
 
 // loseHeartbeats loses the heartbeats of a machine.
 func (d *drawnWorld) loseHeartbeats() {
 	_, machine := d.worker()
 	d.network.noHeartbeats[machine] = true
-	d.world.After(d.seconds("for", 1, 40), func() { delete(d.network.noHeartbeats, machine) })
+	d.world.After(d.seconds("for", 40), func() { delete(d.network.noHeartbeats, machine) })
 }
 
 // recordHeartbeats keeps copies of heartbeats, see drawnWorld.replayHeartbeats.
@@ -246,14 +246,14 @@
 // hangWorker has a worker hang, while its lease goes on.
 func (d *drawnWorld) hangWorker() {
 	if worker, _ := d.worker(); worker != nil {
-		worker.HangUntil = d.world.Now + d.seconds("for", 1, 30)
+		worker.HangUntil = d.world.Now + d.seconds("for", 30)
 	}
 }
 
 // interruptMachine has the cloud announce that it takes a machine.
 func (d *drawnWorld) interruptMachine() {
 	_, machine := d.worker()
-	d.world.AnnounceInterruption(machine, d.seconds("in", 1, 15))
+	d.world.AnnounceInterruption(machine, d.seconds("in", 15))
 }
 
 // failMachine ends a machine.
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -82,9 +82,9 @@
 	return rapid.IntRange(least, most).Draw(d.t, label)
 }
 
-// seconds draws a duration of whole seconds.
-func (d *drawnWorld) seconds(label string, least, most int) time.Duration {
-	return time.Duration(d.between(label, least, most)) * time.Second
+// seconds draws a duration of whole seconds, one at least.
+func (d *drawnWorld) seconds(label string, most int) time.Duration {
+	return time.Duration(d.between(label, 1, most)) * time.Second
 }
 
 // millis draws a duration of whole milliseconds.
@@ -130,7 +130,7 @@
 	if s.Kind == protocol.Service {
 		s.CheckpointIntervalS = 0
 	}
-	j := d.world.Submit(s, d.seconds("run", 1, 15))
+	j := d.world.Submit(s, d.seconds("run", 15))
 	j.AlwaysFails = d.between("always fails", 0, 19) == 0
 }
 
