--- /dev/null
+++ b/internal/controller/archive_moves_test.go
@@ -0,0 +1,182 @@
+package controller_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"oakpick/internal/fake"
+	"oakpick/internal/message"
+	"oakpick/internal/protocol"
+)
+
+// The leader crashes before, inside and after a move, whose transaction is lost, carried out
+// late, or only not answered.
+func TestLeaderCrashDuringArchiveMove(t *testing.T) {
+	t.Parallel()
+	for _, fault := range []string{"none", "request lost", "late", "answer lost"} {
+		for _, after := range []int{0, 1, 2, 5} {
+			t.Run(fmt.Sprint(fault, " at write ", after), func(t *testing.T) {
+				t.Parallel()
+				testLeaderCrashDuringArchiveMove(t, fault, after)
+			})
+		}
+	}
+}
+
+// testLeaderCrashDuringArchiveMove lets so many writes of the move pass, has the
+// others meet the fault, and crashes the leader.
+func testLeaderCrashDuringArchiveMove(t *testing.T, fault string, after int) {
+	t.Helper()
+	w := newWorldWith(t, smallMemorySettings())
+	provisionIdleMachines(t, w)
+	w.SeparateWrites = true
+	jobs := completeJobs(t, w, 100_000, 60)
+	writes := 0
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		delivery := fake.Reliable()
+		if kind != fake.KindWrite {
+			return delivery
+		}
+		writes++
+		if writes <= after {
+			return delivery
+		}
+		switch fault {
+		case "request lost":
+			delivery.LoseRequest = true
+		case "late":
+			delivery.LoseRequest, delivery.DuplicateAfter = true, 3*time.Second
+		case "answer lost":
+			delivery.LoseResponse = true
+		}
+		return delivery
+	}
+	for range 20 {
+		w.Run(50 * time.Millisecond)
+		requireRecorded(t, w, jobs)
+	}
+	crashLeader(w, 3*time.Second)
+	w.Network = nil
+	for range 100 {
+		w.Run(50 * time.Millisecond)
+		requireRecorded(t, w, jobs)
+	}
+	requireAllDone(t, w, jobs)
+	waitArchived(t, w, jobs)
+	requireAllDone(t, w, jobs)
+}
+
+// A repeat of a submission comes to all controllers in the very moments in which its job is moved.
+func TestRepeatedSubmissionDuringArchiveMove(t *testing.T) {
+	w := newWorldWith(t, smallMemorySettings())
+	provisionIdleMachines(t, w)
+	jobs := completeJobs(t, w, 100_000, 80)
+	for n := range 120 {
+		for _, j := range jobs[n%8 : min(len(jobs), n%8+20)] {
+			w.QueryEverywhere(j)
+		}
+		w.Run(50 * time.Millisecond)
+		requireRecorded(t, w, jobs)
+	}
+	waitArchived(t, w, jobs)
+	requireAllDone(t, w, jobs)
+}
+
+// A page of the archive is read for a job that nobody knows, a move into that page is carried
+// out, and only then does the answer to the read come: it says nothing of what was moved.
+func TestArchiveReadConcurrentWithMove(t *testing.T) {
+	w := newWorldWith(t, smallMemorySettings())
+	provisionIdleMachines(t, w)
+	w.Controllers[2].Crash()                 // nothing is moved before it says that it reads the archive
+	jobs := completeJobs(t, w, 100_000, 600) // more pages than a leader keeps
+	delayWrites(w)
+	w.Controllers[2].Start()
+	for n := range 400 {
+		if w.Leader() == nil {
+			w.Run(50 * time.Millisecond)
+			continue
+		}
+		w.Leader().Request(message.UserRequest{Kind: message.Poll, Job: fmt.Sprintf("wk-%06d", 100_000+(n*37)%99_000)}, func(message.Reply) {})
+		if n%4 == 0 {
+			w.QueryEverywhere(jobs[n/4%len(jobs)])
+		}
+		w.Run(50 * time.Millisecond)
+		requireRecorded(t, w, jobs)
+	}
+	requireNoViolations(t, w)
+	w.Network = nil
+	requireAllDone(t, w, jobs)
+}
+
+// Jobs of several blocks end, the removal of their other blocks is lost again and again, and
+// the leader crashes: no block is left whose job is only in the archive.
+func TestBlocksRemovedBeforeJobIsArchived(t *testing.T) {
+	s := smallMemorySettings()
+	s.State.TxnOps = 3
+	w := newWorldWith(t, s)
+	provisionIdleMachines(t, w)
+	completeJobs(t, w, 100_000, 60)
+	w.SeparateWrites = true
+	writes := 0
+	w.Network = func(kind, _, _ string) fake.Delivery {
+		delivery := fake.Reliable()
+		if kind == fake.KindWrite {
+			writes++
+			delivery.LoseRequest = writes%3 == 0
+		}
+		return delivery
+	}
+	var jobs []*fake.Job
+	for n := range 24 {
+		sub := multiBlockJob(800_000+n, protocol.Array)
+		sub.CPUs, sub.MemoryGB = 0.02, 0.02
+		jobs = append(jobs, w.Submit(sub, 300*time.Millisecond))
+		w.Run(500 * time.Millisecond)
+		if n%6 == 5 {
+			w.Leader().Crash()
+			w.Run(4 * time.Second)
+			startDown(w)
+			w.Run(2 * time.Second)
+		}
+	}
+	runAndPoll(w, 40*time.Second)
+	w.Leader().Crash()
+	runAndPoll(w, 40*time.Second)
+	requireNotLogged(t, w, "block of an unknown job dropped")
+	requireNoViolations(t, w)
+	for _, j := range jobs {
+		if j.Status != protocol.StatusDone {
+			t.Errorf("%s has status %q", j.Submission.ID, j.Status)
+		}
+	}
+}
+
+// More ended jobs than are kept, and none of them may be moved since a job that waits names
+// them all: that there is nothing to move doesn't keep users from the archive.
+func TestArchiveReadableWhileNothingCanMove(t *testing.T) {
+	w, jobs := newWorldWithArchive(t, 600)
+	long := w.Submit(job(50, protocol.Array, 1), time.Hour)
+	waitRunning(t, w, long.Submission.ID, 1)
+	needs := []*fake.Job{long}
+	for n := range terminalJobsInMemory + 8 {
+		s := job(700_000+n, protocol.Array, 1)
+		s.CPUs, s.MemoryGB, s.ImageGB = 0.05, 0.05, 0.01
+		needs = append(needs, w.Submit(s, 12*time.Second))
+	}
+	submitAfter(t, w, job(51, protocol.Array, 1), time.Second, needs...)
+	runAndPoll(w, 40*time.Second)
+	if pages, _ := terminalRecords(t, w); len(pages) <= terminalJobsInMemory {
+		t.Fatalf("%d ended jobs are on pages, which may be moved", len(pages))
+	}
+	leader := w.Leader()
+	for n := 0; n < len(jobs); n += 15 {
+		status := 0
+		leader.Request(message.UserRequest{Kind: message.Poll, Job: jobs[n].Submission.ID}, func(r message.Reply) { status = r.Status })
+		w.Run(300 * time.Millisecond)
+		if status != 200 {
+			t.Errorf("%s: %d after 0.3 s", jobs[n].Submission.ID, status)
+		}
+	}
+	requireNoViolations(t, w)
+}
--- /dev/null
+++ b/internal/controller/heartbeats_test.go
@@ -0,0 +1,135 @@
+package controller_test
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"oakpick/internal/fake"
+	"oakpick/internal/message"
+	"oakpick/internal/protocol"
+)
+
+// Machines are up at once and get work while writes lag, and the leader crashes at
+// any moment of that: every start that a worker has is recorded, no machine is
+// forgotten, and none is provisioned twice for long.
+func TestMachinesBootWhileWritesLag(t *testing.T) {
+	steps := 16
+	if *fine {
+		steps = 120
+	}
+	for step := range steps {
+		w := newWorld(t)
+		for i := range w.Cloud.Types() {
+			w.Cloud.Types()[i].BootS = 0.5
+		}
+		w.Run(3 * time.Second)
+		lag := w.Now + 6*time.Second
+		w.Network = func(kind, _, _ string) fake.Delivery {
+			delivery := fake.Reliable()
+			if kind == fake.KindState && w.Now < lag {
+				delivery.RequestDelay, delivery.ResponseDelay = 350*time.Millisecond, 350*time.Millisecond
+			}
+			return delivery
+		}
+		var jobs []*fake.Job
+		for i := range 6 {
+			s := service(i+1, 2)
+			s.CPUs = 2
+			jobs = append(jobs, w.Submit(s, 0))
+		}
+		w.Run(6 * time.Second * time.Duration(step) / time.Duration(steps))
+		crashLeader(w, 3*time.Second)
+		for _, j := range jobs {
+			waitRunning(t, w, j.Submission.ID, 2)
+		}
+		w.Run(150 * time.Second) // every machine that isn't needed has been scaled in
+		requireNoViolations(t, w)
+		used := map[string]bool{}
+		for _, j := range jobs {
+			for _, h := range w.MachinesOf(j.Submission.ID) {
+				used[h] = true
+			}
+		}
+		if have := len(w.Cloud.MachineNames()); have > len(used)+8 { // and what is kept free for the next
+			t.Errorf("step %d: %d machines are provisioned, %d used", step, have, len(used))
+		}
+	}
+}
+
+// Heartbeats of a worker are kept, from its earlier incarnation too, and handed to every
+// controller just as another leads: they prove neither that a task is absent nor
+// that it is there, nor that the machine lives, nor that its lease has ended.
+func TestStaleHeartbeatsReachNewLeader(t *testing.T) {
+	for _, died := range []bool{false, true} {
+		t.Run(fmt.Sprint("machine has died ", died), func(t *testing.T) {
+			for step := range 20 {
+				testStaleHeartbeatsReachNewLeader(t, step, died)
+			}
+		})
+	}
+}
+
+// testStaleHeartbeatsReachNewLeader varies with the step: an earlier incarnation, a machine that
+// is partitioned at first, heartbeats replayed once or again and again, and which of them.
+func testStaleHeartbeatsReachNewLeader(t *testing.T, step int, died bool) {
+	t.Helper()
+	w := newWorld(t)
+	var recorded []protocol.Heartbeat
+	w.OnHeartbeat = func(heartbeat protocol.Heartbeat) {
+		heartbeat.Tasks = slices.Clone(heartbeat.Tasks)
+		recorded = append(recorded, heartbeat)
+	}
+	before := w.Submit(service(1, 2), 0)
+	waitRunning(t, w, before.Submission.ID, 2)
+	machine := w.MachinesOf(before.Submission.ID)[0]
+	if step%2 == 1 { // an earlier incarnation: it hangs past its lease and comes back
+		w.Workers[machine].HangUntil = w.Now + 12*time.Second
+		w.Run(14 * time.Second)
+		waitRunning(t, w, before.Submission.ID, 2)
+	}
+	after := w.Submit(service(2, 2), 0)
+	waitRunning(t, w, after.Submission.ID, 2)
+	w.Run(3 * time.Second)
+	// The machine itself is partitioned at first, so that only copies speak for it.
+	partitioned, healAt := w.MachinesOf(after.Submission.ID)[0], w.Now+6*time.Second
+	if died {
+		w.Cloud.Fail(partitioned)
+	}
+	w.Network = func(_, from, to string) fake.Delivery {
+		delivery := fake.Reliable()
+		delivery.LoseRequest = step%4 < 2 && w.Now < healAt && (from == partitioned || to == partitioned)
+		return delivery
+	}
+	w.Controllers[0].Crash()
+	stale := slices.Clone(recorded)
+	taken := false
+	for range 400 { // as soon as it leads, and then for a while
+		w.Run(50 * time.Millisecond)
+		if w.Leader() != nil && (!taken || step%4 == 0 && int(w.Now/time.Millisecond)%500 == 0) {
+			taken = true
+			replayEveryFifth(w, stale, step%5)
+		}
+	}
+	if !taken {
+		t.Fatal("nobody took over")
+	}
+	waitRunning(t, w, before.Submission.ID, 2)
+	waitRunning(t, w, after.Submission.ID, 2)
+	w.Run(30 * time.Second)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
+}
+
+// replayEveryFifth sends every fifth heartbeat to every controller.
+func replayEveryFifth(w *fake.World, heartbeats []protocol.Heartbeat, first int) {
+	for i, heartbeat := range heartbeats {
+		if i%5 != first {
+			continue
+		}
+		for _, c := range w.Controllers {
+			c.Request(message.HeartbeatRequest{Heartbeat: &heartbeat}, func(message.Reply) {})
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/hung_leader_test.go
@@ -0,0 +1,108 @@
+package controller_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"oakpick/internal/fake"
+	"oakpick/internal/message"
+	"oakpick/internal/protocol"
+)
+
+// The leader of the version in production hangs through the whole rolling upgrade, with requests
+// held and with writes on their way, and is ended at last. Its writes and its answers are
+// late: by then the others have the new version, the limits are lowered, pages are divided
+// and a pipeline is cancelled.
+func TestHungLeaderDuringRollingUpgrade(t *testing.T) {
+	t.Parallel()
+	for _, hang := range []time.Duration{2 * time.Second, 9 * time.Second, 25 * time.Second} {
+		for _, late := range []time.Duration{4 * time.Second, 12 * time.Second, 30 * time.Second} {
+			for _, resumes := range []bool{false, true} {
+				t.Run(fmt.Sprintf("hangs %v, late %v, resumes %t", hang, late, resumes), func(t *testing.T) {
+					t.Parallel()
+					testHungLeaderDuringRollingUpgrade(t, hang, late, resumes)
+				})
+			}
+		}
+	}
+}
+
+// testHungLeaderDuringRollingUpgrade has the leader hang for so long, resume at the end if
+// wanted, and its writes and answers arrive so late.
+func testHungLeaderDuringRollingUpgrade(t *testing.T, hang, late time.Duration, resumes bool) {
+	t.Helper()
+	w := newProductionWorld(t)
+	large := job(1, protocol.Array, 70)
+	large.CPUs, large.Team = 0.5, "red"
+	w.Submit(large, 8*time.Second)
+	for i := range 20 {
+		s := service(100+i, 1)
+		s.CPUs = 0.1
+		w.Submit(s, 0)
+	}
+	cancelled := w.Submit(service(2, 2), 0)
+	w.Run(25 * time.Second)
+	old := w.Leader()
+	w.SeparateWrites = true
+	w.Network = delayOldLeader(old, late)
+	w.CancelEverywhere(cancelled)
+	for i := range 8 { // several transactions are on their way when it hangs
+		w.Submit(job(200+i, protocol.Array, 2), 2*time.Second)
+	}
+	w.Run(200 * time.Millisecond)
+	old.PausedUntil = w.Now + 10*time.Minute
+	if resumes {
+		old.PausedUntil = w.Now + hang - 500*time.Millisecond
+	}
+	answered := 0
+	for range 5 { // requests that it holds
+		old.Request(message.UserRequest{Kind: message.Poll, Job: cancelled.Submission.ID}, func(message.Reply) { answered++ })
+	}
+	upgradeAroundHungLeader(w, old, hang)
+	w.State.LowerLimits()
+	jobs := submitPipeline(t, w, 300)
+	w.CancelEverywhere(jobs[1])
+	queryRepeatedly(w, jobs, 80, 500*time.Millisecond)
+	runAndPoll(w, 120*time.Second)
+	requireNoViolations(t, w)
+	requireAllServed(t, w)
+	requirePipelineOutcome(t, w, jobs)
+	if cancelled.Status != protocol.StatusCancelled {
+		t.Errorf("the job that the hanging leader was asked to cancel has status %q", cancelled.Status)
+	}
+	if resumes && answered == 0 {
+		t.Error("the hanging leader answered nothing when it resumed")
+	}
+}
+
+// delayOldLeader is a network on which a leader's writes, commands and forwarded requests arrive
+// late while it runs as the version in production, and its answers to forwarded ones always.
+func delayOldLeader(old *fake.Controller, late time.Duration) func(kind, from, to string) fake.Delivery {
+	return func(kind, from, to string) fake.Delivery {
+		delivery := fake.Reliable()
+		delayed := kind == fake.KindWrite || kind == fake.KindCommands || kind == fake.KindForward
+		if from == old.Name && old.RunsProduction && delayed {
+			delivery.RequestDelay = late
+		}
+		if to == old.Name && kind == fake.KindForward {
+			delivery.ResponseDelay = late
+		}
+		return delivery
+	}
+}
+
+// upgradeAroundHungLeader gives the others the new version while the leader hangs, and then the
+// leader.
+func upgradeAroundHungLeader(w *fake.World, old *fake.Controller, hang time.Duration) {
+	for _, c := range w.Controllers {
+		if c != old {
+			w.Run(hang / 3)
+			upgrade(w, c, 400*time.Millisecond)
+		}
+	}
+	w.Run(hang)
+	old.PausedUntil = 0
+	upgrade(w, old, 500*time.Millisecond)
+	w.Run(time.Second)
+}
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -61,12 +61,12 @@
 func restartControllers(e *experiment) error { return e.testbed.Controllers.StartAll() }
 
 func beginOutage(_ context.Context, e *experiment) error {
-	e.testbed.DoAndWait(func() { e.testbed.World.State.Outage(true) })
+	e.testbed.DoAndWait(func() { e.testbed.World.State.SetOutage(true) })
 	return nil
 }
 
 func endOutage(e *experiment) error {
-	e.testbed.DoAndWait(func() { e.testbed.World.State.Outage(false) })
+	e.testbed.DoAndWait(func() { e.testbed.World.State.SetOutage(false) })
 	return nil
 }
 
@@ -164,7 +164,7 @@
 // countFaultEffects is called by the testbed's loop.
 func (e *experiment) countFaultEffects() faultCounts {
 	world := e.testbed.World
-	return faultCounts{killedByLease: world.KilledByLease, tasksDied: world.TasksDied, violations: len(world.Violations)}
+	return faultCounts{killedByLease: world.TasksLostToLeaseExpiry, tasksDied: world.TasksLostWithMachine, violations: len(world.Violations)}
 }
 
 func (e *experiment) reportFault(name string, before faultCounts) *FaultReport {
--- a/internal/scale/measurement.go
+++ b/internal/scale/measurement.go
@@ -30,7 +30,7 @@
 	e.testbed.DoAndWait(func() {
 		world := e.testbed.World
 		s.starts, s.puts = e.gaps.totalStarts, world.State.Puts
-		s.workers, s.tasks = len(world.MachineNames()), world.OnMachines()
+		s.workers, s.tasks = len(world.MachineNames()), world.TasksOnMachines()
 	})
 	return s
 }
--- a/internal/scale/progress.go
+++ b/internal/scale/progress.go
@@ -31,7 +31,7 @@
 	var workers, tasks, violations int
 	e.testbed.DoAndWait(func() {
 		world := e.testbed.World
-		workers, tasks, violations = len(world.MachineNames()), world.OnMachines(), len(world.Violations)
+		workers, tasks, violations = len(world.MachineNames()), world.TasksOnMachines(), len(world.Violations)
 	})
 	e.progress.Logf("  %s: %d workers up, %d tasks on machines, %d rules broken", phase, workers, tasks, violations)
 }
--- a/internal/scale/testbed/testbed.go
+++ b/internal/scale/testbed/testbed.go
@@ -125,16 +125,16 @@
 	return func(kind, from, to string) fake.Delivery {
 		var delivery fake.Delivery
 		switch kind {
-		case "state":
-			delivery.Request, delivery.Answer = stateLatency/2, stateLatency/2
+		case fake.KindState:
+			delivery.RequestDelay, delivery.ResponseDelay = stateLatency/2, stateLatency/2
 			if random.Float64() < slowStateShare {
-				delivery.Answer = slowStateAnswer
+				delivery.ResponseDelay = slowStateAnswer
 			}
-		case "cloud":
-			delivery.Request, delivery.Answer = cloudLatency/2, cloudLatency/2
-		case "report":
+		case fake.KindCloud:
+			delivery.RequestDelay, delivery.ResponseDelay = cloudLatency/2, cloudLatency/2
+		case fake.KindHeartbeat:
 			delivery.LoseRequest = t.partitioned[from]
-		case "orders":
+		case fake.KindCommands:
 			delivery.LoseRequest = t.partitioned[to]
 		}
 		return delivery
--- a/internal/scale/testbed/world_loop.go
+++ b/internal/scale/testbed/world_loop.go
@@ -38,7 +38,7 @@
 		case <-timer.C:
 			l.world.Advance(time.Since(startedAt))
 		}
-		timer.Reset(max(0, l.world.NextAt()-time.Since(startedAt)))
+		timer.Reset(max(0, l.world.NextEventAt()-time.Since(startedAt)))
 	}
 }
 
