--- a/cmd/oakpick/weights_store.go
+++ b/cmd/oakpick/weights_store.go
@@ -42,7 +42,7 @@
 		if err != nil {
 			return err
 		}
-		defer file.Close()
+		defer file.Close() //nolint:errcheck // it was only read
 		sources = append(sources, file)
 	}
 	m, err := store.Pack(io.MultiReader(sources...), int64(p.ChunkMB*bytesPerMebibyte), p.Tag)
--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	defer listener.Close()
+	defer listener.Close() //nolint:errcheck // the server closes it as well; a second close fails
 	a, err := newAgent(settings, log, afero.NewOsFs())
 	if err != nil {
 		return err
--- a/internal/distribution/agent/core_fetch.go
+++ b/internal/distribution/agent/core_fetch.go
@@ -114,7 +114,7 @@
 }
 
 // offersMissingChunk reports whether a source has a chunk that isn't stored.
-func (c *Core) offersMissingChunk(version *versionState, source *sourceState) bool {
+func (*Core) offersMissingChunk(version *versionState, source *sourceState) bool {
 	for i := range version.Chunks {
 		if !version.held.Has(i) && source.has(i) {
 			return true
--- a/internal/distribution/agent/server.go
+++ b/internal/distribution/agent/server.go
@@ -68,7 +68,7 @@
 		http.Error(w, "it can't be read", http.StatusInternalServerError)
 		return
 	}
-	defer version.Close()
+	defer version.Close() //nolint:errcheck // it was only read
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.FormatInt(version.Size, 10))
 	w.Header().Set(HeaderManifest, version.Manifest.String())
--- a/internal/distribution/chunkstore/active_test.go
+++ b/internal/distribution/chunkstore/active_test.go
@@ -47,7 +47,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer r.Close()
+		defer r.Close() //nolint:errcheck // it was only read
 		if got, err := io.ReadAll(r); err != nil || string(got) != want || r.Revision != revision || r.Size != int64(len(want)) {
 			t.Errorf("%q of revision %d, %v", got, r.Revision, err)
 		}
--- a/internal/distribution/chunkstore/store_test.go
+++ b/internal/distribution/chunkstore/store_test.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Close()
+	defer r.Close() //nolint:errcheck // it was only read
 	if got, err := io.ReadAll(r); err != nil || !bytes.Equal(got, []byte(strings.Repeat("one", 1000)+"two")) {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
--- a/internal/distribution/chunkstore/write.go
+++ b/internal/distribution/chunkstore/write.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return 0, 0, &DiskError{err}
 	}
-	defer file.Close()
+	defer file.Close() //nolint:errcheck // a complete chunk was synced, and a part's digest is checked when it is complete
 	sum := chunk.Digest.Algorithm().Hash()
 	if offset, err = resumePartial(file, offset, sum); err != nil {
 		return 0, 0, &DiskError{err}
--- a/internal/distribution/chunkstore/write_test.go
+++ b/internal/distribution/chunkstore/write_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer file.Close() //nolint:errcheck // it was only read
 	if got, err := io.ReadAll(file); err != nil || string(got) != content || file.Size != int64(len(content)) {
 		t.Errorf("%q %v", got, err)
 	}
--- a/internal/distribution/layout/layout.go
+++ b/internal/distribution/layout/layout.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		return index, err
 	}
-	defer file.Close()
+	defer file.Close() //nolint:errcheck // it was only read
 	text, err := io.ReadAll(io.LimitReader(file, maxIndexBytes))
 	if err != nil {
 		return index, err
@@ -160,12 +160,13 @@
 			kept = append(kept, descriptor)
 		}
 	}
-	index.Manifests = append(kept, image.Descriptor{
+	kept = append(kept, image.Descriptor{
 		MediaType:   image.MediaTypeImageManifest,
 		Digest:      m.Digest,
 		Size:        int64(len(m.Raw)),
 		Annotations: map[string]string{image.AnnotationRefName: tag},
 	})
+	index.Manifests = kept
 	return l.writeIndex(index)
 }
 
@@ -220,7 +221,7 @@
 	if err != nil {
 		return fmt.Errorf("chunk %s: %w", c.Digest, err)
 	}
-	defer blob.Close()
+	defer blob.Close() //nolint:errcheck // it was only read
 	got, err := digest.SHA256.FromReader(blob)
 	if err != nil || got != c.Digest {
 		return errors.Join(err, fmt.Errorf("chunk %s: its bytes have the digest %s", c.Digest, got))
@@ -244,7 +245,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	defer blob.Close()
+	defer blob.Close() //nolint:errcheck // it was only read
 	raw, err := io.ReadAll(io.LimitReader(blob, distribution.MaxManifestBytes+1))
 	if err == nil && len(raw) > distribution.MaxManifestBytes {
 		return nil, "", registry.ErrNotFound // it is a chunk
@@ -265,4 +266,4 @@
 }
 
 // Chunks returns nil: a store is asked for chunks without telling first which it has.
-func (l *Layout) Chunks(digest.Digest) distribution.ChunkSet { return nil }
+func (*Layout) Chunks(digest.Digest) distribution.ChunkSet { return nil }
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -8,10 +8,10 @@
 	"strings"
 	"sync"
 
-	"oakpick/internal/config"
-
 	"github.com/go-playground/validator/v10"
 	"github.com/opencontainers/go-digest"
+
+	"oakpick/internal/config"
 )
 
 // Paths of the tracker's API.
--- a/internal/distribution/operator/client.go
+++ b/internal/distribution/operator/client.go
@@ -11,6 +11,7 @@
 	"io"
 	"net/http"
 	"net/url"
+	"slices"
 
 	"github.com/opencontainers/go-digest"
 
@@ -131,9 +132,9 @@
 		if err := c.call(ctx, http.MethodGet, pagePath(distribution.PathWeights+"/"+name, after), nil, &page); err != nil {
 			return all, err
 		}
-		members := append(all.Members, page.Members...)
+		earlier := all.Members
 		all = page
-		all.Members = members
+		all.Members = slices.Concat(earlier, page.Members)
 		if !page.More || len(page.Members) == 0 {
 			return all, nil
 		}
--- a/internal/distribution/registry/handler.go
+++ b/internal/distribution/registry/handler.go
@@ -175,7 +175,7 @@
 		writeContentError(w, err, codeBlobUnknown, "blob: not here")
 		return
 	}
-	defer blob.Close()
+	defer blob.Close() //nolint:errcheck // it was only read
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set(headerDigest, d.String())
 	w.Header().Set("Etag", `"`+d.String()+`"`)
--- a/internal/distribution/registry/memory.go
+++ b/internal/distribution/registry/memory.go
@@ -69,7 +69,7 @@
 }
 
 // Chunks returns nil: content in memory is complete.
-func (m *Memory) Chunks(digest.Digest) distribution.ChunkSet { return nil }
+func (*Memory) Chunks(digest.Digest) distribution.ChunkSet { return nil }
 
 // memoryBlob is a blob of bytes in memory.
 type memoryBlob struct{ *bytes.Reader }
--- a/internal/distribution/registry/registry_test.go
+++ b/internal/distribution/registry/registry_test.go
@@ -28,7 +28,7 @@
 	return w.Memory.Blob(name, d)
 }
 
-func (w *testContent) Chunks(digest.Digest) distribution.ChunkSet { return distribution.ChunkSet{1} }
+func (*testContent) Chunks(digest.Digest) distribution.ChunkSet { return distribution.ChunkSet{1} }
 
 // startServer serves content and returns the address.
 func startServer(t *testing.T, m *testContent, slots int) (address string) {
--- a/internal/distribution/simulation/agent_effects.go
+++ b/internal/distribution/simulation/agent_effects.go
@@ -215,7 +215,7 @@
 	if err != nil {
 		return nil // the requesting agent is told that it isn't there
 	}
-	defer file.Close()
+	defer file.Close() //nolint:errcheck // it was only read
 	content, err := io.ReadAll(file)
 	if err != nil {
 		return nil
