--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -42,11 +42,11 @@
 
 // Options are the figures that operators may change.
 type Options struct {
-	IdleS       float64 // seconds that an empty machine is kept; 0: its type's boot time
-	WarmRoom    float64 // how much room is kept free, in standard deviations of the arrivals
-	GiveUpBoots float64 // for how many boot times a machine is waited for
-	TakeoverS   float64 // seconds that a new leader lets inherited machines report first
-	MovesPerMin float64 // replicas moved a minute, at most
+	IdleS         float64 // seconds that an empty machine is kept; 0: its type's boot time
+	WarmRoom      float64 // how much room is kept free, in standard deviations of the arrivals
+	GiveUpBoots   float64 // for how many boot times a machine is waited for
+	FailoverWaitS float64 // seconds that a new leader lets inherited machines report first
+	MovesPerMin   float64 // replicas moved a minute, at most
 }
 
 // Autoscaler scales the machines of a cluster.
@@ -131,7 +131,7 @@
 	if len(a.state.Catalog.Types) == 0 || a.inventory.listsRead == 0 {
 		return false
 	}
-	inherited := now < a.leadership.LeadingSince()+config.Seconds(a.options.TakeoverS) && len(a.state.Machines) > 0
+	inherited := now < a.leadership.LeadingSince()+config.Seconds(a.options.FailoverWaitS) && len(a.state.Machines) > 0
 	if !a.ready && inherited {
 		return false
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -21,12 +21,12 @@
 
 // Config is the settings file of one node.
 type Config struct {
-	Node        string `json:"node_name" validate:"required"`
-	Zone        string `json:"zone" validate:"required"`
-	FrontListen string `json:"front" validate:"required,hostname_port"`
-	PeerListen  string `json:"cluster_listen" validate:"required,hostname_port"`
-	Peers       []Peer `json:"others" validate:"dive"`
-	Services    struct {
+	Node       string `json:"node_name" validate:"required"`
+	Zone       string `json:"zone" validate:"required"`
+	APIListen  string `json:"front" validate:"required,hostname_port"`
+	PeerListen string `json:"cluster_listen" validate:"required,hostname_port"`
+	Peers      []Peer `json:"others" validate:"dive"`
+	Services   struct {
 		Cloud string `json:"cloud" validate:"required,hostname_port"`
 		State string `json:"state" validate:"required,hostname_port"`
 	} `json:"services"`
--- a/internal/config/extensions_test.go
+++ b/internal/config/extensions_test.go
@@ -32,7 +32,7 @@
 // connections that it takes are not given to users and workers as well.
 func TestExtensionsAreDerivedFromTheSettings(t *testing.T) {
 	cfg := exampleConfig(t)
-	before := cfg.Settings.Sockets().Frontend
+	before := cfg.Settings.Sockets().API
 	e, err := LoadExtensions("../../deploy/extensions.toml", cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 	if d.Connections != s.Limits.MaxConnections/4 || d.InventoryIntervalS != heartbeat/2 || d.IdleInventoryIntervalS != 2*heartbeat {
 		t.Errorf("%+v", d)
 	}
-	if after := cfg.Settings.Sockets().Frontend; after >= before {
+	if after := cfg.Settings.Sockets().API; after >= before {
 		t.Errorf("%d connections of the API server, and %d with the tracker's beside them", before, after)
 	}
 	if address, err := d.TrackerAddress("10.0.0.1:8081"); err != nil || address != "10.0.0.1:8082" {
--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -31,7 +31,7 @@
 
 // Sockets is how max_connections is divided.
 type Sockets struct {
-	Frontend int // connections of users, workers and health checks to the API server
+	API      int // connections of users, workers and health checks to the API server
 	Commands int // connections for direct commands to workers, at least
 	shared   int // the sum of both
 }
@@ -42,7 +42,7 @@
 	const megabyte = 1 << 20
 	shared := min(s.Limits.MaxConnections-s.reservedSockets(), int(s.Limits.MemoryMB/2*megabyte/maxConnectionBytes))
 	commands := max(1, shared/commandShare)
-	return Sockets{Frontend: shared - commands, Commands: commands, shared: shared}
+	return Sockets{API: shared - commands, Commands: commands, shared: shared}
 }
 
 // CommandsNow returns how many connections direct commands may take while the API server
--- a/internal/config/sockets_test.go
+++ b/internal/config/sockets_test.go
@@ -20,10 +20,10 @@
 				t.Fatal(err)
 			}
 			sockets := s.Sockets()
-			if needed := c.workers + c.users; sockets.Frontend < needed {
-				t.Errorf("%d for the API server, which needs %d", sockets.Frontend, needed)
+			if needed := c.workers + c.users; sockets.API < needed {
+				t.Errorf("%d for the API server, which needs %d", sockets.API, needed)
 			}
-			for open := 0; open <= sockets.Frontend; open++ {
+			for open := 0; open <= sockets.API; open++ {
 				if n := sockets.CommandsNow(open); n < 1 || open+n+s.reservedSockets() > c.maxConnections {
 					t.Fatalf("%d for commands beside %d of the API server", n, open)
 				}
@@ -34,8 +34,8 @@
 
 func TestSocketsFitHalfOfTheMemory(t *testing.T) {
 	s := Settings{Size: 3, Limits: Limits{MaxConnections: 100_000, MemoryMB: 64}}
-	if sockets := s.Sockets(); sockets.Frontend*maxConnectionBytes > 32<<20 {
-		t.Errorf("%d connections of the API server in 64 MB", sockets.Frontend)
+	if sockets := s.Sockets(); sockets.API*maxConnectionBytes > 32<<20 {
+		t.Errorf("%d connections of the API server in 64 MB", sockets.API)
 	}
 }
 
@@ -54,8 +54,8 @@
 		t.Run(fmt.Sprintf("%d controllers", size), func(t *testing.T) {
 			s := Settings{Size: size, Limits: Limits{MaxConnections: 4900, MemoryMB: 225}}
 			sockets := s.Sockets()
-			if sockets.Frontend < workers+users {
-				t.Errorf("%d connections for %d workers and %d users", sockets.Frontend, workers, users)
+			if sockets.API < workers+users {
+				t.Errorf("%d connections for %d workers and %d users", sockets.API, workers, users)
 			}
 			if n := sockets.CommandsNow(workers + users); n < workers/20 {
 				t.Errorf("%d connections for commands", n)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -33,7 +33,7 @@
 // New returns a controller. The process's name and the seed must differ between processes.
 func New(cfg *config.Config, process string, seed uint64) *Controller {
 	c := &Controller{config: cfg, timing: timing.New(cfg)}
-	c.context = step.NewContext(seed, c.timing.ProcessStop)
+	c.context = step.NewContext(seed, c.timing.PauseThreshold)
 	c.calls = step.NewStateCalls(c.context)
 	c.elector = election.New(c.context, c.calls, c.timing.Election, cfg.Node, process, peerNames(cfg.Peers), c)
 	return c
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	switch {
 	case key == "peer/step-down":
-		return roundTrip[protocol.StepDown](value)
+		return roundTrip[protocol.StepDownRequest](value)
 	case key == "peer/step-down-answer":
 		return roundTrip[protocol.StepDownResponse](value)
 	case strings.HasPrefix(key, storage.PagePrefix):
@@ -119,7 +119,7 @@
 
 // What the peers say to each other is read by both versions alike.
 func TestPeerMessagesMatchProduction(t *testing.T) {
-	ask := protocol.Encode(protocol.StepDown{Term: 1 << 40, Leader: "n1"})
+	ask := protocol.Encode(protocol.StepDownRequest{Term: 1 << 40, Leader: "n1"})
 	if !bytes.Equal(roundTrip[productionStepDown](ask), ask) {
 		t.Error("production reads another step-down request")
 	}
--- a/internal/daemon/controller_pair_test.go
+++ b/internal/daemon/controller_pair_test.go
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	names := []string{"ctl-0", "ctl-1"}
-	cfg.Node, cfg.FrontListen, cfg.PeerListen = names[i], p.apiAddresses[i], p.peerAddresses[i]
+	cfg.Node, cfg.APIListen, cfg.PeerListen = names[i], p.apiAddresses[i], p.peerAddresses[i]
 	cfg.Peers = []config.Peer{{Name: names[1-i], Addr: p.peerAddresses[1-i]}}
 	return &cfg
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	d.start(listeners)
-	log.Info("serving", "node", cfg.Node, "api_listen", cfg.FrontListen, "peer_listen", cfg.PeerListen)
+	log.Info("serving", "node", cfg.Node, "api_listen", cfg.APIListen, "peer_listen", cfg.PeerListen)
 	if err := goroutines.Wait(); ctx.Err() == nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 
 func listen(ctx context.Context, cfg *config.Config) (*listeners, error) {
 	var listenConfig net.ListenConfig
-	api, err := listenConfig.Listen(ctx, "tcp4", cfg.FrontListen)
+	api, err := listenConfig.Listen(ctx, "tcp4", cfg.APIListen)
 	if err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
@@ -99,7 +99,7 @@
 	limit := transport.NewConcurrencyLimit(settings.Limits.MaxConnections/4, p.heartbeatInterval(),
 		func() { d.loop.metrics.shed.Add(1) })
 	sockets := settings.Sockets()
-	d.apiServer = transport.NewAPIServer(d.loop, limit, sockets.Frontend, config.Seconds(settings.Workers.LeaseS))
+	d.apiServer = transport.NewAPIServer(d.loop, limit, sockets.API, config.Seconds(settings.Workers.LeaseS))
 	clients.workers = transport.NewWorkerClient(settings.Workers,
 		func() int { return sockets.CommandsNow(d.apiServer.OpenConnections()) })
 	mounted := map[string]http.Handler{protocol.PathAdmin: newAdminHandler(d.loop, limit)}
@@ -123,7 +123,7 @@
 	p := d.process
 	p.goroutines.Go(func() error { return d.apiServer.Serve(l.api) })
 	p.goroutines.Go(func() error {
-		maxStreams := p.config.Settings.Sockets().Frontend
+		maxStreams := p.config.Settings.Sockets().API
 		return d.peerServer.Serve(p.ctx, l.peers, maxStreams, peerIdleIntervals*p.heartbeatInterval())
 	})
 	p.goroutines.Go(func() error { d.loop.run(); return nil })
--- a/internal/distribution/chunkstore/scan.go
+++ b/internal/distribution/chunkstore/scan.go
@@ -88,7 +88,7 @@
 	out := map[digest.Digest]int64{}
 	for _, e := range entries {
 		d := digest.NewDigestFromEncoded(digest.SHA256, e.Name())
-		if !strings.HasSuffix(e.Name(), durable.NewSuffix) && distribution.CheckDigest(d) == nil {
+		if !strings.HasSuffix(e.Name(), durable.TemporarySuffix) && distribution.CheckDigest(d) == nil {
 			out[d] = e.Size()
 		}
 	}
--- a/internal/distribution/layout/layout.go
+++ b/internal/distribution/layout/layout.go
@@ -109,7 +109,7 @@
 
 // packChunk writes the bytes of a source as a blob. A source without bytes makes none.
 func (l *Layout) packChunk(source io.Reader) (distribution.Chunk, error) {
-	name := path.Join(l.root, blobsDir, "chunk"+durable.NewSuffix)
+	name := path.Join(l.root, blobsDir, "chunk"+durable.TemporarySuffix)
 	sum := digest.SHA256.Digester()
 	size, err := durable.Write(l.fs, name, io.TeeReader(source, sum.Hash()))
 	if err != nil || size == 0 {
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -9,8 +9,8 @@
 	"github.com/spf13/afero"
 )
 
-// NewSuffix ends the names of files that are being written by Replace.
-const NewSuffix = ".new"
+// TemporarySuffix ends the names of files that are being written by Replace.
+const TemporarySuffix = ".new"
 
 // Write writes a file and returns its size in bytes once the content is durable. The name
 // need not be: see Rename.
@@ -36,10 +36,10 @@
 }
 
 // Replace writes a file atomically: whoever opens it finds the old content or the new.
-// After an error a file with NewSuffix may be left.
+// After an error a file with TemporarySuffix may be left.
 func Replace(files afero.Fs, name string, content io.Reader) error {
-	if _, err := Write(files, name+NewSuffix, content); err != nil {
+	if _, err := Write(files, name+TemporarySuffix, content); err != nil {
 		return err
 	}
-	return Rename(files, name+NewSuffix, name)
+	return Rename(files, name+TemporarySuffix, name)
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -28,7 +28,7 @@
 	if got := content(t, files, "/dir/name"); got != "new" {
 		t.Errorf("content %q, want new", got)
 	}
-	if left, err := afero.Exists(files, "/dir/name"+NewSuffix); left || err != nil {
+	if left, err := afero.Exists(files, "/dir/name"+TemporarySuffix); left || err != nil {
 		t.Errorf("temporary file is left: %t, %v", left, err)
 	}
 }
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -51,7 +51,7 @@
 }
 
 func (m *Manager) failureBackoff(rounds int) time.Duration {
-	return m.timing.Jobs.FailureBackoff.Wait(rounds, m.context.Random)
+	return m.timing.Jobs.FailureBackoff.Backoff(rounds, m.context.Random)
 }
 
 // blameJob notes that a job fails on every machine: nothing is said against the machines.
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -69,8 +69,8 @@
 // noCapacity is the text of the cloud's refusal for want of machines.
 const noCapacity = "no capacity"
 
-// NoCapacity tells a refusal for want of machines from the cloud's other failures.
-func NoCapacity(body []byte) bool {
+// IsNoCapacity tells a refusal for want of machines from the cloud's other failures.
+func IsNoCapacity(body []byte) bool {
 	var refusal wireError
 	return Decode(body, &refusal) == nil && refusal.Text == noCapacity
 }
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -1,8 +1,8 @@
 package protocol
 
-// StepDown is what a new leader tells its peers: terms below Term are over, and it
+// StepDownRequest is what a new leader tells its peers: terms below Term are over, and it
 // is the one that leads. A Term of 0 only probes the peer.
-type StepDown struct {
+type StepDownRequest struct {
 	Term   int64  `msgpack:"term"`
 	Leader string `msgpack:"leader"`
 	// ReadsArchive asks whether the peer looks ended jobs up in the archive.
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -10,26 +10,26 @@
 
 // Policy is an exponential backoff: the wait doubles with every failure in a row.
 type Policy struct {
-	First time.Duration // after the first failure
-	Most  time.Duration // upper bound, before jitter
+	InitialDelay time.Duration // after the first failure
+	MaxDelay     time.Duration // upper bound, before jitter
 	// Jitter is by what fraction of itself a wait may be longer or shorter.
 	Jitter float64
 }
 
-// Wait returns how long to wait after the given number of failures in a row; 0 if there is
+// Backoff returns how long to wait after the given number of failures in a row; 0 if there is
 // none.
-func (p Policy) Wait(failures int, random *rand.Rand) time.Duration {
+func (p Policy) Backoff(failures int, random *rand.Rand) time.Duration {
 	if failures <= 0 {
 		return 0
 	}
-	wait := p.First
+	wait := p.InitialDelay
 	for range failures - 1 {
-		if wait >= p.Most {
+		if wait >= p.MaxDelay {
 			break
 		}
 		wait *= 2
 	}
-	wait = min(wait, p.Most)
+	wait = min(wait, p.MaxDelay)
 	jitter := (2*random.Float64() - 1) * p.Jitter // uniform in [-Jitter, Jitter)
 	return wait + time.Duration(jitter*float64(wait))
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -8,11 +8,11 @@
 )
 
 func TestWaitDoublesUpToABound(t *testing.T) {
-	p := Policy{First: time.Second, Most: 10 * time.Second}
+	p := Policy{InitialDelay: time.Second, MaxDelay: 10 * time.Second}
 	random := rand.New(rand.NewPCG(1, 2))
 	for failures, want := range map[int]time.Duration{0: 0, 1: 1, 2: 2, 3: 4, 4: 8, 5: 10, 6: 10, 1_000_000: 10} {
 		t.Run(fmt.Sprintf("%d failures", failures), func(t *testing.T) {
-			if got := p.Wait(failures, random); got != want*time.Second {
+			if got := p.Backoff(failures, random); got != want*time.Second {
 				t.Errorf("wait %v, want %v", got, want*time.Second)
 			}
 		})
@@ -20,11 +20,11 @@
 }
 
 func TestWaitsAreSpreadByJitter(t *testing.T) {
-	p := Policy{First: time.Second, Most: 8 * time.Second, Jitter: 0.25}
+	p := Policy{InitialDelay: time.Second, MaxDelay: 8 * time.Second, Jitter: 0.25}
 	random := rand.New(rand.NewPCG(1, 2))
 	least, most := time.Hour, time.Duration(0)
 	for range 1000 {
-		wait := p.Wait(9, random)
+		wait := p.Backoff(9, random)
 		least, most = min(least, wait), max(most, wait)
 	}
 	if least < 6*time.Second || most > 10*time.Second {
--- a/internal/scale/testbed/controllers.go
+++ b/internal/scale/testbed/controllers.go
@@ -94,7 +94,7 @@
 func (c *Controllers) writeSettings(controller int) (string, error) {
 	settings := config.Config{
 		Node: ControllerName(controller), Zone: c.zone(controller),
-		FrontListen: c.addresses.API(controller), PeerListen: c.addresses.Peer(controller), Settings: c.settings,
+		APIListen: c.addresses.API(controller), PeerListen: c.addresses.Peer(controller), Settings: c.settings,
 	}
 	settings.Services.Cloud, settings.Services.State = c.addresses.Cloud(), c.addresses.StateService()
 	for peer := range c.settings.Size {
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -16,14 +16,14 @@
 
 // Timing is a controller's times and bounds, grouped by who uses them.
 type Timing struct {
-	Election    Election
-	Workers     Workers
-	Scheduling  Scheduling
-	Jobs        Jobs
-	Archive     Archive
-	Requests    Requests
-	StateRetry  time.Duration // before a refused or unanswered request to the state service is sent again
-	ProcessStop time.Duration // a process that takes longer from one step to the next was paused
+	Election       Election
+	Workers        Workers
+	Scheduling     Scheduling
+	Jobs           Jobs
+	Archive        Archive
+	Requests       Requests
+	StateRetry     time.Duration // before a refused or unanswered request to the state service is sent again
+	PauseThreshold time.Duration // a process that takes longer from one step to the next was paused
 }
 
 // Election are the times of the leader election.
@@ -125,7 +125,7 @@
 		Workers:    workers,
 		Scheduling: newScheduling(workers, stateRetry, s.Limits),
 		Jobs: Jobs{
-			FailureBackoff: retry.Policy{First: workers.HeartbeatInterval / 4, Most: 2 * workers.Lease, Jitter: failureJitter},
+			FailureBackoff: retry.Policy{InitialDelay: workers.HeartbeatInterval / 4, MaxDelay: 2 * workers.Lease, Jitter: failureJitter},
 			// By the limits as they are, also if others are to come: earlier versions that
 			// run beside this one, and jobs that they accepted, have blocks of this length.
 			BlockTasks: storage.BlockTasks(storage.PageBytes(s.State.ValueKB)),
@@ -135,8 +135,8 @@
 			DeferTimeout: LeaderLease(s.Workers),
 			MaxDeferred:  max(1, s.Limits.MaxConnections/deferredShare),
 		},
-		StateRetry:  stateRetry,
-		ProcessStop: workers.HeartbeatInterval / 2,
+		StateRetry:     stateRetry,
+		PauseThreshold: workers.HeartbeatInterval / 2,
 	}
 }
 
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -84,7 +84,7 @@
 	case fasthttp.StatusBadRequest:
 		return rpc.Invalid
 	case fasthttp.StatusServiceUnavailable:
-		if protocol.NoCapacity(body) {
+		if protocol.IsNoCapacity(body) {
 			return rpc.NotFound
 		}
 		return rpc.Refused
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -56,7 +56,7 @@
 
 // stepDown answers a new leader's request to step down from older terms.
 func (s *PeerServer) stepDown(w http.ResponseWriter, body []byte) {
-	var m protocol.StepDown
+	var m protocol.StepDownRequest
 	if protocol.Decode(body, &m) != nil {
 		http.Error(w, "body", http.StatusBadRequest)
 		return
