--- a/internal/daemon/controller_pair_test.go
+++ b/internal/daemon/controller_pair_test.go
@@ -85,11 +85,15 @@
 	p.state.deleteKey(election.LeaderKey)
 }
 
-// freeAddress gives a loopback address that nobody listens on.
+// freeAddress gives a loopback address that nobody listens on. Its host is this process's own:
+// on 127.0.0.1 another process's connection could take the port before it is used.
 func freeAddress(t *testing.T) string {
 	t.Helper()
+	const firstOctet, octets = 230, 20
+	pid := os.Getpid()
+	host := fmt.Sprintf("127.%d.%d.1", firstOctet+pid%octets, pid/octets%250)
 	var listenConfig net.ListenConfig
-	listener, err := listenConfig.Listen(t.Context(), "tcp4", "127.0.0.1:0")
+	listener, err := listenConfig.Listen(t.Context(), "tcp4", net.JoinHostPort(host, "0"))
 	if err != nil {
 		t.Fatal(err)
 	}
