--- a/internal/archive/move.go
+++ b/internal/archive/move.go
@@ -200,7 +200,7 @@
 		return
 	}
 	var w *storage.Write
-	w = a.store.Move(a.context.Monotonic(), a.leadership.TermCondition(), items, planned.pages, storage.OnBackgroundCommit(func() {
+	w = a.store.MoveToArchive(a.context.Monotonic(), a.leadership.TermCondition(), items, planned.pages, storage.OnBackgroundCommit(func() {
 		a.moveCommitted(planned, w.Version)
 	}))
 	if w == nil {
--- a/internal/storage/archive_move.go
+++ b/internal/storage/archive_move.go
@@ -27,11 +27,11 @@
 	return protocol.MaxBody - txnOverhead - changeOverhead - s.limits.PageBytes
 }
 
-// Move builds the transaction that removes items, all of one page of records, and writes
+// MoveToArchive builds the transaction that removes items, all of one page of records, and writes
 // the pages of the archive that have them instead: no reader ever finds them in neither
 // place. A page of records that is empty then is deleted, if that is safe; otherwise see
-// DeleteEmptyPages. Move returns nil, and changes nothing, if the transaction can't be sent now or would be too large.
-func (s *Store) Move(now time.Duration, term protocol.Condition, items []Item, pages []*ArchivePage, waiter *CommitWaiter) *Write {
+// DeleteEmptyPages. MoveToArchive returns nil, and changes nothing, if the transaction can't be sent now or would be too large.
+func (s *Store) MoveToArchive(now time.Duration, term protocol.Condition, items []Item, pages []*ArchivePage, waiter *CommitWaiter) *Write {
 	p := s.pageOf[items[0]]
 	if p == nil || p.inFlight || !s.CanWrite(now, 1+len(pages)) {
 		return nil
