--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -43,7 +43,7 @@
 func (l *loading) loadPage(p storage.LoadedPage) error {
 	l.store.Load(p.Number, p.Version)
 	if p.Stale {
-		l.store.LoadStalePage(l.controller.context.Monotonic(), p.Number)
+		l.store.MarkPageStale(l.controller.context.Monotonic(), p.Number)
 	}
 	if p.Value.Options != "" {
 		l.loadOptions(p)
@@ -111,7 +111,7 @@
 	for _, record := range p.Value.Prerequisites {
 		j := l.state.Jobs[record.Job]
 		if j == nil {
-			l.store.LoadStalePage(l.controller.context.Monotonic(), p.Number)
+			l.store.MarkPageStale(l.controller.context.Monotonic(), p.Number)
 			continue
 		}
 		part := &cluster.PrerequisitesPart{PrerequisitesRecord: record}
--- a/internal/storage/fake_state_test.go
+++ b/internal/storage/fake_state_test.go
@@ -89,7 +89,7 @@
 	for _, p := range f.readPages() {
 		s.Load(p.Number, p.Version)
 		if p.Stale {
-			s.LoadStalePage(0, p.Number)
+			s.MarkPageStale(0, p.Number)
 		}
 		for _, r := range p.Value.Terminal {
 			items[r.ID] = &countedItem{r.ID, r.Tasks}
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// LoadStalePage marks a loaded page as dirty because it holds outdated copies of records:
+// MarkPageStale marks a loaded page as dirty because it holds outdated copies of records:
 // it is written without them before long.
-func (s *Store) LoadStalePage(now time.Duration, number int) {
+func (s *Store) MarkPageStale(now time.Duration, number int) {
 	s.markPageDirty(now, s.pages[number], nil)
 }
 
