--- a/internal/storage/archive_move.go
+++ b/internal/storage/archive_move.go
@@ -53,7 +53,7 @@
 	s.budget.take(now, 1+len(pages)) // CanWrite has checked that there is enough
 	waiter.pendingPages++
 	p.waiters = append(p.waiters, waiter)
-	w := &Write{sent: true, pages: []*page{p}, archivePages: pages}
+	w := &Write{awaitingResponse: true, pages: []*page{p}, archivePages: pages}
 	s.buildTransaction(w, term)
 	return w
 }
--- a/internal/storage/inflight_writes.go
+++ b/internal/storage/inflight_writes.go
@@ -46,7 +46,7 @@
 	if f.stalledSince == nil {
 		f.stalledSince = &now
 	}
-	w.sent, w.retryAt = false, now+f.retryInterval
+	w.awaitingResponse, w.retryAt = false, now+f.retryInterval
 	f.resumeAt = max(f.resumeAt, w.retryAt)
 }
 
@@ -56,13 +56,13 @@
 // small ones would keep a large one, and its pages, waiting for ever.
 func (f *inFlightWrites) nextRetry(now time.Duration, budget *writeBudget) (w *Write, due bool) {
 	for _, w := range f.writes {
-		if w.sent || now < w.retryAt {
+		if w.awaitingResponse || now < w.retryAt {
 			continue
 		}
 		if !budget.take(now, w.keyCount()) {
 			return nil, true
 		}
-		w.sent = true
+		w.awaitingResponse = true
 		return w, true
 	}
 	return nil, false
--- a/internal/storage/write.go
+++ b/internal/storage/write.go
@@ -25,7 +25,7 @@
 	compareOnly  *page // a condition of the transaction, but not changed by it
 	archivePages []*ArchivePage
 	waiters      [][]*CommitWaiter
-	sent         bool          // and not answered yet
+	awaitingResponse         bool          // and not answered yet
 	retryAt      time.Duration // if not sent
 }
 
@@ -83,12 +83,12 @@
 	available := s.budget.available(now)
 	if available < 1 { // before anything is sorted or measured for it
 		if slices.ContainsFunc(s.dirty, func(p *page) bool { return !p.inFlight }) {
-			s.budget.noteWaiting(now)
+			s.budget.recordRefusal(now)
 		}
 		return nil
 	}
 	slices.SortStableFunc(s.dirty, func(a, b *page) int { return cmp.Compare(a.dueAt, b.dueAt) })
-	w := &Write{sent: true}
+	w := &Write{awaitingResponse: true}
 	s.addDirtyPages(w, min(s.limits.ChangesPerTxn, max(1, int(available))))
 	if len(w.pages) == 0 || !s.budget.take(now, len(w.pages)) {
 		return nil
--- a/internal/storage/write_budget.go
+++ b/internal/storage/write_budget.go
@@ -13,7 +13,7 @@
 	// waitingSince is when a write was first refused since one was last let through; nil:
 	// none waits for the budget.
 	waitingSince *time.Duration
-	refusedAt    time.Duration // the last such refusal
+	lastRefusedAt    time.Duration // the last such refusal
 	// nextRate is a rate that was set and isn't in force yet; 0: there is none.
 	nextRate float64
 	// rateSetAt is since when the rate is in force.
@@ -65,16 +65,16 @@
 func (b *writeBudget) take(now time.Duration, keys int) bool {
 	b.applyRate(now)
 	if !b.limiter.AllowN(limiterTime(now), min(keys, b.capacity())) {
-		b.noteWaiting(now)
+		b.recordRefusal(now)
 		return false
 	}
 	b.waitingSince = nil
 	return true
 }
 
-// noteWaiting notes that a write is refused for want of budget.
-func (b *writeBudget) noteWaiting(now time.Duration) {
-	b.refusedAt = now
+// recordRefusal notes that a write is refused for want of budget.
+func (b *writeBudget) recordRefusal(now time.Duration) {
+	b.lastRefusedAt = now
 	if b.waitingSince == nil {
 		b.waitingSince = &now
 	}
@@ -94,7 +94,7 @@
 // stalled reports whether a write was refused just now, and has waited for longer than the rate
 // explains. Without a refusal at this very time the write may wait for something else.
 func (b *writeBudget) stalled(now time.Duration) bool {
-	if b.waitingSince == nil || b.refusedAt != now {
+	if b.waitingSince == nil || b.lastRefusedAt != now {
 		return false
 	}
 	return now-max(*b.waitingSince, b.rateSetAt) > stallFactor*b.fillTime()
