--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -32,7 +32,7 @@
 // newLeader returns the leader of a term, with everything that is recorded on the pages that
 // were read behind the barrier of the term.
 func newLeader(c *Controller, entries []protocol.Entry) (*leader, error) {
-	pages, err := storage.ReadPages(entries)
+	pages, err := storage.DecodePages(entries)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/storage/fake_state_test.go
+++ b/internal/storage/fake_state_test.go
@@ -58,7 +58,7 @@
 // readPages reads what a new leader reads.
 func (f *fakeStateService) readPages() []LoadedPage {
 	f.t.Helper()
-	pages, err := ReadPages(f.entries())
+	pages, err := DecodePages(f.entries())
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/storage/read.go
+++ b/internal/storage/read.go
@@ -17,12 +17,12 @@
 	Stale bool
 }
 
-// ReadPages decodes and validates the pages among entries. While a page is being split, a
+// DecodePages decodes and validates the pages among entries. While a page is being split, a
 // record may be on two of them: the copy on the page that was written last counts. The
 // terminal record of a job counts more than its other records, whichever is newer.
 //
 // The error wraps a *CorruptRecordError or that of the decoder, and names the key.
-func ReadPages(entries []protocol.Entry) ([]LoadedPage, error) {
+func DecodePages(entries []protocol.Entry) ([]LoadedPage, error) {
 	var pages []LoadedPage
 	for _, entry := range entries {
 		number, ok := PageNumber(entry.Key)
--- a/internal/storage/read_test.go
+++ b/internal/storage/read_test.go
@@ -14,7 +14,7 @@
 // Of two copies the one on the page that was written last counts, for every kind of
 // record, and the terminal record of a job more than any other record of it, wherever it is.
 func TestReadPagesKeepsNewestCopyOfEachRecord(t *testing.T) {
-	pages, err := ReadPages([]protocol.Entry{
+	pages, err := DecodePages([]protocol.Entry{
 		pageEntry(0, 5, PageValue{
 			Jobs:         []JobRecord{{ID: "wk-1", Tasks: 1}, {ID: "wk-2", Tasks: 9}, {ID: "wk-3", Tasks: 1}},
 			Blocks:       []BlockRecord{{Job: "wk-1", Block: 1, LastAttempt: 1}},
--- a/internal/storage/validate_test.go
+++ b/internal/storage/validate_test.go
@@ -27,7 +27,7 @@
 		"job": jobPage(func(*JobRecord) {}), "block": blockPage(func(*BlockRecord) {}), "nothing": {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := ReadPages([]protocol.Entry{pageEntry(0, 1, page)}); err != nil {
+			if _, err := DecodePages([]protocol.Entry{pageEntry(0, 1, page)}); err != nil {
 				t.Error(err)
 			}
 		})
@@ -61,7 +61,7 @@
 		"twice on a page":                 {Terminal: []TerminalRecord{{ID: "wk-1", Tasks: 1}, {ID: "wk-1", Tasks: 2}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := ReadPages([]protocol.Entry{pageEntry(0, 1, page)})
+			_, err := DecodePages([]protocol.Entry{pageEntry(0, 1, page)})
 			var corrupt *CorruptRecordError
 			if !errors.As(err, &corrupt) {
 				t.Errorf("error %v, want a *CorruptRecordError", err)
@@ -72,7 +72,7 @@
 
 func TestReadPagesRejectsCopiesOfTheSameVersion(t *testing.T) {
 	page := PageValue{Terminal: []TerminalRecord{{ID: "wk-1", Tasks: 1}}}
-	_, err := ReadPages([]protocol.Entry{pageEntry(0, 4, page), pageEntry(1, 4, page)})
+	_, err := DecodePages([]protocol.Entry{pageEntry(0, 4, page), pageEntry(1, 4, page)})
 	var corrupt *CorruptRecordError
 	if !errors.As(err, &corrupt) {
 		t.Errorf("one transaction wrote a record on two pages, and both count: error %v", err)
@@ -93,7 +93,7 @@
 		"block 0 of job wk-1: a start of task 1 on machine \"\"": blockPage(func(r *BlockRecord) { r.Starts[0].Machine = "" }),
 	} {
 		t.Run(want, func(t *testing.T) {
-			_, err := ReadPages([]protocol.Entry{pageEntry(0, 1, page)})
+			_, err := DecodePages([]protocol.Entry{pageEntry(0, 1, page)})
 			var corrupt *CorruptRecordError
 			if !errors.As(err, &corrupt) || corrupt.Error() != want {
 				t.Errorf("error %v, want %s", err, want)
