--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -185,7 +185,7 @@
 		}
 		return
 	}
-	page, err := storage.ReadArchivePage(result.List.Entries[0])
+	page, err := storage.DecodeArchivePage(result.List.Entries[0])
 	if err != nil {
 		a.context.Log(message.Error, "page of ended jobs is corrupt, its jobs get 503", "error", err.Error())
 	}
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -114,7 +114,7 @@
 		if strings.HasPrefix(key, storage.ArchivePrefix) && (damaged == "" || key < damaged) {
 			damaged = key
 			clear(lost)
-			page, err := storage.ReadArchivePage(protocol.Entry{Key: key, Value: value})
+			page, err := storage.DecodeArchivePage(protocol.Entry{Key: key, Value: value})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/controller/helpers_archive_test.go
+++ b/internal/controller/helpers_archive_test.go
@@ -38,7 +38,7 @@
 				pages[r.ID] = r
 			}
 		case strings.HasPrefix(key, storage.ArchivePrefix):
-			page, err := storage.ReadArchivePage(protocol.Entry{Key: key, Value: value})
+			page, err := storage.DecodeArchivePage(protocol.Entry{Key: key, Value: value})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/storage/archive_page.go
+++ b/internal/storage/archive_page.go
@@ -40,10 +40,10 @@
 // Key returns the page's key in the state service.
 func (p *ArchivePage) Key() string { return ArchivePrefix + p.UpperBound }
 
-// ReadArchivePage decodes and validates a page of the archive. Its error is a
+// DecodeArchivePage decodes and validates a page of the archive. Its error is a
 // *CorruptRecordError, or wraps that of the decoder. The page's bound and version are right
 // even if there is an error.
-func ReadArchivePage(entry protocol.Entry) (*ArchivePage, error) {
+func DecodeArchivePage(entry protocol.Entry) (*ArchivePage, error) {
 	p := &ArchivePage{UpperBound: strings.TrimPrefix(entry.Key, ArchivePrefix), Version: entry.Version}
 	var v ArchiveValue
 	if err := protocol.Decode(entry.Value, &v); err != nil {
--- a/internal/storage/archive_page_test.go
+++ b/internal/storage/archive_page_test.go
@@ -50,7 +50,7 @@
 func checkArchivePage(t *rapid.T, page *ArchivePage, lowerBound string) {
 	t.Helper()
 	value := protocol.Encode(&ArchiveValue{Terminal: page.Terminal})
-	if _, err := ReadArchivePage(protocol.Entry{Key: page.Key(), Value: value}); err != nil {
+	if _, err := DecodeArchivePage(protocol.Entry{Key: page.Key(), Value: value}); err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range page.Terminal {
@@ -73,7 +73,7 @@
 		"no id":           {Terminal: []TerminalRecord{{}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, err := ReadArchivePage(protocol.Entry{Key: ArchivePrefix + "wk-5", Value: protocol.Encode(value)})
+			p, err := DecodeArchivePage(protocol.Entry{Key: ArchivePrefix + "wk-5", Value: protocol.Encode(value)})
 			var corrupt *CorruptRecordError
 			if !errors.As(err, &corrupt) {
 				t.Errorf("error %v, want a *CorruptRecordError", err)
@@ -87,7 +87,7 @@
 
 func TestReadArchivePageNamesTheKeyOfAnUndecodablePage(t *testing.T) {
 	key := ArchivePrefix + "wk-5"
-	p, err := ReadArchivePage(protocol.Entry{Key: key, Value: protocol.Encode("text")})
+	p, err := DecodeArchivePage(protocol.Entry{Key: key, Value: protocol.Encode("text")})
 	if err == nil || !strings.Contains(err.Error(), key) {
 		t.Errorf("error %v, want one that names %s", err, key)
 	}
