--- a/internal/controller/writer.go
+++ b/internal/controller/writer.go
@@ -66,7 +66,7 @@
 
 // check reads a page of a write, to find out whether the write was committed.
 func (w *writer) check(write *storage.Write) {
-	w.controller.calls.Send(storage.StateCall{Op: storage.StateGet, Key: write.Key()}, func(result storage.StateResult) {
+	w.controller.calls.Send(storage.StateCall{Op: storage.StateGet, Key: write.CommitCheckKey()}, func(result storage.StateResult) {
 		w.checked(write, result)
 	})
 }
--- a/internal/storage/commit_waiter_test.go
+++ b/internal/storage/commit_waiter_test.go
@@ -27,7 +27,7 @@
 	}
 	s.MarkDirty(0, y, acknowledge("y")) // on a page of its own, so it needn't wait
 	second := s.NextWrite(0, term, true)
-	if second == nil || second.Key() == first.Key() {
+	if second == nil || second.CommitCheckKey() == first.CommitCheckKey() {
 		t.Fatalf("got %+v", second)
 	}
 	if len(acknowledged) != 0 {
--- a/internal/storage/write.go
+++ b/internal/storage/write.go
@@ -29,9 +29,9 @@
 	retryAt      time.Duration // if not sent
 }
 
-// Key returns the key of a page whose write id tells whether the transaction was
+// CommitCheckKey returns the key of a page whose write id tells whether the transaction was
 // committed.
-func (w *Write) Key() string {
+func (w *Write) CommitCheckKey() string {
 	if len(w.archivePages) > 0 {
 		return w.archivePages[0].Key() // the page of records may be deleted
 	}
