--- a/internal/storage/archive_page.go
+++ b/internal/storage/archive_page.go
@@ -58,18 +58,18 @@
 
 // validate finds the first record that no version writes on this page.
 func (p *ArchivePage) validate(records []TerminalRecord) error {
-	corruptRecord := func(r *TerminalRecord, format string, args ...any) error {
-		return corrupt("archived terminal record of job "+r.ID, format, args...)
+	newError := func(r *TerminalRecord, format string, args ...any) error {
+		return newCorruptRecordError("archived terminal record of job "+r.ID, format, args...)
 	}
 	for i := range records {
 		r := &records[i]
 		switch {
 		case !r.valid():
-			return corruptRecord(r, "%d tasks", r.Tasks)
+			return newError(r, "%d tasks", r.Tasks)
 		case r.ID >= p.UpperBound:
-			return corruptRecord(r, "is on the page of jobs before %s", p.UpperBound)
+			return newError(r, "is on the page of jobs before %s", p.UpperBound)
 		case i > 0 && records[i-1].ID >= r.ID:
-			return corruptRecord(r, "is out of order after job %s", records[i-1].ID)
+			return newError(r, "is out of order after job %s", records[i-1].ID)
 		}
 	}
 	return nil
--- a/internal/storage/archive_page_test.go
+++ b/internal/storage/archive_page_test.go
@@ -64,7 +64,7 @@
 }
 
 // A page that no version writes is rejected, but its bound is known.
-func TestReadArchivePageRejectsCorruptPages(t *testing.T) {
+func TestDecodeArchivePageRejectsCorruptPages(t *testing.T) {
 	for name, value := range map[string]ArchiveValue{
 		"out of order":    {Terminal: []TerminalRecord{{ID: "wk-2"}, {ID: "wk-1"}}},
 		"twice":           {Terminal: []TerminalRecord{{ID: "wk-2"}, {ID: "wk-2"}}},
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestReadArchivePageNamesTheKeyOfAnUndecodablePage(t *testing.T) {
+func TestDecodeArchivePageNamesTheKeyOfAnUndecodablePage(t *testing.T) {
 	key := ArchivePrefix + "wk-5"
 	p, err := DecodeArchivePage(protocol.Entry{Key: key, Value: protocol.Encode("text")})
 	if err == nil || !strings.Contains(err.Error(), key) {
--- a/internal/storage/read.go
+++ b/internal/storage/read.go
@@ -115,7 +115,7 @@
 	for _, p := range pages {
 		for _, key := range p.Value.recordKeys() {
 			if newest[key] == p.Version {
-				return nil, corrupt(key.String(), "is stored twice in revision %d", p.Version)
+				return nil, newCorruptRecordError(key.String(), "is stored twice in revision %d", p.Version)
 			}
 			newest[key] = max(newest[key], p.Version)
 		}
--- a/internal/storage/read_test.go
+++ b/internal/storage/read_test.go
@@ -13,7 +13,7 @@
 
 // Of two copies the one on the page that was written last counts, for every kind of
 // record, and the terminal record of a job more than any other record of it, wherever it is.
-func TestReadPagesKeepsNewestCopyOfEachRecord(t *testing.T) {
+func TestDecodePagesKeepsNewestCopyOfEachRecord(t *testing.T) {
 	pages, err := DecodePages([]protocol.Entry{
 		pageEntry(0, 5, PageValue{
 			Jobs:         []JobRecord{{ID: "wk-1", Tasks: 1}, {ID: "wk-2", Tasks: 9}, {ID: "wk-3", Tasks: 1}},
--- a/internal/storage/records_test.go
+++ b/internal/storage/records_test.go
@@ -19,7 +19,7 @@
 
 // The order of the fields of a record is part of the stored format. Other versions read it,
 // so these lists only change together with theirs.
-func TestRecordsAreStoredInThisOrder(t *testing.T) {
+func TestRecordFieldOrderIsStable(t *testing.T) {
 	job := fullJobRecord()
 	for name, c := range map[string]struct {
 		record any
@@ -77,7 +77,7 @@
 }
 
 // The names of a page's fields are part of the stored format, too. Unused ones are absent.
-func TestPagesAreStoredUnderTheseNames(t *testing.T) {
+func TestPageFieldNamesAreStable(t *testing.T) {
 	full := PageValue{
 		WriteID: "id", Jobs: make([]JobRecord, 1), Blocks: make([]BlockRecord, 2), Terminal: make([]TerminalRecord, 3),
 		Provisioning: make([]ProvisioningRecord, 4), Options: "{}", Extensions: make([]JobExtension, 5), Prerequisites: make([]PrerequisitesRecord, 6),
--- a/internal/storage/split_test.go
+++ b/internal/storage/split_test.go
@@ -11,9 +11,9 @@
 	"oakpick/internal/rpc"
 )
 
-// splitTrial is a sequence of leaders that change items on a page that was written under
+// splitScenario is a sequence of leaders that change items on a page that was written under
 // larger limits.
-type splitTrial struct {
+type splitScenario struct {
 	*fakeStateService
 	limits      Limits
 	limitsKnown bool // leaders know that the limits are lowered
@@ -25,15 +25,15 @@
 	committed map[string]int64 // changes by item's name
 }
 
-// splitTrialItems is the number of items on the large page.
-const splitTrialItems = 120
+// splitScenarioItems is the number of items on the large page.
+const splitScenarioItems = 120
 
 // writeLargePage writes the page as a version with larger limits did.
-func (trial *splitTrial) writeLargePage() {
+func (trial *splitScenario) writeLargePage() {
 	trial.t.Helper()
 	old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
 	trial.committed = map[string]int64{}
-	for i := range splitTrialItems {
+	for i := range splitScenarioItems {
 		item := newCountedItem(i)
 		old.MarkDirty(0, item, nil)
 		trial.committed[item.name] = 0
@@ -44,7 +44,7 @@
 }
 
 // newLeader begins a term with what is stored.
-func (trial *splitTrial) newLeader() {
+func (trial *splitScenario) newLeader() {
 	trial.t.Helper()
 	trial.store, trial.items = trial.load(trial.limits)
 	if trial.limitsKnown {
@@ -54,10 +54,10 @@
 
 // changeOneItem has the leader change an item and write what is due, and compares what is
 // stored with what was committed after every write.
-func (trial *splitTrial) changeOneItem(step int) {
+func (trial *splitScenario) changeOneItem(step int) {
 	trial.t.Helper()
 	now := time.Duration(step) * time.Second
-	changed := trial.items[slices.Sorted(maps.Keys(trial.items))[step*7%splitTrialItems]]
+	changed := trial.items[slices.Sorted(maps.Keys(trial.items))[step*7%splitScenarioItems]]
 	changed.changed++
 	committed := false
 	trial.store.MarkDirty(now, changed, OnCommit(func() { committed = true }))
@@ -76,7 +76,7 @@
 }
 
 // send executes a write. A refusal for its size ends the term.
-func (trial *splitTrial) send(w *Write) {
+func (trial *splitScenario) send(w *Write) {
 	trial.t.Helper()
 	switch trial.apply(w) {
 	case rpc.OK:
@@ -94,7 +94,7 @@
 }
 
 // checkCommitted fails unless every record is stored, none older than what was committed.
-func (trial *splitTrial) checkCommitted() {
+func (trial *splitScenario) checkCommitted() {
 	trial.t.Helper()
 	stored := trial.terminalRecords()
 	for name, least := range trial.committed {
@@ -123,7 +123,7 @@
 	} {
 		for crashAfter := range 14 {
 			t.Run(fmt.Sprintf("%s, crash after %d writes", c.name, crashAfter), func(t *testing.T) {
-				trial := &splitTrial{
+				trial := &splitScenario{
 					fakeStateService: newFakeStateService(t), limits: Limits{PageBytes(2), c.maxChanges, 1000},
 					limitsKnown: c.limitsKnown, crashAfter: crashAfter,
 				}
--- a/internal/storage/validate.go
+++ b/internal/storage/validate.go
@@ -17,7 +17,7 @@
 
 func (e *CorruptRecordError) Error() string { return fmt.Sprintf("%s: %s", e.Record, e.Reason) }
 
-func corrupt(record, format string, args ...any) error {
+func newCorruptRecordError(record, format string, args ...any) error {
 	return &CorruptRecordError{Record: record, Reason: fmt.Sprintf(format, args...)}
 }
 
@@ -55,17 +55,17 @@
 	record := "job " + r.ID
 	switch {
 	case r.ID == "":
-		return corrupt(record, "no id")
+		return newCorruptRecordError(record, "no id")
 	case r.Tasks < 1 || r.Tasks > protocol.MaxTasks:
-		return corrupt(record, "%d tasks", r.Tasks)
+		return newCorruptRecordError(record, "%d tasks", r.Tasks)
 	case r.Kind > protocol.Service:
-		return corrupt(record, "unknown kind %d", uint8(r.Kind))
+		return newCorruptRecordError(record, "unknown kind %d", uint8(r.Kind))
 	case r.Priority > protocol.Production:
-		return corrupt(record, "unknown priority %d", uint8(r.Priority))
+		return newCorruptRecordError(record, "unknown priority %d", uint8(r.Priority))
 	}
 	for i, amount := range r.amounts() {
 		if amount < 0 || math.IsNaN(amount) || math.IsInf(amount, 0) {
-			return corrupt(record, "%s is %v", amountNames[i], amount)
+			return newCorruptRecordError(record, "%s is %v", amountNames[i], amount)
 		}
 	}
 	return nil
@@ -73,11 +73,11 @@
 
 func (r *BlockRecord) validate() error {
 	if r.Job == "" || r.Block < 0 {
-		return corrupt(r.name(), "no such block")
+		return newCorruptRecordError(r.name(), "no such block")
 	}
 	for _, s := range r.Starts {
 		if s.Task < 0 || s.Machine == "" {
-			return corrupt(r.name(), "a start of task %d on machine %q", s.Task, s.Machine)
+			return newCorruptRecordError(r.name(), "a start of task %d on machine %q", s.Task, s.Machine)
 		}
 	}
 	return nil
@@ -85,7 +85,7 @@
 
 func (r *TerminalRecord) validate() error {
 	if !r.valid() {
-		return corrupt("terminal record of job "+r.ID, "%d tasks", r.Tasks)
+		return newCorruptRecordError("terminal record of job "+r.ID, "%d tasks", r.Tasks)
 	}
 	return nil
 }
@@ -94,21 +94,21 @@
 
 func (r *ProvisioningRecord) validate() error {
 	if r.RequestID == "" || r.Count < 0 || r.Count > protocol.MaxScaleOut {
-		return corrupt("provisioning request "+r.RequestID, "%d machines", r.Count)
+		return newCorruptRecordError("provisioning request "+r.RequestID, "%d machines", r.Count)
 	}
 	return nil
 }
 
 func (r *PrerequisitesRecord) validate() error {
 	if r.Job == "" || r.Part < 0 {
-		return corrupt("prerequisites of job "+r.Job, "part %d", r.Part)
+		return newCorruptRecordError("prerequisites of job "+r.Job, "part %d", r.Part)
 	}
 	return nil
 }
 
 func (r *JobExtension) validate() error {
 	if r.Job == "" || r.BlockTasks < 0 || r.BlockTasks > protocol.MaxTasks {
-		return corrupt("extension of job "+r.Job, "blocks of %d tasks", r.BlockTasks)
+		return newCorruptRecordError("extension of job "+r.Job, "blocks of %d tasks", r.BlockTasks)
 	}
 	return nil
 }
@@ -119,7 +119,7 @@
 // *CorruptRecordError.
 func (r *JobRecord) ValidateBlocks(blockTasks int, completed Bitmap) error {
 	if blocks := (r.Tasks + blockTasks - 1) / blockTasks; completed.Len() > blocks {
-		return corrupt("job "+r.ID, "block %d of %d is done: was value_kb changed?", completed.Len()-1, blocks)
+		return newCorruptRecordError("job "+r.ID, "block %d of %d is done: was value_kb changed?", completed.Len()-1, blocks)
 	}
 	return nil
 }
@@ -131,11 +131,11 @@
 	first := r.Block * blockTasks
 	end := min(first+blockTasks, tasks)
 	if first >= tasks || done.Len() > end-first {
-		return corrupt(r.name(), "%d tasks done of tasks %d to %d of %d: was value_kb changed?", done.Len(), first, end-1, tasks)
+		return newCorruptRecordError(r.name(), "%d tasks done of tasks %d to %d of %d: was value_kb changed?", done.Len(), first, end-1, tasks)
 	}
 	for _, s := range r.Starts {
 		if s.Task < first || s.Task >= end {
-			return corrupt(r.name(), "a start of task %d, not of %d to %d: was value_kb changed?", s.Task, first, end-1)
+			return newCorruptRecordError(r.name(), "a start of task %d, not of %d to %d: was value_kb changed?", s.Task, first, end-1)
 		}
 	}
 	return nil
--- a/internal/storage/validate_test.go
+++ b/internal/storage/validate_test.go
@@ -22,7 +22,7 @@
 	return PageValue{Blocks: []BlockRecord{r}}
 }
 
-func TestReadPagesAcceptsValidRecords(t *testing.T) {
+func TestDecodePagesAcceptsValidRecords(t *testing.T) {
 	for name, page := range map[string]PageValue{
 		"job": jobPage(func(*JobRecord) {}), "block": blockPage(func(*BlockRecord) {}), "nothing": {},
 	} {
@@ -36,7 +36,7 @@
 
 // Records that no version writes are rejected. Each differs from a valid one in the field
 // that its case names.
-func TestReadPagesRejectsCorruptRecords(t *testing.T) {
+func TestDecodePagesRejectsCorruptRecords(t *testing.T) {
 	for name, page := range map[string]PageValue{
 		"job without id":                  jobPage(func(r *JobRecord) { r.ID = "" }),
 		"no tasks":                        jobPage(func(r *JobRecord) { r.Tasks = 0 }),
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestReadPagesRejectsCopiesOfTheSameVersion(t *testing.T) {
+func TestDecodePagesRejectsCopiesOfTheSameVersion(t *testing.T) {
 	page := PageValue{Terminal: []TerminalRecord{{ID: "wk-1", Tasks: 1}}}
 	_, err := DecodePages([]protocol.Entry{pageEntry(0, 4, page), pageEntry(1, 4, page)})
 	var corrupt *CorruptRecordError
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestCorruptRecordsAreNamedWithTheWrongValue(t *testing.T) {
+func TestCorruptRecordErrorNamesTheRecordAndTheValue(t *testing.T) {
 	for want, page := range map[string]PageValue{
 		"job wk-1: unknown kind 9":                               jobPage(func(r *JobRecord) { r.Kind = 9 }),
 		"job wk-1: unknown priority 9":                           jobPage(func(r *JobRecord) { r.Priority = 9 }),
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestCompletedBlocksExist(t *testing.T) {
+func TestValidateBlocksRejectsNonexistentBlocks(t *testing.T) {
 	const blockTasks = 8
 	job := JobRecord{ID: "wk-1", Tasks: 20}
 	if err := job.ValidateBlocks(blockTasks, bitmapOf(2)); err != nil {
--- a/internal/storage/write_budget_test.go
+++ b/internal/storage/write_budget_test.go
@@ -30,46 +30,46 @@
 	r.tokens = math.Min(r.tokens, r.capacity())
 }
 
-// drawnBudget is a budget with its reference, and what both have let through.
-type drawnBudget struct {
+// budgetComparison is a budget with its reference, and what both have let through.
+type budgetComparison struct {
 	t         *rapid.T
 	budget    writeBudget
 	reference referenceBudget
 	now       time.Duration
 
-	spent           []spending
-	let             float64 // keys that the rates have let in up to now
+	admitted           []admittedWrite
+	accrued             float64 // keys that the rates have let in up to now
 	highestCapacity float64
 }
 
-// spending is a transaction that was let through, and how many keys the rates had let in by then.
-type spending struct{ keys, let float64 }
+// admittedWrite is a transaction that was let through, and how many keys the rates had let in by then.
+type admittedWrite struct{ keys, accrued float64 }
 
 // drawKeysPerS draws a rate: below one key a second, small, or large.
 func drawKeysPerS(t *rapid.T) float64 {
 	return rapid.SampledFrom([]float64{0.25, 0.95, 1.25, 2, 3.8, 8, 19, 38, 76, 400}).Draw(t, "keys a second")
 }
 
-// newDrawnBudget makes a full budget, as a new leader has.
-func newDrawnBudget(t *rapid.T) *drawnBudget {
+// newBudgetComparison makes a full budget, as a new leader has.
+func newBudgetComparison(t *rapid.T) *budgetComparison {
 	keysPerS := drawKeysPerS(t)
-	d := &drawnBudget{t: t, budget: newWriteBudget(keysPerS), now: time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "first step"))}
+	d := &budgetComparison{t: t, budget: newWriteBudget(keysPerS), now: time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "first step"))}
 	d.reference = referenceBudget{keysPerS: keysPerS, at: d.now}
 	d.reference.tokens = d.reference.capacity()
 	d.highestCapacity = d.reference.capacity()
 	return d
 }
 
-// pass lets time pass, or none: several things may happen in a step.
-func (d *drawnBudget) pass() {
+// advance lets time advance, or none: several things may happen in a step.
+func (d *budgetComparison) advance() {
 	passed := time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(d.t, "passed"))
 	d.now += passed
-	d.let += d.reference.keysPerS * passed.Seconds()
+	d.accrued += d.reference.keysPerS * passed.Seconds()
 }
 
 // changeRate changes the rate several times in a step, at the end of which the budget is asked:
 // the last one counts.
-func (d *drawnBudget) changeRate() {
+func (d *budgetComparison) changeRate() {
 	var last float64
 	for range rapid.IntRange(1, 3).Draw(d.t, "changes") {
 		last = drawKeysPerS(d.t)
@@ -81,7 +81,7 @@
 }
 
 // take asks for the budget of a transaction, also of one that is larger than the capacity.
-func (d *drawnBudget) take() {
+func (d *budgetComparison) take() {
 	const rounding = 1e-6 // of a key
 	keys := rapid.IntRange(1, 32).Draw(d.t, "keys")
 	d.reference.advance(d.now)
@@ -92,19 +92,19 @@
 	}
 	if got {
 		d.reference.tokens -= needed
-		d.spent = append(d.spent, spending{needed, d.let})
+		d.admitted = append(d.admitted, admittedWrite{needed, d.accrued})
 	}
 }
 
 // requireWithinRate fails if in any time more was let through than the rates let in, beyond one
 // full budget.
-func (d *drawnBudget) requireWithinRate() {
+func (d *budgetComparison) requireWithinRate() {
 	const rounding = 1e-3
-	for first := range d.spent {
+	for first := range d.admitted {
 		sum := 0.0
-		for _, s := range d.spent[first:] {
+		for _, s := range d.admitted[first:] {
 			sum += s.keys
-			if allowed := d.highestCapacity + s.let - d.spent[first].let; sum > allowed+rounding {
+			if allowed := d.highestCapacity + s.accrued - d.admitted[first].accrued; sum > allowed+rounding {
 				d.t.Fatalf("%v keys were let through where the rates allow %v", sum, allowed)
 			}
 		}
@@ -113,7 +113,7 @@
 
 // requireFills fails unless the budget is full once its rate explains that, whatever was changed,
 // and a stall is only told after that.
-func (d *drawnBudget) requireFills() {
+func (d *budgetComparison) requireFills() {
 	d.now += d.budget.fillTime() + time.Millisecond
 	if got, want := d.budget.available(d.now), d.reference.capacity(); math.Abs(got-want) > 1e-6 {
 		d.t.Fatalf("%v of %v keys after the time in which it fills", got, want)
@@ -130,8 +130,8 @@
 // filled at once by the change, and then not at all.
 func TestWriteBudgetFollowsItsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDrawnBudget(t)
-		actions := []func(){d.pass, d.pass, d.take, d.take, d.take, d.changeRate}
+		d := newBudgetComparison(t)
+		actions := []func(){d.advance, d.advance, d.take, d.take, d.take, d.changeRate}
 		for range rapid.IntRange(1, 60).Draw(t, "actions") {
 			actions[rapid.IntRange(0, len(actions)-1).Draw(t, "action")]()
 		}
@@ -143,7 +143,7 @@
 // A budget that is merely used up doesn't count as stalled, also while a transaction of nearly its
 // whole capacity is sent again and again; one that the time passes by does, after twice the time in
 // which it would have filled.
-func TestWriteBudgetTellsStalls(t *testing.T) {
+func TestWriteBudgetDetectsStalls(t *testing.T) {
 	s := NewStore(Limits{PageBytes(1), 8, 10}, "t", retryInterval)
 	for i := range 8 {
 		s.MarkDirty(0, &testItem{fmt.Sprint("large", i), 800}, nil)
