--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -9,11 +9,11 @@
 	"github.com/spf13/afero"
 )
 
-// TemporarySuffix ends the names of files that are being written by Replace.
+// TemporarySuffix is appended to the name of a file while Replace writes it.
 const TemporarySuffix = ".new"
 
-// Write writes a file and returns its size in bytes once the content is durable. The name
-// need not be: see Rename.
+// Write writes a file and returns its size in bytes after syncing its content. It does not
+// sync the directory, so the file's name may be lost in a crash; Rename makes it durable.
 func Write(files afero.Fs, name string, content io.Reader) (size int64, err error) {
 	file, err := files.Create(name)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return size, errors.Join(err, file.Sync(), file.Close())
 }
 
-// Rename moves a file within a file system, and returns once the new name is durable.
+// Rename moves a file within a file system and syncs the target directory.
 func Rename(files afero.Fs, from, to string) error {
 	if err := files.Rename(from, to); err != nil {
 		return err
@@ -35,8 +35,8 @@
 	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// Replace writes a file atomically: whoever opens it finds the old content or the new.
-// After an error a file with TemporarySuffix may be left.
+// Replace writes a file atomically: a reader sees either the old or the new content.
+// After an error, a file with TemporarySuffix may remain.
 func Replace(files afero.Fs, name string, content io.Reader) error {
 	if _, err := Write(files, name+TemporarySuffix, content); err != nil {
 		return err
--- a/internal/storage/archive_move.go
+++ b/internal/storage/archive_move.go
@@ -6,31 +6,32 @@
 	"oakpick/internal/protocol"
 )
 
-// archivePagesPerTxn is how many pages of the archive fit one transaction, by their size.
+// archivePagesPerTxn is the number of archive pages of the maximum size that fit in one transaction.
 const archivePagesPerTxn = 8
 
-// MaxArchivePageSize is the most bytes that a page of the archive may take: several go
-// into one transaction.
+// MaxArchivePageSize returns the maximum size of an archive page in bytes. Several pages of
+// this size fit in one transaction.
 func (s *Store) MaxArchivePageSize() int {
 	return min(s.limits.PageBytes, protocol.MaxBody/archivePagesPerTxn)
 }
 
-// MaxArchivePagesPerMove is how many pages of the archive one transaction can write beside
-// a page of records.
+// MaxArchivePagesPerMove returns how many archive pages one transaction can write in
+// addition to a page of records.
 func (s *Store) MaxArchivePagesPerMove() int {
 	return min(s.limits.ChangesPerTxn, s.budget.capacity()) - 1
 }
 
-// MaxArchiveBytesPerMove is the most that the pages of the archive that one transaction
-// writes may take, as the sum of their TransactionSize.
+// MaxArchiveBytesPerMove returns the maximum sum of TransactionSize over the archive pages
+// that one transaction writes.
 func (s *Store) MaxArchiveBytesPerMove() int {
 	return protocol.MaxBody - txnOverhead - changeOverhead - s.limits.PageBytes
 }
 
-// MoveToArchive builds the transaction that removes items, all of one page of records, and writes
-// the pages of the archive that have them instead: no reader ever finds them in neither
-// place. A page of records that is empty then is deleted, if that is safe; otherwise see
-// DeleteEmptyPages. MoveToArchive returns nil, and changes nothing, if the transaction can't be sent now or would be too large.
+// MoveToArchive builds the transaction that removes items, all from one page of records, and
+// writes the archive pages that contain them, so that a reader always finds each record in
+// one of the two places. The transaction deletes the page of records if it becomes empty and
+// can be deleted safely; otherwise DeleteEmptyPages deletes it later. MoveToArchive returns
+// nil and changes nothing if the transaction can't be sent now or would be too large.
 func (s *Store) MoveToArchive(now time.Duration, term protocol.Condition, items []Item, pages []*ArchivePage, waiter *CommitWaiter) *Write {
 	p := s.pageOf[items[0]]
 	if p == nil || p.inFlight || !s.CanWrite(now, 1+len(pages)) {
@@ -45,12 +46,12 @@
 		size += page.TransactionSize()
 	}
 	if remaining > s.limits.PageBytes || size > protocol.MaxBody {
-		return nil // the page has to be split first, or fewer pages are to be written
+		return nil // the page of records has to be split first, or the caller has to pass fewer archive pages
 	}
 	for _, item := range items {
 		s.detach(p, item)
 	}
-	s.budget.take(now, 1+len(pages)) // CanWrite has checked that there is enough
+	s.budget.take(now, 1+len(pages)) // can't fail: CanWrite has checked the budget
 	waiter.pendingPages++
 	p.waiters = append(p.waiters, waiter)
 	w := &Write{awaitingResponse: true, pages: []*page{p}, archivePages: pages}
@@ -58,7 +59,7 @@
 	return w
 }
 
-// addArchivePages adds the conditions and changes for pages of the archive.
+// addArchivePages adds the conditions and changes for the archive pages.
 func (w *Write) addArchivePages() {
 	for _, p := range w.archivePages {
 		w.Txn.If = append(w.Txn.If, protocol.Condition{Key: p.Key(), Version: p.Version})
@@ -66,9 +67,10 @@
 	}
 }
 
-// DeleteEmptyPages has pages deleted that are empty and may be deleted with a fencing token: those
-// that moves had to leave, and those of earlier terms. It takes no more of them at a time than half
-// of the write budget lets through at once, so that new records needn't wait behind them.
+// DeleteEmptyPages schedules the deletion of empty pages that may be deleted with the given
+// fencing token: pages that MoveToArchive emptied but could not delete, and empty pages left
+// from earlier terms. Each call schedules at most half the capacity of the write budget, so that
+// new records are not delayed by deletions.
 func (s *Store) DeleteEmptyPages(now time.Duration, token int64) {
 	left := max(1, s.budget.capacity()/2)
 	for _, p := range s.pages {
--- a/internal/storage/archive_page.go
+++ b/internal/storage/archive_page.go
@@ -9,40 +9,41 @@
 	"oakpick/internal/protocol"
 )
 
-// The archive keeps the terminal records of jobs that a new leader needn't read. Its pages
-// are sorted by job id, and each is named by its exclusive upper bound: the page of a job
-// is the first whose bound comes after the job's id. So the state service, which lists
-// keys in order, finds a page in one read, and no index of the pages is kept. The bound of
-// the last page comes after every id; it exists as soon as anything is in the archive.
+// The archive keeps the terminal records of jobs that a new leader doesn't need to read. Its
+// pages are sorted by job ID. Each page is named by its exclusive upper bound: a job's page
+// is the first page whose bound is greater than the job's ID. The state service lists keys
+// in order, so one read finds a page and no index of the pages is needed. The bound of the
+// last page is greater than every ID; this page exists as soon as the archive contains a
+// record.
 
 const (
-	// ArchivePrefix is the prefix of the archive's keys. It lies outside RecordsPrefix,
-	// which a new leader reads.
+	// ArchivePrefix is the prefix of the archive's keys. It is outside RecordsPrefix, so a
+	// new leader doesn't read the archive.
 	ArchivePrefix = "oakpick/ended/"
 
-	// LastUpperBound is the upper bound of the last page: it comes after every job id.
+	// LastUpperBound is the upper bound of the last page. It is greater than every job ID.
 	LastUpperBound = "~"
 )
 
-// ArchiveValue is the stored form of a page of the archive, sorted by job id.
+// ArchiveValue is the stored form of an archive page, sorted by job ID.
 type ArchiveValue struct {
-	WriteID  string           `msgpack:"id"` // of the write that made it
+	WriteID  string           `msgpack:"id"` // ID of the write that stored this value
 	Terminal []TerminalRecord `msgpack:"f"`
 }
 
-// ArchivePage is a page of the archive as it was read, or is to be written.
+// ArchivePage is an archive page as it was read or is to be written.
 type ArchivePage struct {
-	UpperBound string // every job on the page has a smaller id
-	Version    int64  // the revision that last wrote it; 0: it does not exist yet
+	UpperBound string // exclusive upper bound of the job IDs on the page
+	Version    int64  // revision of the last write; 0 if the page doesn't exist yet
 	Terminal   []TerminalRecord
 }
 
 // Key returns the page's key in the state service.
 func (p *ArchivePage) Key() string { return ArchivePrefix + p.UpperBound }
 
-// DecodeArchivePage decodes and validates a page of the archive. Its error is a
-// *CorruptRecordError, or wraps that of the decoder. The page's bound and version are right
-// even if there is an error.
+// DecodeArchivePage decodes and validates an archive page. The error is a
+// *CorruptRecordError or wraps the decoder's error. The returned page's bound and version
+// are set even if there is an error.
 func DecodeArchivePage(entry protocol.Entry) (*ArchivePage, error) {
 	p := &ArchivePage{UpperBound: strings.TrimPrefix(entry.Key, ArchivePrefix), Version: entry.Version}
 	var v ArchiveValue
@@ -56,7 +57,7 @@
 	return p, nil
 }
 
-// validate finds the first record that no version writes on this page.
+// validate returns an error for the first record that is invalid, misplaced or out of order.
 func (p *ArchivePage) validate(records []TerminalRecord) error {
 	newError := func(r *TerminalRecord, format string, args ...any) error {
 		return newCorruptRecordError("archived terminal record of job "+r.ID, format, args...)
@@ -65,9 +66,9 @@
 		r := &records[i]
 		switch {
 		case !r.valid():
-			return newError(r, "%d tasks", r.Tasks)
+			return newError(r, "invalid job ID or number of tasks %d", r.Tasks)
 		case r.ID >= p.UpperBound:
-			return newError(r, "is on the page of jobs before %s", p.UpperBound)
+			return newError(r, "is not below the upper bound %s of its page", p.UpperBound)
 		case i > 0 && records[i-1].ID >= r.ID:
 			return newError(r, "is out of order after job %s", records[i-1].ID)
 		}
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// Lookup returns the terminal record of a job, and false if it is not on the page.
+// Lookup returns the terminal record of a job, or false if the page doesn't contain it.
 func (p *ArchivePage) Lookup(id string) (TerminalRecord, bool) {
 	i, ok := slices.BinarySearchFunc(p.Terminal, id, func(r TerminalRecord, id string) int { return cmp.Compare(r.ID, id) })
 	if !ok {
@@ -84,16 +85,16 @@
 	return p.Terminal[i], true
 }
 
-// size is an upper bound of the bytes that the page's value takes.
+// size returns an upper bound of the encoded size of the page's value in bytes.
 func (p *ArchivePage) size() int { return terminalRecordsSize(p.Terminal) }
 
-// TransactionSize is an upper bound of the bytes that writing the page takes of a
+// TransactionSize returns an upper bound of the bytes that writing the page adds to a
 // transaction.
 func (p *ArchivePage) TransactionSize() int { return p.size() + changeOverhead }
 
-// Merge returns the pages that replace this one once more records are on it: itself, split
-// if it would take more than maxBytes. The last of them has its bound and version. The
-// page itself is not changed. A job that has a record on both is there once.
+// Merge returns the pages that replace this page once more records are added: one page, or
+// several if it would exceed maxBytes. The last one has the bound and version of this page,
+// which is not changed. If a job has a record in both places, only one is kept.
 func (p *ArchivePage) Merge(more []TerminalRecord, maxBytes int) []*ArchivePage {
 	all := slices.Concat(p.Terminal, more)
 	slices.SortFunc(all, func(a, b TerminalRecord) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/storage/bitmap.go
+++ b/internal/storage/bitmap.go
@@ -9,10 +9,10 @@
 // value is the empty set.
 type Bitmap []byte
 
-// Has tells whether i is in the set.
+// Has reports whether i is in the set.
 func (b Bitmap) Has(i int) bool { return i>>3 < len(b) && b[i>>3]&(1<<(i&7)) != 0 }
 
-// Set adds i.
+// Set adds i to the set.
 func (b *Bitmap) Set(i int) {
 	for len(*b) <= i>>3 {
 		*b = append(*b, 0)
@@ -33,5 +33,5 @@
 // Text returns the stored form.
 func (b Bitmap) Text() string { return hex.EncodeToString(b) }
 
-// ParseBitmap decodes the stored form. Its error is that of hex.DecodeString.
+// ParseBitmap decodes the stored form. The error is that of hex.DecodeString.
 func ParseBitmap(s string) (Bitmap, error) { return hex.DecodeString(s) }
--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -9,19 +9,19 @@
 	"oakpick/internal/rpc"
 )
 
-// maxResponseBytes bounds the body of a response from the state service.
+// maxResponseBytes limits the size of a response body from the state service.
 const maxResponseBytes = 1 << 20
 
-// Client sends requests to the state service. Lease renewals have connections of their
-// own, so that they never wait behind other requests. It may be used by several
-// goroutines.
+// Client sends requests to the state service. Lease renewals and revocations use their own
+// connections, so that they never queue behind other requests. A Client is safe for
+// concurrent use.
 type Client struct {
 	requests, renewals      *fasthttp.HostClient
 	timeout, renewalTimeout time.Duration
 }
 
-// NewClient returns a client for the state service at addr. Renewals and revocations of
-// leases fail after renewalTimeout, other requests after timeout.
+// NewClient returns a client for the state service at addr. Lease renewals and revocations
+// time out after renewalTimeout, other requests after timeout.
 func NewClient(addr string, timeout, renewalTimeout time.Duration) *Client {
 	newHostClient := func(connections int, dialTimeout time.Duration) *fasthttp.HostClient {
 		return &fasthttp.HostClient{
@@ -44,8 +44,8 @@
 	}
 }
 
-// Do sends a request and waits for its outcome. A response that can't be decoded has the
-// outcome rpc.Unknown.
+// Do sends a request and waits for its result. If the response can't be decoded, the
+// outcome is rpc.Unknown.
 func (c *Client) Do(call StateCall) StateResult {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/storage/commit_waiter.go
+++ b/internal/storage/commit_waiter.go
@@ -1,15 +1,17 @@
 package storage
 
-// CommitWaiter runs a function once every page that it was handed in for is committed. Its
-// kind sets the priority of these pages. A waiter whose term ends first never runs.
+// CommitWaiter calls a function once all pages that it was registered for are committed. It
+// also sets the write priority of these pages. The function is not called if the term ends
+// before that.
 type CommitWaiter struct {
 	pendingPages    int
 	onCommit        func()
 	maxDelayRetries int
 }
 
-// How much later than one that a user waits for a page is written, in retry intervals.
-// What changes on it meanwhile shares its write.
+// Maximum write delay of a page by the priority of its waiter, in retry intervals, relative
+// to a page that a user's response waits for. Changes made to the page during the delay
+// share one write.
 const (
 	startDelayRetries          = 5
 	deferredDelayRetries       = 10
@@ -17,34 +19,37 @@
 	lowestPriorityDelayRetries = 100_000
 )
 
-// OnCommit returns a waiter of the highest priority: a user's answer depends on it. It is
-// handed to MarkDirty, Replace, Remove or Move for every page that it waits for.
+// OnCommit returns a waiter of the highest priority, for a commit that a user's response
+// depends on. It is passed to MarkDirty, Replace, Remove or MoveToArchive for each page that
+// it waits for.
 func OnCommit(then func()) *CommitWaiter { return &CommitWaiter{onCommit: then} }
 
-// OnStartCommit returns a waiter that the start of a task depends on. The objectives for
-// starts are seconds, those for users' answers fractions of one, so answers go first.
+// OnStartCommit returns a waiter for a commit that the start of a task depends on. The
+// latency objective for starts is seconds and that for users' responses is fractions of a
+// second, so responses have priority.
 func OnStartCommit(then func()) *CommitWaiter {
 	return &CommitWaiter{onCommit: then, maxDelayRetries: startDelayRetries}
 }
 
-// OnDeferredCommit returns a waiter that nobody outside depends on: others go first.
+// OnDeferredCommit returns a waiter for a commit that no user and no task start depends on.
 func OnDeferredCommit(then func()) *CommitWaiter {
 	return &CommitWaiter{onCommit: then, maxDelayRetries: deferredDelayRetries}
 }
 
-// OnBackgroundCommit returns a waiter for something that a new leader would conclude from
-// other records. For a while it is written only with what the budget leaves.
+// OnBackgroundCommit returns a waiter for records that a new leader could derive from other
+// records. Until the delay has passed, they are written only with budget that other pages
+// leave unused.
 func OnBackgroundCommit(then func()) *CommitWaiter {
 	return &CommitWaiter{onCommit: then, maxDelayRetries: backgroundDelayRetries}
 }
 
 // OnLowestPriorityCommit returns a waiter for pages that are written only when no other
-// page is dirty, the oldest first.
+// page is dirty, in the order in which they became dirty.
 func OnLowestPriorityCommit(then func()) *CommitWaiter {
 	return &CommitWaiter{onCommit: then, maxDelayRetries: lowestPriorityDelayRetries}
 }
 
-// pageCommitted runs the function if no other page is pending.
+// pageCommitted counts a committed page and calls the function after the last one.
 func (w *CommitWaiter) pageCommitted() {
 	w.pendingPages--
 	if w.pendingPages == 0 {
--- a/internal/storage/free_space.go
+++ b/internal/storage/free_space.go
@@ -1,17 +1,17 @@
 package storage
 
-// noFreeSpace is the free space of a page that takes no items for now.
+// noFreeSpace is the free space of a page that doesn't accept items at the moment.
 const noFreeSpace = -1
 
 // freeSpaceIndex finds the first page with enough free space without scanning all pages.
-// It is a segment tree: each node has the maximum of the pages below it. The zero value is
-// an empty index.
+// It is a segment tree: each node stores the maximum of the pages below it. The zero value
+// is an empty index.
 type freeSpaceIndex struct {
-	leaves  int   // a power of two
-	maxFree []int // of node i, whose children are 2i and 2i+1; the leaves are last
+	leaves  int   // number of leaves, a power of two
+	maxFree []int // by node; the children of node i are 2i and 2i+1, and the leaves are last
 }
 
-// set notes how many bytes a page has free.
+// set records the number of free bytes of a page.
 func (x *freeSpaceIndex) set(page, free int) {
 	if page >= x.leaves {
 		x.grow(page + 1)
@@ -38,7 +38,7 @@
 	}
 }
 
-// first returns the first page that has at least size bytes free, or -1.
+// first returns the first page with at least size free bytes, or -1 if there is none.
 func (x *freeSpaceIndex) first(size int) int {
 	if x.leaves == 0 || x.maxFree[1] < size {
 		return -1
--- a/internal/storage/inflight_writes.go
+++ b/internal/storage/inflight_writes.go
@@ -8,40 +8,40 @@
 	"oakpick/internal/config"
 )
 
-// maxWritesInFlight bounds the transactions in flight, each for pages of its own. The
-// other calls to the state service keep two connections.
+// maxWritesInFlight limits the number of transactions in flight, which write disjoint pages.
+// Two connections remain available for other calls to the state service.
 const maxWritesInFlight = config.StateConnections - 2
 
-// inFlightWrites holds the transactions that were built and not yet committed, those
-// that wait for their retry included.
+// inFlightWrites holds the transactions that were built and are not committed yet,
+// including those that wait for a retry.
 type inFlightWrites struct {
 	writes        []*Write
 	idPrefix      string
 	lastID        int64
 	retryInterval time.Duration
-	resumeAt      time.Duration  // no new transaction before, after a refusal
-	stalledSince  *time.Duration // first failure since the last commit; nil: none
+	resumeAt      time.Duration  // after a failure, no new transaction is sent before this time
+	stalledSince  *time.Duration // time of the first failure since the last commit; nil if there was none
 }
 
-// add takes in a new transaction and gives it its id.
+// add registers a new transaction and assigns its ID.
 func (f *inFlightWrites) add(w *Write) {
 	f.lastID++
 	w.ID = fmt.Sprintf("%s-%d", f.idPrefix, f.lastID)
 	f.writes = append(f.writes, w)
 }
 
-// mayBegin tells whether another transaction may be sent beside those in flight.
+// mayBegin reports whether a new transaction may be sent in addition to those in flight.
 func (f *inFlightWrites) mayBegin(now time.Duration) bool {
 	return len(f.writes) < maxWritesInFlight && now >= f.resumeAt
 }
 
-// committed drops a transaction that was committed.
+// committed removes a committed transaction and ends the stall.
 func (f *inFlightWrites) committed(w *Write) {
 	f.stalledSince = nil
 	f.writes = slices.DeleteFunc(f.writes, func(x *Write) bool { return x == w })
 }
 
-// retryLater schedules the retry of a transaction, and holds back new ones until then.
+// retryLater schedules the retry of a transaction and blocks new ones until then.
 func (f *inFlightWrites) retryLater(now time.Duration, w *Write) {
 	if f.stalledSince == nil {
 		f.stalledSince = &now
@@ -50,10 +50,10 @@
 	f.resumeAt = max(f.resumeAt, w.retryAt)
 }
 
-// nextRetry returns the transaction to send again now. If one is due but the budget is
-// used up, it returns nil and true, and nothing else may be sent either: newer
-// transactions must not take the budget that this one waits for, or a steady flow of
-// small ones would keep a large one, and its pages, waiting for ever.
+// nextRetry returns the transaction whose retry is due. If a retry is due but the budget is
+// exhausted, it returns nil and true, and the caller must not send anything else: a steady
+// flow of small new transactions would otherwise use up the budget that a large one waits
+// for, and its pages would never be written.
 func (f *inFlightWrites) nextRetry(now time.Duration, budget *writeBudget) (w *Write, due bool) {
 	for _, w := range f.writes {
 		if w.awaitingResponse || now < w.retryAt {
--- a/internal/storage/page.go
+++ b/internal/storage/page.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// RecordsPrefix is the prefix of every key that a new leader reads, its own key apart.
+	// RecordsPrefix is the prefix of every key that a new leader reads, except the leader's key.
 	RecordsPrefix = "oakpick/facts/"
 	// PagePrefix is the prefix of the keys of pages.
 	PagePrefix = RecordsPrefix + "page/"
@@ -17,61 +17,62 @@
 	maxPageNumber = 1 << 20
 )
 
-// The state service counts a transaction in JSON, and takes no more of it than of
-// any request.
+// The state service measures a transaction by its size in JSON and applies the same size
+// limit to it as to any request.
 const (
-	txnOverhead    = 256 // the condition on the leader's key and the braces around it all
-	changeOverhead = 192 // a page's condition, and its change without the value
+	txnOverhead    = 256 // condition on the leader's key and the enclosing braces
+	changeOverhead = 192 // condition on a page and its change, without the value
 )
 
-// Item is a record, or a few that belong together, kept on one page. Items are compared
-// by identity: implementations are pointers.
+// Item is a record, or a few related records, stored on one page. Items are compared by
+// identity, so implementations are pointers.
 type Item interface {
-	// AppendTo adds the item's records to a page's value.
+	// AppendTo appends the item's records to a page's value.
 	AppendTo(*PageValue)
-	// EncodedSize is an upper bound of what the records take now, in bytes as the
-	// state service counts.
+	// EncodedSize returns an upper bound of the current size of the records, in bytes of
+	// JSON as the state service counts them.
 	EncodedSize() int
-	// ReservedSize is what the records are expected to grow to, in the same bytes.
+	// ReservedSize returns the size that the records are expected to grow to, in the same unit.
 	ReservedSize() int
 }
 
 // page is one key of the state service and the items stored under it.
 type page struct {
 	number  int
-	version int64 // the revision that last wrote it; 0: it does not exist
+	version int64 // revision of the last write; 0 if the page doesn't exist
 	items   []Item
-	// reserved is what the items are expected to grow to, with the page's own overhead.
+	// reserved is the sum of the items' reserved sizes and the page's own overhead.
 	reserved int
 
 	dirty      bool
-	dirtySince time.Duration // if dirty
-	dueAt      time.Duration // if dirty; pages are written in this order
+	dirtySince time.Duration // valid if dirty
+	dueAt      time.Duration // valid if dirty; pages are written in the order of this time
 	waiters    []*CommitWaiter
 
-	inFlight       bool // part of a transaction in flight
-	deleteOnCommit bool // by that transaction
-	deleteIfEmpty  bool // when it is written next
-	// createdWithToken is the fencing token of this term's last write on condition that the page
-	// is absent; 0: there was none.
+	inFlight       bool // the page is part of a transaction in flight
+	deleteOnCommit bool // the transaction in flight deletes the page
+	deleteIfEmpty  bool // the next write deletes the page if it is empty
+	// createdWithToken is the fencing token of the last write in this term that was conditional
+	// on the page's absence; 0 if there was none.
 	createdWithToken int64
 }
 
-// deletable reports whether a page is empty, and may be deleted with a token. A write of the same
-// token that made it may have a late copy: that is conditional on the page's absence, and would
-// bring back what was on it.
+// deletable reports whether a page is empty and may be deleted with a fencing token. If a
+// write with the same token created the page, a delayed duplicate of that write may still
+// arrive. It is conditional on the page's absence, so after a deletion it would succeed and
+// restore outdated records.
 func (p *page) deletable(token int64) bool {
 	return p.version != 0 && len(p.items) == 0 && p.createdWithToken != token
 }
 
 func (p *page) key() string { return fmt.Sprintf("%s%06d", PagePrefix, p.number) }
 
-// condition holds as long as nobody else has written the page.
+// condition returns the condition that the page was not written by anyone else.
 func (p *page) condition() protocol.Condition {
 	return protocol.Condition{Key: p.key(), Version: p.version}
 }
 
-// size is an upper bound of the bytes that the page's value takes now.
+// size returns an upper bound of the current encoded size of the page's value in bytes.
 func (p *page) size() int {
 	n := pageOverhead
 	for _, item := range p.items {
@@ -92,7 +93,7 @@
 	p.items = slices.DeleteFunc(p.items, func(x Item) bool { return x == item })
 }
 
-// PageNumber returns the number in a page's key, and false if it is the key of no page.
+// PageNumber returns the number in a page's key, or false if key is not a page's key.
 func PageNumber(key string) (int, bool) {
 	var n int
 	if _, err := fmt.Sscanf(key, PagePrefix+"%d", &n); err != nil || n < 0 || n > maxPageNumber {
@@ -101,8 +102,8 @@
 	return n, true
 }
 
-// PageBytes returns how many bytes a page may take, given the state service's limit of a
-// value in KiB: one value, as long as that fits a transaction.
+// PageBytes returns the maximum size of a page in bytes, given the state service's limit for
+// a value in KiB. A page is one value and has to fit in a transaction.
 func PageBytes(valueKB float64) int {
 	return min(int(valueKB*1024), protocol.MaxBody-txnOverhead-changeOverhead)
 }
--- a/internal/storage/read.go
+++ b/internal/storage/read.go
@@ -7,21 +7,23 @@
 	"oakpick/internal/protocol"
 )
 
-// LoadedPage is a page as it was read.
+// LoadedPage is a page as read from the state service.
 type LoadedPage struct {
 	Number  int
-	Version int64 // the revision that last wrote it
+	Version int64 // revision of the last write
 	Value   PageValue
-	// Stale tells that records were left out of Value because a newer copy of them,
-	// or the terminal record of their job, is on another page.
+	// Stale reports that records were omitted from Value because another page has a newer
+	// copy of them or the terminal record of their job.
 	Stale bool
 }
 
-// DecodePages decodes and validates the pages among entries. While a page is being split, a
-// record may be on two of them: the copy on the page that was written last counts. The
-// terminal record of a job counts more than its other records, whichever is newer.
+// DecodePages decodes and validates the pages among entries. While a page is being split,
+// two pages may contain a copy of the same record; the copy on the page with the higher
+// version is used. A job's terminal record takes precedence over its other records,
+// regardless of their versions.
 //
-// The error wraps a *CorruptRecordError or that of the decoder, and names the key.
+// The error wraps the decoder's error or a *CorruptRecordError and names the key. If a record
+// is stored twice in the same revision, the *CorruptRecordError is returned without a key.
 func DecodePages(entries []protocol.Entry) ([]LoadedPage, error) {
 	var pages []LoadedPage
 	for _, entry := range entries {
@@ -48,7 +50,7 @@
 	return pages, nil
 }
 
-// recordKind names the kind of a record in errors.
+// recordKind is the kind of a record as it appears in errors.
 type recordKind string
 
 const (
@@ -61,11 +63,11 @@
 	optionsKind       recordKind = "options"
 )
 
-// recordKey identifies a record, and so its copies on other pages.
+// recordKey identifies a record. Copies of a record on several pages have the same key.
 type recordKey struct {
 	kind  recordKind
 	id    string
-	index int // of a block, or of a part of the prerequisites
+	index int // number of the block, or of the part of the prerequisites
 }
 
 func (k recordKey) String() string { return fmt.Sprintf("%s %s/%d", k.kind, k.id, k.index) }
@@ -83,7 +85,7 @@
 
 var optionsKey = recordKey{kind: optionsKind}
 
-// recordKeys identify all records of a page.
+// recordKeys returns the keys of all records of a page.
 func (v *PageValue) recordKeys() []recordKey {
 	var keys []recordKey
 	keys = appendKeys(keys, v.Jobs, jobKey)
@@ -105,11 +107,11 @@
 	return keys
 }
 
-// newestVersions has, for each record, the version of the page with its newest copy.
+// newestVersions maps each record to the version of the page with its newest copy.
 type newestVersions map[recordKey]int64
 
-// findNewestVersions fails if two copies have the same version: no transaction writes a
-// record twice.
+// findNewestVersions returns an error if two copies of a record have the same version,
+// because no transaction writes a record twice.
 func findNewestVersions(pages []LoadedPage) (newestVersions, error) {
 	newest := newestVersions{}
 	for _, p := range pages {
@@ -123,7 +125,7 @@
 	return newest, nil
 }
 
-// dropStale removes a page's outdated copies.
+// dropStale removes outdated records from a page.
 func (n newestVersions) dropStale(p *LoadedPage) {
 	newest := func(key recordKey) bool { return n[key] == p.Version }
 	terminal := func(job string) bool { return n[recordKey{terminalKind, job, 0}] > 0 }
@@ -141,7 +143,7 @@
 	}
 }
 
-// keepCurrent removes the records that aren't current, and notes that on the page.
+// keepCurrent removes records that are not current, and marks the page as stale if there are any.
 func keepCurrent[T any](p *LoadedPage, records []T, current func(T) bool) []T {
 	before := len(records)
 	records = slices.DeleteFunc(records, func(r T) bool { return !current(r) })
--- a/internal/storage/split_test.go
+++ b/internal/storage/split_test.go
@@ -29,77 +29,77 @@
 const splitScenarioItems = 120
 
 // writeLargePage writes the page as a version with larger limits did.
-func (trial *splitScenario) writeLargePage() {
-	trial.t.Helper()
+func (scenario *splitScenario) writeLargePage() {
+	scenario.t.Helper()
 	old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
-	trial.committed = map[string]int64{}
+	scenario.committed = map[string]int64{}
 	for i := range splitScenarioItems {
 		item := newCountedItem(i)
 		old.MarkDirty(0, item, nil)
-		trial.committed[item.name] = 0
+		scenario.committed[item.name] = 0
 	}
-	if w := old.NextWrite(0, term, true); w == nil || trial.apply(w) != rpc.OK || len(w.Txn.Then) != 1 {
-		trial.t.Fatalf("the old version's page: %+v", w)
+	if w := old.NextWrite(0, term, true); w == nil || scenario.apply(w) != rpc.OK || len(w.Txn.Then) != 1 {
+		scenario.t.Fatalf("the old version's page: %+v", w)
 	}
 }
 
 // newLeader begins a term with what is stored.
-func (trial *splitScenario) newLeader() {
-	trial.t.Helper()
-	trial.store, trial.items = trial.load(trial.limits)
-	if trial.limitsKnown {
-		trial.store.SetLimitsLowered()
+func (scenario *splitScenario) newLeader() {
+	scenario.t.Helper()
+	scenario.store, scenario.items = scenario.load(scenario.limits)
+	if scenario.limitsKnown {
+		scenario.store.SetLimitsLowered()
 	}
 }
 
 // changeOneItem has the leader change an item and write what is due, and compares what is
 // stored with what was committed after every write.
-func (trial *splitScenario) changeOneItem(step int) {
-	trial.t.Helper()
+func (scenario *splitScenario) changeOneItem(step int) {
+	scenario.t.Helper()
 	now := time.Duration(step) * time.Second
-	changed := trial.items[slices.Sorted(maps.Keys(trial.items))[step*7%splitScenarioItems]]
+	changed := scenario.items[slices.Sorted(maps.Keys(scenario.items))[step*7%splitScenarioItems]]
 	changed.changed++
 	committed := false
-	trial.store.MarkDirty(now, changed, OnCommit(func() { committed = true }))
-	for w := trial.store.NextWrite(now, term, true); w != nil; w = trial.store.NextWrite(now, term, true) {
-		if trial.writes == trial.crashAfter {
-			trial.newLeader()
-			trial.writes++
+	scenario.store.MarkDirty(now, changed, OnCommit(func() { committed = true }))
+	for w := scenario.store.NextWrite(now, term, true); w != nil; w = scenario.store.NextWrite(now, term, true) {
+		if scenario.writes == scenario.crashAfter {
+			scenario.newLeader()
+			scenario.writes++
 			return
 		}
-		trial.send(w)
+		scenario.send(w)
 		if committed {
-			trial.committed[changed.name] = int64(changed.changed)
+			scenario.committed[changed.name] = int64(changed.changed)
 		}
-		trial.checkCommitted()
+		scenario.checkCommitted()
 	}
 }
 
 // send executes a write. A refusal for its size ends the term.
-func (trial *splitScenario) send(w *Write) {
-	trial.t.Helper()
-	switch trial.apply(w) {
+func (scenario *splitScenario) send(w *Write) {
+	scenario.t.Helper()
+	switch scenario.apply(w) {
 	case rpc.OK:
-		trial.writes++
-		trial.store.MarkCommitted(w, trial.revision)
+		scenario.writes++
+		scenario.store.MarkCommitted(w, scenario.revision)
 	case rpc.Invalid:
-		if trial.limitsKnown {
-			trial.t.Fatal("refused for its size again")
+		if scenario.limitsKnown {
+			scenario.t.Fatal("refused for its size again")
 		}
-		trial.limitsKnown = true
-		trial.newLeader()
+		scenario.limitsKnown = true
+		scenario.newLeader()
 	default:
-		trial.t.Fatal("a conflict with nobody else there")
+		scenario.t.Fatal("a conflict with nobody else there")
 	}
 }
 
 // checkCommitted fails unless every record is stored, none older than what was committed.
-func (trial *splitScenario) checkCommitted() {
-	trial.t.Helper()
-	stored := trial.terminalRecords()
-	for name, least := range trial.committed {
+func (scenario *splitScenario) checkCommitted() {
+	scenario.t.Helper()
+	stored := scenario.terminalRecords()
+	for name, least := range scenario.committed {
 		if changes, ok := stored[name]; !ok || changes < least {
-			trial.t.Fatalf("%s is at %d (%t), committed was %d", name, changes, ok, least)
+			scenario.t.Fatalf("%s is at %d (%t), committed was %d", name, changes, ok, least)
 		}
 	}
 }
--- a/internal/storage/write.go
+++ b/internal/storage/write.go
@@ -21,12 +21,12 @@
 	// Version is the revision of the commit; 0 until MarkCommitted.
 	Version int64
 
-	pages        []*page
-	compareOnly  *page // a condition of the transaction, but not changed by it
-	archivePages []*ArchivePage
-	waiters      [][]*CommitWaiter
-	awaitingResponse         bool          // and not answered yet
-	retryAt      time.Duration // if not sent
+	pages            []*page
+	compareOnly      *page // a condition of the transaction, but not changed by it
+	archivePages     []*ArchivePage
+	waiters          [][]*CommitWaiter
+	awaitingResponse bool          // and not answered yet
+	retryAt          time.Duration // if not sent
 }
 
 // CommitCheckKey returns the key of a page whose write id tells whether the transaction was
--- a/internal/storage/write_budget.go
+++ b/internal/storage/write_budget.go
@@ -12,8 +12,8 @@
 	limiter *rate.Limiter
 	// waitingSince is when a write was first refused since one was last let through; nil:
 	// none waits for the budget.
-	waitingSince *time.Duration
-	lastRefusedAt    time.Duration // the last such refusal
+	waitingSince  *time.Duration
+	lastRefusedAt time.Duration // the last such refusal
 	// nextRate is a rate that was set and isn't in force yet; 0: there is none.
 	nextRate float64
 	// rateSetAt is since when the rate is in force.
--- a/internal/storage/write_budget_test.go
+++ b/internal/storage/write_budget_test.go
@@ -37,8 +37,8 @@
 	reference referenceBudget
 	now       time.Duration
 
-	admitted           []admittedWrite
-	accrued             float64 // keys that the rates have let in up to now
+	admitted        []admittedWrite
+	accrued         float64 // keys that the rates have let in up to now
 	highestCapacity float64
 }
 
