--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -2,10 +2,10 @@
 
 import "oakpick/internal/protocol"
 
-// Records that are encoded as arrays have a field _msgpack, which only the MessagePack
-// library reads.
+// The field _msgpack of a record tells the MessagePack library to encode the record as an
+// array. Nothing else reads it.
 
-// StartRecord is a task that was started and may be on a machine.
+// StartRecord is a task that was started and may be running on a machine.
 type StartRecord struct {
 	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
@@ -13,10 +13,10 @@
 	Task        int
 	Attempt     int64
 	Machine     string
-	Incarnation int64 // of the machine's agent
+	Incarnation int64 // incarnation of the machine's agent
 }
 
-// JobRecord describes a job that isn't terminal.
+// JobRecord describes a job that has not reached a terminal state.
 type JobRecord struct {
 	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
@@ -34,17 +34,17 @@
 	DeadlineS                                               float64
 	SubmittedMs                                             int64 // Unix time
 	Cancelled                                               bool
-	GangAttempt                                             int64  // of a gang; others have attempts in their blocks
-	CompletedBlocks                                         string // Bitmap of the blocks whose tasks are all done
+	GangAttempt                                             int64  // attempt of a gang; other jobs have attempts in their blocks
+	CompletedBlocks                                         string // Bitmap of the blocks in which all tasks are done
 }
 
-// amountNames are the names of JobRecord.amounts in errors.
+// amountNames are the field names for JobRecord.amounts, used in errors.
 var amountNames = [...]string{
 	"CPUs", "GPUs", "MemoryGB", "ImageGB",
 	"EstimatedRunS", "CheckpointIntervalS", "CheckpointDurationS", "DeadlineS",
 }
 
-// amounts are the fields that are finite numbers of at least 0.
+// amounts returns the fields that must be finite and not negative.
 func (r *JobRecord) amounts() [len(amountNames)]float64 {
 	return [...]float64{
 		r.CPUs, r.GPUs, r.MemoryGB, r.ImageGB,
@@ -52,7 +52,7 @@
 	}
 }
 
-// NewJobRecord describes a submission that was accepted at the given Unix time.
+// NewJobRecord returns the record of a submission that was accepted at the given Unix time.
 func NewJobRecord(s *protocol.Submission, submittedMs int64) JobRecord {
 	return JobRecord{
 		ID:                  s.ID,
@@ -87,12 +87,12 @@
 
 	Job         string
 	Block       int    // from 0
-	LastAttempt int64  // the highest attempt number given out in this block
-	Done        string // Bitmap of the block's tasks, from 0
+	LastAttempt int64  // highest attempt number assigned in this block
+	Done        string // Bitmap of the done tasks, indexed from the block's first task
 	Starts      []StartRecord
 }
 
-// TerminalRecord is all that is kept of a job that is done or cancelled.
+// TerminalRecord is the only record that is kept of a job that is done or cancelled.
 type TerminalRecord struct {
 	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
@@ -102,34 +102,34 @@
 	Tasks     int
 }
 
-// ProvisioningRecord is a request for machines that aren't all known from elsewhere yet.
+// ProvisioningRecord is a request for machines, kept until other sources report all of them.
 type ProvisioningRecord struct {
 	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
 
 	RequestID, Type, Zone string
 	Spot                  bool
-	Count                 int      // machines asked for
-	Answered              bool     // by the cloud
-	Machines              []string // those of the answer
+	Count                 int      // number of requested machines
+	Answered              bool     // the cloud has responded
+	Machines              []string // machines named in the response
 	AtMs                  int64    // Unix time of the request
 }
 
-// JobExtension is what is recorded of a job beside its JobRecord. Versions that
-// don't know it ignore it, and drop it when they write the page.
+// JobExtension has recorded fields of a job that are not part of its JobRecord. Versions that
+// don't support it ignore it, and drop it when they write the page.
 type JobExtension struct {
 	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Job string
-	// BlockTasks is how many tasks a block of the job has; 0: as many as follow
-	// from the settings' value_kb (see the function BlockTasks).
+	// BlockTasks is the number of tasks in a block of the job; 0 means the number that the
+	// function BlockTasks derives from the setting value_kb.
 	BlockTasks    int
-	Prerequisites []string // ids of jobs
+	Prerequisites []string // job IDs
 }
 
-// PrerequisitesRecord is a part of the prerequisites of a job that has more of them than
-// fit its page: its extension has none then. The parts are written before the job is.
+// PrerequisitesRecord is one part of a job's prerequisites, used if they don't fit on the
+// job's page; JobExtension.Prerequisites is then empty. All parts are written before the job.
 type PrerequisitesRecord struct {
 	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
@@ -141,12 +141,12 @@
 
 // PageValue is the stored form of a page.
 type PageValue struct {
-	WriteID      string               `msgpack:"id"` // of the write that made it
+	WriteID      string               `msgpack:"id"` // ID of the write that stored this value
 	Jobs         []JobRecord          `msgpack:"j,omitempty"`
 	Blocks       []BlockRecord        `msgpack:"b,omitempty"`
 	Terminal     []TerminalRecord     `msgpack:"f,omitempty"`
 	Provisioning []ProvisioningRecord `msgpack:"r,omitempty"`
-	Options      string               `msgpack:"o,omitempty"` // what operators have changed, as JSON
+	Options      string               `msgpack:"o,omitempty"` // options changed by operators, as JSON
 
 	Extensions []JobExtension `msgpack:"x,omitempty"`
 
--- a/internal/storage/split.go
+++ b/internal/storage/split.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// A page may be larger than the limits allow, because it was written under larger
-// ones. It is split before it is written again.
+// A page that was written under larger limits may exceed the current ones. It is split
+// before it is written again.
 //
-// As a rule one transaction writes the page and the new pages that take items from
-// it, so that every record is on exactly one page at any time. If the page has more
-// than that transaction can move, it is written with the rest, which is smaller than
-// before but still above the announced limits. If those are in force by then, the
-// state service refuses that, and the items are copied first: the page is only
-// compared, and is written without them as soon as its rest fits. Until then a record
-// may be on two pages; the one with the higher version counts (see ReadPages).
+// Normally one transaction writes the page and the new pages that receive its items, so that
+// every record is on exactly one page at any time. If one transaction can't move enough
+// items, the page is written with the remaining items; it is then smaller, but still above
+// the announced limits. If those limits are already in force, the state service would refuse
+// this write, so the items are copied first: the transaction only compares the page's
+// version, and the page is written without the copied items once the rest fits. Until then a
+// record may be on two pages; the copy on the page with the higher version is used (see
+// DecodePages).
 
-// splitQueue holds the loaded pages that are not yet known to fit the limits, the one
-// that was written longest ago first.
+// splitQueue holds the loaded pages that are not yet known to fit the limits, in the order of
+// their last write.
 type splitQueue struct {
 	candidates []*page
 	filled     bool
 }
 
-// fill queues all pages, once.
+// fill queues all pages on the first call and does nothing on later calls.
 func (q *splitQueue) fill(pages []*page) {
 	if q.filled {
 		return
@@ -34,8 +35,8 @@
 	slices.SortFunc(q.candidates, func(a, b *page) int { return cmp.Compare(a.version, b.version) })
 }
 
-// next drops candidates that fit, or can't be split, up to the first that has to be split.
-// It returns nil if there is none.
+// next returns the first candidate that has to be split, or nil if there is none. It removes
+// the candidates before it, which fit or can't be split.
 func (q *splitQueue) next(maxBytes int) *page {
 	for len(q.candidates) > 0 {
 		p := q.candidates[0]
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// scheduleSplit marks one oversized page as dirty when nothing else is to be written:
-// oversized pages should be gone before lower limits come.
+// scheduleSplit marks one oversized page as dirty if the store is idle, so that oversized
+// pages are split before lower limits come into force.
 func (s *Store) scheduleSplit(now time.Duration) {
 	s.splits.fill(s.pages)
 	if len(s.splits.candidates) == 0 || !s.Idle(now) {
@@ -59,7 +60,7 @@
 	}
 }
 
-// OversizedPages returns how many pages may still have to be split ahead of lower limits.
+// OversizedPages returns the number of pages that may still have to be split before lower limits apply.
 func (s *Store) OversizedPages() int {
 	n := 0
 	for _, p := range s.splits.candidates {
@@ -70,25 +71,25 @@
 	return n
 }
 
-// split moves items off an oversized page, and makes w the transaction for it.
+// split moves items from an oversized page to new pages and sets the pages of transaction w.
 func (s *Store) split(p *page, w *Write) {
-	maxNewPages := max(1, s.limits.ChangesPerTxn-1) // the page itself takes a change
+	maxNewPages := max(1, s.limits.ChangesPerTxn-1) // the page itself needs one change
 	var newPages []*page
 	for len(newPages) < maxNewPages && p.size() > s.limits.PageBytes && len(p.items) > 1 && !s.unwritable(p) {
 		newPages = append(newPages, s.moveItemsToNewPage(p))
 	}
 	fits := p.size() <= s.limits.PageBytes
 	if s.limits.ChangesPerTxn == 1 || !fits && s.limitsLowered {
-		// The page stays dirty, and has its turn once the copies are committed.
+		// The page stays dirty and is written once the copies are committed.
 		w.pages, w.compareOnly = newPages, p
 		return
 	}
 	w.pages = append([]*page{p}, newPages...)
 }
 
-// unwritable tells whether a page can't be written for now: what remains on it are items
-// that grew under larger limits than are in force, each too large for a page. They have
-// to shrink first, as a job's tasks end.
+// unwritable reports whether a page can't be written at the moment because its remaining
+// items grew under larger limits and each of them exceeds the size of a page. They have
+// to shrink first, as tasks of their jobs end.
 func (s *Store) unwritable(p *page) bool {
 	if !s.limitsLowered || p.size() <= s.limits.PageBytes {
 		return false
@@ -97,8 +98,8 @@
 	return len(p.items) == 1 || !slices.ContainsFunc(p.items, movable)
 }
 
-// moveItemsToNewPage fills a new page with items of another, last ones first. The waiters
-// stay with the old page: it is written by the same transaction or a later one.
+// moveItemsToNewPage moves items of a page to a new page, starting with the last one. The
+// waiters stay with the old page, which the same or a later transaction writes.
 func (s *Store) moveItemsToNewPage(p *page) *page {
 	target := s.newPage()
 	for i := len(p.items) - 1; i >= 0 && p.size() > s.limits.PageBytes; i-- {
--- a/internal/storage/state_call.go
+++ b/internal/storage/state_call.go
@@ -24,32 +24,32 @@
 	StateRevokeLease
 )
 
-// defaultListLimit is how many entries a list request asks for.
+// defaultListLimit is the maximum number of entries of a list request that sets no limit.
 const defaultListLimit = 200
 
-// StateCall is a request to the state service. Which fields are used depends on Op.
+// StateCall is a request to the state service. Op determines which fields are used.
 type StateCall struct {
-	ID         uint64 // chosen by the caller, returned in the result
+	ID         uint64 // chosen by the caller and copied to the result
 	Op         StateOp
-	Key        string        // of StateGet; a prefix for StateList
-	StartAfter string        // of StateList: only keys after this one
-	Limit      int           // of StateList: entries at most; 0: defaultListLimit
-	Lease      int64         // of StateRenewLease and StateRevokeLease
-	TTL        time.Duration // of StateGrantLease
-	Txn        protocol.Txn  // of StateTxn
+	Key        string        // key for StateGet, prefix for StateList
+	StartAfter string        // for StateList: returns only keys after this one
+	Limit      int           // for StateList: maximum number of entries; 0 means defaultListLimit
+	Lease      int64         // for StateRenewLease and StateRevokeLease
+	TTL        time.Duration // for StateGrantLease
+	Txn        protocol.Txn  // for StateTxn
 }
 
-// StateResult is the result of a StateCall. Unless Outcome is rpc.OK, only ID is set
-// beside it, or the rest is not to be used.
+// StateResult is the result of a StateCall. The fields after Outcome are valid only if
+// Outcome is rpc.OK.
 type StateResult struct {
-	ID       uint64 // of the call
+	ID       uint64 // ID of the call
 	Outcome  rpc.Outcome
-	Revision int64              // of a transaction; of StateGrantLease, the lease
-	Entry    protocol.Entry     // of StateGet
-	List     protocol.EntryList // of StateList
+	Revision int64              // for StateTxn: revision of the commit; for StateGrantLease: lease ID
+	Entry    protocol.Entry     // for StateGet
+	List     protocol.EntryList // for StateList
 }
 
-// path returns the path and query of the request.
+// path returns the path and the query of the request.
 func (call *StateCall) path() string {
 	switch call.Op {
 	case StateGet:
@@ -95,7 +95,7 @@
 	request.Header.SetContentType(protocol.ContentType)
 }
 
-// decode reads the body of a successful response.
+// decode decodes the body of a successful response.
 func (result *StateResult) decode(op StateOp, body []byte) error {
 	switch op {
 	case StateGet:
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Limits are what the state service accepts, now and after any announced change.
+// Limits are limits that satisfy the state service both now and after any announced change.
 type Limits struct {
-	PageBytes     int     // of a page's value, as the state service counts
-	ChangesPerTxn int     // keys that one transaction may change
-	WritesPerS    float64 // keys a second
+	PageBytes     int     // maximum size of a page's value, in bytes of JSON
+	ChangesPerTxn int     // maximum number of keys that one transaction changes
+	WritesPerS    float64 // keys per second
 }
 
-// Store packs items into pages and decides which page is written when. No page is in two
-// transactions in flight at a time.
+// Store packs items into pages and decides when each page is written. A page is part of at
+// most one transaction in flight.
 //
-// A Store belongs to one leader and one term, and to one goroutine. It does no I/O: the
-// caller sends what NextWrite and Move return and reports the outcome with
-// MarkCommitted or RetryLater. Times are the leader's monotonic clock.
+// A Store belongs to one leader, one term and one goroutine. It does no I/O: the caller
+// sends the transactions that NextWrite and MoveToArchive return and reports the outcome
+// with MarkCommitted or RetryLater. Times are readings of the leader's monotonic clock.
 type Store struct {
 	limits Limits
-	// limitsLowered tells that values above the announced limits are refused by now.
+	// limitsLowered is set once the state service refuses values above the announced limits.
 	limitsLowered bool
 
 	pages     []*page // by number
@@ -33,8 +33,8 @@
 	splits   splitQueue
 }
 
-// NewStore returns an empty store. The ids of its transactions begin with idPrefix, which
-// no other store may use. A transaction that was not answered is sent again after
+// NewStore returns an empty store. The IDs of its transactions begin with idPrefix, which
+// must be unique among all stores. A transaction without a response is sent again after
 // retryInterval.
 func NewStore(limits Limits, idPrefix string, retryInterval time.Duration) *Store {
 	return &Store{
@@ -45,16 +45,17 @@
 	}
 }
 
-// SetWriteRate changes how many keys a second may be written, from the next call on that is given
-// the time: a leader asks NextWrite in every step, so that is the time of the step.
+// SetWriteRate changes how many keys per second may be written. The change takes effect at the
+// next call that passes the time; a leader calls NextWrite in every step, so this is the
+// time of the current step.
 func (s *Store) SetWriteRate(keysPerS float64) { s.budget.setRate(keysPerS) }
 
-// SetLimitsLowered notes that the state service refuses values above the announced limits
-// by now.
+// SetLimitsLowered records that the state service now refuses values above the announced
+// limits.
 func (s *Store) SetLimitsLowered() { s.limitsLowered = true }
 
-// Load adds items that were read from a page, as a new leader does. A page without items
-// is loaded too, for its version.
+// Load adds a page with the items that a new leader read from it. Pages without items have
+// to be loaded too, so that their version is known.
 func (s *Store) Load(number int, version int64, items ...Item) {
 	for len(s.pages) <= number {
 		s.newPage()
@@ -66,20 +67,20 @@
 	}
 }
 
-// MarkPageStale marks a loaded page as dirty because it holds outdated copies of records:
-// it is written without them before long.
+// MarkPageStale marks a loaded page as dirty because its stored value contains outdated
+// copies of records. The next write of the page removes them.
 func (s *Store) MarkPageStale(now time.Duration, number int) {
 	s.markPageDirty(now, s.pages[number], nil)
 }
 
-// MaxItemSize is the most bytes that one item may take.
+// MaxItemSize returns the maximum size of an item in bytes.
 func (s *Store) MaxItemSize() int { return s.limits.PageBytes - pageOverhead }
 
-// Fits tells whether an item can be stored, grown to its reserved size.
+// Fits reports whether an item still fits on a page after growing to its reserved size.
 func (s *Store) Fits(item Item) bool { return item.ReservedSize() <= s.MaxItemSize() }
 
-// MarkDirty notes that an item is new or has changed. The waiter, if not nil, waits for
-// the commit.
+// MarkDirty schedules the write of an item that is new or has changed. The waiter is
+// notified of the commit; it may be nil.
 func (s *Store) MarkDirty(now time.Duration, item Item, waiter *CommitWaiter) {
 	p := s.pageOf[item]
 	if p == nil {
@@ -89,8 +90,8 @@
 	s.markPageDirty(now, p, waiter)
 }
 
-// Replace puts a new item in the place of a stored one, on the same page, so that no
-// reader ever finds both or neither. The waiter, if not nil, waits for the commit.
+// Replace replaces a stored item with a new one on the same page, so that a reader always
+// finds exactly one of them. The waiter is notified of the commit; it may be nil.
 func (s *Store) Replace(now time.Duration, old, replacement Item, waiter *CommitWaiter) {
 	p := s.pageOf[old]
 	delete(s.pageOf, old)
@@ -101,8 +102,8 @@
 	s.markPageDirty(now, p, waiter)
 }
 
-// Remove deletes an item. The waiter, if not nil, waits for the commit; it is not used if
-// the item is not stored.
+// Remove deletes an item. The waiter is notified of the commit; it may be nil. If the item
+// is not stored, Remove does nothing and ignores the waiter.
 func (s *Store) Remove(now time.Duration, item Item, waiter *CommitWaiter) {
 	p := s.pageOf[item]
 	if p == nil {
@@ -112,8 +113,8 @@
 	s.markPageDirty(now, p, waiter)
 }
 
-// Items returns what is on a page of records; nil while it is part of a transaction in
-// flight. The slice is the store's own.
+// Items returns the items on a page of records, or nil if the page doesn't exist or is part
+// of a transaction in flight. The caller must not modify the slice.
 func (s *Store) Items(page int) []Item {
 	if page >= len(s.pages) || s.pages[page].inFlight {
 		return nil
@@ -121,7 +122,7 @@
 	return s.pages[page].items
 }
 
-// Backlog returns how many pages wait to be written, and for how long the oldest has.
+// Backlog returns the number of dirty pages and how long the oldest one has been dirty.
 func (s *Store) Backlog(now time.Duration) (pages int, oldest time.Duration) {
 	since := now
 	for _, p := range s.dirty {
@@ -130,8 +131,8 @@
 	return len(s.dirty), now - since
 }
 
-// PagesDueBefore returns how many pages are written before one that becomes due at the
-// given time.
+// PagesDueBefore returns the number of dirty pages that are due at the given time or
+// earlier.
 func (s *Store) PagesDueBefore(due time.Duration) int {
 	n := 0
 	for _, p := range s.dirty {
@@ -142,7 +143,7 @@
 	return n
 }
 
-// PageCount returns how many pages there are.
+// PageCount returns the number of pages.
 func (s *Store) PageCount() int { return len(s.pages) }
 
 func (s *Store) newPage() *page {
@@ -152,9 +153,9 @@
 	return p
 }
 
-// pageWithSpace picks the page for a new item: one that will be written anyway, else the
-// first with enough space, else a new one; none that would have to wait for a transaction
-// in flight.
+// pageWithSpace returns the page for a new item: a dirty page with enough space, otherwise
+// the first page with enough space, otherwise a new page. It skips pages in flight, because
+// the item would have to wait for their transaction.
 func (s *Store) pageWithSpace(size int) *page {
 	for _, p := range s.dirty {
 		if !p.inFlight && p.reserved+size <= s.limits.PageBytes {
@@ -182,12 +183,12 @@
 	s.updateFreeSpace(p)
 }
 
-// reservedSize is what is set aside for an item: never more than a page holds. An item
-// that could outgrow its page has one of its own, and callers keep it from growing
-// further (see MaxItemSize).
+// reservedSize returns the space to reserve for an item, which is at most the capacity of a
+// page. An item that could exceed this has a page of its own, and callers prevent it from
+// growing further (see MaxItemSize).
 func (s *Store) reservedSize(item Item) int { return min(item.ReservedSize(), s.MaxItemSize()) }
 
-// updateFreeSpace enters a page's free space in the index; a page in flight takes no items.
+// updateFreeSpace updates the free space index for a page. A page in flight accepts no items.
 func (s *Store) updateFreeSpace(p *page) {
 	if p.inFlight {
 		s.freeSpace.set(p.number, noFreeSpace)
@@ -196,13 +197,13 @@
 	s.freeSpace.set(p.number, s.limits.PageBytes-p.reserved)
 }
 
-// setInFlight notes that a page is part of a transaction in flight, or no longer.
+// setInFlight sets whether a page is part of a transaction in flight.
 func (s *Store) setInFlight(p *page, inFlight bool) {
 	p.inFlight = inFlight
 	s.updateFreeSpace(p)
 }
 
-// markPageDirty queues a page to be written, by the priority of the most urgent waiter.
+// markPageDirty queues a page to be written, with the priority of its most urgent waiter.
 func (s *Store) markPageDirty(now time.Duration, p *page, waiter *CommitWaiter) {
 	delayRetries := deferredDelayRetries
 	if waiter != nil {
--- a/internal/storage/validate.go
+++ b/internal/storage/validate.go
@@ -7,11 +7,11 @@
 	"oakpick/internal/protocol"
 )
 
-// CorruptRecordError tells that a stored record is one that no version writes. The pages
-// are then not used at all: what a wrong record says about tasks on machines, or about
-// finished jobs, must not be acted upon.
+// CorruptRecordError reports a stored record that no version writes. The loaded pages must
+// not be used at all: acting on wrong data about tasks on machines or about finished jobs
+// would be unsafe.
 type CorruptRecordError struct {
-	Record string // which one, such as "block 3 of job wk-1"
+	Record string // names the record, as in "block 3 of job wk-1"
 	Reason string
 }
 
@@ -21,7 +21,7 @@
 	return &CorruptRecordError{Record: record, Reason: fmt.Sprintf(format, args...)}
 }
 
-// validate finds the first record of a page that no version writes.
+// validate returns an error for the first invalid record of a page.
 func (v *PageValue) validate() error {
 	return firstError(
 		validateAll(v.Jobs, (*JobRecord).validate),
@@ -55,9 +55,9 @@
 	record := "job " + r.ID
 	switch {
 	case r.ID == "":
-		return newCorruptRecordError(record, "no id")
+		return newCorruptRecordError(record, "missing ID")
 	case r.Tasks < 1 || r.Tasks > protocol.MaxTasks:
-		return newCorruptRecordError(record, "%d tasks", r.Tasks)
+		return newCorruptRecordError(record, "invalid number of tasks %d", r.Tasks)
 	case r.Kind > protocol.Service:
 		return newCorruptRecordError(record, "unknown kind %d", uint8(r.Kind))
 	case r.Priority > protocol.Production:
@@ -65,7 +65,7 @@
 	}
 	for i, amount := range r.amounts() {
 		if amount < 0 || math.IsNaN(amount) || math.IsInf(amount, 0) {
-			return newCorruptRecordError(record, "%s is %v", amountNames[i], amount)
+			return newCorruptRecordError(record, "invalid value of %s: %v", amountNames[i], amount)
 		}
 	}
 	return nil
@@ -73,11 +73,11 @@
 
 func (r *BlockRecord) validate() error {
 	if r.Job == "" || r.Block < 0 {
-		return newCorruptRecordError(r.name(), "no such block")
+		return newCorruptRecordError(r.name(), "invalid job ID or block number")
 	}
 	for _, s := range r.Starts {
 		if s.Task < 0 || s.Machine == "" {
-			return newCorruptRecordError(r.name(), "a start of task %d on machine %q", s.Task, s.Machine)
+			return newCorruptRecordError(r.name(), "invalid start of task %d on machine %q", s.Task, s.Machine)
 		}
 	}
 	return nil
@@ -85,7 +85,7 @@
 
 func (r *TerminalRecord) validate() error {
 	if !r.valid() {
-		return newCorruptRecordError("terminal record of job "+r.ID, "%d tasks", r.Tasks)
+		return newCorruptRecordError("terminal record of job "+r.ID, "invalid job ID or number of tasks %d", r.Tasks)
 	}
 	return nil
 }
@@ -94,52 +94,52 @@
 
 func (r *ProvisioningRecord) validate() error {
 	if r.RequestID == "" || r.Count < 0 || r.Count > protocol.MaxScaleOut {
-		return newCorruptRecordError("provisioning request "+r.RequestID, "%d machines", r.Count)
+		return newCorruptRecordError("provisioning request "+r.RequestID, "invalid request ID or number of machines %d", r.Count)
 	}
 	return nil
 }
 
 func (r *PrerequisitesRecord) validate() error {
 	if r.Job == "" || r.Part < 0 {
-		return newCorruptRecordError("prerequisites of job "+r.Job, "part %d", r.Part)
+		return newCorruptRecordError("prerequisites of job "+r.Job, "invalid job ID or part number %d", r.Part)
 	}
 	return nil
 }
 
 func (r *JobExtension) validate() error {
 	if r.Job == "" || r.BlockTasks < 0 || r.BlockTasks > protocol.MaxTasks {
-		return newCorruptRecordError("extension of job "+r.Job, "blocks of %d tasks", r.BlockTasks)
+		return newCorruptRecordError("extension of job "+r.Job, "invalid job ID or number of tasks per block %d", r.BlockTasks)
 	}
 	return nil
 }
 
-// ValidateBlocks checks that a job's completed blocks exist, given the number of tasks of
-// each block. They may not if value_kb, from which that number follows where it isn't
-// recorded, is not what it was when the job was accepted. The error is a
+// ValidateBlocks checks that a job's completed blocks exist, given the number of tasks per
+// block. That number is derived from value_kb for jobs that don't record it, so a change of
+// value_kb after the job was accepted can invalidate the blocks. The error is a
 // *CorruptRecordError.
 func (r *JobRecord) ValidateBlocks(blockTasks int, completed Bitmap) error {
 	if blocks := (r.Tasks + blockTasks - 1) / blockTasks; completed.Len() > blocks {
-		return newCorruptRecordError("job "+r.ID, "block %d of %d is done: was value_kb changed?", completed.Len()-1, blocks)
+		return newCorruptRecordError("job "+r.ID, "block %d is marked as completed, but the job has %d blocks: was value_kb changed?", completed.Len()-1, blocks)
 	}
 	return nil
 }
 
-// ValidateTasks checks that the tasks that a block's record names are of this block,
-// given the number of the job's tasks and of each block's. The error is a
+// ValidateTasks checks that the tasks in a block's record belong to that block, given the
+// number of the job's tasks and the number of tasks per block. The error is a
 // *CorruptRecordError.
 func (r *BlockRecord) ValidateTasks(tasks, blockTasks int, done Bitmap) error {
 	first := r.Block * blockTasks
 	end := min(first+blockTasks, tasks)
 	if first >= tasks || done.Len() > end-first {
-		return newCorruptRecordError(r.name(), "%d tasks done of tasks %d to %d of %d: was value_kb changed?", done.Len(), first, end-1, tasks)
+		return newCorruptRecordError(r.name(), "%d done tasks don't match tasks %d to %d of %d: was value_kb changed?", done.Len(), first, end-1, tasks)
 	}
 	for _, s := range r.Starts {
 		if s.Task < first || s.Task >= end {
-			return newCorruptRecordError(r.name(), "a start of task %d, not of %d to %d: was value_kb changed?", s.Task, first, end-1)
+			return newCorruptRecordError(r.name(), "start of task %d is outside of tasks %d to %d: was value_kb changed?", s.Task, first, end-1)
 		}
 	}
 	return nil
 }
 
-// name tells which record it is, for errors.
+// name returns a description of the record for errors.
 func (r *BlockRecord) name() string { return fmt.Sprintf("block %d of job %s", r.Block, r.Job) }
--- a/internal/storage/validate_test.go
+++ b/internal/storage/validate_test.go
@@ -81,16 +81,16 @@
 
 func TestCorruptRecordErrorNamesTheRecordAndTheValue(t *testing.T) {
 	for want, page := range map[string]PageValue{
-		"job wk-1: unknown kind 9":                               jobPage(func(r *JobRecord) { r.Kind = 9 }),
-		"job wk-1: unknown priority 9":                           jobPage(func(r *JobRecord) { r.Priority = 9 }),
-		"job wk-1: DeadlineS is +Inf":                            jobPage(func(r *JobRecord) { r.DeadlineS = math.Inf(1) }),
-		"block -1 of job wk-1: no such block":                    blockPage(func(r *BlockRecord) { r.Block = -1 }),
-		"terminal record of job wk-1: -1 tasks":                  {Terminal: []TerminalRecord{{ID: "wk-1", Tasks: -1}}},
-		"block of job wk-1/2: is stored twice in revision 1":     {Blocks: []BlockRecord{{Job: "wk-1", Block: 2}, {Job: "wk-1", Block: 2}}},
-		"extension of job wk-1: blocks of -1 tasks":              {Extensions: []JobExtension{{Job: "wk-1", BlockTasks: -1}}},
-		"prerequisites of job wk-1: part -1":                     {Prerequisites: []PrerequisitesRecord{{Job: "wk-1", Part: -1}}},
-		"provisioning request r: -1 machines":                    {Provisioning: []ProvisioningRecord{{RequestID: "r", Count: -1}}},
-		"block 0 of job wk-1: a start of task 1 on machine \"\"": blockPage(func(r *BlockRecord) { r.Starts[0].Machine = "" }),
+		"job wk-1: unknown kind 9":                                              jobPage(func(r *JobRecord) { r.Kind = 9 }),
+		"job wk-1: unknown priority 9":                                          jobPage(func(r *JobRecord) { r.Priority = 9 }),
+		"job wk-1: invalid value of DeadlineS: +Inf":                            jobPage(func(r *JobRecord) { r.DeadlineS = math.Inf(1) }),
+		"block -1 of job wk-1: invalid job ID or block number":                  blockPage(func(r *BlockRecord) { r.Block = -1 }),
+		"terminal record of job wk-1: invalid job ID or number of tasks -1":     {Terminal: []TerminalRecord{{ID: "wk-1", Tasks: -1}}},
+		"block of job wk-1/2: is stored twice in revision 1":                    {Blocks: []BlockRecord{{Job: "wk-1", Block: 2}, {Job: "wk-1", Block: 2}}},
+		"extension of job wk-1: invalid job ID or number of tasks per block -1": {Extensions: []JobExtension{{Job: "wk-1", BlockTasks: -1}}},
+		"prerequisites of job wk-1: invalid job ID or part number -1":           {Prerequisites: []PrerequisitesRecord{{Job: "wk-1", Part: -1}}},
+		"provisioning request r: invalid request ID or number of machines -1":   {Provisioning: []ProvisioningRecord{{RequestID: "r", Count: -1}}},
+		"block 0 of job wk-1: invalid start of task 1 on machine \"\"":          blockPage(func(r *BlockRecord) { r.Starts[0].Machine = "" }),
 	} {
 		t.Run(want, func(t *testing.T) {
 			_, err := DecodePages([]protocol.Entry{pageEntry(0, 1, page)})
--- a/internal/storage/write.go
+++ b/internal/storage/write.go
@@ -8,37 +8,37 @@
 	"oakpick/internal/protocol"
 )
 
-// Write is a transaction that writes pages. It is built once and never changes after
-// that, however often it is sent.
+// Write is a transaction that writes pages. It is not modified after it was built, so every
+// retry sends the same request.
 type Write struct {
 	// ID is unique among the writes of all leaders. It is stored in every page that the
 	// transaction puts.
 	ID string
 	// Txn is the request to send.
 	Txn protocol.Txn
-	// Rejected is for the caller: the state service called the request malformed.
+	// Rejected is set and read by the caller: the state service rejected the request as malformed.
 	Rejected bool
-	// Version is the revision of the commit; 0 until MarkCommitted.
+	// Version is the revision of the commit; 0 until MarkCommitted is called.
 	Version int64
 
 	pages            []*page
-	compareOnly      *page // a condition of the transaction, but not changed by it
+	compareOnly      *page // page that is a condition of the transaction and is not changed by it
 	archivePages     []*ArchivePage
 	waiters          [][]*CommitWaiter
-	awaitingResponse bool          // and not answered yet
-	retryAt          time.Duration // if not sent
+	awaitingResponse bool          // the transaction was sent and its outcome is not known yet
+	retryAt          time.Duration // valid unless awaitingResponse
 }
 
-// CommitCheckKey returns the key of a page whose write id tells whether the transaction was
-// committed.
+// CommitCheckKey returns the key of a page whose stored write ID shows whether the
+// transaction was committed.
 func (w *Write) CommitCheckKey() string {
 	if len(w.archivePages) > 0 {
-		return w.archivePages[0].Key() // the page of records may be deleted
+		return w.archivePages[0].Key() // the transaction may delete the page of records
 	}
 	return w.pages[0].key()
 }
 
-// keyCount is how many keys the transaction changes.
+// keyCount returns the number of keys that the transaction changes.
 func (w *Write) keyCount() int { return len(w.pages) + len(w.archivePages) }
 
 // addPage adds the condition and the change for a page of records.
@@ -57,9 +57,10 @@
 	}
 }
 
-// NextWrite returns a transaction to send now, conditional on the leader's key (term) and
-// on every page's version, or nil. The caller asks again until it is nil. If
-// allowNew is false, only transactions in flight are returned, for their retry.
+// NextWrite returns a transaction to send now, or nil if there is none. The transaction is
+// conditional on the leader's key (term) and on the version of each page. The caller repeats
+// the call until it returns nil. If allowNew is false, only retries of transactions in flight
+// are returned.
 func (s *Store) NextWrite(now time.Duration, term protocol.Condition, allowNew bool) *Write {
 	s.budget.applyRate(now)
 	if w, due := s.inFlight.nextRetry(now, &s.budget); due {
@@ -77,11 +78,11 @@
 	return w
 }
 
-// collectDirtyPages picks dirty pages for one transaction, by when they are due, and
-// takes its budget.
+// collectDirtyPages builds a write of dirty pages in the order of their due times and takes
+// the write budget for it.
 func (s *Store) collectDirtyPages(now time.Duration) *Write {
 	available := s.budget.available(now)
-	if available < 1 { // before anything is sorted or measured for it
+	if available < 1 { // checked first, to avoid the cost of sorting and measuring pages
 		if slices.ContainsFunc(s.dirty, func(p *page) bool { return !p.inFlight }) {
 			s.budget.recordRefusal(now)
 		}
@@ -96,8 +97,8 @@
 	return w
 }
 
-// addDirtyPages adds as many pages as fit the transaction, or the parts of one page that
-// has to be split.
+// addDirtyPages adds as many pages as fit in the transaction, or the parts of a single page
+// that has to be split.
 func (s *Store) addDirtyPages(w *Write, maxPages int) {
 	remaining := protocol.MaxBody - txnOverhead
 	for _, p := range s.dirty {
@@ -107,15 +108,15 @@
 		size := p.size()
 		if size > s.limits.PageBytes {
 			if len(w.pages) > 0 {
-				continue // it needs a transaction of its own, and is the first of the next
+				continue // it needs a transaction of its own, and comes first in the next one
 			}
 			if maxPages >= min(s.limits.ChangesPerTxn, s.budget.capacity()) {
 				s.split(p, w)
 			}
-			return // without enough budget nothing may be sent before it
+			return // without enough budget for the split, nothing may be sent before it
 		}
-		// The sum counts too: a transaction that is too large is refused each time
-		// it is sent again, and its pages would never be written.
+		// The total size is limited too: the state service would refuse every retry of an
+		// oversized transaction, and its pages would never be written.
 		needed := max(size, p.reserved) + changeOverhead
 		if len(w.pages) < maxPages && (needed <= remaining || len(w.pages) == 0) {
 			w.pages = append(w.pages, p)
@@ -124,8 +125,8 @@
 	}
 }
 
-// buildTransaction makes the request. From here on it never changes: a first try that
-// arrives after its retry is then the same transaction or one whose conditions fail.
+// buildTransaction builds the request. It is not modified afterwards: if the first attempt
+// arrives after a retry, it is the same transaction, or its conditions fail.
 func (s *Store) buildTransaction(w *Write, term protocol.Condition) {
 	s.inFlight.add(w)
 	w.Txn.If = append(w.Txn.If, term)
@@ -143,8 +144,8 @@
 	s.dirty = slices.DeleteFunc(s.dirty, func(p *page) bool { return !p.dirty })
 }
 
-// MarkCommitted notes that a transaction was committed, with the revision that its pages
-// have now, and runs the waiters of which it was the last.
+// MarkCommitted records that a transaction was committed at a revision, which becomes the
+// version of its pages, and runs the waiters that have no other pending pages.
 func (s *Store) MarkCommitted(w *Write, version int64) {
 	s.inFlight.committed(w)
 	if w.compareOnly != nil {
@@ -165,13 +166,13 @@
 	}
 }
 
-// RetryLater notes that a transaction was not executed, or that nobody knows: the same
-// one is sent again after the retry interval. No new one is begun before that: a state
-// service that refuses requests beyond its rate must not be asked for more.
+// RetryLater records that a transaction was not executed or that its outcome is unknown. The
+// same transaction is sent again after the retry interval. No new one is sent before that,
+// because a state service that refuses requests above its rate must not receive more of them.
 func (s *Store) RetryLater(now time.Duration, w *Write) { s.inFlight.retryLater(now, w) }
 
-// StalledFor returns for how long transactions have failed, refused or not answered, with
-// none committed in between; 0 if the last one was committed.
+// StalledFor returns how long transactions have been failing (refused or without a
+// response) with no commit in between; 0 if none has failed since the last commit.
 func (s *Store) StalledFor(now time.Duration) time.Duration {
 	if s.inFlight.stalledSince == nil {
 		return 0
@@ -179,17 +180,17 @@
 	return now - *s.inFlight.stalledSince
 }
 
-// HasWritesInFlight tells whether a transaction was built and is not yet committed.
+// HasWritesInFlight reports whether any transaction was built and is not committed yet.
 func (s *Store) HasWritesInFlight() bool { return len(s.inFlight.writes) > 0 }
 
-// Idle tells whether nothing waits to be written and at least half of the write budget
-// is unused.
+// Idle reports whether no page waits to be written and at least half of the write budget is
+// available.
 func (s *Store) Idle(now time.Duration) bool {
 	return len(s.dirty) == 0 && !s.HasWritesInFlight() && s.budget.halfAvailable(now)
 }
 
-// CanWrite tells whether a new transaction that changes the given number of keys could
-// be sent now.
+// CanWrite reports whether a new transaction that changes the given number of keys could be
+// sent now.
 func (s *Store) CanWrite(now time.Duration, keys int) bool {
 	return s.inFlight.mayBegin(now) && s.budget.available(now) >= float64(keys)
 }
--- a/internal/storage/write_budget.go
+++ b/internal/storage/write_budget.go
@@ -6,17 +6,17 @@
 	"golang.org/x/time/rate"
 )
 
-// writeBudget limits how many keys a second are written. It is a token bucket that
-// holds one second's worth of keys. Times are the leader's monotonic clock.
+// writeBudget limits the number of keys written per second. It is a token bucket with a
+// capacity of one second's worth of keys. Times are readings of the leader's monotonic clock.
 type writeBudget struct {
 	limiter *rate.Limiter
-	// waitingSince is when a write was first refused since one was last let through; nil:
-	// none waits for the budget.
+	// waitingSince is the time of the first refused write since the last admitted one; nil if
+	// no write waits for the budget.
 	waitingSince  *time.Duration
-	lastRefusedAt time.Duration // the last such refusal
-	// nextRate is a rate that was set and isn't in force yet; 0: there is none.
+	lastRefusedAt time.Duration // time of the last refused write
+	// nextRate is a rate that was set and is not in force yet; 0 if there is none.
 	nextRate float64
-	// rateSetAt is since when the rate is in force.
+	// rateSetAt is the time at which the current rate came into force.
 	rateSetAt time.Duration
 }
 
@@ -24,15 +24,15 @@
 	return writeBudget{limiter: rate.NewLimiter(rate.Limit(keysPerS), budgetCapacity(keysPerS))}
 }
 
-// setRate changes the rate from the time on for which the budget is asked next.
+// setRate changes the rate with effect from the next call that passes the time.
 //
-// The limiter's own SetLimit and SetBurst take the time from the clock of the process. Everything
-// else here is given the time of the step, which begins with the process: the last fill would
-// then lie decades ahead, the budget would be filled at once by the change, and afterwards not at
-// all until a write gets through.
+// The limiter's SetLimit and SetBurst use the wall clock of the process, while the times passed
+// to the budget begin at zero when the process starts. Calling them would set the limiter's
+// last update decades ahead: the change would fill the budget at once, and the budget would
+// then not fill again until a write is admitted.
 func (b *writeBudget) setRate(keysPerS float64) { b.nextRate = keysPerS }
 
-// applyRate puts a changed rate in force. What was saved up so far stays, up to the new capacity.
+// applyRate puts a changed rate into force. Unused budget is kept, up to the new capacity.
 func (b *writeBudget) applyRate(now time.Duration) {
 	if b.nextRate == 0 {
 		return
@@ -43,7 +43,7 @@
 	b.nextRate, b.rateSetAt = 0, now
 }
 
-// budgetCapacity is how many keys may be written at once.
+// budgetCapacity returns how many keys may be written at once.
 func budgetCapacity(keysPerS float64) int { return max(1, int(keysPerS)) }
 
 func (b *writeBudget) capacity() int { return b.limiter.Burst() }
@@ -58,10 +58,10 @@
 	return b.available(now) >= float64(b.capacity())/2
 }
 
-// take spends the budget of a transaction that changes the given number of keys, or
-// nothing and returns false if there is too little. A transaction that changes more keys
-// than the capacity, because that was lowered since it was built, takes all of it: it
-// could never be sent otherwise.
+// take takes the budget for a transaction that changes the given number of keys. If there is
+// too little, it takes nothing and returns false. A transaction with more keys than the
+// capacity, which was lowered after the transaction was built, takes the whole capacity;
+// otherwise it could never be sent.
 func (b *writeBudget) take(now time.Duration, keys int) bool {
 	b.applyRate(now)
 	if !b.limiter.AllowN(limiterTime(now), min(keys, b.capacity())) {
@@ -72,7 +72,7 @@
 	return true
 }
 
-// recordRefusal notes that a write is refused for want of budget.
+// recordRefusal records that a write was refused because the budget is exhausted.
 func (b *writeBudget) recordRefusal(now time.Duration) {
 	b.lastRefusedAt = now
 	if b.waitingSince == nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-// waitingFor returns for how long a write has waited for the budget; 0: none does.
+// waitingFor returns how long a write has been waiting for the budget; 0 if none is waiting.
 func (b *writeBudget) waitingFor(now time.Duration) time.Duration {
 	if b.waitingSince == nil {
 		return 0
@@ -88,11 +88,11 @@
 	return now - *b.waitingSince
 }
 
-// stallFactor is after how many times the fill time a wait can't be explained by the rate.
+// stallFactor is the multiple of the fill time after which the rate can't explain a wait.
 const stallFactor = 2
 
-// stalled reports whether a write was refused just now, and has waited for longer than the rate
-// explains. Without a refusal at this very time the write may wait for something else.
+// stalled reports whether a write was refused at this time and has been waiting for longer than
+// the rate explains. Without a refusal at this time, the write may be waiting for something else.
 func (b *writeBudget) stalled(now time.Duration) bool {
 	if b.waitingSince == nil || b.lastRefusedAt != now {
 		return false
@@ -100,18 +100,18 @@
 	return now-max(*b.waitingSince, b.rateSetAt) > stallFactor*b.fillTime()
 }
 
-// fillTime is how long an empty budget takes to fill, after which it lets any write through.
+// fillTime returns how long an empty budget takes to fill; a full budget admits any write.
 func (b *writeBudget) fillTime() time.Duration {
 	return time.Duration(float64(b.capacity()) / float64(b.limiter.Limit()) * float64(time.Second))
 }
 
-// WriteBudgetStatus says how much may be written, for operators.
+// WriteBudgetStatus is the state of the write budget, for operators.
 type WriteBudgetStatus struct {
-	// Fill is how much of the budget is unused, from 0 to 1.
+	// Fill is the unused fraction of the budget, from 0 to 1.
 	Fill float64
-	// KeysPerS is its rate.
+	// KeysPerS is the rate at which the budget fills.
 	KeysPerS float64
-	// WaitingFor is for how long a write has waited for it; 0: none does.
+	// WaitingFor is how long a write has been waiting for the budget; 0 if none is waiting.
 	WaitingFor time.Duration
 }
 
@@ -123,9 +123,10 @@
 	}
 }
 
-// WriteBudgetStalled reports whether the write budget has just refused a write that has waited
-// for longer than its rate explains.
+// WriteBudgetStalled reports whether the write budget refused a write at this time that has
+// been waiting for longer than its rate explains.
 func (s *Store) WriteBudgetStalled(now time.Duration) bool { return s.budget.stalled(now) }
 
-// limiterTime converts a monotonic time for the limiter, to which the zero time is special.
+// limiterTime converts a monotonic time to a time for the limiter, which treats the zero time
+// as a special value.
 func limiterTime(now time.Duration) time.Time { return time.Unix(1, 0).Add(now) }
