--- a/internal/storage/archive_page_test.go
+++ b/internal/storage/archive_page_test.go
@@ -11,8 +11,9 @@
 	"oakpick/internal/protocol"
 )
 
-// The pages that replace a page hold every record once, in order, each below its page's
-// bound and not below the bound of the page before, and none is larger than allowed.
+// The pages that replace a page contain every record exactly once and in order. Each record is
+// below the bound of its page and not below the bound of the previous page, and no page exceeds
+// the size limit.
 func TestMergeSplitsArchivePagesWithinTheSizeLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfNDistinct(rapid.IntRange(0, 99_999), 0, 300, rapid.ID[int]).Draw(t, "ids")
@@ -46,7 +47,7 @@
 	})
 }
 
-// checkArchivePage fails unless the page can be read and each of its records found.
+// checkArchivePage fails unless the page can be decoded and each of its records is found.
 func checkArchivePage(t *rapid.T, page *ArchivePage, lowerBound string) {
 	t.Helper()
 	value := protocol.Encode(&ArchiveValue{Terminal: page.Terminal})
@@ -63,7 +64,7 @@
 	}
 }
 
-// A page that no version writes is rejected, but its bound is known.
+// An invalid page is rejected, but its bound is returned.
 func TestDecodeArchivePageRejectsCorruptPages(t *testing.T) {
 	for name, value := range map[string]ArchiveValue{
 		"out of order":    {Terminal: []TerminalRecord{{ID: "wk-2"}, {ID: "wk-1"}}},
--- a/internal/storage/client_test.go
+++ b/internal/storage/client_test.go
@@ -43,7 +43,7 @@
 	return listener.Addr().String()
 }
 
-// closedPort returns a loopback address on which nobody listens.
+// closedPort returns a loopback address without a listener.
 func closedPort(t *testing.T) string {
 	t.Helper()
 	listener := listen(t)
@@ -53,7 +53,7 @@
 	return listener.Addr().String()
 }
 
-// operation is a call, the request that it sends, and its result by the response.
+// operation is a call, the expected request, the response to it and the expected result.
 type operation struct {
 	call     StateCall
 	request  string // method, path and query
--- a/internal/storage/commit_waiter_test.go
+++ b/internal/storage/commit_waiter_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Nothing is acknowledged before the write that carries it is committed, and
-// what comes meanwhile goes into the next one.
+// A change is acknowledged only after its write is committed. Changes made while the page is in
+// flight go into the next write.
 func TestWaitersRunOnlyOnCommit(t *testing.T) {
 	s := newStore()
 	var acknowledged []string
@@ -25,7 +25,7 @@
 	if s.NextWrite(0, term, true) != nil {
 		t.Fatal("one page in two writes at once")
 	}
-	s.MarkDirty(0, y, acknowledge("y")) // on a page of its own, so it needn't wait
+	s.MarkDirty(0, y, acknowledge("y")) // on another page, so it doesn't have to wait
 	second := s.NextWrite(0, term, true)
 	if second == nil || second.CommitCheckKey() == first.CommitCheckKey() {
 		t.Fatalf("got %+v", second)
@@ -48,7 +48,7 @@
 	s := newStore()
 	runs := 0
 	waiter := OnCommit(func() { runs++ })
-	for _, name := range []string{"x", "y", "z"} { // three pages, two changes a transaction
+	for _, name := range []string{"x", "y", "z"} { // three pages, two changes per transaction
 		s.MarkDirty(0, &testItem{name, 800}, waiter)
 	}
 	for i := range 3 {
@@ -64,11 +64,11 @@
 	}
 }
 
-// Pages that a user waits for are written before those of starts, these before what nobody
-// waits for, and that before background work such as the terminal records of cancelled jobs,
-// even if the others have been waiting for a while already; but nothing waits for ever.
+// Pages that a user's response waits for are written before pages of task starts, then deferred
+// pages, then background pages such as terminal records of cancelled jobs, even if those have
+// been dirty for longer. The delay of each priority is limited, so no page is starved.
 func TestPagesAreWrittenByPriority(t *testing.T) {
-	s := NewStore(Limits{PageBytes(1), 1, 1}, "t", retryInterval) // a key a second
+	s := NewStore(Limits{PageBytes(1), 1, 1}, "t", retryInterval) // one key per second
 	s.MarkDirty(0, &testItem{"first", 800}, nil)
 	first := s.NextWrite(0, term, true)
 	if first == nil {
@@ -84,7 +84,7 @@
 		now := 200*time.Millisecond + time.Duration(i)*300*time.Millisecond
 		s.MarkDirty(now, &testItem{fmt.Sprint("user", i), 800}, OnCommit(note(fmt.Sprint("user", i))))
 	}
-	for i := range 4 { // these come long after, and the background page is written before them
+	for i := range 4 { // dirty much later, so the background page is written before them
 		s.MarkDirty(11*time.Second, &testItem{fmt.Sprint("late", i), 800}, OnCommit(note(fmt.Sprint("late", i))))
 	}
 	for now := time.Second; now < 20*time.Second; now += 50 * time.Millisecond {
--- a/internal/storage/fake_state_test.go
+++ b/internal/storage/fake_state_test.go
@@ -11,23 +11,23 @@
 	"oakpick/internal/rpc"
 )
 
-// fakeStateService has the pages that a state service stores, and its limits.
+// fakeStateService stores pages and enforces limits as a state service does.
 type fakeStateService struct {
 	t             *testing.T
 	values        map[string][]byte
 	versions      map[string]int64
-	revision      int64 // of the last commit
+	revision      int64 // revision of the last commit
 	maxValueBytes int
-	maxChanges    int // of a transaction
+	maxChanges    int // per transaction
 }
 
-// newFakeStateService takes values of 8 KiB, and 8 changes a transaction.
+// newFakeStateService returns a service that accepts values of 8 KiB and 8 changes per transaction.
 func newFakeStateService(t *testing.T) *fakeStateService {
 	t.Helper()
 	return &fakeStateService{t: t, values: map[string][]byte{}, versions: map[string]int64{}, maxValueBytes: 8 << 10, maxChanges: 8}
 }
 
-// apply executes a transaction, if its conditions hold and it is within the limits.
+// apply executes a transaction if its conditions hold and it is within the limits.
 func (f *fakeStateService) apply(w *Write) rpc.Outcome {
 	f.t.Helper()
 	for _, c := range w.Txn.Then {
@@ -55,7 +55,7 @@
 	return entries
 }
 
-// readPages reads what a new leader reads.
+// readPages returns the pages as a new leader decodes them.
 func (f *fakeStateService) readPages() []LoadedPage {
 	f.t.Helper()
 	pages, err := DecodePages(f.entries())
@@ -65,15 +65,15 @@
 	return pages
 }
 
-// terminalRecords returns the number of tasks by job, as a new leader reads it. It fails if
-// a record counts twice.
+// terminalRecords returns the number of tasks by job as a new leader reads it. It fails if
+// a record is current on two pages.
 func (f *fakeStateService) terminalRecords() map[string]int64 {
 	f.t.Helper()
 	tasks := map[string]int64{}
 	for _, p := range f.readPages() {
 		for _, r := range p.Value.Terminal {
 			if _, ok := tasks[r.ID]; ok {
-				f.t.Fatalf("%s is on two pages, and both count", r.ID)
+				f.t.Fatalf("%s is current on two pages", r.ID)
 			}
 			tasks[r.ID] = int64(r.Tasks)
 		}
@@ -81,7 +81,7 @@
 	return tasks
 }
 
-// load makes the store of a new leader, and returns its items by name.
+// load returns the store of a new leader, and its items by name.
 func (f *fakeStateService) load(limits Limits) (*Store, map[string]*countedItem) {
 	f.t.Helper()
 	s := NewStore(limits, fmt.Sprint("t", f.revision), retryInterval)
@@ -99,7 +99,7 @@
 	return s, items
 }
 
-// checkValueSizes reports the values that are larger than the limit.
+// checkValueSizes reports an error for each value that exceeds the limit.
 func (f *fakeStateService) checkValueSizes() {
 	f.t.Helper()
 	for key, text := range f.values {
@@ -113,7 +113,7 @@
 	}
 }
 
-// sizeInJSON is the size as the state service counts it: what is sent, in JSON.
+// sizeInJSON returns the size of a value as the state service measures it: in JSON.
 func sizeInJSON(t interface {
 	Helper()
 	Fatal(args ...any)
--- a/internal/storage/free_space_test.go
+++ b/internal/storage/free_space_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// The first page with enough free space is the one that a scan of all pages finds.
+// The index returns the same page as a scan of all pages for the first one with enough space.
 func TestFreeSpaceIndexFindsFirstPageThatFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var index freeSpaceIndex
--- a/internal/storage/items_test.go
+++ b/internal/storage/items_test.go
@@ -23,7 +23,7 @@
 func (x *testItem) EncodedSize() int  { return x.size }
 func (x *testItem) ReservedSize() int { return x.size }
 
-// countedItem is an item whose record says how often it was changed.
+// countedItem is an item whose record stores how often it was changed.
 type countedItem struct {
 	name    string
 	changed int
@@ -31,7 +31,7 @@
 
 const countedItemBytes = 60
 
-// newCountedItem returns the item of the given number, with a name of 29 bytes.
+// newCountedItem returns the item with the given number. Its name has 29 bytes.
 func newCountedItem(number int) *countedItem {
 	return &countedItem{name: fmt.Sprintf("wk-%06d%s", number, strings.Repeat("0", 20))}
 }
@@ -44,10 +44,10 @@
 
 const retryInterval = 100 * time.Millisecond
 
-// newStore has pages of 1 KiB, two changes a transaction and ten keys a second.
+// newStore returns a store with pages of 1 KiB, two changes per transaction and ten keys per second.
 func newStore() *Store { return NewStore(Limits{PageBytes(1), 2, 10}, "t", retryInterval) }
 
-// writesDue yields the transactions to send now, as a leader sends them one by one.
+// writesDue yields the transactions to send now, in the order in which a leader sends them.
 func writesDue(s *Store, now time.Duration) func(yield func(*Write) bool) {
 	return func(yield func(*Write) bool) {
 		for w := s.NextWrite(now, term, true); w != nil; w = s.NextWrite(now, term, true) {
--- a/internal/storage/main_test.go
+++ b/internal/storage/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of property tests: the same verdict every time.
+// TestMain fixes the seed of property tests, so that their result is reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
--- a/internal/storage/read_test.go
+++ b/internal/storage/read_test.go
@@ -6,13 +6,14 @@
 	"oakpick/internal/protocol"
 )
 
-// pageEntry is a stored page.
+// pageEntry returns a stored page.
 func pageEntry(number int, version int64, v PageValue) protocol.Entry {
 	return protocol.Entry{Key: (&page{number: number}).key(), Version: version, Value: protocol.Encode(v)}
 }
 
-// Of two copies the one on the page that was written last counts, for every kind of
-// record, and the terminal record of a job more than any other record of it, wherever it is.
+// If two pages have a copy of a record, the page with the higher version is used, for every
+// kind of record. A job's terminal record takes precedence over its other records, on any page
+// and regardless of versions.
 func TestDecodePagesKeepsNewestCopyOfEachRecord(t *testing.T) {
 	pages, err := DecodePages([]protocol.Entry{
 		pageEntry(0, 5, PageValue{
@@ -40,13 +41,13 @@
 	}
 	v := older.Value
 	if len(v.Jobs) != 1 || v.Jobs[0].ID != "wk-3" || len(v.Blocks)+len(v.Provisioning)+len(v.Extensions) != 0 || v.Options != "" {
-		t.Errorf("of the older page counts %+v", v)
+		t.Errorf("current records of the older page: %+v", v)
 	}
 	v = newer.Value
 	if len(v.Jobs) != 1 || len(v.Blocks) != 2 || len(v.Provisioning) != 1 || len(v.Extensions) != 1 || v.Options != "new" {
-		t.Errorf("of the newer page counts %+v", v)
+		t.Errorf("current records of the newer page: %+v", v)
 	}
 	if len(terminal.Value.Terminal) != 1 {
-		t.Errorf("the terminal record does not count: %+v", terminal.Value)
+		t.Errorf("the terminal record is not current: %+v", terminal.Value)
 	}
 }
--- a/internal/storage/record_size_test.go
+++ b/internal/storage/record_size_test.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/protocol"
 )
 
-// What is reserved for a record is never less than the record takes, whatever
-// its names, so that a page never outgrows its limit.
+// The size reserved for records is never less than their encoded size, whatever their names, so
+// a page never exceeds its limit.
 func TestReservedSizeCoversEncodedRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job, blocks := drawJobRecord(t)
@@ -30,8 +30,8 @@
 	})
 }
 
-// drawJobRecord returns a job with any names and the number of its blocks, the last of
-// which is completed.
+// drawJobRecord returns a job with arbitrary names, and the number of its blocks, the last of
+// which is marked as completed.
 func drawJobRecord(t *rapid.T) (job JobRecord, blocks int) {
 	name := rapid.StringN(0, 20, 40)
 	amount := rapid.Float64Range(0, 1e9)
@@ -55,7 +55,7 @@
 	return job, blocks
 }
 
-// fullBlock returns a block whose tasks have all been started.
+// fullBlock returns a block in which every task was started.
 func fullBlock(job string, tasks int) BlockRecord {
 	block := BlockRecord{Job: job, Block: 1000, LastAttempt: 1 << 60, Done: strings.Repeat("f", tasks/4+2)}
 	for i := range tasks {
--- a/internal/storage/records_test.go
+++ b/internal/storage/records_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// The order of the fields of a record is part of the stored format. Other versions read it,
-// so these lists only change together with theirs.
+// The order of a record's fields is part of the stored format, which other versions read. The
+// expected values may change only together with those versions.
 func TestRecordFieldOrderIsStable(t *testing.T) {
 	job := fullJobRecord()
 	for name, c := range map[string]struct {
@@ -59,7 +59,7 @@
 	}
 }
 
-// normalized converts integers, which are decoded by their size, to int64.
+// normalized converts integers to int64, because the decoder returns them in types of different sizes.
 func normalized(v any) any {
 	value := reflect.ValueOf(v)
 	switch {
@@ -76,7 +76,7 @@
 	return v
 }
 
-// The names of a page's fields are part of the stored format, too. Unused ones are absent.
+// The names of a page's fields are part of the stored format. Unused fields are omitted.
 func TestPageFieldNamesAreStable(t *testing.T) {
 	full := PageValue{
 		WriteID: "id", Jobs: make([]JobRecord, 1), Blocks: make([]BlockRecord, 2), Terminal: make([]TerminalRecord, 3),
@@ -84,12 +84,12 @@
 	}
 	for name, c := range map[string]struct {
 		value any
-		want  map[string]int // length by name
+		want  map[string]int // length of each field by name
 	}{
-		"full page":            {full, map[string]int{"id": 2, "j": 1, "b": 2, "f": 3, "r": 4, "o": 2, "x": 5, "p": 6}},
-		"empty page":           {PageValue{}, map[string]int{"id": 0}},
-		"page of the archive":  {ArchiveValue{WriteID: "id", Terminal: make([]TerminalRecord, 3)}, map[string]int{"id": 2, "f": 3}},
-		"empty archive's page": {ArchiveValue{Terminal: []TerminalRecord{}}, map[string]int{"id": 0, "f": 0}},
+		"full page":           {full, map[string]int{"id": 2, "j": 1, "b": 2, "f": 3, "r": 4, "o": 2, "x": 5, "p": 6}},
+		"empty page":          {PageValue{}, map[string]int{"id": 0}},
+		"page of the archive": {ArchiveValue{WriteID: "id", Terminal: make([]TerminalRecord, 3)}, map[string]int{"id": 2, "f": 3}},
+		"empty archive page":  {ArchiveValue{Terminal: []TerminalRecord{}}, map[string]int{"id": 0, "f": 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var stored map[string]any
--- a/internal/storage/split_test.go
+++ b/internal/storage/split_test.go
@@ -16,19 +16,19 @@
 type splitScenario struct {
 	*fakeStateService
 	limits      Limits
-	limitsKnown bool // leaders know that the limits are lowered
-	crashAfter  int  // this many writes the leader crashes, once
+	limitsKnown bool // leaders know that the lower limits are in force
+	crashAfter  int  // number of writes after which the leader crashes once
 
 	store     *Store
 	items     map[string]*countedItem
-	writes    int              // committed, and the one lost with the leader
-	committed map[string]int64 // changes by item's name
+	writes    int              // committed writes, and the write lost in the crash
+	committed map[string]int64 // committed number of changes by item name
 }
 
 // splitScenarioItems is the number of items on the large page.
 const splitScenarioItems = 120
 
-// writeLargePage writes the page as a version with larger limits did.
+// writeLargePage writes the page as a version with larger limits does.
 func (scenario *splitScenario) writeLargePage() {
 	scenario.t.Helper()
 	old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
@@ -39,11 +39,11 @@
 		scenario.committed[item.name] = 0
 	}
 	if w := old.NextWrite(0, term, true); w == nil || scenario.apply(w) != rpc.OK || len(w.Txn.Then) != 1 {
-		scenario.t.Fatalf("the old version's page: %+v", w)
+		scenario.t.Fatalf("the page was not written under the larger limits: %+v", w)
 	}
 }
 
-// newLeader begins a term with what is stored.
+// newLeader begins a term with the stored pages.
 func (scenario *splitScenario) newLeader() {
 	scenario.t.Helper()
 	scenario.store, scenario.items = scenario.load(scenario.limits)
@@ -52,8 +52,8 @@
 	}
 }
 
-// changeOneItem has the leader change an item and write what is due, and compares what is
-// stored with what was committed after every write.
+// changeOneItem has the leader change an item and send all due writes. After each write it
+// compares the stored records with the committed ones.
 func (scenario *splitScenario) changeOneItem(step int) {
 	scenario.t.Helper()
 	now := time.Duration(step) * time.Second
@@ -75,7 +75,7 @@
 	}
 }
 
-// send executes a write. A refusal for its size ends the term.
+// send executes a write. If it is refused because of its size, a new term begins.
 func (scenario *splitScenario) send(w *Write) {
 	scenario.t.Helper()
 	switch scenario.apply(w) {
@@ -84,29 +84,29 @@
 		scenario.store.MarkCommitted(w, scenario.revision)
 	case rpc.Invalid:
 		if scenario.limitsKnown {
-			scenario.t.Fatal("refused for its size again")
+			scenario.t.Fatal("a write was refused because of its size although the limits are known")
 		}
 		scenario.limitsKnown = true
 		scenario.newLeader()
 	default:
-		scenario.t.Fatal("a conflict with nobody else there")
+		scenario.t.Fatal("conflict without another writer")
 	}
 }
 
-// checkCommitted fails unless every record is stored, none older than what was committed.
+// checkCommitted fails unless every record is stored and none is older than its committed version.
 func (scenario *splitScenario) checkCommitted() {
 	scenario.t.Helper()
 	stored := scenario.terminalRecords()
 	for name, least := range scenario.committed {
 		if changes, ok := stored[name]; !ok || changes < least {
-			scenario.t.Fatalf("%s is at %d (%t), committed was %d", name, changes, ok, least)
+			scenario.t.Fatalf("%s has %d changes (found: %t), want at least %d", name, changes, ok, least)
 		}
 	}
 }
 
-// A page that was written under larger limits is split, before the lower ones come or
-// after. The leader crashes after every single write, and the next leader finds every
-// record exactly once and none older than what was committed.
+// A page that was written under larger limits is split before or after lower limits come into
+// force. The leader crashes after each possible number of writes, and the next leader must
+// find every record exactly once and none older than its committed version.
 func TestOversizedPageIsSplitWithoutLosingRecords(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -118,32 +118,32 @@
 		{"lowered first, unknown", 0, 4, false},
 		{"lowered first, known", 0, 4, true},
 		{"lowered half way", 1, 4, false},
-		{"one change a transaction", 1000, 1, false},
+		{"one change per transaction", 1000, 1, false},
 		{"two changes, lowered", 0, 2, true},
 	} {
 		for crashAfter := range 14 {
 			t.Run(fmt.Sprintf("%s, crash after %d writes", c.name, crashAfter), func(t *testing.T) {
-				trial := &splitScenario{
+				scenario := &splitScenario{
 					fakeStateService: newFakeStateService(t), limits: Limits{PageBytes(2), c.maxChanges, 1000},
 					limitsKnown: c.limitsKnown, crashAfter: crashAfter,
 				}
-				trial.writeLargePage()
-				trial.newLeader()
+				scenario.writeLargePage()
+				scenario.newLeader()
 				for step := range 60 {
-					if trial.writes == c.lowerAfterWrites {
-						trial.maxValueBytes, trial.maxChanges = 2<<10, c.maxChanges
+					if scenario.writes == c.lowerAfterWrites {
+						scenario.maxValueBytes, scenario.maxChanges = 2<<10, c.maxChanges
 					}
-					trial.changeOneItem(step)
+					scenario.changeOneItem(step)
 				}
-				trial.maxValueBytes = 2 << 10 // also if the limits were never lowered
-				trial.checkValueSizes()
+				scenario.maxValueBytes = 2 << 10 // checked against the lower limit even if it never came into force
+				scenario.checkValueSizes()
 			})
 		}
 	}
 }
 
-// Oversized pages are split ahead of the lower limits although nothing on them changes,
-// and within the write budget.
+// Oversized pages are split before lower limits come into force, even if none of their items
+// changes, and within the write budget.
 func TestOversizedPagesAreSplitBeforeLimitsAreLowered(t *testing.T) {
 	state := newFakeStateService(t)
 	old := NewStore(Limits{PageBytes(8), 8, 1000}, "old", time.Second)
@@ -159,7 +159,7 @@
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
 		for w := range writesDue(s, now) {
 			if state.apply(w) != rpc.OK {
-				t.Fatal("not accepted")
+				t.Fatal("a write was refused")
 			}
 			changes += len(w.Txn.Then)
 			s.MarkCommitted(w, state.revision)
@@ -176,15 +176,15 @@
 	}
 }
 
-// One record on a large page has grown beyond what any page may take now. The others on
-// it are written all the same, and so is this one once it has shrunk.
+// A record on an oversized page exceeds the current page size. The other records on the page
+// are still written, and the large record is written once it has shrunk.
 func TestOversizedRecordDoesNotBlockOthers(t *testing.T) {
 	for name, position := range map[string]int{"first on its page": 0, "last on its page": 20} {
 		t.Run(name, func(t *testing.T) { checkOversizedRecord(t, position) })
 	}
 }
 
-// checkOversizedRecord loads a page of 20 small records and an oversized one at the given
+// checkOversizedRecord loads a page with 20 small records and an oversized one at the given
 // position, and changes all of them.
 func checkOversizedRecord(t *testing.T, position int) {
 	t.Helper()
@@ -216,11 +216,11 @@
 	}
 	run(5 * time.Second)
 	if smallCommitted != 21 || largeCommitted {
-		t.Errorf("%d of 21 small records were written; the large one: %t", smallCommitted, largeCommitted)
+		t.Errorf("%d of 21 small records were written; large record written: %t", smallCommitted, largeCommitted)
 	}
 	large.name, large.size = "x", 100
 	run(20 * time.Second)
 	if smallCommitted != 21 || !largeCommitted {
-		t.Errorf("%d of 21 small records were written; the large one, shrunk: %t", smallCommitted, largeCommitted)
+		t.Errorf("%d of 21 small records were written; large record written after it shrank: %t", smallCommitted, largeCommitted)
 	}
 }
--- a/internal/storage/validate_test.go
+++ b/internal/storage/validate_test.go
@@ -8,14 +8,14 @@
 	"oakpick/internal/protocol"
 )
 
-// jobPage returns a page with a valid job record, changed as given.
+// jobPage returns a page with a valid job record after applying change to it.
 func jobPage(change func(*JobRecord)) PageValue {
 	r := JobRecord{ID: "wk-1", Tasks: 10, CPUs: 1}
 	change(&r)
 	return PageValue{Jobs: []JobRecord{r}}
 }
 
-// blockPage returns a page with a valid block record, changed as given.
+// blockPage returns a page with a valid block record after applying change to it.
 func blockPage(change func(*BlockRecord)) PageValue {
 	r := BlockRecord{Job: "wk-1", Starts: []StartRecord{{Task: 1, Attempt: 1, Machine: "i-1", Incarnation: 1}}}
 	change(&r)
@@ -34,8 +34,8 @@
 	}
 }
 
-// Records that no version writes are rejected. Each differs from a valid one in the field
-// that its case names.
+// Records that no version writes are rejected. Each one differs from a valid record in the field
+// that its test case names.
 func TestDecodePagesRejectsCorruptRecords(t *testing.T) {
 	for name, page := range map[string]PageValue{
 		"job without id":                  jobPage(func(r *JobRecord) { r.ID = "" }),
@@ -75,7 +75,7 @@
 	_, err := DecodePages([]protocol.Entry{pageEntry(0, 4, page), pageEntry(1, 4, page)})
 	var corrupt *CorruptRecordError
 	if !errors.As(err, &corrupt) {
-		t.Errorf("one transaction wrote a record on two pages, and both count: error %v", err)
+		t.Errorf("one transaction wrote a record on two pages: error %v", err)
 	}
 }
 
@@ -104,7 +104,7 @@
 
 func bitmapOf(i int) (b Bitmap) { b.Set(i); return b }
 
-// Blocks of a job of 20 tasks have 8, 8 and 4 tasks.
+// The blocks of a job with 20 tasks and 8 tasks per block have 8, 8 and 4 tasks.
 func TestBlockRecordsMatchTheBlockLength(t *testing.T) {
 	const tasks, blockTasks = 20, 8
 	start := func(task int) []StartRecord { return []StartRecord{{Task: task, Machine: "i-1"}} }
@@ -140,6 +140,6 @@
 		t.Error(err)
 	}
 	if job.ValidateBlocks(blockTasks, bitmapOf(3)) == nil {
-		t.Error("a fourth block of three is done")
+		t.Error("a completed fourth block of a job with three blocks was accepted")
 	}
 }
--- a/internal/storage/write.go
+++ b/internal/storage/write.go
@@ -8,7 +8,7 @@
 	"oakpick/internal/protocol"
 )
 
-// Write is a transaction that writes pages. It is not modified after it was built, so every
+// Write is a transaction that writes pages. It is not modified once it is built, so every
 // retry sends the same request.
 type Write struct {
 	// ID is unique among the writes of all leaders. It is stored in every page that the
@@ -16,7 +16,8 @@
 	ID string
 	// Txn is the request to send.
 	Txn protocol.Txn
-	// Rejected is set and read by the caller: the state service rejected the request as malformed.
+	// Rejected reports that the state service rejected the request as malformed. The caller sets
+	// and reads it.
 	Rejected bool
 	// Version is the revision of the commit; 0 until MarkCommitted is called.
 	Version int64
--- a/internal/storage/write_budget_test.go
+++ b/internal/storage/write_budget_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// referenceBudget is a token bucket written down as simply as possible: it fills at the rate, up to
-// one second's worth of keys.
+// referenceBudget is a minimal token bucket. It fills at its rate, up to one second's worth of
+// keys.
 type referenceBudget struct {
 	keysPerS, tokens float64
 	at               time.Duration
@@ -23,14 +23,14 @@
 	r.at = now
 }
 
-// setRate keeps what was saved up, as far as the new capacity goes.
+// setRate changes the rate and keeps unused tokens, up to the new capacity.
 func (r *referenceBudget) setRate(now time.Duration, keysPerS float64) {
 	r.advance(now)
 	r.keysPerS = keysPerS
 	r.tokens = math.Min(r.tokens, r.capacity())
 }
 
-// budgetComparison is a budget with its reference, and what both have let through.
+// budgetComparison is a budget, its reference and the writes that both admitted.
 type budgetComparison struct {
 	t         *rapid.T
 	budget    writeBudget
@@ -38,19 +38,19 @@
 	now       time.Duration
 
 	admitted        []admittedWrite
-	accrued         float64 // keys that the rates have let in up to now
+	accrued         float64 // sum of the keys that the rates allowed up to now
 	highestCapacity float64
 }
 
-// admittedWrite is a transaction that was let through, and how many keys the rates had let in by then.
+// admittedWrite is an admitted transaction, and the accrued keys at that time.
 type admittedWrite struct{ keys, accrued float64 }
 
-// drawKeysPerS draws a rate: below one key a second, small, or large.
+// drawKeysPerS draws a rate: less than one key per second, small or large.
 func drawKeysPerS(t *rapid.T) float64 {
 	return rapid.SampledFrom([]float64{0.25, 0.95, 1.25, 2, 3.8, 8, 19, 38, 76, 400}).Draw(t, "keys a second")
 }
 
-// newBudgetComparison makes a full budget, as a new leader has.
+// newBudgetComparison starts with a full budget, as a new leader does.
 func newBudgetComparison(t *rapid.T) *budgetComparison {
 	keysPerS := drawKeysPerS(t)
 	d := &budgetComparison{t: t, budget: newWriteBudget(keysPerS), now: time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "first step"))}
@@ -60,15 +60,15 @@
 	return d
 }
 
-// advance lets time advance, or none: several things may happen in a step.
+// advance advances the time, possibly by zero, since several actions may occur in one step.
 func (d *budgetComparison) advance() {
 	passed := time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(d.t, "passed"))
 	d.now += passed
 	d.accrued += d.reference.keysPerS * passed.Seconds()
 }
 
-// changeRate changes the rate several times in a step, at the end of which the budget is asked:
-// the last one counts.
+// changeRate sets the rate one to three times before the budget is used again. Only the last
+// rate takes effect.
 func (d *budgetComparison) changeRate() {
 	var last float64
 	for range rapid.IntRange(1, 3).Draw(d.t, "changes") {
@@ -80,7 +80,7 @@
 	d.highestCapacity = math.Max(d.highestCapacity, d.reference.capacity())
 }
 
-// take asks for the budget of a transaction, also of one that is larger than the capacity.
+// take takes the budget for a transaction, which may be larger than the capacity.
 func (d *budgetComparison) take() {
 	const rounding = 1e-6 // of a key
 	keys := rapid.IntRange(1, 32).Draw(d.t, "keys")
@@ -88,7 +88,7 @@
 	needed := math.Min(float64(keys), d.reference.capacity())
 	got := d.budget.take(d.now, keys)
 	if want := d.reference.tokens >= needed; got != want && math.Abs(d.reference.tokens-needed) > rounding {
-		d.t.Fatalf("%v: %d keys are let through: %t, with %v of %v saved up", d.now, keys, got, d.reference.tokens, d.reference.capacity())
+		d.t.Fatalf("%v: %d keys admitted: %t, with %v of %v tokens available", d.now, keys, got, d.reference.tokens, d.reference.capacity())
 	}
 	if got {
 		d.reference.tokens -= needed
@@ -96,8 +96,8 @@
 	}
 }
 
-// requireWithinRate fails if in any time more was let through than the rates let in, beyond one
-// full budget.
+// requireWithinRate fails if more keys were admitted in any period than the rates allow, plus
+// the capacity of one full budget.
 func (d *budgetComparison) requireWithinRate() {
 	const rounding = 1e-3
 	for first := range d.admitted {
@@ -105,29 +105,29 @@
 		for _, s := range d.admitted[first:] {
 			sum += s.keys
 			if allowed := d.highestCapacity + s.accrued - d.admitted[first].accrued; sum > allowed+rounding {
-				d.t.Fatalf("%v keys were let through where the rates allow %v", sum, allowed)
+				d.t.Fatalf("%v keys were admitted, but the rates allow only %v", sum, allowed)
 			}
 		}
 	}
 }
 
-// requireFills fails unless the budget is full once its rate explains that, whatever was changed,
-// and a stall is only told after that.
+// requireFills fails unless the budget is full after its fill time, regardless of earlier changes
+// of the rate, and is not reported as stalled then.
 func (d *budgetComparison) requireFills() {
 	d.now += d.budget.fillTime() + time.Millisecond
 	if got, want := d.budget.available(d.now), d.reference.capacity(); math.Abs(got-want) > 1e-6 {
-		d.t.Fatalf("%v of %v keys after the time in which it fills", got, want)
+		d.t.Fatalf("%v of %v keys available after the fill time", got, want)
 	}
 	if !d.budget.take(d.now, math.MaxInt32) || d.budget.stalled(d.now) {
-		d.t.Fatal("a full budget lets nothing through, or counts as stalled")
+		d.t.Fatal("a full budget admits no write, or is reported as stalled")
 	}
 }
 
-// The rate is changed at any time: with a full, an empty and a partly used budget, several times in
-// a step and in the first one, up and down. The budget lets through what a simple model of it does,
-// never more than the rates let in beyond one full budget, and is full again as soon as its rate
-// explains that. Before the mend of docs/incidents/2026-12-03-write-budget-never-fills.md it was
-// filled at once by the change, and then not at all.
+// The rate is changed at arbitrary times: with a full, empty or partly used budget, several times
+// in a step, in the first step, up and down. The budget must admit the same writes as a simple
+// model, never more than the rates allow plus one full budget, and must be full after its fill
+// time. This guards against the fault in docs/incidents/2026-12-03-write-budget-never-fills.md:
+// a change of the rate filled the budget at once and then stopped it from filling.
 func TestWriteBudgetFollowsItsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newBudgetComparison(t)
@@ -140,9 +140,9 @@
 	})
 }
 
-// A budget that is merely used up doesn't count as stalled, also while a transaction of nearly its
-// whole capacity is sent again and again; one that the time passes by does, after twice the time in
-// which it would have filled.
+// A budget that is merely exhausted is not reported as stalled, even while a transaction of nearly
+// its whole capacity is retried repeatedly. A budget that no longer fills is reported as stalled
+// after twice its fill time.
 func TestWriteBudgetDetectsStalls(t *testing.T) {
 	s := NewStore(Limits{PageBytes(1), 8, 10}, "t", retryInterval)
 	for i := range 8 {
@@ -156,22 +156,22 @@
 			s.RetryLater(now, large)
 		}
 		if s.WriteBudgetStalled(now) {
-			t.Fatalf("%v: stalled, and it was only used up", now)
+			t.Fatalf("%v: reported as stalled, but the budget is only exhausted", now)
 		}
 	}
 	if status := s.WriteBudget(now); status.WaitingFor == 0 || status.WaitingFor > time.Second || status.KeysPerS != 10 {
 		t.Errorf("got %+v", status)
 	}
 	s.budget.limiter.AllowN(limiterTime(now), int(s.budget.available(now)))
-	s.budget.limiter.SetLimitAt(limiterTime(now+time.Hour), s.budget.limiter.Limit()) // the fault
+	s.budget.limiter.SetLimitAt(limiterTime(now+time.Hour), s.budget.limiter.Limit()) // stops the budget from filling
 	s.budget.limiter.AllowN(limiterTime(now+time.Hour), s.budget.capacity())
 	for from := now; !s.WriteBudgetStalled(now); {
 		now += retryInterval
 		if s.NextWrite(now, term, true) != nil || now > from+time.Minute {
-			t.Fatalf("%v after the budget stopped filling: sent, or not called stalled", now-from)
+			t.Fatalf("%v after the budget stopped filling: a write was sent, or no stall was reported", now-from)
 		}
 	}
 	if waited := s.WriteBudget(now).WaitingFor; waited <= 2*time.Second || waited > 4*time.Second {
-		t.Errorf("called stalled after %v", waited)
+		t.Errorf("stall reported after %v", waited)
 	}
 }
--- a/internal/storage/write_test.go
+++ b/internal/storage/write_test.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/protocol"
 )
 
-// A retry carries what the first try carried, under the same id: the first may still be
-// executed, and must then be the same transaction.
+// A retry repeats the first attempt under the same ID, because the first attempt may still be
+// executed and must then be the same transaction.
 func TestRetryRepeatsTheSameTransaction(t *testing.T) {
 	s := newStore()
 	x, y := &testItem{"x", 50}, &testItem{"y", 50}
@@ -31,7 +31,7 @@
 }
 
 func TestWriteBudgetCountsKeys(t *testing.T) {
-	s := newStore() // ten keys a second, ten at once
+	s := newStore() // ten keys per second, at most ten at once
 	keys := 0
 	for i := range 100 {
 		s.MarkDirty(0, &testItem{fmt.Sprint(i), 800}, nil)
@@ -47,9 +47,9 @@
 	}
 }
 
-// A large write gets no answer while small ones keep coming, enough to use up the whole
-// budget: it is sent again all the same, also when the budget has been lowered below its
-// size since.
+// A large write gets no response while small writes arrive steadily and could use up the whole
+// budget. The large write must still be retried, even if the budget has since been lowered below
+// its size.
 func TestLargeRetryIsNotStarvedBySmallWrites(t *testing.T) {
 	for name, rate := range map[string]float64{"same budget": 10, "lowered budget": 4} {
 		t.Run(name, func(t *testing.T) {
@@ -84,9 +84,9 @@
 	}
 }
 
-// Many large pages wait, and a transaction may change more of them than fit its
-// size: each is written by one that the state service accepts. A value alone is
-// bounded by that size too.
+// Many large pages are dirty, and the number of changes allowed per transaction would exceed its
+// size limit. Every page must be written by a transaction that the state service accepts. The
+// same size limit applies to a single value.
 func TestTransactionsStayWithinTheRequestLimit(t *testing.T) {
 	const items = 40
 	for _, valueKB := range []float64{8, 31, 64, 128} {
@@ -94,7 +94,7 @@
 			s := NewStore(Limits{PageBytes(valueKB), 32, 100}, "t", retryInterval)
 			size := PageBytes(valueKB) - pageOverhead
 			if whole, tooLarge := (&testItem{"", size}), (&testItem{"", PageBytes(valueKB)}); !s.Fits(whole) || s.Fits(tooLarge) {
-				t.Fatalf("a page's worth fits %t, more %t", s.Fits(whole), s.Fits(tooLarge))
+				t.Fatalf("an item of the size of a page fits: %t; a larger item fits: %t", s.Fits(whole), s.Fits(tooLarge))
 			}
 			committed := 0
 			for i := range items {
@@ -118,8 +118,8 @@
 	}
 }
 
-// After a refusal nothing new is sent before the refused write is due again: a state
-// service that refuses writes beyond its rate isn't asked for more.
+// After a refusal, no new transaction is sent before the retry of the refused one is due,
+// because a state service that refuses writes above its rate must not receive more of them.
 func TestNoNewTransactionBeforeTheRetryOfARefusedOne(t *testing.T) {
 	s := newStore()
 	s.MarkDirty(0, &testItem{"refused", 800}, nil)
@@ -137,13 +137,13 @@
 	}
 }
 
-// The rate of writes is changed while a large write waits for its retry: the budget goes on
-// filling by the steady clock, and the write is sent again.
+// The write rate is changed while a large write waits for its retry. The budget must continue to
+// fill by the monotonic clock, and the write must be retried.
 //
-// What happened: the change took the time from the process's clock, by which the budget's last fill
-// lay decades ahead of the steps' time. Nothing flowed in any more, and what the lowered capacity
-// had left, 4 of 10 keys, was too little for the write of 8. The same on real processes was logged
-// as "write budget stalled waited_s=2.000 fill=0.053 keys_per_s=38". See
+// This guards against a fault in which the change of the rate used the wall clock, which set the
+// budget's last update decades ahead of the steps' time. The budget stopped filling, and what
+// remained within the lowered capacity, 4 of 10 keys, was too little for the write of 8. Real
+// processes logged "write budget stalled waited_s=2.000 fill=0.053 keys_per_s=38". See
 // docs/incidents/2026-12-03-write-budget-never-fills.md.
 func TestWriteBudgetFillsAfterItsRateIsChanged(t *testing.T) {
 	s := NewStore(Limits{PageBytes(1), 8, 10}, "t", retryInterval)
