--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -23,7 +23,8 @@
 	return size, errors.Join(err, file.Sync(), file.Close())
 }
 
-// Rename moves a file within a file system and syncs the target directory.
+// Rename moves a file within a file system and syncs the target directory, so that the new
+// name is durable when Rename returns.
 func Rename(files afero.Fs, from, to string) error {
 	if err := files.Rename(from, to); err != nil {
 		return err
