--- a/internal/storage/archive_page_test.go
+++ b/internal/storage/archive_page_test.go
@@ -11,8 +11,9 @@
 	"oakpick/internal/protocol"
 )
 
-// The pages that replace a page hold every record once, in order, each below its page's
-// bound and not below the bound of the page before, and none is larger than allowed.
+// The pages that replace a page contain every record exactly once and in order. Each record is
+// below the bound of its page and not below the bound of the previous page, and no page exceeds
+// the size limit.
 func TestMergeSplitsArchivePagesWithinTheSizeLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfNDistinct(rapid.IntRange(0, 99_999), 0, 300, rapid.ID[int]).Draw(t, "ids")
@@ -46,11 +47,11 @@
 	})
 }
 
-// checkArchivePage fails unless the page can be read and each of its records found.
+// checkArchivePage fails unless the page can be decoded and each of its records is found.
 func checkArchivePage(t *rapid.T, page *ArchivePage, lowerBound string) {
 	t.Helper()
 	value := protocol.Encode(&ArchiveValue{Terminal: page.Terminal})
-	if _, err := ReadArchivePage(protocol.Entry{Key: page.Key(), Value: value}); err != nil {
+	if _, err := DecodeArchivePage(protocol.Entry{Key: page.Key(), Value: value}); err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range page.Terminal {
@@ -63,8 +64,8 @@
 	}
 }
 
-// A page that no version writes is rejected, but its bound is known.
-func TestReadArchivePageRejectsCorruptPages(t *testing.T) {
+// An invalid page is rejected, but its bound is returned.
+func TestDecodeArchivePageRejectsCorruptPages(t *testing.T) {
 	for name, value := range map[string]ArchiveValue{
 		"out of order":    {Terminal: []TerminalRecord{{ID: "wk-2"}, {ID: "wk-1"}}},
 		"twice":           {Terminal: []TerminalRecord{{ID: "wk-2"}, {ID: "wk-2"}}},
@@ -73,7 +74,7 @@
 		"no id":           {Terminal: []TerminalRecord{{}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, err := ReadArchivePage(protocol.Entry{Key: ArchivePrefix + "wk-5", Value: protocol.Encode(value)})
+			p, err := DecodeArchivePage(protocol.Entry{Key: ArchivePrefix + "wk-5", Value: protocol.Encode(value)})
 			var corrupt *CorruptRecordError
 			if !errors.As(err, &corrupt) {
 				t.Errorf("error %v, want a *CorruptRecordError", err)
@@ -85,9 +86,9 @@
 	}
 }
 
-func TestReadArchivePageNamesTheKeyOfAnUndecodablePage(t *testing.T) {
+func TestDecodeArchivePageNamesTheKeyOfAnUndecodablePage(t *testing.T) {
 	key := ArchivePrefix + "wk-5"
-	p, err := ReadArchivePage(protocol.Entry{Key: key, Value: protocol.Encode("text")})
+	p, err := DecodeArchivePage(protocol.Entry{Key: key, Value: protocol.Encode("text")})
 	if err == nil || !strings.Contains(err.Error(), key) {
 		t.Errorf("error %v, want one that names %s", err, key)
 	}
--- a/internal/storage/validate_test.go
+++ b/internal/storage/validate_test.go
@@ -8,35 +8,35 @@
 	"oakpick/internal/protocol"
 )
 
-// jobPage returns a page with a valid job record, changed as given.
+// jobPage returns a page with a valid job record after applying change to it.
 func jobPage(change func(*JobRecord)) PageValue {
 	r := JobRecord{ID: "wk-1", Tasks: 10, CPUs: 1}
 	change(&r)
 	return PageValue{Jobs: []JobRecord{r}}
 }
 
-// blockPage returns a page with a valid block record, changed as given.
+// blockPage returns a page with a valid block record after applying change to it.
 func blockPage(change func(*BlockRecord)) PageValue {
 	r := BlockRecord{Job: "wk-1", Starts: []StartRecord{{Task: 1, Attempt: 1, Machine: "i-1", Incarnation: 1}}}
 	change(&r)
 	return PageValue{Blocks: []BlockRecord{r}}
 }
 
-func TestReadPagesAcceptsValidRecords(t *testing.T) {
+func TestDecodePagesAcceptsValidRecords(t *testing.T) {
 	for name, page := range map[string]PageValue{
 		"job": jobPage(func(*JobRecord) {}), "block": blockPage(func(*BlockRecord) {}), "nothing": {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := ReadPages([]protocol.Entry{pageEntry(0, 1, page)}); err != nil {
+			if _, err := DecodePages([]protocol.Entry{pageEntry(0, 1, page)}); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-// Records that no version writes are rejected. Each differs from a valid one in the field
-// that its case names.
-func TestReadPagesRejectsCorruptRecords(t *testing.T) {
+// Records that no version writes are rejected. Each one differs from a valid record in the field
+// that its test case names.
+func TestDecodePagesRejectsCorruptRecords(t *testing.T) {
 	for name, page := range map[string]PageValue{
 		"job without id":                  jobPage(func(r *JobRecord) { r.ID = "" }),
 		"no tasks":                        jobPage(func(r *JobRecord) { r.Tasks = 0 }),
@@ -61,7 +61,7 @@
 		"twice on a page":                 {Terminal: []TerminalRecord{{ID: "wk-1", Tasks: 1}, {ID: "wk-1", Tasks: 2}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := ReadPages([]protocol.Entry{pageEntry(0, 1, page)})
+			_, err := DecodePages([]protocol.Entry{pageEntry(0, 1, page)})
 			var corrupt *CorruptRecordError
 			if !errors.As(err, &corrupt) {
 				t.Errorf("error %v, want a *CorruptRecordError", err)
@@ -70,30 +70,30 @@
 	}
 }
 
-func TestReadPagesRejectsCopiesOfTheSameVersion(t *testing.T) {
+func TestDecodePagesRejectsCopiesOfTheSameVersion(t *testing.T) {
 	page := PageValue{Terminal: []TerminalRecord{{ID: "wk-1", Tasks: 1}}}
-	_, err := ReadPages([]protocol.Entry{pageEntry(0, 4, page), pageEntry(1, 4, page)})
+	_, err := DecodePages([]protocol.Entry{pageEntry(0, 4, page), pageEntry(1, 4, page)})
 	var corrupt *CorruptRecordError
 	if !errors.As(err, &corrupt) {
-		t.Errorf("one transaction wrote a record on two pages, and both count: error %v", err)
+		t.Errorf("one transaction wrote a record on two pages: error %v", err)
 	}
 }
 
-func TestCorruptRecordsAreNamedWithTheWrongValue(t *testing.T) {
+func TestCorruptRecordErrorNamesTheRecordAndTheValue(t *testing.T) {
 	for want, page := range map[string]PageValue{
-		"job wk-1: unknown kind 9":                               jobPage(func(r *JobRecord) { r.Kind = 9 }),
-		"job wk-1: unknown priority 9":                           jobPage(func(r *JobRecord) { r.Priority = 9 }),
-		"job wk-1: DeadlineS is +Inf":                            jobPage(func(r *JobRecord) { r.DeadlineS = math.Inf(1) }),
-		"block -1 of job wk-1: no such block":                    blockPage(func(r *BlockRecord) { r.Block = -1 }),
-		"terminal record of job wk-1: -1 tasks":                  {Terminal: []TerminalRecord{{ID: "wk-1", Tasks: -1}}},
-		"block of job wk-1/2: is stored twice in revision 1":     {Blocks: []BlockRecord{{Job: "wk-1", Block: 2}, {Job: "wk-1", Block: 2}}},
-		"extension of job wk-1: blocks of -1 tasks":              {Extensions: []JobExtension{{Job: "wk-1", BlockTasks: -1}}},
-		"prerequisites of job wk-1: part -1":                     {Prerequisites: []PrerequisitesRecord{{Job: "wk-1", Part: -1}}},
-		"provisioning request r: -1 machines":                    {Provisioning: []ProvisioningRecord{{RequestID: "r", Count: -1}}},
-		"block 0 of job wk-1: a start of task 1 on machine \"\"": blockPage(func(r *BlockRecord) { r.Starts[0].Machine = "" }),
+		"job wk-1: unknown kind 9":                                              jobPage(func(r *JobRecord) { r.Kind = 9 }),
+		"job wk-1: unknown priority 9":                                          jobPage(func(r *JobRecord) { r.Priority = 9 }),
+		"job wk-1: invalid value of DeadlineS: +Inf":                            jobPage(func(r *JobRecord) { r.DeadlineS = math.Inf(1) }),
+		"block -1 of job wk-1: invalid job ID or block number":                  blockPage(func(r *BlockRecord) { r.Block = -1 }),
+		"terminal record of job wk-1: invalid job ID or number of tasks -1":     {Terminal: []TerminalRecord{{ID: "wk-1", Tasks: -1}}},
+		"block of job wk-1/2: is stored twice in revision 1":                    {Blocks: []BlockRecord{{Job: "wk-1", Block: 2}, {Job: "wk-1", Block: 2}}},
+		"extension of job wk-1: invalid job ID or number of tasks per block -1": {Extensions: []JobExtension{{Job: "wk-1", BlockTasks: -1}}},
+		"prerequisites of job wk-1: invalid job ID or part number -1":           {Prerequisites: []PrerequisitesRecord{{Job: "wk-1", Part: -1}}},
+		"provisioning request r: invalid request ID or number of machines -1":   {Provisioning: []ProvisioningRecord{{RequestID: "r", Count: -1}}},
+		"block 0 of job wk-1: invalid start of task 1 on machine \"\"":          blockPage(func(r *BlockRecord) { r.Starts[0].Machine = "" }),
 	} {
 		t.Run(want, func(t *testing.T) {
-			_, err := ReadPages([]protocol.Entry{pageEntry(0, 1, page)})
+			_, err := DecodePages([]protocol.Entry{pageEntry(0, 1, page)})
 			var corrupt *CorruptRecordError
 			if !errors.As(err, &corrupt) || corrupt.Error() != want {
 				t.Errorf("error %v, want %s", err, want)
@@ -104,7 +104,7 @@
 
 func bitmapOf(i int) (b Bitmap) { b.Set(i); return b }
 
-// Blocks of a job of 20 tasks have 8, 8 and 4 tasks.
+// The blocks of a job with 20 tasks and 8 tasks per block have 8, 8 and 4 tasks.
 func TestBlockRecordsMatchTheBlockLength(t *testing.T) {
 	const tasks, blockTasks = 20, 8
 	start := func(task int) []StartRecord { return []StartRecord{{Task: task, Machine: "i-1"}} }
@@ -133,13 +133,13 @@
 	}
 }
 
-func TestCompletedBlocksExist(t *testing.T) {
+func TestValidateBlocksRejectsNonexistentBlocks(t *testing.T) {
 	const blockTasks = 8
 	job := JobRecord{ID: "wk-1", Tasks: 20}
 	if err := job.ValidateBlocks(blockTasks, bitmapOf(2)); err != nil {
 		t.Error(err)
 	}
 	if job.ValidateBlocks(blockTasks, bitmapOf(3)) == nil {
-		t.Error("a fourth block of three is done")
+		t.Error("a completed fourth block of a job with three blocks was accepted")
 	}
 }
