--- a/internal/cluster/task.go
+++ b/internal/cluster/task.go
@@ -30,7 +30,7 @@
 	Reported      bool  // a worker has named the task
 
 	State    protocol.TaskState
-	RanSince time.Duration
+	RunningSince time.Duration
 
 	Stopping        bool          // it is told to stop
 	StopRequestedAt time.Duration // when that was decided
@@ -47,7 +47,7 @@
 func (t *Task) Active() bool { return t.Job.ActiveTasks[t.Index] == t }
 
 // Runs reports whether the task was seen running.
-func (t *Task) Runs() bool { return t.RanSince >= 0 }
+func (t *Task) Runs() bool { return t.RunningSince >= 0 }
 
 // record is what is stored of the task.
 func (t *Task) record() storage.StartRecord {
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -185,7 +185,7 @@
 	machine := l.state.Machine(start.Machine)
 	t := &cluster.Task{
 		Job: b.Job, Block: b, Index: start.Task, Attempt: start.Attempt, Machine: machine, Incarnation: start.Incarnation,
-		Inherited: true, Committed: true, RanSince: cluster.NotRunning,
+		Inherited: true, Committed: true, RunningSince: cluster.NotRunning,
 	}
 	t.Attach()
 	machine.Worker.Incarnation = max(machine.Worker.Incarnation, start.Incarnation)
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -75,7 +75,7 @@
 		attempt = b.LastAttempt
 	}
 	t := &cluster.Task{
-		Job: j, Block: b, Index: index, Attempt: attempt, Machine: machine, Incarnation: machine.Worker.Incarnation, RanSince: cluster.NotRunning,
+		Job: j, Block: b, Index: index, Attempt: attempt, Machine: machine, Incarnation: machine.Worker.Incarnation, RunningSince: cluster.NotRunning,
 	}
 	t.Attach()
 	machine.Provisioning.EmptySince = 0
@@ -180,7 +180,7 @@
 	j := t.Job
 	m.context.Stats.TasksFinished++
 	if t.Runs() && !t.Inherited {
-		m.state.NoteRun(j, m.context.Monotonic()-t.RanSince)
+		m.state.NoteRun(j, m.context.Monotonic()-t.RunningSince)
 	}
 	m.clearFailures(j, t.Machine)
 	m.markDone(j, t.Index)
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -255,7 +255,7 @@
 	case j.Checkpoints():
 		return j.CheckpointDurationS + restartCostS
 	case t.Runs():
-		return (s.context.Monotonic() - t.RanSince).Seconds() + restartCostS
+		return (s.context.Monotonic() - t.RunningSince).Seconds() + restartCostS
 	}
 	return restartCostS
 }
--- a/internal/scheduling/quota.go
+++ b/internal/scheduling/quota.go
@@ -80,8 +80,8 @@
 		s.cycle.nothingBelow[t] = rank(j)
 	}
 	slices.SortStableFunc(victims, func(a, b *cluster.Task) int {
-		return cmp.Or(cmp.Compare(a.Job.EffectivePriority(), b.Job.EffectivePriority()), cmp.Compare(min(0, a.RanSince), min(0, b.RanSince)),
-			cmp.Compare(s.preemptionCostS(a), s.preemptionCostS(b)), cmp.Compare(b.RanSince, a.RanSince))
+		return cmp.Or(cmp.Compare(a.Job.EffectivePriority(), b.Job.EffectivePriority()), cmp.Compare(min(0, a.RunningSince), min(0, b.RunningSince)),
+			cmp.Compare(s.preemptionCostS(a), s.preemptionCostS(b)), cmp.Compare(b.RunningSince, a.RunningSince))
 	})
 	for _, victim := range victims {
 		if isNothing(shortage(j, tasks)) {
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -163,6 +163,6 @@
 	if t.Job.Kind == protocol.Service || !t.Runs() {
 		return false
 	}
-	ran := (m.context.Monotonic() - t.RanSince).Seconds()
+	ran := (m.context.Monotonic() - t.RunningSince).Seconds()
 	return t.Job.EstimatedRunS > 0 && ran+seconds > t.Job.EstimatedRunS*estimateTolerance
 }
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -84,7 +84,7 @@
 // noteStarted notes that a task was seen running for the first time.
 func (m *Manager) noteStarted(t *cluster.Task) {
 	now, j := m.context.Monotonic(), t.Job
-	t.RanSince = now
+	t.RunningSince = now
 	j.HasRun = true
 	t.Machine.Images.NoteArrived(now, j.Image, j.ImageGB)
 	if j.Kind == protocol.Gang {
