--- a/internal/autoscaling/consolidation.go
+++ b/internal/autoscaling/consolidation.go
@@ -238,7 +238,7 @@
 		return // first let the others end
 	}
 	for _, t := range machine.Tasks {
-		if t.Stopping || !t.Runs() || now-t.RunningSince < stableRun || t.Job.IdleTasks() > 0 {
+		if t.Stopping || !t.SeenRunning() || now-t.RunningSince < stableRun || t.Job.IdleTasks() > 0 {
 			continue
 		}
 		to := a.moveTarget(t.Job, machine, promised)
--- a/internal/cluster/task.go
+++ b/internal/cluster/task.go
@@ -46,8 +46,8 @@
 // Active reports whether the task is still its job's task of that index.
 func (t *Task) Active() bool { return t.Job.ActiveTasks[t.Index] == t }
 
-// Runs reports whether the task was seen running.
-func (t *Task) Runs() bool { return t.RunningSince >= 0 }
+// SeenRunning reports whether the task was seen running.
+func (t *Task) SeenRunning() bool { return t.RunningSince >= 0 }
 
 // record is what is stored of the task.
 func (t *Task) record() storage.StartRecord {
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -52,7 +52,7 @@
 		Placed: len(j.ActiveTasks), Waiting: j.IdleTasks(), BestEffort: j.BestEffort(), Failures: l.failuresStatus(j),
 	}
 	for _, t := range j.ActiveTasks {
-		if t.Reported && t.Runs() {
+		if t.Reported && t.SeenRunning() {
 			s.Status = protocol.StatusRunning
 		}
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -117,7 +117,7 @@
 	}
 	for _, t := range j.ActiveTasks {
 		queue.Placed++
-		if t.Runs() {
+		if t.SeenRunning() {
 			queue.Running++
 		}
 	}
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -36,7 +36,7 @@
 	failures := &j.Failures
 	failures.Tasks++
 	failures.Machines[t.Machine.Name] = true
-	if t.Runs() {
+	if t.SeenRunning() {
 		failures.LongestRun = max(failures.LongestRun, now-t.RunningSince)
 	}
 	if now >= failures.NextAttempt { // not one more of the same round
@@ -97,7 +97,7 @@
 		return true
 	}
 	for _, t := range j.ActiveTasks {
-		if t.Machine != than && t.Runs() && m.context.Monotonic()-t.RunningSince > m.timing.Workers.HeartbeatInterval {
+		if t.Machine != than && t.SeenRunning() && m.context.Monotonic()-t.RunningSince > m.timing.Workers.HeartbeatInterval {
 			return true
 		}
 	}
@@ -145,7 +145,7 @@
 func (m *Manager) NoteRunning(t *cluster.Task) {
 	failures := &t.Job.Failures
 	proven := provenRunFactor * (failures.LongestRun + m.timing.Workers.HeartbeatInterval)
-	if failures.Tasks > 0 && t.Runs() && m.context.Monotonic()-t.RunningSince > proven {
+	if failures.Tasks > 0 && t.SeenRunning() && m.context.Monotonic()-t.RunningSince > proven {
 		m.clearFailures(t.Job, t.Machine)
 	}
 }
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -179,7 +179,7 @@
 func (m *Manager) taskDone(t *cluster.Task) {
 	j := t.Job
 	m.context.Stats.TasksFinished++
-	if t.Runs() && !t.Inherited {
+	if t.SeenRunning() && !t.Inherited {
 		m.state.NoteRun(j, m.context.Monotonic()-t.RunningSince)
 	}
 	m.clearFailures(j, t.Machine)
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -248,13 +248,13 @@
 func (s *Scheduler) preemptionCostS(t *cluster.Task) float64 {
 	j := t.Job
 	switch {
-	case j.Kind == protocol.Service && t.Runs():
+	case j.Kind == protocol.Service && t.SeenRunning():
 		return runningReplicaCostS + priorityCostS*float64(j.Priority)
 	case j.Kind == protocol.Service:
 		return startingReplicaCostS + priorityCostS*float64(j.Priority)
 	case j.Checkpoints():
 		return j.CheckpointDurationS + restartCostS
-	case t.Runs():
+	case t.SeenRunning():
 		return (s.context.Monotonic() - t.RunningSince).Seconds() + restartCostS
 	}
 	return restartCostS
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -146,7 +146,7 @@
 	m.context.Log(message.Info, "machine is to be interrupted", "machine", machine.Name, "in", left.String())
 	for _, t := range slices.Clone(machine.Tasks) {
 		j := t.Job
-		checkpointsInTime := j.Checkpoints() && j.CheckpointDurationS+interruptionMarginS < left.Seconds() && t.Runs()
+		checkpointsInTime := j.Checkpoints() && j.CheckpointDurationS+interruptionMarginS < left.Seconds() && t.SeenRunning()
 		notRunning := !t.Reported || t.State == protocol.Fetching || t.State == protocol.Waiting
 		if checkpointsInTime && !m.endsWithin(t, left.Seconds()-finishMarginS) || notRunning {
 			m.jobs.Preempt(t, "the machine is to be interrupted")
@@ -160,7 +160,7 @@
 
 // endsWithin guesses whether a task is over within so many seconds.
 func (m *Manager) endsWithin(t *cluster.Task, seconds float64) bool {
-	if t.Job.Kind == protocol.Service || !t.Runs() {
+	if t.Job.Kind == protocol.Service || !t.SeenRunning() {
 		return false
 	}
 	ran := (m.context.Monotonic() - t.RunningSince).Seconds()
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -74,7 +74,7 @@
 		m.jobs.HandleExit(t, status)
 		return
 	}
-	if status.State == protocol.Running && !t.Runs() {
+	if status.State == protocol.Running && !t.SeenRunning() {
 		m.noteStarted(t)
 	}
 	t.State = status.State
