--- a/internal/cluster/task.go
+++ b/internal/cluster/task.go
@@ -38,8 +38,8 @@
 	GracePeriodS    float64       // for a checkpoint
 }
 
-// AttemptName tells the attempt from all others, as workers name it.
-func (t *Task) AttemptName() protocol.Attempt {
+// AttemptID tells the attempt from all others, as workers name it.
+func (t *Task) AttemptID() protocol.Attempt {
 	return protocol.Attempt{Job: t.Job.ID, Task: t.Index, Number: t.Attempt}
 }
 
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -44,7 +44,7 @@
 }
 
 func stopCommand(t *cluster.Task) protocol.Command {
-	return protocol.Command{Verb: protocol.Stop, Attempt: t.AttemptName(), GracePeriodS: t.GracePeriodS}
+	return protocol.Command{Verb: protocol.Stop, Attempt: t.AttemptID(), GracePeriodS: t.GracePeriodS}
 }
 
 func stopUnknownTasks(machine *cluster.Machine) []protocol.Command {
@@ -122,7 +122,7 @@
 func (m *Manager) sendCall(machine *cluster.Machine, commands []protocol.Command, starting []*cluster.Task) {
 	token := m.leadership.Token()
 	for _, t := range starting {
-		commands = append(commands, protocol.Command{Verb: protocol.Start, Attempt: t.AttemptName()})
+		commands = append(commands, protocol.Command{Verb: protocol.Start, Attempt: t.AttemptID()})
 		if t.SentToken == 0 {
 			m.context.Stats.TasksStarted++
 		}
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -26,7 +26,7 @@
 		}
 	}
 	for _, t := range slices.Clone(machine.Tasks) {
-		if t.Incarnation == heartbeat.Incarnation && !reported[t.AttemptName()] && t.Active() {
+		if t.Incarnation == heartbeat.Incarnation && !reported[t.AttemptID()] && t.Active() {
 			m.reconcileUnreported(t, heartbeat)
 		}
 	}
