--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// EachPendingCommands calls a function for every machine for which there are commands. The
+// FlushPendingCommands calls a function for every machine for which there are commands. The
 // machines for which it returns true stay queued.
-func (s *State) EachPendingCommands(send func(*Machine) (again bool)) {
+func (s *State) FlushPendingCommands(send func(*Machine) (again bool)) {
 	pending := s.pendingCommands
 	s.pendingCommands = s.pendingCommands[:0]
 	for _, m := range pending {
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -83,7 +83,7 @@
 
 // SendCommands sends what machines are to be told at once. Those that can't be told now stay
 // queued.
-func (m *Manager) SendCommands() { m.state.EachPendingCommands(m.sendPending) }
+func (m *Manager) SendCommands() { m.state.FlushPendingCommands(m.sendPending) }
 
 // sendPending sends a machine its commands, and reports whether it stays queued.
 func (m *Manager) sendPending(machine *cluster.Machine) (again bool) {
