--- a/internal/cluster/class.go
+++ b/internal/cluster/class.go
@@ -33,8 +33,8 @@
 	return c
 }
 
-// NoteArrival learns from a job that may start now.
-func (s *State) NoteArrival(j *Job) {
+// ObserveArrival learns from a job that may start now.
+func (s *State) ObserveArrival(j *Job) {
 	c := s.class(j)
 	c.Arrivals = append(c.Arrivals, s.context.Monotonic())
 	if len(c.Arrivals) > maxArrivals {
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -78,7 +78,7 @@
 	case cancelled:
 		jobs.Cancel(j, h.context.Monotonic(), false)
 	case !j.Blocked():
-		h.state.NoteArrival(j)
+		h.state.ObserveArrival(j)
 		h.state.NeedsScheduling = true
 	}
 	h.awaitingCommit[request.ID] = true
--- a/internal/jobs/prerequisites.go
+++ b/internal/jobs/prerequisites.go
@@ -117,7 +117,7 @@
 		j := m.state.Jobs[ready]
 		j.ReadyMs = m.context.Now.WallMs
 		j.Placement.IdleSince = m.context.Monotonic()
-		m.state.NoteArrival(j)
+		m.state.ObserveArrival(j)
 		m.state.MoveJobToEnd(j)
 		m.state.NeedsScheduling = true
 	}
