--- a/internal/cluster/class.go
+++ b/internal/cluster/class.go
@@ -44,8 +44,8 @@
 	c.MeanTasks += (float64(min(j.Tasks, maxTasksCounted)) - c.MeanTasks) / meanWeight
 }
 
-// NoteRun learns from a task that completed.
-func (s *State) NoteRun(j *Job, ran time.Duration) {
+// ObserveRun learns from a task that completed.
+func (s *State) ObserveRun(j *Job, ran time.Duration) {
 	c := s.class(j)
 	if c.MeanRunS == 0 {
 		c.MeanRunS = ran.Seconds()
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -180,7 +180,7 @@
 	j := t.Job
 	m.context.Stats.TasksFinished++
 	if t.SeenRunning() && !t.Inherited {
-		m.state.NoteRun(j, m.context.Monotonic()-t.RunningSince)
+		m.state.ObserveRun(j, m.context.Monotonic()-t.RunningSince)
 	}
 	m.clearFailures(j, t.Machine)
 	m.markDone(j, t.Index)
