--- a/internal/cluster/images.go
+++ b/internal/cluster/images.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// NoteArrived notes that a task with an image runs, so that the image is there.
-func (c *ImageCache) NoteArrived(now time.Duration, name string, sizeGB float64) {
+// MarkReady notes that a task with an image runs, so that the image is there.
+func (c *ImageCache) MarkReady(now time.Duration, name string, sizeGB float64) {
 	if i := c.index(name); i >= 0 {
 		c.images[i].readyAt = min(c.images[i].readyAt, now)
 		return
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -86,7 +86,7 @@
 	now, j := m.context.Monotonic(), t.Job
 	t.RunningSince = now
 	j.HasRun = true
-	t.Machine.Images.NoteArrived(now, j.Image, j.ImageGB)
+	t.Machine.Images.MarkReady(now, j.Image, j.ImageGB)
 	if j.Kind == protocol.Gang {
 		j.Gang.Ran = true
 	}
