--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -133,7 +133,7 @@
 
 // MarkDone counts a task that is done. It reports whether its whole block is done now.
 func (j *Job) MarkDone(index int) (blockDone bool) {
-	b := j.FindBlock(index / j.BlockTasks)
+	b := j.EnsureBlock(index / j.BlockTasks)
 	b.Done.Set(index % j.BlockTasks)
 	j.DoneTasks++
 	if j.ActiveTasks[index] != nil {
--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -81,8 +81,8 @@
 // BlockLen is how many tasks a block has.
 func (j *Job) BlockLen(number int) int { return min(j.BlockTasks, j.Tasks-number*j.BlockTasks) }
 
-// FindBlock finds a block, or adds one of which nothing is recorded.
-func (j *Job) FindBlock(number int) *Block {
+// EnsureBlock finds a block, or adds one of which nothing is recorded.
+func (j *Job) EnsureBlock(number int) *Block {
 	b := j.Blocks[number]
 	if b == nil {
 		b = &Block{Job: j, Number: number}
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -130,7 +130,7 @@
 		}
 		b := j.Blocks[record.Block]
 		if b == nil {
-			b = j.FindBlock(record.Block)
+			b = j.EnsureBlock(record.Block)
 			l.store.Load(p.Number, p.Version, b)
 		}
 		if err := l.loadBlock(b, record); err != nil {
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -68,7 +68,7 @@
 // Start records the start of a task on a machine; it is sent once that is durable. The
 // waiter, if any, is run with others of the same gang.
 func (m *Manager) Start(j *cluster.Job, index int, machine *cluster.Machine, waiter *storage.CommitWaiter) *cluster.Task {
-	b := j.FindBlock(index / j.BlockTasks)
+	b := j.EnsureBlock(index / j.BlockTasks)
 	attempt := j.GangAttempt
 	if j.Kind != protocol.Gang {
 		b.LastAttempt++
