--- a/internal/autoscaling/inventory.go
+++ b/internal/autoscaling/inventory.go
@@ -86,7 +86,7 @@
 		if a.inventory.listed[machine.Name] || len(machine.Tasks) > 0 {
 			continue
 		}
-		lastKnownAt := max(machine.Provisioning.ListedAt, machine.Provisioning.ProvisionedAt, machine.Worker.HeardAt, a.leadership.LeadingSince())
+		lastKnownAt := max(machine.Provisioning.ListedAt, machine.Provisioning.ProvisionedAt, machine.Worker.LastSeenAt, a.leadership.LeadingSince())
 		if cannotAnswer(machine) && now-lastKnownAt > vanishedLags*lag+a.timing.Lease {
 			a.state.RemoveMachine(machine)
 		}
--- a/internal/autoscaling/scale_in.go
+++ b/internal/autoscaling/scale_in.go
@@ -60,7 +60,7 @@
 		return "it has failed"
 	case !machine.Worker.Registered:
 		return a.unregisteredReleaseReason(machine)
-	case machine.Worker.Expired() && a.context.SilentFor(machine.Worker.HeardAt) > a.timing.Lease*silentLeases:
+	case machine.Worker.Expired() && a.context.SilentFor(machine.Worker.LastSeenAt) > a.timing.Lease*silentLeases:
 		return "it is silent"
 	case len(machine.Tasks) > 0:
 		return ""
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -39,7 +39,7 @@
 	Sequence          int64         // of the newest message
 	IncarnationSeenAt time.Duration // when the incarnation was first heard of
 	FencingToken      int64         // highest that the worker has said to have seen
-	HeardAt           time.Duration
+	LastSeenAt           time.Duration
 
 	HeartbeatIncarnation, HeartbeatSequence int64 // of the newest heartbeat
 
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -131,7 +131,7 @@
 	switch {
 	case !worker.Registered:
 		counts.Booting++
-	case worker.Expired() || c.context.Monotonic()-worker.HeardAt > c.timing.Workers.Lease:
+	case worker.Expired() || c.context.Monotonic()-worker.LastSeenAt > c.timing.Workers.Lease:
 		counts.Silent++
 	default:
 		counts.Up++
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -79,7 +79,7 @@
 		return
 	}
 	now := m.context.Monotonic()
-	if machine.Commands.Failures > 0 && now-worker.HeardAt > m.timing.SilentAfter {
+	if machine.Commands.Failures > 0 && now-worker.LastSeenAt > m.timing.SilentAfter {
 		machine.Commands.RetryAt = now // it is back
 	}
 	m.noteIncarnation(machine, heartbeat.Incarnation)
@@ -89,7 +89,7 @@
 		machine.Provisioning.EmptySince = now
 		m.context.Log(message.Debug, "machine registered", "machine", machine.Name, "type", machine.Type, "zone", machine.Zone, "spot", machine.Spot)
 	}
-	worker.Registered, worker.HeardAt = true, now
+	worker.Registered, worker.LastSeenAt = true, now
 	worker.Incarnation, worker.Sequence = heartbeat.Incarnation, heartbeat.Sequence
 	worker.FencingToken = max(worker.FencingToken, heartbeat.FencingToken)
 	m.noteInterruption(machine, heartbeat.InterruptionInS)
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -55,11 +55,11 @@
 // isLive reports whether a machine's worker can still hold its lease.
 func (m *Manager) isLive(machine *cluster.Machine) bool {
 	worker := &machine.Worker
-	return worker.Registered && !worker.Expired() && m.context.Monotonic()-worker.HeardAt < m.timing.Lease
+	return worker.Registered && !worker.Expired() && m.context.Monotonic()-worker.LastSeenAt < m.timing.Lease
 }
 
 func (m *Manager) isSilent(machine *cluster.Machine) bool {
-	return m.context.SilentFor(machine.Worker.HeardAt) > m.timing.SilentAfter
+	return m.context.SilentFor(machine.Worker.LastSeenAt) > m.timing.SilentAfter
 }
 
 // expireLease takes everything off a machine whose worker's lease has certainly expired.
