--- a/internal/scheduling/best_effort.go
+++ b/internal/scheduling/best_effort.go
@@ -31,7 +31,7 @@
 	}
 	worth := &j.Placement.WorthOffering
 	if worth.Offerings == nil || worth.CatalogVersion != s.state.Catalog.Version {
-		*worth = cluster.WorthOffering{CatalogVersion: s.state.Catalog.Version, Offerings: s.offeringsWorthProvisioning(j)}
+		*worth = cluster.WorthwhileOfferings{CatalogVersion: s.state.Catalog.Version, Offerings: s.offeringsWorthProvisioning(j)}
 	}
 	return worth.Offerings[o]
 }
