--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -76,7 +76,7 @@
 	HoldUntil     time.Duration // until when it may wait for a better machine; 0: it hasn't
 	Nominated     *Machine      // where a replica that is being moved is to go
 	WithinQuota   bool          // its team's guarantee covers it, as of the last cycle
-	WorthOffering WorthwhileOfferings
+	WorthwhileOfferings WorthwhileOfferings
 }
 
 // WorthwhileOfferings are the offerings that are worth provisioning for a job's tasks, at the prices
--- a/internal/scheduling/best_effort.go
+++ b/internal/scheduling/best_effort.go
@@ -29,7 +29,7 @@
 	if !j.BestEffort() {
 		return true
 	}
-	worth := &j.Placement.WorthOffering
+	worth := &j.Placement.WorthwhileOfferings
 	if worth.Offerings == nil || worth.CatalogVersion != s.state.Catalog.Version {
 		*worth = cluster.WorthwhileOfferings{CatalogVersion: s.state.Catalog.Version, Offerings: s.offeringsWorthProvisioning(j)}
 	}
