--- a/internal/autoscaling/scale_in.go
+++ b/internal/autoscaling/scale_in.go
@@ -117,7 +117,7 @@
 			continue
 		}
 		for _, t := range slices.Clone(machine.Tasks) {
-			a.jobs.Lose(t, "machine released")
+			a.jobs.MarkLost(t, "machine released")
 		}
 		a.state.RemoveMachine(machine)
 		a.state.ReleasedMachines[name] = true
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// Lose notes that a task is gone without having told why.
-func (m *Manager) Lose(t *cluster.Task, proof string) {
+// MarkLost notes that a task is gone without having told why.
+func (m *Manager) MarkLost(t *cluster.Task, proof string) {
 	m.context.Stats.TasksLost++
 	m.context.Log(message.Info, "task lost", "job", t.Job.ID, "task", t.Index, "attempt", t.Attempt, "machine", t.Machine.Name, "proof", proof)
 	m.Remove(t)
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -231,7 +231,7 @@
 	}
 	for _, t := range starting {
 		if t.Active() && !t.Reported && heartbeat.Incarnation == t.Incarnation && heartbeat.Sequence >= machine.Worker.Sequence {
-			m.jobs.Lose(t, "executed, and yet not on the machine")
+			m.jobs.MarkLost(t, "executed, and yet not on the machine")
 		}
 	}
 }
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -113,7 +113,7 @@
 	}
 	for _, t := range slices.Clone(machine.Tasks) {
 		if t.Incarnation < incarnation {
-			m.jobs.Lose(t, "newer incarnation")
+			m.jobs.MarkLost(t, "newer incarnation")
 		}
 	}
 }
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -77,7 +77,7 @@
 		m.context.Log(message.Info, "worker lease expired", "machine", machine.Name, "tasks", len(machine.Tasks))
 	}
 	for _, t := range slices.Clone(machine.Tasks) {
-		m.jobs.Lose(t, "lease expired")
+		m.jobs.MarkLost(t, "lease expired")
 	}
 	machine.Commands.UnconfirmedToken = 0
 	worker.ForgetTasks()
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -99,11 +99,11 @@
 	callInFlight := t.Machine.Commands.CallID != 0
 	switch {
 	case t.Inherited && heartbeat.FencingToken >= m.leadership.FirstToken():
-		m.jobs.Lose(t, "heartbeat with this term's token")
+		m.jobs.MarkLost(t, "heartbeat with this term's token")
 	case t.Inherited || t.SentToken == 0:
 	case heartbeat.FencingToken > t.SentToken && !callInFlight:
-		m.jobs.Lose(t, "heartbeat with a token advanced since")
+		m.jobs.MarkLost(t, "heartbeat with a token advanced since")
 	case t.Confirmed && !callInFlight && t.Reported:
-		m.jobs.Lose(t, "the worker no longer names it")
+		m.jobs.MarkLost(t, "the worker no longer names it")
 	}
 }
