--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -198,7 +198,7 @@
 	for _, j := range l.state.JobOrder {
 		prerequisiteCancelled := len(j.Prerequisites.IDs) > 0 && l.jobs.LinkPrerequisites(j)
 		if prerequisiteCancelled && !j.Cancelled {
-			jobs.Cancel(j, j.Lifecycle.CancelledAt, true)
+			jobs.MarkCancelled(j, j.Lifecycle.CancelledAt, true)
 			cancelled = append(cancelled, j)
 		} else if j.Cancelled {
 			cancelled = append(cancelled, j)
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -192,13 +192,13 @@
 func (h *requestHandler) recordCancellation(id uint64, j *cluster.Job) {
 	if !j.Cancelled {
 		h.context.Stats.JobsCancelled++
-		jobs.Cancel(j, h.context.Monotonic(), false)
+		jobs.MarkCancelled(j, h.context.Monotonic(), false)
 	}
 	h.awaitingCommit[id] = true
 	h.store.MarkDirty(h.context.Monotonic(), j.Blocks[0], storage.OnCommit(func() {
 		j.Lifecycle.SubmissionCommitted = true
 		if !j.Lifecycle.CancellationCommitted {
-			jobs.Cancel(j, h.context.Monotonic(), true)
+			jobs.MarkCancelled(j, h.context.Monotonic(), true)
 			h.jobs.StopAll(j)
 			h.jobs.CancelDependents(j.ID)
 		}
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -76,7 +76,7 @@
 	cancelled := h.jobs.LinkPrerequisites(j)
 	switch {
 	case cancelled:
-		jobs.Cancel(j, h.context.Monotonic(), false)
+		jobs.MarkCancelled(j, h.context.Monotonic(), false)
 	case !j.Blocked():
 		h.state.ObserveArrival(j)
 		h.state.NeedsScheduling = true
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -287,8 +287,8 @@
 	m.state.NeedsScheduling = true
 }
 
-// Cancel notes that a job is cancelled, now or durably already.
-func Cancel(j *cluster.Job, at time.Duration, committed bool) {
+// MarkCancelled notes that a job is cancelled, now or durably already.
+func MarkCancelled(j *cluster.Job, at time.Duration, committed bool) {
 	j.Cancelled, j.Lifecycle.CancelledAt = true, at
 	if committed {
 		j.Lifecycle.CancellationCommitted = true
--- a/internal/jobs/prerequisites.go
+++ b/internal/jobs/prerequisites.go
@@ -133,7 +133,7 @@
 			continue
 		}
 		m.context.Log(message.Debug, "job cancelled with its prerequisite", "job", j.ID, "prerequisite", id)
-		Cancel(j, m.context.Monotonic(), true)
+		MarkCancelled(j, m.context.Monotonic(), true)
 		m.EndIfOver(j, nil)
 	}
 }
