--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -215,6 +215,6 @@
 		if j.Cancelled {
 			l.jobs.StopAll(j)
 		}
-		l.jobs.EndIfOver(j, nil)
+		l.jobs.EndIfFinished(j, nil)
 	}
 }
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -203,6 +203,6 @@
 			h.jobs.CancelDependents(j.ID)
 		}
 		h.replyJob(id, http.StatusOK, j, false)
-		h.jobs.EndIfOver(j, nil)
+		h.jobs.EndIfFinished(j, nil)
 	}))
 }
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -100,7 +100,7 @@
 		j.Lifecycle.CancellationCommitted = true
 	}
 	h.replyJob(id, http.StatusCreated, j, false)
-	h.jobs.EndIfOver(j, nil)
+	h.jobs.EndIfFinished(j, nil)
 }
 
 // impossible says why a job can never run; empty: it can.
--- a/internal/jobs/completion.go
+++ b/internal/jobs/completion.go
@@ -5,9 +5,9 @@
 	"oakpick/internal/storage"
 )
 
-// EndIfOver closes a job that is over and has nothing on machines any more. The waiter, if
+// EndIfFinished closes a job that is over and has nothing on machines any more. The waiter, if
 // any, is run once its end is durable.
-func (m *Manager) EndIfOver(j *cluster.Job, waiter *storage.CommitWaiter) {
+func (m *Manager) EndIfFinished(j *cluster.Job, waiter *storage.CommitWaiter) {
 	if j.Lifecycle.Ended || j.Prerequisites.PartsPending || len(j.ActiveTasks) > 0 {
 		return
 	}
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -95,7 +95,7 @@
 	}
 	if t.Job.Cancelled || t.Stopping {
 		m.Remove(t)
-		m.EndIfOver(t.Job, nil)
+		m.EndIfFinished(t.Job, nil)
 		return
 	}
 	m.state.QueueCommands(t.Machine)
@@ -134,7 +134,7 @@
 	m.context.Stats.TasksLost++
 	m.context.Log(message.Info, "task lost", "job", t.Job.ID, "task", t.Index, "attempt", t.Attempt, "machine", t.Machine.Name, "proof", proof)
 	m.Remove(t)
-	m.EndIfOver(t.Job, nil)
+	m.EndIfFinished(t.Job, nil)
 }
 
 // HandleExit handles a task that its worker reports as ended. The worker is told to forget it
@@ -156,7 +156,7 @@
 		b = j.Blocks[0]
 	}
 	m.markDirty(b, waiter)
-	m.EndIfOver(j, waiter)
+	m.EndIfFinished(j, waiter)
 }
 
 // learnFromExit does what follows from the cause of an exit.
--- a/internal/jobs/prerequisites.go
+++ b/internal/jobs/prerequisites.go
@@ -134,6 +134,6 @@
 		}
 		m.context.Log(message.Debug, "job cancelled with its prerequisite", "job", j.ID, "prerequisite", id)
 		MarkCancelled(j, m.context.Monotonic(), true)
-		m.EndIfOver(j, nil)
+		m.EndIfFinished(j, nil)
 	}
 }
--- a/internal/scheduling/queue_test.go
+++ b/internal/scheduling/queue_test.go
@@ -59,7 +59,7 @@
 	t.Helper()
 	store.MarkDirty(context.Monotonic(), j.Blocks[0], nil)
 	j.MarkDone(0)
-	manager.EndIfOver(j, nil)
+	manager.EndIfFinished(j, nil)
 	write := store.NextWrite(context.Monotonic(), protocol.Condition{}, true)
 	if write == nil {
 		t.Fatal("the end of the job is not written")
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -179,7 +179,7 @@
 		t.SentToken = t.PreviousToken
 		if t.Stopping && t.SentToken == 0 && t.Active() {
 			m.jobs.Remove(t)
-			m.jobs.EndIfOver(t.Job, nil)
+			m.jobs.EndIfFinished(t.Job, nil)
 		}
 	}
 }
