--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -74,7 +74,7 @@
 		Fault:          "machine", Reason: "it has failed on fewer machines than it takes to call it the job's fault",
 	}
 	switch {
-	case failures.JobAtFault && len(failures.Machines) >= jobs.MachinesAgainstJob:
+	case failures.JobAtFault && len(failures.Machines) >= jobs.MinFailedMachinesForJobFault:
 		s.Fault, s.Reason = "job", "it has failed on several machines, and no task has completed or run for long since"
 	case failures.JobAtFault:
 		s.Fault, s.Reason = "job", "before this leader's term it was started again and again, and no task is done"
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -14,8 +14,8 @@
 // is still tried, since that isn't certain, but one task (or one gang) at a time and with
 // growing backoff. Nothing is provisioned, preempted or cordoned for it.
 
-// MachinesAgainstJob is on how many machines a job has to fail for it to be the job's fault.
-const MachinesAgainstJob = 3
+// MinFailedMachinesForJobFault is on how many machines a job has to fail for it to be the job's fault.
+const MinFailedMachinesForJobFault = 3
 
 // jobsAgainstMachine is how many jobs have to fail on a machine, and run well elsewhere, for
 // it to be cordoned.
@@ -43,7 +43,7 @@
 		failures.Rounds++
 		failures.NextAttempt = now + m.failureBackoff(failures.Rounds)
 	}
-	if len(failures.Machines) >= MachinesAgainstJob {
+	if len(failures.Machines) >= MinFailedMachinesForJobFault {
 		m.blameJob(j)
 		return
 	}
@@ -162,11 +162,11 @@
 		for _, b := range j.Blocks {
 			ended += b.LastAttempt
 		}
-		if ended < MachinesAgainstJob {
+		if ended < MinFailedMachinesForJobFault {
 			continue
 		}
 		failures := &j.Failures
-		failures.JobAtFault, failures.Tasks, failures.Rounds = true, int(ended), MachinesAgainstJob
+		failures.JobAtFault, failures.Tasks, failures.Rounds = true, int(ended), MinFailedMachinesForJobFault
 		failures.NextAttempt = m.context.Monotonic() + m.failureBackoff(failures.Rounds)
 	}
 }
