--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// NoteRunning checks whether a running task shows that its job is well.
-func (m *Manager) NoteRunning(t *cluster.Task) {
+// ClearFailuresIfHealthy checks whether a running task shows that its job is well.
+func (m *Manager) ClearFailuresIfHealthy(t *cluster.Task) {
 	failures := &t.Job.Failures
 	proven := provenRunFactor * (failures.LongestRun + m.timing.Workers.HeartbeatInterval)
 	if failures.Tasks > 0 && t.SeenRunning() && m.context.Monotonic()-t.RunningSince > proven {
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -78,7 +78,7 @@
 		m.noteStarted(t)
 	}
 	t.State = status.State
-	m.jobs.NoteRunning(t)
+	m.jobs.ClearFailuresIfHealthy(t)
 }
 
 // noteStarted notes that a task was seen running for the first time.
