--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -150,10 +150,10 @@
 	}
 }
 
-// InheritFailures guesses, when a leader begins, which jobs were failing on every machine:
+// InferFailingJobs guesses, when a leader begins, which jobs were failing on every machine:
 // they have been started again and again, none of their tasks is done, and at most one is on
 // a machine. They are tried one after the other, not all at once.
-func (m *Manager) InheritFailures() {
+func (m *Manager) InferFailingJobs() {
 	for _, j := range m.state.JobOrder {
 		if j.Kind == protocol.Service || j.Cancelled || j.DoneTasks > 0 || len(j.ActiveTasks) > 1 {
 			continue
