--- a/internal/cluster/team.go
+++ b/internal/cluster/team.go
@@ -15,9 +15,9 @@
 	BestEffort bool
 	Used       resources.Amount // by its tasks on machines
 	Stopping   resources.Amount // of that, what stopping tasks are about to leave
-	// Promised is, of that, what the present scheduling cycle has promised to jobs that wait
+	// Reserved is, of that, what the present scheduling cycle has promised to jobs that wait
 	// for it.
-	Promised resources.Amount
+	Reserved resources.Amount
 	// FailingJobNotBefore is until when no job that fails on every machine is tried.
 	FailingJobNotBefore time.Duration
 	// FiniteUsed is what work that ends by itself takes, and FiniteWaiting what waits of it,
--- a/internal/scheduling/cycle.go
+++ b/internal/scheduling/cycle.go
@@ -42,7 +42,7 @@
 	c.nothingBelow = map[*cluster.Team]int{}
 	c.freeing, c.booting, c.withTasksBelow = c.freeing[:0], c.booting[:0], nil
 	for _, t := range s.state.Teams {
-		t.Promised = resources.Amount{}
+		t.Reserved = resources.Amount{}
 	}
 	for _, machine := range s.state.MachinesByName {
 		s.context.Stats.MachinesExamined++
--- a/internal/scheduling/quota.go
+++ b/internal/scheduling/quota.go
@@ -17,7 +17,7 @@
 // and from services what is left to work that ends.
 func reservedFrom(j *cluster.Job) resources.Amount {
 	t := j.Team
-	reserved := t.Promised
+	reserved := t.Reserved
 	if j.Kind == protocol.Service {
 		reserved.CPUs += max(0, min(t.CPULimit*finiteShare, t.FiniteUsed.CPUs+t.FiniteWaiting.CPUs)-t.FiniteUsed.CPUs)
 		reserved.GPUs += max(0, min(t.GPULimit*finiteShare, t.FiniteUsed.GPUs+t.FiniteWaiting.GPUs)-t.FiniteUsed.GPUs)
@@ -43,7 +43,7 @@
 // already.
 func shortage(j *cluster.Job, tasks int) resources.Amount {
 	t := j.Team
-	total := t.Used.Plus(t.Promised).Plus(j.Request.Times(float64(tasks))).Minus(t.Stopping)
+	total := t.Used.Plus(t.Reserved).Plus(j.Request.Times(float64(tasks))).Minus(t.Stopping)
 	lack := resources.Amount{}
 	if t.CPULimit > 0 {
 		lack.CPUs = max(0, total.CPUs-t.CPULimit)
@@ -66,8 +66,8 @@
 	if !isNothing(shortage(j, tasks)) && (!known || rank(j) > highest) {
 		s.preemptTeamTasks(j, tasks)
 	}
-	for ; tasks > 0 && t.Promised.Plus(j.Request).FitsIn(t.Stopping); tasks-- {
-		t.Promised = t.Promised.Plus(j.Request)
+	for ; tasks > 0 && t.Reserved.Plus(j.Request).FitsIn(t.Stopping); tasks-- {
+		t.Reserved = t.Reserved.Plus(j.Request)
 	}
 }
 
