--- a/internal/cluster/catalog.go
+++ b/internal/cluster/catalog.go
@@ -5,29 +5,29 @@
 	"oakpick/internal/resources"
 )
 
-// Catalog has the machine types that the cloud offers.
+// Catalog holds the machine types that the cloud provider offers.
 type Catalog struct {
 	Types []protocol.MachineType
-	// Version counts the lists of types read, whose prices may differ.
+	// Version counts the updates of Types. Prices may differ between versions.
 	Version int
 }
 
-// Offering is what machines can be had as: of a type, in a zone, as spot instances or not.
+// Offering is a kind of machine that can be provisioned: its type, its zone, and whether it is a spot instance.
 type Offering struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// maxTasksPerMachine bounds a count of tasks that ask for next to nothing.
+// maxTasksPerMachine caps the count for tasks that request almost no resources.
 const maxTasksPerMachine = 1 << 20
 
-// Update takes in a list of types.
+// Update replaces the list of machine types.
 func (c *Catalog) Update(types []protocol.MachineType) {
 	c.Types = types
 	c.Version++
 }
 
-// Type returns a machine type, or nil.
+// Type returns a machine type, or nil if the catalog does not have it.
 func (c *Catalog) Type(name string) *protocol.MachineType {
 	for i := range c.Types {
 		if c.Types[i].Name == name {
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// Price is what a machine of a known type costs an hour.
+// Price returns the hourly price of an offering, whose type must be in the catalog.
 func (c *Catalog) Price(o Offering) float64 {
 	machineType := c.Type(o.Type)
 	if o.Spot {
@@ -46,18 +46,18 @@
 	return machineType.Price
 }
 
-// PricePerTask is the hourly price of an offering of a known type for each task of the job
-// that it holds.
+// PricePerTask returns the hourly price of an offering divided by the number of the job's tasks
+// that fit on such a machine. The type must be in the catalog.
 func (c *Catalog) PricePerTask(j *Job, o Offering) float64 {
 	return c.Price(o) / float64(max(1, TasksPerMachine(j, c.Type(o.Type))))
 }
 
-// Capacity is what a machine of a type has.
+// Capacity returns the resources of a machine type.
 func Capacity(t *protocol.MachineType) resources.Amount {
 	return resources.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
-// TasksPerMachine is how many tasks of a job an empty machine of a type holds.
+// TasksPerMachine returns how many tasks of a job fit on an empty machine of a type.
 func TasksPerMachine(j *Job, t *protocol.MachineType) int {
 	return j.Request.CountIn(Capacity(t), maxTasksPerMachine)
 }
--- a/internal/cluster/class.go
+++ b/internal/cluster/class.go
@@ -6,22 +6,22 @@
 	"oakpick/internal/resources"
 )
 
-// WorkloadClass is what is learned of a class of jobs while leading.
+// WorkloadClass holds statistics of a class of jobs, collected during the current term.
 type WorkloadClass struct {
-	Arrivals  []time.Duration // lately, oldest first
+	Arrivals  []time.Duration // recent arrival times, oldest first
 	Request   resources.Amount
 	MeanTasks float64
-	MeanRunS  float64 // of a task, in seconds; 0: not known
-	Sample    *Job    // the last that arrived; nil: none has
+	MeanRunS  float64 // mean run time of a task in seconds; 0 if unknown
+	Sample    *Job    // job that arrived last; nil if none has
 }
 
 const (
-	// maxArrivals is how many arrivals of a class are remembered.
+	// maxArrivals is the number of recent arrivals kept for each class.
 	maxArrivals = 64
-	// maxTasksCounted is how many tasks of one job count for the mean.
+	// maxTasksCounted caps the weight of one large job in the mean number of tasks.
 	maxTasksCounted = 64
-	// meanWeight is the weight of what is known in a moving mean, to 1 for what is new.
-	meanWeight = 8
+	// meanDivisor is the divisor of the moving means: a new value has a weight of 1/meanDivisor.
+	meanDivisor = 8
 )
 
 func (s *State) class(j *Job) *WorkloadClass {
@@ -33,7 +33,7 @@
 	return c
 }
 
-// ObserveArrival learns from a job that may start now.
+// ObserveArrival updates the statistics of a job's class when the job becomes ready to start.
 func (s *State) ObserveArrival(j *Job) {
 	c := s.class(j)
 	c.Arrivals = append(c.Arrivals, s.context.Monotonic())
@@ -41,14 +41,14 @@
 		c.Arrivals = c.Arrivals[1:]
 	}
 	c.Request, c.Sample = j.Request, j
-	c.MeanTasks += (float64(min(j.Tasks, maxTasksCounted)) - c.MeanTasks) / meanWeight
+	c.MeanTasks += (float64(min(j.Tasks, maxTasksCounted)) - c.MeanTasks) / meanDivisor
 }
 
-// ObserveRun learns from a task that completed.
+// ObserveRun updates the mean run time of a job's class when a task completes.
 func (s *State) ObserveRun(j *Job, ran time.Duration) {
 	c := s.class(j)
 	if c.MeanRunS == 0 {
 		c.MeanRunS = ran.Seconds()
 	}
-	c.MeanRunS += (ran.Seconds() - c.MeanRunS) / meanWeight
+	c.MeanRunS += (ran.Seconds() - c.MeanRunS) / meanDivisor
 }
--- a/internal/cluster/constraints.go
+++ b/internal/cluster/constraints.go
@@ -6,26 +6,26 @@
 	"oakpick/internal/resources"
 )
 
-// RequestClass is the equivalence class of tasks that ask for the same machines.
+// RequestClass identifies tasks that have the same request and the same placement constraints.
 type RequestClass struct {
 	Request            resources.Amount
 	allowedTypes, zone string
 	spot               bool
-	// AnyRoom is whether room that best-effort work leaves to others is taken, too.
+	// AnyRoom is whether the tasks may also use capacity that best-effort jobs leave to other teams.
 	AnyRoom bool
 }
 
-// RequestClass is the class of the job's tasks.
+// RequestClass returns the class of the job's tasks.
 func (j *Job) RequestClass(anyRoom bool) RequestClass {
 	return RequestClass{j.Request, j.allowedTypes, j.Zone, j.Spot, anyRoom}
 }
 
-// AllowedOn reports whether the job's tasks may be on machines of an offering.
+// AllowedOn reports whether the job's tasks may run on machines of an offering.
 func (j *Job) AllowedOn(o Offering) bool {
 	return (j.AnyType || slices.Contains(j.Types, o.Type)) && (j.Zone == "" || j.Zone == o.Zone) && (j.Spot || !o.Spot)
 }
 
-// TasksPerZone counts a job's tasks by zone: every one that may still be on a machine.
+// TasksPerZone counts the job's tasks by zone, including every task that may still be on a machine.
 func (j *Job) TasksPerZone() map[string]int {
 	perZone := map[string]int{}
 	for _, t := range j.ActiveTasks {
@@ -34,7 +34,7 @@
 	return perZone
 }
 
-// AllowsZone reports whether one more task may go to a zone, given those that there are.
+// AllowsZone reports whether one more task may be placed in a zone, given the current number of tasks per zone.
 func (j *Job) AllowsZone(zone string, perZone map[string]int) bool {
 	if j.OneZone {
 		for other, tasks := range perZone {
@@ -43,7 +43,7 @@
 			}
 		}
 	}
-	// After a failover a machine's zone isn't known until it reports or is listed: a task
-	// there may be in any zone.
+	// After a failover, a machine's zone is unknown (empty) until its worker reports or the cloud
+	// lists it. A task on such a machine may be in any zone, so it counts for each of them.
 	return !j.Spread || perZone[zone]+perZone[""] < (j.Tasks+1)/2
 }
--- a/internal/cluster/images.go
+++ b/internal/cluster/images.go
@@ -7,21 +7,21 @@
 	"oakpick/internal/protocol"
 )
 
-// ImageCache is what is known of the images on a machine, least recently used first.
+// ImageCache tracks the images that a machine is expected to have, least recently used first.
 type ImageCache struct{ images []image }
 
-// image is one that a machine has or fetches.
+// image is an image that a machine has or is fetching.
 type image struct {
 	name    string
 	sizeGB  float64
-	readyAt time.Duration // when its fetch should be over
+	readyAt time.Duration // expected completion of its fetch
 }
 
 func (c *ImageCache) index(name string) int {
 	return slices.IndexFunc(c.images, func(i image) bool { return i.name == name })
 }
 
-// busyUntil is when the fetches under way should be over.
+// busyUntil returns when all fetches in progress are expected to complete.
 func (c *ImageCache) busyUntil() time.Duration {
 	var until time.Duration
 	for _, i := range c.images {
@@ -30,7 +30,8 @@
 	return until
 }
 
-// fetch notes that an image will be on a machine of a type.
+// fetch records that a machine of a type will have an image. If the image is not cached, its fetch
+// starts after those in progress.
 func (c *ImageCache) fetch(now time.Duration, name string, sizeGB float64, machineType *protocol.MachineType) {
 	if i := c.index(name); i >= 0 {
 		used := c.images[i]
@@ -45,7 +46,7 @@
 	c.images = append(c.images, image{name, sizeGB, readyAt})
 }
 
-// evict makes room for an image.
+// evict drops the least recently used images until a new image fits in the cache.
 func (c *ImageCache) evict(sizeGB, capacityGB float64) {
 	total := sizeGB
 	for _, i := range c.images {
@@ -57,7 +58,7 @@
 	}
 }
 
-// MarkReady notes that a task with an image runs, so that the image is there.
+// MarkReady records that an image is on the machine, because a task that uses it is running there.
 func (c *ImageCache) MarkReady(now time.Duration, name string, sizeGB float64) {
 	if i := c.index(name); i >= 0 {
 		c.images[i].readyAt = min(c.images[i].readyAt, now)
@@ -66,10 +67,10 @@
 	c.images = append(c.images, image{name, sizeGB, now})
 }
 
-// Clear forgets all images.
+// Clear removes all images.
 func (c *ImageCache) Clear() { c.images = nil }
 
-// fetchTimeS is how many seconds an image would take to be on a machine of a type.
+// fetchTimeS returns how many seconds it would take until an image is available on a machine of a type.
 func (c *ImageCache) fetchTimeS(now time.Duration, name string, sizeGB float64, machineType *protocol.MachineType) float64 {
 	if i := c.index(name); i >= 0 {
 		return max(0, (c.images[i].readyAt - now).Seconds())
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -12,70 +12,71 @@
 	"oakpick/internal/storage"
 )
 
-// Job is a job that isn't over: the recorded facts, and what is rebuilt.
+// Job is a job that has not ended: its stored record, and state that a new leader rebuilds.
 type Job struct {
 	storage.JobRecord
 	Team         *Team
 	Request      resources.Amount // of each task
-	allowedTypes string           // the machine types that it allows, in one word
+	allowedTypes string           // allowed machine types, joined into one comparable key
 	Lifecycle    Lifecycle
 
 	Blocks     map[int]*Block
 	DoneBlocks storage.Bitmap
-	BlockTasks int // how many tasks a block has
-	// RecordBlockTasks is whether that number is recorded, whatever the settings say later.
+	BlockTasks int // number of tasks in a block
+	// RecordBlockTasks is whether BlockTasks is stored, so that a later change of the settings does
+	// not affect the job.
 	RecordBlockTasks bool
 
-	ActiveTasks map[int]*Task // that may be on machines, by index
+	ActiveTasks map[int]*Task // tasks that may be on machines, by index
 	DoneTasks   int
 	counts      taskCounts
 	idle        idleTasks
-	HasRun      bool // a task of it has been seen running in this term
+	HasRun      bool // a task of the job was seen running in this term
 
 	Gang          GangState
 	Placement     PlacementState
 	Failures      FailureHistory
 	Prerequisites Prerequisites
-	// ReadyMs is since when its times count: its submission, or the end of its last
-	// prerequisite.
+	// ReadyMs is the wall-clock time from which the job's waiting time is measured: its submission,
+	// or the completion of its last prerequisite.
 	ReadyMs int64
 }
 
-// Lifecycle is what is durable of a job's submission, cancellation and end.
+// Lifecycle holds which of a job's submission, cancellation and end are durable.
 type Lifecycle struct {
 	SubmissionCommitted   bool
 	CancellationCommitted bool
 	CancelledAt           time.Duration
-	Ended                 bool // its end is being recorded
+	Ended                 bool // the job has ended, and its end is being recorded
 }
 
-// taskCounts are kept since a scheduling cycle asks for them of every job, and must not
-// look at every task for that.
+// taskCounts are maintained incrementally, since a scheduling cycle reads them for every job and
+// must not iterate over all tasks.
 type taskCounts struct {
-	unfinished int // active tasks that aren't done
-	stopping   int // active tasks that are told to stop
+	unfinished int // active tasks that are not done
+	stopping   int // active tasks that have been told to stop
 }
 
-// idleTasks finds tasks that wait to be started.
+// idleTasks is the state of the search for tasks that wait to be started.
 type idleTasks struct {
-	cursor   int // no task below is idle, unless in requeued
+	cursor   int // no task with a lower index is idle, except those in requeued
 	requeued []int
 }
 
-// GangState is the present attempt of a gang.
+// GangState is the state of a gang's current attempt.
 type GangState struct {
-	Ran    bool // it has begun to run
-	Ending bool // it is to end before the next
+	Ran    bool // the attempt has begun to run
+	Ending bool // the attempt must end before the next one starts
 }
 
-// PlacementState is what scheduling cycles remember of a job. It belongs to package
-// scheduling, but for NotBefore and IdleSince.
+// PlacementState is the state that scheduling cycles keep for a job. Package scheduling owns it,
+// except for NotBefore and IdleSince.
 type PlacementState struct {
-	NotBefore     time.Duration // no task is placed before, for another reason than failures
-	IdleSince     time.Duration // when a task last began to wait
-	HoldUntil     time.Duration // until when it may wait for a better machine; 0: it hasn't
-	Nominated     *Machine      // where a replica that is being moved is to go
-	WithinQuota   bool          // its team's guarantee covers it, as of the last cycle
+	NotBefore           time.Duration // no task is placed earlier, for reasons other than failures
+	IdleSince           time.Duration // when a task last started to wait
+	HoldUntil           time.Duration // until when the job may wait for a better machine; 0 if it has not waited
+	Nominated           *Machine      // target machine of a replica that is being moved
+	WithinQuota         bool          // the team's guarantee covers the job, as of the last cycle
 	WorthwhileOfferings WorthwhileOfferings
 }
 
@@ -83,31 +84,31 @@
 // of one version of the catalog.
 type WorthwhileOfferings struct {
 	CatalogVersion int
-	Offerings      map[Offering]bool // nil: not known yet
+	Offerings      map[Offering]bool // nil if not computed yet
 }
 
-// FailureHistory is what is known of a job's failures. It belongs to package jobs.
+// FailureHistory summarizes a job's failures. Package jobs owns it.
 type FailureHistory struct {
-	Rounds      int             // attempts in a row that have failed, each of one task or many
-	Tasks       int             // that have failed since one completed
-	Machines    map[string]bool // on which they failed
-	JobAtFault  bool            // it fails on every machine
-	LongestRun  time.Duration   // the longest that a task ran before it failed
-	NextAttempt time.Duration   // when the next may be made
+	Rounds      int             // consecutive failed attempts, each of one or more tasks
+	Tasks       int             // failed tasks since the last one that completed
+	Machines    map[string]bool // machines on which tasks failed
+	JobAtFault  bool            // the job fails on every machine
+	LongestRun  time.Duration   // longest time that a task ran before it failed
+	NextAttempt time.Duration   // earliest time of the next attempt
 }
 
-// Prerequisites are the jobs that have to be done first.
+// Prerequisites are the jobs that must complete before a job can start.
 type Prerequisites struct {
-	IDs []string // as the user named them, but for those whose ends were in the archive
-	// ArchivedCancelled is whether one of those was cancelled, as the job is then, too. It isn't
-	// recorded: the job's own cancellation is.
+	IDs []string // as named by the user, without those whose ends were in the archive
+	// ArchivedCancelled is whether a prerequisite in the archive was cancelled, which cancels this job,
+	// too. It is not stored; the job's own cancellation is.
 	ArchivedCancelled bool
 	Parts             []*PrerequisitesPart
-	PartsPending      bool             // the parts aren't durable yet, and the job must not be recorded before
-	Node              *dependency.Node // nil: it neither has any nor is one
+	PartsPending      bool             // the parts are not durable yet, so the job must not be recorded
+	Node              *dependency.Node // nil if the job neither has prerequisites nor is one
 }
 
-// NewJob returns a job as it is recorded. Nothing of it is on machines yet.
+// NewJob returns a job with the given record and without tasks on machines.
 func NewJob(record storage.JobRecord, team *Team, blockTasks int, now time.Duration) *Job {
 	j := &Job{
 		JobRecord: record, Team: team, ReadyMs: record.SubmittedMs,
@@ -131,7 +132,7 @@
 	return b != nil && b.Done.Has(index%j.BlockTasks)
 }
 
-// MarkDone counts a task that is done. It reports whether its whole block is done now.
+// MarkDone marks a task as done and reports whether its whole block is now done.
 func (j *Job) MarkDone(index int) (blockDone bool) {
 	b := j.EnsureBlock(index / j.BlockTasks)
 	b.Done.Set(index % j.BlockTasks)
@@ -147,13 +148,13 @@
 	return true
 }
 
-// UnfinishedTasks is how many of the active tasks aren't done.
+// UnfinishedTasks returns the number of active tasks that are not done.
 func (j *Job) UnfinishedTasks() int { return j.counts.unfinished }
 
-// StoppingTasks is how many of the active tasks are told to stop.
+// StoppingTasks returns the number of active tasks that have been told to stop.
 func (j *Job) StoppingTasks() int { return j.counts.stopping }
 
-// IdleTasks is how many tasks wait to be started.
+// IdleTasks returns the number of tasks that wait to be started.
 func (j *Job) IdleTasks() int {
 	if j.Cancelled || j.Lifecycle.Ended {
 		return 0
@@ -161,8 +162,8 @@
 	return j.Tasks - j.DoneTasks - j.counts.unfinished
 }
 
-// NextIdle finds a task that waits and whose start can be recorded in an item of so many
-// bytes, and keeps it out of the next search; -1: there is none.
+// NextIdle returns the index of an idle task whose start can be recorded in an item of at most
+// maxItemSize bytes, and excludes the task from the next search. It returns -1 if there is none.
 func (j *Job) NextIdle(maxItemSize int) int {
 	if i := j.nextRequeued(maxItemSize); i >= 0 {
 		return i
@@ -181,7 +182,7 @@
 	return -1
 }
 
-// nextRequeued finds one among the tasks that were started before.
+// nextRequeued searches the tasks that were started before or whose start could not be recorded.
 func (j *Job) nextRequeued(maxItemSize int) int {
 	for n := 0; n < len(j.idle.requeued); {
 		i := j.idle.requeued[n]
@@ -203,7 +204,7 @@
 
 func (j *Job) isIdle(index int) bool { return j.ActiveTasks[index] == nil && !j.IsDone(index) }
 
-// SortedTasks are the active tasks by index.
+// SortedTasks returns the active tasks, sorted by index.
 func (j *Job) SortedTasks() []*Task {
 	tasks := make([]*Task, 0, len(j.ActiveTasks))
 	for _, t := range j.ActiveTasks {
@@ -213,9 +214,9 @@
 	return tasks
 }
 
-// EndUncertain reports whether the job is over, but its user can't be told: a successor might
-// come to another result. What is durably cancelled stays so, whether its end is written or
-// not.
+// EndUncertain reports whether the job has ended but its user must not be told yet, because a
+// successor might reach another result. A durably cancelled job stays cancelled, whether its end is
+// recorded or not.
 func (j *Job) EndUncertain() bool {
 	return j.Lifecycle.Ended && !(j.Cancelled && j.Lifecycle.SubmissionCommitted) || j.Prerequisites.PartsPending
 }
@@ -226,11 +227,11 @@
 // Checkpoints reports whether a task saves its progress when it is stopped.
 func (j *Job) Checkpoints() bool { return j.CheckpointIntervalS > 0 }
 
-// Blocked reports whether the job has to wait for others. Such a job takes no part in
-// placement, quota or provisioning, and is queued to its user.
+// Blocked reports whether the job waits for prerequisites. A blocked job takes no part in
+// placement, quota or provisioning; its user sees it as queued.
 func (j *Job) Blocked() bool { return j.Prerequisites.Node.Blocked() }
 
-// EffectivePriority is the job's own, or that of a job that needs it if that is higher.
+// EffectivePriority returns the highest priority among the job and the jobs that depend on it.
 func (j *Job) EffectivePriority() protocol.Priority {
 	if j.Prerequisites.Node == nil {
 		return j.Priority
@@ -238,10 +239,10 @@
 	return j.Prerequisites.Node.Priority()
 }
 
-// BestEffort reports whether the job is of a team without a guarantee, while others have one.
+// BestEffort reports whether the job's team has no guarantee while other teams have one.
 func (j *Job) BestEffort() bool { return j.Team != nil && j.Team.BestEffort }
 
-// StartWaiter returns a waiter for a commit that a task's start depends on.
+// StartWaiter returns a waiter for a commit that the start of a task depends on.
 func (j *Job) StartWaiter(onCommit func()) *storage.CommitWaiter {
 	if j.BestEffort() {
 		return storage.OnLowestPriorityCommit(onCommit)
@@ -249,7 +250,7 @@
 	return storage.OnStartCommit(onCommit)
 }
 
-// DeferredWaiter returns a waiter for a commit that nobody outside depends on.
+// DeferredWaiter returns a waiter for a commit that no user or worker waits for.
 func (j *Job) DeferredWaiter(onCommit func()) *storage.CommitWaiter {
 	if j.BestEffort() {
 		return storage.OnLowestPriorityCommit(onCommit)
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -7,8 +7,8 @@
 	"oakpick/internal/resources"
 )
 
-// Machine is a machine: what its worker last said, and what may be on it. Its parts are
-// changed by one package each, which is named there.
+// Machine is a machine of the fleet: the state last reported by its worker, and the tasks that may
+// be on it. Each part is changed by one package, which is named in its comment.
 type Machine struct {
 	Name, Address, Type, Zone string
 	Spot                      bool
@@ -20,84 +20,83 @@
 	Images       ImageCache
 
 	Tasks           []*Task
-	GuaranteedTasks int              // of teams that don't run best effort
-	Allocated       resources.Amount // what its tasks take
-	Stopping        resources.Amount // of that, what stopping tasks are about to leave
+	GuaranteedTasks int              // tasks of teams that are not best effort
+	Allocated       resources.Amount // resources requested by its tasks
+	Stopping        resources.Amount // part of Allocated that belongs to stopping tasks
 
-	// ProjectedFree is what is free or about to be, less what the present scheduling cycle
-	// has assigned; LowestRank is the lowest of its tasks that can be stopped. Both belong to
-	// package scheduling.
+	// ProjectedFree is the capacity that is free or about to be freed, minus what the current
+	// scheduling cycle has assigned. LowestRank is the lowest rank of its tasks that can be stopped.
+	// Package scheduling owns both.
 	ProjectedFree resources.Amount
 	LowestRank    int
 }
 
-// WorkerState is what a machine's worker has said, and its lease. It belongs to package
-// workers.
+// WorkerState is the state reported by a machine's worker, and the state of its lease. Package
+// workers owns it.
 type WorkerState struct {
-	Registered        bool          // it has reported in this term
+	Registered        bool          // the worker has reported in this term
 	Incarnation       int64         // of the newest message
 	Sequence          int64         // of the newest message
-	IncarnationSeenAt time.Duration // when the incarnation was first heard of
-	FencingToken      int64         // highest that the worker has said to have seen
-	LastSeenAt           time.Duration
+	IncarnationSeenAt time.Duration // when the incarnation was first seen
+	FencingToken      int64         // highest token that the worker has reported
+	LastSeenAt        time.Duration
 
 	HeartbeatIncarnation, HeartbeatSequence int64 // of the newest heartbeat
 
-	Answered           bool          // a heartbeat was answered with 200
-	AnsweredAt         time.Duration // when one last was
+	Answered           bool          // a heartbeat was answered with status 200
+	AnsweredAt         time.Duration // when a heartbeat was last answered with status 200
 	ExpiredIncarnation int64         // leases of incarnations up to this one have certainly expired
 
-	InterruptionAt time.Duration // when the cloud takes the machine; 0: not known to
-	// UnknownTasks are on the machine, but not in the records.
+	InterruptionAt time.Duration // when the cloud will interrupt the machine; 0 if no notice was received
+	// UnknownTasks are reported by the worker but are not in the records.
 	UnknownTasks     []protocol.TaskStatus
 	FinishedAttempts map[protocol.Attempt]FinishedAttempt
 }
 
-// FinishedAttempt is an ended attempt that its worker still names. Once the worker has
-// forgotten it, a copy of its start could start it again: so it is told to only together with
-// a token higher than any start of the attempt was sent with.
+// FinishedAttempt is an ended attempt that its worker still reports. After the worker has forgotten
+// it, a delayed copy of its start command could start it again. The forget command is therefore
+// sent only with a token higher than that of every start of the attempt.
 type FinishedAttempt struct {
-	Committed    bool          // what its end means is durable
-	FencingToken int64         // highest that its start may carry
+	Committed    bool          // the result of the attempt is durable
+	FencingToken int64         // highest token that a start of the attempt may carry
 	EndedAt      time.Duration // when the end was reported
 }
 
-// CommandState is the exchange of direct commands with a machine's worker. It belongs to
-// package workers.
+// CommandState is the state of the command calls to a machine's worker. Package workers owns it.
 type CommandState struct {
-	Pending bool // something is to be sent
-	queued  bool // and the machine is among the pending ones, see State
+	Pending bool // there are commands to send
+	queued  bool // the machine is in State.pendingCommands
 
-	CallID   uint64 // the call under way; 0: none is
+	CallID   uint64 // call in progress; 0 if there is none
 	CallAt   time.Duration
-	Starting []*Task // that it starts
+	Starting []*Task // tasks that the call starts
 	RetryAt  time.Duration
-	Failures int // in a row
+	Failures int // consecutive failed calls
 
-	// UnconfirmedToken is the highest fencing token with which a start may still arrive, and
-	// UnconfirmedAt when the first such start was sent.
+	// UnconfirmedToken is the highest fencing token of a start that may still arrive, and
+	// UnconfirmedAt is when the first such start was sent.
 	UnconfirmedToken int64
 	UnconfirmedAt    time.Duration
 }
 
-// ProvisioningState is a machine's life in the cloud. It belongs to package autoscaling.
+// ProvisioningState is the state of a machine at the cloud provider. Package autoscaling owns it.
 type ProvisioningState struct {
-	ProvisionedAt time.Duration // as far as known
-	ListedAt      time.Duration // when the cloud last listed it; 0: it hasn't
-	RunningAt     time.Duration // when the cloud first listed it as running; 0: it hasn't
+	ProvisionedAt time.Duration // best known time of provisioning
+	ListedAt      time.Duration // when the cloud last listed the machine; 0 if it has not
+	RunningAt     time.Duration // when the cloud first listed the machine as running; 0 if it has not
 	Failed        bool          // the cloud lists it as failed
 	EmptySince    time.Duration
 
-	Draining         bool          // its tasks are being moved off it, so that it can be released
-	DrainRetryAt     time.Duration // when to check again whether they can be
-	Releasing        bool          // it is to be released: nothing new goes there
-	ReleaseRequested bool          // the cloud's answer is to come
+	Draining         bool          // its tasks are being moved to other machines before its release
+	DrainRetryAt     time.Duration // when to check again whether its tasks can be moved
+	Releasing        bool          // to be released; receives no new tasks
+	ReleaseRequested bool          // the release request has not been answered yet
 }
 
-// HealthState is what failures of tasks say of a machine. It belongs to package jobs.
+// HealthState is a machine's health, derived from failed tasks. Package jobs owns it.
 type HealthState struct {
-	AvoidUntil time.Duration   // nothing is placed there before
-	FailedJobs map[string]bool // jobs that have failed there; true: they run well elsewhere
+	AvoidUntil time.Duration   // no task is placed on the machine before this time
+	FailedJobs map[string]bool // jobs that have failed on the machine; true if they run well elsewhere
 	Cordoned   bool
 }
 
@@ -110,10 +109,10 @@
 	}
 }
 
-// Offering is what the machine was provisioned as.
+// Offering returns the offering that the machine was provisioned from.
 func (m *Machine) Offering() Offering { return Offering{m.Type, m.Zone, m.Spot} }
 
-// SetOffering notes what the machine was provisioned as.
+// SetOffering sets the offering that the machine was provisioned from.
 func (m *Machine) SetOffering(machineType, zone string, spot bool) {
 	m.Type, m.Zone, m.Spot = machineType, zone, spot
 }
@@ -122,7 +121,7 @@
 // expired.
 func (w *WorkerState) Expired() bool { return w.Incarnation <= w.ExpiredIncarnation }
 
-// ForgetTasks forgets everything that an incarnation had said of tasks.
+// ForgetTasks discards the tasks that the worker's incarnation has reported.
 func (w *WorkerState) ForgetTasks() {
 	w.UnknownTasks = nil
 	w.FinishedAttempts = map[protocol.Attempt]FinishedAttempt{}
--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -5,7 +5,7 @@
 	"oakpick/internal/storage"
 )
 
-// Block is a run of a job's tasks, recorded together.
+// Block is a range of a job's tasks that are stored in one record.
 type Block struct {
 	Job         *Job
 	Number      int
@@ -14,7 +14,7 @@
 	Starts      []*Task
 }
 
-// AppendTo writes the block, and with the first also the job.
+// AppendTo appends the block's record to a page. The first block also appends the job's record.
 func (b *Block) AppendTo(page *storage.PageValue) {
 	j := b.Job
 	if b.Number == 0 {
@@ -35,7 +35,7 @@
 	page.Blocks = append(page.Blocks, record)
 }
 
-// EncodedSize is the space that it takes now.
+// EncodedSize returns the current size of the block's records.
 func (b *Block) EncodedSize() int {
 	size := b.BaseSize()
 	for _, t := range b.Starts {
@@ -45,12 +45,12 @@
 	return size
 }
 
-// ReservedSize is the space that it may come to need.
+// ReservedSize returns the largest size that the block's records may reach.
 func (b *Block) ReservedSize() int {
 	return b.BaseSize() + b.Job.BlockLen(b.Number)*storage.StartReservedSize
 }
 
-// BaseSize is the space that it takes without its starts.
+// BaseSize returns the size of the block's records without its starts.
 func (b *Block) BaseSize() int {
 	j := b.Job
 	size := storage.BlockSize(j.ID, j.BlockLen(b.Number))
@@ -63,7 +63,7 @@
 	return size
 }
 
-// extension is what is recorded of a job beside its JobRecord, if anything.
+// extension returns the fields of a job that are stored outside JobRecord, and whether there are any.
 func (j *Job) extension() (storage.JobExtension, bool) {
 	extension := storage.JobExtension{Job: j.ID}
 	if len(j.Prerequisites.Parts) == 0 {
@@ -75,13 +75,13 @@
 	return extension, j.RecordBlockTasks || len(extension.Prerequisites) > 0
 }
 
-// BlockCount is how many blocks the job's tasks are divided into.
+// BlockCount returns the number of blocks that the job's tasks are divided into.
 func (j *Job) BlockCount() int { return (j.Tasks + j.BlockTasks - 1) / j.BlockTasks }
 
-// BlockLen is how many tasks a block has.
+// BlockLen returns the number of tasks in a block.
 func (j *Job) BlockLen(number int) int { return min(j.BlockTasks, j.Tasks-number*j.BlockTasks) }
 
-// EnsureBlock finds a block, or adds one of which nothing is recorded.
+// EnsureBlock returns a block, creating an empty one if the job does not have it.
 func (j *Job) EnsureBlock(number int) *Block {
 	b := j.Blocks[number]
 	if b == nil {
@@ -91,32 +91,32 @@
 	return b
 }
 
-// MinStarts is how many starts of a block have to be recordable at a time.
+// MinStarts returns how many starts of a block must fit in its record at the same time.
 func (j *Job) MinStarts() int {
 	if j.Kind == protocol.Gang {
 		return j.BlockLen(0)
 	}
-	return 1 // of an array or a service: the others can wait
+	return 1 // the other tasks of an array or service can start later
 }
 
-// MinRecordSize is the space that the job's record takes with as many starts as have to be
-// recordable at a time.
+// MinRecordSize returns the smallest record size that the job can be run with: its first block and
+// MinStarts starts.
 func (j *Job) MinRecordSize() int {
 	return (&Block{Job: j}).BaseSize() + j.MinStarts()*storage.StartReservedSize
 }
 
-// canRecordStart reports whether one more start of a task's block fits an item of so many
-// bytes. Blocks that are cut for larger limits of the state service may be full. A gang's
-// starts are recorded together; whether they fit is asked when it is submitted.
+// canRecordStart reports whether one more start in a task's block fits in an item of maxItemSize
+// bytes. Blocks that were sized for larger limits of the state service may be full. The starts of a
+// gang are recorded together, and their size is checked at submission.
 func (j *Job) canRecordStart(index, maxItemSize int) bool {
 	b := j.Blocks[index/j.BlockTasks]
 	return b == nil || j.Kind == protocol.Gang || b.EncodedSize()+storage.StartReservedSize <= maxItemSize
 }
 
-// TasksAwaitingRecord is how many of a job's idle tasks must not be placed before its own
-// record is durable. The first block is on the page of that record and is written with it.
-// Other blocks, and a gang's starts on them, could be durable and sent before the job is: a
-// successor would know no such job, and its user, who was never answered, submits it again.
+// TasksAwaitingRecord returns how many of a job's idle tasks must not be placed before the job's
+// own record is durable. The first block is on the page of that record and is written with it. The
+// starts in other blocks, and those of a gang, could become durable and be sent before the job's
+// record. A successor would not know the job then, and its user, who got no answer, would submit it again.
 func (j *Job) TasksAwaitingRecord(idle int) int {
 	switch {
 	case j.Prerequisites.PartsPending:
@@ -129,28 +129,28 @@
 	return max(0, idle-(j.BlockLen(0)-len(j.ActiveTasks)))
 }
 
-// PrerequisitesPart is a record of some of a job's prerequisites, if they are too many for the
-// page of the job itself.
+// PrerequisitesPart is a record of some of a job's prerequisites. It is used if they do not fit on
+// the job's own page.
 type PrerequisitesPart struct{ storage.PrerequisitesRecord }
 
-// AppendTo writes it.
+// AppendTo appends the record to a page.
 func (p *PrerequisitesPart) AppendTo(page *storage.PageValue) {
 	page.Prerequisites = append(page.Prerequisites, p.PrerequisitesRecord)
 }
 
-// ReservedSize is the space that it takes, which never changes.
+// ReservedSize returns the size of the record, which never changes.
 func (p *PrerequisitesPart) ReservedSize() int { return p.EncodedSize() }
 
-// EndedJob is a job that is over.
+// EndedJob is a job that has ended.
 type EndedJob struct {
 	storage.TerminalRecord
-	HasOtherRecords bool // something else of the job may still be recorded
+	HasOtherRecords bool // other records of the job may still be stored
 }
 
-// AppendTo writes it.
+// AppendTo appends the terminal record to a page.
 func (e *EndedJob) AppendTo(page *storage.PageValue) {
 	page.Terminal = append(page.Terminal, e.TerminalRecord)
 }
 
-// EncodedSize is the space that it takes.
+// EncodedSize returns the size of the terminal record.
 func (e *EndedJob) EncodedSize() int { return e.ReservedSize() }
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -1,7 +1,7 @@
-// Package cluster is a leader's picture of the cluster: jobs and their tasks, machines and
-// teams, as they follow from the stored records and from what workers, users and the cloud
-// have said. It keeps the counts between them right; what happens to them is decided in the
-// packages above: jobs, workers, scheduling and autoscaling.
+// Package cluster holds a leader's in-memory state of the cluster: jobs and their tasks, machines
+// and teams, as derived from the stored records and from reports of workers, users and the cloud.
+// It keeps the counters across them consistent. The packages built on it decide what happens: jobs,
+// workers, scheduling and autoscaling.
 package cluster
 
 import (
@@ -14,33 +14,33 @@
 	"oakpick/internal/step"
 )
 
-// State is the whole picture. It begins anew with every term.
+// State is a leader's in-memory state of the cluster. Each term starts with a new one.
 type State struct {
 	context *step.Context
 
-	Jobs      map[string]*Job // that aren't over, by id
-	JobOrder  []*Job          // in the order in which they were submitted or became ready
+	Jobs      map[string]*Job // jobs that have not ended, by ID
+	JobOrder  []*Job          // sorted by when they were submitted or became ready
 	EndedJobs map[string]*EndedJob
 	Teams     map[string]*Team
 	Classes   map[string]*WorkloadClass
-	// Dependencies has the jobs of JobOrder that need others or are needed.
+	// Dependencies has the jobs of JobOrder that have prerequisites or dependents.
 	Dependencies *dependency.Graph
 
 	Machines       map[string]*Machine
 	MachinesByName []*Machine // sorted
-	// ReleasedMachines were given back to the cloud in this term.
+	// ReleasedMachines are the machines that were released to the cloud in this term.
 	ReleasedMachines map[string]bool
 	Catalog          Catalog
 
-	// NeedsScheduling is set by whatever may let a task start.
+	// NeedsScheduling is set by every change that may allow a task to start.
 	NeedsScheduling bool
 
-	// pendingCommands are the machines that are to be told something.
+	// pendingCommands are the machines that have commands to be sent.
 	pendingCommands []*Machine
 }
 
-// NewState returns the picture of a cluster without jobs and machines. Teams without a
-// guarantee run best effort, if others have one.
+// NewState returns the state of a cluster without jobs and machines. Teams without a guarantee are
+// best effort if another team has one.
 func NewState(context *step.Context, teams []config.Team) *State {
 	s := &State{
 		context: context,
@@ -56,7 +56,7 @@
 	return s
 }
 
-// Team finds a team, or adds one that the settings no longer name.
+// Team returns a team, creating it if the settings no longer name it.
 func (s *State) Team(name string) *Team {
 	t := s.Teams[name]
 	if t == nil {
@@ -66,27 +66,27 @@
 	return t
 }
 
-// AddJob adds a job that isn't over, as the last one.
+// AddJob adds a job that has not ended, at the end of the order.
 func (s *State) AddJob(j *Job) {
 	s.Jobs[j.ID] = j
 	s.JobOrder = append(s.JobOrder, j)
 }
 
-// KnowsJob reports whether a job is in memory: not over, or its end not yet in the archive.
+// KnowsJob reports whether a job is in memory: it has not ended, or its end is not yet in the archive.
 func (s *State) KnowsJob(id string) bool { return s.Jobs[id] != nil || s.EndedJobs[id] != nil }
 
-// MoveJobToEnd makes a job the last in the order.
+// MoveJobToEnd moves a job to the end of the order.
 func (s *State) MoveJobToEnd(j *Job) {
 	s.RemoveFromOrder(j)
 	s.JobOrder = append(s.JobOrder, j)
 }
 
-// RemoveFromOrder takes a job out of the order.
+// RemoveFromOrder removes a job from the order.
 func (s *State) RemoveFromOrder(j *Job) {
 	s.JobOrder = slices.DeleteFunc(s.JobOrder, func(x *Job) bool { return x == j })
 }
 
-// Machine finds a machine, or adds one of which nothing but the name is known.
+// Machine returns a machine, creating one with nothing but a name if it is unknown.
 func (s *State) Machine(name string) *Machine {
 	if m := s.Machines[name]; m != nil {
 		return m
@@ -98,13 +98,13 @@
 	return m
 }
 
-// RemoveMachine forgets a machine.
+// RemoveMachine removes a machine from the state.
 func (s *State) RemoveMachine(m *Machine) {
 	delete(s.Machines, m.Name)
 	s.MachinesByName = slices.DeleteFunc(s.MachinesByName, func(x *Machine) bool { return x == m })
 }
 
-// QueueCommands notes that there are commands for a machine.
+// QueueCommands marks a machine as having commands to be sent.
 func (s *State) QueueCommands(m *Machine) {
 	m.Commands.Pending = true
 	if !m.Commands.queued {
@@ -113,15 +113,15 @@
 	}
 }
 
-// QueueCommandsToAll notes that there are commands for every machine.
+// QueueCommandsToAll marks every machine as having commands to be sent.
 func (s *State) QueueCommandsToAll() {
 	for _, m := range s.MachinesByName {
 		s.QueueCommands(m)
 	}
 }
 
-// FlushPendingCommands calls a function for every machine for which there are commands. The
-// machines for which it returns true stay queued.
+// FlushPendingCommands calls send for each machine that has commands to be sent. The machines for
+// which send returns true stay queued.
 func (s *State) FlushPendingCommands(send func(*Machine) (again bool)) {
 	pending := s.pendingCommands
 	s.pendingCommands = s.pendingCommands[:0]
@@ -133,7 +133,7 @@
 	}
 }
 
-// Free is the room that the records leave on a machine.
+// Free returns the capacity of a machine that is not used by its recorded or unknown tasks.
 func (s *State) Free(m *Machine) resources.Amount {
 	machineType := s.Catalog.Type(m.Type)
 	if machineType == nil {
@@ -141,8 +141,8 @@
 	}
 	free := Capacity(machineType).Minus(m.Allocated)
 	for _, status := range m.Worker.UnknownTasks {
-		// A task that isn't in the records any more still takes its room; how much is known
-		// only while its job is.
+		// A task that is no longer in the records still uses its resources. Their amount is known
+		// only while its job is in memory.
 		if j := s.Jobs[status.Job]; j != nil && !hasExited(status) {
 			free = free.Minus(j.Request)
 		}
@@ -150,13 +150,13 @@
 	return free
 }
 
-// FetchTimeS is how many seconds the image of a job's task would take to be on a machine.
+// FetchTimeS returns how many seconds it would take until a job's image is available on a machine.
 func (s *State) FetchTimeS(j *Job, m *Machine) float64 {
 	return m.Images.fetchTimeS(s.context.Monotonic(), j.Image, j.ImageGB, s.Catalog.Type(m.Type))
 }
 
-// ExpectedRunS is how many seconds a task of a job is expected to run: what was seen of its
-// class counts more than its owner's estimate, which is often wrong.
+// ExpectedRunS returns the expected run time of a job's tasks in seconds. The mean observed for its
+// class takes precedence over its owner's estimate, which is often wrong.
 func (s *State) ExpectedRunS(j *Job) float64 {
 	if c := s.Classes[j.Class]; c != nil && c.MeanRunS > 0 {
 		return c.MeanRunS
--- a/internal/cluster/task.go
+++ b/internal/cluster/task.go
@@ -9,7 +9,7 @@
 	"oakpick/internal/storage"
 )
 
-// NotRunning is Task.RanSince of a task that wasn't seen running.
+// NotRunning is the value of Task.RunningSince for a task that was not seen running.
 const NotRunning time.Duration = -1
 
 // Task is a started task that may be on a machine.
@@ -21,40 +21,40 @@
 	Machine     *Machine
 	Incarnation int64 // of the machine's worker
 
-	Inherited bool // recorded by an earlier term
+	Inherited bool // recorded in an earlier term
 	Committed bool // its start is durable
 
-	SentToken     int64 // highest fencing token with which a start was sent; 0: none was
-	PreviousToken int64 // the same before the call under way
-	Confirmed     bool  // a worker's answer has confirmed the start
-	Reported      bool  // a worker has named the task
+	SentToken     int64 // highest fencing token with which a start was sent; 0 if none was
+	PreviousToken int64 // value of SentToken before the call in progress
+	Confirmed     bool  // the worker's answer has confirmed the start
+	Reported      bool  // the worker has reported the task
 
-	State    protocol.TaskState
+	State        protocol.TaskState
 	RunningSince time.Duration
 
-	Stopping        bool          // it is told to stop
-	StopRequestedAt time.Duration // when that was decided
-	StopSentAt      time.Duration // when it was last sent; 0: it wasn't
-	GracePeriodS    float64       // for a checkpoint
+	Stopping        bool          // the task has been told to stop
+	StopRequestedAt time.Duration // when the stop was decided
+	StopSentAt      time.Duration // when the stop was last sent; 0 if it was not
+	GracePeriodS    float64       // time to write a checkpoint
 }
 
-// AttemptID tells the attempt from all others, as workers name it.
+// AttemptID returns the identifier of the attempt that workers use.
 func (t *Task) AttemptID() protocol.Attempt {
 	return protocol.Attempt{Job: t.Job.ID, Task: t.Index, Number: t.Attempt}
 }
 
-// Active reports whether the task is still its job's task of that index.
+// Active reports whether the task is still the job's active task of its index.
 func (t *Task) Active() bool { return t.Job.ActiveTasks[t.Index] == t }
 
 // SeenRunning reports whether the task was seen running.
 func (t *Task) SeenRunning() bool { return t.RunningSince >= 0 }
 
-// record is what is stored of the task.
+// record returns the stored form of the task's start.
 func (t *Task) record() storage.StartRecord {
 	return storage.StartRecord{Task: t.Index, Attempt: t.Attempt, Machine: t.Machine.Name, Incarnation: t.Incarnation}
 }
 
-// Attach counts a task that may be on its machine from now on.
+// Attach adds a task that may be on its machine from now on to its block, job, machine and team.
 func (t *Task) Attach() {
 	j, m := t.Job, t.Machine
 	t.Block.Starts = append(t.Block.Starts, t)
@@ -68,12 +68,12 @@
 	j.Team.Used = j.Team.Used.Plus(j.Request)
 }
 
-// AssignImage notes that the image of a job's task will be on a machine.
+// AssignImage records that a machine will have the image of a job.
 func (s *State) AssignImage(j *Job, m *Machine) {
 	m.Images.fetch(s.context.Monotonic(), j.Image, j.ImageGB, s.Catalog.Type(m.Type))
 }
 
-// RemoveTask takes a task off its machine. It waits again if it isn't done.
+// RemoveTask removes a task from its machine. A task that is not done becomes idle again.
 func (s *State) RemoveTask(t *Task) {
 	j, m, now := t.Job, t.Machine, s.context.Monotonic()
 	isTask := func(x *Task) bool { return x == t }
@@ -95,11 +95,11 @@
 	}
 	if len(m.Tasks) == 0 {
 		m.Provisioning.EmptySince = now
-		m.Allocated, m.Stopping = resources.Amount{}, resources.Amount{} // no rounding is carried on
+		m.Allocated, m.Stopping = resources.Amount{}, resources.Amount{} // drops accumulated rounding errors
 	}
 }
 
-// MarkStopping counts a task as about to leave its machine.
+// MarkStopping marks a task as stopping and counts its resources as about to be freed.
 func (t *Task) MarkStopping() {
 	request := t.Job.Request
 	t.Stopping = true
@@ -108,7 +108,7 @@
 	t.Job.Team.Stopping = t.Job.Team.Stopping.Plus(request)
 }
 
-// countGuaranteed counts a machine's tasks of teams that don't run best effort.
+// countGuaranteed adjusts a machine's number of tasks of teams that are not best effort.
 func (m *Machine) countGuaranteed(j *Job, by int) {
 	if !j.BestEffort() {
 		m.GuaranteedTasks += by
--- a/internal/cluster/team.go
+++ b/internal/cluster/team.go
@@ -7,28 +7,28 @@
 	"oakpick/internal/resources"
 )
 
-// Team is a team's use and quota.
+// Team holds a team's settings and usage.
 type Team struct {
 	config.Team
-	// BestEffort teams have no guarantee while others have one: their work runs on what the
-	// others leave idle.
+	// BestEffort is whether the team has no guarantee while others have one. Its tasks run on
+	// capacity that the others leave idle.
 	BestEffort bool
-	Used       resources.Amount // by its tasks on machines
-	Stopping   resources.Amount // of that, what stopping tasks are about to leave
-	// Reserved is, of that, what the present scheduling cycle has promised to jobs that wait
-	// for it.
+	Used       resources.Amount // resources requested by its tasks on machines
+	Stopping   resources.Amount // part of Used that belongs to stopping tasks
+	// Reserved is the part of Stopping that the current scheduling cycle has reserved for jobs that
+	// wait for it.
 	Reserved resources.Amount
-	// FailingJobNotBefore is until when no job that fails on every machine is tried.
+	// FailingJobNotBefore is the earliest time at which a job that fails on every machine is tried.
 	FailingJobNotBefore time.Duration
-	// FiniteUsed is what work that ends by itself takes, and FiniteWaiting what waits of it,
-	// as of the last cycle.
+	// FiniteUsed is the usage of jobs that end by themselves, and FiniteWaiting the amount that
+	// such jobs wait for, as of the last cycle.
 	FiniteUsed, FiniteWaiting resources.Amount
 }
 
-// hasGuarantee reports whether a team is guaranteed anything.
+// hasGuarantee reports whether a team has any guaranteed resources.
 func hasGuarantee(t config.Team) bool { return t.GuaranteedCPUs > 0 || t.GuaranteedGPUs > 0 }
 
-// Allows reports whether so much more stays within the limit.
+// Allows reports whether the additional amount stays within the team's limit.
 func (t *Team) Allows(more resources.Amount) bool {
 	return (t.CPULimit == 0 || t.Used.CPUs+more.CPUs <= t.CPULimit+resources.Tolerance) &&
 		(t.GPULimit == 0 || t.Used.GPUs+more.GPUs <= t.GPULimit+resources.Tolerance)
@@ -41,7 +41,7 @@
 		(t.GuaranteedGPUs == 0 || amount.GPUs <= t.GuaranteedGPUs+resources.Tolerance)
 }
 
-// Limit is the team's limit, as an amount; what isn't limited is unlimited.
+// Limit returns the team's limit; a resource without a limit is unlimited.
 func (t *Team) Limit() resources.Amount {
 	limit := resources.Unlimited()
 	if t.CPULimit > 0 {
