--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -1,6 +1,6 @@
-// Package dependency is the graph of jobs that need others to be done first. What is stored
-// are the edges, with the dependent job. Everything else follows from them and from how jobs
-// ended, and is computed anew by a new leader.
+// Package dependency implements the graph of jobs and their prerequisites. Only the edges are
+// stored, with the dependent job. All other state follows from the edges and from how jobs ended,
+// and a new leader recomputes it.
 package dependency
 
 import (
@@ -10,40 +10,40 @@
 	"oakpick/internal/protocol"
 )
 
-// NoDeadline is the deadline of a job that neither has one nor is needed by one that has.
+// NoDeadline is the deadline of a job that has none and that no job with a deadline depends on.
 const NoDeadline = math.MaxInt64
 
-// Job is what the graph has to know of a job.
+// Job holds the properties of a job that the graph uses.
 type Job struct {
 	ID            string
 	Priority      protocol.Priority
-	DeadlineMs    int64 // time of day; NoDeadline: none
+	DeadlineMs    int64 // wall-clock time, or NoDeadline
 	ExpectedRunMs int64
 }
 
-// Graph knows jobs that aren't over, and of these only those that have prerequisites or
-// dependents. It has no cycles: a job names only jobs accepted before it, and an edge of a
-// damaged record that would close one is counted as an unknown prerequisite.
+// Graph holds the jobs that have not ended and that have prerequisites or dependents. It has no
+// cycles: a job names only jobs accepted before it, and an edge of a damaged record that would
+// close a cycle is counted as an unknown prerequisite.
 type Graph struct {
 	nodes  map[string]*Node
-	visits int // of nodes, for the test that counts what is examined
+	visits int // number of nodes examined, for the test that bounds it
 }
 
 // Node is a job in the graph.
 type Node struct {
 	job           Job
-	prerequisites []*Node // that aren't over
+	prerequisites []*Node // prerequisites that have not ended
 	dependents    []*Node
-	unknown       int // prerequisites that nothing is known of: the job never starts
+	unknown       int // number of prerequisites without a record; if not 0, the job never starts
 
-	priority       protocol.Priority // the highest of its own and of all jobs that need it
-	latestFinishMs int64             // when it has to be done so that all that needs it can be in time
+	priority       protocol.Priority // highest priority among the job and all jobs that depend on it
+	latestFinishMs int64             // latest end of the job that lets it and its dependents meet their deadlines
 }
 
 // NewGraph returns an empty graph.
 func NewGraph() *Graph { return &Graph{nodes: map[string]*Node{}} }
 
-// Node returns the node of a job, or nil.
+// Node returns the node of a job, or nil if the job is not in the graph.
 func (g *Graph) Node(id string) *Node { return g.nodes[id] }
 
 // Insert adds a job without edges.
@@ -53,8 +53,8 @@
 	return n
 }
 
-// AddEdges notes that a job needs others, which aren't over, and a number of jobs that
-// nothing is known of. It returns how many of the edges would have closed a cycle.
+// AddEdges adds edges from a job to its prerequisites, which have not ended, and counts those
+// without a record. It returns how many of the edges were left out since they would close a cycle.
 func (g *Graph) AddEdges(n *Node, prerequisites []*Node, unknown int) (cyclic int) {
 	for _, p := range prerequisites {
 		if g.reaches(p, n) {
@@ -65,12 +65,12 @@
 		p.dependents = append(p.dependents, n)
 	}
 	n.unknown += unknown + cyclic
-	g.raisePrerequisites(n)
+	g.propagateToPrerequisites(n)
 	return cyclic
 }
 
-// reaches reports whether a job is another, or needs it, directly or through others. A new
-// job has no dependents, so that nothing is examined for it.
+// reaches reports whether from and to are the same job, or from depends on to directly or
+// transitively. A new job has no dependents, so no nodes are examined for it.
 func (g *Graph) reaches(from, to *Node) bool {
 	if from == to {
 		return true
@@ -97,14 +97,14 @@
 	return false
 }
 
-// Blocked reports whether a prerequisite of the job isn't done yet. A nil node has none.
+// Blocked reports whether a prerequisite of the job is not done yet. A nil node has no prerequisites.
 func (n *Node) Blocked() bool { return n != nil && (len(n.prerequisites) > 0 || n.unknown > 0) }
 
-// Priority is the highest of the job's own and of all jobs that need it.
+// Priority returns the highest priority among the job and all jobs that depend on it.
 func (n *Node) Priority() protocol.Priority { return n.priority }
 
-// LatestStartMs is when the job has to begin so that it and all that needs it can be in
-// time.
+// LatestStartMs returns the latest start of the job that lets it and its dependents meet their
+// deadlines.
 func (n *Node) LatestStartMs() int64 {
 	if n.latestFinishMs == NoDeadline {
 		return NoDeadline
@@ -112,9 +112,9 @@
 	return n.latestFinishMs - n.job.ExpectedRunMs
 }
 
-// raisePrerequisites hands a job's priority and deadline on to its prerequisites, and so on.
-// It only examines jobs whose figures change.
-func (g *Graph) raisePrerequisites(n *Node) {
+// propagateToPrerequisites propagates a job's priority and deadline to its prerequisites,
+// transitively. It follows only the edges of jobs whose values change.
+func (g *Graph) propagateToPrerequisites(n *Node) {
 	changed := []*Node{n}
 	for len(changed) > 0 {
 		n := changed[len(changed)-1]
@@ -130,7 +130,7 @@
 	}
 }
 
-// recompute computes a job's figures anew after a dependent is gone, and so on back.
+// recompute recomputes a job's priority and deadline after a dependent was removed, and propagates changes.
 func (g *Graph) recompute(n *Node) {
 	changed := []*Node{n}
 	for len(changed) > 0 {
@@ -149,8 +149,8 @@
 	}
 }
 
-// Complete removes a job that is done, and returns the jobs that it was the last
-// prerequisite of.
+// Complete removes a job that is done, and returns the jobs for which it was the last
+// prerequisite.
 func (g *Graph) Complete(id string) (ready []string) {
 	n := g.nodes[id]
 	if n == nil {
@@ -168,8 +168,8 @@
 	return ready
 }
 
-// Cancel removes a job that is cancelled, and all that need it, directly or through others:
-// these are returned, in an order in which each comes after one that it needs.
+// Cancel removes a cancelled job and all jobs that depend on it directly or transitively. It returns
+// the dependents, each after one that it depends on.
 func (g *Graph) Cancel(id string) (dependents []string) {
 	root := g.nodes[id]
 	if root == nil {
@@ -193,11 +193,11 @@
 	return dependents
 }
 
-// detach takes a removed job off the prerequisites that stay.
+// detach removes a removed job from the dependents of its remaining prerequisites.
 func (g *Graph) detach(n *Node) {
 	for _, p := range n.prerequisites {
 		if g.nodes[p.job.ID] == nil {
-			continue // it is removed, too
+			continue // also removed
 		}
 		g.visits += len(p.dependents)
 		p.dependents = without(p.dependents, n)
--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -8,10 +8,10 @@
 	"oakpick/internal/protocol"
 )
 
-// submittedMs is when the jobs of these tests were submitted.
+// submittedMs is the submission time of the jobs in these tests.
 const submittedMs = 1000
 
-// graphJob describes a job with a deadline and an expected run in seconds.
+// graphJob returns a job with a deadline and an expected run time in seconds; 0 is no deadline.
 func graphJob(id string, priority protocol.Priority, deadlineS, runS int64) Job {
 	j := Job{ID: id, Priority: priority, DeadlineMs: NoDeadline, ExpectedRunMs: runS * 1000}
 	if deadlineS > 0 {
@@ -20,7 +20,7 @@
 	return j
 }
 
-// add notes that a job needs others.
+// add adds jobs, if they are new, and the edges from one to its prerequisites.
 func (g *Graph) add(job Job, prerequisites []Job, unknown int) (cyclic int) {
 	n := g.findOrInsert(job)
 	nodes := make([]*Node, len(prerequisites))
@@ -37,29 +37,29 @@
 	return g.Insert(job)
 }
 
-// The end of a chain hands its priority and its deadline back: to what it needs
-// directly, to what that needs, and not to anything else.
-func TestPriorityAndDeadlinePassBackwards(t *testing.T) {
+// The priority and deadline of the last job in a chain propagate to its direct and transitive
+// prerequisites, and to no other job.
+func TestPriorityAndDeadlinePropagateToPrerequisites(t *testing.T) {
 	graph := NewGraph()
 	scrub, split := graphJob("scrub", protocol.Low, 0, 15), graphJob("split", protocol.Low, 0, 25)
 	push, other := graphJob("push", protocol.High, 200, 8), graphJob("other", protocol.Normal, 0, 50)
 	graph.add(split, []Job{scrub}, 0)
 	if graph.Node(scrub.ID).Priority() != protocol.Low || graph.Node(scrub.ID).LatestStartMs() != NoDeadline {
-		t.Errorf("before anything urgent: %v, %d", graph.Node(scrub.ID).Priority(), graph.Node(scrub.ID).LatestStartMs())
+		t.Errorf("before an urgent job was added: %v, %d", graph.Node(scrub.ID).Priority(), graph.Node(scrub.ID).LatestStartMs())
 	}
 	graph.add(other, []Job{scrub}, 0)
 	graph.add(push, []Job{split}, 0)
 	if graph.Node(scrub.ID).Priority() != protocol.High || graph.Node(split.ID).Priority() != protocol.High || graph.Node(other.ID).Priority() != protocol.Normal {
 		t.Errorf("got %v, %v, %v", graph.Node(scrub.ID).Priority(), graph.Node(split.ID).Priority(), graph.Node(other.ID).Priority())
 	}
-	// 1 s of submission, 200 s of deadline, less what runs until then.
+	// 1 s of submission time plus 200 s of deadline, minus the run times up to the end.
 	if got, want := graph.Node(split.ID).LatestStartMs(), int64(1000+200_000-8_000-25_000); got != want {
-		t.Errorf("split has to begin by %d, not %d", got, want)
+		t.Errorf("latest start of split is %d, not %d", got, want)
 	}
 	if got, want := graph.Node(scrub.ID).LatestStartMs(), int64(1000+200_000-8_000-25_000-15_000); got != want {
-		t.Errorf("scrub has to begin by %d, not %d", got, want)
+		t.Errorf("latest start of scrub is %d, not %d", got, want)
 	}
-	// The urgent end is cancelled: nothing is left that would hurry the others.
+	// After the urgent job is cancelled, its priority and deadline no longer apply to the others.
 	if with := graph.Cancel("push"); len(with) != 0 {
 		t.Errorf("%v cancelled with the last job", with)
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-// A diamond: the last job waits for both branches, and is cancelled once with either.
+// In a diamond, the last job waits for both branches and is cancelled only once if either is.
 func TestDiamondWaitsForBothAndIsCancelledOnce(t *testing.T) {
 	build := func() (*Graph, []Job) {
 		graph := NewGraph()
@@ -107,8 +107,8 @@
 	}
 }
 
-// A prerequisite that nothing is known of holds its dependent back for good.
-func TestUnknownPrerequisiteHoldsBack(t *testing.T) {
+// A prerequisite without a record blocks its dependent permanently.
+func TestUnknownPrerequisiteBlocks(t *testing.T) {
 	graph := NewGraph()
 	known, j := graphJob("known", protocol.Low, 0, 1), graphJob("job", protocol.Low, 0, 1)
 	graph.add(j, []Job{known}, 1)
@@ -117,22 +117,22 @@
 	}
 }
 
-// Damaged records name jobs in a circle. Every job of it waits for good, and handing a
-// deadline back comes to an end.
-func TestEdgesInACircleHoldBack(t *testing.T) {
+// Damaged records may name jobs in a cycle. Every job of the cycle stays blocked, and the
+// propagation of a deadline terminates.
+func TestCyclicEdgesBlock(t *testing.T) {
 	graph := NewGraph()
 	a, b, c := graphJob("a", protocol.Low, 50, 1), graphJob("b", protocol.High, 0, 1), graphJob("c", protocol.Low, 9, 1)
 	if n := graph.add(a, []Job{a}, 0); n != 1 || !graph.Node(a.ID).Blocked() {
-		t.Errorf("a job that needs itself: %d cyclic edges", n)
+		t.Errorf("a job that depends on itself: %d cyclic edges", n)
 	}
 	graph.add(b, []Job{a}, 0)
 	graph.add(c, []Job{b}, 0)
 	if n := graph.add(a, []Job{c, c}, 0); n != 2 {
-		t.Errorf("a circle of three: %d cyclic edges", n)
+		t.Errorf("a cycle of three: %d cyclic edges", n)
 	}
 	for _, j := range []Job{a, b, c} {
 		if !graph.Node(j.ID).Blocked() {
-			t.Errorf("%s does not wait", j.ID)
+			t.Errorf("%s is not blocked", j.ID)
 		}
 	}
 	if with := graph.Cancel("a"); !slices.Equal(with, []string{"b", "c"}) {
@@ -140,9 +140,9 @@
 	}
 }
 
-// Thousands of jobs, as a chain, a fan and a ladder: adding, finishing and cancelling
-// cost what they touch, without recursion over what users name.
-func TestGraphOfThousandsCostsWhatItTouches(t *testing.T) {
+// In chains and fans of thousands of jobs, the cost of adding, completing and cancelling jobs is
+// proportional to the nodes affected, and no recursion depth depends on user input.
+func TestLargeGraphVisitsOnlyAffectedNodes(t *testing.T) {
 	const n = 20_000
 	graph := NewGraph()
 	chain := []Job{graphJob("chain-0", protocol.Low, 0, 1)}
@@ -152,7 +152,7 @@
 		chain = append(chain, j)
 	}
 	last := graphJob("chain-last", protocol.High, 1e6, 1)
-	graph.add(last, chain[n-1:], 0) // touches the whole chain, once
+	graph.add(last, chain[n-1:], 0) // visits the whole chain, once
 	if graph.Node(chain[0].ID).Priority() != protocol.High {
 		t.Error("the priority did not reach the beginning of the chain")
 	}
@@ -172,6 +172,6 @@
 		t.Errorf("%d of %d were cancelled with the middle of the chain", len(with), n/2)
 	}
 	if graph.visits > 8*2*n {
-		t.Errorf("%d jobs were looked at for %d", graph.visits, 2*n)
+		t.Errorf("%d nodes were examined for %d jobs", graph.visits, 2*n)
 	}
 }
--- a/internal/dependency/validate.go
+++ b/internal/dependency/validate.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// Needs reports whether a job is a prerequisite of this one that isn't over. A nil node needs
-// none.
+// Needs reports whether a job is a prerequisite of this one and has not ended. A nil node has no
+// prerequisites.
 func (n *Node) Needs(id string) bool {
 	return n != nil && slices.ContainsFunc(n.prerequisites, func(p *Node) bool { return p.job.ID == id })
 }
 
-// Validate checks what the graph promises, for tests: every node is the one that its job refers
+// Validate checks the invariants of the graph, for tests: every node is the one that its job refers
 // to, edges agree in both directions and end at nodes of the graph, and priorities and deadlines
-// follow from the jobs that are in it. nodeOf returns the node of a job that isn't over; nil: the
-// job is over, or unknown.
+// follow from the jobs in it. nodeOf returns the node of a job that has not ended, or nil if the
+// job has ended or is unknown.
 func (g *Graph) Validate(nodeOf func(id string) *Node) error {
 	for id, n := range g.nodes {
 		if n.job.ID != id || nodeOf(id) != n {
@@ -23,7 +23,7 @@
 		if err := g.validateEdges(n); err != nil {
 			return err
 		}
-		if err := n.validateFigures(); err != nil {
+		if err := n.validatePropagation(); err != nil {
 			return err
 		}
 	}
@@ -33,25 +33,25 @@
 func (g *Graph) validateEdges(n *Node) error {
 	for _, p := range n.prerequisites {
 		if g.nodes[p.job.ID] != p || !slices.Contains(p.dependents, n) {
-			return fmt.Errorf("%s needs %s, which is not in the graph or doesn't know it", n.job.ID, p.job.ID)
+			return fmt.Errorf("%s depends on %s, which is not in the graph or does not list it as a dependent", n.job.ID, p.job.ID)
 		}
 	}
 	for _, dependent := range n.dependents {
 		if g.nodes[dependent.job.ID] != dependent || !slices.Contains(dependent.prerequisites, n) {
-			return fmt.Errorf("%s is needed by %s, which is not in the graph or doesn't know it", n.job.ID, dependent.job.ID)
+			return fmt.Errorf("%s has the dependent %s, which is not in the graph or does not list it as a prerequisite", n.job.ID, dependent.job.ID)
 		}
 	}
 	return nil
 }
 
-func (n *Node) validateFigures() error {
+func (n *Node) validatePropagation() error {
 	priority, latest := n.job.Priority, n.job.DeadlineMs
 	for _, dependent := range n.dependents {
 		priority = max(priority, dependent.priority)
 		latest = min(latest, dependent.LatestStartMs())
 	}
 	if n.priority != priority || n.latestFinishMs != latest {
-		return fmt.Errorf("%s has priority %v and latest finish %d, not %v and %d as its dependents say",
+		return fmt.Errorf("%s has priority %v and latest finish %d, not %v and %d as computed from its dependents",
 			n.job.ID, n.priority, n.latestFinishMs, priority, latest)
 	}
 	return nil
