--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -11,26 +11,26 @@
 	"oakpick/internal/rpc"
 )
 
-// commandsInResponse are the commands that go out with the answer to a heartbeat. Stops go
-// out with every answer until the task is gone: an answer that renews the lease then always
-// carries them. Starts only go direct, so that their outcome is known.
+// commandsInResponse returns the commands sent with the response to a heartbeat. Every response
+// repeats the stop commands until the task is gone, so that no response renews the lease without
+// them. Starts are sent only in direct calls, so that their outcome is known.
 func (m *Manager) commandsInResponse(machine *cluster.Machine) []protocol.Command {
-	commands := stopUnknownTasks(machine)
+	commands := stopCommandsForUnknown(machine)
 	for _, t := range machine.Tasks {
-		if isStoppedIn(t, machine) {
+		if needsStop(t, machine) {
 			commands = append(commands, stopCommand(t))
 		}
 	}
 	return append(commands, m.forgetCommands(machine)...)
 }
 
-// directCommands are the commands that are sent to a machine at once, but for starts. A stop
-// isn't repeated within half a heartbeat interval.
+// directCommands returns the commands to send in a direct call, except for starts. A stop is not
+// repeated within half a heartbeat interval.
 func (m *Manager) directCommands(machine *cluster.Machine) []protocol.Command {
 	now := m.context.Monotonic()
-	commands := stopUnknownTasks(machine)
+	commands := stopCommandsForUnknown(machine)
 	for _, t := range machine.Tasks {
-		if isStoppedIn(t, machine) && (t.StopSentAt == 0 || now-t.StopSentAt > m.timing.HeartbeatInterval/2) {
+		if needsStop(t, machine) && (t.StopSentAt == 0 || now-t.StopSentAt > m.timing.HeartbeatInterval/2) {
 			commands = append(commands, stopCommand(t))
 			t.StopSentAt = now
 		}
@@ -38,8 +38,8 @@
 	return append(commands, m.forgetCommands(machine)...)
 }
 
-// isStoppedIn reports whether a task of a worker's present incarnation is told to stop.
-func isStoppedIn(t *cluster.Task, machine *cluster.Machine) bool {
+// needsStop reports whether a task has been told to stop and belongs to the worker's current incarnation.
+func needsStop(t *cluster.Task, machine *cluster.Machine) bool {
 	return t.Stopping && t.Incarnation == machine.Worker.Incarnation
 }
 
@@ -47,7 +47,7 @@
 	return protocol.Command{Verb: protocol.Stop, Attempt: t.AttemptID(), GracePeriodS: t.GracePeriodS}
 }
 
-func stopUnknownTasks(machine *cluster.Machine) []protocol.Command {
+func stopCommandsForUnknown(machine *cluster.Machine) []protocol.Command {
 	var commands []protocol.Command
 	for _, status := range machine.Worker.UnknownTasks {
 		if status.State != protocol.Exited {
@@ -57,8 +57,8 @@
 	return commands
 }
 
-// forgetCommands has a worker forget ended attempts: not while starts are on their way, which
-// it might execute again afterwards.
+// forgetCommands returns the commands to forget ended attempts. It returns none while starts are in
+// flight, since the worker could execute a start again after forgetting the attempt.
 func (m *Manager) forgetCommands(machine *cluster.Machine) []protocol.Command {
 	if len(machine.Commands.Starting) > 0 {
 		return nil
@@ -81,12 +81,12 @@
 	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task), cmp.Compare(a.Number, b.Number))
 }
 
-// SendCommands sends what machines are to be told at once. Those that can't be told now stay
+// SendCommands sends the pending commands to the machines. Machines that cannot be called now stay
 // queued.
 func (m *Manager) SendCommands() { m.state.FlushPendingCommands(m.sendPending) }
 
-// sendPending sends a machine its commands, and reports whether it stays queued.
-func (m *Manager) sendPending(machine *cluster.Machine) (again bool) {
+// sendPending sends a machine its pending commands and reports whether the machine stays queued.
+func (m *Manager) sendPending(machine *cluster.Machine) (keepQueued bool) {
 	m.context.Stats.MachinesExamined++
 	pending, worker := &machine.Commands, &machine.Worker
 	if !pending.Pending {
@@ -98,16 +98,16 @@
 	pending.Pending = false
 	starting := tasksToStart(machine)
 	if len(starting) > 0 && !m.leadership.HoldsLease() {
-		// The answer to the write came while the lease may have expired. What it lets start
-		// must not be lost for that: it is sent once the lease is held again.
+		// The leader's lease may have expired before the write of these starts was confirmed.
+		// The starts are not dropped: they are sent once the lease is held again.
 		starting = nil
-		pending.Pending, again = true, true
+		pending.Pending, keepQueued = true, true
 	}
 	m.sendCall(machine, m.directCommands(machine), starting)
-	return again
+	return keepQueued
 }
 
-// tasksToStart are the tasks of a machine whose start is durable and not confirmed.
+// tasksToStart returns the tasks of a machine whose start is durable and not yet confirmed.
 func tasksToStart(machine *cluster.Machine) []*cluster.Task {
 	var starting []*cluster.Task
 	for _, t := range machine.Tasks {
@@ -118,7 +118,7 @@
 	return starting
 }
 
-// sendCall sends commands and starts, if there are any, straight to a machine.
+// sendCall sends commands and starts in a direct call to a machine, if there are any.
 func (m *Manager) sendCall(machine *cluster.Machine, commands []protocol.Command, starting []*cluster.Task) {
 	token := m.leadership.Token()
 	for _, t := range starting {
@@ -138,12 +138,12 @@
 		FencingToken: token, Incarnation: machine.Worker.Incarnation, Commands: commands,
 	}
 	if len(starting) > 0 {
-		call.NotAfter = m.leadership.LeaseUntil() // nothing starts once another may lead
+		call.NotAfter = m.leadership.LeaseUntil() // no task may start once another node can lead
 	}
 	m.context.Emit(call)
 }
 
-// HandleCommandsResult takes in how a call with commands ended, and what the worker said.
+// HandleCommandsResult handles the outcome of a command call and the worker's answer, if any.
 func (m *Manager) HandleCommandsResult(result message.CommandsResult) {
 	machine := m.state.Machines[result.Machine]
 	if machine == nil || machine.Commands.CallID != result.ID {
@@ -159,22 +159,22 @@
 		}
 	case rpc.Conflict, rpc.NotSent:
 		machine.Commands.Failures++
-		m.startsNotExecuted(starting)
+		m.revertStarts(starting)
 	default:
 		machine.Commands.Failures++
 		if len(starting) > 0 {
-			m.startsUnconfirmed(machine, sentAt)
+			m.markStartsUnconfirmed(machine, sentAt)
 		}
 	}
 	if machine.Commands.Failures > 0 {
 		m.backOff(machine)
 	}
-	m.handleAnswer(machine, result, starting)
+	m.handleCommandAnswer(machine, result, starting)
 }
 
-// startsNotExecuted undoes the sending of starts: nothing of the call was executed. Starts of
-// earlier calls may still arrive.
-func (m *Manager) startsNotExecuted(starting []*cluster.Task) {
+// revertStarts undoes the bookkeeping of starts whose call was not executed. Starts of earlier calls
+// may still arrive.
+func (m *Manager) revertStarts(starting []*cluster.Task) {
 	for _, t := range starting {
 		t.SentToken = t.PreviousToken
 		if t.Stopping && t.SentToken == 0 && t.Active() {
@@ -184,8 +184,8 @@
 	}
 }
 
-// startsUnconfirmed notes that starts with the present token may still arrive at a machine.
-func (m *Manager) startsUnconfirmed(machine *cluster.Machine, sentAt time.Duration) {
+// markStartsUnconfirmed records that starts with the current token may still arrive at a machine.
+func (m *Manager) markStartsUnconfirmed(machine *cluster.Machine, sentAt time.Duration) {
 	pending, token := &machine.Commands, m.leadership.Token()
 	if pending.UnconfirmedToken < token {
 		pending.UnconfirmedAt = sentAt
@@ -194,29 +194,29 @@
 }
 
 const (
-	// commandBackoffShare is the part of a heartbeat interval after which commands that failed
-	// once are sent again; it doubles with every failure.
-	commandBackoffShare = 6
-	// maxBackoffDoublings bounds that.
+	// commandBackoffDivisor is the divisor of the heartbeat interval that gives the base of the retry
+	// delay. The delay doubles with every failure.
+	commandBackoffDivisor = 6
+	// maxBackoffDoublings caps the doublings of the retry delay.
 	maxBackoffDoublings = 5
 )
 
-// backOff plans the next commands for a machine to which the last ones did not get through.
+// backOff schedules the next command call to a machine after a failed one.
 func (m *Manager) backOff(machine *cluster.Machine) {
 	now, pending := m.context.Monotonic(), &machine.Commands
 	m.state.QueueCommands(machine)
-	wait := m.timing.HeartbeatInterval / commandBackoffShare << min(pending.Failures, maxBackoffDoublings)
+	wait := m.timing.HeartbeatInterval / commandBackoffDivisor << min(pending.Failures, maxBackoffDoublings)
 	pending.RetryAt = now + min(wait, m.timing.Lease/2)
 	if m.context.SilentFor(machine.Worker.LastSeenAt) > m.timing.SilentAfter {
-		// It is silent itself. Hundreds may be, and each call takes a connection for a while:
-		// they are left alone until they are heard.
+		// The worker is not sending heartbeats either. Hundreds of workers may be silent at once, and
+		// each call holds a connection for a while, so they are not called until they report again.
 		pending.RetryAt = now + m.timing.Lease/2
 	}
 	machine.Health.AvoidUntil = max(machine.Health.AvoidUntil, now+m.timing.HeartbeatInterval/2)
 }
 
-// handleAnswer takes in what a worker said in its answer to commands.
-func (m *Manager) handleAnswer(machine *cluster.Machine, result message.CommandsResult, starting []*cluster.Task) {
+// handleCommandAnswer handles the state that a worker reports in its answer to commands.
+func (m *Manager) handleCommandAnswer(machine *cluster.Machine, result message.CommandsResult, starting []*cluster.Task) {
 	heartbeat := result.Heartbeat
 	if heartbeat == nil || heartbeat.Machine != machine.Name {
 		return
@@ -231,7 +231,7 @@
 	}
 	for _, t := range starting {
 		if t.Active() && !t.Reported && heartbeat.Incarnation == t.Incarnation && heartbeat.Sequence >= machine.Worker.Sequence {
-			m.jobs.MarkLost(t, "executed, and yet not on the machine")
+			m.jobs.MarkLost(t, "start executed, but the worker does not report the task")
 		}
 	}
 }
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -11,8 +11,8 @@
 
 const statusOK = 200
 
-// HandleHeartbeat answers a worker. The node leads, or may still answer within its grace
-// period.
+// HandleHeartbeat answers a worker's heartbeat. The node leads, or has stopped leading but may still
+// answer within its grace period.
 func (m *Manager) HandleHeartbeat(request message.HeartbeatRequest) {
 	heartbeat := request.Heartbeat
 	m.context.Stats.Heartbeats++
@@ -39,9 +39,9 @@
 	m.context.Emit(message.Reply{ID: request.ID, Status: statusOK, Body: body})
 }
 
-// isStale reports whether a heartbeat is of a released machine, of an incarnation that is
-// over, or a copy of an older one: no worker waits for its answer, and to count it as an
-// answer would only put off the proof that the lease has expired.
+// isStale reports whether a heartbeat comes from a released machine or an ended incarnation, or is
+// a copy of an older one. No worker waits for its answer, and recording the answer would only delay
+// the proof that the worker's lease has expired.
 func (m *Manager) isStale(heartbeat *protocol.Heartbeat) bool {
 	if m.state.ReleasedMachines[heartbeat.Machine] {
 		return true
@@ -55,9 +55,9 @@
 		!heartbeat.Newer(worker.HeartbeatIncarnation, worker.HeartbeatSequence)
 }
 
-// mustNotRenewLease reports whether a machine may hold a task of a cancelled job that
-// answering cannot end: one whose start may yet arrive with the present token. Its worker's
-// lease then has to expire in time.
+// mustNotRenewLease reports whether a machine may hold a task of a cancelled job that a response
+// cannot stop, because its start may still arrive with the current token. The worker's lease must
+// then be allowed to expire in time.
 func (m *Manager) mustNotRenewLease(machine *cluster.Machine) bool {
 	if machine.Commands.UnconfirmedToken < m.leadership.Token() {
 		return false
@@ -71,7 +71,7 @@
 	return false
 }
 
-// handleMessage takes in what a worker says in a heartbeat or in its answer to commands.
+// handleMessage handles the state that a worker reports in a heartbeat or in its answer to commands.
 func (m *Manager) handleMessage(machine *cluster.Machine, heartbeat *protocol.Heartbeat) {
 	worker := &machine.Worker
 	isNewer := heartbeat.Newer(worker.Incarnation, worker.Sequence)
@@ -80,9 +80,9 @@
 	}
 	now := m.context.Monotonic()
 	if machine.Commands.Failures > 0 && now-worker.LastSeenAt > m.timing.SilentAfter {
-		machine.Commands.RetryAt = now // it is back
+		machine.Commands.RetryAt = now // the worker is reachable again
 	}
-	m.noteIncarnation(machine, heartbeat.Incarnation)
+	m.updateIncarnation(machine, heartbeat.Incarnation)
 	machine.Address = heartbeat.Addr
 	machine.SetOffering(heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
 	if !worker.Registered {
@@ -92,14 +92,14 @@
 	worker.Registered, worker.LastSeenAt = true, now
 	worker.Incarnation, worker.Sequence = heartbeat.Incarnation, heartbeat.Sequence
 	worker.FencingToken = max(worker.FencingToken, heartbeat.FencingToken)
-	m.noteInterruption(machine, heartbeat.InterruptionInS)
+	m.updateInterruption(machine, heartbeat.InterruptionInS)
 	m.reconcileTasks(machine, heartbeat)
 }
 
-// noteIncarnation notes that a machine's worker has been heard, maybe in a new incarnation.
-// Earlier ones are over, and everything of them is gone. The records may hold starts of
-// several: a leader that ended had recorded only some of them anew.
-func (m *Manager) noteIncarnation(machine *cluster.Machine, incarnation int64) {
+// updateIncarnation handles the incarnation in a worker's message. Earlier incarnations have ended,
+// and their tasks are gone. The records may hold starts from several incarnations, because an
+// earlier leader may have rewritten only some of them before its term ended.
+func (m *Manager) updateIncarnation(machine *cluster.Machine, incarnation int64) {
 	isNew := incarnation > machine.Worker.Incarnation
 	if !isNew && machine.Worker.Registered {
 		return
@@ -113,53 +113,53 @@
 	}
 	for _, t := range slices.Clone(machine.Tasks) {
 		if t.Incarnation < incarnation {
-			m.jobs.MarkLost(t, "newer incarnation")
+			m.jobs.MarkLost(t, "worker has a newer incarnation")
 		}
 	}
 }
 
-// noteInterruption takes in the cloud's notice that it takes a machine in some seconds;
-// negative: there is none.
-func (m *Manager) noteInterruption(machine *cluster.Machine, inS float64) {
+// updateInterruption handles the cloud's notice that it will interrupt a machine in remainingS
+// seconds. A negative value means that there is no notice.
+func (m *Manager) updateInterruption(machine *cluster.Machine, remainingS float64) {
 	switch {
-	case inS < 0:
+	case remainingS < 0:
 		machine.Worker.InterruptionAt = 0
 	case machine.Worker.InterruptionAt == 0:
-		machine.Worker.InterruptionAt = m.context.Monotonic() + time.Duration(inS*float64(time.Second))
+		machine.Worker.InterruptionAt = m.context.Monotonic() + time.Duration(remainingS*float64(time.Second))
 		m.prepareForInterruption(machine)
 	}
 }
 
 const (
-	// interruptionMarginS is how many seconds before the interruption a checkpoint has to be
-	// written.
+	// interruptionMarginS is how many seconds before the interruption a checkpoint must be
+	// complete.
 	interruptionMarginS = 1
-	// finishMarginS is how many seconds before the interruption a task has to end that is
-	// left to run.
+	// finishMarginS is how many seconds before the interruption a task must be expected to end
+	// if it is left running.
 	finishMarginS = 2
 )
 
-// prepareForInterruption stops the tasks that win by that: those that checkpoint in time, and
-// those that haven't begun to run.
+// prepareForInterruption stops the tasks that benefit from it: those that can write a checkpoint in
+// time and are not expected to end first, and those that have not begun to run.
 func (m *Manager) prepareForInterruption(machine *cluster.Machine) {
-	left := machine.Worker.InterruptionAt - m.context.Monotonic()
-	m.context.Log(message.Info, "machine is to be interrupted", "machine", machine.Name, "in", left.String())
+	remaining := machine.Worker.InterruptionAt - m.context.Monotonic()
+	m.context.Log(message.Info, "interruption notice for machine", "machine", machine.Name, "in", remaining.String())
 	for _, t := range slices.Clone(machine.Tasks) {
 		j := t.Job
-		checkpointsInTime := j.Checkpoints() && j.CheckpointDurationS+interruptionMarginS < left.Seconds() && t.SeenRunning()
+		checkpointsInTime := j.Checkpoints() && j.CheckpointDurationS+interruptionMarginS < remaining.Seconds() && t.SeenRunning()
 		notRunning := !t.Reported || t.State == protocol.Fetching || t.State == protocol.Waiting
-		if checkpointsInTime && !m.endsWithin(t, left.Seconds()-finishMarginS) || notRunning {
-			m.jobs.Preempt(t, "the machine is to be interrupted")
+		if checkpointsInTime && !m.expectedToEndWithin(t, remaining.Seconds()-finishMarginS) || notRunning {
+			m.jobs.Preempt(t, "interruption notice for the machine")
 		}
 	}
 	m.state.NeedsScheduling = true
 }
 
-// estimateTolerance is by how much a task may take longer than its owner's estimate.
+// estimateTolerance is the factor by which a task may exceed its owner's estimate of the run time.
 const estimateTolerance = 1.2
 
-// endsWithin guesses whether a task is over within so many seconds.
-func (m *Manager) endsWithin(t *cluster.Task, seconds float64) bool {
+// expectedToEndWithin estimates whether a task will end within the given number of seconds.
+func (m *Manager) expectedToEndWithin(t *cluster.Task, seconds float64) bool {
 	if t.Job.Kind == protocol.Service || !t.SeenRunning() {
 		return false
 	}
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// minSilentMachines is how many machines have to be silent at once before the leader
-	// blames itself.
+	// minSilentMachines is the smallest number of silent machines for which the leader assumes
+	// that its own connection has failed.
 	minSilentMachines = 3
-	// Of so many live machines so many have to be silent for that.
-	silentOf, silentShare = 8, 7
-	// graceHeartbeats is for how many heartbeat intervals beyond its grace period a task may
-	// take to stop.
-	graceHeartbeats = 2
-	// graceCheckpoints is for how many times the duration of a checkpoint it may.
-	graceCheckpoints = 2
+	// More than this share of the live machines must be silent, too.
+	silentShareDenominator, silentShareNumerator = 8, 7
+	// stopGraceHeartbeats is the number of heartbeat intervals that a task may take to stop in
+	// addition to its grace period.
+	stopGraceHeartbeats = 2
+	// stopGraceCheckpoints is the number of checkpoint durations that a task may take in addition.
+	stopGraceCheckpoints = 2
 )
 
-// CheckMachines looks for leases that have expired, and for starts that may still arrive and
-// are to be voided.
+// CheckMachines looks for expired worker leases and overdue stops, and advances the fencing token
+// if starts that may still arrive have to be voided.
 func (m *Manager) CheckMachines() {
 	now := m.context.Monotonic()
 	if now < m.checkAt {
@@ -41,13 +41,14 @@
 			}
 		}
 		m.expireLease(machine, earlierSilentAt)
-		m.repeatStops(machine)
+		m.resendOverdueStops(machine)
 		needsAdvance = needsAdvance || m.needsTokenAdvance(machine)
 	}
 	m.leadership.AdvanceToken(needsAdvance, m.writesInFlight)
-	// All of them at once: it is this node that the workers can't reach, and they know no
-	// other that would answer them. Another has to lead before their leases expire.
-	if live >= minSilentMachines && silent*silentOf > live*silentShare {
+	// If nearly all workers are silent, this node is most likely the one that is cut off, and the
+	// workers know no other node that would answer them. Another node must lead before their
+	// leases expire.
+	if live >= minSilentMachines && silent*silentShareDenominator > live*silentShareNumerator {
 		m.leadership.Resign("no worker is heard any more")
 	}
 }
@@ -62,7 +63,7 @@
 	return m.context.SilentFor(machine.Worker.LastSeenAt) > m.timing.SilentAfter
 }
 
-// expireLease takes everything off a machine whose worker's lease has certainly expired.
+// expireLease removes all tasks from a machine whose worker's lease has certainly expired.
 func (m *Manager) expireLease(machine *cluster.Machine, earlierSilentAt time.Duration) {
 	worker := &machine.Worker
 	if len(machine.Tasks) == 0 && !worker.Registered {
@@ -84,36 +85,36 @@
 	m.state.NeedsScheduling = true
 }
 
-// leaseExpiresBy is when the lease of a machine's worker has certainly expired if nothing
-// more is heard. A lease runs at least from the beginning of its incarnation, which was no
-// later than when it was first heard of.
+// leaseExpiresBy returns when the lease of a machine's worker has certainly expired if the worker
+// gets no further answer. A lease lasts at least from the beginning of the worker's incarnation,
+// which is no later than when the leader first saw that incarnation.
 func (m *Manager) leaseExpiresBy(machine *cluster.Machine, earlierSilentAt time.Duration) time.Duration {
 	worker := &machine.Worker
-	from := earlierSilentAt
+	renewedBy := earlierSilentAt
 	if worker.Answered {
-		from = max(from, worker.AnsweredAt)
+		renewedBy = max(renewedBy, worker.AnsweredAt)
 	}
-	return max(from, worker.IncarnationSeenAt) + m.timing.Lease
+	return max(renewedBy, worker.IncarnationSeenAt) + m.timing.Lease
 }
 
-// repeatStops has stops sent again whose tasks are still there, without a grace period once
-// that is over.
-func (m *Manager) repeatStops(machine *cluster.Machine) {
+// resendOverdueStops queues stop commands again for tasks that have not stopped, and drops their
+// grace period once it has passed.
+func (m *Manager) resendOverdueStops(machine *cluster.Machine) {
 	now := m.context.Monotonic()
 	for _, t := range machine.Tasks {
 		if !t.Stopping || t.StopSentAt == 0 || now-t.StopSentAt <= m.timing.HeartbeatInterval {
 			continue
 		}
 		m.state.QueueCommands(machine)
-		grace := time.Duration((t.GracePeriodS+graceCheckpoints*t.Job.CheckpointDurationS)*float64(time.Second)) + graceHeartbeats*m.timing.HeartbeatInterval
+		grace := time.Duration((t.GracePeriodS+stopGraceCheckpoints*t.Job.CheckpointDurationS)*float64(time.Second)) + stopGraceHeartbeats*m.timing.HeartbeatInterval
 		if t.GracePeriodS > 0 && now-t.StopRequestedAt > grace {
 			t.GracePeriodS = 0
 		}
 	}
 }
 
-// needsTokenAdvance reports whether a higher fencing token is needed to void starts that may
-// still arrive at a machine, or to have its worker forget ended attempts.
+// needsTokenAdvance reports whether the fencing token has to be advanced: to void starts that may
+// still arrive at a machine, or so that its worker can be told to forget ended attempts.
 func (m *Manager) needsTokenAdvance(machine *cluster.Machine) bool {
 	now, token := m.context.Monotonic(), m.leadership.Token()
 	if machine.Commands.UnconfirmedToken == token && now-machine.Commands.UnconfirmedAt > m.timing.HeartbeatInterval {
@@ -127,16 +128,16 @@
 	return false
 }
 
-// CanConfirmCancellation reports whether the user of a cancelled job may hear that it is. Its
-// tasks have to be gone in time, also on a machine that only a predecessor reaches, which
-// knows nothing of it and may answer within its grace period: until a worker has seen this
-// term's token, or its lease will expire in time, the user is to come back.
+// CanConfirmCancellation reports whether the user of a cancelled job may be told that it is
+// cancelled. Its tasks must be gone in time, even on a machine that can reach only the previous
+// leader, which does not know of the cancellation and may answer within its grace period. Until
+// each worker has seen this term's token, or its lease is certain to expire in time, the user has to retry.
 func (m *Manager) CanConfirmCancellation(j *cluster.Job) bool {
 	earlierSilentAt := m.leadership.EarlierLeadersSilentAt()
-	by := m.context.Monotonic() + m.timing.ConfirmCancellationWithin
+	deadline := m.context.Monotonic() + m.timing.ConfirmCancellationWithin
 	for _, t := range j.ActiveTasks {
 		knowsTerm := t.Machine.Worker.FencingToken >= m.leadership.FirstToken()
-		if !knowsTerm && m.leaseExpiresBy(t.Machine, earlierSilentAt) > by {
+		if !knowsTerm && m.leaseExpiresBy(t.Machine, earlierSilentAt) > deadline {
 			return false
 		}
 	}
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -7,7 +7,7 @@
 	"oakpick/internal/protocol"
 )
 
-// reconcileTasks squares the tasks that a worker reports with the records.
+// reconcileTasks compares the tasks that a worker reports with the records and resolves differences.
 func (m *Manager) reconcileTasks(machine *cluster.Machine, heartbeat *protocol.Heartbeat) {
 	worker := &machine.Worker
 	worker.UnknownTasks = worker.UnknownTasks[:0]
@@ -32,7 +32,7 @@
 	}
 }
 
-// findTask finds a reported task among the records.
+// findTask returns the recorded task of a reported attempt, or nil if there is none.
 func (m *Manager) findTask(machine *cluster.Machine, attempt protocol.Attempt) *cluster.Task {
 	j := m.state.Jobs[attempt.Job]
 	if j == nil || j.Lifecycle.Ended {
@@ -45,8 +45,8 @@
 	return t
 }
 
-// reconcileUnknown handles a task that is on a machine, but not in the records: it is stopped
-// or, if it has ended, forgotten.
+// reconcileUnknown handles a task that is on a machine but not in the records: a running task is
+// stopped, an ended one forgotten.
 func (m *Manager) reconcileUnknown(machine *cluster.Machine, status protocol.TaskStatus) {
 	worker := &machine.Worker
 	worker.UnknownTasks = append(worker.UnknownTasks, status)
@@ -55,17 +55,17 @@
 		return
 	}
 	if _, ok := worker.FinishedAttempts[status.Attempt]; !ok {
-		// An earlier leader's, or its end was recorded long ago.
+		// The attempt was started by an earlier leader, or its end was recorded long ago.
 		worker.FinishedAttempts[status.Attempt] = cluster.FinishedAttempt{
 			Committed: true, FencingToken: m.leadership.Token(), EndedAt: m.context.Monotonic(),
 		}
 	}
 }
 
-// reconcileKnown takes in the state of a task that is in the records.
+// reconcileKnown updates a recorded task from its reported state.
 func (m *Manager) reconcileKnown(t *cluster.Task, status protocol.TaskStatus) {
 	if t.SentToken == 0 && !t.Inherited {
-		return // reported under a number that is only now being given out: impossible, and harmless
+		return // the worker cannot know an attempt whose start was not sent; ignoring it is harmless
 	}
 	if !t.Reported {
 		t.Reported, t.Confirmed = true, true
@@ -75,14 +75,14 @@
 		return
 	}
 	if status.State == protocol.Running && !t.SeenRunning() {
-		m.noteStarted(t)
+		m.markRunning(t)
 	}
 	t.State = status.State
 	m.jobs.ClearFailuresIfHealthy(t)
 }
 
-// noteStarted notes that a task was seen running for the first time.
-func (m *Manager) noteStarted(t *cluster.Task) {
+// markRunning records that a task was seen running for the first time.
+func (m *Manager) markRunning(t *cluster.Task) {
 	now, j := m.context.Monotonic(), t.Job
 	t.RunningSince = now
 	j.HasRun = true
@@ -92,9 +92,9 @@
 	}
 }
 
-// reconcileUnreported decides whether a heartbeat that doesn't name a task proves that it is
-// not there and never will be. It does only if the worker had seen a token that voids every
-// start that may still be on its way.
+// reconcileUnreported decides whether a heartbeat without a task proves that the task is not on the
+// machine and never will be. It is proof only if the worker had seen a token that voids every start
+// that may still arrive, or once a confirmed and reported task is missing with no call in flight.
 func (m *Manager) reconcileUnreported(t *cluster.Task, heartbeat *protocol.Heartbeat) {
 	callInFlight := t.Machine.Commands.CallID != 0
 	switch {
@@ -102,8 +102,8 @@
 		m.jobs.MarkLost(t, "heartbeat with this term's token")
 	case t.Inherited || t.SentToken == 0:
 	case heartbeat.FencingToken > t.SentToken && !callInFlight:
-		m.jobs.MarkLost(t, "heartbeat with a token advanced since")
+		m.jobs.MarkLost(t, "heartbeat with a token advanced after the start was sent")
 	case t.Confirmed && !callInFlight && t.Reported:
-		m.jobs.MarkLost(t, "the worker no longer names it")
+		m.jobs.MarkLost(t, "worker no longer reports the task")
 	}
 }
