--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -121,8 +121,8 @@
 }
 
 // FlushPendingCommands calls send for each machine that has commands to be sent. The machines for
-// which send returns true stay queued.
-func (s *State) FlushPendingCommands(send func(*Machine) (again bool)) {
+// which it returns true stay queued.
+func (s *State) FlushPendingCommands(send func(*Machine) (keepQueued bool)) {
 	pending := s.pendingCommands
 	s.pendingCommands = s.pendingCommands[:0]
 	for _, m := range pending {
--- a/internal/cluster/task.go
+++ b/internal/cluster/task.go
@@ -109,8 +109,8 @@
 }
 
 // countGuaranteed adjusts a machine's number of tasks of teams that are not best effort.
-func (m *Machine) countGuaranteed(j *Job, by int) {
+func (m *Machine) countGuaranteed(j *Job, delta int) {
 	if !j.BestEffort() {
-		m.GuaranteedTasks += by
+		m.GuaranteedTasks += delta
 	}
 }
--- a/internal/jobs/completion.go
+++ b/internal/jobs/completion.go
@@ -5,8 +5,8 @@
 	"oakpick/internal/storage"
 )
 
-// EndIfFinished closes a job that is over and has nothing on machines any more. The waiter, if
-// any, is run once its end is durable.
+// EndIfFinished ends a job that is complete or cancelled and has no tasks on machines any more. The
+// waiter, if not nil, runs once the job's end is durable.
 func (m *Manager) EndIfFinished(j *cluster.Job, waiter *storage.CommitWaiter) {
 	if j.Lifecycle.Ended || j.Prerequisites.PartsPending || len(j.ActiveTasks) > 0 {
 		return
@@ -24,8 +24,8 @@
 	m.state.NeedsScheduling = true
 }
 
-// recordEnd puts a job's end in the place of its record. The end of a cancelled job can wait:
-// its users hear the same before it is durable, also from a successor.
+// recordEnd replaces a job's record by its terminal record. The end of a cancelled job may be
+// written later: users get the same answer before it is durable, even from a successor.
 func (m *Manager) recordEnd(j *cluster.Job, waiter *storage.CommitWaiter) {
 	end := &cluster.EndedJob{TerminalRecord: storage.TerminalRecord{ID: j.ID, Cancelled: j.Cancelled, Tasks: j.Tasks}}
 	newWaiter := storage.OnCommit
@@ -51,9 +51,9 @@
 	}
 }
 
-// removeOtherRecords removes what is recorded of a job beside its end. It may go only once
-// that is durable: a successor that found the job without its blocks would start their tasks
-// again.
+// removeOtherRecords removes a job's records other than its terminal record. They may be removed
+// only once that is durable: a successor that found the job without its blocks would start their
+// tasks again.
 func (m *Manager) removeOtherRecords(j *cluster.Job, end *cluster.EndedJob) {
 	var items []storage.Item
 	for number := 1; number < j.BlockCount(); number++ {
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -8,28 +8,28 @@
 	"oakpick/internal/protocol"
 )
 
-// A task that fails speaks against its machine or against its job; which of them shows when
-// the job is tried elsewhere. A machine where several jobs failed that run well on others is
-// cordoned. A job that fails on several machines was most likely submitted with a mistake: it
-// is still tried, since that isn't certain, but one task (or one gang) at a time and with
-// growing backoff. Nothing is provisioned, preempted or cordoned for it.
+// A failed task may be the fault of its machine or of its job; attempts on other machines show
+// which. A machine is cordoned if several jobs failed on it that run well on others. A job that
+// fails on several machines was most likely submitted with a mistake. Since that is not certain, it
+// is still attempted, but one task (or one gang) at a time and with growing backoff. No machine is
+// provisioned or cordoned and no task preempted for such a job.
 
-// MinFailedMachinesForJobFault is on how many machines a job has to fail for it to be the job's fault.
+// MinFailedMachinesForJobFault is the number of machines on which a job must fail to be at fault itself.
 const MinFailedMachinesForJobFault = 3
 
-// jobsAgainstMachine is how many jobs have to fail on a machine, and run well elsewhere, for
-// it to be cordoned.
-const jobsAgainstMachine = 2
+// minFailedJobsToCordon is the number of jobs that must fail on a machine, and run well elsewhere,
+// for the machine to be cordoned.
+const minFailedJobsToCordon = 2
 
-// suspectLeases is for how many worker leases a machine is avoided on which several jobs have
-// failed.
-const suspectLeases = 10
+// avoidLeases is the number of worker lease durations for which a machine is avoided after several
+// jobs have failed on it.
+const avoidLeases = 10
 
-// provenRunFactor is how many times as long as the longest run that failed, and a heartbeat
-// interval, a task has to run for its job to count as well.
-const provenRunFactor = 2
+// healthyRunFactor is how many times as long as the longest failed run plus a heartbeat interval a
+// task must run for its job to count as healthy.
+const healthyRunFactor = 2
 
-// taskFailed notes a task's failure.
+// taskFailed records a task's failure.
 func (m *Manager) taskFailed(t *cluster.Task) {
 	m.context.Stats.TasksFailed++
 	now, j := m.context.Monotonic(), t.Job
@@ -39,23 +39,23 @@
 	if t.SeenRunning() {
 		failures.LongestRun = max(failures.LongestRun, now-t.RunningSince)
 	}
-	if now >= failures.NextAttempt { // not one more of the same round
+	if now >= failures.NextAttempt { // not a further failure of the same round
 		failures.Rounds++
 		failures.NextAttempt = now + m.failureBackoff(failures.Rounds)
 	}
 	if len(failures.Machines) >= MinFailedMachinesForJobFault {
-		m.blameJob(j)
+		m.markJobAtFault(j)
 		return
 	}
-	m.suspectMachine(t.Machine, j)
+	m.recordMachineFailure(t.Machine, j)
 }
 
 func (m *Manager) failureBackoff(rounds int) time.Duration {
 	return m.timing.Jobs.FailureBackoff.Backoff(rounds, m.context.Random)
 }
 
-// blameJob notes that a job fails on every machine: nothing is said against the machines.
-func (m *Manager) blameJob(j *cluster.Job) {
+// markJobAtFault records that a job fails on every machine, and withdraws its failures from the machines' health.
+func (m *Manager) markJobAtFault(j *cluster.Job) {
 	if j.Failures.JobAtFault {
 		return
 	}
@@ -68,62 +68,62 @@
 		}
 		health := &machine.Health
 		delete(health.FailedJobs, j.ID)
-		if len(health.FailedJobs) < jobsAgainstMachine {
+		if len(health.FailedJobs) < minFailedJobsToCordon {
 			health.AvoidUntil = min(health.AvoidUntil, m.context.Monotonic()+m.timing.Workers.Lease)
 		}
 	}
 }
 
-// suspectMachine notes that a job has failed on a machine. Nothing is placed there for a
-// while, or, if several jobs have, until it is known whose fault it is. A job that is known to
-// run well elsewhere decides that at once.
-func (m *Manager) suspectMachine(machine *cluster.Machine, j *cluster.Job) {
+// recordMachineFailure records that a job has failed on a machine. No tasks are placed there for
+// a while, or for longer if several jobs have failed there, so that attempts elsewhere can show the
+// cause. If the job is already known to run well elsewhere, the machine's fault is confirmed at once.
+func (m *Manager) recordMachineFailure(machine *cluster.Machine, j *cluster.Job) {
 	now, lease, health := m.context.Monotonic(), m.timing.Workers.Lease, &machine.Health
 	if _, ok := health.FailedJobs[j.ID]; !ok {
 		health.FailedJobs[j.ID] = false
 	}
 	health.AvoidUntil = max(health.AvoidUntil, now+lease)
-	if len(health.FailedJobs) >= jobsAgainstMachine {
-		health.AvoidUntil = max(health.AvoidUntil, now+suspectLeases*lease)
+	if len(health.FailedJobs) >= minFailedJobsToCordon {
+		health.AvoidUntil = max(health.AvoidUntil, now+avoidLeases*lease)
 	}
 	if m.runsElsewhere(j, machine) {
-		m.blameMachine(machine, j)
+		m.confirmMachineFailure(machine, j)
 	}
 }
 
-// runsElsewhere reports whether tasks of a job are known to do well on other machines.
-func (m *Manager) runsElsewhere(j *cluster.Job, than *cluster.Machine) bool {
+// runsElsewhere reports whether tasks of a job are known to run well on other machines.
+func (m *Manager) runsElsewhere(j *cluster.Job, otherThan *cluster.Machine) bool {
 	if j.DoneTasks > 0 {
 		return true
 	}
 	for _, t := range j.ActiveTasks {
-		if t.Machine != than && t.SeenRunning() && m.context.Monotonic()-t.RunningSince > m.timing.Workers.HeartbeatInterval {
+		if t.Machine != otherThan && t.SeenRunning() && m.context.Monotonic()-t.RunningSince > m.timing.Workers.HeartbeatInterval {
 			return true
 		}
 	}
 	return false
 }
 
-// clearFailures ends a job's series of failures: a task of it has completed on a machine, or
-// has run there for much longer than any that failed. What it says against the machines where
-// it failed is confirmed.
-func (m *Manager) clearFailures(j *cluster.Job, on *cluster.Machine) {
+// clearFailures resets a job's failure history: one of its tasks has completed on a machine, or has
+// run there for much longer than any that failed. The job's failures on other machines are then
+// confirmed as faults of those machines.
+func (m *Manager) clearFailures(j *cluster.Job, healthyMachine *cluster.Machine) {
 	failures := j.Failures
 	if failures.Tasks == 0 {
 		return
 	}
 	j.Failures = cluster.FailureHistory{Machines: failures.Machines}
-	delete(failures.Machines, on.Name)
-	delete(on.Health.FailedJobs, j.ID)
+	delete(failures.Machines, healthyMachine.Name)
+	delete(healthyMachine.Health.FailedJobs, j.ID)
 	for name := range failures.Machines {
 		if machine := m.state.Machines[name]; machine != nil {
-			m.blameMachine(machine, j)
+			m.confirmMachineFailure(machine, j)
 		}
 	}
 }
 
-// blameMachine notes that a job that failed on a machine runs well on another.
-func (m *Manager) blameMachine(machine *cluster.Machine, j *cluster.Job) {
+// confirmMachineFailure records that a job that failed on a machine runs well on another.
+func (m *Manager) confirmMachineFailure(machine *cluster.Machine, j *cluster.Job) {
 	health := &machine.Health
 	if _, failed := health.FailedJobs[j.ID]; !failed {
 		return
@@ -135,24 +135,24 @@
 			confirmed++
 		}
 	}
-	if confirmed >= jobsAgainstMachine && !health.Cordoned {
+	if confirmed >= minFailedJobsToCordon && !health.Cordoned {
 		health.Cordoned = true
 		m.context.Log(message.Info, "machine cordoned", "machine", machine.Name, "reason", "jobs that run well elsewhere fail there", "jobs", confirmed)
 	}
 }
 
-// ClearFailuresIfHealthy checks whether a running task shows that its job is well.
+// ClearFailuresIfHealthy clears a job's failures if a running task has shown that the job is healthy.
 func (m *Manager) ClearFailuresIfHealthy(t *cluster.Task) {
 	failures := &t.Job.Failures
-	proven := provenRunFactor * (failures.LongestRun + m.timing.Workers.HeartbeatInterval)
-	if failures.Tasks > 0 && t.SeenRunning() && m.context.Monotonic()-t.RunningSince > proven {
+	healthyRun := healthyRunFactor * (failures.LongestRun + m.timing.Workers.HeartbeatInterval)
+	if failures.Tasks > 0 && t.SeenRunning() && m.context.Monotonic()-t.RunningSince > healthyRun {
 		m.clearFailures(t.Job, t.Machine)
 	}
 }
 
-// InferFailingJobs guesses, when a leader begins, which jobs were failing on every machine:
-// they have been started again and again, none of their tasks is done, and at most one is on
-// a machine. They are tried one after the other, not all at once.
+// InferFailingJobs estimates, when a leader's term begins, which jobs were failing on every machine:
+// those that were started repeatedly, have no completed task, and have at most one task on a
+// machine. They are retried one at a time rather than all at once.
 func (m *Manager) InferFailingJobs() {
 	for _, j := range m.state.JobOrder {
 		if j.Kind == protocol.Service || j.Cancelled || j.DoneTasks > 0 || len(j.ActiveTasks) > 1 {
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -1,7 +1,7 @@
-// Package jobs is the life of jobs and their tasks: it records starts, losses and ends,
-// closes jobs that are over, follows their dependencies, and learns from failures. Whatever
-// it decides is written to the store first; what must not happen before a commit is done by
-// the function that waits for it.
+// Package jobs manages the life cycle of jobs and their tasks: it records starts, losses and ends,
+// ends finished jobs, tracks their dependencies, and evaluates failures. Every decision is written
+// to the store first. Actions that must not happen before a commit run in the function that waits
+// for the commit.
 package jobs
 
 import (
@@ -15,9 +15,9 @@
 	"oakpick/internal/timing"
 )
 
-// Leadership is what the manager has to know of the term.
+// Leadership gives the manager access to the current term.
 type Leadership interface {
-	// FirstToken is the fencing token with which the term began.
+	// FirstToken returns the fencing token with which the term began.
 	FirstToken() int64
 }
 
@@ -28,12 +28,12 @@
 	store      *storage.Store
 	timing     timing.Timing
 	leadership Leadership
-	// recordBlockTasks is whether every job's number of tasks in a block is recorded.
+	// recordBlockTasks is whether BlockTasks is stored for every job.
 	recordBlockTasks bool
 }
 
-// NewManager returns the manager of a cluster's jobs. limitsWillChange is whether the state
-// service is to have other limits, from which blocks of another length would follow.
+// NewManager returns a manager of a cluster's jobs. limitsWillChange is whether the limits of the
+// state service are about to change, which would change the length of blocks.
 func NewManager(
 	context *step.Context, state *cluster.State, store *storage.Store, timing timing.Timing, leadership Leadership, limitsWillChange bool,
 ) *Manager {
@@ -42,21 +42,21 @@
 	}
 }
 
-// NewJob adds a job as it is recorded, or is to be.
+// NewJob adds a job from its record, which may not be stored yet.
 func (m *Manager) NewJob(record storage.JobRecord) *cluster.Job {
 	j := cluster.NewJob(record, m.state.Team(record.Team), m.timing.Jobs.BlockTasks, m.context.Monotonic())
-	// Without it the number of a block would mean other tasks once value_kb is changed.
+	// Without this record, block numbers would refer to other tasks after a change of value_kb.
 	j.RecordBlockTasks = m.recordBlockTasks || j.BlockCount() > 1
 	m.state.AddJob(j)
 	return j
 }
 
-// markDirty has an item written, and a waiter, if any, run once that is durable.
+// markDirty queues an item to be written; the waiter, if not nil, runs once it is durable.
 func (m *Manager) markDirty(item storage.Item, waiter *storage.CommitWaiter) {
 	m.store.MarkDirty(m.context.Monotonic(), item, waiter)
 }
 
-// markBlockDirty has a block written with a change that nobody outside waits for.
+// markBlockDirty queues a block to be written with a change that no user or worker waits for.
 func (m *Manager) markBlockDirty(b *cluster.Block) {
 	if b.Job.BestEffort() {
 		m.markDirty(b, b.Job.DeferredWaiter(func() {}))
@@ -65,8 +65,8 @@
 	m.markDirty(b, nil)
 }
 
-// Start records the start of a task on a machine; it is sent once that is durable. The
-// waiter, if any, is run with others of the same gang.
+// Start records the start of a task on a machine. The start is sent once it is durable. If waiter
+// is not nil, it is used instead of a waiter of the task's own, as for the members of a gang.
 func (m *Manager) Start(j *cluster.Job, index int, machine *cluster.Machine, waiter *storage.CommitWaiter) *cluster.Task {
 	b := j.EnsureBlock(index / j.BlockTasks)
 	attempt := j.GangAttempt
@@ -87,7 +87,7 @@
 	return t
 }
 
-// StartCommitted notes that a start is durable.
+// StartCommitted handles a start that has become durable.
 func (m *Manager) StartCommitted(t *cluster.Task) {
 	t.Committed = true
 	if !t.Active() {
@@ -101,7 +101,7 @@
 	m.state.QueueCommands(t.Machine)
 }
 
-// Remove forgets a task that is certainly not on its machine, or no longer.
+// Remove removes a task that is certainly not, or no longer, on its machine.
 func (m *Manager) Remove(t *cluster.Task) {
 	if !t.Active() {
 		return
@@ -114,8 +114,8 @@
 	}
 }
 
-// gangMemberRemoved decides what the loss of a member means: while the attempt has not begun
-// to run a replacement joins it; later the rest must go first.
+// gangMemberRemoved handles the loss of a gang's member: until the attempt has begun to run, a
+// replacement can join it; afterwards, the remaining members must end first.
 func gangMemberRemoved(j *cluster.Job) {
 	if j.Lifecycle.Ended || j.Cancelled {
 		return
@@ -129,7 +129,7 @@
 	}
 }
 
-// MarkLost notes that a task is gone without having told why.
+// MarkLost removes a task that is gone without a reported exit. proof is what shows that it is gone.
 func (m *Manager) MarkLost(t *cluster.Task, proof string) {
 	m.context.Stats.TasksLost++
 	m.context.Log(message.Info, "task lost", "job", t.Job.ID, "task", t.Index, "attempt", t.Attempt, "machine", t.Machine.Name, "proof", proof)
@@ -137,15 +137,15 @@
 	m.EndIfFinished(t.Job, nil)
 }
 
-// HandleExit handles a task that its worker reports as ended. The worker is told to forget it
-// once what that means is durable.
+// HandleExit handles a task that its worker reports as exited. The worker is told to forget the
+// attempt once the result is durable.
 func (m *Manager) HandleExit(t *cluster.Task, status protocol.TaskStatus) {
 	j, machine, attempt := t.Job, t.Machine, status.Attempt
 	machine.Worker.FinishedAttempts[attempt] = cluster.FinishedAttempt{
 		FencingToken: max(t.SentToken, m.leadership.FirstToken()-1), EndedAt: m.context.Monotonic(),
 	}
 	waiter := j.DeferredWaiter(func() { m.exitCommitted(machine, attempt) })
-	m.learnFromExit(t, status.ExitCause)
+	m.applyExitCause(t, status.ExitCause)
 	if status.ExitCause != protocol.ExitDone {
 		m.context.Log(message.Debug, "task ended", "job", j.ID, "task", t.Index, "machine", machine.Name,
 			"cause", status.ExitCause.String(), "checkpointed", status.Checkpointed)
@@ -159,8 +159,8 @@
 	m.EndIfFinished(j, waiter)
 }
 
-// learnFromExit does what follows from the cause of an exit.
-func (m *Manager) learnFromExit(t *cluster.Task, cause protocol.ExitCause) {
+// applyExitCause updates the job and the machine according to the cause of an exit.
+func (m *Manager) applyExitCause(t *cluster.Task, cause protocol.ExitCause) {
 	now, j, machine := m.context.Monotonic(), t.Job, t.Machine
 	switch cause {
 	case protocol.ExitDone:
@@ -184,15 +184,15 @@
 	}
 	m.clearFailures(j, t.Machine)
 	m.markDone(j, t.Index)
-	if j.Kind == protocol.Gang { // complete together
-		// The others are still on their machines until these say so: one may hang.
+	if j.Kind == protocol.Gang { // all members complete together
+		// The other members stay on their machines until they report their own exit; one may hang.
 		for i := range j.Tasks {
 			m.markDone(j, i)
 		}
 	}
 }
 
-// exitCommitted notes that what the end of an attempt means is durable.
+// exitCommitted records that the result of an ended attempt is durable.
 func (m *Manager) exitCommitted(machine *cluster.Machine, attempt protocol.Attempt) {
 	if finished, ok := machine.Worker.FinishedAttempts[attempt]; ok {
 		finished.Committed = true
@@ -213,8 +213,8 @@
 	}
 }
 
-// blockDone notes that all tasks of a block are done. The first block says so, and only when
-// that is durable is the block itself removed.
+// blockDone records that all tasks of a block are done. The completion is recorded in the first
+// block, and only once that is durable is the block's own record removed.
 func (m *Manager) blockDone(b *cluster.Block) {
 	j := b.Job
 	j.DoneBlocks.Set(b.Number)
@@ -231,7 +231,7 @@
 	m.store.Remove(m.context.Monotonic(), b, b.Job.DeferredWaiter(func() {}))
 }
 
-// Stop tells a task to end, with a grace period in seconds for its checkpoint.
+// Stop tells a task to stop, with a grace period in seconds to write a checkpoint.
 func (m *Manager) Stop(t *cluster.Task, gracePeriodS float64) {
 	if t.Stopping && (gracePeriodS >= t.GracePeriodS || t.GracePeriodS == 0) {
 		return
@@ -242,22 +242,22 @@
 	t.GracePeriodS, t.StopRequestedAt = gracePeriodS, m.context.Monotonic()
 	if t.SentToken == 0 && !t.Inherited {
 		if t.Committed {
-			m.Remove(t) // otherwise StartCommitted does it
+			m.Remove(t) // if the start is not durable yet, StartCommitted removes the task
 		}
 		return
 	}
 	m.state.QueueCommands(t.Machine)
 }
 
-// checkpointMarginS is how many seconds a task has to write its checkpoint beyond what that
-// takes.
+// checkpointMarginS is the time beyond the duration of a checkpoint that a preempted task gets to
+// write it.
 const checkpointMarginS = 0.5
 
-// Preempt stops a task so that it saves what it can; of a gang, every task.
+// Preempt stops a task, or all tasks of its gang, with time to write a checkpoint if the job uses checkpoints.
 func (m *Manager) Preempt(t *cluster.Task, reason string) {
 	j := t.Job
 	if !t.Active() {
-		return // gone already, with the gang that it was of
+		return // already removed together with its gang
 	}
 	grace := 0.0
 	if j.Checkpoints() {
@@ -274,8 +274,8 @@
 	}
 }
 
-// StopAll stops what a cancelled job has on machines. A start that was never sent is simply
-// withdrawn.
+// StopAll stops the tasks that a cancelled job has on machines. A task whose start was never sent
+// is removed at once.
 func (m *Manager) StopAll(j *cluster.Job) {
 	for _, t := range j.SortedTasks() {
 		if t.SentToken == 0 && !t.Inherited {
@@ -287,7 +287,7 @@
 	m.state.NeedsScheduling = true
 }
 
-// MarkCancelled notes that a job is cancelled, now or durably already.
+// MarkCancelled marks a job as cancelled; committed is whether the cancellation is already durable.
 func MarkCancelled(j *cluster.Job, at time.Duration, committed bool) {
 	j.Cancelled, j.Lifecycle.CancelledAt = true, at
 	if committed {
--- a/internal/jobs/prerequisites.go
+++ b/internal/jobs/prerequisites.go
@@ -11,8 +11,8 @@
 
 const msPerS = 1000
 
-// SplitPrerequisites puts the prerequisites of a new job into records of their own if the
-// job's page can't take them.
+// SplitPrerequisites moves the prerequisites of a new job to separate records if they do not fit on
+// the job's page.
 func (m *Manager) SplitPrerequisites(j *cluster.Job) {
 	if j.MinRecordSize() <= m.store.MaxItemSize() {
 		return
@@ -22,8 +22,8 @@
 	}
 }
 
-// RecordPrerequisites writes the records of a job's prerequisites, and goes on once all of
-// them are durable: so the job is never found with only some of its prerequisites.
+// RecordPrerequisites writes the separate records of a job's prerequisites and calls onCommit once
+// all are durable, so that a job is never loaded with only some of its prerequisites.
 func (m *Manager) RecordPrerequisites(j *cluster.Job, onCommit func()) {
 	if len(j.Prerequisites.Parts) == 0 {
 		onCommit()
@@ -39,23 +39,23 @@
 	}
 }
 
-// LinkPrerequisites puts a job into the dependency graph, unless it is cancelled, and reports
-// whether it is: on record, with a prerequisite in the archive, or with one that is cancelled
-// durably. This is the only place that decides it for a job that is submitted or loaded, and it
-// decides before any edge exists: the graph holds only jobs that aren't over, and nothing would
-// take the edges of a job that is cancelled from the start off again.
+// LinkPrerequisites adds a job to the dependency graph, unless it is cancelled, and reports whether
+// it is cancelled: by its own record, by a cancelled prerequisite in the archive, or by one whose
+// cancellation is durable. It is the only function that decides this for a submitted or loaded job,
+// and it does so before any edge exists: the graph holds only jobs that have not ended, and nothing
+// would remove the edges of a job that was cancelled from the start.
 func (m *Manager) LinkPrerequisites(j *cluster.Job) (cancelled bool) {
 	if j.Cancelled || j.Prerequisites.ArchivedCancelled || m.anyPrerequisiteCancelled(j) {
 		return true
 	}
-	unfinished, unknown := m.openPrerequisites(j)
+	unfinished, unknown := m.unfinishedPrerequisites(j)
 	if len(unfinished)+unknown > 0 {
 		m.addEdges(j, unfinished, unknown)
 	}
 	return false
 }
 
-// anyPrerequisiteCancelled reports whether one of the jobs that a job needs is durably cancelled.
+// anyPrerequisiteCancelled reports whether a prerequisite of a job is durably cancelled.
 func (m *Manager) anyPrerequisiteCancelled(j *cluster.Job) bool {
 	return slices.ContainsFunc(j.Prerequisites.IDs, func(id string) bool {
 		if end := m.state.EndedJobs[id]; end != nil {
@@ -66,10 +66,10 @@
 	})
 }
 
-// openPrerequisites returns the jobs that a job needs and that aren't over, and how many it names
-// of which nothing is known. These are damage: the job can't start, since it may be too early, nor
-// vanish.
-func (m *Manager) openPrerequisites(j *cluster.Job) (unfinished []*cluster.Job, unknown int) {
+// unfinishedPrerequisites returns the prerequisites of a job that have not ended, and the number of
+// those without any record. A missing record means damaged data: the job cannot start, since that
+// might be too early, and it must not be dropped.
+func (m *Manager) unfinishedPrerequisites(j *cluster.Job) (unfinished []*cluster.Job, unknown int) {
 	for _, id := range j.Prerequisites.IDs {
 		prerequisite := m.state.Jobs[id]
 		switch {
@@ -78,7 +78,7 @@
 			unfinished = append(unfinished, prerequisite)
 		default:
 			unknown++
-			m.context.Log(message.Error, "prerequisite has no record: the job is blocked for good", "job", j.ID, "prerequisite", id)
+			m.context.Log(message.Error, "prerequisite has no record; the job stays blocked permanently", "job", j.ID, "prerequisite", id)
 		}
 	}
 	return unfinished, unknown
@@ -91,11 +91,11 @@
 		nodes[i] = m.dependencyNode(prerequisite)
 	}
 	if cyclic := m.state.Dependencies.AddEdges(node, nodes, unknown); cyclic > 0 {
-		m.context.Log(message.Error, "prerequisite needs the job itself: the job is blocked for good", "job", j.ID)
+		m.context.Log(message.Error, "prerequisite depends on the job itself; the job stays blocked permanently", "job", j.ID)
 	}
 }
 
-// dependencyNode finds or adds a job's node of the dependency graph.
+// dependencyNode returns a job's node in the dependency graph, adding it if necessary.
 func (m *Manager) dependencyNode(j *cluster.Job) *dependency.Node {
 	if node := m.state.Dependencies.Node(j.ID); node != nil {
 		return node
@@ -110,8 +110,8 @@
 	return j.Prerequisites.Node
 }
 
-// prerequisiteDone lets the jobs begin that have waited for this one only. It has to be
-// durable that it is done: a successor that didn't know could cancel it still.
+// prerequisiteDone makes the jobs ready for which this job was the last prerequisite. The job's
+// completion must be durable, since a successor that did not know of it could still cancel the job.
 func (m *Manager) prerequisiteDone(id string) {
 	for _, ready := range m.state.Dependencies.Complete(id) {
 		j := m.state.Jobs[ready]
@@ -123,9 +123,9 @@
 	}
 }
 
-// CancelDependents cancels all that need a job whose cancellation is durable. None of them
-// has begun, and nothing is recorded for them but their end: until that is, a successor comes
-// to the same result by the edges.
+// CancelDependents cancels all jobs that depend on a job whose cancellation is durable. None of them
+// has started, and only their ends are recorded. Until those are durable, a successor reaches the
+// same result by following the edges.
 func (m *Manager) CancelDependents(id string) {
 	for _, dependent := range m.state.Dependencies.Cancel(id) {
 		j := m.state.Jobs[dependent]
