--- a/internal/cluster/constraints.go
+++ b/internal/cluster/constraints.go
@@ -11,8 +11,8 @@
 	Request            resources.Amount
 	allowedTypes, zone string
 	spot               bool
-	// AnyRoom is whether the tasks may also use capacity that best-effort jobs leave to other teams.
-	AnyRoom bool
+	// AnyCapacity is whether the tasks may also use capacity that best-effort jobs leave to other teams.
+	AnyCapacity bool
 }
 
 // RequestClass returns the class of the job's tasks.
