--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -221,8 +221,8 @@
 	return j.Lifecycle.Ended && !(j.Cancelled && j.Lifecycle.SubmissionCommitted) || j.Prerequisites.PartsPending
 }
 
-// IsCancelled reports whether the job is durably cancelled.
-func (j *Job) IsCancelled() bool { return j.Cancelled && j.Lifecycle.CancellationCommitted }
+// IsDurablyCancelled reports whether the job is durably cancelled.
+func (j *Job) IsDurablyCancelled() bool { return j.Cancelled && j.Lifecycle.CancellationCommitted }
 
 // Checkpoints reports whether a task saves its progress when it is stopped.
 func (j *Job) Checkpoints() bool { return j.CheckpointIntervalS > 0 }
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -40,7 +40,7 @@
 	state := c.leader.state
 	unfinishedNode := func(id string) *dependency.Node {
 		j := state.Jobs[id]
-		if j == nil || j.IsCancelled() {
+		if j == nil || j.IsDurablyCancelled() {
 			return nil
 		}
 		return j.Prerequisites.Node
@@ -57,7 +57,7 @@
 }
 
 func checkPrerequisites(state *cluster.State, j *cluster.Job) error {
-	if j.IsCancelled() {
+	if j.IsDurablyCancelled() {
 		return nil
 	}
 	if node := j.Prerequisites.Node; node != state.Dependencies.Node(j.ID) {
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -81,7 +81,7 @@
 
 // replyJob tells a user about a job that isn't over, with its counts if asked for.
 func (h *requestHandler) replyJob(id uint64, status int, j *cluster.Job, withCounts bool) {
-	if j.IsCancelled() && !h.leader.workers.CanConfirmCancellation(j) {
+	if j.IsDurablyCancelled() && !h.leader.workers.CanConfirmCancellation(j) {
 		// Another leader may have told it already: nothing else may be said either.
 		delete(h.awaitingCommit, id)
 		h.context.Refuse(id, tasksCannotBeStopped)
@@ -90,7 +90,7 @@
 	response := protocol.JobResponse{ID: j.ID, Status: protocol.StatusQueued}
 	running := runningTasks(j)
 	switch {
-	case j.IsCancelled():
+	case j.IsDurablyCancelled():
 		response.Status, running = protocol.StatusCancelled, 0
 	case running > 0:
 		response.Status = protocol.StatusRunning
@@ -179,7 +179,7 @@
 		h.replyError(request.ID, http.StatusNotFound, "no such job")
 	case j.EndUncertain(): // all its tasks are done; the record of that is under way
 		h.context.Refuse(request.ID, endUncertain)
-	case j.IsCancelled():
+	case j.IsDurablyCancelled():
 		h.replyJob(request.ID, http.StatusOK, j, false)
 	default:
 		h.recordCancellation(request.ID, j)
--- a/internal/jobs/prerequisites.go
+++ b/internal/jobs/prerequisites.go
@@ -62,7 +62,7 @@
 			return end.Cancelled
 		}
 		prerequisite := m.state.Jobs[id]
-		return prerequisite != nil && prerequisite.IsCancelled()
+		return prerequisite != nil && prerequisite.IsDurablyCancelled()
 	})
 }
 
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -64,7 +64,7 @@
 	}
 	now := m.context.Monotonic()
 	for _, t := range machine.Tasks {
-		if t.Job.IsCancelled() && !t.Reported && now > t.Job.Lifecycle.CancelledAt+m.timing.RefuseAfterCancellation {
+		if t.Job.IsDurablyCancelled() && !t.Reported && now > t.Job.Lifecycle.CancelledAt+m.timing.RefuseAfterCancellation {
 			return true
 		}
 	}
