--- a/internal/archive/lookup.go
+++ b/internal/archive/lookup.go
@@ -36,7 +36,7 @@
 // adds the ends to found. corrupt: a page that is needed can't be read.
 func (a *Archive) find(ids []string, found Ends) (unknown []string, corrupt bool) {
 	for _, id := range ids {
-		if _, ok := found[id]; ok || a.state.KnowsJob(id) {
+		if _, ok := found[id]; ok || a.state.HasJob(id) {
 			continue
 		}
 		p := a.page(id)
@@ -60,7 +60,7 @@
 	if request.Kind != message.Submit {
 		return []string{request.Job}
 	}
-	if a.state.KnowsJob(request.Submission.ID) {
+	if a.state.HasJob(request.Submission.ID) {
 		return nil
 	}
 	return append([]string{request.Submission.ID}, request.Submission.Prerequisites...)
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -72,8 +72,8 @@
 	s.JobOrder = append(s.JobOrder, j)
 }
 
-// KnowsJob reports whether a job is in memory: it has not ended, or its end is not yet in the archive.
-func (s *State) KnowsJob(id string) bool { return s.Jobs[id] != nil || s.EndedJobs[id] != nil }
+// HasJob reports whether a job is in memory: it has not ended, or its end is not yet in the archive.
+func (s *State) HasJob(id string) bool { return s.Jobs[id] != nil || s.EndedJobs[id] != nil }
 
 // MoveJobToEnd moves a job to the end of the order.
 func (s *State) MoveJobToEnd(j *Job) {
