--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -68,7 +68,7 @@
 			return fmt.Errorf("%s is not cancelled, and %s, which it needs, is", j.ID, id)
 		}
 		// A job that is to be born cancelled waits for none.
-		if waits := j.Prerequisites.Node.Needs(id); waits != (state.Jobs[id] != nil) && !j.Cancelled {
+		if waits := j.Prerequisites.Node.HasPrerequisite(id); waits != (state.Jobs[id] != nil) && !j.Cancelled {
 			return fmt.Errorf("%s waits for %s: %t, which isn't over: %t", j.ID, id, waits, state.Jobs[id] != nil)
 		}
 	}
--- a/internal/dependency/validate.go
+++ b/internal/dependency/validate.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Needs reports whether a job is a prerequisite of this one and has not ended. A nil node has no
+// HasPrerequisite reports whether a job is a prerequisite of this one and has not ended. A nil node has no
 // prerequisites.
-func (n *Node) Needs(id string) bool {
+func (n *Node) HasPrerequisite(id string) bool {
 	return n != nil && slices.ContainsFunc(n.prerequisites, func(p *Node) bool { return p.job.ID == id })
 }
 
