--- a/internal/cluster/constraints.go
+++ b/internal/cluster/constraints.go
@@ -16,8 +16,8 @@
 }
 
 // RequestClass returns the class of the job's tasks.
-func (j *Job) RequestClass(anyRoom bool) RequestClass {
-	return RequestClass{j.Request, j.allowedTypes, j.Zone, j.Spot, anyRoom}
+func (j *Job) RequestClass(anyCapacity bool) RequestClass {
+	return RequestClass{j.Request, j.allowedTypes, j.Zone, j.Spot, anyCapacity}
 }
 
 // AllowedOn reports whether the job's tasks may run on machines of an offering.
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -117,7 +117,7 @@
 	m.Type, m.Zone, m.Spot = machineType, zone, spot
 }
 
-// Expired reports whether the lease of the worker's present incarnation has certainly
+// Expired reports whether the lease of the worker's current incarnation has certainly
 // expired.
 func (w *WorkerState) Expired() bool { return w.Incarnation <= w.ExpiredIncarnation }
 
