--- a/internal/controller/paused_controllers_test.go
+++ b/internal/controller/paused_controllers_test.go
@@ -43,7 +43,7 @@
 	terms := func() int64 {
 		sum := int64(0)
 		for _, c := range w.Controllers {
-			sum += c.Stats().TermsTaken
+			sum += c.Stats().TermsAcquired
 		}
 		return sum
 	}
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -213,7 +213,7 @@
 	w.State.SetOutage(false)
 	w.Run(20 * time.Second)
 	after := leader.Stats()
-	if !leader.Leads() || after.TermsTaken != before.TermsTaken {
+	if !leader.Leads() || after.TermsAcquired != before.TermsAcquired {
 		t.Errorf("the term is lost: %s", strings.Join(w.Log[mark:], "\n"))
 	}
 	if after.Pauses != 1 || after.LongestPauseMs < 5000 || !logContains(w, "process was paused [for 5") {
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -60,11 +60,11 @@
 	dependent := submitAfter(t, w, job(31, protocol.Array, 1), time.Second, after)
 	cancelled = append(cancelled, after)
 	w.Run(5 * time.Second)
-	terms, lost := w.Controllers[0].Stats().TermsTaken, w.Controllers[0].Stats().TasksLost
+	terms, lost := w.Controllers[0].Stats().TermsAcquired, w.Controllers[0].Stats().TasksLost
 	load := &submissionLoad{world: w, id: 1000}
 	refuseWritesUnderLoad(t, load, cancelled)
-	if s := w.Controllers[0].Stats(); s.TermsTaken != terms || s.TasksLost != lost || !w.Controllers[0].Leads() {
-		t.Errorf("%d terms, %d tasks lost", s.TermsTaken-terms, s.TasksLost-lost)
+	if s := w.Controllers[0].Stats(); s.TermsAcquired != terms || s.TasksLost != lost || !w.Controllers[0].Leads() {
+		t.Errorf("%d terms, %d tasks lost", s.TermsAcquired-terms, s.TasksLost-lost)
 	}
 	if load.slowest > 3*time.Second || load.refused == 0 {
 		t.Errorf("the slowest answer took %v; %d of %d were refused", load.slowest, load.refused, load.answers)
--- a/internal/controller/write_responses_test.go
+++ b/internal/controller/write_responses_test.go
@@ -30,8 +30,8 @@
 	}
 	a := w.Submit(service(1, 1), 0)
 	waitRunning(t, w, a.Submission.ID, 1)
-	if lost == 0 || !w.Controllers[0].Leads() || w.Controllers[0].Stats().TermsTaken != 1 {
-		t.Errorf("%d answers lost, terms %d", lost, w.Controllers[0].Stats().TermsTaken)
+	if lost == 0 || !w.Controllers[0].Leads() || w.Controllers[0].Stats().TermsAcquired != 1 {
+		t.Errorf("%d answers lost, terms %d", lost, w.Controllers[0].Stats().TermsAcquired)
 	}
 	requireNoViolations(t, w)
 }
--- a/internal/election/leader_key.go
+++ b/internal/election/leader_key.go
@@ -159,7 +159,7 @@
 	e.held.token, e.observed.leader = version, e.node
 	e.held.renewAt = e.context.Monotonic()
 	e.peers.beginTerm()
-	e.context.Stats.TermsTaken++
+	e.context.Stats.TermsAcquired++
 	e.context.Log(message.Info, "term acquired", "term", version)
 	e.delegate.TermAcquired()
 }
