--- a/internal/message/stats.go
+++ b/internal/message/stats.go
@@ -14,7 +14,7 @@
 	ReplicasMoved     int64 `json:"replicas_moved"`
 	TasksFailed       int64 `json:"tasks_failed"`
 	TokensAdvanced    int64 `json:"tokens_raised"`
-	TermsAcquired        int64 `json:"terms_taken"`
+	TermsAcquired     int64 `json:"terms_taken"`
 	MachinesScaledOut int64 `json:"machines_rented"`
 	MachinesScaledIn  int64 `json:"machines_returned"`
 	Writes            int64 `json:"writes"`
