--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -139,8 +139,8 @@
 	e.observed.backoffUntil = max(e.observed.backoffUntil, until)
 }
 
-// View is what parts beside the controller have to know of the election.
-type View struct {
+// Leadership is what parts beside the controller have to know of the election.
+type Leadership struct {
 	Term         int64         // the version that the leader key had when this node began to lead; 0: it doesn't
 	FencingToken int64         // the version now
 	LeaseUntil   time.Duration // until when no other node can lead, by the steady clock
@@ -148,11 +148,11 @@
 }
 
 // View tells who leads.
-func (e *Elector) View() View {
+func (e *Elector) View() Leadership {
 	if !e.held.leading {
-		return View{Leader: e.OtherLeader()}
+		return Leadership{Leader: e.OtherLeader()}
 	}
-	return View{Term: e.held.loadedTerm, FencingToken: e.held.token, LeaseUntil: e.held.leaseUntil}
+	return Leadership{Term: e.held.loadedTerm, FencingToken: e.held.token, LeaseUntil: e.held.leaseUntil}
 }
 
 // Leading reports whether the node leads, also while its lease may have expired.
