--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -188,7 +188,7 @@
 }
 
 // Leadership tells who leads.
-func (c *Controller) Leadership() election.Leadership { return c.elector.View() }
+func (c *Controller) Leadership() election.Leadership { return c.elector.Leadership() }
 
 // Leads reports whether the node holds, or still answers for, a term.
 func (c *Controller) Leads() bool { return c.leader != nil }
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -147,8 +147,8 @@
 	Leader       string        // who leads, as far as is known; empty while this node does
 }
 
-// View tells who leads.
-func (e *Elector) View() Leadership {
+// Leadership tells who leads.
+func (e *Elector) Leadership() Leadership {
 	if !e.held.leading {
 		return Leadership{Leader: e.OtherLeader()}
 	}
