--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -209,7 +209,7 @@
 	totals, stats := c.context.Pauses.Totals(), &c.context.Stats
 	stats.Pauses, stats.PausedMs, stats.LongestPauseMs = totals.Count, totals.Sum.Milliseconds(), totals.Longest.Milliseconds()
 	c.context.Log(message.Info, "process was paused", "for", paused.Round(time.Millisecond).String(), "role", c.Role(), "calls", c.callsInFlight())
-	c.elector.BackOffAfterPause()
+	c.elector.BackOffAfterProcessPause()
 }
 
 // callsInFlight is how many calls to other components have had no result yet.
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -129,9 +129,9 @@
 	e.revokeLease(lease)
 }
 
-// BackOffAfterPause leaves a free leader key to others for a while: they may be paused less
+// BackOffAfterProcessPause leaves a free leader key to others for a while: they may be paused less
 // often, and terms shouldn't follow one another at the pace of this node's pauses.
-func (e *Elector) BackOffAfterPause() {
+func (e *Elector) BackOffAfterProcessPause() {
 	if e.held.token != 0 {
 		return
 	}
