--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -51,7 +51,7 @@
 func (c *Controller) Step(now message.Now, events []message.Event) []message.Effect {
 	c.context.Begin(now)
 	c.notePause()
-	if c.leader != nil && c.elector.HeartbeatGraceOver() {
+	if c.leader != nil && c.elector.HeartbeatGraceExpired() {
 		// The process was paused. What has come meanwhile must not be answered as if no time
 		// had passed: a successor may have declared worker leases expired.
 		c.elector.StepDown("the grace period for heartbeats is over")
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -20,10 +20,10 @@
 // LeaseUntil is until when the lease certainly lasts.
 func (e *Elector) LeaseUntil() time.Duration { return e.held.leaseUntil }
 
-// HeartbeatGraceOver reports whether workers may no longer be answered. The grace period
+// HeartbeatGraceExpired reports whether workers may no longer be answered. The grace period
 // counts from when another node may first have led: when the lease expired, or later, if
 // since then every peer has said that it has not.
-func (e *Elector) HeartbeatGraceOver() bool {
+func (e *Elector) HeartbeatGraceExpired() bool {
 	now := e.context.Monotonic()
 	return now > max(e.held.leaseUntil, e.peers.allIdleAt(now))+e.timing.HeartbeatGrace
 }
