--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -170,7 +170,7 @@
 	if c.elector.KnownLeader() != "" {
 		return !c.elector.LeaderUnreachable()
 	}
-	now, limit := c.context.Monotonic(), c.timing.Election.HealthyWithout
+	now, limit := c.context.Monotonic(), c.timing.Election.HealthyWithoutLeader
 	return now-c.calls.HeardAt() < limit || now < limit
 }
 
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -28,18 +28,18 @@
 
 // Election are the times of the leader election.
 type Election struct {
-	LeaseTTL          time.Duration // of the leader's lease
-	RenewInterval     time.Duration // between renewals of it
-	CheckInterval     time.Duration // between a follower's reads of the leader key
-	RetryInterval     time.Duration // before another try to take the leader key
-	HeartbeatGrace    time.Duration // how long a leader whose lease may have expired goes on answering workers
-	StepDownInterval  time.Duration // between requests to a peer to step down
-	TokenInterval     time.Duration // least time between two advances of the fencing token
-	ProbeInterval     time.Duration // between probes of a peer
-	ProbeTimeout      time.Duration // after which a leader that doesn't answer them counts as unreachable
-	HealthyWithout    time.Duration // how long a node counts as healthy without hearing of a leader
-	ResignBackoff     time.Duration // how long a node that resigned leaves the leader key to others
-	PausedNodeBackoff time.Duration // how long a node that was paused does
+	LeaseTTL             time.Duration // of the leader's lease
+	RenewInterval        time.Duration // between renewals of it
+	CheckInterval        time.Duration // between a follower's reads of the leader key
+	RetryInterval        time.Duration // before another try to take the leader key
+	HeartbeatGrace       time.Duration // how long a leader whose lease may have expired goes on answering workers
+	StepDownInterval     time.Duration // between requests to a peer to step down
+	TokenInterval        time.Duration // least time between two advances of the fencing token
+	ProbeInterval        time.Duration // between probes of a peer
+	ProbeTimeout         time.Duration // after which a leader that doesn't answer them counts as unreachable
+	HealthyWithoutLeader time.Duration // how long a node counts as healthy without hearing of a leader
+	ResignBackoff        time.Duration // how long a node that resigned leaves the leader key to others
+	PausedNodeBackoff    time.Duration // how long a node that was paused does
 }
 
 // Workers are the times of heartbeats, worker leases and commands.
@@ -145,18 +145,18 @@
 	check := config.Seconds(w.LeaseS / 60)
 	probe := config.Seconds(w.LeaseS / 12)
 	return Election{
-		LeaseTTL:          ttl,
-		RenewInterval:     ttl / 5,
-		CheckInterval:     check,
-		RetryInterval:     stateRetry,
-		HeartbeatGrace:    config.Seconds(w.LeaseS * 2),
-		StepDownInterval:  config.Seconds(w.HeartbeatIntervalS) / 3,
-		TokenInterval:     config.Seconds(w.LeaseS / 4),
-		ProbeInterval:     probe,
-		ProbeTimeout:      probe * 5 / 2,
-		HealthyWithout:    ttl * 6,
-		ResignBackoff:     ttl * 2,
-		PausedNodeBackoff: check * 2,
+		LeaseTTL:             ttl,
+		RenewInterval:        ttl / 5,
+		CheckInterval:        check,
+		RetryInterval:        stateRetry,
+		HeartbeatGrace:       config.Seconds(w.LeaseS * 2),
+		StepDownInterval:     config.Seconds(w.HeartbeatIntervalS) / 3,
+		TokenInterval:        config.Seconds(w.LeaseS / 4),
+		ProbeInterval:        probe,
+		ProbeTimeout:         probe * 5 / 2,
+		HealthyWithoutLeader: ttl * 6,
+		ResignBackoff:        ttl * 2,
+		PausedNodeBackoff:    check * 2,
 	}
 }
 
