--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -46,7 +46,7 @@
 type Workers struct {
 	HeartbeatInterval time.Duration
 	Lease             time.Duration // after which a worker's lease has certainly expired
-	SilentAfter       time.Duration // a machine not heard for so long has missed a heartbeat
+	HeartbeatTimeout  time.Duration // a machine not heard for so long has missed a heartbeat
 	CheckInterval     time.Duration // between checks of all machines
 	// ConfirmCancellationWithin is within which the tasks of a cancelled job have to be gone
 	// for its user to be told.
@@ -164,7 +164,7 @@
 	return Workers{
 		HeartbeatInterval:         config.Seconds(w.HeartbeatIntervalS),
 		Lease:                     config.Seconds(w.LeaseS*(1+ClockDrift)) + config.Seconds(w.HeartbeatIntervalS/20),
-		SilentAfter:               config.Seconds(w.HeartbeatIntervalS * 1.5),
+		HeartbeatTimeout:          config.Seconds(w.HeartbeatIntervalS * 1.5),
 		CheckInterval:             config.Seconds(w.HeartbeatIntervalS / 40),
 		ConfirmCancellationWithin: config.Seconds(w.CancelWithinS*(1-ClockDrift) - w.HeartbeatIntervalS/4),
 		RefuseAfterCancellation:   config.Seconds(w.CancelWithinS - w.LeaseS*(1+2*ClockDrift) - w.HeartbeatIntervalS),
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -79,7 +79,7 @@
 		return
 	}
 	now := m.context.Monotonic()
-	if machine.Commands.Failures > 0 && now-worker.HeardAt > m.timing.SilentAfter {
+	if machine.Commands.Failures > 0 && now-worker.HeardAt > m.timing.HeartbeatTimeout {
 		machine.Commands.RetryAt = now // it is back
 	}
 	m.noteIncarnation(machine, heartbeat.Incarnation)
