--- a/internal/scheduling/best_effort.go
+++ b/internal/scheduling/best_effort.go
@@ -71,7 +71,7 @@
 	}
 	sinceReady := time.Duration(s.context.Now.WallMs-j.ReadyMs) * time.Millisecond
 	waited := min(s.context.Monotonic()-j.Placement.IdleSince, sinceReady)
-	return waited > s.timing.Scheduling.Patience
+	return waited > s.timing.Scheduling.StarvationThreshold
 }
 
 // RoomFor is what of the room on a machine a job's tasks may take. Best-effort work, on a
--- a/internal/scheduling/failing_jobs.go
+++ b/internal/scheduling/failing_jobs.go
@@ -26,7 +26,7 @@
 // attempt. Nothing is stopped for it, and a machine is provisioned only after a long while: it
 // may be the machines' fault after all.
 func (s *Scheduler) noteFailingUnplaced(j *cluster.Job, tasks int) {
-	if s.context.Monotonic()-j.Placement.IdleSince < s.timing.Scheduling.Patience {
+	if s.context.Monotonic()-j.Placement.IdleSince < s.timing.Scheduling.StarvationThreshold {
 		tasks = 0
 	}
 	s.noteUnplaced(j, tasks)
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -58,9 +58,9 @@
 
 // Scheduling are the times of scheduling cycles.
 type Scheduling struct {
-	// Patience is how long a job waits before more is done for it than its team or its
+	// StarvationThreshold is how long a job waits before more is done for it than its team or its
 	// failures allow.
-	Patience time.Duration
+	StarvationThreshold time.Duration
 	// FailingJobInterval is the least time between attempts of a team's jobs that fail on
 	// every machine.
 	FailingJobInterval time.Duration
@@ -173,7 +173,7 @@
 
 func newScheduling(w Workers, stateRetry time.Duration, limits config.Limits) Scheduling {
 	return Scheduling{
-		Patience:             w.Lease * 4,
+		StarvationThreshold:  w.Lease * 4,
 		FailingJobInterval:   w.HeartbeatInterval / 8,
 		UnschedulableBackoff: w.CheckInterval / 1000,
 		// To examine a machine takes a fraction of a microsecond of a core. With this, cycles
