--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -32,7 +32,7 @@
 // clock that may be slow.
 func (e *Elector) extendLease(sentAt time.Duration) {
 	ttl := e.timing.LeaseTTL
-	until := sentAt + ttl - time.Duration(float64(ttl)*timing.ClockDrift) - ttl/leaseMargin
+	until := sentAt + ttl - time.Duration(float64(ttl)*timing.MaxClockDrift) - ttl/leaseMargin
 	e.held.leaseUntil = max(e.held.leaseUntil, until)
 }
 
--- a/internal/election/peers.go
+++ b/internal/election/peers.go
@@ -68,7 +68,7 @@
 // notePeerIdle notes a peer's word that it has not led since this node's lease expired. Only
 // a process that was running by then can give it: its predecessor might have led.
 func (e *Elector) notePeerIdle(result message.PeerResult) {
-	uptime := time.Duration(float64(result.UptimeMs)*(1-timing.ClockDrift)) * time.Millisecond
+	uptime := time.Duration(float64(result.UptimeMs)*(1-timing.MaxClockDrift)) * time.Millisecond
 	if result.LastLoadedTerm < e.held.token && e.context.Monotonic()-uptime <= e.held.leaseUntil {
 		e.peers.idleAt[result.Peer] = max(e.peers.idleAt[result.Peer], result.SentAt)
 	}
@@ -140,7 +140,7 @@
 func (e *Elector) EarlierLeadersSilentAt() time.Duration {
 	grace := e.timing.HeartbeatGrace
 	silentAt := e.held.loadedAt
-	bound := e.held.loadedAt + grace + time.Duration(float64(grace)*timing.ClockDrift)
+	bound := e.held.loadedAt + grace + time.Duration(float64(grace)*timing.MaxClockDrift)
 	for _, peer := range e.peers.names {
 		at, ok := e.peers.steppedDownAt[peer]
 		if !ok {
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -10,9 +10,9 @@
 	"oakpick/internal/storage"
 )
 
-// ClockDrift is more than twice what the steady clocks of two machines may differ by, as a
+// MaxClockDrift is more than twice what the steady clocks of two machines may differ by, as a
 // part of the time that passes.
-const ClockDrift = 0.0011
+const MaxClockDrift = 0.0011
 
 // Timing is a controller's times and bounds, grouped by who uses them.
 type Timing struct {
@@ -163,11 +163,11 @@
 func newWorkers(w config.Workers) Workers {
 	return Workers{
 		HeartbeatInterval:         config.Seconds(w.HeartbeatIntervalS),
-		Lease:                     config.Seconds(w.LeaseS*(1+ClockDrift)) + config.Seconds(w.HeartbeatIntervalS/20),
+		Lease:                     config.Seconds(w.LeaseS*(1+MaxClockDrift)) + config.Seconds(w.HeartbeatIntervalS/20),
 		HeartbeatTimeout:          config.Seconds(w.HeartbeatIntervalS * 1.5),
 		CheckInterval:             config.Seconds(w.HeartbeatIntervalS / 40),
-		ConfirmCancellationWithin: config.Seconds(w.CancelWithinS*(1-ClockDrift) - w.HeartbeatIntervalS/4),
-		RefuseAfterCancellation:   config.Seconds(w.CancelWithinS - w.LeaseS*(1+2*ClockDrift) - w.HeartbeatIntervalS),
+		ConfirmCancellationWithin: config.Seconds(w.CancelWithinS*(1-MaxClockDrift) - w.HeartbeatIntervalS/4),
+		RefuseAfterCancellation:   config.Seconds(w.CancelWithinS - w.LeaseS*(1+2*MaxClockDrift) - w.HeartbeatIntervalS),
 	}
 }
 
