--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -48,9 +48,9 @@
 	Lease             time.Duration // after which a worker's lease has certainly expired
 	HeartbeatTimeout  time.Duration // a machine not heard for so long has missed a heartbeat
 	CheckInterval     time.Duration // between checks of all machines
-	// ConfirmCancellationWithin is within which the tasks of a cancelled job have to be gone
+	// CancellationConfirmTimeout is within which the tasks of a cancelled job have to be gone
 	// for its user to be told.
-	ConfirmCancellationWithin time.Duration
+	CancellationConfirmTimeout time.Duration
 	// RefuseAfterCancellation is how long after a cancellation a machine that may still start
 	// the job's tasks isn't answered any more.
 	RefuseAfterCancellation time.Duration
@@ -162,12 +162,12 @@
 
 func newWorkers(w config.Workers) Workers {
 	return Workers{
-		HeartbeatInterval:         config.Seconds(w.HeartbeatIntervalS),
-		Lease:                     config.Seconds(w.LeaseS*(1+MaxClockDrift)) + config.Seconds(w.HeartbeatIntervalS/20),
-		HeartbeatTimeout:          config.Seconds(w.HeartbeatIntervalS * 1.5),
-		CheckInterval:             config.Seconds(w.HeartbeatIntervalS / 40),
-		ConfirmCancellationWithin: config.Seconds(w.CancelWithinS*(1-MaxClockDrift) - w.HeartbeatIntervalS/4),
-		RefuseAfterCancellation:   config.Seconds(w.CancelWithinS - w.LeaseS*(1+2*MaxClockDrift) - w.HeartbeatIntervalS),
+		HeartbeatInterval:          config.Seconds(w.HeartbeatIntervalS),
+		Lease:                      config.Seconds(w.LeaseS*(1+MaxClockDrift)) + config.Seconds(w.HeartbeatIntervalS/20),
+		HeartbeatTimeout:           config.Seconds(w.HeartbeatIntervalS * 1.5),
+		CheckInterval:              config.Seconds(w.HeartbeatIntervalS / 40),
+		CancellationConfirmTimeout: config.Seconds(w.CancelWithinS*(1-MaxClockDrift) - w.HeartbeatIntervalS/4),
+		RefuseAfterCancellation:    config.Seconds(w.CancelWithinS - w.LeaseS*(1+2*MaxClockDrift) - w.HeartbeatIntervalS),
 	}
 }
 
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -133,7 +133,7 @@
 // term's token, or its lease will expire in time, the user is to come back.
 func (m *Manager) CanConfirmCancellation(j *cluster.Job) bool {
 	earlierSilentAt := m.leadership.EarlierLeadersSilentAt()
-	by := m.context.Monotonic() + m.timing.ConfirmCancellationWithin
+	by := m.context.Monotonic() + m.timing.CancellationConfirmTimeout
 	for _, t := range j.ActiveTasks {
 		knowsTerm := t.Machine.Worker.FencingToken >= m.leadership.FirstToken()
 		if !knowsTerm && m.leaseExpiresBy(t.Machine, earlierSilentAt) > by {
