--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -171,7 +171,7 @@
 		return !c.elector.LeaderUnreachable()
 	}
 	now, limit := c.context.Monotonic(), c.timing.Election.HealthyWithoutLeader
-	return now-c.calls.HeardAt() < limit || now < limit
+	return now-c.calls.LastResponseAt() < limit || now < limit
 }
 
 // Role says what the node is doing, in the words of the administration API.
--- a/internal/step/state_calls.go
+++ b/internal/step/state_calls.go
@@ -47,5 +47,5 @@
 // InFlight is how many requests have had no result yet.
 func (s *StateCalls) InFlight() int { return len(s.handlers) }
 
-// HeardAt is when the state service last decided a request.
-func (s *StateCalls) HeardAt() time.Duration { return s.heardAt }
+// LastResponseAt is when the state service last decided a request.
+func (s *StateCalls) LastResponseAt() time.Duration { return s.heardAt }
