--- a/internal/autoscaling/scale_in.go
+++ b/internal/autoscaling/scale_in.go
@@ -60,7 +60,7 @@
 		return "it has failed"
 	case !machine.Worker.Registered:
 		return a.unregisteredReleaseReason(machine)
-	case machine.Worker.Expired() && a.context.SilentFor(machine.Worker.HeardAt) > a.timing.Lease*silentLeases:
+	case machine.Worker.Expired() && a.context.SilenceDuration(machine.Worker.HeardAt) > a.timing.Lease*silentLeases:
 		return "it is silent"
 	case len(machine.Tasks) > 0:
 		return ""
@@ -78,7 +78,7 @@
 
 // idleFor is for how long a machine has been empty, as far as this leader knows.
 func (a *Autoscaler) idleFor(machine *cluster.Machine) time.Duration {
-	return a.context.SilentFor(max(machine.Provisioning.EmptySince, a.leadership.LeadingSince()))
+	return a.context.SilenceDuration(max(machine.Provisioning.EmptySince, a.leadership.LeadingSince()))
 }
 
 // unregisteredReleaseReason says why a machine that hasn't reported in this term is to be
@@ -90,7 +90,7 @@
 	provisioning := &machine.Provisioning
 	if provisioning.RunningAt > 0 {
 		// It came up in an earlier term, and is cut off: it may come back.
-		if a.context.SilentFor(provisioning.RunningAt) > a.timing.Lease*silentLeases {
+		if a.context.SilenceDuration(provisioning.RunningAt) > a.timing.Lease*silentLeases {
 			return "it is silent"
 		}
 		return ""
--- a/internal/election/peers.go
+++ b/internal/election/peers.go
@@ -49,7 +49,7 @@
 // LeaderUnreachable reports whether a known leader no longer answers probes. Nothing is
 // concluded from a pause of this process.
 func (e *Elector) LeaderUnreachable() bool {
-	return e.context.SilentFor(e.observed.reachedAt) > e.timing.ProbeTimeout
+	return e.context.SilenceDuration(e.observed.reachedAt) > e.timing.ProbeTimeout
 }
 
 // probePeersWhileUncertain asks the peers whether any of them has led, while this node's
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -193,7 +193,7 @@
 		return false
 	}
 	silentLimit := time.Duration(silentHeartbeats * float64(s.timing.Workers.HeartbeatInterval))
-	return s.context.SilentFor(worker.HeardAt) < silentLimit && machine.Commands.UnconfirmedToken < s.leadership.Token()
+	return s.context.SilenceDuration(worker.HeardAt) < silentLimit && machine.Commands.UnconfirmedToken < s.leadership.Token()
 }
 
 // fits reports whether a task may go to a machine that has so much room.
--- a/internal/step/context.go
+++ b/internal/step/context.go
@@ -69,8 +69,8 @@
 	c.Emit(message.Reply{ID: id, Status: statusUnavailable, Body: protocol.EncodeError(reason), RetryAfterS: retryAfterS})
 }
 
-// SilentFor is for how long something last heard at a time has been silent while it could
+// SilenceDuration is for how long something last heard at a time has been silent while it could
 // have been heard: what was not heard during a pause of this process says nothing.
-func (c *Context) SilentFor(heardAt time.Duration) time.Duration {
+func (c *Context) SilenceDuration(heardAt time.Duration) time.Duration {
 	return c.Monotonic() - c.Pauses.Since(heardAt)
 }
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -207,7 +207,7 @@
 	m.state.QueueCommands(machine)
 	wait := m.timing.HeartbeatInterval / commandBackoffShare << min(pending.Failures, maxBackoffDoublings)
 	pending.RetryAt = now + min(wait, m.timing.Lease/2)
-	if m.context.SilentFor(machine.Worker.HeardAt) > m.timing.HeartbeatTimeout {
+	if m.context.SilenceDuration(machine.Worker.HeardAt) > m.timing.HeartbeatTimeout {
 		// It is silent itself. Hundreds may be, and each call takes a connection for a while:
 		// they are left alone until they are heard.
 		pending.RetryAt = now + m.timing.Lease/2
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -59,7 +59,7 @@
 }
 
 func (m *Manager) isSilent(machine *cluster.Machine) bool {
-	return m.context.SilentFor(machine.Worker.HeardAt) > m.timing.HeartbeatTimeout
+	return m.context.SilenceDuration(machine.Worker.HeardAt) > m.timing.HeartbeatTimeout
 }
 
 // expireLease takes everything off a machine whose worker's lease has certainly expired.
