--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -21,14 +21,14 @@
 // Options are the figures that operators may change while it runs. Their ranges keep out what
 // makes no sense; none of them bounds the size of a fleet.
 type Options struct {
-	WriteShare         float64 `json:"write_share" validate:"gte=0.05,lte=0.95"`
-	SampleSize         int     `json:"sample" validate:"gte=1,lte=1000000"`
-	IdleS              float64 `json:"idle_s" validate:"gte=0,lte=86400"`
-	HeadroomStdDevs    float64 `json:"warm_room" validate:"gte=0,lte=20"`
-	MaxPreemptionCostS float64 `json:"preempt_most_s" validate:"gte=0,lte=1000000"`
-	GiveUpBoots        float64 `json:"give_up_boots" validate:"gte=1.5,lte=1000"`
-	FailoverWaitS      float64 `json:"takeover_wait_s" validate:"gte=0,lte=3600"`
-	MovesPerMin        float64 `json:"moves_per_min" validate:"gte=0,lte=60000000"`
+	WriteShare          float64 `json:"write_share" validate:"gte=0.05,lte=0.95"`
+	SampleSize          int     `json:"sample" validate:"gte=1,lte=1000000"`
+	IdleS               float64 `json:"idle_s" validate:"gte=0,lte=86400"`
+	HeadroomStdDevs     float64 `json:"warm_room" validate:"gte=0,lte=20"`
+	MaxPreemptionCostS  float64 `json:"preempt_most_s" validate:"gte=0,lte=1000000"`
+	BootTimeoutMultiple float64 `json:"give_up_boots" validate:"gte=1.5,lte=1000"`
+	FailoverWaitS       float64 `json:"takeover_wait_s" validate:"gte=0,lte=3600"`
+	MovesPerMin         float64 `json:"moves_per_min" validate:"gte=0,lte=60000000"`
 }
 
 // DefaultOptions derives them from the settings.
@@ -36,7 +36,7 @@
 	w := cfg.Settings.Workers
 	return Options{
 		WriteShare: 0.95, SampleSize: 64, IdleS: 0, HeadroomStdDevs: 3,
-		MaxPreemptionCostS: 50 * w.LeaseS, GiveUpBoots: 4, FailoverWaitS: 1.5 * w.HeartbeatIntervalS, MovesPerMin: 6 * cfg.Settings.State.Smallest().WriteRPS,
+		MaxPreemptionCostS: 50 * w.LeaseS, BootTimeoutMultiple: 4, FailoverWaitS: 1.5 * w.HeartbeatIntervalS, MovesPerMin: 6 * cfg.Settings.State.Smallest().WriteRPS,
 	}
 }
 
@@ -103,7 +103,7 @@
 
 func (o Options) autoscaling() autoscaling.Options {
 	return autoscaling.Options{
-		IdleS: o.IdleS, WarmRoom: o.HeadroomStdDevs, GiveUpBoots: o.GiveUpBoots, FailoverWaitS: o.FailoverWaitS, MovesPerMin: o.MovesPerMin,
+		IdleS: o.IdleS, WarmRoom: o.HeadroomStdDevs, GiveUpBoots: o.BootTimeoutMultiple, FailoverWaitS: o.FailoverWaitS, MovesPerMin: o.MovesPerMin,
 	}
 }
 
