--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -19,24 +19,24 @@
 
 // LeaderStatus is what only the leader knows.
 type LeaderStatus struct {
-	SinceS              float64             `json:"since_s"`
-	LeaseForS           float64             `json:"certain_for_s"`
-	Jobs                int                 `json:"jobs"`
-	EndedJobs           int                 `json:"over"` // in memory, that is not in the archive
-	Archive             archive.Status      `json:"archive"`
-	Classes             map[string]Queue    `json:"classes"`
-	Teams               map[string]TeamUse  `json:"teams"`
-	Machines            map[string]Machines `json:"machines"`
-	UnconfirmedMachines []string            `json:"machines_in_doubt"` // starts may still arrive there
-	CordonedMachines    []string            `json:"machines_set_aside"`
-	FailingJobs         []string            `json:"jobs_failing_everywhere"`
-	Backlog             int                 `json:"pages_to_write"`
-	BacklogS            float64             `json:"oldest_page_waits_s"`
-	BudgetFill          float64             `json:"write_budget_fill"` // 0 to 1
-	BudgetWaitS         float64             `json:"write_budget_waits_s"`
-	Pages               int                 `json:"pages"`
-	OversizedPages      int                 `json:"pages_above_limits_to_come"`
-	SteppedDownPeers    []string            `json:"peers_let_go"`
+	SinceS              float64              `json:"since_s"`
+	LeaseForS           float64              `json:"certain_for_s"`
+	Jobs                int                  `json:"jobs"`
+	EndedJobs           int                  `json:"over"` // in memory, that is not in the archive
+	Archive             archive.Status       `json:"archive"`
+	Classes             map[string]Queue     `json:"classes"`
+	Teams               map[string]TeamUsage `json:"teams"`
+	Machines            map[string]Machines  `json:"machines"`
+	UnconfirmedMachines []string             `json:"machines_in_doubt"` // starts may still arrive there
+	CordonedMachines    []string             `json:"machines_set_aside"`
+	FailingJobs         []string             `json:"jobs_failing_everywhere"`
+	Backlog             int                  `json:"pages_to_write"`
+	BacklogS            float64              `json:"oldest_page_waits_s"`
+	BudgetFill          float64              `json:"write_budget_fill"` // 0 to 1
+	BudgetWaitS         float64              `json:"write_budget_waits_s"`
+	Pages               int                  `json:"pages"`
+	OversizedPages      int                  `json:"pages_above_limits_to_come"`
+	SteppedDownPeers    []string             `json:"peers_let_go"`
 }
 
 // Queue is a class's tasks.
@@ -48,8 +48,8 @@
 	BlockedJobs int `json:"waiting_for_prerequisites"`
 }
 
-// TeamUse is a team's use and quota.
-type TeamUse struct {
+// TeamUsage is a team's use and quota.
+type TeamUsage struct {
 	Waiting        int     `json:"waiting"` // tasks
 	CPUs           float64 `json:"cpus"`
 	GuaranteedCPUs float64 `json:"cpus_guaranteed"`
@@ -86,13 +86,13 @@
 	s := &LeaderStatus{
 		SinceS: (now - elector.LeadingSince()).Seconds(), LeaseForS: max(0, elector.LeaseUntil()-now).Seconds(),
 		Jobs: len(l.state.JobOrder), EndedJobs: len(l.state.EndedJobs), Archive: l.archive.Status(),
-		Classes: map[string]Queue{}, Teams: map[string]TeamUse{}, Machines: map[string]Machines{},
+		Classes: map[string]Queue{}, Teams: map[string]TeamUsage{}, Machines: map[string]Machines{},
 		UnconfirmedMachines: []string{}, CordonedMachines: []string{}, FailingJobs: l.failingJobs(),
 		Backlog: pages, BacklogS: oldest.Seconds(), BudgetFill: budget.Fill, BudgetWaitS: budget.WaitingFor.Seconds(), Pages: l.store.PageCount(), OversizedPages: l.store.OversizedPages(),
 		SteppedDownPeers: elector.SteppedDownPeers(),
 	}
 	for name, t := range l.state.Teams {
-		s.Teams[name] = TeamUse{
+		s.Teams[name] = TeamUsage{
 			CPUs: t.Used.CPUs, GuaranteedCPUs: t.GuaranteedCPUs, CPULimit: t.CPULimit,
 			GPUs: t.Used.GPUs, GuaranteedGPUs: t.GuaranteedGPUs, GPULimit: t.GPULimit,
 		}
