--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -24,7 +24,7 @@
 	Jobs                int                      `json:"jobs"`
 	EndedJobs           int                      `json:"over"` // in memory, that is not in the archive
 	Archive             archive.Status           `json:"archive"`
-	Classes             map[string]Queue         `json:"classes"`
+	Classes             map[string]ClassCounts   `json:"classes"`
 	Teams               map[string]TeamUsage     `json:"teams"`
 	Machines            map[string]MachineCounts `json:"machines"`
 	UnconfirmedMachines []string                 `json:"machines_in_doubt"` // starts may still arrive there
@@ -39,8 +39,8 @@
 	SteppedDownPeers    []string                 `json:"peers_let_go"`
 }
 
-// Queue is a class's tasks.
-type Queue struct {
+// ClassCounts is a class's tasks.
+type ClassCounts struct {
 	Jobs        int `json:"jobs"`
 	Waiting     int `json:"waiting"`
 	Placed      int `json:"placed"`
@@ -86,7 +86,7 @@
 	s := &LeaderStatus{
 		SinceS: (now - elector.LeadingSince()).Seconds(), LeaseForS: max(0, elector.LeaseUntil()-now).Seconds(),
 		Jobs: len(l.state.JobOrder), EndedJobs: len(l.state.EndedJobs), Archive: l.archive.Status(),
-		Classes: map[string]Queue{}, Teams: map[string]TeamUsage{}, Machines: map[string]MachineCounts{},
+		Classes: map[string]ClassCounts{}, Teams: map[string]TeamUsage{}, Machines: map[string]MachineCounts{},
 		UnconfirmedMachines: []string{}, CordonedMachines: []string{}, FailingJobs: l.failingJobs(),
 		Backlog: pages, BacklogS: oldest.Seconds(), BudgetFill: budget.Fill, BudgetWaitS: budget.WaitingFor.Seconds(), Pages: l.store.PageCount(), OversizedPages: l.store.OversizedPages(),
 		SteppedDownPeers: elector.SteppedDownPeers(),
