--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -20,7 +20,7 @@
 // LeaderStatus is what only the leader knows.
 type LeaderStatus struct {
 	SinceS              float64                  `json:"since_s"`
-	LeaseForS           float64                  `json:"certain_for_s"`
+	LeaseRemainingS     float64                  `json:"certain_for_s"`
 	Jobs                int                      `json:"jobs"`
 	EndedJobs           int                      `json:"over"` // in memory, that is not in the archive
 	Archive             archive.Status           `json:"archive"`
@@ -84,7 +84,7 @@
 	pages, oldest := l.store.Backlog(now)
 	budget := l.store.WriteBudget(now)
 	s := &LeaderStatus{
-		SinceS: (now - elector.LeadingSince()).Seconds(), LeaseForS: max(0, elector.LeaseUntil()-now).Seconds(),
+		SinceS: (now - elector.LeadingSince()).Seconds(), LeaseRemainingS: max(0, elector.LeaseUntil()-now).Seconds(),
 		Jobs: len(l.state.JobOrder), EndedJobs: len(l.state.EndedJobs), Archive: l.archive.Status(),
 		Classes: map[string]ClassCounts{}, Teams: map[string]TeamUsage{}, Machines: map[string]MachineCounts{},
 		UnconfirmedMachines: []string{}, CordonedMachines: []string{}, FailingJobs: l.failingJobs(),
