--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -22,12 +22,12 @@
 	Placed  int    `json:"placed"`
 	Waiting int    `json:"waiting"`
 	// BestEffort tells that the team has no guarantee while others have one.
-	BestEffort bool            `json:"guest"`
-	Failures   *FailuresStatus `json:"failures,omitempty"`
+	BestEffort bool           `json:"guest"`
+	Failures   *FailureStatus `json:"failures,omitempty"`
 }
 
-// FailuresStatus is what is known of a job's failures.
-type FailuresStatus struct {
+// FailureStatus is what is known of a job's failures.
+type FailureStatus struct {
 	Tasks          int      `json:"tasks"`  // that have failed since one completed
 	Rounds         int      `json:"rounds"` // attempts in a row
 	Machines       []string `json:"machines"`
@@ -63,12 +63,12 @@
 }
 
 // failuresStatus sums a job's failures up; nil: there are none.
-func (l *leader) failuresStatus(j *cluster.Job) *FailuresStatus {
+func (l *leader) failuresStatus(j *cluster.Job) *FailureStatus {
 	failures := &j.Failures
 	if failures.Tasks == 0 {
 		return nil
 	}
-	s := &FailuresStatus{
+	s := &FailureStatus{
 		Tasks: failures.Tasks, Rounds: failures.Rounds, Machines: slices.Sorted(maps.Keys(failures.Machines)),
 		NextAttemptInS: max(0, failures.NextAttempt-l.controller.context.Monotonic()).Seconds(),
 		Fault:          "machine", Reason: "it has failed on fewer machines than it takes to call it the job's fault",
