--- a/internal/election/peers.go
+++ b/internal/election/peers.go
@@ -102,7 +102,7 @@
 		e.follow(request.Leader, request.Term)
 	}
 	e.context.Emit(message.Reply{ID: request.ID, Status: 200, Body: protocol.Encode(protocol.StepDownResponse{
-		SteppedDown: true, LastLoadedTerm: e.held.loadedTerm, UptimeMs: e.context.Monotonic().Milliseconds(), ReadsArchive: request.AsksArchive,
+		SteppedDown: true, LastLoadedTerm: e.held.loadedTerm, UptimeMs: e.context.Monotonic().Milliseconds(), ReadsArchive: request.QueriesArchiveSupport,
 	})})
 }
 
--- a/internal/message/messages.go
+++ b/internal/message/messages.go
@@ -55,8 +55,8 @@
 		ID     uint64
 		Term   int64
 		Leader string
-		// AsksArchive asks whether this node reads the archive of ended jobs.
-		AsksArchive bool
+		// QueriesArchiveSupport asks whether this node reads the archive of ended jobs.
+		QueriesArchiveSupport bool
 	}
 	// CloudResult answers a CloudCall.
 	CloudResult struct {
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -61,7 +61,7 @@
 		http.Error(w, "body", http.StatusBadRequest)
 		return
 	}
-	request := message.StepDownRequest{Term: m.Term, Leader: m.Leader, AsksArchive: m.ReadsArchive}
+	request := message.StepDownRequest{Term: m.Term, Leader: m.Leader, QueriesArchiveSupport: m.ReadsArchive}
 	WriteReply(w, protocol.ContentType, s.handler.Handle(request, RawRequest{}, stepDownTimeout))
 }
 
