--- a/internal/archive/move.go
+++ b/internal/archive/move.go
@@ -104,7 +104,7 @@
 		all = false
 		if asks {
 			a.moves.askAt = now + a.timing.Election.ProbeInterval
-			a.context.Emit(message.PeerCall{Peer: peer, Term: a.leadership.Token(), SentAt: now, AsksArchive: true})
+			a.context.Emit(message.PeerCall{Peer: peer, Term: a.leadership.Token(), SentAt: now, QueriesArchiveSupport: true})
 		}
 	}
 	return all
--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -184,7 +184,7 @@
 	case message.CommandsCall:
 		line = fmt.Sprintf("commands %d %s %s %x %v", x.ID, x.Machine, x.Addr, protocol.EncodeCommands(x.FencingToken, x.Incarnation, x.Commands), x.NotAfter)
 	case message.PeerCall:
-		line = fmt.Sprintf("peer %s %d %v %v", x.Peer, x.Term, x.SentAt, x.AsksArchive)
+		line = fmt.Sprintf("peer %s %d %v %v", x.Peer, x.Term, x.SentAt, x.QueriesArchiveSupport)
 	case message.Log:
 		return
 	default:
--- a/internal/fake/peers.go
+++ b/internal/fake/peers.go
@@ -100,7 +100,7 @@
 		})
 	}
 	w.After(delivery.RequestDelay, func() {
-		request := message.StepDownRequest{Term: e.Term, Leader: c.Name, QueriesArchiveSupport: e.AsksArchive && !peer.asProduction}
+		request := message.StepDownRequest{Term: e.Term, Leader: c.Name, QueriesArchiveSupport: e.QueriesArchiveSupport && !peer.asProduction}
 		peer.Request(request, reply)
 	})
 }
--- a/internal/message/messages.go
+++ b/internal/message/messages.go
@@ -158,8 +158,8 @@
 		Peer   string
 		Term   int64
 		SentAt time.Duration // by the monotonic clock
-		// AsksArchive asks whether the peer reads the archive of ended jobs.
-		AsksArchive bool
+		// QueriesArchiveSupport asks whether the peer reads the archive of ended jobs.
+		QueriesArchiveSupport bool
 	}
 	// Log is a log line.
 	Log struct {
