--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -1,8 +1,8 @@
-// Package election decides which controller may act. The leader holds a key of the state
-// service that is attached to a lease. The key's version is the term and, as it grows with
-// every write of the key, the fencing token of workers; every write of a leader is conditional
-// on it. The elector is a deterministic state machine that knows no job: results of requests
-// and the time go in, effects come out.
+// Package election implements leader election among controllers. The leader owns a key in the
+// state service that is attached to a lease. The version of that key identifies the term and
+// grows with every write to the key, so it also serves as the fencing token for workers. Every
+// write by a leader is conditional on it. The elector is a deterministic state machine that
+// knows nothing about jobs: it receives request results and the time, and emits effects.
 package election
 
 import (
@@ -16,19 +16,19 @@
 	"oakpick/internal/timing"
 )
 
-// Delegate is what follows from the election.
+// Delegate is notified of changes to the term held by this node.
 type Delegate interface {
-	// TermAcquired is called when the node has taken the leader key. It reads the stored
-	// records behind a barrier of the term and calls BeginLeading, or StepDown.
+	// TermAcquired is called after the node acquires the leader key. The delegate reads the
+	// stored records behind a write barrier for the term, then calls BeginLeading or StepDown.
 	TermAcquired()
-	// SteppedDown is called when the node no longer holds its term: what belongs to the term
-	// must be dropped.
+	// SteppedDown is called when the node loses or gives up its term. The delegate must
+	// discard all state that belongs to the term.
 	SteppedDown()
-	// TokenAdvanced is called when the term goes on with a higher fencing token.
+	// TokenAdvanced is called when the fencing token increases within the term.
 	TokenAdvanced()
 }
 
-// Elector is a node's part in the election. It belongs to the controller's owner.
+// Elector runs leader election for one node. Only the goroutine that owns the controller may use it.
 type Elector struct {
 	context  *step.Context
 	calls    *step.StateCalls
@@ -38,37 +38,37 @@
 	process  string
 
 	observed    observedLeader
-	acquisition *protocol.Txn // the try to take the leader key whose result isn't known yet
+	acquisition *protocol.Txn // in-flight transaction that acquires the leader key; nil if none
 	held        heldTerm
 	peers       peerStates
 	advance     tokenAdvance
 }
 
-// observedLeader is what a node knows of the leader key.
+// observedLeader is a node's view of the leader key and of the node that holds it.
 type observedLeader struct {
-	leader       string        // its name; empty: nobody is known to lead
-	version      int64         // of the key when last read; 0: absent
-	checking     bool          // the key is being read or written
-	checkAt      time.Duration // when it is read next
-	backoffUntil time.Duration // until when to leave the key to others
-	reachedAt    time.Duration // when the leader last answered a probe, or was first heard of
-	probeAt      time.Duration // when it is probed next
+	leader          string        // name of the leader; empty if unknown
+	version         int64         // version of the leader key when last read; 0 if the key was absent
+	requestInFlight bool          // a read or write of the leader key is in flight
+	nextCheckAt     time.Duration // time of the next read of the leader key
+	backoffUntil    time.Duration // the node does not try to acquire the leader key before this time
+	lastContactAt   time.Duration // when the leader last answered a probe, or was first observed
+	nextProbeAt     time.Duration // time of the next probe of the leader
 }
 
-// heldTerm is the term that a node holds.
+// heldTerm is the state of the term that this node holds.
 type heldTerm struct {
-	token      int64         // version of the leader key; 0: none is held
-	lease      int64         // that the key is attached to
-	leaseUntil time.Duration // until when the lease certainly lasts, by this node's clock
-	renewAt    time.Duration
-	leading    bool          // the records were read: only from then on may anything be told or started
-	loadedTerm int64         // the first version of the last term whose records were read; 0: none
-	loadedAt   time.Duration // when they were read
-	floor      int64         // never act for a term that is not above
-}
-
-// New returns the elector of a node's process, which tells itself from earlier ones of the
-// node by its name.
+	token         int64         // version of the leader key; 0 if no term is held
+	lease         int64         // ID of the lease that the leader key is attached to
+	leaseUntil    time.Duration // the lease is guaranteed to last until this time on the local clock
+	nextRenewalAt time.Duration
+	leading       bool          // set once the records are loaded; before that the node must not answer requests or start tasks
+	loadedTerm    int64         // first token of the last term whose records were loaded; 0 if none
+	loadedAt      time.Duration // when those records were loaded
+	termFloor     int64         // terms up to and including this one must not be acted on
+}
+
+// New returns the elector of a node. The process identifier distinguishes this process from
+// earlier processes of the same node.
 func New(context *step.Context, calls *step.StateCalls, timing timing.Election, node, process string, peers []string, delegate Delegate) *Elector {
 	return &Elector{
 		context: context, calls: calls, timing: timing, delegate: delegate, node: node, process: process,
@@ -76,36 +76,36 @@
 	}
 }
 
-// Tick does what time calls for.
+// Tick renews the lease, checks the leader key and sends probes when they are due.
 func (e *Elector) Tick() {
 	if e.held.token == 0 {
 		e.probeLeader()
 		e.checkLeader()
 		return
 	}
-	if now := e.context.Monotonic(); now >= e.held.renewAt {
-		e.held.renewAt = now + e.timing.RenewInterval
+	if now := e.context.Monotonic(); now >= e.held.nextRenewalAt {
+		e.held.nextRenewalAt = now + e.timing.RenewInterval
 		e.renewLease()
 	}
 	switch {
 	case e.held.leading:
 		e.probePeersWhileUncertain()
-		// Not before the records are read: if they can't be, the predecessor had better go
-		// on answering its workers.
+		// Peers are asked to step down only after the records are loaded. If loading fails, the
+		// previous leader should keep answering its workers.
 		e.requestStepDown()
 	case e.context.Monotonic() > e.held.leaseUntil:
 		e.StepDown("the leader's lease expired during failover")
 	}
 }
 
-// BeginLeading notes that the records of the term were read.
+// BeginLeading marks the records of the term as loaded and starts leading.
 func (e *Elector) BeginLeading() {
 	e.held.leading = true
 	e.held.loadedTerm, e.held.loadedAt = e.held.token, e.context.Monotonic()
 	e.advance = tokenAdvance{}
 }
 
-// StepDown ends the term at this node. The lease stays: until it expires nobody else leads.
+// StepDown ends the term on this node. It does not revoke the lease, so no other node can lead until the lease expires.
 func (e *Elector) StepDown(reason string) {
 	e.context.Log(message.Info, "term lost", "term", e.held.token, "reason", reason)
 	e.delegate.SteppedDown()
@@ -116,21 +116,22 @@
 	e.scheduleLeaderCheck()
 }
 
-// Resign ends the term by this node's own choice, so that another can begin one at once.
+// Resign ends the term voluntarily and backs off, so that another node can take over at once.
 func (e *Elector) Resign(reason string) {
 	e.Restart(reason)
 	e.observed.backoffUntil = e.context.Monotonic() + e.timing.ResignBackoff
 }
 
-// Restart ends the term so that a new one can begin at once, on this node or another.
+// Restart ends the term and revokes the lease, so that this node or another can begin a new term at once.
 func (e *Elector) Restart(reason string) {
 	lease := e.held.lease
 	e.StepDown(reason)
 	e.revokeLease(lease)
 }
 
-// BackOffAfterProcessPause leaves a free leader key to others for a while: they may be paused less
-// often, and terms shouldn't follow one another at the pace of this node's pauses.
+// BackOffAfterProcessPause delays acquisition of a free leader key after a pause of this process.
+// Other nodes may be paused less often, and a frequently paused node would otherwise cause
+// frequent changes of term.
 func (e *Elector) BackOffAfterProcessPause() {
 	if e.held.token != 0 {
 		return
@@ -139,15 +140,15 @@
 	e.observed.backoffUntil = max(e.observed.backoffUntil, until)
 }
 
-// Leadership is what parts beside the controller have to know of the election.
+// Leadership is a snapshot of the election state for components outside the controller.
 type Leadership struct {
-	Term         int64         // the version that the leader key had when this node began to lead; 0: it doesn't
-	FencingToken int64         // the version now
-	LeaseUntil   time.Duration // until when no other node can lead, by the steady clock
-	Leader       string        // who leads, as far as is known; empty while this node does
+	Term         int64         // version of the leader key when this node began to lead; 0 if it does not lead
+	FencingToken int64         // current version of the leader key
+	LeaseUntil   time.Duration // no other node can lead before this time, by the monotonic clock
+	Leader       string        // name of the leader if it is another node and known, otherwise empty
 }
 
-// Leadership tells who leads.
+// Leadership returns the current election state.
 func (e *Elector) Leadership() Leadership {
 	if !e.held.leading {
 		return Leadership{Leader: e.OtherLeader()}
@@ -155,27 +156,27 @@
 	return Leadership{Term: e.held.loadedTerm, FencingToken: e.held.token, LeaseUntil: e.held.leaseUntil}
 }
 
-// Leading reports whether the node leads, also while its lease may have expired.
+// Leading reports whether the node leads. It stays true while the lease may have expired.
 func (e *Elector) Leading() bool { return e.held.leading }
 
-// Token is the fencing token of the term that the node holds; 0: none.
+// Token returns the fencing token of the term that the node holds, or 0 if it holds none.
 func (e *Elector) Token() int64 { return e.held.token }
 
-// FirstToken is the token with which the node's last term began.
+// FirstToken returns the first fencing token of the last term that the node led.
 func (e *Elector) FirstToken() int64 { return e.held.loadedTerm }
 
-// LeadingSince is when the records of the term were read.
+// LeadingSince returns the time at which the records of the term were loaded.
 func (e *Elector) LeadingSince() time.Duration { return e.held.loadedAt }
 
-// TermCondition is what every write of the term is conditional on.
+// TermCondition returns the condition that every write of the term must carry.
 func (e *Elector) TermCondition() protocol.Condition {
 	return protocol.Condition{Key: LeaderKey, Version: e.held.token}
 }
 
-// KnownLeader is who leads as far as the node knows, itself or another; empty: nobody.
+// KnownLeader returns the name of the leader, which may be this node, or an empty string if the leader is unknown.
 func (e *Elector) KnownLeader() string { return e.observed.leader }
 
-// OtherLeader is the peer that is known to lead; empty: none is.
+// OtherLeader returns the name of the peer that leads, or an empty string if no peer is known to lead.
 func (e *Elector) OtherLeader() string {
 	if e.observed.leader == e.node {
 		return ""
@@ -183,7 +184,7 @@
 	return e.observed.leader
 }
 
-// SteppedDownPeers are the peers that confirmed to have ended earlier terms, sorted.
+// SteppedDownPeers returns the peers that confirmed the end of all earlier terms, sorted by name.
 func (e *Elector) SteppedDownPeers() []string {
 	return append([]string{}, slices.Sorted(maps.Keys(e.peers.steppedDownAt))...)
 }
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -12,14 +12,14 @@
 	"oakpick/internal/timing"
 )
 
-// testTiming are round times, so that the moments of a test can be read.
+// testTiming uses round values to keep the times in tests readable.
 var testTiming = timing.Election{
 	LeaseTTL: 10 * time.Second, RenewInterval: 2 * time.Second, CheckInterval: 4 * time.Second, RetryInterval: time.Second,
 	HeartbeatGrace: 20 * time.Second, StepDownInterval: time.Second, TokenInterval: 5 * time.Second,
 	ProbeInterval: time.Second, ProbeTimeout: 3 * time.Second, ResignBackoff: 8 * time.Second,
 }
 
-// fakeDelegate counts what the elector tells.
+// fakeDelegate counts the calls that it receives.
 type fakeDelegate struct{ acquired, steppedDown, advanced int }
 
 func (d *fakeDelegate) TermAcquired()  { d.acquired++ }
@@ -32,7 +32,7 @@
 	t        *testing.T
 	calls    *step.StateCalls
 	delegate *fakeDelegate
-	sent     []message.Effect // by the last step
+	sent     []message.Effect // effects of the last step
 }
 
 func newHarness(t *testing.T) *harness {
@@ -44,7 +44,7 @@
 	return h
 }
 
-// step takes a step at a time, in which something is done first.
+// step runs one step at the given time. It calls do, if set, before Tick.
 func (h *harness) step(at time.Duration, do func()) {
 	h.context.Begin(message.Now{Monotonic: at})
 	if do != nil {
@@ -54,7 +54,7 @@
 	h.sent = h.context.Effects()
 }
 
-// request returns the last request to the state service of the last step.
+// request returns the last state service request of the given kind in the last step.
 func (h *harness) request(op storage.StateOp) storage.StateCall {
 	h.t.Helper()
 	for i := len(h.sent) - 1; i >= 0; i-- {
@@ -66,16 +66,16 @@
 	return storage.StateCall{}
 }
 
-// answer has the state service answer a request in a step at a time.
+// answer delivers the state service result of a request in a step at the given time.
 func (h *harness) answer(at time.Duration, call storage.StateCall, result storage.StateResult) {
 	result.ID = call.ID
 	h.step(at, func() { h.calls.Handle(result) })
 }
 
-// firstToken is the fencing token of the terms that lead begins.
+// firstToken is the fencing token of a term started by lead.
 const firstToken = 5
 
-// lead makes the node the leader, at one second.
+// lead makes the node the leader at the time of one second.
 func (h *harness) lead() {
 	h.t.Helper()
 	h.step(0, nil)
@@ -88,7 +88,7 @@
 	h.step(time.Second, h.BeginLeading)
 }
 
-func TestLeaderKeyIsAcquiredWithTheLeaseThatWasGranted(t *testing.T) {
+func TestLeaderKeyIsAcquiredWithGrantedLease(t *testing.T) {
 	h := newHarness(t)
 	h.step(0, nil)
 	h.answer(0, h.request(storage.StateGet), storage.StateResult{Outcome: rpc.NotFound})
@@ -102,10 +102,10 @@
 	}
 }
 
-func TestLeaseCountsFromWhenItWasRequested(t *testing.T) {
+func TestLeaseCountsFromTimeOfRequest(t *testing.T) {
 	h := newHarness(t)
 	h.lead()
-	// Requested at 0 s, for 10 s less the drift of clocks and a margin.
+	// The lease was requested at 0 s for 10 s, minus the clock drift and the safety margin.
 	const last, expired = 9450 * time.Millisecond, 9500 * time.Millisecond
 	h.step(last, nil)
 	if !h.HoldsLease() {
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestLeaderStepsDownForANewerTermOnly(t *testing.T) {
+func TestLeaderStepsDownOnlyForNewerTerm(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		term int64
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestResultsOfATermThatIsOverAreIgnored(t *testing.T) {
+func TestResultsOfEndedTermsAreIgnored(t *testing.T) {
 	h := newHarness(t)
 	h.lead()
 	h.step(4*time.Second, nil)
@@ -178,12 +178,12 @@
 	}
 }
 
-// The answer to an advance is lost, and a copy of it was committed: the key's value tells.
-func TestTokenAdvanceWithoutAnswerIsFoundByTheKey(t *testing.T) {
+// The response to a token advance is lost although the transaction was committed. The elector detects this by the value of the leader key.
+func TestCommittedTokenAdvanceIsDetectedAfterLostResponse(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*leaderValue)
-		want   int64 // the token; 0: it has stepped down
+		want   int64 // expected token; 0 after a step-down
 	}{
 		{"its own value", func(*leaderValue) {}, 9},
 		{"of another process", func(v *leaderValue) { v.Process = "process-2" }, 0},
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestEarlierLeadersAreSilentOnceAllPeersHaveSteppedDown(t *testing.T) {
+func TestEarlierLeadersAreSilentAfterAllPeersStepDown(t *testing.T) {
 	h := newHarness(t)
 	h.lead()
 	confirm := func(peer string) func() {
@@ -217,7 +217,7 @@
 	}
 	bound := h.EarlierLeadersSilentAt()
 	if grace := bound - h.LeadingSince(); grace < testTiming.HeartbeatGrace {
-		t.Errorf("silent after %v, before the grace period of %v is over", grace, testTiming.HeartbeatGrace)
+		t.Errorf("silent after %v, before the grace period of %v ends", grace, testTiming.HeartbeatGrace)
 	}
 	h.step(2*time.Second, confirm("n1"))
 	if got := h.EarlierLeadersSilentAt(); got != bound {
--- a/internal/election/leader_key.go
+++ b/internal/election/leader_key.go
@@ -9,43 +9,43 @@
 	"oakpick/internal/storage"
 )
 
-// LeaderKey is the key whose version is the term and the workers' fencing token.
+// LeaderKey is the key whose version serves as the term number and as the fencing token of workers.
 const LeaderKey = "oakpick/leader"
 
-// leaderValue is what the leader key holds.
+// leaderValue is the value of the leader key.
 type leaderValue struct {
 	Node    string `msgpack:"node"`
-	Process string `msgpack:"boot"` // tells a node's process from its earlier ones
+	Process string `msgpack:"boot"` // distinguishes this process from earlier processes of the node
 	Lease   int64  `msgpack:"permit"`
-	// TokenAdvances counts the advances of the token in this term, so that each writes
-	// another value.
+	// TokenAdvances counts the token advances within this term, so that each advance writes a
+	// distinct value.
 	TokenAdvances int64 `msgpack:"raise"`
 }
 
-// checkLeader reads the leader key if that is due.
+// checkLeader reads the leader key if a check is due.
 func (e *Elector) checkLeader() {
-	if e.observed.checking || e.context.Monotonic() < e.observed.checkAt {
+	if e.observed.requestInFlight || e.context.Monotonic() < e.observed.nextCheckAt {
 		return
 	}
-	e.observed.checking = true
-	e.calls.Send(storage.StateCall{Op: storage.StateGet, Key: LeaderKey}, e.leaderKeyRead)
+	e.observed.requestInFlight = true
+	e.calls.Send(storage.StateCall{Op: storage.StateGet, Key: LeaderKey}, e.handleLeaderKeyRead)
 }
 
-// scheduleLeaderCheck plans the next read of the leader key.
+// scheduleLeaderCheck schedules the next read of the leader key, with jitter.
 func (e *Elector) scheduleLeaderCheck() {
-	e.observed.checking = false
+	e.observed.requestInFlight = false
 	jitter := time.Duration(e.context.Random.Int64N(int64(e.timing.CheckInterval)/4 + 1))
-	e.observed.checkAt = e.context.Monotonic() + e.timing.CheckInterval + jitter
+	e.observed.nextCheckAt = e.context.Monotonic() + e.timing.CheckInterval + jitter
 }
 
-func (e *Elector) leaderKeyRead(result storage.StateResult) {
+func (e *Elector) handleLeaderKeyRead(result storage.StateResult) {
 	if e.held.token != 0 {
-		e.observed.checking = false
+		e.observed.requestInFlight = false
 		return
 	}
 	switch result.Outcome {
 	case rpc.OK:
-		e.leaderKeyHeld(result.Entry)
+		e.handleLeaderKeyValue(result.Entry)
 	case rpc.NotFound:
 		e.observed.version, e.observed.leader = 0, ""
 		if e.context.Monotonic() < e.observed.backoffUntil {
@@ -58,23 +58,24 @@
 	}
 }
 
-// leaderKeyHeld decides what follows from the leader key's value.
-func (e *Elector) leaderKeyHeld(entry protocol.Entry) {
+// handleLeaderKeyValue processes a leader key that exists: it completes an acquisition, replaces an earlier
+// process of this node, or follows the leader.
+func (e *Elector) handleLeaderKeyValue(entry protocol.Entry) {
 	var value leaderValue
 	if protocol.Decode(entry.Value, &value) != nil {
-		e.context.Log(message.Error, "leader key has an unknown value")
+		e.context.Log(message.Error, "cannot decode the value of the leader key")
 		e.scheduleLeaderCheck()
 		return
 	}
 	e.observed.version = entry.Version
 	switch {
 	case e.acquisition != nil && value.Process == e.process && value.Lease == e.held.lease:
-		// A try to take it whose result was lost.
-		e.acquired(entry.Version)
+		// The response to the acquisition was lost, but the transaction was committed.
+		e.beginTerm(entry.Version)
 		return
 	case value.Node == e.node && value.Process != e.process:
-		// This node's earlier process is dead: one process a node. Its lease needn't
-		// expire first.
+		// A node runs only one process at a time, so its earlier process has exited and there is
+		// no need to wait for that process's lease to expire.
 		e.requestLease()
 		return
 	}
@@ -85,17 +86,17 @@
 	e.scheduleLeaderCheck()
 }
 
-// follow notes who leads.
+// follow records which node leads.
 func (e *Elector) follow(leader string, term int64) {
 	if e.observed.leader == leader {
 		return
 	}
 	e.context.Log(message.Info, "following leader", "leader", leader, "term", term)
-	e.observed.leader, e.observed.reachedAt = leader, e.context.Monotonic()
+	e.observed.leader, e.observed.lastContactAt = leader, e.context.Monotonic()
 }
 
-// requestLease asks for the lease that the leader key is to be attached to. A try to take
-// the key whose result is not known is sent again as it was.
+// requestLease requests the lease for the leader key. If an earlier acquisition has an unknown
+// result, that transaction is retried unchanged instead.
 func (e *Elector) requestLease() {
 	if e.acquisition != nil && e.context.Monotonic() < e.held.leaseUntil {
 		e.sendAcquisition()
@@ -104,11 +105,11 @@
 	e.acquisition = nil
 	sentAt := e.context.Monotonic()
 	e.calls.Send(storage.StateCall{Op: storage.StateGrantLease, TTL: e.timing.LeaseTTL}, func(result storage.StateResult) {
-		e.leaseGranted(result, sentAt)
+		e.handleLeaseGranted(result, sentAt)
 	})
 }
 
-func (e *Elector) leaseGranted(result storage.StateResult, sentAt time.Duration) {
+func (e *Elector) handleLeaseGranted(result storage.StateResult, sentAt time.Duration) {
 	if e.held.token != 0 || result.Outcome != rpc.OK {
 		e.scheduleLeaderCheck()
 		return
@@ -122,42 +123,42 @@
 	e.sendAcquisition()
 }
 
-// leaderKeyChange writes the leader key for this process, attached to its lease.
+// leaderKeyChange returns the change that writes the leader key for this process, attached to its lease.
 func (e *Elector) leaderKeyChange(tokenAdvances int64) protocol.Change {
 	value := leaderValue{Node: e.node, Process: e.process, Lease: e.held.lease, TokenAdvances: tokenAdvances}
 	return protocol.Change{Put: LeaderKey, Value: value, Lease: e.held.lease}
 }
 
 func (e *Elector) sendAcquisition() {
-	e.observed.checking = true
-	e.calls.Send(storage.StateCall{Op: storage.StateTxn, Txn: *e.acquisition}, e.acquisitionResult)
+	e.observed.requestInFlight = true
+	e.calls.Send(storage.StateCall{Op: storage.StateTxn, Txn: *e.acquisition}, e.handleAcquisitionResult)
 }
 
-func (e *Elector) acquisitionResult(result storage.StateResult) {
+func (e *Elector) handleAcquisitionResult(result storage.StateResult) {
 	if e.held.token != 0 || e.acquisition == nil {
 		return
 	}
 	if result.Outcome == rpc.OK {
-		e.acquired(result.Revision)
+		e.beginTerm(result.Revision)
 		return
 	}
 	if result.Outcome == rpc.Invalid {
 		e.acquisition = nil
 	}
-	// Refused, lost to another node, or not answered: the next read tells.
+	// The transaction was refused, lost to another node or not answered. The next read of the key shows which.
 	e.scheduleLeaderCheck()
-	e.observed.checkAt = e.context.Monotonic() + e.timing.RetryInterval
+	e.observed.nextCheckAt = e.context.Monotonic() + e.timing.RetryInterval
 }
 
-// acquired begins a term, whose number is the version of the leader key.
-func (e *Elector) acquired(version int64) {
-	e.observed.checking, e.acquisition = false, nil
-	if version <= e.held.floor || e.context.Monotonic() >= e.held.leaseUntil {
-		e.StepDown("the leader key was taken too late")
+// beginTerm starts a term after the leader key was acquired; the version of the key is the term number.
+func (e *Elector) beginTerm(version int64) {
+	e.observed.requestInFlight, e.acquisition = false, nil
+	if version <= e.held.termFloor || e.context.Monotonic() >= e.held.leaseUntil {
+		e.StepDown("leader key acquired too late")
 		return
 	}
 	e.held.token, e.observed.leader = version, e.node
-	e.held.renewAt = e.context.Monotonic()
+	e.held.nextRenewalAt = e.context.Monotonic()
 	e.peers.beginTerm()
 	e.context.Stats.TermsAcquired++
 	e.context.Log(message.Info, "term acquired", "term", version)
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -8,31 +8,31 @@
 	"oakpick/internal/timing"
 )
 
-// leaseMargin is the part of the lease that is left for the time between a check and what
-// relies on it.
-const leaseMargin = 20
+// leaseMarginDivisor sets the safety margin of the lease, as 1/20 of its duration. The margin
+// covers the time between a check of the lease and the action that depends on it.
+const leaseMarginDivisor = 20
 
-// HoldsLease reports whether no other node can have taken the leader key yet.
+// HoldsLease reports whether the node leads and its lease is guaranteed not to have expired.
 func (e *Elector) HoldsLease() bool {
 	return e.held.leading && e.context.Monotonic() < e.held.leaseUntil
 }
 
-// LeaseUntil is until when the lease certainly lasts.
+// LeaseUntil returns the time until which the lease is guaranteed to last.
 func (e *Elector) LeaseUntil() time.Duration { return e.held.leaseUntil }
 
-// HeartbeatGraceExpired reports whether workers may no longer be answered. The grace period
-// counts from when another node may first have led: when the lease expired, or later, if
-// since then every peer has said that it has not.
+// HeartbeatGraceExpired reports whether the node must stop answering workers. The grace period
+// starts at the earliest time at which another node may have led: the expiry of the lease, or a
+// later time up to which every peer has confirmed that it had not led.
 func (e *Elector) HeartbeatGraceExpired() bool {
 	now := e.context.Monotonic()
-	return now > max(e.held.leaseUntil, e.peers.allIdleAt(now))+e.timing.HeartbeatGrace
+	return now > max(e.held.leaseUntil, e.peers.allNotLeadingAt(now))+e.timing.HeartbeatGrace
 }
 
-// extendLease notes a grant or renewal. The lease counts from when that was requested, on a
-// clock that may be slow.
+// extendLease extends the lease after a grant or renewal. The lease is counted from the time of
+// the request and shortened by the clock drift and a safety margin.
 func (e *Elector) extendLease(sentAt time.Duration) {
 	ttl := e.timing.LeaseTTL
-	until := sentAt + ttl - time.Duration(float64(ttl)*timing.MaxClockDrift) - ttl/leaseMargin
+	until := sentAt + ttl - time.Duration(float64(ttl)*timing.MaxClockDrift) - ttl/leaseMarginDivisor
 	e.held.leaseUntil = max(e.held.leaseUntil, until)
 }
 
@@ -51,7 +51,7 @@
 	})
 }
 
-// revokeLease ends a lease. If that fails it expires by itself a little later.
+// revokeLease revokes a lease. If the request fails, the lease expires on its own.
 func (e *Elector) revokeLease(lease int64) {
 	e.calls.Send(storage.StateCall{Op: storage.StateRevokeLease, Lease: lease}, func(storage.StateResult) {})
 }
--- a/internal/election/peers.go
+++ b/internal/election/peers.go
@@ -9,78 +9,79 @@
 	"oakpick/internal/timing"
 )
 
-// peerStates is what the other controllers have said in the present term.
+// peerStates holds the answers of the other controllers in the current term.
 type peerStates struct {
 	names []string
-	// steppedDownAt is when a peer confirmed to have ended every earlier term.
+	// steppedDownAt maps each peer to the time at which it confirmed the end of every earlier term.
 	steppedDownAt map[string]time.Duration
-	requestAt     time.Duration // when those that haven't are asked next
-	// idleAt is when a peer was asked that then said that it had not led since this node's
-	// lease expired.
-	idleAt      map[string]time.Duration
-	idleProbeAt time.Duration // when they are probed next, while this node's lease may have expired
+	nextRequestAt time.Duration // time of the next step-down requests to the peers that have not confirmed
+	// notLeadingAt maps each peer to the send time of the latest probe to which it answered that
+	// it had not led since this node's lease expired.
+	notLeadingAt           map[string]time.Duration
+	nextUncertaintyProbeAt time.Duration // time of the next probes while this node's lease may have expired
 }
 
-// beginTerm forgets what was said in an earlier term.
+// beginTerm discards the answers from earlier terms.
 func (p *peerStates) beginTerm() {
-	p.steppedDownAt, p.requestAt = map[string]time.Duration{}, 0
-	p.idleAt = map[string]time.Duration{}
+	p.steppedDownAt, p.nextRequestAt = map[string]time.Duration{}, 0
+	p.notLeadingAt = map[string]time.Duration{}
 }
 
-// allIdleAt is up to when all peers are known not to have led.
-func (p *peerStates) allIdleAt(now time.Duration) time.Duration {
+// allNotLeadingAt returns the time up to which all peers are known not to have led.
+func (p *peerStates) allNotLeadingAt(now time.Duration) time.Duration {
 	for _, name := range p.names {
-		now = min(now, p.idleAt[name])
+		now = min(now, p.notLeadingAt[name])
 	}
 	return now
 }
 
-// probeLeader asks the leader, if that is due, to step down from no term: whether it answers
-// tells whether users' requests could be forwarded to it.
+// probeLeader sends a step-down request with term 0 to the leader if a probe is due. The request
+// ends no term; an answer shows that user requests can be forwarded to the leader.
 func (e *Elector) probeLeader() {
 	now := e.context.Monotonic()
-	if e.observed.leader == "" || now < e.observed.probeAt {
+	if e.observed.leader == "" || now < e.observed.nextProbeAt {
 		return
 	}
-	e.observed.probeAt = now + e.timing.ProbeInterval
+	e.observed.nextProbeAt = now + e.timing.ProbeInterval
 	e.context.Emit(message.PeerCall{Peer: e.observed.leader, SentAt: now})
 }
 
-// LeaderUnreachable reports whether a known leader no longer answers probes. Nothing is
-// concluded from a pause of this process.
+// LeaderUnreachable reports whether the known leader has stopped answering probes. Time during
+// which this process was paused does not count.
 func (e *Elector) LeaderUnreachable() bool {
-	return e.context.SilenceDuration(e.observed.reachedAt) > e.timing.ProbeTimeout
+	return e.context.SilenceDuration(e.observed.lastContactAt) > e.timing.ProbeTimeout
 }
 
-// probePeersWhileUncertain asks the peers whether any of them has led, while this node's
-// lease may have expired.
+// probePeersWhileUncertain asks the peers whether any of them has led, while this node's lease
+// may have expired.
 func (e *Elector) probePeersWhileUncertain() {
 	now := e.context.Monotonic()
-	if e.HoldsLease() || now < e.peers.idleProbeAt {
+	if e.HoldsLease() || now < e.peers.nextUncertaintyProbeAt {
 		return
 	}
-	e.peers.idleProbeAt = now + e.timing.ProbeInterval
+	e.peers.nextUncertaintyProbeAt = now + e.timing.ProbeInterval
 	for _, peer := range e.peers.names {
 		e.context.Emit(message.PeerCall{Peer: peer, SentAt: now})
 	}
 }
 
-// notePeerIdle notes a peer's word that it has not led since this node's lease expired. Only
-// a process that was running by then can give it: its predecessor might have led.
-func (e *Elector) notePeerIdle(result message.PeerResult) {
+// recordPeerNotLeading records a peer's answer that it has not led since this node's lease
+// expired. The answer counts only if the peer's process was already running when the lease
+// expired, because an earlier process of the peer might have led.
+func (e *Elector) recordPeerNotLeading(result message.PeerResult) {
 	uptime := time.Duration(float64(result.UptimeMs)*(1-timing.MaxClockDrift)) * time.Millisecond
 	if result.LastLoadedTerm < e.held.token && e.context.Monotonic()-uptime <= e.held.leaseUntil {
-		e.peers.idleAt[result.Peer] = max(e.peers.idleAt[result.Peer], result.SentAt)
+		e.peers.notLeadingAt[result.Peer] = max(e.peers.notLeadingAt[result.Peer], result.SentAt)
 	}
 }
 
-// requestStepDown asks every peer that hasn't confirmed it to end older terms.
+// requestStepDown asks every peer that has not yet confirmed it to end all older terms.
 func (e *Elector) requestStepDown() {
 	now := e.context.Monotonic()
-	if len(e.peers.steppedDownAt) == len(e.peers.names) || now < e.peers.requestAt || now > e.held.loadedAt+e.timing.HeartbeatGrace {
+	if len(e.peers.steppedDownAt) == len(e.peers.names) || now < e.peers.nextRequestAt || now > e.held.loadedAt+e.timing.HeartbeatGrace {
 		return
 	}
-	e.peers.requestAt = now + e.timing.StepDownInterval
+	e.peers.nextRequestAt = now + e.timing.StepDownInterval
 	for _, peer := range e.peers.names {
 		if _, ok := e.peers.steppedDownAt[peer]; !ok {
 			e.context.Emit(message.PeerCall{Peer: peer, Term: e.held.token, SentAt: now})
@@ -88,17 +89,17 @@
 	}
 }
 
-// HandleStepDownRequest answers a new leader: whatever term below its own this node held, it
-// no longer answers workers for it.
+// HandleStepDownRequest ends any older term that this node holds and confirms to the new leader
+// that this node no longer answers workers for older terms.
 func (e *Elector) HandleStepDownRequest(request message.StepDownRequest) {
-	isNews := request.Term > e.held.floor // not a late copy of what an earlier leader said
-	e.held.floor = max(e.held.floor, request.Term-1)
+	isNewerTerm := request.Term > e.held.termFloor // false for a delayed request of an earlier leader
+	e.held.termFloor = max(e.held.termFloor, request.Term-1)
 	if e.held.token != 0 && e.held.token < request.Term {
 		e.StepDown(fmt.Sprintf("a peer leads with term %d", request.Term))
 	}
-	if isNews && e.held.token == 0 && request.Leader != "" {
-		// A node that the state service alone refuses learns it only here, and can go on
-		// serving its users and redirect its workers.
+	if isNewerTerm && e.held.token == 0 && request.Leader != "" {
+		// A node that cannot reach the state service learns of the new leader only through this
+		// request. It can then keep forwarding user requests and redirecting workers.
 		e.follow(request.Leader, request.Term)
 	}
 	e.context.Emit(message.Reply{ID: request.ID, Status: 200, Body: protocol.Encode(protocol.StepDownResponse{
@@ -106,8 +107,8 @@
 	})})
 }
 
-// HandlePeerResult takes in a peer's answer. It reports whether the peer has confirmed to
-// have ended every term before the one that this node holds.
+// HandlePeerResult processes a peer's answer. It reports whether the peer confirmed the end of
+// every term before the one that this node holds.
 func (e *Elector) HandlePeerResult(result message.PeerResult) (confirmed bool) {
 	if result.Term == 0 {
 		e.handleProbeResult(result)
@@ -126,17 +127,17 @@
 	switch {
 	case !result.SteppedDown: // no answer
 	case e.held.leading:
-		e.notePeerIdle(result)
+		e.recordPeerNotLeading(result)
 	case result.Peer == e.observed.leader:
-		e.observed.reachedAt = e.context.Monotonic()
+		e.observed.lastContactAt = e.context.Monotonic()
 	}
 }
 
-// EarlierLeadersSilentAt is when every earlier leader had certainly stopped answering
-// workers: when the last peer confirmed it, or else when its grace period must have ended.
-// Each earlier leader's lease expired before this node's was granted, and nobody answers
-// workers for longer than the grace period beyond that, or beyond this node's last word that
-// it had not led.
+// EarlierLeadersSilentAt returns the time by which every earlier leader has certainly stopped
+// answering workers: the time of the last peer's confirmation, or else the latest possible end of
+// the grace period. Each earlier leader's lease expired before this node's lease was granted. An
+// earlier leader answers workers for at most the grace period after that expiry, or after this
+// node last told it that it had not led.
 func (e *Elector) EarlierLeadersSilentAt() time.Duration {
 	grace := e.timing.HeartbeatGrace
 	silentAt := e.held.loadedAt
--- a/internal/election/token.go
+++ b/internal/election/token.go
@@ -9,29 +9,29 @@
 	"oakpick/internal/storage"
 )
 
-// tokenAdvance is an advance of the fencing token: the leader key is written anew. Its new
-// version is a higher token: once a worker has seen it, whatever was sent to it with the old
-// one and never answered is certainly void.
+// tokenAdvance is the state of an advance of the fencing token, which rewrites the leader key to
+// obtain a higher version. Once a worker has seen the higher token, it rejects all commands that
+// carry the old one, so any unanswered command sent with the old token can no longer take effect.
 type tokenAdvance struct {
-	txn         *protocol.Txn // under way; nil: none is
-	sent        bool
-	retryAt     time.Duration
-	count       int64 // in this term
-	startedAt   time.Duration
-	awaitsWrite bool // no new writes may begin: it waits for those in flight
+	txn            *protocol.Txn // transaction in progress; nil if none
+	sent           bool
+	retryAt        time.Duration
+	count          int64 // number of advances in this term
+	startedAt      time.Duration
+	awaitingWrites bool // the advance waits for writes in flight, and no new write may start
 }
 
-// AdvancingToken reports whether the leader key is being written anew.
+// AdvancingToken reports whether an advance of the token is in progress.
 func (e *Elector) AdvancingToken() bool { return e.advance.txn != nil }
 
-// AwaitsWrites reports whether an advance of the token waits for the writes in flight, which
-// are conditional on the token as it is: no new one may begin.
-func (e *Elector) AwaitsWrites() bool { return e.advance.awaitsWrite }
+// AwaitsWrites reports whether a token advance is waiting for writes in flight. Those writes are
+// conditional on the current token, so no new write may start.
+func (e *Elector) AwaitsWrites() bool { return e.advance.awaitingWrites }
 
-// AdvanceToken advances the token if that is needed, or goes on with an advance under way.
+// AdvanceToken starts an advance of the token if one is needed, or continues the one in progress.
 func (e *Elector) AdvanceToken(needed bool, writesInFlight func() bool) {
 	if !needed && e.advance.txn == nil {
-		e.advance.awaitsWrite = false
+		e.advance.awaitingWrites = false
 		return
 	}
 	now := e.context.Monotonic()
@@ -39,7 +39,7 @@
 		if now < e.advance.startedAt+e.timing.TokenInterval || !e.HoldsLease() {
 			return
 		}
-		if e.advance.awaitsWrite = writesInFlight(); e.advance.awaitsWrite {
+		if e.advance.awaitingWrites = writesInFlight(); e.advance.awaitingWrites {
 			return
 		}
 		e.beginTokenAdvance()
@@ -48,7 +48,7 @@
 		return
 	}
 	e.advance.sent = true
-	e.calls.Send(storage.StateCall{Op: storage.StateTxn, Txn: *e.advance.txn}, e.tokenAdvanceResult)
+	e.calls.Send(storage.StateCall{Op: storage.StateTxn, Txn: *e.advance.txn}, e.handleTokenAdvanceResult)
 }
 
 func (e *Elector) beginTokenAdvance() {
@@ -62,13 +62,13 @@
 	e.advance.sent, e.advance.retryAt = false, now
 }
 
-func (e *Elector) tokenAdvanceResult(result storage.StateResult) {
+func (e *Elector) handleTokenAdvanceResult(result storage.StateResult) {
 	if e.advance.txn == nil {
 		return
 	}
 	switch result.Outcome {
 	case rpc.OK:
-		e.tokenAdvanced(result.Revision)
+		e.completeTokenAdvance(result.Revision)
 	case rpc.Conflict, rpc.Invalid:
 		e.readAdvancedToken()
 	default:
@@ -76,13 +76,13 @@
 	}
 }
 
-// readAdvancedToken reads the leader key: an earlier copy of the write may have been
-// committed.
+// readAdvancedToken reads the leader key after a rejected advance, because an earlier attempt of
+// the same transaction may have been committed.
 func (e *Elector) readAdvancedToken() {
-	e.calls.Send(storage.StateCall{Op: storage.StateGet, Key: LeaderKey}, e.advancedTokenRead)
+	e.calls.Send(storage.StateCall{Op: storage.StateGet, Key: LeaderKey}, e.handleAdvancedTokenRead)
 }
 
-func (e *Elector) advancedTokenRead(result storage.StateResult) {
+func (e *Elector) handleAdvancedTokenRead(result storage.StateResult) {
 	if e.advance.txn == nil {
 		return
 	}
@@ -94,13 +94,13 @@
 	committed := result.Outcome == rpc.OK && protocol.Decode(result.Entry.Value, &value) == nil &&
 		value.Process == e.process && value.Lease == e.held.lease && value.TokenAdvances == e.advance.count
 	if !committed {
-		e.StepDown("another node has the leader key")
+		e.StepDown("another node holds the leader key")
 		return
 	}
-	e.tokenAdvanced(result.Entry.Version)
+	e.completeTokenAdvance(result.Entry.Version)
 }
 
-func (e *Elector) tokenAdvanced(version int64) {
+func (e *Elector) completeTokenAdvance(version int64) {
 	e.advance.txn = nil
 	e.held.token = version
 	e.context.Stats.TokensAdvanced++
