--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -13,7 +13,7 @@
 	Error string `json:"error"`
 }
 
-// handleAdminRequest answers an operator. What a node says of itself needs no leader.
+// handleAdminRequest answers an operator's request. The node's own status is available without a leader.
 func (c *Controller) handleAdminRequest(request message.AdminRequest) {
 	leader := c.elector.OtherLeader()
 	switch {
@@ -24,7 +24,7 @@
 	case c.leader == nil && leader != "":
 		c.context.Emit(message.Forward{ID: request.ID, Peer: leader})
 	default:
-		c.context.Emit(message.Reply{ID: request.ID, Status: http.StatusServiceUnavailable, Body: encodeJSON(adminError{noLeader}), RetryAfterS: 1})
+		c.context.Emit(message.Reply{ID: request.ID, Status: http.StatusServiceUnavailable, Body: encodeJSON(adminError{reasonNoLeader}), RetryAfterS: 1})
 	}
 }
 
@@ -32,10 +32,11 @@
 	c.context.Emit(message.Reply{ID: id, Status: status, Body: encodeJSON(body)})
 }
 
+// encodeJSON returns the indented JSON encoding of v.
 func encodeJSON(v any) []byte {
 	b, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
-		panic(err) // the types of this package always encode
+		panic(err) // values passed to encodeJSON are always encodable
 	}
 	return append(b, '\n')
 }
@@ -52,8 +53,8 @@
 	}
 }
 
-// changeOptions puts the figures that an operator has sent in force. The operator is told once
-// they are durable.
+// changeOptions validates and applies options sent by an operator. The operator is answered once
+// the change is durable.
 func (l *leader) changeOptions(request message.AdminRequest) {
 	c := l.controller
 	options, err := l.options.With(request.Body)
@@ -70,7 +71,7 @@
 		l.options.record = &optionsRecord{}
 	}
 	l.options.record.text = string(text)
-	l.useOptions(options)
+	l.applyOptions(options)
 	c.context.Log(message.Info, "settings changed", "settings", string(text))
 	l.store.MarkDirty(c.context.Monotonic(), l.options.record, storage.OnCommit(func() {
 		c.replyJSON(request.ID, http.StatusOK, options)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,7 @@
-// Package controller is one controller: it decides who leads, what runs where, what is
-// stopped, provisioned and released. All of it is one deterministic state machine: events and
-// the time go in, effects come out. It does no input or output, reads no clock and starts no
-// goroutine.
+// Package controller implements one controller of the scheduler. It takes part in leader election
+// and, while it leads, places and stops tasks and provisions and releases machines. The controller
+// is a deterministic state machine: it receives events and the time, and returns effects. It does
+// no input or output, reads no clock and starts no goroutine.
 package controller
 
 import (
@@ -15,22 +15,22 @@
 	"oakpick/internal/timing"
 )
 
-// Controller is one controller. It has one owner: none of its methods may run beside another.
+// Controller is the state machine of one controller. It is not safe for concurrent use.
 type Controller struct {
 	config   *config.Config
 	timing   timing.Timing
 	context  *step.Context
 	calls    *step.StateCalls // to the state service
 	elector  *election.Elector
-	loader   *recordLoader // nil while no records are read
-	leader   *leader       // nil while not leading
+	loader   *recordLoader // nil unless records are being loaded
+	leader   *leader       // nil unless leading
 	deferred deferredRequests
-	// limitsLowered is whether the state service has refused a value for its size: the limits
-	// to come are in force.
+	// limitsLowered is set once the state service has rejected a value for its size, which means
+	// that the upcoming limits are in force.
 	limitsLowered bool
 }
 
-// New returns a controller. The process's name and the seed must differ between processes.
+// New returns a controller. The process identifier and the seed must differ between processes.
 func New(cfg *config.Config, process string, seed uint64) *Controller {
 	c := &Controller{config: cfg, timing: timing.New(cfg)}
 	c.context = step.NewContext(seed, c.timing.PauseThreshold)
@@ -47,14 +47,14 @@
 	return names
 }
 
-// Step takes a batch of events and returns what is to be done about them.
+// Step processes a batch of events and returns the resulting effects.
 func (c *Controller) Step(now message.Now, events []message.Event) []message.Effect {
 	c.context.Begin(now)
-	c.notePause()
+	c.recordPause()
 	if c.leader != nil && c.elector.HeartbeatGraceExpired() {
-		// The process was paused. What has come meanwhile must not be answered as if no time
-		// had passed: a successor may have declared worker leases expired.
-		c.elector.StepDown("the grace period for heartbeats is over")
+		// The process was paused. Events that arrived during the pause must not be answered as if
+		// no time had passed, because a new leader may have declared worker leases expired.
+		c.elector.StepDown("heartbeat grace period has expired")
 	}
 	for _, event := range events {
 		c.handle(event)
@@ -93,7 +93,7 @@
 	}
 }
 
-// handleUserRequest decides a request, or hands it to who can.
+// handleUserRequest handles a request as the leader, forwards it to the leader, defers it or refuses it.
 func (c *Controller) handleUserRequest(request message.UserRequest) {
 	leader := c.elector.OtherLeader()
 	switch {
@@ -104,14 +104,14 @@
 	case c.leader == nil && c.mayDefer(request):
 		c.deferRequest(request)
 	default:
-		c.context.Refuse(request.ID, noLeader)
+		c.context.Refuse(request.ID, reasonNoLeader)
 	}
 }
 
-// statusMisdirected is the status that redirects a worker to another controller.
+// statusMisdirected is the HTTP status that redirects a worker to another controller.
 const statusMisdirected = 421
 
-// handleHeartbeat answers a worker, or redirects it to the leader.
+// handleHeartbeat answers a worker's heartbeat, or redirects the worker to the leader.
 func (c *Controller) handleHeartbeat(request message.HeartbeatRequest) {
 	if c.leader != nil {
 		c.leader.workers.HandleHeartbeat(request)
@@ -127,25 +127,25 @@
 	}
 }
 
-// TermAcquired begins to read the records of the term that was acquired.
+// TermAcquired starts loading the stored records for the new term.
 func (c *Controller) TermAcquired() {
 	c.loader = &recordLoader{controller: c}
-	c.loader.readOn()
+	c.loader.sendNextRequest()
 }
 
-// SteppedDown drops what belongs to the term that is over.
+// SteppedDown discards the state of the term that has ended.
 func (c *Controller) SteppedDown() { c.loader, c.leader = nil, nil }
 
-// TokenAdvanced has every worker hear of the new fencing token.
+// TokenAdvanced queues commands to all workers so that each learns the new fencing token.
 func (c *Controller) TokenAdvanced() { c.leader.state.QueueCommandsToAll() }
 
-// lead begins to lead with the records that were read.
-func (c *Controller) lead(entries []protocol.Entry, archiveExists bool) {
+// startLeading builds the leader from the loaded records and starts leading.
+func (c *Controller) startLeading(entries []protocol.Entry, archiveExists bool) {
 	c.loader = nil
 	l, err := newLeader(c, entries)
 	if err != nil {
-		c.context.Log(message.Error, "records can't be read", "error", err.Error())
-		c.elector.StepDown("the records can't be read")
+		c.context.Log(message.Error, "cannot load the stored records", "error", err.Error())
+		c.elector.StepDown("stored records could not be loaded")
 		return
 	}
 	l.archive.SetExists(archiveExists)
@@ -153,7 +153,7 @@
 	c.elector.BeginLeading()
 }
 
-// KnownLeader is who leads as far as is known, this node or another; empty: nobody.
+// KnownLeader returns the name of the leader, which may be this node, or an empty string if no leader is known.
 func (c *Controller) KnownLeader() string {
 	if c.Leads() {
 		return c.config.Node
@@ -161,8 +161,9 @@
 	return c.elector.OtherLeader()
 }
 
-// Healthy reports whether the node can take requests: it leads, or has lately heard of a
-// leader and can forward them to it. Users of a node that cannot are better off at another.
+// Healthy reports whether the node can take requests: it leads, or it has recently been in contact
+// with a leader to which it can forward them. Load balancers should send users of an unhealthy
+// node to another one.
 func (c *Controller) Healthy() bool {
 	if c.leader != nil {
 		return true
@@ -174,7 +175,7 @@
 	return now-c.calls.LastResponseAt() < limit || now < limit
 }
 
-// Role says what the node is doing, in the words of the administration API.
+// Role returns the role of the node as reported by the administration API.
 func (c *Controller) Role() string {
 	switch {
 	case c.leader != nil && c.elector.HoldsLease():
@@ -187,21 +188,21 @@
 	return "follower"
 }
 
-// Leadership tells who leads.
+// Leadership returns the current election state.
 func (c *Controller) Leadership() election.Leadership { return c.elector.Leadership() }
 
-// Leads reports whether the node holds, or still answers for, a term.
+// Leads reports whether the node leads a term. It stays true while the lease may have expired.
 func (c *Controller) Leads() bool { return c.leader != nil }
 
-// Stats are the counts since the process began.
+// Stats returns the counts since the start of the process.
 func (c *Controller) Stats() message.Stats { return c.context.Stats }
 
-// notePause finds out, at the beginning of a step, whether the process was paused. What it
-// hasn't heard meanwhile says nothing of machines or peers: they count as silent from the end
-// of the pause at the earliest, and the fleet is left as it is until whoever is there has had
-// the time to report. Proofs that a task is gone don't depend on this: they count from the
-// last answer that a worker can have had.
-func (c *Controller) notePause() {
+// recordPause detects at the start of a step whether the process was paused. Missing messages from
+// the time of a pause are no evidence that machines or peers are silent: their silence counts from
+// the end of the pause at the earliest. The fleet is left unchanged until live machines have had
+// time to report. Proofs that a task has stopped don't depend on this, because they count from the
+// last answer that a worker can have received.
+func (c *Controller) recordPause() {
 	paused := c.context.Pauses.Step(c.context.Monotonic())
 	if paused == 0 {
 		return
@@ -212,7 +213,7 @@
 	c.elector.BackOffAfterProcessPause()
 }
 
-// callsInFlight is how many calls to other components have had no result yet.
+// callsInFlight returns the number of calls to other components whose results are outstanding.
 func (c *Controller) callsInFlight() int {
 	calls := c.calls.InFlight()
 	if c.leader == nil {
--- a/internal/controller/deferred.go
+++ b/internal/controller/deferred.go
@@ -6,34 +6,34 @@
 	"oakpick/internal/message"
 )
 
-// noLeader is why a request is refused that nobody can decide.
-const noLeader = "no leader"
+// reasonNoLeader is the reason for refusing a request when no leader can handle it.
+const reasonNoLeader = "no leader"
 
-// deferredRequest is a request to change something that came while nobody was known to lead,
-// or a submission that met a leader so new that it knew no machine types yet. Most failovers
-// are over within the leader's lease, and to be told to come back takes longer than that.
+// deferredRequest is a submission or cancellation that arrived while no leader was known, or a
+// submission to a new leader that did not yet know the machine types. Most failovers complete
+// within the duration of the leader's lease, which is shorter than a client's retry delay.
 type deferredRequest struct {
 	request  message.UserRequest
 	refuseAt time.Duration
 }
 
-// deferredRequests wait for a leader, in the order in which they came.
+// deferredRequests are the requests that wait for a leader, in order of arrival.
 type deferredRequests []deferredRequest
 
-// mayDefer reports whether a request is worth keeping until there is a leader. Polls aren't:
-// their users ask again anyway, and there may be very many of them.
+// mayDefer reports whether a request may be held until a leader is known. Polls are not deferred:
+// users repeat them anyway, and there may be a large number of them.
 func (c *Controller) mayDefer(request message.UserRequest) bool {
 	return request.Kind != message.Poll && len(c.deferred) < c.timing.Requests.MaxDeferred
 }
 
-// deferRequest keeps a request.
+// deferRequest holds a request until a leader is known or the deferral times out.
 func (c *Controller) deferRequest(request message.UserRequest) {
 	c.context.Stats.RequestsDeferred++
 	c.deferred = append(c.deferred, deferredRequest{request, c.context.Monotonic() + c.timing.Requests.DeferTimeout})
 }
 
-// resumeDeferred hands the requests on once there is a leader, and refuses those that have
-// waited for too long.
+// resumeDeferred handles the deferred requests once a leader is known, and refuses those that have
+// reached their deadline.
 func (c *Controller) resumeDeferred() {
 	if len(c.deferred) == 0 {
 		return
@@ -47,12 +47,12 @@
 		case c.context.Monotonic() < d.refuseAt:
 			c.deferred = append(c.deferred, d)
 		default:
-			c.context.Refuse(d.request.ID, noLeader)
+			c.context.Refuse(d.request.ID, reasonNoLeader)
 		}
 	}
 }
 
-// canHandle reports whether a request can be decided here or forwarded.
+// canHandle reports whether a request can be handled here or forwarded to the leader.
 func (c *Controller) canHandle(request message.UserRequest) bool {
 	if c.leader != nil {
 		return c.elector.HoldsLease() && (request.Kind != message.Submit || c.leader.autoscaler.KnowsTypes())
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -11,7 +11,7 @@
 	"oakpick/internal/protocol"
 )
 
-// JobStatus is what a leader says to operators of one job.
+// JobStatus is the status of one job as reported to operators by the leader.
 type JobStatus struct {
 	ID      string `json:"id"`
 	Class   string `json:"class"`
@@ -21,22 +21,22 @@
 	Done    int    `json:"done"`
 	Placed  int    `json:"placed"`
 	Waiting int    `json:"waiting"`
-	// BestEffort tells that the team has no guarantee while others have one.
+	// BestEffort is set if the job's team has no guaranteed quota while other teams have one.
 	BestEffort bool           `json:"guest"`
 	Failures   *FailureStatus `json:"failures,omitempty"`
 }
 
-// FailureStatus is what is known of a job's failures.
+// FailureStatus summarizes the failures of a job.
 type FailureStatus struct {
-	Tasks          int      `json:"tasks"`  // that have failed since one completed
-	Rounds         int      `json:"rounds"` // attempts in a row
+	Tasks          int      `json:"tasks"`  // failed tasks since the last completed one
+	Rounds         int      `json:"rounds"` // consecutive failed attempts
 	Machines       []string `json:"machines"`
 	NextAttemptInS float64  `json:"next_try_in_s"`
 	Fault          string   `json:"fault"` // "job" or "machine"
 	Reason         string   `json:"why"`
 }
 
-// replyJobStatus answers an operator's question about a job.
+// replyJobStatus answers an operator's request for the status of a job.
 func (l *leader) replyJobStatus(request message.AdminRequest) {
 	j := l.state.Jobs[request.Job]
 	if j == nil {
@@ -62,7 +62,7 @@
 	l.controller.replyJSON(request.ID, http.StatusOK, s)
 }
 
-// failuresStatus sums a job's failures up; nil: there are none.
+// failuresStatus summarizes a job's failures. It returns nil if there are none.
 func (l *leader) failuresStatus(j *cluster.Job) *FailureStatus {
 	failures := &j.Failures
 	if failures.Tasks == 0 {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -13,8 +13,8 @@
 	"oakpick/internal/workers"
 )
 
-// leader is what a controller has while it leads: the picture of the cluster, and the parts
-// that change it.
+// leader holds the state of a leading controller: the cluster state and the components that change
+// it.
 type leader struct {
 	controller *Controller
 	state      *cluster.State
@@ -26,28 +26,28 @@
 	autoscaler *autoscaling.Autoscaler
 	archive    *archive.Archive
 	requests   *requestHandler
-	options    optionsHolder
+	options    activeOptions
 }
 
-// newLeader returns the leader of a term, with everything that is recorded on the pages that
-// were read behind the barrier of the term.
+// newLeader returns the leader of a term, with its state restored from the pages that were read
+// behind the write barrier of the term.
 func newLeader(c *Controller, entries []protocol.Entry) (*leader, error) {
 	pages, err := storage.ReadPages(entries)
 	if err != nil {
 		return nil, err
 	}
 	l := emptyLeader(c)
-	if err := (&loading{leader: l}).load(pages); err != nil {
+	if err := (&stateRestorer{leader: l}).restore(pages); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-// emptyLeader returns the leader of a cluster that has never been used.
+// emptyLeader returns a leader with an empty cluster state.
 func emptyLeader(c *Controller) *leader {
 	settings := &c.config.Settings
 	options := DefaultOptions(c.config)
-	l := &leader{controller: c, options: optionsHolder{Options: options}}
+	l := &leader{controller: c, options: activeOptions{Options: options}}
 	l.state = cluster.NewState(c.context, settings.Teams)
 	l.store = newStore(c, options.WriteShare)
 	l.writer = &writer{controller: c, store: l.store}
@@ -62,8 +62,8 @@
 	return l
 }
 
-// newStore returns an empty store. What is written has to fit the limits to come as well: when
-// they come isn't said.
+// newStore returns an empty store. Pages must fit the upcoming limits as well as the current ones,
+// because the time of the change isn't known.
 func newStore(c *Controller, writeShare float64) *storage.Store {
 	limits := c.config.Settings.State.Smallest()
 	store := storage.NewStore(storage.Limits{
@@ -75,15 +75,15 @@
 	return store
 }
 
-// tick does what time and the step's events call for. Nothing is decided while another node
-// may lead, and nothing more once the term has ended in this very step.
+// tick runs the periodic work of the leader and sends what the step's events require. No decisions
+// are made while another node may lead, or after the term has ended within this step.
 func (l *leader) tick() {
 	elector := l.controller.elector
 	if elector.HoldsLease() {
 		l.workers.CheckMachines()
 	}
 	if l.controller.leader != l {
-		return // it has resigned
+		return // CheckMachines resigned
 	}
 	if elector.HoldsLease() {
 		l.scheduler.RunIfDue()
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -18,8 +18,8 @@
 	"oakpick/internal/storage"
 )
 
-// Options are the figures that operators may change while it runs. Their ranges keep out what
-// makes no sense; none of them bounds the size of a fleet.
+// Options are the settings that operators can change at run time. Their ranges exclude meaningless
+// values; none of them limits the size of a fleet.
 type Options struct {
 	WriteShare          float64 `json:"write_share" validate:"gte=0.05,lte=0.95"`
 	SampleSize          int     `json:"sample" validate:"gte=1,lte=1000000"`
@@ -31,7 +31,7 @@
 	MovesPerMin         float64 `json:"moves_per_min" validate:"gte=0,lte=60000000"`
 }
 
-// DefaultOptions derives them from the settings.
+// DefaultOptions derives the default options from the configuration.
 func DefaultOptions(cfg *config.Config) Options {
 	w := cfg.Settings.Workers
 	return Options{
@@ -42,32 +42,32 @@
 
 var optionsValidator = sync.OnceValue(func() *validator.Validate { return config.NewValidator("json") })
 
-// With changes the figures that a JSON object names, and checks them. Nothing is changed if any
-// of them is at fault.
+// With returns the options with the settings in a JSON object applied. If any of them is invalid,
+// it returns an error and the options unchanged.
 func (o Options) With(patch []byte) (Options, error) {
-	var figures map[string]json.RawMessage
-	if err := json.Unmarshal(patch, &figures); err != nil {
+	var settings map[string]json.RawMessage
+	if err := json.Unmarshal(patch, &settings); err != nil {
 		return o, fmt.Errorf("not a JSON object of settings: %w", err)
 	}
-	if len(figures) == 0 {
+	if len(settings) == 0 {
 		return o, &OptionsError{[]string{"no setting is named"}}
 	}
 	changed := o
 	var problems []string
-	for _, name := range slices.Sorted(maps.Keys(figures)) {
-		if err := changed.set(name, figures[name]); err != nil {
+	for _, name := range slices.Sorted(maps.Keys(settings)) {
+		if err := changed.setField(name, settings[name]); err != nil {
 			problems = append(problems, err.Error())
 		}
 	}
-	problems = append(problems, changed.outOfRange()...)
+	problems = append(problems, changed.rangeErrors()...)
 	if len(problems) > 0 {
 		return o, &OptionsError{problems}
 	}
 	return changed, nil
 }
 
-// set changes one figure.
-func (o *Options) set(name string, value json.RawMessage) error {
+// setField sets the option with the given name.
+func (o *Options) setField(name string, value json.RawMessage) error {
 	if string(value) == "null" {
 		return fmt.Errorf("%s: a null where a number belongs", name)
 	}
@@ -81,8 +81,8 @@
 	return err
 }
 
-// outOfRange names the figures that are out of their ranges.
-func (o *Options) outOfRange() (problems []string) {
+// rangeErrors returns a message for each option that is out of range.
+func (o *Options) rangeErrors() (problems []string) {
 	var fields validator.ValidationErrors
 	if err := optionsValidator().Struct(o); errors.As(err, &fields) {
 		for _, f := range fields {
@@ -92,7 +92,7 @@
 	return problems
 }
 
-// OptionsError names everything that is wrong with a change.
+// OptionsError lists all problems of a requested change of options.
 type OptionsError struct{ Problems []string }
 
 func (e *OptionsError) Error() string { return strings.Join(e.Problems, "; ") }
@@ -107,14 +107,14 @@
 	}
 }
 
-// optionsHolder is the options in force, and their record if operators have changed any.
-type optionsHolder struct {
+// activeOptions holds the options in force, and their stored record if operators have changed any.
+type activeOptions struct {
 	Options
 	record *optionsRecord
 }
 
-// useOptions puts figures in force.
-func (l *leader) useOptions(options Options) {
+// applyOptions puts new options in force in all components.
+func (l *leader) applyOptions(options Options) {
 	l.options.Options = options
 	l.store.SetWriteRate(l.controller.config.Settings.State.Smallest().WriteRPS * options.WriteShare)
 	l.scheduler.SetOptions(options.scheduling())
@@ -122,14 +122,14 @@
 	l.state.NeedsScheduling = true
 }
 
-// optionsRecord keeps what operators have changed, as facts are kept.
+// optionsRecord is the stored record of the options that operators have changed.
 type optionsRecord struct{ text string }
 
-// AppendTo writes it.
+// AppendTo adds the record to a page.
 func (o *optionsRecord) AppendTo(page *storage.PageValue) { page.Options = o.text }
 
-// EncodedSize is the space that every figure together may take.
+// EncodedSize returns the maximum size of a record in which every option is set.
 func (*optionsRecord) EncodedSize() int { return storage.OptionsReservedSize }
 
-// ReservedSize leaves room for every figure to be changed.
+// ReservedSize returns the space that is reserved on the page so that every option can be changed.
 func (*optionsRecord) ReservedSize() int { return storage.OptionsReservedSize }
--- a/internal/controller/record_loader.go
+++ b/internal/controller/record_loader.go
@@ -6,18 +6,18 @@
 	"oakpick/internal/storage"
 )
 
-// recordLoader reads what is recorded when a term begins. The first transaction of the term is
-// a barrier: no write of an earlier term is carried out behind it.
+// recordLoader reads the stored records at the start of a term. The first transaction of the term
+// is a barrier: no write of an earlier term can be committed after it.
 type recordLoader struct {
 	controller    *Controller
 	barrierPassed bool
 	entries       []protocol.Entry
-	complete      bool // all pages are read
+	complete      bool // all pages have been read
 }
 
-// readOn sends the next request: the barrier, then the pages, a part at a time, then a
-// question whether anything is in the archive.
-func (r *recordLoader) readOn() {
+// sendNextRequest sends the next request: first the barrier, then the pages in batches, then a query
+// for whether the archive contains any entries.
+func (r *recordLoader) sendNextRequest() {
 	c := r.controller
 	switch {
 	case !r.barrierPassed:
@@ -37,39 +37,39 @@
 	return r.entries[len(r.entries)-1].Key
 }
 
-// failed handles a request that brought nothing, and reports whether it was one.
-func (r *recordLoader) failed(result storage.StateResult) bool {
+// handleFailure reports whether a request failed. It steps down after a conflict and otherwise retries.
+func (r *recordLoader) handleFailure(result storage.StateResult) bool {
 	switch result.Outcome {
 	case rpc.OK:
 		return false
 	case rpc.Conflict:
 		r.controller.elector.StepDown("another node has taken the leader key")
 	default:
-		r.readOn()
+		r.sendNextRequest()
 	}
 	return true
 }
 
 func (r *recordLoader) handleBarrier(result storage.StateResult) {
-	if r.failed(result) {
+	if r.handleFailure(result) {
 		return
 	}
 	r.barrierPassed = true
-	r.readOn()
+	r.sendNextRequest()
 }
 
 func (r *recordLoader) handlePages(result storage.StateResult) {
-	if r.failed(result) {
+	if r.handleFailure(result) {
 		return
 	}
 	r.entries = append(r.entries, result.List.Entries...)
 	r.complete = !result.List.More
-	r.readOn()
+	r.sendNextRequest()
 }
 
 func (r *recordLoader) handleArchive(result storage.StateResult) {
-	if r.failed(result) {
+	if r.handleFailure(result) {
 		return
 	}
-	r.controller.lead(r.entries, len(result.List.Entries) > 0)
+	r.controller.startLeading(r.entries, len(result.List.Entries) > 0)
 }
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -15,24 +15,24 @@
 	"oakpick/internal/storage"
 )
 
-// Why a request is refused with 503: the words go to users.
+// Reasons for refusing a request with 503; they are returned to users.
 const (
-	endUncertain          = "not settled yet"
-	tasksCannotBeStopped  = "its tasks can't be stopped yet"
-	writeBacklog          = "too much to be written"
-	machineTypesUnknown   = "machine types not known yet"
-	stateServiceNotAnswer = "the state service does not answer"
+	reasonEndUncertain             = "not settled yet"
+	reasonTasksNotStopped          = "its tasks can't be stopped yet"
+	reasonWriteBacklog             = "too much to be written"
+	reasonMachineTypesUnknown      = "machine types not known yet"
+	reasonStateServiceUnresponsive = "the state service does not answer"
 )
 
-// requestHandler decides users' requests at the leader. Users are answered once what they are
-// told is durable.
+// requestHandler handles users' requests on the leader. A response is sent only once the state that it
+// reports is durable.
 type requestHandler struct {
 	leader  *leader
 	context *step.Context
 	state   *cluster.State
 	store   *storage.Store
 	jobs    *jobs.Manager
-	// awaitingCommit are the requests that wait for a commit.
+	// awaitingCommit is the set of IDs of requests that wait for a commit.
 	awaitingCommit map[uint64]bool
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// handle takes in a request.
+// handle starts handling a request by looking up the jobs that it names in the archive.
 func (h *requestHandler) handle(request message.UserRequest) {
 	if request.Kind == message.Poll {
 		h.context.Stats.JobsPolled++
@@ -50,7 +50,7 @@
 	h.leader.archive.Handle(request)
 }
 
-// decide answers a request, given the ends of what it is about that are in the archive.
+// decide handles a request, given the archived ends of the jobs that it names.
 func (h *requestHandler) decide(request message.UserRequest, archived archive.Ends) {
 	switch request.Kind {
 	case message.Submit:
@@ -62,8 +62,8 @@
 	}
 }
 
-// end is the end of a job that is over; nil: it isn't, or isn't known.
-func (h *requestHandler) end(id string, archived archive.Ends) *cluster.EndedJob {
+// findEndedJob returns the end of a job that has ended, or nil if the job has not ended or is unknown.
+func (h *requestHandler) findEndedJob(id string, archived archive.Ends) *cluster.EndedJob {
 	if end := h.state.EndedJobs[id]; end != nil {
 		return end
 	}
@@ -79,16 +79,16 @@
 	h.reply(id, status, protocol.EncodeError(reason))
 }
 
-// replyJob tells a user about a job that isn't over, with its counts if asked for.
+// replyJob sends the status of an unfinished job, with its task counts if withCounts is set.
 func (h *requestHandler) replyJob(id uint64, status int, j *cluster.Job, withCounts bool) {
 	if j.IsCancelled() && !h.leader.workers.CanConfirmCancellation(j) {
-		// Another leader may have told it already: nothing else may be said either.
+		// An earlier leader may already have confirmed the cancellation, so no other status may be reported.
 		delete(h.awaitingCommit, id)
-		h.context.Refuse(id, tasksCannotBeStopped)
+		h.context.Refuse(id, reasonTasksNotStopped)
 		return
 	}
 	response := protocol.JobResponse{ID: j.ID, Status: protocol.StatusQueued}
-	running := runningTasks(j)
+	running := countRunningTasks(j)
 	switch {
 	case j.IsCancelled():
 		response.Status, running = protocol.StatusCancelled, 0
@@ -101,8 +101,8 @@
 	h.reply(id, status, protocol.Encode(response))
 }
 
-// runningTasks counts the tasks that workers say to run.
-func runningTasks(j *cluster.Job) int {
+// countRunningTasks counts the tasks that workers report as running.
+func countRunningTasks(j *cluster.Job) int {
 	running := 0
 	for _, t := range j.ActiveTasks {
 		if t.Reported && (t.State == protocol.Running || t.State == protocol.Checkpointing) {
@@ -112,7 +112,7 @@
 	return running
 }
 
-// replyEnd tells a user about a job that is over, with its counts if asked for.
+// replyEnd sends the status of an ended job, with its task counts if withCounts is set.
 func (h *requestHandler) replyEnd(id uint64, end *cluster.EndedJob, withCounts bool) {
 	response := protocol.JobResponse{ID: end.ID, Status: protocol.StatusDone}
 	done, running := end.Tasks, 0
@@ -125,35 +125,35 @@
 	h.reply(id, http.StatusOK, protocol.Encode(response))
 }
 
-// commitTimeoutS is within how many seconds a commit has to be expected for a user to wait for
-// it: half of the time that users wait leaves enough for the way there and back.
+// commitTimeoutS is how long, in seconds, a user's request may wait for a commit. It is half of the
+// user's timeout, which leaves enough time for the network round trip.
 const commitTimeoutS = protocol.SubmitTimeoutS / 2.0
 
-// writesBehind reports whether a new record could not be committed while its user waits. What
-// is only written in the background doesn't keep it waiting.
-func (h *requestHandler) writesBehind() bool {
+// commitWouldTimeOut reports whether a new record could not be committed within commitTimeoutS. Pages
+// that are written only in the background don't delay the record and are not counted.
+func (h *requestHandler) commitWouldTimeOut() bool {
 	pages := h.store.PagesDueBefore(h.context.Monotonic() + config.Seconds(commitTimeoutS))
 	writesPerS := h.leader.controller.config.Settings.State.Smallest().WriteRPS * h.leader.options.WriteShare
 	return h.writesStalled() || float64(pages) > writesPerS*commitTimeoutS
 }
 
-// writesStalled reports whether the state service has taken no write for so long that nobody
-// should wait for one.
+// writesStalled reports whether the state service has accepted no write for so long that requests
+// should not wait for one.
 func (h *requestHandler) writesStalled() bool {
 	return h.store.StalledFor(h.context.Monotonic()) > config.Seconds(commitTimeoutS)
 }
 
-// refuseAwaitingCommit answers at once whoever waits for a commit that isn't to be expected:
-// what was asked may be durable all the same, and is found so when the user comes back.
+// refuseAwaitingCommit refuses all requests that wait for a commit that is not expected soon. The
+// requested change may still become durable; the user then finds it on a retry.
 func (h *requestHandler) refuseAwaitingCommit() {
 	for _, id := range slices.Sorted(maps.Keys(h.awaitingCommit)) {
-		h.context.Refuse(id, stateServiceNotAnswer)
+		h.context.Refuse(id, reasonStateServiceUnresponsive)
 	}
 	clear(h.awaitingCommit)
 }
 
 func (h *requestHandler) poll(request message.UserRequest, archived archive.Ends) {
-	if end := h.end(request.Job, archived); end != nil {
+	if end := h.findEndedJob(request.Job, archived); end != nil {
 		h.replyEnd(request.ID, end, true)
 		return
 	}
@@ -162,14 +162,14 @@
 	case j == nil:
 		h.replyError(request.ID, http.StatusNotFound, "no such job")
 	case !j.Lifecycle.SubmissionCommitted || j.EndUncertain():
-		h.context.Refuse(request.ID, endUncertain)
+		h.context.Refuse(request.ID, reasonEndUncertain)
 	default:
 		h.replyJob(request.ID, http.StatusOK, j, true)
 	}
 }
 
 func (h *requestHandler) cancel(request message.UserRequest, archived archive.Ends) {
-	if end := h.end(request.Job, archived); end != nil {
+	if end := h.findEndedJob(request.Job, archived); end != nil {
 		h.replyEnd(request.ID, end, false)
 		return
 	}
@@ -177,8 +177,8 @@
 	switch {
 	case j == nil:
 		h.replyError(request.ID, http.StatusNotFound, "no such job")
-	case j.EndUncertain(): // all its tasks are done; the record of that is under way
-		h.context.Refuse(request.ID, endUncertain)
+	case j.EndUncertain(): // all tasks are done, and the record of the end is being written
+		h.context.Refuse(request.ID, reasonEndUncertain)
 	case j.IsCancelled():
 		h.replyJob(request.ID, http.StatusOK, j, false)
 	default:
@@ -186,9 +186,9 @@
 	}
 }
 
-// recordCancellation has a cancellation written. Durable first, then answered, and only then
-// are the job's tasks stopped: a cancellation that was never told must not have cost the job
-// its tasks.
+// recordCancellation writes a cancellation. It is made durable first, then answered, and only then
+// are the job's tasks stopped: a cancellation that was never confirmed must not cost the job its
+// tasks.
 func (h *requestHandler) recordCancellation(id uint64, j *cluster.Job) {
 	if !j.Cancelled {
 		h.context.Stats.JobsCancelled++
--- a/internal/controller/loading.go
+++ b/internal/controller/state_restorer.go
@@ -11,27 +11,27 @@
 	"oakpick/internal/storage"
 )
 
-// loading fills a new leader's picture from the stored pages.
-type loading struct{ *leader }
+// stateRestorer rebuilds the state of a new leader from the stored pages.
+type stateRestorer struct{ *leader }
 
-// load takes in all pages.
-func (l *loading) load(pages []storage.LoadedPage) error {
-	for _, p := range pages { // jobs before blocks, which may be on other pages
-		if err := l.loadPage(p); err != nil {
+// restore loads all pages and links the restored records.
+func (l *stateRestorer) restore(pages []storage.LoadedPage) error {
+	for _, p := range pages { // jobs first, since their blocks may be on other pages
+		if err := l.restorePage(p); err != nil {
 			return err
 		}
 	}
 	for _, p := range pages {
-		if err := l.loadBlocks(p); err != nil {
+		if err := l.restoreBlocks(p); err != nil {
 			return err
 		}
-		l.loadPrerequisites(p)
+		l.restorePrerequisites(p)
 	}
 	slices.SortStableFunc(l.state.JobOrder, func(a, b *cluster.Job) int {
 		return cmp.Or(cmp.Compare(a.SubmittedMs, b.SubmittedMs), cmp.Compare(a.ID, b.ID))
 	})
 	l.linkDependencies()
-	l.closeInherited()
+	l.endInheritedJobs()
 	l.jobs.InheritFailures()
 	l.autoscaler.InheritMachines()
 	l.controller.context.Log(message.Info, "leading", "term", l.controller.elector.Token(), "jobs", len(l.state.JobOrder),
@@ -39,14 +39,14 @@
 	return nil
 }
 
-// loadPage takes in everything on a page but the blocks and prerequisites.
-func (l *loading) loadPage(p storage.LoadedPage) error {
+// restorePage loads all records of a page except blocks and prerequisites.
+func (l *stateRestorer) restorePage(p storage.LoadedPage) error {
 	l.store.Load(p.Number, p.Version)
 	if p.Stale {
 		l.store.LoadStalePage(l.controller.context.Monotonic(), p.Number)
 	}
 	if p.Value.Options != "" {
-		l.loadOptions(p)
+		l.restoreOptions(p)
 	}
 	for _, record := range p.Value.Terminal {
 		end := &cluster.EndedJob{TerminalRecord: record}
@@ -58,7 +58,7 @@
 		extensions[extension.Job] = extension
 	}
 	for _, record := range p.Value.Jobs {
-		if err := l.loadJob(p, record, extensions[record.ID]); err != nil {
+		if err := l.restoreJob(p, record, extensions[record.ID]); err != nil {
 			return err
 		}
 	}
@@ -68,18 +68,18 @@
 	return nil
 }
 
-func (l *loading) loadOptions(p storage.LoadedPage) {
+func (l *stateRestorer) restoreOptions(p storage.LoadedPage) {
 	l.options.record = &optionsRecord{p.Value.Options}
 	l.store.Load(p.Number, p.Version, l.options.record)
 	options, err := l.options.With([]byte(p.Value.Options))
 	if err != nil {
-		l.controller.context.Log(message.Error, "stored settings can't be used, defaults are in force", "error", err.Error())
+		l.controller.context.Log(message.Error, "stored settings are invalid; using defaults", "error", err.Error())
 		return
 	}
-	l.useOptions(options)
+	l.applyOptions(options)
 }
 
-func (l *loading) loadJob(p storage.LoadedPage, record storage.JobRecord, extension storage.JobExtension) error {
+func (l *stateRestorer) restoreJob(p storage.LoadedPage, record storage.JobRecord, extension storage.JobExtension) error {
 	j := l.jobs.NewJob(record)
 	j.Prerequisites.IDs = extension.Prerequisites
 	if extension.BlockTasks > 0 {
@@ -105,9 +105,9 @@
 	return nil
 }
 
-// loadPrerequisites takes in the parts of long lists of prerequisites. Those of a job that is
-// on no page are left over from a leader that ended before it recorded the job.
-func (l *loading) loadPrerequisites(p storage.LoadedPage) {
+// restorePrerequisites loads the parts of long prerequisite lists. A part whose job is not stored
+// was left by a leader whose term ended before it recorded the job.
+func (l *stateRestorer) restorePrerequisites(p storage.LoadedPage) {
 	for _, record := range p.Value.Prerequisites {
 		j := l.state.Jobs[record.Job]
 		if j == nil {
@@ -121,7 +121,7 @@
 	}
 }
 
-func (l *loading) loadBlocks(p storage.LoadedPage) error {
+func (l *stateRestorer) restoreBlocks(p storage.LoadedPage) error {
 	for _, record := range p.Value.Blocks {
 		j := l.state.Jobs[record.Job]
 		if j == nil {
@@ -133,18 +133,18 @@
 			b = j.FindBlock(record.Block)
 			l.store.Load(p.Number, p.Version, b)
 		}
-		if err := l.loadBlock(b, record); err != nil {
+		if err := l.restoreBlock(b, record); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// dropBlock leaves out a block whose job isn't among those that aren't over. The job's end and
-// that of its other blocks are on different pages, so the leader may have ended between the
-// two. Anything else is damage, which must not end the whole service: the job is lost, and what
-// it has on machines is stopped.
-func (l *loading) dropBlock(record storage.BlockRecord) {
+// dropBlock skips a block whose job is not among the unfinished jobs. The records of a job's end
+// and of its other blocks are on different pages, so a leader may have ended after writing only
+// the former. Any other block without a job is corrupt. A corrupt block must not stop the whole
+// service, so its job is lost and the job's tasks on machines are stopped.
+func (l *stateRestorer) dropBlock(record storage.BlockRecord) {
 	if end := l.state.EndedJobs[record.Job]; end != nil {
 		end.HasOtherRecords = true
 		return
@@ -152,7 +152,7 @@
 	l.controller.context.Log(message.Error, "block of an unknown job dropped", "job", record.Job, "block", record.Block, "starts", len(record.Starts))
 }
 
-func (l *loading) loadBlock(b *cluster.Block, record storage.BlockRecord) error {
+func (l *stateRestorer) restoreBlock(b *cluster.Block, record storage.BlockRecord) error {
 	j := b.Job
 	done, err := storage.ParseBitmap(record.Done)
 	if err != nil {
@@ -163,8 +163,8 @@
 	}
 	b.LastAttempt, b.Done = record.LastAttempt, done
 	if j.DoneBlocks.Has(b.Number) {
-		// Its completion is recorded in the first block; it was about to go. The first block
-		// itself stays, since it carries the job's record.
+		// The first block records the completion of this block, which was about to be removed.
+		// The first block itself stays because it carries the job's record.
 		if b.Number != 0 {
 			l.jobs.RemoveBlock(b)
 		}
@@ -176,12 +176,12 @@
 		}
 	}
 	for _, start := range record.Starts {
-		l.loadStart(b, start)
+		l.restoreStart(b, start)
 	}
 	return nil
 }
 
-func (l *loading) loadStart(b *cluster.Block, start storage.StartRecord) {
+func (l *stateRestorer) restoreStart(b *cluster.Block, start storage.StartRecord) {
 	machine := l.state.Machine(start.Machine)
 	t := &cluster.Task{
 		Job: b.Job, Block: b, Index: start.Task, Attempt: start.Attempt, Machine: machine, Incarnation: start.Incarnation,
@@ -191,9 +191,9 @@
 	machine.Worker.Incarnation = max(machine.Worker.Incarnation, start.Incarnation)
 }
 
-// linkDependencies links the jobs that need others, and cancels those that need one whose
-// cancellation is durable: the leader that was told may not have got to it.
-func (l *loading) linkDependencies() {
+// linkDependencies links jobs to their prerequisites, and cancels jobs with a prerequisite whose
+// cancellation is durable, because an earlier leader may have ended before cancelling them.
+func (l *stateRestorer) linkDependencies() {
 	var cancelled []*cluster.Job
 	for _, j := range l.state.JobOrder {
 		prerequisiteCancelled := len(j.Prerequisites.IDs) > 0 && l.jobs.LinkPrerequisites(j)
@@ -209,8 +209,8 @@
 	}
 }
 
-// closeInherited closes jobs whose end an earlier leader didn't get to.
-func (l *loading) closeInherited() {
+// endInheritedJobs ends completed and cancelled jobs whose end an earlier leader did not record.
+func (l *stateRestorer) endInheritedJobs() {
 	for _, j := range slices.Clone(l.state.JobOrder) {
 		if j.Cancelled {
 			l.jobs.StopAll(j)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -6,7 +6,7 @@
 	"oakpick/internal/message"
 )
 
-// Status is what a node says of itself.
+// Status is the status of a node as reported by the administration API.
 type Status struct {
 	Node   string        `json:"node"`
 	Role   string        `json:"role"`
@@ -17,29 +17,29 @@
 	Leads  *LeaderStatus `json:"leads,omitempty"`
 }
 
-// LeaderStatus is what only the leader knows.
+// LeaderStatus is the part of the status that only the leader can report.
 type LeaderStatus struct {
 	SinceS              float64                  `json:"since_s"`
 	LeaseRemainingS     float64                  `json:"certain_for_s"`
 	Jobs                int                      `json:"jobs"`
-	EndedJobs           int                      `json:"over"` // in memory, that is not in the archive
+	EndedJobs           int                      `json:"over"` // in memory, that is, not in the archive
 	Archive             archive.Status           `json:"archive"`
 	Classes             map[string]ClassCounts   `json:"classes"`
 	Teams               map[string]TeamUsage     `json:"teams"`
 	Machines            map[string]MachineCounts `json:"machines"`
-	UnconfirmedMachines []string                 `json:"machines_in_doubt"` // starts may still arrive there
+	UnconfirmedMachines []string                 `json:"machines_in_doubt"` // unconfirmed start commands may still arrive there
 	CordonedMachines    []string                 `json:"machines_set_aside"`
 	FailingJobs         []string                 `json:"jobs_failing_everywhere"`
 	Backlog             int                      `json:"pages_to_write"`
 	BacklogS            float64                  `json:"oldest_page_waits_s"`
-	BudgetFill          float64                  `json:"write_budget_fill"` // 0 to 1
+	BudgetFill          float64                  `json:"write_budget_fill"` // from 0 to 1
 	BudgetWaitS         float64                  `json:"write_budget_waits_s"`
 	Pages               int                      `json:"pages"`
 	OversizedPages      int                      `json:"pages_above_limits_to_come"`
 	SteppedDownPeers    []string                 `json:"peers_let_go"`
 }
 
-// ClassCounts is a class's tasks.
+// ClassCounts are the counts of jobs and tasks of a class.
 type ClassCounts struct {
 	Jobs        int `json:"jobs"`
 	Waiting     int `json:"waiting"`
@@ -48,7 +48,7 @@
 	BlockedJobs int `json:"waiting_for_prerequisites"`
 }
 
-// TeamUsage is a team's use and quota.
+// TeamUsage is the resource usage and quota of a team.
 type TeamUsage struct {
 	Waiting        int     `json:"waiting"` // tasks
 	CPUs           float64 `json:"cpus"`
@@ -59,7 +59,7 @@
 	GPULimit       float64 `json:"gpus_at_most"`
 }
 
-// MachineCounts counts a type's machines.
+// MachineCounts are the counts of machines of a type, by state.
 type MachineCounts struct {
 	Booting int `json:"booting"`
 	Up      int `json:"up"`
@@ -151,7 +151,7 @@
 	}
 }
 
-// failingJobs lists the jobs that fail on every machine.
+// failingJobs returns the IDs of the jobs that fail on every machine.
 func (l *leader) failingJobs() []string {
 	ids := []string{}
 	for _, j := range l.state.JobOrder {
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -13,9 +13,9 @@
 	"oakpick/internal/storage"
 )
 
-// submit takes in a job, or answers what became of an earlier request with its id.
+// submit accepts a job, or answers with the status of an earlier job with the same ID.
 func (h *requestHandler) submit(request message.UserRequest, archived archive.Ends) {
-	if end := h.end(request.Submission.ID, archived); end != nil {
+	if end := h.findEndedJob(request.Submission.ID, archived); end != nil {
 		h.replyEnd(request.ID, end, false)
 		return
 	}
@@ -23,15 +23,15 @@
 		h.resubmit(request.ID, j)
 		return
 	}
-	if h.writesBehind() {
-		h.context.Refuse(request.ID, writeBacklog)
+	if h.commitWouldTimeOut() {
+		h.context.Refuse(request.ID, reasonWriteBacklog)
 		return
 	}
 	if !h.leader.autoscaler.KnowsTypes() {
 		h.deferUntilTypesKnown(request)
 		return
 	}
-	if reason := h.impossible(request.Submission); reason != "" {
+	if reason := h.rejectionReason(request.Submission); reason != "" {
 		h.replyError(request.ID, http.StatusUnprocessableEntity, reason)
 		return
 	}
@@ -45,11 +45,11 @@
 	}
 }
 
-// resubmit answers a repeated submission of a job that isn't over, once the first is durable.
+// resubmit answers a repeated submission of an unfinished job once the first one is durable.
 func (h *requestHandler) resubmit(id uint64, j *cluster.Job) {
 	switch {
 	case j.EndUncertain():
-		h.context.Refuse(id, endUncertain)
+		h.context.Refuse(id, reasonEndUncertain)
 	case j.Lifecycle.SubmissionCommitted:
 		h.replyJob(id, http.StatusOK, j, false)
 	default:
@@ -64,14 +64,14 @@
 		c.deferRequest(request)
 		return
 	}
-	h.context.Refuse(request.ID, machineTypesUnknown)
+	h.context.Refuse(request.ID, reasonMachineTypesUnknown)
 }
 
-// accept takes a new job in. Its user is told once that is durable.
+// accept creates a new job and answers the user once the job is durable.
 func (h *requestHandler) accept(request message.UserRequest, archived archive.Ends) {
 	h.context.Stats.JobsSubmitted++
 	j := h.jobs.NewJob(storage.NewJobRecord(request.Submission, h.context.Now.WallMs))
-	j.Prerequisites.IDs, j.Prerequisites.ArchivedCancelled = h.withoutArchived(request.Submission.Prerequisites, archived)
+	j.Prerequisites.IDs, j.Prerequisites.ArchivedCancelled = h.dropArchivedPrerequisites(request.Submission.Prerequisites, archived)
 	h.jobs.SplitPrerequisites(j)
 	cancelled := h.jobs.LinkPrerequisites(j)
 	switch {
@@ -89,8 +89,8 @@
 	})
 }
 
-// submissionCommitted notes that a new job is durable, and with it its cancellation if a
-// prerequisite is cancelled.
+// submissionCommitted marks a new job as durable, along with its cancellation if one of its
+// prerequisites is cancelled.
 func (h *requestHandler) submissionCommitted(id uint64, j *cluster.Job, cancelled bool) {
 	j.Lifecycle.SubmissionCommitted = true
 	if j.BlockCount() > 1 || len(j.Prerequisites.Parts) > 0 { // see Job.TasksAwaitingRecord
@@ -103,8 +103,8 @@
 	h.jobs.EndIfOver(j, nil)
 }
 
-// impossible says why a job can never run; empty: it can.
-func (h *requestHandler) impossible(s *protocol.Submission) string {
+// rejectionReason returns why a job can never run, or an empty string if it can.
+func (h *requestHandler) rejectionReason(s *protocol.Submission) string {
 	team := h.state.Teams[s.Team]
 	if team == nil {
 		return "unknown team"
@@ -113,7 +113,7 @@
 	if !h.fitsAnyType(s, request) {
 		return "a task fits no allowed machine type"
 	}
-	atOnce := request // what has to run at a time
+	atOnce := request // resources that must be available at the same time
 	if s.Kind != protocol.Array {
 		atOnce = request.Times(float64(s.Tasks))
 		if s.Spread && s.Tasks > 1 && (s.OneZone || s.Zone != "") {
@@ -138,22 +138,22 @@
 	})
 }
 
-// minRecordSize is the space that a job's record would take at least, without its
-// prerequisites.
+// minRecordSize returns the minimum size of a job's record, without its prerequisites.
 func (h *requestHandler) minRecordSize(s *protocol.Submission) int {
 	record := storage.NewJobRecord(s, h.context.Now.WallMs)
 	j := &cluster.Job{JobRecord: record, BlockTasks: h.leader.controller.timing.Jobs.BlockTasks, RecordBlockTasks: true}
 	return j.MinRecordSize()
 }
 
-// checkPrerequisites tells whether a submission names a job that it can't: the status, and
-// why; 200: none. Only a leader that holds its lease and has read every page is asked.
+// checkPrerequisites checks the prerequisites of a submission. It returns 200 if they are valid, and
+// otherwise the response status and the reason. It must be called only on a leader that holds its
+// lease and has loaded every page.
 func (h *requestHandler) checkPrerequisites(s *protocol.Submission, archived archive.Ends) (status int, reason string) {
 	for _, id := range s.Prerequisites {
 		if id == s.ID {
 			return http.StatusUnprocessableEntity, "a job can't need itself"
 		}
-		if h.end(id, archived) != nil {
+		if h.findEndedJob(id, archived) != nil {
 			continue
 		}
 		prerequisite := h.state.Jobs[id]
@@ -163,19 +163,19 @@
 		case prerequisite.Kind == protocol.Service:
 			return http.StatusUnprocessableEntity, "needs a service, which is never done"
 		case !prerequisite.Lifecycle.SubmissionCommitted:
-			// Its own acceptance may come to nothing.
+			// The acceptance of the prerequisite may never become durable.
 			return http.StatusServiceUnavailable, "needs a job that isn't accepted yet"
 		}
 	}
 	return http.StatusOK, ""
 }
 
-// withoutArchived leaves out the prerequisites whose ends are in the archive, or on their way
-// there, so that a new leader needs no page of it: what is done stays done, and that one of
-// them is cancelled is recorded as the job's own cancellation.
-func (h *requestHandler) withoutArchived(ids []string, archived archive.Ends) (rest []string, cancelled bool) {
+// dropArchivedPrerequisites drops the prerequisites whose ends are archived or about to be archived,
+// so that a new leader does not have to read the archive for them. A completed prerequisite stays
+// completed, and a cancelled one is recorded as the cancellation of the job itself.
+func (h *requestHandler) dropArchivedPrerequisites(ids []string, archived archive.Ends) (rest []string, cancelled bool) {
 	for _, id := range ids {
-		end := h.end(id, archived)
+		end := h.findEndedJob(id, archived)
 		if end == nil || h.state.EndedJobs[id] == end && !h.leader.archive.IsMoving(id) {
 			rest = append(rest, id)
 			continue
--- a/internal/controller/writer.go
+++ b/internal/controller/writer.go
@@ -7,16 +7,16 @@
 	"oakpick/internal/storage"
 )
 
-// writer sends a leader's transactions to the state service and finds out how they ended.
+// writer sends a leader's transactions to the state service and determines whether they were committed.
 type writer struct {
 	controller *Controller
 	store      *storage.Store
-	// stallLogged is whether the present stall of the write budget is logged.
+	// stallLogged is set once the current stall of the write budget has been logged.
 	stallLogged bool
 }
 
-// flush sends what may be written now. While the fencing token is being advanced nothing is:
-// it is conditional on the token.
+// flush sends all writes that are due. Nothing is sent while the fencing token is being advanced,
+// because writes are conditional on the token.
 func (w *writer) flush() {
 	c := w.controller
 	for !c.elector.AdvancingToken() && c.elector.HoldsLease() {
@@ -29,8 +29,8 @@
 	}
 }
 
-// logStall logs that a write waits for the budget for longer than its rate explains, once until
-// writes go on.
+// logStall logs once per stall that a write has waited for the write budget for longer than the
+// rate of the budget explains.
 func (w *writer) logStall() {
 	now := w.controller.context.Monotonic()
 	stalled := w.store.WriteBudgetStalled(now)
@@ -42,7 +42,7 @@
 	w.stallLogged = stalled
 }
 
-// send sends a transaction.
+// send sends a transaction to the state service.
 func (w *writer) send(write *storage.Write) {
 	w.controller.context.Stats.Writes++
 	w.controller.calls.Send(storage.StateCall{Op: storage.StateTxn, Txn: write.Txn}, func(result storage.StateResult) {
@@ -55,25 +55,25 @@
 	case rpc.OK:
 		w.store.MarkCommitted(write, result.Revision)
 	case rpc.Conflict, rpc.Invalid:
-		// An earlier copy may have been committed: the page tells by the write's id.
+		// An earlier attempt may have been committed; the write ID stored on the page shows whether it was.
 		write.Rejected = result.Outcome == rpc.Invalid
-		w.check(write)
+		w.readBack(write)
 	default:
 		w.controller.context.Stats.WritesRetried++
 		w.store.RetryLater(w.controller.context.Monotonic(), write)
 	}
 }
 
-// check reads a page of a write, to find out whether the write was committed.
-func (w *writer) check(write *storage.Write) {
+// readBack reads a page of a write to determine whether the write was committed.
+func (w *writer) readBack(write *storage.Write) {
 	w.controller.calls.Send(storage.StateCall{Op: storage.StateGet, Key: write.Key()}, func(result storage.StateResult) {
-		w.checked(write, result)
+		w.handleReadBack(write, result)
 	})
 }
 
-func (w *writer) checked(write *storage.Write, result storage.StateResult) {
+func (w *writer) handleReadBack(write *storage.Write, result storage.StateResult) {
 	if result.Outcome != rpc.OK && result.Outcome != rpc.NotFound {
-		w.check(write)
+		w.readBack(write)
 		return
 	}
 	var page storage.PageValue
@@ -83,13 +83,13 @@
 	}
 	c := w.controller
 	if write.Rejected {
-		// The state service has lowered its limits, and the rest of a large page was on its
-		// way. An earlier copy of it may be carried out late: only a new term, to which it
-		// doesn't belong, is safe from that. The pages are read again, and this time nothing
-		// above the new limits is written.
+		// The state service has lowered its limits, and the rest of a large page was being written.
+		// An earlier attempt of this write may still be executed late. Only a new term rules that
+		// out, because the write is conditional on the current one. The pages are then read again,
+		// and nothing above the new limits is written.
 		c.limitsLowered = true
 		c.elector.Restart("the state service has lowered its limits")
 		return
 	}
-	c.elector.StepDown("a write met another leader's")
+	c.elector.StepDown("write conflicts with a write of another leader")
 }
