--- a/internal/message/messages.go
+++ b/internal/message/messages.go
@@ -1,8 +1,8 @@
-// Package message defines what goes into the controller's state machine and what comes out
-// of it: events and effects. The state machine itself does no input or output; the process
-// around it turns requests and results into events and carries the effects out.
+// Package message defines the events that the controller's state machine receives and the effects
+// that it emits. The state machine does no input or output; the surrounding process converts
+// requests and results into events and executes the effects.
 //
-// Nobody changes an event or an effect, or what it points to, after handing it over.
+// Events and effects, and the data that they point to, must not be modified after they are passed on.
 package message
 
 import (
@@ -15,37 +15,37 @@
 
 // Now is the time of a step.
 type Now struct {
-	Monotonic time.Duration // monotonic clock, since the process began
+	Monotonic time.Duration // monotonic time since the start of the process
 	WallMs    int64         // wall clock, in milliseconds since 1970
 }
 
-// LimiterTime is the monotonic clock as rate limiters take it.
+// LimiterTime converts the monotonic time to a time.Time for rate limiters.
 func (n Now) LimiterTime() time.Time { return time.Unix(1, 0).Add(n.Monotonic) }
 
-// Event is what goes into Step: a request, an answer to an effect, or time.
+// Event is an input of the state machine: a request, the result of an effect, or a tick.
 type Event interface{ event() }
 
-// Request is an event that is answered with a Reply of its ID, or handed to the leader with a
-// Forward of its ID.
+// Request is an event that is answered with a Reply or forwarded to the leader with a Forward; both
+// carry the ID of the request.
 type Request interface {
 	Event
-	// WithID gives the same request with this ID.
+	// WithID returns a copy of the request with the given ID.
 	WithID(id uint64) Request
 }
 
-// Effect is what comes out of Step, to be carried out by the process around it.
+// Effect is an output of the state machine, to be executed by the surrounding process.
 type Effect interface{ effect() }
 
-// Events that go into Step.
+// Events that the state machine receives.
 type (
-	// UserRequest is a request of a user.
+	// UserRequest is a request from a user.
 	UserRequest struct {
 		ID         uint64
 		Kind       UserRequestKind
 		Job        string
 		Submission *protocol.Submission
 	}
-	// HeartbeatRequest is a heartbeat of a worker.
+	// HeartbeatRequest is a heartbeat from a worker.
 	HeartbeatRequest struct {
 		ID        uint64
 		Heartbeat *protocol.Heartbeat
@@ -55,10 +55,10 @@
 		ID     uint64
 		Term   int64
 		Leader string
-		// QueriesArchiveSupport asks whether this node reads the archive of ended jobs.
+		// QueriesArchiveSupport asks whether this node can read the archive of ended jobs.
 		QueriesArchiveSupport bool
 	}
-	// CloudResult answers a CloudCall.
+	// CloudResult is the result of a CloudCall.
 	CloudResult struct {
 		ID       uint64
 		Outcome  rpc.Outcome
@@ -66,21 +66,22 @@
 		List     protocol.MachineList
 		Machines []string
 	}
-	// CommandsResult answers a CommandsCall: OK, Conflict (nothing executed), NotSent or Unknown.
+	// CommandsResult is the result of a CommandsCall. Outcome is OK, Conflict (nothing was executed),
+	// NotSent or Unknown.
 	CommandsResult struct {
 		ID        uint64
 		Machine   string
 		Outcome   rpc.Outcome
-		Heartbeat *protocol.Heartbeat // the worker's answer; nil: none, or it can't be read
+		Heartbeat *protocol.Heartbeat // the worker's response; nil if there is none or it cannot be decoded
 	}
-	// PeerResult answers a PeerCall. If the peer didn't answer, the response is its zero value.
+	// PeerResult is the result of a PeerCall. If the peer didn't answer, the response is the zero value.
 	PeerResult struct {
 		PeerCall
 		protocol.StepDownResponse
 	}
-	// StateResult answers a StateCall.
+	// StateResult is the result of a StateCall.
 	StateResult struct{ storage.StateResult }
-	// Tick says that time has passed.
+	// Tick reports that time has passed.
 	Tick struct{}
 )
 
@@ -94,54 +95,54 @@
 func (PeerResult) event()       {}
 func (Tick) event()             {}
 
-// WithID gives the same request with this ID.
+// WithID returns a copy of the request with the given ID.
 func (c UserRequest) WithID(id uint64) Request { c.ID = id; return c }
 
-// WithID gives the same request with this ID.
+// WithID returns a copy of the request with the given ID.
 func (c HeartbeatRequest) WithID(id uint64) Request { c.ID = id; return c }
 
-// WithID gives the same request with this ID.
+// WithID returns a copy of the request with the given ID.
 func (c StepDownRequest) WithID(id uint64) Request { c.ID = id; return c }
 
-// WithID gives the same request with this ID.
+// WithID returns a copy of the request with the given ID.
 func (c AdminRequest) WithID(id uint64) Request { c.ID = id; return c }
 
-// UserRequestKind is what a user asks for.
+// UserRequestKind is the kind of a user's request.
 type UserRequestKind uint8
 
-// What users ask for.
+// Kinds of user requests.
 const (
 	Submit UserRequestKind = iota
 	Poll
 	Cancel
 )
 
-// Effects that come out of Step.
+// Effects that the state machine emits.
 type (
 	// Reply answers a Request.
 	Reply struct {
 		ID              uint64
 		Status          int
 		Body            []byte
-		RetryAfterS     int  // seconds; 0: no such header
-		CloseConnection bool // a retry on a new connection may reach another controller
+		RetryAfterS     int  // Retry-After header in seconds; 0 for none
+		CloseConnection bool // close the connection, so that a retry may reach another controller
 	}
-	// Forward has a UserRequest or an AdminRequest sent on to the leader.
+	// Forward sends a UserRequest or an AdminRequest to the leader.
 	Forward struct {
 		ID   uint64
 		Peer string
 	}
-	// StateCall asks the state service.
+	// StateCall sends a request to the state service.
 	StateCall struct{ storage.StateCall }
-	// CloudCall asks the cloud.
+	// CloudCall sends a request to the cloud API.
 	CloudCall struct {
 		ID           uint64
 		Op           CloudOp
 		StartAfter   string
 		Provisioning protocol.ProvisioningRequest
 		Machines     []string
-		// NotAfter is until when it may be sent, by the monotonic clock: after that another
-		// controller may lead. 0: at any time.
+		// NotAfter is the deadline for sending the call, by the monotonic clock, because another
+		// controller may lead after that time. 0 means no deadline.
 		NotAfter time.Duration
 	}
 	// CommandsCall sends commands directly to a worker.
@@ -150,7 +151,7 @@
 		Machine, Addr             string
 		FencingToken, Incarnation int64
 		Commands                  []protocol.Command
-		// NotAfter is until when it may be sent, as with CloudCall.
+		// NotAfter is the deadline for sending the call, as in CloudCall.
 		NotAfter time.Duration
 	}
 	// PeerCall asks a peer to step down from terms below Term.
@@ -158,14 +159,14 @@
 		Peer   string
 		Term   int64
 		SentAt time.Duration // by the monotonic clock
-		// QueriesArchiveSupport asks whether the peer reads the archive of ended jobs.
+		// QueriesArchiveSupport asks whether the peer can read the archive of ended jobs.
 		QueriesArchiveSupport bool
 	}
-	// Log is a log line.
+	// Log writes a log line.
 	Log struct {
 		Level   LogLevel
 		Message string
-		Args    []any // keys and values, as log/slog takes them
+		Args    []any // alternating keys and values, as in log/slog
 	}
 )
 
@@ -177,10 +178,10 @@
 func (PeerCall) effect()     {}
 func (Log) effect()          {}
 
-// CloudOp is a request to the cloud.
+// CloudOp is the kind of a cloud API request.
 type CloudOp uint8
 
-// Requests to the cloud.
+// Kinds of cloud API requests.
 const (
 	CloudListTypes CloudOp = iota
 	CloudListMachines
@@ -191,17 +192,17 @@
 // LogLevel is the level of a log line.
 type LogLevel uint8
 
-// Levels.
+// Log levels.
 const (
 	Debug LogLevel = iota
 	Info
 	Error
 )
 
-// AdminRequestKind is what an operator asks for.
+// AdminRequestKind is the kind of an operator's request.
 type AdminRequestKind uint8
 
-// What operators ask for.
+// Kinds of operator requests.
 const (
 	AdminStatus AdminRequestKind = iota
 	AdminRead
@@ -209,10 +210,10 @@
 	AdminJob
 )
 
-// AdminRequest is a request of an operator; its body and its answer are JSON.
+// AdminRequest is a request from an operator. Its body and response are JSON.
 type AdminRequest struct {
 	ID   uint64
 	Kind AdminRequestKind
 	Body []byte
-	Job  string // that AdminJob is about
+	Job  string // job ID for AdminJob
 }
--- a/internal/message/stats.go
+++ b/internal/message/stats.go
@@ -1,6 +1,6 @@
 package message
 
-// Stats are counts since the process began. The JSON names are those of the administration API.
+// Stats are counts since the start of the process. The JSON names are part of the administration API.
 type Stats struct {
 	JobsSubmitted     int64 `json:"submitted"`
 	JobsPolled        int64 `json:"polled"`
@@ -21,10 +21,10 @@
 	WritesRetried     int64 `json:"writes_retried"`
 	MachinesExamined  int64 `json:"machines_looked_at"`
 	JobsExamined      int64 `json:"jobs_looked_at"`
-	// Pauses are the times that the process was not scheduled for a while.
+	// Pauses is the number of times that the process was not scheduled for longer than the pause threshold.
 	Pauses         int64 `json:"pauses"`
 	PausedMs       int64 `json:"paused_ms"`
 	LongestPauseMs int64 `json:"longest_pause_ms"`
-	// RequestsDeferred are requests that were held until a leader was known.
+	// RequestsDeferred is the number of requests that were held until a leader was known.
 	RequestsDeferred int64 `json:"requests_deferred"`
 }
--- a/internal/step/context.go
+++ b/internal/step/context.go
@@ -1,7 +1,6 @@
-// Package step holds what the parts of a controller share while one step of its state
-// machine is taken: the time, the effects that leave it, its counters, its random numbers and
-// the requests to the state service whose results are still to come. It reads no clock and
-// does no input or output.
+// Package step holds the state that the components of a controller share during one step of its
+// state machine: the time, the emitted effects, the counters, the random numbers and the
+// outstanding requests to the state service. It reads no clock and does no input or output.
 package step
 
 import (
@@ -13,18 +12,18 @@
 	"oakpick/internal/protocol"
 )
 
-// randomStream tells the controllers' random numbers from others drawn with the same seed.
+// randomStream separates the controllers' random numbers from other streams with the same seed.
 const randomStream = 0x6f616b
 
-// statusUnavailable is the status of a refused request, and retryAfterS when its sender may
-// come back.
+// statusUnavailable is the HTTP status of a refused request, and retryAfterS the delay in seconds
+// after which the sender may retry.
 const (
 	statusUnavailable = 503
 	retryAfterS       = 1
 )
 
-// Context is the context of the step that is being taken. It belongs to one controller and
-// is used by its owner's goroutine only.
+// Context is the context of the current step. It belongs to one controller and must be used only
+// by the goroutine that owns the controller.
 type Context struct {
 	Now    message.Now
 	Random *rand.Rand
@@ -35,8 +34,8 @@
 	lastID  uint64
 }
 
-// NewContext returns a context whose random numbers follow from a seed. A time between two
-// steps of more than pauseThreshold counts as a pause of the process.
+// NewContext returns a context whose random numbers are derived from the seed. A time of more than
+// pauseThreshold between two steps counts as a pause of the process.
 func NewContext(seed uint64, pauseThreshold time.Duration) *Context {
 	return &Context{
 		Random: rand.New(rand.NewPCG(seed, randomStream)),
@@ -47,30 +46,30 @@
 // Begin starts a step.
 func (c *Context) Begin(now message.Now) { c.Now, c.effects = now, nil }
 
-// Effects returns what the step has emitted so far.
+// Effects returns the effects emitted so far in this step.
 func (c *Context) Effects() []message.Effect { return c.effects }
 
-// Monotonic is the time of the step by the steady clock.
+// Monotonic returns the monotonic time of the step.
 func (c *Context) Monotonic() time.Duration { return c.Now.Monotonic }
 
-// Emit adds an effect.
+// Emit adds an effect to the step.
 func (c *Context) Emit(effect message.Effect) { c.effects = append(c.effects, effect) }
 
-// Log emits a line for the operator; args are keys and values, as log/slog takes them.
+// Log emits a log line. The args are alternating keys and values, as in log/slog.
 func (c *Context) Log(level message.LogLevel, text string, args ...any) {
 	c.Emit(message.Log{Level: level, Message: text, Args: args})
 }
 
-// NextID returns a number that no other effect of this process has.
+// NextID returns an ID that is unique among the effects of this process.
 func (c *Context) NextID() uint64 { c.lastID++; return c.lastID }
 
-// Refuse answers a request with 503: its sender is to come back.
+// Refuse answers a request with status 503 and a Retry-After delay.
 func (c *Context) Refuse(id uint64, reason string) {
 	c.Emit(message.Reply{ID: id, Status: statusUnavailable, Body: protocol.EncodeError(reason), RetryAfterS: retryAfterS})
 }
 
-// SilenceDuration is for how long something last heard at a time has been silent while it could
-// have been heard: what was not heard during a pause of this process says nothing.
+// SilenceDuration returns how long a peer or machine last heard at heardAt has been silent. Time
+// during which this process was paused does not count, because no message could be received then.
 func (c *Context) SilenceDuration(heardAt time.Duration) time.Duration {
 	return c.Monotonic() - c.Pauses.Since(heardAt)
 }
--- a/internal/step/state_calls.go
+++ b/internal/step/state_calls.go
@@ -8,26 +8,26 @@
 	"oakpick/internal/storage"
 )
 
-// StateCalls are the requests to the state service whose results are still to come.
+// StateCalls tracks the outstanding requests to the state service.
 type StateCalls struct {
-	context  *Context
-	handlers map[uint64]func(storage.StateResult)
-	heardAt  time.Duration
+	context        *Context
+	handlers       map[uint64]func(storage.StateResult)
+	lastResponseAt time.Duration
 }
 
-// NewStateCalls returns an empty set.
+// NewStateCalls returns a StateCalls without outstanding requests.
 func NewStateCalls(context *Context) *StateCalls {
 	return &StateCalls{context: context, handlers: map[uint64]func(storage.StateResult){}}
 }
 
-// Send emits a request. Its result, if one comes before the next Reset, goes to the handler.
+// Send emits a request. The handler is called with its result, unless Reset is called first.
 func (s *StateCalls) Send(call storage.StateCall, handle func(storage.StateResult)) {
 	call.ID = s.context.NextID()
 	s.handlers[call.ID] = handle
 	s.context.Emit(message.StateCall{StateCall: call})
 }
 
-// Handle hands a result to the handler of its request.
+// Handle passes a result to the handler of its request.
 func (s *StateCalls) Handle(result storage.StateResult) {
 	handle, ok := s.handlers[result.ID]
 	if !ok {
@@ -35,17 +35,17 @@
 	}
 	delete(s.handlers, result.ID)
 	if result.Outcome == rpc.OK || result.Outcome == rpc.NotFound || result.Outcome == rpc.Conflict {
-		s.heardAt = s.context.Monotonic()
+		s.lastResponseAt = s.context.Monotonic()
 	}
 	handle(result)
 }
 
-// Reset forgets all requests. A result that is still to come belongs to a term that is over,
-// and must not be taken for one of the next.
+// Reset drops all outstanding requests. Their results belong to a term that has ended and must not
+// be processed in the next term.
 func (s *StateCalls) Reset() { clear(s.handlers) }
 
-// InFlight is how many requests have had no result yet.
+// InFlight returns the number of outstanding requests.
 func (s *StateCalls) InFlight() int { return len(s.handlers) }
 
-// LastResponseAt is when the state service last decided a request.
-func (s *StateCalls) LastResponseAt() time.Duration { return s.heardAt }
+// LastResponseAt returns the time of the state service's last definite response: OK, NotFound or Conflict.
+func (s *StateCalls) LastResponseAt() time.Duration { return s.lastResponseAt }
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,5 +1,5 @@
-// Package timing derives a controller's own times and bounds from the settings. Each is a
-// ratio to a figure of the settings, so that one program serves every deployment.
+// Package timing derives a controller's internal durations and limits from the settings. Each is
+// a fixed ratio of a configured value, so that the same binary suits deployments of any size.
 package timing
 
 import (
@@ -10,11 +10,11 @@
 	"oakpick/internal/storage"
 )
 
-// MaxClockDrift is more than twice what the steady clocks of two machines may differ by, as a
-// part of the time that passes.
+// MaxClockDrift bounds the drift between the monotonic clocks of two machines, as a fraction of the
+// elapsed time. The bound is more than twice the drift that the clocks may actually have.
 const MaxClockDrift = 0.0011
 
-// Timing is a controller's times and bounds, grouped by who uses them.
+// Timing holds a controller's durations and limits, grouped by the component that uses them.
 type Timing struct {
 	Election       Election
 	Workers        Workers
@@ -22,100 +22,102 @@
 	Jobs           Jobs
 	Archive        Archive
 	Requests       Requests
-	StateRetry     time.Duration // before a refused or unanswered request to the state service is sent again
-	PauseThreshold time.Duration // a process that takes longer from one step to the next was paused
+	StateRetry     time.Duration // delay before a failed or unanswered state service request is retried
+	PauseThreshold time.Duration // a longer time between two steps means that the process was paused
 }
 
-// Election are the times of the leader election.
+// Election holds the durations of leader election.
 type Election struct {
-	LeaseTTL             time.Duration // of the leader's lease
-	RenewInterval        time.Duration // between renewals of it
-	CheckInterval        time.Duration // between a follower's reads of the leader key
-	RetryInterval        time.Duration // before another try to take the leader key
-	HeartbeatGrace       time.Duration // how long a leader whose lease may have expired goes on answering workers
-	StepDownInterval     time.Duration // between requests to a peer to step down
-	TokenInterval        time.Duration // least time between two advances of the fencing token
-	ProbeInterval        time.Duration // between probes of a peer
-	ProbeTimeout         time.Duration // after which a leader that doesn't answer them counts as unreachable
-	HealthyWithoutLeader time.Duration // how long a node counts as healthy without hearing of a leader
-	ResignBackoff        time.Duration // how long a node that resigned leaves the leader key to others
-	PausedNodeBackoff    time.Duration // how long a node that was paused does
+	LeaseTTL             time.Duration // duration of the leader's lease
+	RenewInterval        time.Duration // time between renewals of the lease
+	CheckInterval        time.Duration // time between a follower's reads of the leader key
+	RetryInterval        time.Duration // delay before a failed acquisition of the leader key is retried
+	HeartbeatGrace       time.Duration // how long a leader keeps answering workers after its lease may have expired
+	StepDownInterval     time.Duration // time between step-down requests to a peer
+	TokenInterval        time.Duration // minimum time between two advances of the fencing token
+	ProbeInterval        time.Duration // time between probes of a peer
+	ProbeTimeout         time.Duration // a leader that does not answer probes for this long counts as unreachable
+	HealthyWithoutLeader time.Duration // how long a node that knows no leader still counts as healthy
+	ResignBackoff        time.Duration // how long a node that resigned does not try to acquire the leader key
+	PausedNodeBackoff    time.Duration // how long a node that was paused does not try to acquire the leader key
 }
 
-// Workers are the times of heartbeats, worker leases and commands.
+// Workers holds the durations of heartbeats, worker leases and commands.
 type Workers struct {
 	HeartbeatInterval time.Duration
-	Lease             time.Duration // after which a worker's lease has certainly expired
-	HeartbeatTimeout  time.Duration // a machine not heard for so long has missed a heartbeat
-	CheckInterval     time.Duration // between checks of all machines
-	// CancellationConfirmTimeout is within which the tasks of a cancelled job have to be gone
-	// for its user to be told.
+	Lease             time.Duration // after this time a worker's lease has certainly expired
+	HeartbeatTimeout  time.Duration // a machine that has been silent for this long has missed a heartbeat
+	CheckInterval     time.Duration // time between checks of all machines
+	// CancellationConfirmTimeout is the time after a cancellation within which the job's tasks must
+	// have stopped for the cancellation to be confirmed to the user.
 	CancellationConfirmTimeout time.Duration
-	// RefuseAfterCancellation is how long after a cancellation a machine that may still start
-	// the job's tasks isn't answered any more.
+	// RefuseAfterCancellation is the time after a cancellation from which heartbeats are refused
+	// from a machine that may still start the job's tasks.
 	RefuseAfterCancellation time.Duration
 }
 
-// Scheduling are the times of scheduling cycles.
+// Scheduling holds the durations of scheduling cycles.
 type Scheduling struct {
-	// StarvationThreshold is how long a job waits before more is done for it than its team or its
-	// failures allow.
+	// StarvationThreshold is how long a job waits before the scheduler does more for it than its
+	// team's quota or its failures would otherwise allow.
 	StarvationThreshold time.Duration
-	// FailingJobInterval is the least time between attempts of a team's jobs that fail on
-	// every machine.
+	// FailingJobInterval is the minimum time between attempts of a team's jobs that fail on every
+	// machine.
 	FailingJobInterval time.Duration
-	// Between two cycles there is a time for each unschedulable job, and one for each machine
-	// examined in the last cycle, the latter at most MaxExaminationBackoff.
+	// The delay between two cycles is the sum of UnschedulableBackoff for each unschedulable job
+	// and ExaminationBackoff for each machine examined in the last cycle. The latter part is
+	// limited to MaxExaminationBackoff.
 	UnschedulableBackoff  time.Duration
 	ExaminationBackoff    time.Duration
 	MaxExaminationBackoff time.Duration
 }
 
-// Jobs are the bounds of jobs' records and failures.
+// Jobs holds the parameters of job records and of retries after failures.
 type Jobs struct {
 	FailureBackoff retry.Policy
-	BlockTasks     int // how many tasks a block of a new job has
+	BlockTasks     int // number of tasks in a block of a new job
 }
 
-// Archive are the bounds of what a leader keeps of ended jobs in memory.
+// Archive limits the memory that a leader uses for ended jobs and cached archive pages.
 type Archive struct {
-	MaxEndedJobs   int // before they are moved to the archive
+	MaxEndedJobs   int // number of ended jobs kept in memory before they are moved to the archive
 	MaxCachedPages int
 }
 
-// Requests are the bounds of requests that wait for a leader to be known.
+// Requests limits the requests that wait until a leader is known.
 type Requests struct {
 	DeferTimeout time.Duration
 	MaxDeferred  int
 }
 
-// examinationsPerCheck is how many machines a core could examine in a check interval.
+// examinationsPerCheck is the number of machines that one core can examine in a check interval.
 const examinationsPerCheck = 100_000
 
-// Ended jobs may take a part of the memory, and so may pages of the archive, which take
-// several times in memory what they take as they are stored.
+// Shares of the memory limit for ended jobs and for archive pages, as divisors. A page takes
+// several times its stored size in memory.
 const (
-	endedJobsMemoryShare = 64
-	endedJobBytes        = 256
-	archiveMemoryShare   = 512
-	minArchivePages      = 4
-	bytesPerMB           = 1 << 20
-	bytesPerKB           = 1024
+	endedJobsMemoryDivisor = 64
+	endedJobBytes          = 256
+	archiveMemoryDivisor   = 512
+	minArchivePages        = 4
+	bytesPerMB             = 1 << 20
+	bytesPerKB             = 1024
 )
 
-// failureJitter is by what part of itself the wait after a failure is longer or shorter.
+// failureJitter is the maximum relative deviation of the delay after a failure.
 const failureJitter = 0.25
 
-// deferredShare is the part of the connections whose requests may wait for a leader.
-const deferredShare = 16
+// deferredConnectionsDivisor limits deferred requests to this fraction (1/16) of the maximum number
+// of connections.
+const deferredConnectionsDivisor = 16
 
-// LeaderLease is how long the leader's lease lasts: until it expires after a leader has
-// ended, nobody can be served.
+// LeaderLease returns the duration of the leader's lease. After a leader fails, no requests can be
+// served until its lease has expired.
 func LeaderLease(w config.Workers) time.Duration {
 	return config.Seconds(min(w.LeaseS/10, w.HeartbeatIntervalS*0.4))
 }
 
-// New derives the times from the settings.
+// New derives all durations and limits from the settings.
 func New(cfg *config.Config) Timing {
 	s := cfg.Settings
 	workers := newWorkers(s.Workers)
@@ -126,14 +128,14 @@
 		Scheduling: newScheduling(workers, stateRetry, s.Limits),
 		Jobs: Jobs{
 			FailureBackoff: retry.Policy{InitialDelay: workers.HeartbeatInterval / 4, MaxDelay: 2 * workers.Lease, Jitter: failureJitter},
-			// By the limits as they are, also if others are to come: earlier versions that
-			// run beside this one, and jobs that they accepted, have blocks of this length.
+			// The current limits decide, even if other limits are to follow: earlier versions that
+			// run beside this one, and jobs that they accepted, use blocks of this length.
 			BlockTasks: storage.BlockTasks(storage.PageBytes(s.State.ValueKB)),
 		},
 		Archive: newArchive(s),
 		Requests: Requests{
 			DeferTimeout: LeaderLease(s.Workers),
-			MaxDeferred:  max(1, s.Limits.MaxConnections/deferredShare),
+			MaxDeferred:  max(1, s.Limits.MaxConnections/deferredConnectionsDivisor),
 		},
 		StateRetry:     stateRetry,
 		PauseThreshold: workers.HeartbeatInterval / 2,
@@ -176,8 +178,8 @@
 		StarvationThreshold:  w.Lease * 4,
 		FailingJobInterval:   w.HeartbeatInterval / 8,
 		UnschedulableBackoff: w.CheckInterval / 1000,
-		// To examine a machine takes a fraction of a microsecond of a core. With this, cycles
-		// leave most of the process's share of one to the rest.
+		// Examining a machine takes a fraction of a microsecond of CPU time. This backoff leaves
+		// most of the process's CPU share to its other work.
 		ExaminationBackoff:    time.Duration(float64(w.CheckInterval) / examinationsPerCheck / min(1, limits.CPU)),
 		MaxExaminationBackoff: stateRetry,
 	}
@@ -186,7 +188,7 @@
 func newArchive(s config.Settings) Archive {
 	memory := s.Limits.MemoryMB * bytesPerMB
 	return Archive{
-		MaxEndedJobs:   int(memory / endedJobsMemoryShare / endedJobBytes),
-		MaxCachedPages: max(minArchivePages, int(memory/archiveMemoryShare/(s.State.ValueKB*bytesPerKB))),
+		MaxEndedJobs:   int(memory / endedJobsMemoryDivisor / endedJobBytes),
+		MaxCachedPages: max(minArchivePages, int(memory/archiveMemoryDivisor/(s.State.ValueKB*bytesPerKB))),
 	}
 }
