--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -189,7 +189,7 @@
 }
 
 // Leadership returns the current election state.
-func (c *Controller) Leadership() election.Leadership { return c.elector.Leadership() }
+func (c *Controller) Leadership() election.View { return c.elector.Leadership() }
 
 // Leads reports whether the node leads a term. It stays true while the lease may have expired.
 func (c *Controller) Leads() bool { return c.leader != nil }
--- a/internal/daemon/event_loop.go
+++ b/internal/daemon/event_loop.go
@@ -33,7 +33,7 @@
 	pending     *pendingRequests[queuedEvent]
 	knownLeader string // the last that was known; empty: none yet
 	// observeLeadership is told after every step who leads; nil: nobody wants to know.
-	observeLeadership func(election.Leadership)
+	observeLeadership func(election.View)
 }
 
 func newEventLoop(p *process, clients *clients) *eventLoop {
--- a/internal/daemon/tracker_loop.go
+++ b/internal/daemon/tracker_loop.go
@@ -27,7 +27,7 @@
 	process    *process
 	clients    *clients
 	queue      chan trackerEvent
-	leadership atomic.Pointer[election.Leadership]
+	leadership atomic.Pointer[election.View]
 	metrics    *trackerMetrics
 	timeout    time.Duration // of a request
 
@@ -59,12 +59,12 @@
 			ProcessID: cfg.Node + "-" + p.identity.incarnation, Seed: p.identity.seed,
 		}),
 	}
-	l.leadership.Store(&election.Leadership{})
+	l.leadership.Store(&election.View{})
 	return l
 }
 
 // observeLeadership notes who leads. Only the controller's event loop calls it.
-func (l *trackerLoop) observeLeadership(view election.Leadership) {
+func (l *trackerLoop) observeLeadership(view election.View) {
 	if *l.leadership.Load() != view {
 		l.leadership.Store(&view)
 	}
--- a/internal/distribution/tracker/messages.go
+++ b/internal/distribution/tracker/messages.go
@@ -15,7 +15,7 @@
 )
 
 // Term is what the tracker needs to know of the controller's term.
-type Term = election.Leadership
+type Term = election.View
 
 // Command is an input of Step.
 type Command interface{ command() }
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -140,8 +140,8 @@
 	e.observed.backoffUntil = max(e.observed.backoffUntil, until)
 }
 
-// Leadership is a snapshot of the election state for components outside the controller.
-type Leadership struct {
+// View is a snapshot of the election state for components outside the controller.
+type View struct {
 	Term         int64         // version of the leader key when this node began to lead; 0 if it does not lead
 	FencingToken int64         // current version of the leader key
 	LeaseUntil   time.Duration // no other node can lead before this time, by the monotonic clock
@@ -149,11 +149,11 @@
 }
 
 // Leadership returns the current election state.
-func (e *Elector) Leadership() Leadership {
+func (e *Elector) Leadership() View {
 	if !e.held.leading {
-		return Leadership{Leader: e.OtherLeader()}
+		return View{Leader: e.OtherLeader()}
 	}
-	return Leadership{Term: e.held.loadedTerm, FencingToken: e.held.token, LeaseUntil: e.held.leaseUntil}
+	return View{Term: e.held.loadedTerm, FencingToken: e.held.token, LeaseUntil: e.held.leaseUntil}
 }
 
 // Leading reports whether the node leads. It stays true while the lease may have expired.
