--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -178,7 +178,8 @@
 	}
 }
 
-// The response to a token advance is lost although the transaction was committed. The elector detects this by the value of the leader key.
+// The response to a token advance is lost although the transaction was committed. The elector
+// detects this by the value of the leader key.
 func TestCommittedTokenAdvanceIsDetectedAfterLostResponse(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -51,8 +51,8 @@
 	// CancellationConfirmTimeout is the time after a cancellation within which the job's tasks must
 	// have stopped for the cancellation to be confirmed to the user.
 	CancellationConfirmTimeout time.Duration
-	// RefuseAfterCancellation is the time after a cancellation from which heartbeats are refused
-	// from a machine that may still start the job's tasks.
+	// RefuseAfterCancellation is the time after a cancellation from which a machine that may still
+	// start the job's tasks no longer gets answers to its heartbeats.
 	RefuseAfterCancellation time.Duration
 }
 
