--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,7 +1,7 @@
 package protocol
 
-// MaxMachinesListed is the most machines on one page of the cloud's list.
-const MaxMachinesListed = 500
+// MaxMachinesPerPage is the most machines on one page of the cloud's list.
+const MaxMachinesPerPage = 500
 
 // The most machines that one request provisions, and that one request releases.
 const (
--- a/internal/scale/testbed/cloud_server.go
+++ b/internal/scale/testbed/cloud_server.go
@@ -75,8 +75,8 @@
 	if first < 0 {
 		return protocol.MachineList{}
 	}
-	if limit <= 0 || limit > protocol.MaxMachinesListed {
-		limit = protocol.MaxMachinesListed
+	if limit <= 0 || limit > protocol.MaxMachinesPerPage {
+		limit = protocol.MaxMachinesPerPage
 	}
 	rest := list.Machines[first:]
 	return protocol.MachineList{Machines: rest[:min(limit, len(rest))], More: len(rest) > limit}
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -72,7 +72,7 @@
 	if startAfter != "" {
 		args.Set("after", startAfter)
 	}
-	args.Set("limit", strconv.Itoa(protocol.MaxMachinesListed))
+	args.Set("limit", strconv.Itoa(protocol.MaxMachinesPerPage))
 	return args.String()
 }
 
