--- a/internal/protocol/commands_test.go
+++ b/internal/protocol/commands_test.go
@@ -32,7 +32,7 @@
 		{Verb: Forget, Attempt: Attempt{Job: "wk-2", Task: 99_999, Number: 1}},
 	}
 	got, err := DecodeCommands(EncodeCommands(41, 7, commands))
-	if err != nil || got.FencingToken != 41 || got.Incarnation != 7 || !got.Complete || len(got.Commands) != len(commands) {
+	if err != nil || got.FencingToken != 41 || got.Incarnation != 7 || !got.HasTokenAndIncarnation || len(got.Commands) != len(commands) {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	for i, command := range commands {
--- a/internal/protocol/counterparts.go
+++ b/internal/protocol/counterparts.go
@@ -50,8 +50,8 @@
 	FencingToken int64
 	Incarnation  int64 // of direct commands
 	Commands     []Command
-	// Complete tells whether both the fencing token and the incarnation are there.
-	Complete bool
+	// HasTokenAndIncarnation tells whether both the fencing token and the incarnation are there.
+	HasTokenAndIncarnation bool
 }
 
 // DecodeCommands reads the commands to a worker.
@@ -64,7 +64,7 @@
 	if err := Decode(body, &wire); err != nil {
 		return nil, malformedBy(err)
 	}
-	commands := &WorkerCommands{Complete: wire.FencingToken != nil && wire.Incarnation != nil}
+	commands := &WorkerCommands{HasTokenAndIncarnation: wire.FencingToken != nil && wire.Incarnation != nil}
 	if wire.FencingToken != nil {
 		commands.FencingToken = *wire.FencingToken
 	}
--- a/internal/scale/testbed/worker_server.go
+++ b/internal/scale/testbed/worker_server.go
@@ -19,7 +19,7 @@
 		return
 	}
 	commands, err := protocol.DecodeCommands(ctx.PostBody())
-	if err != nil || !commands.Complete {
+	if err != nil || !commands.HasTokenAndIncarnation {
 		respondInvalid(ctx)
 		return
 	}
