--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -33,13 +33,13 @@
 	AwaitsWrites() bool
 }
 
-// Ends are the ends of jobs found in the archive; nil: the job isn't there.
-type Ends map[string]*cluster.EndedJob
+// LookupResults are the ends of jobs found in the archive; nil: the job isn't there.
+type LookupResults map[string]*cluster.EndedJob
 
 // Callbacks are what the archive leaves to others.
 type Callbacks struct {
 	// Decide answers a request, given the ends of what it is about that are in the archive.
-	Decide func(message.UserRequest, Ends)
+	Decide func(message.UserRequest, LookupResults)
 	// SendWrite sends the transaction of a move.
 	SendWrite func(*storage.Write)
 }
--- a/internal/archive/lookup.go
+++ b/internal/archive/lookup.go
@@ -18,7 +18,7 @@
 	refuseAt  time.Duration
 	forgetAt  time.Duration
 	unknown   []string // jobs that aren't known to be, or not to be, in the archive
-	found     Ends
+	found     LookupResults
 }
 
 // Why a request is refused.
@@ -34,7 +34,7 @@
 
 // find tells which of some jobs have to be looked up; of the others that are in the archive it
 // adds the ends to found. corrupt: a page that is needed can't be read.
-func (a *Archive) find(ids []string, found Ends) (unknown []string, corrupt bool) {
+func (a *Archive) find(ids []string, found LookupResults) (unknown []string, corrupt bool) {
 	for _, id := range ids {
 		if _, ok := found[id]; ok || a.state.KnowsJob(id) {
 			continue
@@ -73,7 +73,7 @@
 		return
 	}
 	earlier := a.earlierLookup(request)
-	found := Ends{}
+	found := LookupResults{}
 	if earlier != nil {
 		found = earlier.found
 	}
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -51,7 +51,7 @@
 }
 
 // decide answers a request, given the ends of what it is about that are in the archive.
-func (h *requestHandler) decide(request message.UserRequest, archived archive.Ends) {
+func (h *requestHandler) decide(request message.UserRequest, archived archive.LookupResults) {
 	switch request.Kind {
 	case message.Submit:
 		h.submit(request, archived)
@@ -63,7 +63,7 @@
 }
 
 // end is the end of a job that is over; nil: it isn't, or isn't known.
-func (h *requestHandler) end(id string, archived archive.Ends) *cluster.EndedJob {
+func (h *requestHandler) end(id string, archived archive.LookupResults) *cluster.EndedJob {
 	if end := h.state.EndedJobs[id]; end != nil {
 		return end
 	}
@@ -152,7 +152,7 @@
 	clear(h.awaitingCommit)
 }
 
-func (h *requestHandler) poll(request message.UserRequest, archived archive.Ends) {
+func (h *requestHandler) poll(request message.UserRequest, archived archive.LookupResults) {
 	if end := h.end(request.Job, archived); end != nil {
 		h.replyEnd(request.ID, end, true)
 		return
@@ -168,7 +168,7 @@
 	}
 }
 
-func (h *requestHandler) cancel(request message.UserRequest, archived archive.Ends) {
+func (h *requestHandler) cancel(request message.UserRequest, archived archive.LookupResults) {
 	if end := h.end(request.Job, archived); end != nil {
 		h.replyEnd(request.ID, end, false)
 		return
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -14,7 +14,7 @@
 )
 
 // submit takes in a job, or answers what became of an earlier request with its id.
-func (h *requestHandler) submit(request message.UserRequest, archived archive.Ends) {
+func (h *requestHandler) submit(request message.UserRequest, archived archive.LookupResults) {
 	if end := h.end(request.Submission.ID, archived); end != nil {
 		h.replyEnd(request.ID, end, false)
 		return
@@ -68,7 +68,7 @@
 }
 
 // accept takes a new job in. Its user is told once that is durable.
-func (h *requestHandler) accept(request message.UserRequest, archived archive.Ends) {
+func (h *requestHandler) accept(request message.UserRequest, archived archive.LookupResults) {
 	h.context.Stats.JobsSubmitted++
 	j := h.jobs.NewJob(storage.NewJobRecord(request.Submission, h.context.Now.WallMs))
 	j.Prerequisites.IDs, j.Prerequisites.ArchivedCancelled = h.withoutArchived(request.Submission.Prerequisites, archived)
@@ -148,7 +148,7 @@
 
 // checkPrerequisites tells whether a submission names a job that it can't: the status, and
 // why; 200: none. Only a leader that holds its lease and has read every page is asked.
-func (h *requestHandler) checkPrerequisites(s *protocol.Submission, archived archive.Ends) (status int, reason string) {
+func (h *requestHandler) checkPrerequisites(s *protocol.Submission, archived archive.LookupResults) (status int, reason string) {
 	for _, id := range s.Prerequisites {
 		if id == s.ID {
 			return http.StatusUnprocessableEntity, "a job can't need itself"
@@ -173,7 +173,7 @@
 // withoutArchived leaves out the prerequisites whose ends are in the archive, or on their way
 // there, so that a new leader needs no page of it: what is done stays done, and that one of
 // them is cancelled is recorded as the job's own cancellation.
-func (h *requestHandler) withoutArchived(ids []string, archived archive.Ends) (rest []string, cancelled bool) {
+func (h *requestHandler) withoutArchived(ids []string, archived archive.LookupResults) (rest []string, cancelled bool) {
 	for _, id := range ids {
 		end := h.end(id, archived)
 		if end == nil || h.state.EndedJobs[id] == end && !h.leader.archive.IsMoving(id) {
