--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// SetExists notes whether something is in the archive.
-func (a *Archive) SetExists(exists bool) { a.exists = exists }
+// SetNonEmpty notes whether something is in the archive.
+func (a *Archive) SetNonEmpty(exists bool) { a.exists = exists }
 
 // Tick reads the next page that somebody waits for, and moves ended jobs if nobody does.
 func (a *Archive) Tick() {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -148,7 +148,7 @@
 		c.elector.StepDown("the records can't be read")
 		return
 	}
-	l.archive.SetExists(archiveExists)
+	l.archive.SetNonEmpty(archiveExists)
 	c.leader = l
 	c.elector.BeginLeading()
 }
