--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -117,7 +117,7 @@
 // Status is what an operator is told of the archive of ended jobs.
 type Status struct {
 	NonEmpty         bool `json:"used"`
-	Kept         int  `json:"kept"` // how many ended jobs are kept out of it
+	MaxEndedJobs         int  `json:"kept"` // how many ended jobs are kept out of it
 	PagesHeld    int  `json:"pages_held"`
 	Waiting      int  `json:"requests_waiting"`
 	Moving       int  `json:"jobs_being_moved"`
@@ -127,7 +127,7 @@
 // Status sums the archive up.
 func (a *Archive) Status() Status {
 	return Status{
-		NonEmpty: a.exists, Kept: a.timing.Archive.MaxEndedJobs, PagesHeld: len(a.cache), Waiting: len(a.lookups),
+		NonEmpty: a.exists, MaxEndedJobs: a.timing.Archive.MaxEndedJobs, PagesHeld: len(a.cache), Waiting: len(a.lookups),
 		Moving: len(a.moves.moving), PeersReading: len(a.moves.readers),
 	}
 }
