--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -119,7 +119,7 @@
 	NonEmpty         bool `json:"used"`
 	MaxEndedJobs         int  `json:"kept"` // how many ended jobs are kept out of it
 	PagesHeld    int  `json:"pages_held"`
-	Waiting      int  `json:"requests_waiting"`
+	PendingLookups      int  `json:"requests_waiting"`
 	Moving       int  `json:"jobs_being_moved"`
 	PeersReading int  `json:"peers_reading"` // asked only once there is something to be moved
 }
@@ -127,7 +127,7 @@
 // Status sums the archive up.
 func (a *Archive) Status() Status {
 	return Status{
-		NonEmpty: a.exists, MaxEndedJobs: a.timing.Archive.MaxEndedJobs, PagesHeld: len(a.cache), Waiting: len(a.lookups),
+		NonEmpty: a.exists, MaxEndedJobs: a.timing.Archive.MaxEndedJobs, PagesHeld: len(a.cache), PendingLookups: len(a.lookups),
 		Moving: len(a.moves.moving), PeersReading: len(a.moves.readers),
 	}
 }
