--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -120,7 +120,7 @@
 	MaxEndedJobs         int  `json:"kept"` // how many ended jobs are kept out of it
 	PagesHeld    int  `json:"pages_held"`
 	PendingLookups      int  `json:"requests_waiting"`
-	Moving       int  `json:"jobs_being_moved"`
+	JobsBeingMoved       int  `json:"jobs_being_moved"`
 	PeersReading int  `json:"peers_reading"` // asked only once there is something to be moved
 }
 
@@ -128,7 +128,7 @@
 func (a *Archive) Status() Status {
 	return Status{
 		NonEmpty: a.exists, MaxEndedJobs: a.timing.Archive.MaxEndedJobs, PagesHeld: len(a.cache), PendingLookups: len(a.lookups),
-		Moving: len(a.moves.moving), PeersReading: len(a.moves.readers),
+		JobsBeingMoved: len(a.moves.moving), PeersReading: len(a.moves.readers),
 	}
 }
 
