--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -45,9 +45,9 @@
 	return Sockets{API: shared - commands, Commands: commands, shared: shared}
 }
 
-// CommandsNow returns how many connections direct commands may take while the API server
+// CommandLimit returns how many connections direct commands may take while the API server
 // holds the given number: what that leaves, a quarter of all at most.
-func (s Sockets) CommandsNow(frontend int) int {
+func (s Sockets) CommandLimit(frontend int) int {
 	return max(s.Commands, min(s.shared/maxCommandShare, s.shared-frontend))
 }
 
--- a/internal/config/sockets_test.go
+++ b/internal/config/sockets_test.go
@@ -24,7 +24,7 @@
 				t.Errorf("%d for the API server, which needs %d", sockets.API, needed)
 			}
 			for open := 0; open <= sockets.API; open++ {
-				if n := sockets.CommandsNow(open); n < 1 || open+n+s.reservedSockets() > c.maxConnections {
+				if n := sockets.CommandLimit(open); n < 1 || open+n+s.reservedSockets() > c.maxConnections {
 					t.Fatalf("%d for commands beside %d of the API server", n, open)
 				}
 			}
@@ -57,7 +57,7 @@
 			if sockets.API < workers+users {
 				t.Errorf("%d connections for %d workers and %d users", sockets.API, workers, users)
 			}
-			if n := sockets.CommandsNow(workers + users); n < workers/20 {
+			if n := sockets.CommandLimit(workers + users); n < workers/20 {
 				t.Errorf("%d connections for commands", n)
 			}
 		})
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -101,7 +101,7 @@
 	sockets := settings.Sockets()
 	d.apiServer = transport.NewAPIServer(d.loop, limit, sockets.API, config.Seconds(settings.Workers.LeaseS))
 	clients.workers = transport.NewWorkerClient(settings.Workers,
-		func() int { return sockets.CommandsNow(d.apiServer.OpenConnections()) })
+		func() int { return sockets.CommandLimit(d.apiServer.OpenConnections()) })
 	mounted := map[string]http.Handler{protocol.PathAdmin: newAdminHandler(d.loop, limit)}
 	if extensions.Distribution != nil {
 		var err error
