--- a/cmd/oakpick-agent/main.go
+++ b/cmd/oakpick-agent/main.go
@@ -26,7 +26,7 @@
 	kong.Parse(&cli, kong.Name("oakpick-agent"), kong.UsageOnError(),
 		kong.Description("Fetches the weights that it is to hold from peers and the store, verifies and stores them, and passes them on. It serves a version only once every chunk of it is there. Ends on SIGTERM; what it holds is kept."))
 	if err := run(&cli); err != nil {
-		logging.Fail(os.Stderr, "oakpick-agent", err)
+		logging.WriteError(os.Stderr, "oakpick-agent", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/oakpick-scale/main.go
+++ b/cmd/oakpick-scale/main.go
@@ -45,7 +45,7 @@
 	parsed := kong.Parse(&cli, kong.Name("oakpick-scale"), kong.UsageOnError(),
 		kong.Description("Plays real controllers over loopback and in real time. It takes no more than half of the machine's memory and stops by itself."))
 	if err := parsed.Run(); err != nil {
-		logging.Fail(os.Stderr, "oakpick-scale", err)
+		logging.WriteError(os.Stderr, "oakpick-scale", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/oakpick/main.go
+++ b/cmd/oakpick/main.go
@@ -81,7 +81,7 @@
 	ctx := kong.Parse(&cli, kong.Name("oakpick"),
 		kong.Description("A scheduler for fleets that serve language models."), kong.UsageOnError())
 	if err := ctx.Run(&cli); err != nil {
-		logging.Fail(os.Stderr, "oakpick", err)
+		logging.WriteError(os.Stderr, "oakpick", err)
 		os.Exit(1)
 	}
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -25,8 +25,8 @@
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))
 }
 
-// Fail writes the error that ends a program, a line for each of the errors that it joins.
-func Fail(w io.Writer, program string, err error) {
+// WriteError writes the error that ends a program, a line for each of the errors that it joins.
+func WriteError(w io.Writer, program string, err error) {
 	for line := range strings.SplitSeq(err.Error(), "\n") {
 		// The program ends: an error of this write has nowhere to go.
 		_, _ = fmt.Fprintf(w, "%s: %s\n", program, line)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -32,7 +32,7 @@
 
 func TestFailWritesALineForEachError(t *testing.T) {
 	var out strings.Builder
-	Fail(&out, "oakpick", errors.Join(errors.New("first"), errors.New("second")))
+	WriteError(&out, "oakpick", errors.Join(errors.New("first"), errors.New("second")))
 	if got, want := out.String(), "oakpick: first\noakpick: second\n"; got != want {
 		t.Errorf("wrote %q, want %q", got, want)
 	}
