--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -8,11 +8,11 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// maxNesting is how deeply maps and arrays of a body may be nested, the body itself included.
+// maxNesting is the maximum nesting depth of maps and arrays in a body, including the body itself.
 const maxNesting = 8
 
-// Encode writes a message. The types of this package always encode; it panics on any other
-// that doesn't.
+// Encode returns the msgpack encoding of a message. All types of this package can be encoded;
+// for a type that can't, it panics.
 func Encode(v any) []byte {
 	body, err := msgpack.Marshal(v)
 	if err != nil {
@@ -21,24 +21,24 @@
 	return body
 }
 
-// Decode reads an answer of the state service, the cloud or a peer into v, a pointer. Unlike
-// the requests of users and workers, it isn't checked beyond the types of its fields.
+// Decode decodes a response of the state service, the cloud or a peer into v, a pointer. Unlike
+// requests of users and workers, responses are only checked for the types of their fields.
 func Decode(body []byte, v any) error { return msgpack.Unmarshal(body, v) }
 
-// decodeRequest checks the body of a user's or a worker's request and reads it into v, a pointer.
+// decodeRequest checks the body of a user's or a worker's request and decodes it into v, a pointer.
 func decodeRequest(body []byte, v any) error {
 	if err := checkBody(body); err != nil {
 		return err
 	}
 	if err := msgpack.Unmarshal(body, v); err != nil {
-		return malformedBy(err)
+		return wrapMalformed(err)
 	}
 	return nil
 }
 
-// checkBody walks a body without recursion deeper than maxNesting, so that
-// neither nesting nor huge declared lengths cost memory, and insists on one
-// map with nothing behind it.
+// checkBody checks that a body consists of exactly one map. It limits the recursion to
+// maxNesting and compares declared lengths with the bytes that remain, so that neither
+// deep nesting nor huge declared lengths consume memory.
 func checkBody(body []byte) error {
 	if len(body) > MaxBody {
 		return malformed("body over %d bytes", MaxBody)
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// checkValue reads one value and what is nested in it, at most depth levels. unread is what the
-// decoder reads from.
+// checkValue reads one value and the values nested in it, at most depth levels deep. unread is
+// the decoder's input.
 func checkValue(decoder *msgpack.Decoder, unread *bytes.Reader, depth int) error {
 	if depth == 0 {
 		return malformed("nested too deeply")
@@ -68,14 +68,14 @@
 	if err != nil {
 		return malformed("cut short")
 	}
-	children, err := readHeader(decoder, unread, code)
+	childCount, err := readHeader(decoder, unread, code)
 	if err != nil {
 		return err
 	}
-	if children > 2*unread.Len()+2 {
+	if childCount > 2*unread.Len()+2 {
 		return malformed("cut short")
 	}
-	for range children {
+	for range childCount {
 		if err := checkValue(decoder, unread, depth-1); err != nil {
 			return err
 		}
@@ -83,32 +83,32 @@
 	return nil
 }
 
-// readHeader reads a map's or an array's length, and gives the number of values in it; a scalar
-// it reads whole. A declared length that the body can't hold is refused before anything is
-// allocated for it.
-func readHeader(decoder *msgpack.Decoder, unread *bytes.Reader, code byte) (children int, err error) {
+// readHeader reads the header of a map or an array and returns the number of values that
+// follow. It reads scalars completely and returns 0. A declared length beyond the end of the
+// body is rejected before any memory is allocated for it.
+func readHeader(decoder *msgpack.Decoder, unread *bytes.Reader, code byte) (childCount int, err error) {
 	switch {
 	case isMap(code):
 		pairs, err := decoder.DecodeMapLen()
 		if err != nil {
-			return 0, malformedBy(err)
+			return 0, wrapMalformed(err)
 		}
 		if pairs > unread.Len() {
 			return 0, malformed("cut short")
 		}
 		return 2 * pairs, nil
 	case isArray(code):
-		children, err = decoder.DecodeArrayLen()
+		childCount, err = decoder.DecodeArrayLen()
 	default:
-		if shortStringLength(code) > unread.Len() {
+		if fixedStringLength(code) > unread.Len() {
 			return 0, malformed("cut short")
 		}
 		err = decoder.Skip()
 	}
 	if err != nil {
-		return 0, malformedBy(err)
+		return 0, wrapMalformed(err)
 	}
-	return children, nil
+	return childCount, nil
 }
 
 func isMap(code byte) bool {
@@ -119,9 +119,9 @@
 	return msgpcode.IsFixedArray(code) || code == msgpcode.Array16 || code == msgpcode.Array32
 }
 
-// shortStringLength is a scalar's length where its first byte alone tells it; longer
-// forms are bounded by the library, which reads in steps.
-func shortStringLength(code byte) int {
+// fixedStringLength returns the length of a string whose first byte holds its length, and 0 for
+// any other value: the library reads longer forms in steps, which bounds their allocation.
+func fixedStringLength(code byte) int {
 	if msgpcode.IsFixedString(code) {
 		return int(code & msgpcode.FixedStrMask)
 	}
--- a/internal/protocol/body_test.go
+++ b/internal/protocol/body_test.go
@@ -12,7 +12,7 @@
 			t.Errorf("accepted %+v", s)
 		}
 		if h, err := DecodeHeartbeat(body); err == nil && h.Machine == "" {
-			t.Error("accepted a heartbeat of no machine")
+			t.Error("accepted a heartbeat without a machine name")
 		}
 	})
 }
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,15 +1,15 @@
 package protocol
 
-// MaxMachinesPerPage is the most machines on one page of the cloud's list.
+// MaxMachinesPerPage is the maximum number of machines on one page of the cloud's machine list.
 const MaxMachinesPerPage = 500
 
-// The most machines that one request provisions, and that one request releases.
+// Maximum number of machines in one provisioning request and in one release request.
 const (
 	MaxScaleOut = 50
 	MaxScaleIn  = 100
 )
 
-// MachineType is a type of machines that the cloud offers.
+// MachineType is a machine type that the cloud offers.
 type MachineType struct {
 	Name        string   `msgpack:"sku"`
 	CPUs        float64  `msgpack:"vcpus"`
@@ -23,26 +23,26 @@
 	Zones       []string `msgpack:"sites"`
 }
 
-// MachineTypes is the cloud's offer.
+// MachineTypes is the cloud's list of machine types.
 type MachineTypes struct {
 	Types []MachineType `msgpack:"kinds_of_host"`
 }
 
-// ProvisioningRequest asks the cloud for machines.
+// ProvisioningRequest asks the cloud to provision machines.
 type ProvisioningRequest struct {
-	RequestID string `msgpack:"hire"` // idempotency key: a repeat brings the same machines
+	RequestID string `msgpack:"hire"` // idempotency key: a repeated request returns the same machines
 	Type      string `msgpack:"host_kind"`
 	Zone      string `msgpack:"site"`
 	Spot      bool   `msgpack:"loaners"`
 	Count     int    `msgpack:"how_many"`
 }
 
-// MachineNames names machines: those that were provisioned, or are to be released.
+// MachineNames lists machines by name: those that were provisioned, or those to be released.
 type MachineNames struct {
 	Names []string `msgpack:"hosts"`
 }
 
-// Machine is an entry of the cloud's list.
+// Machine is an entry of the cloud's machine list.
 type Machine struct {
 	Name   string  `msgpack:"id"`
 	Addr   string  `msgpack:"address"`
@@ -53,23 +53,24 @@
 	AgeS   float64 `msgpack:"age_s"`
 }
 
-// Words of a listed machine's status.
+// Values of Machine.Status.
 const (
 	MachineBooting = "booting"
 	MachineRunning = "running"
 	MachineFailed  = "failed"
 )
 
-// MachineList is one page of the cloud's list.
+// MachineList is one page of the cloud's machine list.
 type MachineList struct {
 	Machines []Machine `msgpack:"hosts"`
 	More     bool      `msgpack:"has_next"`
 }
 
-// noCapacity is the text of the cloud's refusal for want of machines.
+// noCapacity is the cloud's error text when it has no machines available.
 const noCapacity = "no capacity"
 
-// IsNoCapacity tells a refusal for want of machines from the cloud's other failures.
+// IsNoCapacity reports whether a request failed because the cloud has no machines available,
+// given the body of the cloud's error response.
 func IsNoCapacity(body []byte) bool {
 	var refusal wireError
 	return Decode(body, &refusal) == nil && refusal.Text == noCapacity
--- a/internal/protocol/commands.go
+++ b/internal/protocol/commands.go
@@ -1,29 +1,29 @@
 package protocol
 
-// StableStartS is for how many seconds a task has to run undisturbed for its start to count.
+// StableStartS is how many seconds a task has to run without interruption for its start to count.
 const StableStartS = 30
 
-// Verb is what a command tells a worker to do.
+// Verb is the action that a command requests from a worker.
 type Verb uint8
 
-// The commands.
+// Verbs of commands.
 const (
 	Start Verb = iota
 	Stop
-	Forget // drop the record of a task that has exited
+	Forget // delete the record of a task that has exited
 )
 
-// verbWords are the wire words, by verb.
-var verbWords = [...]string{Start: "start", Stop: "halt", Forget: "forget"}
+// verbNames are the wire names of the verbs.
+var verbNames = [...]string{Start: "start", Stop: "halt", Forget: "forget"}
 
-// Command is one command to a worker.
+// Command is a command to a worker.
 type Command struct {
 	Verb Verb
 	Attempt
-	GracePeriodS float64 // of a Stop, in seconds
+	GracePeriodS float64 // for Stop only
 }
 
-// wireCommand is a command as it is sent.
+// wireCommand is the wire format of Command.
 type wireCommand struct {
 	Verb         string   `msgpack:"verb"`
 	Task         string   `msgpack:"piece"`
@@ -35,7 +35,7 @@
 	wire := make([]wireCommand, len(commands))
 	for i := range commands {
 		command := &commands[i]
-		wire[i] = wireCommand{Verb: verbWords[command.Verb], Task: command.taskID(), Attempt: command.Number}
+		wire[i] = wireCommand{Verb: verbNames[command.Verb], Task: command.taskID(), Attempt: command.Number}
 		if command.Verb == Stop {
 			wire[i].GracePeriodS = &command.GracePeriodS
 		}
@@ -43,8 +43,8 @@
 	return wire
 }
 
-// EncodeHeartbeatResponse is the body of the 200 to a heartbeat: the leader's fencing token and
-// the commands that are due.
+// EncodeHeartbeatResponse returns the body of the 200 response to a heartbeat: the leader's
+// fencing token and the commands for the worker.
 func EncodeHeartbeatResponse(fencingToken int64, commands []Command) []byte {
 	return Encode(struct {
 		FencingToken int64         `msgpack:"baton"`
@@ -52,15 +52,17 @@
 	}{fencingToken, wireCommands(commands)})
 }
 
-// wireRedirect sends a worker to the leader's node; empty: the leader isn't known.
+// wireRedirect is the wire format of a redirect to the leader's node; empty if no leader is known.
 type wireRedirect struct {
 	Leader string `msgpack:"foreman,omitempty"`
 }
 
-// EncodeRedirect is the body of the 421 that sends a worker to another node; empty: none.
+// EncodeRedirect returns the body of a 421 response that redirects a worker to the leader's
+// node; empty if no leader is known.
 func EncodeRedirect(node string) []byte { return Encode(wireRedirect{Leader: node}) }
 
-// EncodeCommands is the body of direct commands to a worker's incarnation.
+// EncodeCommands returns the body of a request that sends commands directly to an incarnation of
+// a worker.
 func EncodeCommands(fencingToken, incarnation int64, commands []Command) []byte {
 	return Encode(struct {
 		FencingToken int64         `msgpack:"baton"`
--- a/internal/protocol/commands_test.go
+++ b/internal/protocol/commands_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Refusals and redirects are maps of at most one pair, to the byte.
-func TestRefusalsAndRedirectsToTheByte(t *testing.T) {
+// Encoded errors and redirects are compared byte by byte: maps with at most one pair.
+func TestErrorAndRedirectEncoding(t *testing.T) {
 	for name, c := range map[string]struct {
 		got  []byte
 		want string
@@ -14,7 +14,7 @@
 		"error":              {EncodeError("no"), "\x81\xa5error\xa2no"},
 		"empty error":        {EncodeError(""), "\x81\xa5error\xa0"},
 		"redirect":           {EncodeRedirect("ctl-1"), "\x81\xa7foreman\xa5ctl-1"},
-		"redirect to nobody": {EncodeRedirect(""), "\x80"},
+		"redirect, no leader":{EncodeRedirect(""), "\x80"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if !bytes.Equal(c.got, []byte(c.want)) {
@@ -24,8 +24,8 @@
 	}
 }
 
-// A worker reads the commands that a controller encodes.
-func TestCommandsAreReadAsEncoded(t *testing.T) {
+// Encoding and decoding commands returns the same commands.
+func TestCommandsRoundTrip(t *testing.T) {
 	commands := []Command{
 		{Verb: Start, Attempt: Attempt{Job: "wk-1", Task: 0, Number: 2}},
 		{Verb: Stop, Attempt: Attempt{Job: "wk-1", Task: 1, Number: 1}, GracePeriodS: 2.5},
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,53 +1,53 @@
-// Package protocol holds the wire words of every interface, the types of the messages and the
-// validation of what arrives. Nothing outside this package spells a wire word; the rest of the
-// program uses the field's standard terms.
+// Package protocol defines the messages of every interface: their wire names, Go types and
+// validation. Wire names appear only in this package; the rest of the program uses the standard
+// terms of the field.
 //
-// Bodies are msgpack maps. The table maps each wire word whose meaning it doesn't tell to the
-// Go name; the struct tags do the mapping.
+// Message bodies are msgpack maps. The table lists the wire names that don't explain themselves,
+// with their Go names; struct tags map one to the other.
 //
-//	wire word                  Go name                        meaning
+//	wire name                  Go name                        meaning
 //	baton                      FencingToken                   fencing token of the leader's term
 //	shift                      Incarnation                    incarnation of a worker process
-//	tick                       Sequence                       number of a heartbeat within the incarnation
+//	tick                       Sequence                       sequence number of a heartbeat within the incarnation
 //	recall_s                   InterruptionInS                interruption notice of a spot machine
-//	foreman                    (redirect)                     the leader's node
+//	foreman                    (redirect)                     node of the leader
 //	orders                     Commands                       commands to a worker
 //	halt                       Stop                           command: stop a task, after a grace period
-//	forget                     Forget                         command: drop the record of a finished task
+//	forget                     Forget                         command: delete the record of an exited task
 //	wind_down_s                GracePeriodS                   grace period of a stop
 //	piece                      Attempt.Job, Attempt.Task      a task, as "job/index"
 //	try                        Attempt.Number                 the attempt's number
 //	kept                       Checkpointed                   the task has a checkpoint
 //	gathering, saving, ended   Waiting, Checkpointing, Exited states of a task
-//	mates_gone, alone          ExitPeersGone,                 causes of an exit: another task of the gang
-//	                           ExitGangIncomplete             is gone; the gang never was complete
-//	no_room, busy, unknown     ExitInsufficientResources,     causes of a refused start
+//	mates_gone, alone          ExitPeersGone,                 exit causes: another task of the gang has exited;
+//	                           ExitGangIncomplete             the gang was never complete
+//	no_room, busy, unknown     ExitInsufficientResources,     exit causes: the worker rejected the start
 //	                           ExitTaskAlreadyPresent,
 //	                           ExitUnknownJob
-//	jobclass                   Class                          class of jobs
+//	jobclass                   Class                          job class
 //	owner                      Team                           team that submitted the job
-//	shape                      Kind                           kind of a job: batch (Array), ensemble (Gang), service
-//	rank                       Priority                       standard (Normal) and urgent (High)
-//	pieces                     Tasks                          tasks of a job or of a machine
+//	shape                      Kind                           job kind: batch (Array), ensemble (Gang), service
+//	rank                       Priority                       job priority: standard (Normal), urgent (High)
+//	pieces                     Tasks                          tasks of a job or on a machine
 //	bundle                     Image                          container image
 //	together                   OneZone                        all tasks in one zone
 //	expected_s                 EstimatedRunS                  estimated run time of a task
-//	savepoint_s, saving_s      CheckpointIntervalS,           how often checkpoints are made,
-//	                           CheckpointDurationS            and how long each takes
-//	due_s                      DeadlineS                      deadline after the submission
-//	prereqs                    Prerequisites                  jobs that have to be done before
-//	withdrawn                  StatusCancelled                a cancelled job
+//	savepoint_s, saving_s      CheckpointIntervalS,           time between checkpoints of a task,
+//	                           CheckpointDurationS            and duration of a checkpoint
+//	due_s                      DeadlineS                      deadline, counted from the submission
+//	prereqs                    Prerequisites                  jobs that have to be done before this one starts
+//	withdrawn                  StatusCancelled                status of a cancelled job
 //	kinds_of_host, sku         Types, Name                    machine types
 //	host_kind                  Type                           machine type of a machine
 //	site                       Zone                           availability zone
 //	loaners, low_price         Spot, SpotPrice                spot capacity and its price
 //	hire                       RequestID                      idempotency key of a provisioning request
-//	rentals, rentals/return    PathScaleOut, PathScaleIn      provisioning and releasing machines
-//	has_next                   More                           there is another page
-//	path, write, drop          Key, Put, Delete               keys of the state service
+//	rentals, rentals/return    PathScaleOut, PathScaleIn      paths that provision and release machines
+//	has_next                   More                           more pages follow
+//	path, write, drop          Key, Put, Delete               key of the state service; key to write, key to delete
 //	stamp                      Version                        version of a key
-//	ledger                     Revision                       revision of the whole store
+//	ledger                     Revision                       revision of the state service's store
 //	permit, grants, life_ms    Lease, PathLeases, TTLms       leases of the state service
-//	let-go, released, taken    PathStepDown, SteppedDown,     a peer steps down from older terms
-//	                           LastLoadedTerm
+//	let-go, released, taken    PathStepDown, SteppedDown,     request to a peer to step down from older terms;
+//	                           LastLoadedTerm                 whether it did; last term whose records it loaded
 package protocol
--- a/internal/protocol/enums.go
+++ b/internal/protocol/enums.go
@@ -1,23 +1,23 @@
 package protocol
 
-// JobKind says how a job's tasks belong together.
+// JobKind determines how the tasks of a job are scheduled together.
 type JobKind uint8
 
-// The kinds of jobs.
+// Job kinds.
 const (
 	Array JobKind = iota
 	Gang
 	Service
 )
 
-var jobKindWords = map[string]JobKind{"batch": Array, "ensemble": Gang, "service": Service}
+var jobKindNames = map[string]JobKind{"batch": Array, "ensemble": Gang, "service": Service}
 
 func (k JobKind) String() string { return [...]string{"array", "gang", "service"}[k] }
 
-// Priority orders jobs; a higher value goes first.
+// Priority is the priority of a job; a higher value is scheduled first.
 type Priority uint8
 
-// The priorities, from the lowest.
+// Priorities in ascending order.
 const (
 	Low Priority = iota
 	Normal
@@ -25,43 +25,43 @@
 	Production
 )
 
-var priorityWords = map[string]Priority{"low": Low, "standard": Normal, "urgent": High, "production": Production}
+var priorityNames = map[string]Priority{"low": Low, "standard": Normal, "urgent": High, "production": Production}
 
 func (p Priority) String() string { return [...]string{"low", "normal", "high", "production"}[p] }
 
-// TaskState is what a worker says of a task on its machine.
+// TaskState is the state of a task that a worker reports.
 type TaskState uint8
 
-// Task states of heartbeats.
+// Task states in heartbeats.
 const (
-	Fetching TaskState = iota // the image
-	Waiting                   // for the other tasks of the gang
+	Fetching TaskState = iota // fetching the image
+	Waiting                   // waiting for the other tasks of the gang
 	Running
 	Checkpointing
 	Exited
 )
 
-var taskStateWords = map[string]TaskState{
+var taskStateNames = map[string]TaskState{
 	"fetching": Fetching, "gathering": Waiting, "running": Running, "saving": Checkpointing, "ended": Exited,
 }
 
-// ExitCause is why a task exited.
+// ExitCause is the reason for which a task exited or wasn't started.
 type ExitCause uint8
 
-// Causes of an exit.
+// Exit causes.
 const (
 	ExitNone ExitCause = iota
 	ExitDone
 	ExitStopped
-	ExitPeersGone             // another task of the gang is gone
-	ExitGangIncomplete        // the gang never was complete
-	ExitFailed                // by itself
-	ExitInsufficientResources // the machine has no room for it
+	ExitPeersGone             // another task of the gang has exited
+	ExitGangIncomplete        // the gang was never complete
+	ExitFailed                // the task itself failed
+	ExitInsufficientResources // the machine has too few free resources
 	ExitTaskAlreadyPresent    // another attempt of the task is on the machine
 	ExitUnknownJob            // the worker doesn't know the job
 )
 
-var exitCauseWords = map[string]ExitCause{
+var exitCauseNames = map[string]ExitCause{
 	"done": ExitDone, "halted": ExitStopped, "mates_gone": ExitPeersGone, "alone": ExitGangIncomplete, "error": ExitFailed,
 	"no_room": ExitInsufficientResources, "busy": ExitTaskAlreadyPresent, "unknown": ExitUnknownJob,
 }
--- a/internal/protocol/fields.go
+++ b/internal/protocol/fields.go
@@ -5,13 +5,13 @@
 )
 
 const (
-	maxAmount       = 1e9 // of any number
-	maxNameBytes    = 128
-	maxMachineTypes = 16 // of a submission
+	maxNumber             = 1e9 // upper bound of every numeric field
+	maxNameBytes          = 128
+	maxTypesPerSubmission = 16 // of a submission
 )
 
-// fieldReader reads required fields, and keeps what is wrong with the first that is. Fields
-// are named by their wire words.
+// fieldReader reads required fields and keeps the error of the first invalid one. Errors name
+// fields by their wire names.
 type fieldReader struct{ err error }
 
 func (f *fieldReader) fail(field, problem string) {
@@ -31,7 +31,7 @@
 }
 
 func (f *fieldReader) requiredNumber(field string, v *float64) float64 {
-	if v == nil || math.IsNaN(*v) || *v < 0 || *v > maxAmount {
+	if v == nil || math.IsNaN(*v) || *v < 0 || *v > maxNumber {
 		f.fail(field, "missing or out of range")
 	}
 	if v == nil {
@@ -47,22 +47,22 @@
 	return v != nil && *v
 }
 
-// requiredWord reads a field that holds one of a set of words.
-func requiredWord[V any](f *fieldReader, field string, words map[string]V, v *string) V {
-	value, ok := words[f.requiredString(field, v)]
+// requiredEnum reads a required field whose value is one of the wire names.
+func requiredEnum[V any](f *fieldReader, field string, names map[string]V, v *string) V {
+	value, ok := names[f.requiredString(field, v)]
 	if !ok {
 		f.fail(field, "unknown word")
 	}
 	return value
 }
 
-// machineTypes reads the allowed machine types; nil: any.
+// machineTypes reads the allowed machine types; nil allows any type.
 func (f *fieldReader) machineTypes(v *[]string) []string {
 	const field = "kinds_of_host"
 	if v == nil {
 		return nil
 	}
-	if len(*v) > maxMachineTypes {
+	if len(*v) > maxTypesPerSubmission {
 		f.fail(field, "too many")
 	}
 	types := []string{}
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Attempt names one start of one task.
+// Attempt identifies one attempt to run a task.
 type Attempt struct {
 	Job    string
 	Task   int   // index within the job, from 0
-	Number int64 // of the task's starts
+	Number int64 // sequence number among the task's attempts
 }
 
-// taskID is the task as messages name it: the job and the task's index.
+// taskID returns the task's ID in messages: the job's ID and the task's index.
 func (a Attempt) taskID() string { return a.Job + "/" + strconv.Itoa(a.Task) }
 
 func parseTaskID(id string) (job string, index int, ok bool) {
@@ -28,16 +28,16 @@
 	return job, index, true
 }
 
-// TaskStatus is what a heartbeat says of one task.
+// TaskStatus is the status of one task in a heartbeat.
 type TaskStatus struct {
 	Attempt
 	State        TaskState
-	ExitCause    ExitCause // of an Exited task
-	Checkpointed bool      // there is a checkpoint to go on from
+	ExitCause    ExitCause // set only if State is Exited
+	Checkpointed bool      // the task has a checkpoint to resume from
 }
 
-// Heartbeat is a worker's status of its machine and the tasks on it. Of two heartbeats of a
-// machine the one with the higher (Incarnation, Sequence) is the newer.
+// Heartbeat is a worker's report on its machine and the tasks on it. Of two heartbeats from one
+// machine, the one with the higher (Incarnation, Sequence) is newer.
 type Heartbeat struct {
 	Machine         string
 	Addr            string
@@ -47,16 +47,17 @@
 	Incarnation     int64
 	Sequence        int64
 	FencingToken    int64   // the highest that the worker has seen
-	InterruptionInS float64 // seconds until the machine is taken; negative: none
+	InterruptionInS float64 // seconds until the spot machine is interrupted; negative: no notice
 	Tasks           []TaskStatus
 }
 
-// Newer tells whether the heartbeat is newer than a message numbered (incarnation, sequence).
+// Newer reports whether the heartbeat is newer than a message with the given incarnation and
+// sequence number.
 func (h *Heartbeat) Newer(incarnation, sequence int64) bool {
 	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Sequence > sequence
 }
 
-// wireTask is a task of a heartbeat as it is sent.
+// wireTask is the wire format of a task in a heartbeat.
 type wireTask struct {
 	Task         string `msgpack:"piece"`
 	Attempt      *int64 `msgpack:"try"`
@@ -65,7 +66,7 @@
 	Checkpointed bool   `msgpack:"kept,omitempty"`
 }
 
-// wireHeartbeat is a heartbeat as it is sent; nil: the field is absent or null.
+// wireHeartbeat is the wire format of Heartbeat. A field that is absent or null is nil.
 type wireHeartbeat struct {
 	Machine         *string     `msgpack:"host"`
 	Addr            *string     `msgpack:"address"`
@@ -79,13 +80,13 @@
 	Tasks           *[]wireTask `msgpack:"pieces"`
 }
 
-// DecodeHeartbeat reads and checks a worker's heartbeat.
+// DecodeHeartbeat decodes and checks a worker's heartbeat.
 func DecodeHeartbeat(body []byte) (*Heartbeat, error) {
 	var wire wireHeartbeat
 	if err := decodeRequest(body, &wire); err != nil {
 		return nil, err
 	}
-	if err := wire.check(); err != nil {
+	if err := wire.validate(); err != nil {
 		return nil, err
 	}
 	heartbeat := &Heartbeat{
@@ -97,7 +98,7 @@
 		heartbeat.InterruptionInS = max(0, *wire.InterruptionInS)
 	}
 	for _, task := range *wire.Tasks {
-		status, ok := task.status()
+		status, ok := task.parse()
 		if !ok {
 			return nil, &FieldError{Field: "pieces", Problem: strconv.Quote(task.Task)}
 		}
@@ -106,8 +107,8 @@
 	return heartbeat, nil
 }
 
-// check insists on every field but the interruption notice.
-func (w *wireHeartbeat) check() error {
+// validate requires every field except the interruption notice.
+func (w *wireHeartbeat) validate() error {
 	if w.Machine == nil || *w.Machine == "" || len(*w.Machine) > maxNameBytes || w.Addr == nil || *w.Addr == "" ||
 		w.Type == nil || w.Zone == nil || w.Spot == nil || w.Incarnation == nil || w.Sequence == nil ||
 		w.FencingToken == nil || w.Tasks == nil {
@@ -119,15 +120,15 @@
 	return nil
 }
 
-// status reads a task. An exit cause that this version doesn't know is ExitNone.
-func (w *wireTask) status() (_ TaskStatus, ok bool) {
+// parse converts a task from its wire format. Exit causes unknown to this version become ExitNone.
+func (w *wireTask) parse() (_ TaskStatus, ok bool) {
 	job, index, ok := parseTaskID(w.Task)
-	state, known := taskStateWords[w.State]
+	state, known := taskStateNames[w.State]
 	if !ok || !known || w.Attempt == nil {
 		return TaskStatus{}, false
 	}
 	return TaskStatus{
 		Attempt: Attempt{Job: job, Task: index, Number: *w.Attempt},
-		State:   state, ExitCause: exitCauseWords[w.ExitCause], Checkpointed: w.Checkpointed,
+		State:   state, ExitCause: exitCauseNames[w.ExitCause], Checkpointed: w.Checkpointed,
 	}, true
 }
--- a/internal/protocol/limits.go
+++ b/internal/protocol/limits.go
@@ -1,12 +1,12 @@
 package protocol
 
-// MaxBody is the limit on request bodies, and on answers to users and workers, in bytes.
+// MaxBody is the maximum size of request bodies, and of responses to users and workers, in bytes.
 const MaxBody = 64 << 10
 
-// ContentType is that of every body.
+// ContentType is the content type of all request and response bodies.
 const ContentType = "application/msgpack"
 
-// How long users wait for an answer, in seconds.
+// Seconds that users wait for a response.
 const (
 	SubmitTimeoutS = 5
 	PollTimeoutS   = 2
--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Paths of the interfaces.
+// HTTP paths of the interfaces.
 const (
 	PathJobs         = "/v2/runs"
 	PathHealth       = "/healthz"
@@ -20,14 +20,14 @@
 	cancelSuffix     = "/abort"
 	renewSuffix      = "/renew"
 
-	// PathStepDown and the paths under PathAdmin are the project's own, on the listener for
-	// peers and operators.
+	// PathStepDown and the paths under PathAdmin belong to this project, not to the external
+	// interfaces. They are served on the listener for peers and operators.
 	PathStepDown = "/peer/let-go"
 	PathAdmin    = "/admin/"
 )
 
-// SplitJobPath takes apart the path of a request about jobs: the job's id
-// (empty for the collection) and whether it asks to cancel.
+// SplitJobPath parses the path of a job request: the job's ID (empty for the collection), and
+// whether the request cancels the job.
 func SplitJobPath(path string) (id string, cancel, ok bool) {
 	if path == PathJobs {
 		return "", false, true
@@ -43,8 +43,8 @@
 	return rest, cancel, true
 }
 
-// LeasePath is the path of a lease.
+// LeasePath returns the path of a lease.
 func LeasePath(lease int64) string { return fmt.Sprintf("%s/%d", PathLeases, lease) }
 
-// LeaseRenewalPath is the path for renewing a lease.
+// LeaseRenewalPath returns the path that renews a lease.
 func LeaseRenewalPath(lease int64) string { return LeasePath(lease) + renewSuffix }
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -1,19 +1,19 @@
 package protocol
 
-// StepDownRequest is what a new leader tells its peers: terms below Term are over, and it
-// is the one that leads. A Term of 0 only probes the peer.
+// StepDownRequest tells a peer that Leader leads in Term, and asks it to step down from all
+// earlier terms. A request with a Term of 0 only probes the peer.
 type StepDownRequest struct {
 	Term   int64  `msgpack:"term"`
 	Leader string `msgpack:"leader"`
-	// ReadsArchive asks whether the peer looks ended jobs up in the archive.
+	// ReadsArchive asks whether the peer supports looking up ended jobs in the archive.
 	ReadsArchive bool `msgpack:"reads_archive,omitempty"`
 }
 
-// StepDownResponse says whether the node has stepped down from every term below.
+// StepDownResponse reports whether the peer has stepped down from all terms before the request's.
 type StepDownResponse struct {
 	SteppedDown    bool  `msgpack:"released"`
-	LastLoadedTerm int64 `msgpack:"taken"` // the last term of which this process has read the records; 0: none
-	UptimeMs       int64 `msgpack:"up_ms"` // for how long it has been running
-	// ReadsArchive answers the question of the same name; earlier versions never do.
+	LastLoadedTerm int64 `msgpack:"taken"` // last term whose records this process has loaded; 0: none
+	UptimeMs       int64 `msgpack:"up_ms"` // time since the process started
+	// ReadsArchive answers StepDownRequest.ReadsArchive. Earlier versions never set it.
 	ReadsArchive bool `msgpack:"reads_archive,omitempty"`
 }
--- a/internal/protocol/counterparts.go
+++ b/internal/protocol/simulation_codec.go
@@ -8,12 +8,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// This file is the other components' side of the interfaces, for stand-ins: what workers,
-// users, the state service and the cloud read and write.
+// This file encodes and decodes the messages of the other components, for simulators and tests:
+// what workers, users, the state service and the cloud send and receive.
 
-// wordFor finds the wire word of a value.
-func wordFor[V comparable](words map[string]V, value V) string {
-	for w, v := range words {
+// nameOf returns the wire name of a value.
+func nameOf[V comparable](names map[string]V, value V) string {
+	for w, v := range names {
 		if v == value {
 			return w
 		}
@@ -21,17 +21,17 @@
 	return ""
 }
 
-// EncodeHeartbeat is the body of a worker's heartbeat.
+// EncodeHeartbeat returns the body of a worker's heartbeat.
 func EncodeHeartbeat(h *Heartbeat) []byte {
 	tasks := make([]wireTask, len(h.Tasks))
 	for i := range h.Tasks {
 		task := &h.Tasks[i]
 		tasks[i] = wireTask{
 			Task: task.taskID(), Attempt: &task.Number,
-			State: wordFor(taskStateWords, task.State), Checkpointed: task.Checkpointed,
+			State: nameOf(taskStateNames, task.State), Checkpointed: task.Checkpointed,
 		}
 		if task.State == Exited {
-			tasks[i].ExitCause = wordFor(exitCauseWords, task.ExitCause)
+			tasks[i].ExitCause = nameOf(exitCauseNames, task.ExitCause)
 		}
 	}
 	wire := wireHeartbeat{
@@ -44,17 +44,16 @@
 	return Encode(wire)
 }
 
-// WorkerCommands are the commands to a worker: the answer to a heartbeat, or the body of a
-// request with direct commands.
+// WorkerCommands holds the commands to a worker: the response to a heartbeat, or a request with
+// direct commands.
 type WorkerCommands struct {
-	FencingToken int64
-	Incarnation  int64 // of direct commands
-	Commands     []Command
-	// HasTokenAndIncarnation tells whether both the fencing token and the incarnation are there.
+	FencingToken           int64
+	Incarnation            int64 // set only in direct commands
+	Commands               []Command
 	HasTokenAndIncarnation bool
 }
 
-// DecodeCommands reads the commands to a worker.
+// DecodeCommands decodes the commands to a worker.
 func DecodeCommands(body []byte) (*WorkerCommands, error) {
 	var wire struct {
 		FencingToken *int64        `msgpack:"baton"`
@@ -62,7 +61,7 @@
 		Commands     []wireCommand `msgpack:"orders"`
 	}
 	if err := Decode(body, &wire); err != nil {
-		return nil, malformedBy(err)
+		return nil, wrapMalformed(err)
 	}
 	commands := &WorkerCommands{HasTokenAndIncarnation: wire.FencingToken != nil && wire.Incarnation != nil}
 	if wire.FencingToken != nil {
@@ -72,7 +71,7 @@
 		commands.Incarnation = *wire.Incarnation
 	}
 	for i := range wire.Commands {
-		command, err := wire.Commands[i].command()
+		command, err := wire.Commands[i].parse()
 		if err != nil {
 			return nil, err
 		}
@@ -81,10 +80,10 @@
 	return commands, nil
 }
 
-// command reads one command.
-func (w *wireCommand) command() (Command, error) {
+// parse converts a command from its wire format.
+func (w *wireCommand) parse() (Command, error) {
 	job, index, ok := parseTaskID(w.Task)
-	verb := slices.Index(verbWords[:], w.Verb)
+	verb := slices.Index(verbNames[:], w.Verb)
 	if !ok || verb < 0 {
 		return Command{}, malformed("a command %q for %q", w.Verb, w.Task)
 	}
@@ -95,7 +94,7 @@
 	return command, nil
 }
 
-// DecodeRedirect reads which node a 421 sends a worker to; empty: none.
+// DecodeRedirect returns the node that a 421 response redirects a worker to; empty if it names none.
 func DecodeRedirect(body []byte) string {
 	var redirect wireRedirect
 	if Decode(body, &redirect) != nil {
@@ -104,9 +103,9 @@
 	return redirect.Leader
 }
 
-// EncodeSubmission is the body of a user's submission.
+// EncodeSubmission returns the body of a user's job submission.
 func EncodeSubmission(s *Submission) []byte {
-	kind, priority, tasks := wordFor(jobKindWords, s.Kind), wordFor(priorityWords, s.Priority), int64(s.Tasks)
+	kind, priority, tasks := nameOf(jobKindNames, s.Kind), nameOf(priorityNames, s.Priority), int64(s.Tasks)
 	wire := wireSubmission{
 		ID: &s.ID, Class: &s.Class, Team: &s.Team, Kind: &kind, Priority: &priority, Tasks: &tasks,
 		CPUs: &s.CPUs, GPUs: &s.GPUs, MemoryGB: &s.MemoryGB, Image: &s.Image, ImageGB: &s.ImageGB,
@@ -130,7 +129,7 @@
 	return Encode(wire)
 }
 
-// JobPath is the path of a job, and with cancel the one for cancelling it.
+// JobPath returns the path of a job, or with cancel the path that cancels it.
 func JobPath(id string, cancel bool) string {
 	path := PathJobs + "/" + id
 	if cancel {
@@ -139,18 +138,18 @@
 	return path
 }
 
-// DecodeTxn reads a transaction as the state service gets it. Values stay encoded.
+// DecodeTxn decodes a transaction sent to the state service. It leaves the values encoded.
 func DecodeTxn(body []byte) (Txn, error) {
 	var wire struct {
 		If   []Condition  `msgpack:"if"`
 		Then []wireChange `msgpack:"then"`
 	}
 	if err := Decode(body, &wire); err != nil {
-		return Txn{}, malformedBy(err)
+		return Txn{}, wrapMalformed(err)
 	}
 	txn := Txn{If: wire.If}
 	for i := range wire.Then {
-		change, err := wire.Then[i].change()
+		change, err := wire.Then[i].parse()
 		if err != nil {
 			return Txn{}, err
 		}
@@ -159,7 +158,7 @@
 	return txn, nil
 }
 
-// wireChange is a change as it is sent, its value still encoded.
+// wireChange is the wire format of Change, with the value still encoded.
 type wireChange struct {
 	Put    string             `msgpack:"write"`
 	Value  msgpack.RawMessage `msgpack:"value"`
@@ -167,7 +166,7 @@
 	Delete string             `msgpack:"drop"`
 }
 
-func (w *wireChange) change() (Change, error) {
+func (w *wireChange) parse() (Change, error) {
 	if (w.Put == "") == (w.Delete == "") {
 		return Change{}, malformed("a change of no key or of two")
 	}
@@ -177,7 +176,7 @@
 	return Change{Put: w.Put, Value: w.Value, Lease: w.Lease}, nil
 }
 
-// SplitLeasePath takes apart the path of a request about a lease.
+// SplitLeasePath parses the path of a lease request: the lease's ID, and whether the request renews it.
 func SplitLeasePath(path string) (lease int64, renew, ok bool) {
 	rest, ok := strings.CutPrefix(path, PathLeases+"/")
 	if !ok {
@@ -188,5 +187,5 @@
 	return lease, renew, err == nil
 }
 
-// EncodeNoCapacity is the cloud's refusal for want of machines.
+// EncodeNoCapacity returns the cloud's error response when it has no machines available.
 func EncodeNoCapacity() []byte { return EncodeError(noCapacity) }
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -4,17 +4,17 @@
 	"strings"
 )
 
-// MaxTasks is the most tasks that a job may have.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// A job id is the prefix and up to so many digits.
+// A job ID consists of the prefix and 1 to maxJobIDDigits digits.
 const (
 	jobIDPrefix    = "wk-"
 	maxJobIDDigits = 20
 )
 
-// Submission is a job as its user describes it. CPUs, GPUs and memory are those of one task;
-// times are in seconds.
+// Submission is a job as submitted by a user. CPUs, GPUs and memory are per task; times are in
+// seconds.
 type Submission struct {
 	ID                  string
 	Class               string
@@ -27,20 +27,20 @@
 	MemoryGB            float64
 	Image               string
 	ImageGB             float64
-	Types               []string // nil: any
-	Zone                string   // empty: any
-	OneZone             bool     // all tasks in one zone
-	Spread              bool     // over the zones
-	Spot                bool     // may run on spot machines
-	EstimatedRunS       float64  // of one task
+	Types               []string // allowed machine types; nil: any
+	Zone                string   // required zone; empty: any
+	OneZone             bool     // run all tasks in the same zone
+	Spread              bool     // spread the tasks over the zones
+	Spot                bool     // tasks may run on spot machines
+	EstimatedRunS       float64  // estimated run time of one task
 	CheckpointIntervalS float64
 	CheckpointDurationS float64
-	DeadlineS           float64 // after the submission; 0: none
-	// Prerequisites are jobs that have to be done before any task may start.
+	DeadlineS           float64 // counted from the submission; 0: no deadline
+	// Prerequisites are the jobs that have to be done before any task may start.
 	Prerequisites []string
 }
 
-// wireSubmission is a submission as it is sent; nil: the field is absent or null.
+// wireSubmission is the wire format of Submission. A field that is absent or null is nil.
 type wireSubmission struct {
 	ID                  *string   `msgpack:"id"`
 	Class               *string   `msgpack:"jobclass"`
@@ -65,27 +65,27 @@
 	Prerequisites       *[]string `msgpack:"prereqs"`
 }
 
-// DecodeSubmission reads and checks the body of a submission. Of several problems the error
-// names the first in the order of the checks, which senders see.
+// DecodeSubmission decodes and checks a submission. If several fields are invalid, the error
+// names the first in the order of the checks; senders see this error, so the order matters.
 func DecodeSubmission(body []byte) (*Submission, error) {
 	var wire wireSubmission
 	if err := decodeRequest(body, &wire); err != nil {
 		return nil, err
 	}
-	submission, err := wire.submission()
+	submission, err := wire.parse()
 	if err != nil {
 		return nil, err
 	}
 	if wire.Prerequisites != nil {
-		if submission.Prerequisites, err = prerequisites(*wire.Prerequisites); err != nil {
+		if submission.Prerequisites, err = parsePrerequisites(*wire.Prerequisites); err != nil {
 			return nil, err
 		}
 	}
 	return submission, nil
 }
 
-// submission checks every field but the prerequisites.
-func (w *wireSubmission) submission() (*Submission, error) {
+// parse checks and converts every field except the prerequisites.
+func (w *wireSubmission) parse() (*Submission, error) {
 	var f fieldReader
 	s := &Submission{
 		ID:                  f.requiredString("id", w.ID),
@@ -103,8 +103,8 @@
 		CheckpointIntervalS: f.requiredNumber("savepoint_s", w.CheckpointIntervalS),
 		CheckpointDurationS: f.requiredNumber("saving_s", w.CheckpointDurationS),
 		Types:               f.machineTypes(w.Types),
-		Kind:                requiredWord(&f, "shape", jobKindWords, w.Kind),
-		Priority:            requiredWord(&f, "rank", priorityWords, w.Priority),
+		Kind:                requiredEnum(&f, "shape", jobKindNames, w.Kind),
+		Priority:            requiredEnum(&f, "rank", priorityNames, w.Priority),
 	}
 	if f.err == nil && !ValidJobID(s.ID) {
 		f.fail("id", "not a job id")
@@ -123,9 +123,8 @@
 	return s, f.err
 }
 
-// prerequisites checks the jobs that a submission names. The same one named twice
-// counts once.
-func prerequisites(ids []string) ([]string, error) {
+// parsePrerequisites checks the job IDs of the prerequisites and removes duplicates.
+func parsePrerequisites(ids []string) ([]string, error) {
 	var unique []string
 	seen := make(map[string]bool, len(ids))
 	for _, id := range ids {
@@ -140,7 +139,7 @@
 	return unique, nil
 }
 
-// ValidJobID tells whether an id has the form that users' ids always have.
+// ValidJobID reports whether an ID has the form of the job IDs that users assign.
 func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, jobIDPrefix)
 	if !ok || len(digits) < 1 || len(digits) > maxJobIDDigits {
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// validSubmission gives the fields of a submission, one of them unknown to this version.
+// validSubmission returns the fields of a valid submission, including a field unknown to this version.
 func validSubmission() map[string]any {
 	return map[string]any{
 		"id": "wk-000412", "jobclass": "train", "owner": "vision", "shape": "ensemble", "rank": "urgent", "pieces": 16,
@@ -35,14 +35,14 @@
 		t.Fatal(err)
 	}
 	if s.Kind != Gang || s.Priority != High || s.Tasks != 16 || s.CPUs != 8 || s.Zone != "" || s.DeadlineS != 900 || len(s.Types) != 1 {
-		t.Errorf("read as %+v", s)
+		t.Errorf("decoded as %+v", s)
 	}
 	fields := validSubmission()
 	delete(fields, "kinds_of_host")
 	delete(fields, "due_s")
 	fields["pieces"] = uint64(100000)
 	if s, err = DecodeSubmission(encodeMap(t, fields)); err != nil || s.Types != nil || s.DeadlineS != 0 || s.Tasks != 100000 {
-		t.Errorf("null and omitted differ: %+v, %v", s, err)
+		t.Errorf("null and omitted fields differ: %+v, %v", s, err)
 	}
 }
 
@@ -88,8 +88,7 @@
 	}
 }
 
-// The error names the wire word of the first field that is wrong, and its text is what the
-// sender gets.
+// The error names the first invalid field by its wire name, and its text is sent to the sender.
 func TestDecodeSubmissionNamesTheField(t *testing.T) {
 	fields := validSubmission()
 	fields["vcpus"], fields["rank"] = -1.0, "high"
@@ -103,7 +102,7 @@
 	}
 }
 
-// Nesting as deep as a body allows costs neither stack nor memory.
+// Deeply nested bodies are rejected without large allocations or deep recursion.
 func TestDecodeSubmissionRejectsDeepNestingCheaply(t *testing.T) {
 	body := append([]byte{0x81, 0xa1, 'x'}, bytes.Repeat([]byte{0x91}, MaxBody-10)...)
 	var before, after runtime.MemStats
@@ -118,7 +117,7 @@
 	}
 }
 
-// decodePrerequisites reads a submission with this value of the field.
+// decodePrerequisites decodes a submission whose prerequisites field has the given value.
 func decodePrerequisites(t *testing.T, value any) ([]string, error) {
 	t.Helper()
 	fields := validSubmission()
@@ -130,7 +129,7 @@
 	return s.Prerequisites, nil
 }
 
-// Prerequisites are read once each; null, absent and empty are none.
+// Duplicate prerequisites are removed; null, absent and empty lists mean no prerequisites.
 func TestDecodeSubmissionReadsPrerequisites(t *testing.T) {
 	for name, c := range map[string]struct {
 		value any
@@ -142,7 +141,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, err := decodePrerequisites(t, c.value); err != nil || !slices.Equal(got, c.want) {
-				t.Errorf("read as %v, %v", got, err)
+				t.Errorf("decoded as %v, %v", got, err)
 			}
 		})
 	}
@@ -160,7 +159,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, err := decodePrerequisites(t, value); !errors.Is(err, ErrMalformed) {
-				t.Errorf("read as %v, %v", got, err)
+				t.Errorf("decoded as %v, %v", got, err)
 			}
 		})
 	}
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -1,6 +1,6 @@
 package protocol
 
-// Statuses of a job, as users are told.
+// Values of JobResponse.Status.
 const (
 	StatusQueued    = "queued"
 	StatusRunning   = "running"
@@ -8,18 +8,18 @@
 	StatusCancelled = "withdrawn"
 )
 
-// JobResponse tells a user about a job.
+// JobResponse is the response to a user's request about a job.
 type JobResponse struct {
 	ID      string `msgpack:"id"`
 	Status  string `msgpack:"status"`
-	Done    *int   `msgpack:"done,omitempty"`    // tasks; nil: not told
-	Running *int   `msgpack:"running,omitempty"` // tasks; nil: not told
+	Done    *int   `msgpack:"done,omitempty"`    // number of tasks done; nil: omitted
+	Running *int   `msgpack:"running,omitempty"` // number of tasks running; nil: omitted
 }
 
-// wireError is the body of a refusal.
+// wireError is the wire format of an error response.
 type wireError struct {
 	Text string `msgpack:"error"`
 }
 
-// EncodeError is the body of a refusal.
+// EncodeError returns the body of an error response.
 func EncodeError(text string) []byte { return Encode(wireError{Text: text}) }
