--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -1,7 +1,7 @@
-// Package archive is a leader's use of the archive of ended jobs, which it doesn't hold in
-// memory: it looks jobs up for users' requests, and moves ended jobs there. Only the leader
-// changes the archive, and every change is conditional on its term, so a page once read stays
-// as it is until the leader itself writes it.
+// Package archive gives a leader access to the archive of ended jobs, which the leader doesn't
+// keep in memory: it looks up archived jobs for user requests and moves ended jobs into the
+// archive. Only the leader writes the archive, and every write is conditional on its term, so a
+// cached page stays valid until the leader itself rewrites it.
 package archive
 
 import (
@@ -21,38 +21,40 @@
 	"oakpick/internal/timing"
 )
 
-// Leadership is what the archive has to know of the term.
+// Leadership gives access to the leader's term.
 type Leadership interface {
 	// HoldsLease reports whether no other node can lead.
 	HoldsLease() bool
-	// Token is the fencing token, TermCondition what every write is conditional on.
+	// Token returns the fencing token, TermCondition the condition that every write must include.
 	Token() int64
 	TermCondition() protocol.Condition
-	// AdvancingToken and AwaitsWrites report whether no write may begin for the token's sake.
+	// AdvancingToken and AwaitsWrites report whether new writes have to wait because the fencing
+	// token is being advanced, or is about to be.
 	AdvancingToken() bool
 	AwaitsWrites() bool
 }
 
-// LookupResults are the ends of jobs found in the archive; nil: the job isn't there.
+// LookupResults maps the IDs of jobs that were looked up to their archived records; nil if the
+// archive has no record of the job.
 type LookupResults map[string]*cluster.EndedJob
 
-// Callbacks are what the archive leaves to others.
+// Callbacks are the functions of the leader that the archive calls.
 type Callbacks struct {
-	// Decide answers a request, given the ends of what it is about that are in the archive.
+	// Decide handles a user request, given the archived records of the jobs it refers to.
 	Decide func(message.UserRequest, LookupResults)
-	// SendWrite sends the transaction of a move.
+	// SendWrite sends the transaction that moves jobs into the archive.
 	SendWrite func(*storage.Write)
 }
 
-// The archive's share of what there is.
+// Limits of lookups, relative to the limits of the state service.
 const (
-	lookupShare   = 0.25 // of the state service's requests
-	minLookups    = 8
-	lookupsPerRPS = 0.1 // requests that wait, for each request a second that the service takes
-	pollsShare    = 0.5 // of these may be polls
+	lookupRequestShare    = 0.25 // share of the state service's request rate
+	minPendingLookupLimit = 8
+	pendingLookupsPerRPS  = 0.1 // limit of pending lookups per request/s of the state service
+	pollShare             = 0.5 // share of the pending lookups that may be polls
 )
 
-// Archive reads and writes the archive for one leader.
+// Archive reads and writes the archive on behalf of one leader.
 type Archive struct {
 	context    *step.Context
 	state      *cluster.State
@@ -63,39 +65,40 @@
 	limits     config.State
 	callbacks  Callbacks
 
-	exists  bool // something is in it
-	cache   []*cachedPage
-	lookups []*lookup
-	read    *pageRead // one at a time, so never two of a page
-	budget  *rate.Limiter
-	retryAt time.Duration // no read before, after one that failed
-	moves   moves
+	nonEmpty       bool // the archive holds at least one page
+	cache          []*cachedPage
+	pendingLookups []*lookup
+	readInFlight   *readRequest // at most one, so a page is never read twice concurrently
+	readLimiter    *rate.Limiter
+	readRetryAt    time.Duration // earliest time of the next read after a failed one
+	moves          moveState
 }
 
-// New returns the archive of a leader. Nothing is known of it yet.
+// New returns the archive of a leader, with an empty cache.
 func New(
 	context *step.Context, state *cluster.State, store *storage.Store, calls *step.StateCalls, timing timing.Timing, leadership Leadership,
 	limits config.State, peers []string, callbacks Callbacks,
 ) *Archive {
-	share := limits.RPS * lookupShare
+	share := limits.RPS * lookupRequestShare
 	return &Archive{
 		context: context, state: state, store: store, calls: calls, timing: timing, leadership: leadership, limits: limits, callbacks: callbacks,
-		budget: rate.NewLimiter(rate.Limit(share), max(1, int(share))),
-		moves:  moves{moving: map[string]bool{}, peers: peers, readers: map[string]bool{}},
+		readLimiter: rate.NewLimiter(rate.Limit(share), max(1, int(share))),
+		moves:       moveState{moving: map[string]bool{}, peers: peers, archiveReaders: map[string]bool{}},
 	}
 }
 
-// SetNonEmpty notes whether something is in the archive.
-func (a *Archive) SetNonEmpty(exists bool) { a.exists = exists }
+// SetNonEmpty sets whether the archive holds anything.
+func (a *Archive) SetNonEmpty(nonEmpty bool) { a.nonEmpty = nonEmpty }
 
-// Tick reads the next page that somebody waits for, and moves ended jobs if nobody does.
+// Tick refuses lookups that timed out, reads the next page that a lookup waits for, and moves
+// ended jobs while no page is being read.
 func (a *Archive) Tick() {
-	a.refuseLate()
+	a.refuseTimedOut()
 	if !a.leadership.HoldsLease() {
 		return
 	}
-	if a.read == nil && a.context.Monotonic() >= a.retryAt {
-		if id := a.nextLookup(); id != "" {
+	if a.readInFlight == nil && a.context.Monotonic() >= a.readRetryAt {
+		if id := a.nextJobToRead(); id != "" {
 			a.readPage(id)
 		}
 	}
@@ -103,55 +106,55 @@
 	a.deleteEmptyPages()
 }
 
-// deleteEmptyPages has the pages of records deleted that moves have emptied, now and then and with
-// what the write budget leaves.
+// deleteEmptyPages deletes pages of the record store that moves have emptied. It runs once per
+// heartbeat interval at most, and only when the write budget is idle.
 func (a *Archive) deleteEmptyPages() {
 	now := a.context.Monotonic()
-	if !a.exists || now < a.moves.deleteEmptyAt || !a.store.Idle(now) {
+	if !a.nonEmpty || now < a.moves.deleteEmptyAt || !a.store.Idle(now) {
 		return
 	}
 	a.moves.deleteEmptyAt = now + a.timing.Workers.HeartbeatInterval
 	a.store.DeleteEmptyPages(now, a.leadership.Token())
 }
 
-// Status is what an operator is told of the archive of ended jobs.
+// Status is the state of the archive in the operator API.
 type Status struct {
-	NonEmpty         bool `json:"used"`
-	MaxEndedJobs         int  `json:"kept"` // how many ended jobs are kept out of it
-	PagesHeld    int  `json:"pages_held"`
-	PendingLookups      int  `json:"requests_waiting"`
-	JobsBeingMoved       int  `json:"jobs_being_moved"`
-	PeersReading int  `json:"peers_reading"` // asked only once there is something to be moved
+	NonEmpty       bool `json:"used"`
+	MaxEndedJobs   int  `json:"kept"` // ended jobs that may stay outside the archive
+	PagesHeld      int  `json:"pages_held"`
+	PendingLookups int  `json:"requests_waiting"`
+	JobsBeingMoved int  `json:"jobs_being_moved"`
+	PeersReading   int  `json:"peers_reading"` // peers are asked only once there are jobs to move
 }
 
-// Status sums the archive up.
+// Status returns the state of the archive.
 func (a *Archive) Status() Status {
 	return Status{
-		NonEmpty: a.exists, MaxEndedJobs: a.timing.Archive.MaxEndedJobs, PagesHeld: len(a.cache), PendingLookups: len(a.lookups),
-		JobsBeingMoved: len(a.moves.moving), PeersReading: len(a.moves.readers),
+		NonEmpty: a.nonEmpty, MaxEndedJobs: a.timing.Archive.MaxEndedJobs, PagesHeld: len(a.cache), PendingLookups: len(a.pendingLookups),
+		JobsBeingMoved: len(a.moves.moving), PeersReading: len(a.moves.archiveReaders),
 	}
 }
 
-// cachedPage is a page that was read, and which jobs it has the ends of: those from low on and
-// before its upper bound. What lies before low may be on another page.
+// cachedPage is a page of the archive in memory. It covers the jobs with IDs from lowerBound,
+// inclusive, to UpperBound, exclusive. Jobs below lowerBound may be on another page.
 type cachedPage struct {
 	*storage.ArchivePage
-	low    string
-	usedAt time.Duration
-	// corrupt is whether it can't be read: nothing can be said of its jobs.
+	lowerBound string
+	usedAt     time.Duration
+	// corrupt is true if the page can't be decoded: the archived state of its jobs is unknown.
 	corrupt bool
 }
 
-func (p *cachedPage) covers(id string) bool { return p.low <= id && id < p.UpperBound }
+func (p *cachedPage) covers(id string) bool { return p.lowerBound <= id && id < p.UpperBound }
 
-// pageRead is a read under way.
-type pageRead struct {
-	id    string // of the job whose page is read
-	moves int    // committed when it was sent
+// readRequest is a page read in flight.
+type readRequest struct {
+	jobID          string // job whose page is being read
+	committedMoves int    // number of committed moves when the read was sent
 }
 
-// page finds the page in memory that covers a job.
-func (a *Archive) page(id string) *cachedPage {
+// cachedPageFor returns the cached page that covers a job, or nil.
+func (a *Archive) cachedPageFor(id string) *cachedPage {
 	for _, p := range a.cache {
 		if p.covers(id) {
 			p.usedAt = a.context.Monotonic()
@@ -161,44 +164,44 @@
 	return nil
 }
 
-// readPage reads the page of a job, if the budget allows it.
+// readPage sends a read of the page that covers a job, if the rate limiter allows it.
 func (a *Archive) readPage(id string) {
-	if !a.budget.AllowN(a.context.Now.LimiterTime(), 1) {
+	if !a.readLimiter.AllowN(a.context.Now.LimiterTime(), 1) {
 		return
 	}
-	a.read = &pageRead{id: id, moves: a.moves.committed}
+	a.readInFlight = &readRequest{jobID: id, committedMoves: a.moves.committed}
 	call := storage.StateCall{Op: storage.StateList, Key: storage.ArchivePrefix, StartAfter: storage.ArchivePrefix + id, Limit: 1}
 	a.calls.Send(call, a.handlePage)
 }
 
-// handlePage takes a page in, and answers whoever waited for it.
+// handlePage caches a page that was read and answers the lookups that waited for it.
 func (a *Archive) handlePage(result storage.StateResult) {
-	read := a.read
-	a.read = nil
-	if read == nil || read.moves != a.moves.committed {
-		return // it may have been read before a move was carried out
+	read := a.readInFlight
+	a.readInFlight = nil
+	if read == nil || read.committedMoves != a.moves.committed {
+		return // the page may have been read before a move changed it
 	}
 	if result.Outcome != rpc.OK || len(result.List.Entries) == 0 {
-		a.retryAt = a.context.Monotonic() + a.timing.StateRetry
+		a.readRetryAt = a.context.Monotonic() + a.timing.StateRetry
 		if result.Outcome == rpc.OK {
-			a.context.Log(message.Error, "last page of ended jobs is missing", "job", read.id)
+			a.context.Log(message.Error, "last archive page is missing", "job", read.jobID)
 		}
 		return
 	}
 	page, err := storage.ReadArchivePage(result.List.Entries[0])
 	if err != nil {
-		a.context.Log(message.Error, "page of ended jobs is corrupt, its jobs get 503", "error", err.Error())
+		a.context.Log(message.Error, "archive page is corrupt, requests for its jobs are refused with 503", "error", err.Error())
 	}
-	a.keep(&cachedPage{ArchivePage: page, low: read.id, corrupt: err != nil, usedAt: a.context.Monotonic()})
+	a.cachePage(&cachedPage{ArchivePage: page, lowerBound: read.jobID, corrupt: err != nil, usedAt: a.context.Monotonic()})
 	a.answerLookups()
 }
 
-// keep puts a page into the cache, in the place of an earlier copy, and drops the one that was
-// used longest ago if there are too many.
-func (a *Archive) keep(p *cachedPage) {
+// cachePage adds a page to the cache, replacing an earlier copy. If the cache exceeds its limit,
+// the least recently used page is evicted.
+func (a *Archive) cachePage(p *cachedPage) {
 	for i, earlier := range a.cache {
 		if earlier.UpperBound == p.UpperBound {
-			p.low = min(p.low, earlier.low)
+			p.lowerBound = min(p.lowerBound, earlier.lowerBound)
 			a.cache[i] = p
 			return
 		}
@@ -210,9 +213,9 @@
 	}
 }
 
-// replace puts a page that was written into the cache. What an earlier copy of a page covered
-// may be divided between several now.
-func (a *Archive) replace(p *cachedPage) {
+// replaceCached caches a page that was written. The earlier copy is dropped first instead of
+// extending the new page's range, because the write may have split the page.
+func (a *Archive) replaceCached(p *cachedPage) {
 	a.cache = slices.DeleteFunc(a.cache, func(earlier *cachedPage) bool { return earlier.UpperBound == p.UpperBound })
-	a.keep(p)
+	a.cachePage(p)
 }
--- a/internal/archive/lookup.go
+++ b/internal/archive/lookup.go
@@ -10,53 +10,53 @@
 	"oakpick/internal/protocol"
 )
 
-// lookup is a user's request that waits for pages of the archive. After its user was refused
-// it goes on, so that what was found isn't lost when the user comes back.
+// lookup is a user request that waits for archive pages. A submission's lookup continues after
+// the request was refused, so that its results are available when the user retries.
 type lookup struct {
-	request   message.UserRequest
-	userWaits bool
-	refuseAt  time.Duration
-	forgetAt  time.Duration
-	unknown   []string // jobs that aren't known to be, or not to be, in the archive
-	found     LookupResults
+	request     message.UserRequest
+	userWaiting bool
+	refuseAt    time.Duration
+	expiresAt   time.Duration
+	unresolved  []string // jobs of which it is not known yet whether the archive holds them
+	results     LookupResults
 }
 
-// Why a request is refused.
+// Reasons for refusing a request.
 const (
 	corruptPage    = "its page of ended jobs is damaged"
-	tooManyLookups = "too many ended jobs are asked for"
-	pendingAlready = "asked already"
-	notInTime      = "the ended jobs can't be read in time"
+	tooManyPending = "too many ended jobs are asked for"
+	alreadyPending = "asked already"
+	readTimedOut   = "the ended jobs can't be read in time"
 )
 
-// forgetLeases is for how many worker leases a submission's lookups are remembered.
-const forgetLeases = 2
+// retentionLeases is how long the lookup of a submission is kept, in worker leases.
+const retentionLeases = 2
 
-// find tells which of some jobs have to be looked up; of the others that are in the archive it
-// adds the ends to found. corrupt: a page that is needed can't be read.
-func (a *Archive) find(ids []string, found LookupResults) (unknown []string, corrupt bool) {
+// findCached looks jobs up in the cached pages and adds their records to results. It returns the
+// jobs whose pages aren't cached. corrupt is true if a page that covers one of the jobs is corrupt.
+func (a *Archive) findCached(ids []string, results LookupResults) (unresolved []string, corrupt bool) {
 	for _, id := range ids {
-		if _, ok := found[id]; ok || a.state.KnowsJob(id) {
+		if _, ok := results[id]; ok || a.state.KnowsJob(id) {
 			continue
 		}
-		p := a.page(id)
+		p := a.cachedPageFor(id)
 		if p == nil {
-			unknown = append(unknown, id)
+			unresolved = append(unresolved, id)
 			continue
 		}
 		if p.corrupt {
 			return nil, true
 		}
-		found[id] = nil
+		results[id] = nil
 		if record, ok := p.Lookup(id); ok {
-			found[id] = &cluster.EndedJob{TerminalRecord: record}
+			results[id] = &cluster.EndedJob{TerminalRecord: record}
 		}
 	}
-	return unknown, false
+	return unresolved, false
 }
 
-// subjects are the jobs that a request is about.
-func (a *Archive) subjects(request message.UserRequest) []string {
+// requestedJobs returns the IDs of the jobs that a request refers to.
+func (a *Archive) requestedJobs(request message.UserRequest) []string {
 	if request.Kind != message.Submit {
 		return []string{request.Job}
 	}
@@ -66,44 +66,44 @@
 	return append([]string{request.Submission.ID}, request.Submission.Prerequisites...)
 }
 
-// Handle has a user's request decided, or lets it wait for what has to be looked up.
+// Handle answers a user request, or queues it until the pages that it needs have been read.
 func (a *Archive) Handle(request message.UserRequest) {
-	if !a.exists {
+	if !a.nonEmpty {
 		a.callbacks.Decide(request, nil)
 		return
 	}
-	earlier := a.earlierLookup(request)
-	found := LookupResults{}
+	earlier := a.pendingSubmission(request)
+	results := LookupResults{}
 	if earlier != nil {
-		found = earlier.found
+		results = earlier.results
 	}
-	unknown, corrupt := a.find(a.subjects(request), found)
+	unresolved, corrupt := a.findCached(a.requestedJobs(request), results)
 	switch {
 	case corrupt:
 		a.context.Refuse(request.ID, corruptPage)
-	case len(unknown) == 0:
-		if earlier != nil && !earlier.userWaits {
-			a.drop(earlier)
+	case len(unresolved) == 0:
+		if earlier != nil && !earlier.userWaiting {
+			a.remove(earlier)
 		}
-		a.callbacks.Decide(request, found)
-	case earlier != nil && earlier.userWaits:
-		a.context.Refuse(request.ID, pendingAlready)
+		a.callbacks.Decide(request, results)
+	case earlier != nil && earlier.userWaiting:
+		a.context.Refuse(request.ID, alreadyPending)
 	case earlier != nil:
-		earlier.request, earlier.userWaits, earlier.unknown = request, true, unknown
+		earlier.request, earlier.userWaiting, earlier.unresolved = request, true, unresolved
 		earlier.refuseAt = a.context.Monotonic() + lookupTimeout(request.Kind)
-	case !a.admits(request.Kind):
-		a.context.Refuse(request.ID, tooManyLookups)
+	case !a.admit(request.Kind):
+		a.context.Refuse(request.ID, tooManyPending)
 	default:
 		now := a.context.Monotonic()
-		a.lookups = append(a.lookups, &lookup{
-			request: request, userWaits: true, unknown: unknown, found: found,
-			refuseAt: now + lookupTimeout(request.Kind), forgetAt: now + forgetLeases*a.timing.Workers.Lease,
+		a.pendingLookups = append(a.pendingLookups, &lookup{
+			request: request, userWaiting: true, unresolved: unresolved, results: results,
+			refuseAt: now + lookupTimeout(request.Kind), expiresAt: now + retentionLeases*a.timing.Workers.Lease,
 		})
 	}
 }
 
-// lookupTimeout is how long a request waits for the archive: half of the time that its user
-// does, as for a commit.
+// lookupTimeout is how long a request may wait for the archive: half of the user's timeout, the
+// same as for a commit.
 func lookupTimeout(kind message.UserRequestKind) time.Duration {
 	if kind == message.Poll {
 		return config.Seconds(protocol.PollTimeoutS / 2.0)
@@ -111,98 +111,100 @@
 	return config.Seconds(protocol.SubmitTimeoutS / 2.0)
 }
 
-// earlierLookup is the same submission that came before. Polls and cancellations ask for one
-// job each, and needn't be remembered.
-func (a *Archive) earlierLookup(request message.UserRequest) *lookup {
+// pendingSubmission returns the earlier lookup of the same submission, or nil. Polls and
+// cancellations look up a single job each, so their results aren't kept.
+func (a *Archive) pendingSubmission(request message.UserRequest) *lookup {
 	if request.Kind != message.Submit {
 		return nil
 	}
-	i := slices.IndexFunc(a.lookups, func(x *lookup) bool {
+	i := slices.IndexFunc(a.pendingLookups, func(x *lookup) bool {
 		return x.request.Kind == message.Submit && x.request.Submission.ID == request.Submission.ID
 	})
 	if i < 0 {
 		return nil
 	}
-	return a.lookups[i]
+	return a.pendingLookups[i]
 }
 
-func (a *Archive) drop(x *lookup) {
-	a.lookups = slices.DeleteFunc(a.lookups, func(y *lookup) bool { return x == y })
+func (a *Archive) remove(x *lookup) {
+	a.pendingLookups = slices.DeleteFunc(a.pendingLookups, func(y *lookup) bool { return x == y })
 }
 
-// admits reports whether one more request may wait. Polls leave room for submissions and
-// cancellations: users ask about jobs that nobody has submitted. If there are too many of
-// them, one that waits is refused in the newcomer's place, drawn so that nobody who asks again
-// and again is always the one.
-func (a *Archive) admits(kind message.UserRequestKind) bool {
-	most := max(minLookups, int(a.limits.RPS*lookupsPerRPS))
+// admit reports whether one more lookup may be queued. Polls are limited to a share of the queue,
+// so that polls of jobs that were never submitted can't block submissions and cancellations. If
+// too many polls are queued, one poll picked at random among them and the new one is refused, so
+// that a user who keeps polling isn't refused every time.
+func (a *Archive) admit(kind message.UserRequestKind) bool {
+	limit := max(minPendingLookupLimit, int(a.limits.RPS*pendingLookupsPerRPS))
 	if kind != message.Poll {
-		return len(a.lookups) < most
+		return len(a.pendingLookups) < limit
 	}
 	var polls []*lookup
-	for _, x := range a.lookups {
+	for _, x := range a.pendingLookups {
 		if x.request.Kind == message.Poll {
 			polls = append(polls, x)
 		}
 	}
-	if len(polls) < int(float64(most)*pollsShare) {
+	if len(polls) < int(float64(limit)*pollShare) {
 		return true
 	}
 	drawn := a.context.Random.IntN(len(polls) + 1)
 	if drawn == len(polls) {
 		return false
 	}
-	a.drop(polls[drawn])
-	a.context.Refuse(polls[drawn].request.ID, tooManyLookups)
+	a.remove(polls[drawn])
+	a.context.Refuse(polls[drawn].request.ID, tooManyPending)
 	return true
 }
 
-// nextLookup is a job whose page somebody waits for: of submissions and cancellations first.
-func (a *Archive) nextLookup() string {
+// nextJobToRead returns a job whose page a lookup waits for. Submissions and cancellations come
+// before polls.
+func (a *Archive) nextJobToRead() string {
 	var next *lookup
-	for _, x := range a.lookups {
-		if len(x.unknown) > 0 && (next == nil || next.request.Kind == message.Poll && x.request.Kind != message.Poll) {
+	for _, x := range a.pendingLookups {
+		if len(x.unresolved) > 0 && (next == nil || next.request.Kind == message.Poll && x.request.Kind != message.Poll) {
 			next = x
 		}
 	}
 	if next == nil {
 		return ""
 	}
-	return next.unknown[0]
+	return next.unresolved[0]
 }
 
-// answerLookups decides the requests for which nothing more has to be read. They are answered
-// only while the lease is held: what was read is of this term.
+// answerLookups answers the lookups whose pages have all been read. It answers only while the
+// lease is held, because the pages were read in this term.
 func (a *Archive) answerLookups() {
-	for _, x := range slices.Clone(a.lookups) {
+	for _, x := range slices.Clone(a.pendingLookups) {
 		var corrupt bool
-		x.unknown, corrupt = a.find(x.unknown, x.found)
+		x.unresolved, corrupt = a.findCached(x.unresolved, x.results)
 		switch {
 		case corrupt:
-			a.drop(x)
-			if x.userWaits {
+			a.remove(x)
+			if x.userWaiting {
 				a.context.Refuse(x.request.ID, corruptPage)
 			}
-		case len(x.unknown) == 0 && x.userWaits && a.leadership.HoldsLease():
-			a.drop(x)
-			a.callbacks.Decide(x.request, x.found)
+		case len(x.unresolved) == 0 && x.userWaiting && a.leadership.HoldsLease():
+			a.remove(x)
+			a.callbacks.Decide(x.request, x.results)
 		}
 	}
 }
 
-// refuseLate refuses those who have waited too long, or all while the lease may have expired.
-func (a *Archive) refuseLate() {
+// refuseTimedOut refuses lookups whose timeout has passed, and all lookups while the lease may
+// have expired.
+func (a *Archive) refuseTimedOut() {
 	now := a.context.Monotonic()
-	for _, x := range slices.Clone(a.lookups) {
-		if x.userWaits && (now >= x.refuseAt || !a.leadership.HoldsLease()) {
-			x.userWaits = false
-			a.context.Refuse(x.request.ID, notInTime)
+	for _, x := range slices.Clone(a.pendingLookups) {
+		if x.userWaiting && (now >= x.refuseAt || !a.leadership.HoldsLease()) {
+			x.userWaiting = false
+			a.context.Refuse(x.request.ID, readTimedOut)
 			if x.request.Kind != message.Submit {
-				a.drop(x)
+				a.remove(x)
 			}
 		}
-		if now >= x.forgetAt && !x.userWaits {
-			a.drop(x)
+		if now >= x.expiresAt && !x.userWaiting {
+			a.remove(x)
 		}
 	}
 }
--- a/internal/archive/move.go
+++ b/internal/archive/move.go
@@ -12,46 +12,48 @@
 )
 
 const (
-	// minChangesPerMove is how many changes a transaction has to take for a move: a page of
-	// records and two of the archive.
+	// minChangesPerMove is the smallest transaction limit that allows a move: one page of the
+	// record store and two archive pages, because adding to a page may split it.
 	minChangesPerMove = 3
-	// urgentFactor is from how many times as many ended jobs as may be kept their move no
-	// longer waits for a budget that nobody uses.
-	urgentFactor = 2
+	// urgentBacklogFactor is the backlog, as a multiple of the number of ended jobs that may stay
+	// outside the archive, above which moves no longer wait for an idle write budget.
+	urgentBacklogFactor = 2
 )
 
-// moves is the moving of ended jobs to the archive: one transaction at a time, with what the
-// write budget leaves, and not before every peer has said that it looks jobs up there.
-type moves struct {
-	moving        map[string]bool // ids of ended jobs whose move is under way
-	committed     int
-	retryAt       time.Duration // no move before; reads for users don't wait for that
-	sourcePage    int           // the page of records to be examined next
-	deleteEmptyAt time.Duration // when emptied pages are looked for next
-	peers         []string
-	readers       map[string]bool // peers that have said that they read the archive
-	askAt         time.Duration   // when the others are asked next
+// moveState is the state of moving ended jobs into the archive. One transaction is in flight at a
+// time. Moves use the spare write budget, and begin only after all peers have confirmed that they
+// read the archive.
+type moveState struct {
+	moving         map[string]bool // IDs of the jobs whose move is in flight
+	committed      int
+	retryAt        time.Duration // earliest time of the next move; doesn't delay reads for users
+	sourcePage     int           // page of the record store to examine next
+	deleteEmptyAt  time.Duration // time of the next deletion of empty pages
+	peers          []string
+	archiveReaders map[string]bool // peers that have confirmed that they read the archive
+	nextProbeAt    time.Duration   // time at which the remaining peers are asked next
 }
 
-// IsMoving reports whether the move of an ended job is under way.
+// IsMoving reports whether a move of the ended job is in flight.
 func (a *Archive) IsMoving(id string) bool { return a.moves.moving[id] }
 
-// AddReader notes that a peer reads the archive.
-func (a *Archive) AddReader(peer string) { a.moves.readers[peer] = true }
+// AddReader records that a peer reads the archive.
+func (a *Archive) AddReader(peer string) { a.moves.archiveReaders[peer] = true }
 
-// moveBatch is what one move takes to each page of the archive.
+// moveBatch holds the jobs of one move, by the archive page that they are moved to.
 type moveBatch struct {
 	records  map[*cachedPage][]storage.TerminalRecord
-	items    []*cluster.EndedJob
+	jobs     []*cluster.EndedJob
 	maxPages int
 }
 
-// move takes ended jobs off the pages that a new leader reads, into the archive.
+// move moves ended jobs into the archive, off the pages of the record store that a new leader has
+// to load.
 func (a *Archive) move() {
-	if !a.moveIsDue() || !a.allPeersRead() || a.read != nil {
+	if !a.shouldMove() || !a.allPeersReadArchive() || a.readInFlight != nil {
 		return
 	}
-	ended := a.nextSource()
+	ended := a.nextMovableJobs()
 	if len(ended) == 0 {
 		a.moves.retryAt = a.context.Monotonic() + a.timing.Workers.HeartbeatInterval
 		return
@@ -60,7 +62,8 @@
 	for _, e := range ended {
 		p := a.targetPage(e.ID)
 		if p == nil {
-			// The pages of one move stay in the cache while the others are read.
+			// At most half of the cache is used for a move, so that reading its other pages
+			// doesn't evict the first ones.
 			if len(batch.records) < batch.maxPages && len(batch.records) < a.timing.Archive.MaxCachedPages/2 {
 				a.readPage(e.ID)
 				return
@@ -71,53 +74,52 @@
 			continue
 		}
 		batch.records[p] = append(batch.records[p], e.TerminalRecord)
-		batch.items = append(batch.items, e)
+		batch.jobs = append(batch.jobs, e)
 	}
-	a.write(batch)
+	a.sendMove(batch)
 }
 
-// moveIsDue reports whether there are ended jobs to be moved, and nothing speaks against it
-// now.
-func (a *Archive) moveIsDue() bool {
+// shouldMove reports whether there are ended jobs to move and a move may be sent now.
+func (a *Archive) shouldMove() bool {
 	now, ended, kept := a.context.Monotonic(), len(a.state.EndedJobs), a.timing.Archive.MaxEndedJobs
 	if ended <= kept || len(a.moves.moving) > 0 || a.leadership.AdvancingToken() || a.leadership.AwaitsWrites() {
 		return false
 	}
-	if a.limits.TxnOps < minChangesPerMove || now < max(a.retryAt, a.moves.retryAt) {
+	if a.limits.TxnOps < minChangesPerMove || now < max(a.readRetryAt, a.moves.retryAt) {
 		return false
 	}
-	if ended > urgentFactor*kept {
+	if ended > urgentBacklogFactor*kept {
 		return a.store.CanWrite(now, 1+a.store.MaxArchivePagesPerMove())
 	}
 	return a.store.Idle(now)
 }
 
-// allPeersRead reports whether every peer has said that it reads the archive, and asks those
-// that haven't.
-func (a *Archive) allPeersRead() bool {
+// allPeersReadArchive reports whether every peer has confirmed that it reads the archive. It asks
+// the peers that haven't.
+func (a *Archive) allPeersReadArchive() bool {
 	now := a.context.Monotonic()
-	all, asks := true, now >= a.moves.askAt
+	all, asks := true, now >= a.moves.nextProbeAt
 	for _, peer := range a.moves.peers {
-		if a.moves.readers[peer] {
+		if a.moves.archiveReaders[peer] {
 			continue
 		}
 		all = false
 		if asks {
-			a.moves.askAt = now + a.timing.Election.ProbeInterval
+			a.moves.nextProbeAt = now + a.timing.Election.ProbeInterval
 			a.context.Emit(message.PeerCall{Peer: peer, Term: a.leadership.Token(), SentAt: now, AsksArchive: true})
 		}
 	}
 	return all
 }
 
-// nextSource picks a page of records in turns, and returns what of it may be moved, in the
-// order of the archive: ended jobs of which nothing else is recorded, and which no job names
-// that isn't over.
-func (a *Archive) nextSource() []*cluster.EndedJob {
-	named := map[string]bool{}
+// nextMovableJobs goes through the pages of the record store in turn and returns the movable jobs
+// of the next page that has any, sorted by ID as in the archive. An ended job is movable if it
+// has no other records and isn't a prerequisite of an unfinished job.
+func (a *Archive) nextMovableJobs() []*cluster.EndedJob {
+	prerequisites := map[string]bool{}
 	for _, j := range a.state.Jobs {
 		for _, id := range j.Prerequisites.IDs {
-			named[id] = true
+			prerequisites[id] = true
 		}
 	}
 	for range a.store.PageCount() {
@@ -125,13 +127,13 @@
 		a.skipSourcePage()
 		var movable []*cluster.EndedJob
 		for _, item := range a.store.Items(page) {
-			if e, ok := item.(*cluster.EndedJob); ok && a.state.EndedJobs[e.ID] == e && !e.HasOtherRecords && !named[e.ID] {
+			if e, ok := item.(*cluster.EndedJob); ok && a.state.EndedJobs[e.ID] == e && !e.HasOtherRecords && !prerequisites[e.ID] {
 				movable = append(movable, e)
 			}
 		}
 		if len(movable) > 0 {
 			slices.SortFunc(movable, func(x, y *cluster.EndedJob) int { return cmp.Compare(x.ID, y.ID) })
-			a.moves.sourcePage = page // until it has no more
+			a.moves.sourcePage = page // stay on this page until it has no movable jobs left
 			return movable
 		}
 	}
@@ -142,25 +144,25 @@
 	a.moves.sourcePage = (a.moves.sourcePage + 1) % max(1, a.store.PageCount())
 }
 
-// targetPage is the page of the archive that a job goes to, if it is in memory.
+// targetPage returns the archive page that a job belongs to, or nil if it isn't cached.
 func (a *Archive) targetPage(id string) *cachedPage {
-	if !a.exists && len(a.cache) == 0 {
+	if !a.nonEmpty && len(a.cache) == 0 {
 		a.cache = []*cachedPage{{ArchivePage: &storage.ArchivePage{UpperBound: storage.LastUpperBound}}}
 	}
-	return a.page(id)
+	return a.cachedPageFor(id)
 }
 
-// plannedWrite is what of a batch goes into one transaction.
-type plannedWrite struct {
-	pages []*storage.ArchivePage
-	lows  map[string]string // the first job that a page covers, by its upper bound
-	moved map[string]bool
+// plannedMove is the part of a batch that fits into one transaction.
+type plannedMove struct {
+	pages       []*storage.ArchivePage
+	lowerBounds map[string]string // lower bounds of the pages, by their upper bounds
+	moved       map[string]bool
 }
 
-// plan divides the pages of a batch. Pages that would have to be divided into more than one
-// transaction takes are left out.
-func (a *Archive) plan(batch moveBatch) plannedWrite {
-	planned := plannedWrite{lows: map[string]string{}, moved: map[string]bool{}}
+// planMove merges the jobs of a batch into their archive pages and splits pages that become too
+// large. A page is left out if its parts don't fit into the transaction.
+func (a *Archive) planMove(batch moveBatch) plannedMove {
+	planned := plannedMove{lowerBounds: map[string]string{}, moved: map[string]bool{}}
 	bytesLeft := a.store.MaxArchiveBytesPerMove()
 	byBound := func(x, y *cachedPage) int { return cmp.Compare(x.UpperBound, y.UpperBound) }
 	for _, p := range slices.SortedFunc(maps.Keys(batch.records), byBound) {
@@ -173,9 +175,9 @@
 			continue
 		}
 		bytesLeft -= size
-		low := p.low
+		low := p.lowerBound
 		for _, part := range parts {
-			planned.lows[part.UpperBound] = low
+			planned.lowerBounds[part.UpperBound] = low
 			low = part.UpperBound
 		}
 		planned.pages = append(planned.pages, parts...)
@@ -186,11 +188,11 @@
 	return planned
 }
 
-// write sends the move of some ended jobs.
-func (a *Archive) write(batch moveBatch) {
-	planned := a.plan(batch)
+// sendMove sends the transaction that moves a batch.
+func (a *Archive) sendMove(batch moveBatch) {
+	planned := a.planMove(batch)
 	var items []storage.Item
-	for _, e := range batch.items {
+	for _, e := range batch.jobs {
 		if planned.moved[e.ID] {
 			items = append(items, e)
 		}
@@ -211,29 +213,29 @@
 	a.callbacks.SendWrite(w)
 }
 
-// postpone leaves the page of records that is being examined to a later turn: what is on it
-// can't be moved now, and needn't be examined again in the next step.
+// postpone skips the current page of the record store until its next turn: its jobs can't be
+// moved now, and need not be examined again in the next step.
 func (a *Archive) postpone() {
 	a.moves.retryAt = a.context.Monotonic() + a.timing.StateRetry
 	a.skipSourcePage()
 }
 
-// moveCommitted notes that a move is durable: from now on the jobs are looked up.
-func (a *Archive) moveCommitted(planned plannedWrite, version int64) {
-	a.exists = true
+// moveCommitted handles a durable move: from now on the jobs are looked up in the archive.
+func (a *Archive) moveCommitted(planned plannedMove, version int64) {
+	a.nonEmpty = true
 	a.moves.committed++
 	a.moves.moving = map[string]bool{}
 	for id := range planned.moved {
 		e := a.state.EndedJobs[id]
 		delete(a.state.EndedJobs, id)
-		for _, x := range a.lookups {
-			if _, asked := x.found[id]; asked {
-				x.found[id] = e // it wasn't there before
+		for _, x := range a.pendingLookups {
+			if _, asked := x.results[id]; asked {
+				x.results[id] = e // the job wasn't in the archive when it was looked up
 			}
 		}
 	}
 	for _, p := range planned.pages {
 		p.Version = version
-		a.replace(&cachedPage{ArchivePage: p, low: planned.lows[p.UpperBound], usedAt: a.context.Monotonic()})
+		a.replaceCached(&cachedPage{ArchivePage: p, lowerBound: planned.lowerBounds[p.UpperBound], usedAt: a.context.Monotonic()})
 	}
 }
--- a/internal/protocol/commands_test.go
+++ b/internal/protocol/commands_test.go
@@ -11,10 +11,10 @@
 		got  []byte
 		want string
 	}{
-		"error":              {EncodeError("no"), "\x81\xa5error\xa2no"},
-		"empty error":        {EncodeError(""), "\x81\xa5error\xa0"},
-		"redirect":           {EncodeRedirect("ctl-1"), "\x81\xa7foreman\xa5ctl-1"},
-		"redirect, no leader":{EncodeRedirect(""), "\x80"},
+		"error":               {EncodeError("no"), "\x81\xa5error\xa2no"},
+		"empty error":         {EncodeError(""), "\x81\xa5error\xa0"},
+		"redirect":            {EncodeRedirect("ctl-1"), "\x81\xa7foreman\xa5ctl-1"},
+		"redirect, no leader": {EncodeRedirect(""), "\x80"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if !bytes.Equal(c.got, []byte(c.want)) {
