--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks the settings file that the platform provides, and the
-// optional file of extensions.
+// Package config loads and validates the settings file that the platform provides, and the
+// optional extensions file.
 package config
 
 import (
@@ -9,17 +9,17 @@
 	"os"
 )
 
-// settingsFile names the settings file in errors, whatever its path.
+// settingsFile is the name of the settings file in errors, independent of its path.
 const settingsFile = "settings"
 
-// Peer is another controller.
+// Peer is the address of another controller.
 type Peer struct {
 	Name string `json:"node_name" validate:"required"`
 	Zone string `json:"zone"`
 	Addr string `json:"peer_addr" validate:"required,hostname_port"`
 }
 
-// Config is the settings file of one node.
+// Config is the content of a node's settings file.
 type Config struct {
 	Node       string `json:"node_name" validate:"required"`
 	Zone       string `json:"zone" validate:"required"`
@@ -33,8 +33,8 @@
 	Settings Settings `json:"settings"`
 }
 
-// Load reads and checks a settings file. Unless the file can't be read or is not JSON, the
-// error joins a *FieldError for every field at fault, one a line.
+// Load reads and validates a settings file. Unless the file can't be read or isn't JSON, the
+// error joins one *FieldError per invalid field, each on its own line.
 func Load(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return Parse(raw)
 }
 
-// Parse does the same with the content of a settings file. Unknown fields are ignored.
+// Parse parses and validates the content of a settings file, like Load. It ignores unknown fields.
 func Parse(raw []byte) (*Config, error) {
 	var c Config
 	if err := json.Unmarshal(raw, &c); err != nil {
@@ -53,32 +53,32 @@
 		}
 		return nil, fmt.Errorf("%s: not JSON: %w", settingsFile, err)
 	}
-	if problems := c.problems(); len(problems) > 0 {
+	if problems := c.validate(); len(problems) > 0 {
 		return nil, errors.Join(problems...)
 	}
 	return &c, nil
 }
 
-// problems finds all fields at fault.
-func (c *Config) problems() []error {
+// validate returns an error for each invalid field.
+func (c *Config) validate() []error {
 	problems := checkFields(settingsFile, "json", c)
-	problems = append(problems, duplicates("settings.teams", c.Settings.Teams, func(t Team) string { return t.Name })...)
-	problems = append(problems, duplicates("others", c.Peers, func(p Peer) string { return p.Name })...)
-	if len(problems) == 0 { // the sum is of no use with wrong figures
+	problems = append(problems, findDuplicates("settings.teams", c.Settings.Teams, func(t Team) string { return t.Name })...)
+	problems = append(problems, findDuplicates("others", c.Peers, func(p Peer) string { return p.Name })...)
+	if len(problems) == 0 { // the connection limits are only meaningful if all fields are valid
 		if err := c.Settings.checkSockets(); err != nil {
 			problems = append(problems, err)
 		}
 	}
 	for _, p := range c.Peers {
 		if p.Name == c.Node && p.Name != "" {
-			problems = append(problems, settingsError("others", fmt.Errorf("names this node, %q", p.Name)))
+			problems = append(problems, settingsError("others", fmt.Errorf("must not contain this node, %q", p.Name)))
 		}
 	}
 	return problems
 }
 
-// duplicates finds the names of a list that are not unique.
-func duplicates[T any](field string, items []T, name func(T) string) (problems []error) {
+// findDuplicates returns an error for each repetition of a name in a list.
+func findDuplicates[T any](field string, items []T, name func(T) string) (problems []error) {
 	seen := map[string]bool{}
 	for _, item := range items {
 		n := name(item)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// exampleSettings decodes the example of a settings file.
+// exampleSettings returns the decoded example settings file.
 func exampleSettings(t *testing.T) map[string]any {
 	t.Helper()
 	raw, err := os.ReadFile("../../testdata/settings.json")
@@ -33,7 +33,7 @@
 	return Parse(raw)
 }
 
-// section returns a section of the settings, named by its path.
+// section returns the section of the settings at a path.
 func section(file map[string]any, path ...string) map[string]any {
 	for _, name := range path {
 		file = file[name].(map[string]any)
@@ -49,7 +49,7 @@
 	}
 }
 
-// Every problem is named, all at once, one a line.
+// All invalid fields are reported at once, each on its own line.
 func TestAllProblemsAreNamed(t *testing.T) {
 	file := exampleSettings(t)
 	delete(file, "front")
@@ -96,7 +96,7 @@
 	}
 }
 
-// withNext parses the example with the given announced limits of the state service.
+// withNext parses the example with the given announced limits of the state service ("next").
 func withNext(t *testing.T, next any) (*Config, error) {
 	t.Helper()
 	file := exampleSettings(t)
@@ -107,14 +107,14 @@
 func TestAnnouncedLimitsAreOptional(t *testing.T) {
 	c, err := withNext(t, nil)
 	if err != nil || c.Settings.State.Smallest() != c.Settings.State {
-		t.Errorf("without any: %v", err)
+		t.Errorf("without announced limits: %v", err)
 	}
 	c, err = withNext(t, map[string]any{"value_kb": 2.0, "write_rps": 100, "something": "new"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s := c.Settings.State.Smallest(); s.ValueKB != 2 || s.WriteRPS != 40 || s.TxnOps != 8 || s.RPS != 200 {
-		t.Errorf("the smaller of both are %+v", s)
+		t.Errorf("smaller of current and announced limits: %+v", s)
 	}
 }
 
--- a/internal/config/extensions.go
+++ b/internal/config/extensions.go
@@ -7,37 +7,37 @@
 	"strconv"
 )
 
-// Extensions are what a file given by --extensions enables. A section that is absent
-// enables nothing.
+// Extensions is the content of the file given by --extensions. An absent section disables its
+// extension.
 type Extensions struct {
 	Distribution *Distribution `toml:"distribution"`
 }
 
-// Distribution has the controllers serve the tracker of weights.
+// Distribution configures the tracker of model weights on the controllers.
 type Distribution struct {
-	// Port is that of the listener, at the address of cluster_listen.
+	// Port is the listener's port; its host is that of cluster_listen.
 	Port int `toml:"port" validate:"gte=1,lte=65535"`
-	// StoreFetchers is how many agents may fetch from the store at a time.
+	// StoreFetchers is the maximum number of agents that fetch from the store concurrently.
 	StoreFetchers int `toml:"store_slots" validate:"gte=1,lte=1024"`
-	// Connections is how many the listener holds; 0: a quarter of max_connections. They are
-	// taken from those of users and workers.
+	// Connections is the listener's connection limit; 0 means a quarter of max_connections. It
+	// reduces the connections available to users and workers.
 	Connections int `toml:"connections" validate:"gte=0,lte=1000000"`
-	// InventoryIntervalS is the time between the inventories of an agent that fetches,
-	// IdleInventoryIntervalS between those of one that doesn't; 0: half of the workers'
-	// report_s, and twice that.
+	// InventoryIntervalS and IdleInventoryIntervalS are the times between the inventories that an
+	// agent sends while it fetches and while it doesn't. 0 means half of and twice the workers'
+	// heartbeat interval (report_s in the settings file).
 	InventoryIntervalS     float64 `toml:"report_s" validate:"gte=0,lte=3600"`
 	IdleInventoryIntervalS float64 `toml:"idle_report_s" validate:"gte=0,lte=3600"`
 }
 
-// Defaults of Distribution, as ratios to the settings.
+// Defaults of Distribution, relative to the settings.
 const (
 	maxConnectionsPerTrackerConnection = 4
 	inventoryPerHeartbeatInterval      = 0.5
 	idleInventoryPerHeartbeatInterval  = 2
 )
 
-// LoadExtensions reads and checks a file of extensions, fills in what it doesn't give, and
-// sets cfg's ExtensionSockets. The error joins a *FieldError for every key at fault.
+// LoadExtensions reads and validates an extensions file, sets defaults, and sets
+// ExtensionSockets in the settings of cfg. The error joins one *FieldError per invalid key.
 func LoadExtensions(path string, cfg *Config) (Extensions, error) {
 	var e Extensions
 	if err := LoadTOML(path, &e); err != nil {
@@ -48,7 +48,7 @@
 	}
 	e.Distribution.setDefaults(&cfg.Settings)
 	cfg.Settings.ExtensionSockets = e.Distribution.Connections
-	return e, e.Distribution.check(path, cfg)
+	return e, e.Distribution.validate(path, cfg)
 }
 
 func (d *Distribution) setDefaults(s *Settings) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// check finds the keys of the file that don't agree with each other or with the settings.
-func (d *Distribution) check(path string, cfg *Config) error {
+// validate checks that the keys are consistent with each other and with the settings.
+func (d *Distribution) validate(path string, cfg *Config) error {
 	var problems []error
 	report := func(key string, err error) {
 		problems = append(problems, &FieldError{File: path, Field: "distribution." + key, Err: err})
@@ -73,7 +73,7 @@
 		report("idle_report_s", fmt.Errorf("%g is less than report_s, %g", d.IdleInventoryIntervalS, d.InventoryIntervalS))
 	}
 	if _, port, err := net.SplitHostPort(cfg.PeerListen); err != nil || port == strconv.Itoa(d.Port) {
-		report("port", fmt.Errorf("%d is that of cluster_listen", d.Port))
+		report("port", fmt.Errorf("%d is the port of cluster_listen", d.Port))
 	}
 	if err := cfg.Settings.checkSockets(); err != nil {
 		report("connections", err)
@@ -81,8 +81,8 @@
 	return errors.Join(problems...)
 }
 
-// TrackerAddress returns the address at which a controller serves the tracker, given that
-// of cluster_listen.
+// TrackerAddress returns the tracker's listen address on a controller, given the controller's
+// cluster_listen address.
 func (d *Distribution) TrackerAddress(clusterListen string) (string, error) {
 	host, _, err := net.SplitHostPort(clusterListen)
 	if err != nil {
--- a/internal/config/extensions_test.go
+++ b/internal/config/extensions_test.go
@@ -18,7 +18,7 @@
 	return cfg
 }
 
-// writeExtensions writes a file of extensions and returns its path.
+// writeExtensions writes an extensions file and returns its path.
 func writeExtensions(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "extensions.toml")
@@ -28,8 +28,8 @@
 	return path
 }
 
-// The file under deploy is valid, and what it doesn't give follows from the settings. The
-// connections that it takes are not given to users and workers as well.
+// The extensions file under deploy is valid, and omitted keys get defaults derived from the
+// settings. The tracker's connections are subtracted from those of users and workers.
 func TestExtensionsAreDerivedFromTheSettings(t *testing.T) {
 	cfg := exampleConfig(t)
 	before := cfg.Settings.Sockets().API
@@ -43,7 +43,7 @@
 		t.Errorf("%+v", d)
 	}
 	if after := cfg.Settings.Sockets().API; after >= before {
-		t.Errorf("%d connections of the API server, and %d with the tracker's beside them", before, after)
+		t.Errorf("API server has %d connections without and %d with the tracker", before, after)
 	}
 	if address, err := d.TrackerAddress("10.0.0.1:8081"); err != nil || address != "10.0.0.1:8082" {
 		t.Errorf("%s %v", address, err)
@@ -56,7 +56,7 @@
 	}
 }
 
-// Every key that is unknown or out of range is named, all at once.
+// All keys that are unknown or out of range are reported at once.
 func TestInvalidExtensionsAreNamed(t *testing.T) {
 	for name, c := range map[string]struct {
 		text  string
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Team is a team with its quota, in CPUs and GPUs: a guarantee and a limit of each; 0 means
-// none.
+// Team is a team with its quota: guaranteed CPUs and GPUs, and a limit for each. 0 means no
+// guarantee and no limit, respectively.
 type Team struct {
 	Name           string  `json:"name" validate:"required"`
 	GuaranteedCPUs float64 `json:"cpus" validate:"gte=0,lte=1e9"`
@@ -23,7 +23,7 @@
 	Share   float64 `json:"share" validate:"gte=0,lte=1"`
 }
 
-// Workers are the timeouts and intervals of workers, in seconds.
+// Workers holds the timeouts and intervals of workers, in seconds.
 type Workers struct {
 	HeartbeatIntervalS float64 `json:"report_s" validate:"gt=0,lte=3600"`
 	LeaseS             float64 `json:"lease_s" validate:"gt=0,lte=86400,gtfield=HeartbeatIntervalS"`
@@ -32,7 +32,7 @@
 	CancelWithinS      float64 `json:"cancel_s" validate:"gt=0,lte=86400,gtfield=LeaseS"`
 }
 
-// State are the limits of the state service.
+// State holds the limits of the state service.
 type State struct {
 	RPS      float64 `json:"rps" validate:"gte=1,lte=1e6"`
 	WriteRPS float64 `json:"write_rps" validate:"gte=1,lte=1e6"`
@@ -42,8 +42,8 @@
 	Next *StateNext `json:"next" validate:"omitempty"`
 }
 
-// StateNext are announced limits, which the state service will have from some moment on. A
-// limit that is nil stays as it is.
+// StateNext holds announced limits that the state service will apply at some later time. A nil
+// limit doesn't change.
 type StateNext struct {
 	RPS      *float64 `json:"rps" validate:"omitempty,gte=1,lte=1e6"`
 	WriteRPS *float64 `json:"write_rps" validate:"omitempty,gte=1,lte=1e6"`
@@ -51,8 +51,8 @@
 	TxnOps   *int     `json:"txn_ops" validate:"omitempty,gte=1,lte=10000"`
 }
 
-// Smallest returns limits that hold both now and after the announced change, if there is
-// one.
+// Smallest returns limits that hold both before and after an announced change: the smaller of
+// the current and the announced value of each.
 func (s State) Smallest() State {
 	if s.Next == nil {
 		return s
@@ -71,20 +71,20 @@
 	return min(now, *next)
 }
 
-// Cloud are the limits of the cloud's API.
+// Cloud holds the limits of the cloud API.
 type Cloud struct {
 	RPS      float64 `json:"rps" validate:"gt=0,lte=1e6"`
 	ListLagS float64 `json:"list_lag_s" validate:"gte=0,lte=3600"`
 }
 
-// Limits are those of the process itself.
+// Limits holds the resource limits of the controller process.
 type Limits struct {
 	CPU            float64 `json:"cpu" validate:"gt=0,lte=1024"`
 	MemoryMB       float64 `json:"mem_mb" validate:"gte=32,lte=1e6"`
 	MaxConnections int     `json:"max_connections" validate:"gte=32,lte=1000000"`
 }
 
-// Settings are the same for all nodes.
+// Settings holds the settings that are the same for all nodes.
 type Settings struct {
 	Size         int         `json:"size" validate:"gte=1,lte=99"`
 	Zones        []string    `json:"zones" validate:"required,min=1,dive,required"`
@@ -96,10 +96,10 @@
 	Limits       Limits      `json:"limits"`
 	ClockErrorMs float64     `json:"clock_error_ms" validate:"gte=0,lte=3600000"`
 
-	// ExtensionSockets is how many connections extensions take. It is not part of the file:
-	// LoadExtensions sets it.
+	// ExtensionSockets is the number of connections that extensions use. It isn't part of the
+	// settings file: LoadExtensions sets it.
 	ExtensionSockets int `json:"-"`
 }
 
-// Seconds converts a figure of the settings to a duration.
+// Seconds converts seconds, the unit of the settings, to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -2,67 +2,70 @@
 
 import "fmt"
 
-// Connections that a process needs beside those of users and workers, at most.
+// Maximum number of connections that a process uses for purposes other than users and workers.
 const (
-	// StateConnections and StateRenewalConnections are connections to the state service.
+	// StateConnections and StateRenewalConnections are for requests to the state service and for
+	// lease renewals there.
 	StateConnections        = 6
 	StateRenewalConnections = 4
-	// ArchiveReadConnections are those for looking up finished jobs in the archive.
+	// ArchiveReadConnections are for reading ended jobs from the archive.
 	ArchiveReadConnections = 1
-	// CloudConnections are those to the cloud.
+	// CloudConnections are for requests to the cloud.
 	CloudConnections   = 6
-	connectionsPerPeer = 4 // both directions, while one replaces another
-	spareConnections   = 8 // listeners, the runtime's own, and operators' tools
+	connectionsPerPeer = 4 // in both directions, while a new connection replaces an old one
+	spareConnections   = 8 // listeners, the Go runtime's own file descriptors, and operators' tools
 )
 
 const (
-	// minSharedConnections is the least for users, workers and commands, with which a
-	// process can do its work at all.
+	// minSharedConnections is the minimum number of connections for users, workers and commands
+	// together, below which a process can't work.
 	minSharedConnections = 16
-	// maxConnectionBytes is the memory that a connection to the API server takes at most:
-	// two buffers of 4 KiB, its goroutine and a request in progress. All of them together
-	// may take half of the process's memory.
+	// maxConnectionBytes is the maximum memory of a connection to the API server: two buffers of
+	// 4 KiB, its goroutine and a request in progress. All connections together may use half of
+	// the process's memory.
 	maxConnectionBytes = 24 << 10
-	// commandShare is the part of the shared connections that commands have at least,
-	// maxCommandShare the part that they may have at most: 1/16 and 1/4.
-	commandShare    = 16
-	maxCommandShare = 4
+	// Commands get at least 1/minCommandDivisor and at most 1/maxCommandDivisor of the shared
+	// connections.
+	minCommandDivisor = 16
+	maxCommandDivisor = 4
 )
 
-// Sockets is how max_connections is divided.
+// Sockets is the division of max_connections by purpose.
 type Sockets struct {
-	API      int // connections of users, workers and health checks to the API server
-	Commands int // connections for direct commands to workers, at least
-	shared   int // the sum of both
+	API      int // connections to the API server: workers, users and health checks
+	Commands int // minimum number of connections for direct commands to workers
+	shared   int // sum of both
 }
 
-// Sockets divides max_connections. Workers' own connections, users and health checks take
-// precedence over commands.
+// Sockets divides max_connections. Connections that workers, users and health checks open take
+// precedence over direct commands.
 func (s *Settings) Sockets() Sockets {
 	const megabyte = 1 << 20
 	shared := min(s.Limits.MaxConnections-s.reservedSockets(), int(s.Limits.MemoryMB/2*megabyte/maxConnectionBytes))
-	commands := max(1, shared/commandShare)
+	commands := max(1, shared/minCommandDivisor)
 	return Sockets{API: shared - commands, Commands: commands, shared: shared}
 }
 
-// CommandLimit returns how many connections direct commands may take while the API server
-// holds the given number: what that leaves, a quarter of all at most.
-func (s Sockets) CommandLimit(frontend int) int {
-	return max(s.Commands, min(s.shared/maxCommandShare, s.shared-frontend))
+// CommandLimit returns how many connections direct commands may use while the API server has the
+// given number of open connections: the remaining ones, but at most a quarter of all shared
+// connections.
+func (s Sockets) CommandLimit(openAPI int) int {
+	return max(s.Commands, min(s.shared/maxCommandDivisor, s.shared-openAPI))
 }
 
-// reservedSockets is how many connections are for neither users nor workers.
+// reservedSockets returns the number of connections reserved for purposes other than users and
+// workers.
 func (s *Settings) reservedSockets() int {
 	return StateConnections + StateRenewalConnections + ArchiveReadConnections + CloudConnections +
 		connectionsPerPeer*(s.Size-1) + spareConnections + s.ExtensionSockets
 }
 
-// checkSockets tells whether max_connections is enough for the process to do its work.
+// checkSockets returns an error if max_connections is too small for the process to work.
 func (s *Settings) checkSockets() error {
 	needed := s.reservedSockets() + minSharedConnections
 	if s.Limits.MaxConnections >= needed {
 		return nil
 	}
 	return settingsError("settings.limits.max_connections",
-		fmt.Errorf("%d can't hold what %d controllers need: %d", s.Limits.MaxConnections, s.Size, needed))
+		fmt.Errorf("%d is too small for %d controllers, which need at least %d", s.Limits.MaxConnections, s.Size, needed))
 }
--- a/internal/config/sockets_test.go
+++ b/internal/config/sockets_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// At 1.5 times the largest fleet seen there is less than two connections a machine: the
-// API server takes precedence, and commands share what it leaves.
+// At 1.5 times the largest observed fleet there are fewer than two connections per machine. The
+// API server takes precedence, and commands share the remaining connections.
 func TestSocketsCoverWorkersUsersAndCommands(t *testing.T) {
 	for _, c := range []struct {
 		maxConnections, size, workers, users int
@@ -21,11 +21,11 @@
 			}
 			sockets := s.Sockets()
 			if needed := c.workers + c.users; sockets.API < needed {
-				t.Errorf("%d for the API server, which needs %d", sockets.API, needed)
+				t.Errorf("%d connections for the API server, which needs %d", sockets.API, needed)
 			}
 			for open := 0; open <= sockets.API; open++ {
 				if n := sockets.CommandLimit(open); n < 1 || open+n+s.reservedSockets() > c.maxConnections {
-					t.Fatalf("%d for commands beside %d of the API server", n, open)
+					t.Fatalf("%d connections for commands with %d open to the API server", n, open)
 				}
 			}
 		})
@@ -35,19 +35,19 @@
 func TestSocketsFitHalfOfTheMemory(t *testing.T) {
 	s := Settings{Size: 3, Limits: Limits{MaxConnections: 100_000, MemoryMB: 64}}
 	if sockets := s.Sockets(); sockets.API*maxConnectionBytes > 32<<20 {
-		t.Errorf("%d connections of the API server in 64 MB", sockets.API)
+		t.Errorf("%d connections to the API server in 64 MB", sockets.API)
 	}
 }
 
 func TestTooFewSocketsAreRejected(t *testing.T) {
 	s := Settings{Size: 5, Limits: Limits{MaxConnections: 48, MemoryMB: 64}}
 	if s.checkSockets() == nil {
-		t.Error("five controllers can't do with 48 sockets")
+		t.Error("48 connections accepted for five controllers")
 	}
 }
 
-// With the least memory and sockets that the capacity page names for them, 4,000 workers and
-// 500 users have a connection each, and commands have some beside them.
+// With the minimum memory and connections that the capacity page lists for 4,000 workers and 500
+// users, each of them has a connection, and some connections remain for commands.
 func TestSocketsHoldALargeFleet(t *testing.T) {
 	const workers, users = 4000, 500
 	for _, size := range []int{3, 5} {
--- a/internal/config/toml.go
+++ b/internal/config/toml.go
@@ -8,8 +8,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// LoadTOML reads a TOML file into a struct and checks it by its validate tags. The error
-// joins a *FieldError for every key that is unknown or out of range, one a line.
+// LoadTOML decodes a TOML file into a struct and validates it by its validate tags. The error
+// joins one *FieldError per key that is unknown or out of range, each on its own line.
 func LoadTOML(path string, into any) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-func TestLevelIsThatOfTheEnvironment(t *testing.T) {
+func TestLevelFromEnvironment(t *testing.T) {
 	for level, want := range map[string]string{
 		"error": "E", "ERROR": "E", "info": "EI", "": "EI", "unknown": "EI", "debug": "EID",
 	} {
 		t.Run("level "+level, func(t *testing.T) {
-			t.Setenv(levelVariable, level)
+			t.Setenv(levelEnvVar, level)
 			var out strings.Builder
 			logger := New(&out)
 			logger.Error("E")
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestFailWritesALineForEachError(t *testing.T) {
+func TestWriteErrorWritesALineForEachError(t *testing.T) {
 	var out strings.Builder
 	WriteError(&out, "oakpick", errors.Join(errors.New("first"), errors.New("second")))
 	if got, want := out.String(), "oakpick: first\noakpick: second\n"; got != want {
