--- a/internal/archive/lookup.go
+++ b/internal/archive/lookup.go
@@ -14,10 +14,10 @@
 // the request was refused, so that its results are available when the user retries.
 type lookup struct {
 	request     message.UserRequest
-	userWaiting bool
+	userWaiting bool // false once the request has been refused
 	refuseAt    time.Duration
-	expiresAt   time.Duration
-	unresolved  []string // jobs of which it is not known yet whether the archive holds them
+	expiresAt   time.Duration // removal of the lookup if the user does not retry
+	unresolved  []string      // jobs of which it is not known yet whether the archive holds them
 	results     LookupResults
 }
 
--- a/internal/protocol/fields.go
+++ b/internal/protocol/fields.go
@@ -7,7 +7,7 @@
 const (
 	maxNumber             = 1e9 // upper bound of every numeric field
 	maxNameBytes          = 128
-	maxTypesPerSubmission = 16 // of a submission
+	maxTypesPerSubmission = 16
 )
 
 // fieldReader reads required fields and keeps the error of the first invalid one. Errors name
--- a/internal/protocol/simulation_codec.go
+++ b/internal/protocol/simulation_codec.go
@@ -8,8 +8,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// This file encodes and decodes the messages of the other components, for simulators and tests:
-// what workers, users, the state service and the cloud send and receive.
+// This file implements the other side of each interface for simulators and tests: it encodes and
+// decodes the messages that workers, users, the state service and the cloud send and receive.
 
 // nameOf returns the wire name of a value.
 func nameOf[V comparable](names map[string]V, value V) string {
