--- a/internal/autoscaling/provisioning.go
+++ b/internal/autoscaling/provisioning.go
@@ -52,8 +52,8 @@
 	openRequestsPerRPS = 1.5
 )
 
-// Inherit takes in a request that an earlier leader recorded.
-func (a *Autoscaler) Inherit(record storage.ProvisioningRecord) storage.Item {
+// RestoreRequest takes in a request that an earlier leader recorded.
+func (a *Autoscaler) RestoreRequest(record storage.ProvisioningRecord) storage.Item {
 	request := &provisioningRequest{ProvisioningRecord: record, committed: true}
 	a.requests = append(a.requests, request)
 	return request
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -63,7 +63,7 @@
 		}
 	}
 	for _, record := range p.Value.Provisioning {
-		l.store.Load(p.Number, p.Version, l.autoscaler.Inherit(record))
+		l.store.Load(p.Number, p.Version, l.autoscaler.RestoreRequest(record))
 	}
 	return nil
 }
