--- a/internal/autoscaling/provisioning.go
+++ b/internal/autoscaling/provisioning.go
@@ -59,8 +59,8 @@
 	return request
 }
 
-// InheritMachines takes in the machines that earlier leaders' requests have brought.
-func (a *Autoscaler) InheritMachines() {
+// RestoreMachines takes in the machines that earlier leaders' requests have brought.
+func (a *Autoscaler) RestoreMachines() {
 	now := a.context.Now
 	for _, request := range a.requests {
 		for _, name := range request.Machines {
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -33,7 +33,7 @@
 	l.linkDependencies()
 	l.closeInherited()
 	l.jobs.InheritFailures()
-	l.autoscaler.InheritMachines()
+	l.autoscaler.RestoreMachines()
 	l.controller.context.Log(message.Info, "leading", "term", l.controller.elector.Token(), "jobs", len(l.state.JobOrder),
 		"ended_jobs", len(l.state.EndedJobs), "machines", len(l.state.Machines), "pages", l.store.PageCount(), "oversized_pages", l.store.OversizedPages())
 	return nil
