--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -36,7 +36,7 @@
 	ExpectedToJoin(machine *cluster.Machine) bool
 	RequestClass(j *cluster.Job) cluster.RequestClass
 	RoomFor(j *cluster.Job, machine *cluster.Machine, room resources.Amount) resources.Amount
-	TakesAnyRoom(j *cluster.Job) bool
+	Starving(j *cluster.Job) bool
 	WorthProvisioning(j *cluster.Job, o cluster.Offering) bool
 }
 
--- a/internal/autoscaling/best_effort.go
+++ b/internal/autoscaling/best_effort.go
@@ -11,7 +11,7 @@
 func (a *Autoscaler) releaseFromBestEffort(needed map[*cluster.Machine]bool) {
 	for _, unplaced := range a.scheduler.Unplaced() {
 		j := unplaced.Job
-		if unplaced.Tasks > 0 && j.BestEffort() && a.scheduler.TakesAnyRoom(j) {
+		if unplaced.Tasks > 0 && j.BestEffort() && a.scheduler.Starving(j) {
 			return // it waits for any room, also of such a machine
 		}
 	}
--- a/internal/scheduling/best_effort.go
+++ b/internal/scheduling/best_effort.go
@@ -20,7 +20,7 @@
 
 // RequestClass is the class of a job's tasks in the present cycle.
 func (s *Scheduler) RequestClass(j *cluster.Job) cluster.RequestClass {
-	return j.RequestClass(j.BestEffort() && s.TakesAnyRoom(j))
+	return j.RequestClass(j.BestEffort() && s.Starving(j))
 }
 
 // WorthProvisioning reports whether a machine may be provisioned, or kept, for a job's tasks
@@ -63,9 +63,9 @@
 	return worth
 }
 
-// TakesAnyRoom reports whether a job has waited for so long without any task that it is given
+// Starving reports whether a job has waited for so long without any task that it is given
 // whatever room there is.
-func (s *Scheduler) TakesAnyRoom(j *cluster.Job) bool {
+func (s *Scheduler) Starving(j *cluster.Job) bool {
 	if len(j.ActiveTasks) > 0 {
 		return false
 	}
@@ -78,7 +78,7 @@
 // machine that isn't worth provisioning for it, takes room only beside others' tasks, and only
 // processors that no unused accelerator needs: work that comes for these starts at once.
 func (s *Scheduler) RoomFor(j *cluster.Job, machine *cluster.Machine, room resources.Amount) resources.Amount {
-	if !j.BestEffort() || s.WorthProvisioning(j, machine.Offering()) || s.TakesAnyRoom(j) {
+	if !j.BestEffort() || s.WorthProvisioning(j, machine.Offering()) || s.Starving(j) {
 		return room
 	}
 	machineType := s.state.Catalog.Type(machine.Type)
