--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -35,7 +35,7 @@
 	Schedulable(machine *cluster.Machine) bool
 	ExpectedToJoin(machine *cluster.Machine) bool
 	RequestClass(j *cluster.Job) cluster.RequestClass
-	RoomFor(j *cluster.Job, machine *cluster.Machine, room resources.Amount) resources.Amount
+	UsableResources(j *cluster.Job, machine *cluster.Machine, room resources.Amount) resources.Amount
 	Starving(j *cluster.Job) bool
 	WorthProvisioning(j *cluster.Job, o cluster.Offering) bool
 }
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -147,7 +147,7 @@
 	scheduler := c.packing.autoscaler.scheduler
 	switch {
 	case b.machine != nil && b.machine.Worker.Registered:
-		return scheduler.RoomFor(c.job, b.machine, b.room)
+		return scheduler.UsableResources(c.job, b.machine, b.room)
 	case scheduler.WorthProvisioning(c.job, b.offering):
 		return b.room
 	}
--- a/internal/scheduling/best_effort.go
+++ b/internal/scheduling/best_effort.go
@@ -74,10 +74,10 @@
 	return waited > s.timing.Scheduling.Patience
 }
 
-// RoomFor is what of the room on a machine a job's tasks may take. Best-effort work, on a
+// UsableResources is what of the room on a machine a job's tasks may take. Best-effort work, on a
 // machine that isn't worth provisioning for it, takes room only beside others' tasks, and only
 // processors that no unused accelerator needs: work that comes for these starts at once.
-func (s *Scheduler) RoomFor(j *cluster.Job, machine *cluster.Machine, room resources.Amount) resources.Amount {
+func (s *Scheduler) UsableResources(j *cluster.Job, machine *cluster.Machine, room resources.Amount) resources.Amount {
 	if !j.BestEffort() || s.WorthProvisioning(j, machine.Offering()) || s.Starving(j) {
 		return room
 	}
--- a/internal/scheduling/cycle.go
+++ b/internal/scheduling/cycle.go
@@ -64,7 +64,7 @@
 	}
 	for _, machine := range s.state.MachinesByName {
 		s.context.Stats.MachinesExamined++
-		if s.Schedulable(machine) && j.AllowedOn(machine.Offering()) && j.Request.FitsIn(s.RoomFor(j, machine, machine.ProjectedFree)) {
+		if s.Schedulable(machine) && j.AllowedOn(machine.Offering()) && j.Request.FitsIn(s.UsableResources(j, machine, machine.ProjectedFree)) {
 			list = append(list, machine)
 		}
 	}
--- a/internal/scheduling/placement.go
+++ b/internal/scheduling/placement.go
@@ -55,7 +55,7 @@
 		s.context.Stats.MachinesExamined++
 		drawn := i + s.context.Random.IntN(len(list)-i)
 		machine := list[drawn]
-		if !j.Request.FitsIn(s.RoomFor(j, machine, machine.ProjectedFree)) { // filled up in this cycle
+		if !j.Request.FitsIn(s.UsableResources(j, machine, machine.ProjectedFree)) { // filled up in this cycle
 			list[drawn] = list[len(list)-1]
 			list = list[:len(list)-1]
 			s.cycle.withRoom[s.RequestClass(j)] = list
