--- a/internal/scheduling/best_effort.go
+++ b/internal/scheduling/best_effort.go
@@ -8,22 +8,22 @@
 	"oakpick/internal/resources"
 )
 
-// Teams without a guarantee run best effort beside those that have one: their work runs on
-// what the others leave idle. Machines are provisioned for it only where a place costs little
-// more than the cheapest that its job may have, and machines that cost more are not kept for
-// it.
+// Teams without a guarantee run best effort: their jobs use resources that guaranteed teams
+// leave idle. Machines are provisioned for them only from offerings whose price per task is
+// close to the lowest that the job allows, and more expensive machines are not kept for them.
 
-// maxPriceRatio is how many times the cheapest place a place for a best-effort task may cost
-// for a machine to be provisioned for it. Overdue work is bought elsewhere at twice its cost
-// (see "How aims are counted" in the protocol), so nothing above that is worth it.
+// maxPriceRatio is the highest price per task at which a machine is provisioned for a
+// best-effort job, as a multiple of the job's lowest price per task. Overdue work is bought
+// elsewhere at twice its cost (see "How aims are counted" in the protocol), so a higher price
+// is never worth it.
 const maxPriceRatio = 2
 
-// RequestClass is the class of a job's tasks in the present cycle.
+// RequestClass returns the class of a job's tasks in the current cycle.
 func (s *Scheduler) RequestClass(j *cluster.Job) cluster.RequestClass {
 	return j.RequestClass(j.BestEffort() && s.Starving(j))
 }
 
-// WorthProvisioning reports whether a machine may be provisioned, or kept, for a job's tasks
+// WorthProvisioning reports whether a machine may be provisioned or kept for a job's tasks
 // alone.
 func (s *Scheduler) WorthProvisioning(j *cluster.Job, o cluster.Offering) bool {
 	if !j.BestEffort() {
@@ -36,8 +36,8 @@
 	return worth.Offerings[o]
 }
 
-// offeringsWorthProvisioning compares every place that a task of the job may have with the
-// cheapest of them, whether there is one just now or not.
+// offeringsWorthProvisioning compares the price per task of every offering that the job allows
+// with the lowest one, regardless of current availability.
 func (s *Scheduler) offeringsWorthProvisioning(j *cluster.Job) map[cluster.Offering]bool {
 	prices := map[cluster.Offering]float64{}
 	lowest := math.Inf(1)
@@ -63,8 +63,8 @@
 	return worth
 }
 
-// Starving reports whether a job has waited for so long without any task that it is given
-// whatever room there is.
+// Starving reports whether a job without active tasks has waited so long that it may use any
+// free resources, regardless of price.
 func (s *Scheduler) Starving(j *cluster.Job) bool {
 	if len(j.ActiveTasks) > 0 {
 		return false
@@ -74,9 +74,10 @@
 	return waited > s.timing.Scheduling.Patience
 }
 
-// UsableResources is what of the room on a machine a job's tasks may take. Best-effort work, on a
-// machine that isn't worth provisioning for it, takes room only beside others' tasks, and only
-// processors that no unused accelerator needs: work that comes for these starts at once.
+// UsableResources returns the part of a machine's free resources that a job's tasks may use. On
+// a machine that isn't worth provisioning for it, a best-effort job may only run beside
+// guaranteed tasks, and only on processors that no free GPU needs, so that a task that
+// requests these GPUs can start at once.
 func (s *Scheduler) UsableResources(j *cluster.Job, machine *cluster.Machine, room resources.Amount) resources.Amount {
 	if !j.BestEffort() || s.WorthProvisioning(j, machine.Offering()) || s.Starving(j) {
 		return room
--- a/internal/scheduling/cycle.go
+++ b/internal/scheduling/cycle.go
@@ -5,31 +5,33 @@
 	"oakpick/internal/resources"
 )
 
-// cycle is what one scheduling cycle has found out so far, so that a machine isn't examined
-// again for every task that waits.
+// cycle caches the results of one scheduling cycle, so that a machine need not be examined
+// again for every waiting task.
 type cycle struct {
-	withRoom map[cluster.RequestClass][]*cluster.Machine // machines with room for such a task
-	freeing  []*cluster.Machine                          // those that stopping tasks are about to leave
+	feasible map[cluster.RequestClass][]*cluster.Machine // machines with enough free resources for a task of the class
+	freeing  []*cluster.Machine                          // machines with stopping tasks
 	booting  []*cluster.Machine
-	// withTasksBelow has, by rank, the machines with tasks that jobs of it may have stopped.
-	withTasksBelow map[int][]*cluster.Machine
-	// noRoomByPreemption are the claims for which no task that may be stopped makes room.
-	noRoomByPreemption map[claim]bool
-	// nothingBelow is up to which rank a team's jobs can have no task of the team stopped.
-	nothingBelow map[*cluster.Team]int
+	// preemptableByRank lists, by rank, the machines with tasks of a lower rank.
+	preemptableByRank map[int][]*cluster.Machine
+	// preemptionFailed has the classes of jobs for which no preemption frees enough resources.
+	preemptionFailed map[preemptionClass]bool
+	// noVictimsUpToRank is, by team, the highest rank for which the team has no task to preempt.
+	noVictimsUpToRank map[*cluster.Team]int
 
 	machinesExamined int64
-	tasksExamined    int64 // of machines where some might be stopped
+	tasksExamined    int64 // tasks considered for preemption
 }
 
-// tasksPerExamination is how many tasks take as long to examine as a machine.
-const tasksPerExamination = 16
+// tasksPerMachineExamination is the number of tasks that take as long to examine as a machine.
+const tasksPerMachineExamination = 16
 
-// examined is how much a cycle has examined, in machines.
-func (c *cycle) examined() int64 { return c.machinesExamined + c.tasksExamined/tasksPerExamination }
+// examined returns the work that the cycle did, in units of one machine examined.
+func (c *cycle) examined() int64 {
+	return c.machinesExamined + c.tasksExamined/tasksPerMachineExamination
+}
 
-// claim is what tells apart jobs that may have other tasks stopped.
-type claim struct {
+// preemptionClass groups jobs that may preempt the same tasks.
+type preemptionClass struct {
 	cluster.RequestClass
 	rank        int
 	withinQuota bool
@@ -38,9 +40,9 @@
 
 func (s *Scheduler) beginCycle() {
 	c := &s.cycle
-	c.withRoom, c.noRoomByPreemption = map[cluster.RequestClass][]*cluster.Machine{}, map[claim]bool{}
-	c.nothingBelow = map[*cluster.Team]int{}
-	c.freeing, c.booting, c.withTasksBelow = c.freeing[:0], c.booting[:0], nil
+	c.feasible, c.preemptionFailed = map[cluster.RequestClass][]*cluster.Machine{}, map[preemptionClass]bool{}
+	c.noVictimsUpToRank = map[*cluster.Team]int{}
+	c.freeing, c.booting, c.preemptableByRank = c.freeing[:0], c.booting[:0], nil
 	for _, t := range s.state.Teams {
 		t.Promised = resources.Amount{}
 	}
@@ -55,10 +57,10 @@
 	}
 }
 
-// machinesWithRoom lists the machines with room for a task of a job.
-func (s *Scheduler) machinesWithRoom(j *cluster.Job) []*cluster.Machine {
+// feasibleMachines returns the machines with enough free resources for a task of the job.
+func (s *Scheduler) feasibleMachines(j *cluster.Job) []*cluster.Machine {
 	class := s.RequestClass(j)
-	list, ok := s.cycle.withRoom[class]
+	list, ok := s.cycle.feasible[class]
 	if ok {
 		return list
 	}
@@ -68,26 +70,26 @@
 			list = append(list, machine)
 		}
 	}
-	s.cycle.withRoom[class] = list
+	s.cycle.feasible[class] = list
 	return list
 }
 
-// reservations are the rooms of machines before a cycle has set some of them aside.
-type reservations map[*cluster.Machine]resources.Amount
+// freeSnapshot has the projected free resources of machines before tasks were assigned to them.
+type freeSnapshot map[*cluster.Machine]resources.Amount
 
-// remember keeps the room of a machine, unless it is kept already.
-func (r reservations) remember(machine *cluster.Machine) {
+// save records the free resources of a machine unless they are recorded already.
+func (r freeSnapshot) save(machine *cluster.Machine) {
 	if _, ok := r[machine]; !ok {
 		r[machine] = machine.ProjectedFree
 	}
 }
 
-// undo gives back what was set aside.
-func (s *Scheduler) undo(r reservations) {
+// restoreFree resets the machines' free resources to those of the snapshot.
+func (s *Scheduler) restoreFree(r freeSnapshot) {
 	for machine, free := range r {
 		machine.ProjectedFree = free
 	}
 	if len(r) > 0 {
-		clear(s.cycle.withRoom)
+		clear(s.cycle.feasible)
 	}
 }
--- a/internal/scheduling/failing_jobs.go
+++ b/internal/scheduling/failing_jobs.go
@@ -5,8 +5,8 @@
 	"oakpick/internal/protocol"
 )
 
-// attemptsAllowed is how many of a job's idle tasks may be placed now, as far as its failures
-// go.
+// attemptsAllowed returns how many of a job's idle tasks its earlier failures allow to be placed
+// now.
 func (s *Scheduler) attemptsAllowed(j *cluster.Job, idle int) int {
 	now := s.context.Monotonic()
 	switch {
@@ -15,25 +15,25 @@
 	case !j.Failures.JobAtFault:
 		return idle
 	case now < j.Team.FailingJobNotBefore || len(j.ActiveTasks) > 0:
-		return 0 // one at a time, and not all of a team's at once
+		return 0 // one attempt at a time, and not all failing jobs of a team at once
 	case j.Kind == protocol.Gang:
 		return idle
 	}
 	return min(idle, 1)
 }
 
-// noteFailingUnplaced notes that a job that fails on every machine finds no room for its next
-// attempt. Nothing is stopped for it, and a machine is provisioned only after a long while: it
-// may be the machines' fault after all.
-func (s *Scheduler) noteFailingUnplaced(j *cluster.Job, tasks int) {
+// recordFailingUnplaced records that a job that fails on every machine could not be placed for
+// its next attempt. No task is preempted for it. A machine is provisioned only after the job
+// has waited for a long time, in case the machines are at fault after all.
+func (s *Scheduler) recordFailingUnplaced(j *cluster.Job, tasks int) {
 	if s.context.Monotonic()-j.Placement.IdleSince < s.timing.Scheduling.Patience {
 		tasks = 0
 	}
-	s.noteUnplaced(j, tasks)
+	s.recordUnplaced(j, tasks)
 }
 
-// noteAttempt notes that a task of a job that fails on every machine is placed.
-func (s *Scheduler) noteAttempt(j *cluster.Job) {
+// recordAttempt delays the next attempt of the team's failing jobs if the placed job is one.
+func (s *Scheduler) recordAttempt(j *cluster.Job) {
 	if j.Failures.JobAtFault {
 		j.Team.FailingJobNotBefore = s.context.Monotonic() + s.timing.Scheduling.FailingJobInterval
 	}
--- a/internal/scheduling/gang.go
+++ b/internal/scheduling/gang.go
@@ -4,8 +4,8 @@
 	"oakpick/internal/cluster"
 )
 
-// scheduleGang starts a gang if every member has a place, or replaces members of an attempt
-// that has not begun to run.
+// scheduleGang starts a gang if there is a machine for every member, or replaces missing members
+// of an attempt that has not run yet.
 func (s *Scheduler) scheduleGang(j *cluster.Job) {
 	if j.Gang.Ending {
 		return
@@ -15,11 +15,11 @@
 		return
 	}
 	if j.TasksAwaitingRecord(idle) > 0 {
-		s.noteUnplaced(j, withinLimit(j, idle))
+		s.recordUnplaced(j, tasksWithinLimit(j, idle))
 		return
 	}
-	if left := withinLimit(j, idle); left < idle {
-		s.preemptWithinLimit(j, idle-left)
+	if left := tasksWithinLimit(j, idle); left < idle {
+		s.preemptWithinTeam(j, idle-left)
 		return
 	}
 	machines := s.machinesForGang(j, idle)
@@ -27,14 +27,14 @@
 	case machines != nil:
 		s.startGang(j, machines)
 	case j.Failures.JobAtFault:
-		s.noteFailingUnplaced(j, idle)
+		s.recordFailingUnplaced(j, idle)
 	default:
-		s.noteUnplaced(j, idle)
-		s.makeRoom(j, idle, j.TasksPerZone())
+		s.recordUnplaced(j, idle)
+		s.reserveOrPreempt(j, idle, j.TasksPerZone())
 	}
 }
 
-// machinesForGang finds a machine for each of so many members, or none at all.
+// machinesForGang returns a machine for each of the members, or nil if one finds none.
 func (s *Scheduler) machinesForGang(j *cluster.Job, members int) []*cluster.Machine {
 	if !j.OneZone || len(j.ActiveTasks) > 0 {
 		return s.machinesInZone(j, members, "")
@@ -47,25 +47,25 @@
 	return nil
 }
 
-// machinesInZone is machinesForGang within a zone; empty: in any.
+// machinesInZone is like machinesForGang, limited to a zone unless that is empty.
 func (s *Scheduler) machinesInZone(j *cluster.Job, members int, zone string) []*cluster.Machine {
 	perZone := j.TasksPerZone()
 	var machines []*cluster.Machine
-	before := reservations{}
+	before := freeSnapshot{}
 	for range members {
 		machine := s.chooseInZone(j, perZone, zone)
 		if machine == nil {
-			s.undo(before)
+			s.restoreFree(before)
 			return nil
 		}
-		before.remember(machine)
+		before.save(machine)
 		assign(machine, j, perZone)
 		machines = append(machines, machine)
 	}
 	return machines
 }
 
-// chooseInZone is chooseMachine within a zone; empty: in any.
+// chooseInZone is like chooseMachine, limited to a zone unless that is empty.
 func (s *Scheduler) chooseInZone(j *cluster.Job, perZone map[string]int, zone string) *cluster.Machine {
 	if zone == "" {
 		return s.chooseMachine(j, perZone)
@@ -80,8 +80,8 @@
 	return machine
 }
 
-// startGang records the starts of all members that are missing. None is sent before all are
-// durable.
+// startGang records the starts of all missing members. No start command is sent until all of
+// them are durable.
 func (s *Scheduler) startGang(j *cluster.Job, machines []*cluster.Machine) {
 	if len(j.ActiveTasks) == 0 {
 		j.GangAttempt++
@@ -94,7 +94,7 @@
 			s.jobs.StartCommitted(t)
 		}
 	})
-	s.noteAttempt(j)
+	s.recordAttempt(j)
 	for _, machine := range machines {
 		index := j.NextIdle(s.store.MaxItemSize())
 		members = append(members, s.jobs.Start(j, index, machine, waiter))
--- a/internal/scheduling/placement.go
+++ b/internal/scheduling/placement.go
@@ -8,8 +8,9 @@
 	"oakpick/internal/protocol"
 )
 
-// chooseMachine picks a machine for one task: the best of a few sampled from those with room
-// that have lately reported.
+// chooseMachine picks a machine for one task: the nominated one, or else the best of a random
+// sample of feasible machines. It returns nil if there is none, or if the task should wait for
+// a booting machine.
 func (s *Scheduler) chooseMachine(j *cluster.Job, perZone map[string]int) *cluster.Machine {
 	if nominated := s.takeNominated(j, perZone); nominated != nil {
 		return nominated
@@ -21,7 +22,8 @@
 	return best
 }
 
-// takeNominated gives the machine that a replica was to be moved to, once, if it still can.
+// takeNominated clears the job's nominated machine, the target of a replica's move, and returns
+// the machine if the replica still fits there.
 func (s *Scheduler) takeNominated(j *cluster.Job, perZone map[string]int) *cluster.Machine {
 	machine := j.Placement.Nominated
 	if machine == nil {
@@ -34,31 +36,31 @@
 	return machine
 }
 
-// candidate is a machine and what a task would cost there.
+// candidate is a machine and the cost of placing a task there.
 type candidate struct {
 	machine *cluster.Machine
 	cost    float64
 }
 
-// beats reports whether a candidate is better than another. Of equals the first by name is:
-// they fill up one after the other, not side by side.
+// beats reports whether a candidate is better than another. Ties are broken by name, so that
+// equal machines are filled one after the other rather than evenly.
 func (c candidate) beats(other candidate) bool {
 	return c.cost < other.cost || c.cost == other.cost && c.machine.Name < other.machine.Name
 }
 
-// bestOfSample compares a few machines with room, drawn at random. Those where the job has
-// failed count only if there is no other.
+// bestOfSample returns the best of a random sample of feasible machines. It returns a machine
+// on which the job has failed before only if there is no other.
 func (s *Scheduler) bestOfSample(j *cluster.Job, perZone map[string]int) *cluster.Machine {
-	list := s.machinesWithRoom(j)
+	list := s.feasibleMachines(j)
 	best, failedThere := candidate{cost: math.Inf(1)}, candidate{cost: math.Inf(1)}
 	for i, sampled := 0, 0; i < len(list) && sampled < s.options.SampleSize; {
 		s.context.Stats.MachinesExamined++
 		drawn := i + s.context.Random.IntN(len(list)-i)
 		machine := list[drawn]
-		if !j.Request.FitsIn(s.UsableResources(j, machine, machine.ProjectedFree)) { // filled up in this cycle
+		if !j.Request.FitsIn(s.UsableResources(j, machine, machine.ProjectedFree)) { // no longer feasible in this cycle
 			list[drawn] = list[len(list)-1]
 			list = list[:len(list)-1]
-			s.cycle.withRoom[s.RequestClass(j)] = list
+			s.cycle.feasible[s.RequestClass(j)] = list
 			continue
 		}
 		list[i], list[drawn] = machine, list[i]
@@ -85,14 +87,16 @@
 }
 
 const (
-	// minFetchS is how many seconds a fetch has to take for a task to wait for another machine.
+	// minFetchS is the shortest image fetch, in seconds, that justifies waiting for another machine.
 	minFetchS = 1
-	// queuedFetchFactor is by how much longer than alone a fetch has to take for that.
+	// queuedFetchFactor is the minimum ratio of the expected fetch time to the time of the same
+	// fetch without competing ones for a task to wait for another machine.
 	queuedFetchFactor = 1.3
 )
 
-// shouldAwaitBooting reports whether a task should rather wait for a machine that is about to
-// be up than have its image fetched beside another one: both would be late.
+// shouldAwaitBooting reports whether a task should wait for a machine that is about to finish
+// booting. On the given machine its image fetch would compete with others, which delays them
+// all.
 func (s *Scheduler) shouldAwaitBooting(j *cluster.Job, machine *cluster.Machine) bool {
 	now := s.context.Monotonic()
 	machineType := s.state.Catalog.Type(machine.Type)
@@ -123,11 +127,11 @@
 	return false
 }
 
-// lateBootFactor is for how many times its type's boot time a machine that isn't up is still
-// counted on.
+// lateBootFactor is the multiple of its type's boot time after which a machine that has not
+// registered is no longer expected to join.
 const lateBootFactor = 1.5
 
-// ExpectedToJoin reports whether a machine that hasn't reported yet can still be counted on.
+// ExpectedToJoin reports whether a machine that has not registered yet is still expected to.
 func (s *Scheduler) ExpectedToJoin(machine *cluster.Machine) bool {
 	machineType := s.state.Catalog.Type(machine.Type)
 	if machine.Worker.Registered || machineType == nil || machine.Provisioning.Releasing || machine.Provisioning.Failed {
@@ -137,24 +141,24 @@
 	return age < config.Seconds(machineType.BootS*lateBootFactor)
 }
 
-// Costs of a place, in seconds that a task's start may be later for it.
+// Components of the cost of a placement, in seconds of start delay that they are worth.
 const (
-	fetchWeight           = 0.8 // for each second of the image's fetch
-	lateReplicaWeight     = 0.2 // the same beyond that, for a replica that is late already
-	lateStartCost         = 40  // the fetch makes the start late
-	strandedGPUsCost      = 60  // GPUs are left with too few processors to be used
-	unusedCost            = 25  // for a machine that stays wholly unused
-	needlessOnDemandCost  = 10  // an ordinary machine for what may use spot ones
-	emptyMachineCost      = 15  // it could be released
-	failingCommandsCost   = 50  // commands haven't been getting through
-	startMargin           = 0.9 // part of the time left that the fetch may take
-	startMarginS          = 0.5
-	usefulProcessorsShare = 0.75 // of those that belong to a GPU have to stay with it
+	fetchWeight              = 0.8 // per second of the image fetch
+	lateReplicaWeight        = 0.2 // added per second of the fetch for a replica that is late already
+	lateStartCost            = 40  // the fetch would make the task miss its start objective
+	strandedGPUsCost         = 60  // the remaining processors are too few to use the free GPUs
+	unusedCost               = 25  // for a machine that stays entirely unused; scaled by the unused share
+	needlessOnDemandCost     = 10  // on-demand machine for a task that may use spot machines
+	emptyMachineCost         = 15  // the machine could be released instead
+	failingCommandsCost      = 50  // recent commands to the machine have failed
+	maxFetchShare            = 0.9 // share of the time left until the objective that the fetch may take
+	startMarginS             = 0.5
+	minProcessorsPerGPUShare = 0.75 // share of a GPU's proportion of processors that has to stay free with it
 )
 
-// cost ranks machines for a task: by packing, since a machine that empties can be released,
-// and by the image's fetch, during which the place does nothing. A fetch that would make the
-// start late by its class's objective counts far more.
+// cost returns the cost of placing a task on a machine. It favors dense packing, because an
+// empty machine can be released, and short image fetches, during which the allocated resources
+// do nothing. A fetch that would make the task miss its class's start objective costs far more.
 func (s *Scheduler) cost(j *cluster.Job, machine *cluster.Machine) float64 {
 	cost := s.fetchCost(j, machine)
 	unused, strandsGPUs := s.unusedShare(j, machine)
@@ -177,22 +181,22 @@
 func (s *Scheduler) fetchCost(j *cluster.Job, machine *cluster.Machine) float64 {
 	fetch := s.state.FetchTimeS(j, machine)
 	cost := fetchWeight * fetch
-	within := s.startObjective[j.Class]
+	within := s.startObjectiveS[j.Class]
 	if within <= 0 {
 		return cost
 	}
 	waited := float64(s.context.Now.WallMs-j.ReadyMs) / msPerS
 	left := within - waited
-	if left > 0 && fetch > startMargin*left-startMarginS {
+	if left > 0 && fetch > maxFetchShare*left-startMarginS {
 		cost += lateStartCost
 	} else if left <= 0 && j.Kind == protocol.Service {
-		cost += lateReplicaWeight * fetch // every second that the replica is away counts
+		cost += lateReplicaWeight * fetch // every second that the replica is unavailable counts
 	}
 	return cost
 }
 
-// unusedShare is the part of a machine's scarcest resource that stays unused beside a task,
-// and whether it leaves GPUs with too few processors.
+// unusedShare returns the share of a machine's scarcest resource that would stay unused with
+// the task placed there, and whether the placement would leave GPUs with too few processors.
 func (s *Scheduler) unusedShare(j *cluster.Job, machine *cluster.Machine) (share float64, strandsGPUs bool) {
 	left := machine.ProjectedFree.Minus(j.Request)
 	total := cluster.Capacity(s.state.Catalog.Type(machine.Type))
@@ -200,7 +204,7 @@
 		return left.GPUs / total.GPUs, false
 	}
 	if total.GPUs > 0 {
-		strandsGPUs = left.CPUs < left.GPUs*total.CPUs/total.GPUs*usefulProcessorsShare
+		strandsGPUs = left.CPUs < left.GPUs*total.CPUs/total.GPUs*minProcessorsPerGPUShare
 	}
 	return left.CPUs / total.CPUs, strandsGPUs
 }
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -10,14 +10,14 @@
 	"oakpick/internal/resources"
 )
 
-// mayPreempt reports whether a task may be stopped for a job.
+// mayPreempt reports whether a task may be preempted for a job.
 func mayPreempt(j *cluster.Job, victim *cluster.Task) bool {
 	other := victim.Job
 	if other == j || other.Cancelled || j.Failures.JobAtFault {
 		return false
 	}
-	// Whoever is stopped must not come before the job in the queue: it would take the room
-	// again, and be stopped again, for ever.
+	// A victim has to rank below the job. Otherwise it would precede the job in the queue, take
+	// the freed resources again and be preempted again, in an endless loop.
 	if rank(other) >= rank(j) {
 		return false
 	}
@@ -25,15 +25,16 @@
 		j.Placement.WithinQuota && !other.Placement.WithinQuota && other.Team != j.Team
 }
 
-// preemption is the search for room for the tasks of one job.
-type preemption struct {
+// preemptionSearch is the search for machines on which the tasks of one job will fit once
+// other tasks have stopped.
+type preemptionSearch struct {
 	job     *cluster.Job
 	victims []*cluster.Task
-	taken   map[*cluster.Task]bool                // nil: none yet
-	freed   map[*cluster.Machine]resources.Amount // what the victims leave; nil: nothing yet
+	taken   map[*cluster.Task]bool                // the victims as a set; nil if there are none
+	freed   map[*cluster.Machine]resources.Amount // resources that the victims will free; nil if there are none
 }
 
-func (p *preemption) take(machine *cluster.Machine, victims []*cluster.Task) {
+func (p *preemptionSearch) addVictims(machine *cluster.Machine, victims []*cluster.Task) {
 	if p.taken == nil {
 		p.taken, p.freed = map[*cluster.Task]bool{}, map[*cluster.Machine]resources.Amount{}
 	}
@@ -44,29 +45,30 @@
 	p.victims = append(p.victims, victims...)
 }
 
-// projected is the room of a machine once stopping tasks and victims have left it.
-func (p *preemption) projected(machine *cluster.Machine) resources.Amount {
+// projectedFree returns a machine's free resources after its stopping tasks and victims end.
+func (p *preemptionSearch) projectedFree(machine *cluster.Machine) resources.Amount {
 	return machine.ProjectedFree.Plus(machine.Stopping).Plus(p.freed[machine])
 }
 
-// makeRoom frees room for the tasks of a job that found none. Room that is about to come free
-// is set aside for it first. Nothing is stopped for a gang that could not start even then.
-func (s *Scheduler) makeRoom(j *cluster.Job, tasks int, perZone map[string]int) {
+// reserveOrPreempt finds machines for tasks of a job that could not be placed. It reserves
+// resources that stopping tasks will free, and preempts tasks only if these don't suffice. It
+// preempts nothing for a gang that could not start even then.
+func (s *Scheduler) reserveOrPreempt(j *cluster.Job, tasks int, perZone map[string]int) {
 	if j.BestEffort() {
-		return // best-effort work gets what is idle
+		return // best-effort jobs only use idle resources
 	}
-	p := &preemption{job: j}
-	before := reservations{}
+	p := &preemptionSearch{job: j}
+	before := freeSnapshot{}
 	for n := range tasks {
-		machine := s.findRoom(p, perZone, n == 0)
+		machine := s.findPreemptionTarget(p, perZone, n == 0)
 		if machine == nil && j.Kind == protocol.Gang {
-			s.undo(before)
+			s.restoreFree(before)
 			return
 		}
 		if machine == nil {
 			break
 		}
-		before.remember(machine)
+		before.save(machine)
 		assign(machine, j, perZone)
 	}
 	for _, victim := range p.victims {
@@ -78,75 +80,75 @@
 	}
 }
 
-// findRoom finds a machine that has room for one more task, at the latest once further victims
-// have left it.
-func (s *Scheduler) findRoom(p *preemption, perZone map[string]int, first bool) *cluster.Machine {
-	if machine := s.machineAboutToFree(p, perZone); machine != nil {
+// findPreemptionTarget returns a machine on which one more task will fit, possibly after
+// preempting further tasks.
+func (s *Scheduler) findPreemptionTarget(p *preemptionSearch, perZone map[string]int, first bool) *cluster.Machine {
+	if machine := s.findProjectedFit(p, perZone); machine != nil {
 		return machine
 	}
 	machine, victims := s.chooseVictims(p, perZone, first)
 	if machine != nil {
-		p.take(machine, victims)
+		p.addVictims(machine, victims)
 	}
 	return machine
 }
 
-// machineAboutToFree finds a machine whose stopping tasks will leave room for a task.
-func (s *Scheduler) machineAboutToFree(p *preemption, perZone map[string]int) *cluster.Machine {
-	if machine := s.firstThatFits(p, perZone, s.machinesWithRoom(p.job)); machine != nil {
+// findProjectedFit returns a machine on which a task will fit once stopping tasks have ended.
+func (s *Scheduler) findProjectedFit(p *preemptionSearch, perZone map[string]int) *cluster.Machine {
+	if machine := s.firstFit(p, perZone, s.feasibleMachines(p.job)); machine != nil {
 		return machine
 	}
-	if machine := s.firstThatFits(p, perZone, s.cycle.freeing); machine != nil {
+	if machine := s.firstFit(p, perZone, s.cycle.freeing); machine != nil {
 		return machine
 	}
 	if len(p.freed) == 0 {
 		return nil
 	}
-	// Of those with victims of this very job the first by name.
+	// Machines with victims of this job are tried in order of their names.
 	byName := make([]*cluster.Machine, 0, len(p.freed))
 	for machine := range p.freed {
 		byName = append(byName, machine)
 	}
 	slices.SortFunc(byName, func(a, b *cluster.Machine) int { return cmp.Compare(a.Name, b.Name) })
-	return s.firstThatFits(p, perZone, byName)
+	return s.firstFit(p, perZone, byName)
 }
 
-// firstThatFits finds the first machine of a list that will have room for a task.
-func (s *Scheduler) firstThatFits(p *preemption, perZone map[string]int, list []*cluster.Machine) *cluster.Machine {
+// firstFit returns the first machine of a list on which a task will fit.
+func (s *Scheduler) firstFit(p *preemptionSearch, perZone map[string]int, list []*cluster.Machine) *cluster.Machine {
 	for _, machine := range list {
 		s.context.Stats.MachinesExamined++
-		if s.fits(p.job, machine, p.projected(machine), perZone) {
+		if s.fits(p.job, machine, p.projectedFree(machine), perZone) {
 			return machine
 		}
 	}
 	return nil
 }
 
-// chooseVictims finds the tasks whose loss costs least, on one machine, so that a task of the
-// job fits there without them.
-func (s *Scheduler) chooseVictims(p *preemption, perZone map[string]int, first bool) (*cluster.Machine, []*cluster.Task) {
+// chooseVictims returns the cheapest set of tasks on one machine whose preemption allows a task
+// of the job to fit there.
+func (s *Scheduler) chooseVictims(p *preemptionSearch, perZone map[string]int, first bool) (*cluster.Machine, []*cluster.Task) {
 	j := p.job
-	c := claim{s.RequestClass(j), rank(j), j.Placement.WithinQuota, j.Team}
-	// Within a cycle room only shrinks: what was found for no job is found for none that may
-	// stop the same. A zone's limit is the job's own affair, and so are the places that its
-	// other tasks have been promised.
+	c := preemptionClass{s.RequestClass(j), rank(j), j.Placement.WithinQuota, j.Team}
+	// Free resources only shrink within a cycle, so a failed search holds for every job of the
+	// same class. A search that depends on the job itself is not cached: one under zone limits,
+	// and one after the first task, which depends on the resources reserved for the others.
 	isCacheable := first && !j.Spread && !j.OneZone && !j.Failures.JobAtFault
-	if isCacheable && s.cycle.noRoomByPreemption[c] {
+	if isCacheable && s.cycle.preemptionFailed[c] {
 		return nil, nil
 	}
-	best, victims, cost := s.cheapestVictims(p, perZone, s.machinesWithTasksBelow(c.rank))
+	best, victims, cost := s.cheapestVictims(p, perZone, s.preemptableMachines(c.rank))
 	if cost > s.options.MaxPreemptionCostS {
 		if isCacheable && best == nil {
-			s.cycle.noRoomByPreemption[c] = true
+			s.cycle.preemptionFailed[c] = true
 		}
 		return nil, nil
 	}
 	return best, victims
 }
 
-// cheapestVictims compares a few machines, drawn at random from a list that it shuffles.
+// cheapestVictims compares a random sample of the machines in list, which it shuffles.
 func (s *Scheduler) cheapestVictims(
-	p *preemption, perZone map[string]int, list []*cluster.Machine,
+	p *preemptionSearch, perZone map[string]int, list []*cluster.Machine,
 ) (best *cluster.Machine, victims []*cluster.Task, bestCost float64) {
 	bestCost = math.Inf(1)
 	for i, found := 0, 0; i < len(list) && found < s.options.SampleSize; i++ {
@@ -169,11 +171,11 @@
 	return best, victims, bestCost
 }
 
-// victimsOn picks the tasks on a machine whose loss costs least, until a task of the job fits.
-// It returns none if it wouldn't fit even then.
-func (s *Scheduler) victimsOn(p *preemption, machine *cluster.Machine) (victims []*cluster.Task, cost float64) {
+// victimsOn selects tasks on a machine, cheapest first, until a task of the job fits. It
+// returns none if the task would not fit even with all of them preempted.
+func (s *Scheduler) victimsOn(p *preemptionSearch, machine *cluster.Machine) (victims []*cluster.Task, cost float64) {
 	j := p.job
-	room := p.projected(machine)
+	room := p.projectedFree(machine)
 	s.cycle.tasksExamined += int64(len(machine.Tasks))
 	var preemptable []*cluster.Task
 	for _, t := range machine.Tasks {
@@ -199,18 +201,18 @@
 	return victims, cost
 }
 
-// machinesWithTasksBelow lists the machines with tasks that could be stopped for a job of such
-// a rank: tasks of jobs of a lower one. What is placed later in a cycle is of jobs of at least
-// the rank of those that are still to come.
-func (s *Scheduler) machinesWithTasksBelow(rank int) []*cluster.Machine {
+// preemptableMachines returns the machines with tasks of a rank lower than the given one. The
+// list stays valid for the cycle: jobs are scheduled by descending rank, so tasks placed later
+// rank no lower than the jobs that remain in the queue.
+func (s *Scheduler) preemptableMachines(rank int) []*cluster.Machine {
 	c := &s.cycle
-	if c.withTasksBelow == nil {
-		c.withTasksBelow = map[int][]*cluster.Machine{}
+	if c.preemptableByRank == nil {
+		c.preemptableByRank = map[int][]*cluster.Machine{}
 		for _, machine := range s.state.MachinesByName {
 			machine.LowestRank = s.lowestRank(machine)
 		}
 	}
-	list, ok := c.withTasksBelow[rank]
+	list, ok := c.preemptableByRank[rank]
 	if ok {
 		return list
 	}
@@ -219,11 +221,12 @@
 			list = append(list, machine)
 		}
 	}
-	c.withTasksBelow[rank] = list
+	c.preemptableByRank[rank] = list
 	return list
 }
 
-// lowestRank is the lowest rank of the tasks on a machine that could be stopped.
+// lowestRank returns the lowest rank of the tasks on a machine that are neither stopping nor
+// cancelled.
 func (s *Scheduler) lowestRank(machine *cluster.Machine) int {
 	s.context.Stats.MachinesExamined++
 	s.cycle.tasksExamined += int64(len(machine.Tasks))
@@ -236,15 +239,15 @@
 	return lowest
 }
 
-// What stopping a task costs, in seconds of work.
+// Costs of preempting a task, in seconds of lost work.
 const (
 	runningReplicaCostS  = 240
 	startingReplicaCostS = 30
-	priorityCostS        = 60 // for each step of a replica's priority
+	priorityCostS        = 60 // per priority level of a replica
 	restartCostS         = 10
 )
 
-// preemptionCostS is what stopping a task costs, in seconds of work.
+// preemptionCostS returns the cost of preempting a task, in seconds of lost work.
 func (s *Scheduler) preemptionCostS(t *cluster.Task) float64 {
 	j := t.Job
 	switch {
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -11,18 +11,17 @@
 
 const msPerS = 1000
 
-// lengthWeight is how many seconds a job with a deadline lets others go first for each second
-// that it would take with its team's limit to itself.
-const lengthWeight = 30
+// queueDelayPerRunS is the delay in the queue, in seconds, per second of a job's run time. For a
+// job with a deadline that is the run time with the whole of its team's limit.
+const queueDelayPerRunS = 30
 
-// ranksPerPriority is how many ranks jobs of the same priority can have.
+// ranksPerPriority is the number of ranks within a priority.
 const ranksPerPriority = 3
 
-// maxTasksAtOnce bounds how many tasks of a job could run at a time.
-const maxTasksAtOnce = 1 << 30
+// maxConcurrentTasks bounds the number of tasks of a job that could run concurrently.
+const maxConcurrentTasks = 1 << 30
 
-// queue returns the jobs that wait: by priority, then those within their team's guarantee,
-// then by age.
+// queue returns the waiting jobs in scheduling order: by rank, then by queuedAtMs.
 func (s *Scheduler) queue() []*cluster.Job {
 	requested := map[*cluster.Team]resources.Amount{}
 	var waiting []*cluster.Job
@@ -52,8 +51,8 @@
 	return waiting
 }
 
-// countFinite counts what work that ends by itself takes of its team's limit, and what waits
-// of it.
+// countFinite adds the running and the waiting tasks of a finite job (an array or a gang) to
+// its team's totals.
 func countFinite(j *cluster.Job) {
 	if j.Kind == protocol.Service {
 		return
@@ -63,31 +62,34 @@
 	j.Team.FiniteWaiting = j.Team.FiniteWaiting.Plus(j.Request.Times(waiting))
 }
 
-// queuedAtMs orders jobs of the same rank: by age, but of those with deadlines the short go
-// before the long. Where a team's limit lets too little run, all would be a little late
-// otherwise; and since age counts as well, the longest have their turn too.
+// queuedAtMs returns the time by which jobs of equal rank are ordered, earliest first. It is the
+// time at which the job became ready, and for a job with a deadline also a delay in proportion
+// to its run time, so that short jobs precede long ones. Without the delay, all jobs of a team
+// with a tight limit would be slightly late. Since age counts as well, long jobs are not
+// starved.
 //
-// A job of a pipeline yields to none for its length. It is queued since its last prerequisite
-// is done, or since it has to begin for a deadline further on, if that is earlier.
+// A job in a pipeline is not delayed. It is ordered by the time at which its last prerequisite
+// completed, or by its latest start for a deadline further down the pipeline, if that is
+// earlier.
 func (s *Scheduler) queuedAtMs(j *cluster.Job) int64 {
 	if j.Prerequisites.Node != nil {
 		return min(j.ReadyMs, j.Prerequisites.Node.LatestStartMs())
 	}
 	if j.BestEffort() {
-		// Best-effort teams have only what is left: of their work the short goes first, so
-		// that a few long arrays don't keep many small jobs waiting.
-		return j.ReadyMs + int64(s.state.ExpectedRunS(j)*lengthWeight*msPerS)
+		// Best-effort teams only have the resources that others leave idle. Short jobs go first
+		// so that a few long arrays don't keep many small jobs waiting.
+		return j.ReadyMs + int64(s.state.ExpectedRunS(j)*queueDelayPerRunS*msPerS)
 	}
 	if j.DeadlineS == 0 {
 		return j.ReadyMs
 	}
-	atOnce := max(1, j.Request.CountIn(j.Team.Limit(), maxTasksAtOnce))
+	atOnce := max(1, j.Request.CountIn(j.Team.Limit(), maxConcurrentTasks))
 	alone := s.state.ExpectedRunS(j) * float64(j.Tasks-j.DoneTasks) / float64(atOnce)
-	return j.ReadyMs + int64(alone*lengthWeight*msPerS)
+	return j.ReadyMs + int64(alone*queueDelayPerRunS*msPerS)
 }
 
-// rank is a job's standing: its priority, and among equals whether its team's guarantee covers
-// it, then whether its team has one.
+// rank returns a job's scheduling rank. Jobs are ranked by priority, then by whether their
+// team's guarantee covers them, then by whether their team has a guarantee at all.
 func rank(j *cluster.Job) int {
 	base := ranksPerPriority * int(j.EffectivePriority())
 	switch {
--- a/internal/scheduling/queue_test.go
+++ b/internal/scheduling/queue_test.go
@@ -14,9 +14,9 @@
 	"oakpick/internal/timing"
 )
 
-// A job waits long for what it needs: its times count from the end of the last of these, but
-// for its deadline, which counts from its submission.
-func TestTimesOfAJobBeginWithItsLastPrerequisite(t *testing.T) {
+// A job's times count from the completion of its last prerequisite, however long that takes.
+// Only its deadline counts from its submission.
+func TestJobTimesCountFromLastPrerequisite(t *testing.T) {
 	const submittedMs, doneMs, blockTasks = 1000, 90_000, 64
 	for _, c := range []struct {
 		name      string
@@ -24,8 +24,8 @@
 		queuedAt  int64
 	}{
 		{"no deadline", 0, doneMs},
-		{"there is time enough", 500, doneMs},
-		{"it had to begin before", 60, submittedMs + 60_000 - 8_000},
+		{"deadline far off", 500, doneMs},
+		{"latest start before the prerequisite's end", 60, submittedMs + 60_000 - 8_000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			context := step.NewContext(1, time.Hour)
@@ -45,7 +45,7 @@
 			endJob(t, context, store, manager, first)
 
 			if last.Blocked() || last.ReadyMs != doneMs || last.Placement.IdleSince != context.Monotonic() {
-				t.Errorf("blocked %t, its times count from %d ms", last.Blocked(), last.ReadyMs)
+				t.Errorf("blocked: %t; times count from %d ms", last.Blocked(), last.ReadyMs)
 			}
 			if got := s.queuedAtMs(last); got != c.queuedAt {
 				t.Errorf("queued as of %d ms, not %d", got, c.queuedAt)
@@ -54,7 +54,7 @@
 	}
 }
 
-// endJob has a job of one task done, and its end durable.
+// endJob completes a job of one task and makes its end durable.
 func endJob(t *testing.T, context *step.Context, store *storage.Store, manager *jobs.Manager, j *cluster.Job) {
 	t.Helper()
 	store.MarkDirty(context.Monotonic(), j.Blocks[0], nil)
--- a/internal/scheduling/quota.go
+++ b/internal/scheduling/quota.go
@@ -9,13 +9,13 @@
 	"oakpick/internal/resources"
 )
 
-// finiteShare is the part of a team's limit that is left to work that ends, as long as such
-// work waits: services, which don't end, would keep it waiting for good.
+// finiteShare is the share of a team's limit that is reserved for finite jobs (arrays and
+// gangs) while any of them wait. Services don't end by themselves and could starve them.
 const finiteShare = 0.4
 
-// reservedFrom is what of its team's limit a job may not take: what is promised to others,
-// and from services what is left to work that ends.
-func reservedFrom(j *cluster.Job) resources.Amount {
+// reservedQuota returns the part of its team's limit that a job may not use: the amount
+// promised to other jobs and, for services, the amount reserved for finite jobs.
+func reservedQuota(j *cluster.Job) resources.Amount {
 	t := j.Team
 	reserved := t.Promised
 	if j.Kind == protocol.Service {
@@ -25,11 +25,11 @@
 	return reserved
 }
 
-// withinLimit is how many more tasks the team's limit lets a job start, at most so many.
-func withinLimit(j *cluster.Job, most int) int {
+// tasksWithinLimit returns how many more tasks of a job the team's limit allows, up to most.
+func tasksWithinLimit(j *cluster.Job, most int) int {
 	t := j.Team
 	left := resources.Unlimited()
-	reserved := reservedFrom(j)
+	reserved := reservedQuota(j)
 	if t.CPULimit > 0 {
 		left.CPUs = t.CPULimit - t.Used.CPUs - reserved.CPUs
 	}
@@ -39,9 +39,9 @@
 	return j.Request.CountIn(left, most)
 }
 
-// shortage is what a team's limit lacks for so many tasks of a job, whatever is promised
-// already.
-func shortage(j *cluster.Job, tasks int) resources.Amount {
+// limitShortfall returns the amount by which a team would exceed its limit with so many more
+// tasks of a job, counting the amounts promised to jobs but not those of stopping tasks.
+func limitShortfall(j *cluster.Job, tasks int) resources.Amount {
 	t := j.Team
 	total := t.Used.Plus(t.Promised).Plus(j.Request.Times(float64(tasks))).Minus(t.Stopping)
 	lack := resources.Amount{}
@@ -54,16 +54,16 @@
 	return lack
 }
 
-// isNothing reports whether an amount is none, but for rounding.
-func isNothing(a resources.Amount) bool { return a.FitsIn(resources.Amount{}) }
+// isZero reports whether an amount is zero, within rounding error.
+func isZero(a resources.Amount) bool { return a.FitsIn(resources.Amount{}) }
 
-// preemptWithinLimit stops tasks of a team that is at its limit, so that its jobs of higher
-// priority need not wait for those of lower to end by themselves. What is about to be left is
-// promised to the job: nothing later in the queue takes it.
-func (s *Scheduler) preemptWithinLimit(j *cluster.Job, tasks int) {
+// preemptWithinTeam preempts tasks of a team that is at its limit, so that its jobs of higher
+// priority need not wait until those of lower priority end. The freed part of the limit is
+// promised to the job, so that no job later in the queue uses it.
+func (s *Scheduler) preemptWithinTeam(j *cluster.Job, tasks int) {
 	t := j.Team
-	highest, known := s.cycle.nothingBelow[t]
-	if !isNothing(shortage(j, tasks)) && (!known || rank(j) > highest) {
+	highest, known := s.cycle.noVictimsUpToRank[t]
+	if !isZero(limitShortfall(j, tasks)) && (!known || rank(j) > highest) {
 		s.preemptTeamTasks(j, tasks)
 	}
 	for ; tasks > 0 && t.Promised.Plus(j.Request).FitsIn(t.Stopping); tasks-- {
@@ -71,24 +71,25 @@
 	}
 }
 
-// preemptTeamTasks stops tasks of the job's team until its limit lets so many of the job
-// start: what doesn't run yet first, then what costs least, the latest first.
+// preemptTeamTasks preempts tasks of the job's team until its limit allows so many tasks of the
+// job to start. Victims are taken by ascending priority, then those not running yet, then by
+// ascending cost, then the most recently started.
 func (s *Scheduler) preemptTeamTasks(j *cluster.Job, tasks int) {
 	t := j.Team
-	victims := s.teamTasksBelow(j)
+	victims := s.preemptableTeamTasks(j)
 	if len(victims) == 0 {
-		s.cycle.nothingBelow[t] = rank(j)
+		s.cycle.noVictimsUpToRank[t] = rank(j)
 	}
 	slices.SortStableFunc(victims, func(a, b *cluster.Task) int {
 		return cmp.Or(cmp.Compare(a.Job.EffectivePriority(), b.Job.EffectivePriority()), cmp.Compare(min(0, a.RanSince), min(0, b.RanSince)),
 			cmp.Compare(s.preemptionCostS(a), s.preemptionCostS(b)), cmp.Compare(b.RanSince, a.RanSince))
 	})
 	for _, victim := range victims {
-		if isNothing(shortage(j, tasks)) {
+		if isZero(limitShortfall(j, tasks)) {
 			return
 		}
 		if victim.Stopping || !victim.Active() {
-			continue // with the gang that it was of
+			continue // stopped together with its gang
 		}
 		rest := t.FiniteUsed.Minus(victim.Job.Request)
 		if t.GPULimit > 0 && rest.GPUs < t.GPULimit*finiteShare || t.CPULimit > 0 && rest.CPUs < t.CPULimit*finiteShare {
@@ -96,12 +97,12 @@
 		}
 		t.FiniteUsed = rest
 		s.context.Stats.TasksPreempted++
-		s.jobs.Preempt(victim, "its team's limit is needed for "+j.ID)
+		s.jobs.Preempt(victim, "team limit needed for "+j.ID)
 	}
 }
 
-// teamTasksBelow are the tasks of a job's team that may be stopped for it.
-func (s *Scheduler) teamTasksBelow(j *cluster.Job) []*cluster.Task {
+// preemptableTeamTasks returns the tasks of a job's team that may be preempted for it.
+func (s *Scheduler) preemptableTeamTasks(j *cluster.Job) []*cluster.Task {
 	var tasks []*cluster.Task
 	for _, other := range s.state.JobOrder {
 		if other.Team != j.Team || other.EffectivePriority() >= j.EffectivePriority() || other.Lifecycle.Ended || other.Cancelled ||
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -1,7 +1,7 @@
-// Package scheduling decides which waiting tasks start where, and which tasks are stopped for
-// others. It works in cycles: the jobs that wait are sorted, and tasks are placed one job after
-// the other, within the quotas of their teams. What finds no place is left to package
-// autoscaling.
+// Package scheduling assigns waiting tasks to machines and preempts running tasks in favor of
+// others. It runs in cycles. Each cycle sorts the waiting jobs and places their tasks, job by
+// job, within the quotas of their teams. Package autoscaling provisions machines for the tasks
+// that could not be placed.
 package scheduling
 
 import (
@@ -18,16 +18,16 @@
 	"oakpick/internal/timing"
 )
 
-// Leadership is what the scheduler has to know of the term.
+// Leadership is the scheduler's view of the leader's term.
 type Leadership interface {
-	// Token is the fencing token.
+	// Token returns the fencing token.
 	Token() int64
 }
 
-// Options are the figures that operators may change.
+// Options are the scheduler's tunable parameters.
 type Options struct {
-	SampleSize         int     // machines compared for a task
-	MaxPreemptionCostS float64 // seconds of work that stopping tasks for another may cost
+	SampleSize         int     // number of candidate machines compared for each task
+	MaxPreemptionCostS float64 // upper bound on the cost of preempting tasks for one task, in seconds of lost work
 }
 
 // Scheduler places the tasks of a cluster.
@@ -40,22 +40,23 @@
 	leadership Leadership
 	options    Options
 
-	zones          []string
-	startObjective map[string]float64 // seconds within which a class's tasks should start
+	zones           []string
+	startObjectiveS map[string]float64 // start-time objective in seconds, by workload class
 
 	cycle       cycle
 	nextCycleAt time.Duration
 	unplaced    []Unplaced
 }
 
-// Unplaced is a job of which some tasks have found no place in the last cycle.
+// Unplaced is a job with tasks that could not be placed in the last cycle.
 type Unplaced struct {
 	Job *cluster.Job
-	// Tasks is for how many of them there would be quota; 0: none may start for another reason.
+	// Tasks is the number of unplaced tasks that the team's limit allows to start. It is 0 if
+	// the job may not start any for another reason, such as a backoff after failures.
 	Tasks int
 }
 
-// startObjectiveKind is the kind of objectives on the time until a task starts.
+// startObjectiveKind is the kind of objective that bounds the time until a task starts.
 const startObjectiveKind = "wait"
 
 // New returns the scheduler of a cluster.
@@ -65,25 +66,26 @@
 ) *Scheduler {
 	s := &Scheduler{
 		context: context, state: state, store: store, jobs: jobs, timing: timing, leadership: leadership, options: options,
-		zones: settings.Zones, startObjective: map[string]float64{},
+		zones: settings.Zones, startObjectiveS: map[string]float64{},
 	}
 	for _, objective := range settings.Objectives {
 		if objective.Kind == startObjectiveKind {
-			s.startObjective[objective.Class] = objective.WithinS
+			s.startObjectiveS[objective.Class] = objective.WithinS
 		}
 	}
 	return s
 }
 
-// SetOptions puts figures in force.
+// SetOptions replaces the options.
 func (s *Scheduler) SetOptions(options Options) { s.options = options }
 
-// Unplaced are the jobs of which some tasks found no place in the last cycle.
+// Unplaced returns the jobs with tasks that could not be placed in the last cycle.
 func (s *Scheduler) Unplaced() []Unplaced { return s.unplaced }
 
-// RunIfDue runs a scheduling cycle if something has changed that may let a task start, and
-// the last one is long enough ago. The more is unschedulable, the more a cycle takes, and the
-// less it matters that the next is a little later.
+// RunIfDue runs a scheduling cycle if a change in the state may allow a task to start and the
+// backoff after the last cycle has elapsed. The backoff grows with the number of unschedulable
+// jobs and with the number of machines examined, since these make cycles more expensive and a
+// delay less relevant.
 func (s *Scheduler) RunIfDue() {
 	now := s.context.Monotonic()
 	if !s.state.NeedsScheduling || now < s.nextCycleAt {
@@ -96,7 +98,7 @@
 	s.nextCycleAt = now + time.Duration(len(s.unplaced))*times.UnschedulableBackoff + examination
 }
 
-// runCycle places what waits, in order, and frees room for what may take it.
+// runCycle places the waiting tasks in queue order, and preempts tasks for jobs that may do so.
 func (s *Scheduler) runCycle() {
 	examinedBefore := s.context.Stats.MachinesExamined
 	s.cycle.tasksExamined = 0
@@ -115,7 +117,7 @@
 func (s *Scheduler) scheduleJob(j *cluster.Job) {
 	switch {
 	case s.context.Monotonic() < j.Placement.NotBefore || s.attemptsAllowed(j, j.IdleTasks()) == 0:
-		s.noteUnplaced(j, 0)
+		s.recordUnplaced(j, 0)
 	case j.Kind == protocol.Gang:
 		s.scheduleGang(j)
 	default:
@@ -123,7 +125,7 @@
 	}
 }
 
-// scheduleTasks places the tasks of a job that start independently of each other.
+// scheduleTasks places the tasks of a job whose tasks start independently of each other.
 func (s *Scheduler) scheduleTasks(j *cluster.Job) {
 	idle := s.attemptsAllowed(j, j.IdleTasks())
 	awaiting := j.TasksAwaitingRecord(idle)
@@ -131,24 +133,24 @@
 	idle -= awaiting
 	idle -= s.placeTasks(j, idle, perZone)
 	if j.Failures.JobAtFault {
-		s.noteFailingUnplaced(j, min(idle, 1))
+		s.recordFailingUnplaced(j, min(idle, 1))
 		return
 	}
-	left := withinLimit(j, idle)
+	left := tasksWithinLimit(j, idle)
 	if left+awaiting > 0 {
-		s.noteUnplaced(j, withinLimit(j, idle+awaiting))
+		s.recordUnplaced(j, tasksWithinLimit(j, idle+awaiting))
 	}
 	if left > 0 {
-		s.makeRoom(j, left, perZone)
+		s.reserveOrPreempt(j, left, perZone)
 	}
 	if left < idle {
-		s.preemptWithinLimit(j, idle-left)
+		s.preemptWithinTeam(j, idle-left)
 	}
 }
 
-// placeTasks places as many tasks as find a machine, and returns how many did.
+// placeTasks places up to idle tasks of a job and returns the number that it placed.
 func (s *Scheduler) placeTasks(j *cluster.Job, idle int, perZone map[string]int) (placed int) {
-	for placed < idle && j.Team.Allows(j.Request.Plus(reservedFrom(j))) {
+	for placed < idle && j.Team.Allows(j.Request.Plus(reservedQuota(j))) {
 		machine := s.chooseMachine(j, perZone)
 		if machine == nil {
 			break
@@ -160,28 +162,28 @@
 		s.context.Log(message.Debug, "task placed", "job", j.ID, "class", j.Class, "task", index, "machine", machine.Name,
 			"image", j.Image, "fetch_s", s.state.FetchTimeS(j, machine))
 		s.jobs.Start(j, index, machine, nil)
-		s.noteAttempt(j)
+		s.recordAttempt(j)
 		assign(machine, j, perZone)
 		placed++
 	}
 	return placed
 }
 
-// assign takes a task's room on a machine for the rest of the cycle.
+// assign subtracts a task's request from a machine's free resources for the rest of the cycle.
 func assign(machine *cluster.Machine, j *cluster.Job, perZone map[string]int) {
 	machine.ProjectedFree = machine.ProjectedFree.Minus(j.Request)
 	perZone[machine.Zone]++
 }
 
-func (s *Scheduler) noteUnplaced(j *cluster.Job, tasks int) {
+func (s *Scheduler) recordUnplaced(j *cluster.Job, tasks int) {
 	s.unplaced = append(s.unplaced, Unplaced{j, tasks})
 }
 
-// silentHeartbeats is after how many heartbeat intervals without one nothing is placed on a
-// machine.
-const silentHeartbeats = 2.5
+// maxSilentHeartbeats is the number of heartbeat intervals without a heartbeat after which a
+// machine is given no more tasks.
+const maxSilentHeartbeats = 2.5
 
-// Schedulable reports whether a machine can be given tasks.
+// Schedulable reports whether tasks may be placed on a machine.
 func (s *Scheduler) Schedulable(machine *cluster.Machine) bool {
 	worker, provisioning := &machine.Worker, &machine.Provisioning
 	switch {
@@ -192,11 +194,11 @@
 	case machine.Health.Cordoned || s.context.Monotonic() < machine.Health.AvoidUntil:
 		return false
 	}
-	silentLimit := time.Duration(silentHeartbeats * float64(s.timing.Workers.HeartbeatInterval))
+	silentLimit := time.Duration(maxSilentHeartbeats * float64(s.timing.Workers.HeartbeatInterval))
 	return s.context.SilentFor(worker.HeardAt) < silentLimit && machine.Commands.UnconfirmedToken < s.leadership.Token()
 }
 
-// fits reports whether a task may go to a machine that has so much room.
+// fits reports whether a task may be placed on a machine that has the given free resources.
 func (s *Scheduler) fits(j *cluster.Job, machine *cluster.Machine, room resources.Amount, perZone map[string]int) bool {
 	return j.Request.FitsIn(room) && s.Schedulable(machine) && j.AllowedOn(machine.Offering()) && j.AllowsZone(machine.Zone, perZone)
 }
