--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -124,14 +124,14 @@
 	return nil
 }
 
-// chooseVictims returns the cheapest set of tasks on one machine whose preemption allows a task
-// of the job to fit there.
+// chooseVictims returns the cheapest set of tasks found on one machine whose preemption allows a
+// task of the job to fit there. It returns none if the cost exceeds MaxPreemptionCostS.
 func (s *Scheduler) chooseVictims(p *preemptionSearch, perZone map[string]int, first bool) (*cluster.Machine, []*cluster.Task) {
 	j := p.job
 	c := preemptionClass{s.RequestClass(j), rank(j), j.Placement.WithinQuota, j.Team}
 	// Free resources only shrink within a cycle, so a failed search holds for every job of the
-	// same class. A search that depends on the job itself is not cached: one under zone limits,
-	// and one after the first task, which depends on the resources reserved for the others.
+	// same class. A search whose result depends on the job itself is not cached: one under zone
+	// limits, and one for a task after the first, for which resources are already reserved.
 	isCacheable := first && !j.Spread && !j.OneZone && !j.Failures.JobAtFault
 	if isCacheable && s.cycle.preemptionFailed[c] {
 		return nil, nil
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -63,10 +63,10 @@
 }
 
 // queuedAtMs returns the time by which jobs of equal rank are ordered, earliest first. It is the
-// time at which the job became ready, and for a job with a deadline also a delay in proportion
-// to its run time, so that short jobs precede long ones. Without the delay, all jobs of a team
-// with a tight limit would be slightly late. Since age counts as well, long jobs are not
-// starved.
+// time at which the job became ready. A job that has a deadline or belongs to a best-effort team
+// is delayed in proportion to its run time, so that short jobs precede long ones. Without the
+// delay, all jobs of a team with a tight limit would be slightly late. Since age counts as well,
+// long jobs are not starved.
 //
 // A job in a pipeline is not delayed. It is ordered by the time at which its last prerequisite
 // completed, or by its latest start for a deadline further down the pipeline, if that is
