--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -1,7 +1,7 @@
-// Package autoscaling scales the fleet of machines out and in: it reads the cloud's offerings
-// and inventory, plans which machines what waits needs, provisions those that are missing, and
-// releases those that nothing needs. Requests to the cloud are recorded before they are sent,
-// so that a successor repeats them under the same name.
+// Package autoscaling scales the fleet of machines out and in. It reads the cloud's offerings
+// and inventory, plans which machines the waiting tasks need, provisions the missing ones and
+// releases those that are not needed. Provisioning requests are recorded before they are sent,
+// so that a new leader can repeat them with the same request ID.
 package autoscaling
 
 import (
@@ -20,16 +20,17 @@
 	"oakpick/internal/timing"
 )
 
-// Leadership is what the autoscaler has to know of the term.
+// Leadership is the autoscaler's view of the leader's term.
 type Leadership interface {
-	// LeaseUntil is until when the leader's lease certainly lasts.
+	// LeaseUntil returns the time until which the leader is certain to hold its lease.
 	LeaseUntil() time.Duration
-	// FirstToken is the fencing token with which the term began, LeadingSince when it did.
+	// FirstToken returns the fencing token with which the term began, and LeadingSince the time
+	// at which it began.
 	FirstToken() int64
 	LeadingSince() time.Duration
 }
 
-// Scheduler is what the autoscaler asks the scheduler.
+// Scheduler is the part of the scheduler that the autoscaler uses.
 type Scheduler interface {
 	Unplaced() []scheduling.Unplaced
 	Schedulable(machine *cluster.Machine) bool
@@ -40,13 +41,13 @@
 	WorthProvisioning(j *cluster.Job, o cluster.Offering) bool
 }
 
-// Options are the figures that operators may change.
+// Options are the autoscaler's tunable parameters.
 type Options struct {
-	IdleS         float64 // seconds that an empty machine is kept; 0: its type's boot time
-	WarmRoom      float64 // how much room is kept free, in standard deviations of the arrivals
-	GiveUpBoots   float64 // for how many boot times a machine is waited for
-	FailoverWaitS float64 // seconds that a new leader lets inherited machines report first
-	MovesPerMin   float64 // replicas moved a minute, at most
+	IdleS         float64 // seconds that an empty machine is kept; 0 stands for its type's boot time
+	WarmRoom      float64 // spare capacity kept for arrivals, in standard deviations of their number
+	GiveUpBoots   float64 // multiple of the boot time after which a machine that isn't up is released
+	FailoverWaitS float64 // seconds that a new leader waits for inherited machines to report
+	MovesPerMin   float64 // upper bound on replicas moved per minute
 }
 
 // Autoscaler scales the machines of a cluster.
@@ -62,16 +63,16 @@
 	cloud      cloudClient
 	settings   config.Cloud
 
-	typesAt       time.Duration // when the machine types are read next; 0: at once
+	nextTypesAt   time.Duration // when the machine types are read next; 0 means immediately
 	inventory     inventory
 	requests      []*provisioningRequest
 	requestCount  int
-	outOfCapacity map[cluster.Offering]time.Duration // until when the cloud has none
+	outOfCapacity map[cluster.Offering]time.Duration // until when an offering is not requested again
 
-	ready      bool // the wait after the failover is over
-	planAt     time.Duration
-	summaryAt  time.Duration // when the fleet is next summed up in the log
-	nextMoveAt time.Duration // of a replica
+	failoverWaitDone bool // the wait for inherited machines has ended
+	nextPlanAt       time.Duration
+	nextSummaryAt    time.Duration // when the next summary of the fleet is logged
+	nextMoveAt       time.Duration // when the next replica may be moved
 }
 
 // New returns the autoscaler of a cluster.
@@ -83,39 +84,39 @@
 		context: context, state: state, store: store, jobs: jobs, scheduler: scheduler, timing: timing, leadership: leadership,
 		options: options, settings: settings, outOfCapacity: map[cluster.Offering]time.Duration{},
 		cloud: cloudClient{
-			budget:   rate.NewLimiter(rate.Limit(settings.RPS*budgetShare), max(1, int(settings.RPS))),
+			limiter:  rate.NewLimiter(rate.Limit(settings.RPS*requestRateShare), max(1, int(settings.RPS))),
 			inFlight: map[uint64]cloudCall{},
 		},
 	}
 }
 
-// SetOptions puts figures in force.
+// SetOptions replaces the options.
 func (a *Autoscaler) SetOptions(options Options) { a.options = options }
 
-// Ratios of the autoscaler's times to those of workers.
+// Intervals of the autoscaler, relative to the workers' heartbeat interval and lease.
 const (
-	planShare       = 6 // plans in a heartbeat interval
-	typesLeases     = 2 // worker leases between reads of the machine types
-	summaryLeases   = 5 // worker leases between summaries in the log
-	capacityLeases  = 2 // worker leases for which an offering counts as out of capacity
-	cloudRetryShare = 3 // retries in a heartbeat interval
+	plansPerHeartbeat        = 6 // plans per heartbeat interval
+	typesIntervalLeases      = 2 // worker leases between reads of the machine types
+	summaryIntervalLeases    = 5 // worker leases between summaries in the log
+	outOfCapacityLeases      = 2 // worker leases for which an offering counts as out of capacity
+	cloudRetriesPerHeartbeat = 3 // retries of cloud requests per heartbeat interval
 )
 
-// Tick does what time calls for: reads, requests, and the plan.
+// Tick makes the periodic reads and requests that are due, and runs the plan.
 func (a *Autoscaler) Tick() {
 	now := a.context.Monotonic()
-	if now < a.planAt {
+	if now < a.nextPlanAt {
 		return
 	}
-	a.planAt = now + a.timing.HeartbeatInterval/planShare
+	a.nextPlanAt = now + a.timing.HeartbeatInterval/plansPerHeartbeat
 	a.readTypes()
 	a.sendRequests()
 	a.readInventory()
 	if !a.mayScale() {
 		return
 	}
-	if now >= a.summaryAt {
-		a.summaryAt = now + summaryLeases*a.timing.Lease
+	if now >= a.nextSummaryAt {
+		a.nextSummaryAt = now + summaryIntervalLeases*a.timing.Lease
 		a.logSummary()
 	}
 	a.state.NeedsScheduling = a.state.NeedsScheduling || len(a.scheduler.Unplaced()) > 0
@@ -123,57 +124,58 @@
 	a.scaleIn(needed)
 }
 
-// mayScale reports whether enough is known to change the fleet. A new leader lets the machines
-// that it has inherited report first. One that has found none needn't wait, nor for those that
-// it provisions itself. After a pause of the process the machines have had no time to report.
+// mayScale reports whether enough is known to change the fleet. A new leader first gives the
+// machines that it inherited time to report. It doesn't wait if it inherited none, nor for
+// machines that it provisions itself. After a pause of the process the machines also need time
+// to report.
 func (a *Autoscaler) mayScale() bool {
 	now := a.context.Monotonic()
 	if len(a.state.Catalog.Types) == 0 || a.inventory.listsRead == 0 {
 		return false
 	}
 	inherited := now < a.leadership.LeadingSince()+config.Seconds(a.options.FailoverWaitS) && len(a.state.Machines) > 0
-	if !a.ready && inherited {
+	if !a.failoverWaitDone && inherited {
 		return false
 	}
 	if a.context.Pauses.Within(now, a.timing.SilentAfter) {
 		return false
 	}
-	a.ready = true
+	a.failoverWaitDone = true
 	return true
 }
 
-// readTypes reads the machine types if that is due.
+// readTypes requests the machine types if a read is due.
 func (a *Autoscaler) readTypes() {
 	now := a.context.Monotonic()
-	if a.typesAt != 0 && now <= a.typesAt {
+	if a.nextTypesAt != 0 && now <= a.nextTypesAt {
 		return
 	}
 	if !a.send(message.CloudCall{Op: message.CloudListTypes}, cloudCall{}) {
 		return
 	}
-	a.typesAt = now + typesLeases*a.timing.Lease
+	a.nextTypesAt = now + typesIntervalLeases*a.timing.Lease
 	if len(a.state.Catalog.Types) == 0 {
-		a.typesAt = now + a.timing.HeartbeatInterval
+		a.nextTypesAt = now + a.timing.HeartbeatInterval
 	}
 }
 
-// KnowsTypes reports whether the machine types were read.
+// KnowsTypes reports whether the machine types have been read.
 func (a *Autoscaler) KnowsTypes() bool { return len(a.state.Catalog.Types) > 0 }
 
-// HandleCloudResult takes in the cloud's answer.
+// HandleCloudResult processes the result of a request to the cloud.
 func (a *Autoscaler) HandleCloudResult(result message.CloudResult) {
-	call, ok := a.received(result)
+	call, ok := a.completeCall(result)
 	if !ok {
 		return
 	}
 	switch call.op {
 	case message.CloudListTypes:
-		a.typesRead(result)
+		a.handleTypes(result)
 	case message.CloudListMachines:
-		a.machinesListed(result)
+		a.handleMachineList(result)
 	case message.CloudScaleOut:
-		a.provisioned(call.request, result)
+		a.handleScaleOut(call.request, result)
 	case message.CloudScaleIn:
-		a.released(call.machines, result)
+		a.handleScaleIn(call.machines, result)
 	}
 }
--- a/internal/autoscaling/best_effort.go
+++ b/internal/autoscaling/best_effort.go
@@ -5,14 +5,14 @@
 	"oakpick/internal/message"
 )
 
-// releaseFromBestEffort drains machines that are kept for best-effort tasks alone and aren't
-// worth it. Tasks that checkpoint are stopped and go on elsewhere; the others end by
-// themselves.
-func (a *Autoscaler) releaseFromBestEffort(needed map[*cluster.Machine]bool) {
+// drainBestEffortMachines drains machines that run only best-effort tasks and cost more than is
+// worth paying for these. Tasks that checkpoint are preempted and resume elsewhere; the others
+// run to their end.
+func (a *Autoscaler) drainBestEffortMachines(needed map[*cluster.Machine]bool) {
 	for _, unplaced := range a.scheduler.Unplaced() {
 		j := unplaced.Job
 		if unplaced.Tasks > 0 && j.BestEffort() && a.scheduler.Starving(j) {
-			return // it waits for any room, also of such a machine
+			return // the job may use any free resources, also those of such machines
 		}
 	}
 	for _, machine := range a.state.MachinesByName {
@@ -22,19 +22,19 @@
 		if !machine.Provisioning.Draining {
 			machine.Provisioning.Draining = true
 			a.context.Log(message.Info, "machine draining", "machine", machine.Name, "type", machine.Type, "tasks", len(machine.Tasks),
-				"reason", "only best-effort teams use it")
+				"reason", "too expensive for its best-effort tasks")
 		}
 		for _, t := range machine.Tasks {
 			if t.Job.Checkpoints() && !t.Stopping {
-				a.jobs.Preempt(t, "its machine costs more than the work is worth")
-				break // one a plan: what it leaves is seen before the next
+				a.jobs.Preempt(t, "machine too expensive for best-effort tasks")
+				break // one task per plan, so that the next plan sees the freed resources
 			}
 		}
 	}
 }
 
-// onlyBestEffort reports whether a machine has tasks, all of best-effort teams for which it
-// isn't worth provisioning.
+// onlyBestEffort reports whether a machine has tasks, and all of them belong to best-effort jobs
+// that it isn't worth provisioning for.
 func (a *Autoscaler) onlyBestEffort(machine *cluster.Machine) bool {
 	if !machine.Worker.Registered || len(machine.Tasks) == 0 || machine.GuaranteedTasks > 0 || a.state.Catalog.Type(machine.Type) == nil {
 		return false
--- a/internal/autoscaling/cloud.go
+++ b/internal/autoscaling/cloud.go
@@ -10,37 +10,38 @@
 	"oakpick/internal/rpc"
 )
 
-// budgetShare is the part of the cloud's request rate that is used.
-const budgetShare = 0.8
+// requestRateShare is the share of the cloud's request rate limit that is used.
+const requestRateShare = 0.8
 
-// cloudClient paces the requests to the cloud.
+// cloudClient limits the rate and the number of concurrent requests to the cloud.
 type cloudClient struct {
-	budget       *rate.Limiter
+	limiter      *rate.Limiter
 	inFlight     map[uint64]cloudCall
-	backoffUntil time.Duration // no requests before, after trouble
+	backoffUntil time.Duration // no requests are sent before this time after a failed one
 }
 
-// cloudCall is a request in flight.
+// cloudCall is a request that is in flight.
 type cloudCall struct {
 	op       message.CloudOp
-	request  *provisioningRequest // of a scale-out
-	machines []string             // of a scale-in
+	request  *provisioningRequest // scale-out only
+	machines []string             // scale-in only
 }
 
-// send sends a request to the cloud, if it may take one now.
+// send sends a request to the cloud and reports whether the limits and the leader's lease
+// permitted it.
 func (a *Autoscaler) send(call message.CloudCall, inFlight cloudCall) bool {
 	c := &a.cloud
 	changesFleet := call.Op == message.CloudScaleOut || call.Op == message.CloudScaleIn
 	if changesFleet && a.context.Monotonic() >= a.leadership.LeaseUntil() {
-		return false // it could only be sent without a bound in time
+		return false // without a lease there is no time by which the request has to be sent
 	}
-	if a.context.Monotonic() < c.backoffUntil || len(c.inFlight) >= config.CloudConnections || !c.budget.AllowN(a.context.Now.LimiterTime(), 1) {
+	if a.context.Monotonic() < c.backoffUntil || len(c.inFlight) >= config.CloudConnections || !c.limiter.AllowN(a.context.Now.LimiterTime(), 1) {
 		return false
 	}
 	call.ID = a.context.NextID()
 	if changesFleet {
-		// The process may be paused between here and the sending. A machine that looks idle
-		// now may have another leader's tasks by then.
+		// The process may be paused before the request is sent. By the time it resumes, another
+		// leader may have placed tasks on a machine that looks idle now.
 		call.NotAfter = a.leadership.LeaseUntil()
 	}
 	inFlight.op = call.Op
@@ -49,8 +50,8 @@
 	return true
 }
 
-// received finds the request that a result belongs to.
-func (a *Autoscaler) received(result message.CloudResult) (cloudCall, bool) {
+// completeCall removes and returns the request in flight that a result belongs to.
+func (a *Autoscaler) completeCall(result message.CloudResult) (cloudCall, bool) {
 	c := &a.cloud
 	call, ok := c.inFlight[result.ID]
 	if !ok {
@@ -58,15 +59,15 @@
 	}
 	delete(c.inFlight, result.ID)
 	if result.Outcome == rpc.Refused || result.Outcome == rpc.Unknown || result.Outcome == rpc.NotSent {
-		c.backoffUntil = a.context.Monotonic() + a.timing.HeartbeatInterval/cloudRetryShare
+		c.backoffUntil = a.context.Monotonic() + a.timing.HeartbeatInterval/cloudRetriesPerHeartbeat
 	}
 	return call, true
 }
 
-// CallsInFlight is how many requests have had no result yet.
+// CallsInFlight returns the number of requests without a result.
 func (a *Autoscaler) CallsInFlight() int { return len(a.cloud.inFlight) }
 
-func (a *Autoscaler) typesRead(result message.CloudResult) {
+func (a *Autoscaler) handleTypes(result message.CloudResult) {
 	if result.Outcome == rpc.OK && len(result.Types) > 0 {
 		a.state.Catalog.Update(result.Types)
 		a.state.NeedsScheduling = true
--- a/internal/autoscaling/consolidation.go
+++ b/internal/autoscaling/consolidation.go
@@ -13,55 +13,56 @@
 )
 
 const (
-	// drainShare is the part of the machines that are drained at a time.
-	drainShare = 16
-	// moveShare is the part of the replicas that may be moved in a minute.
-	moveShare = 4
-	// drainAttempts is how many machines a plan examines closely, at most.
-	drainAttempts = 8
-	// maxMovePriceRatio is how many times as much a task's place may cost on the machine that
-	// it is moved to.
+	// drainDivisor limits the machines drained at a time to their number divided by this, plus one.
+	drainDivisor = 16
+	// moveDivisor limits the replicas moved per minute to their number divided by this.
+	moveDivisor = 4
+	// maxDrainAttempts is the number of drain candidates that a plan checks at most.
+	maxDrainAttempts = 8
+	// maxMovePriceRatio limits the price per task on the machine that a replica is moved to, as
+	// a multiple of the price on its present machine.
 	maxMovePriceRatio = 2
-	// excessExponent is how much more it counts how dear a machine is than what it costs.
-	excessExponent = 3
-	// drainBaseTasks is how many tasks more than it has a machine counts with as a candidate.
+	// priceExcessExponent weights how far a machine's price per task exceeds the lowest one
+	// against the machine's own price when drain candidates are ranked.
+	priceExcessExponent = 3
+	// drainBaseTasks is added to a machine's number of tasks when drain candidates are ranked.
 	drainBaseTasks = 2
-	// Of a worker lease, how often a machine is examined again that can't be drained, or from
-	// which nothing can be moved yet.
-	drainRetryShare, moveRetryShare = 2, 16
+	// A worker lease divided by these is the time until a machine is examined again that can't
+	// be drained, or from which nothing can be moved yet.
+	drainRetryDivisor, moveRetryDivisor = 2, 16
 )
 
-// consolidate moves replicas off machines that cost more than they are worth, so that they can
-// be released. Only replicas are moved, only to machines that are up, have room beyond what is
-// kept free and hold the image, so that a replica is away for no longer than two messages and
-// a write take.
+// consolidate moves replicas off machines that are too expensive for their tasks, so that these
+// machines can be released. It moves only replicas, and only to machines that are up, hold the
+// image and have resources free beyond the warm capacity. A replica is then unavailable for no
+// longer than two messages and a write take.
 func (a *Autoscaler) consolidate(bins []*bin) {
-	if a.roomIsShort() {
-		// What was to be drained is used again.
+	if a.onDemandCapacityShort() {
+		// Draining machines are used again.
 		for _, machine := range a.state.MachinesByName {
 			machine.Provisioning.Draining = false
 		}
 		return
 	}
 	now := a.context.Monotonic()
-	if a.options.MovesPerMin == 0 || now < a.settledAt() {
+	if a.options.MovesPerMin == 0 || now < a.consolidationStart() {
 		return
 	}
 	schedulable, draining := a.countDraining()
-	a.drainSome(bins, 1+schedulable/drainShare-draining)
-	// What wasn't used of the moves allowed is kept for a second.
+	a.startDraining(bins, 1+schedulable/drainDivisor-draining)
+	// Unused moves accumulate for at most a second.
 	a.nextMoveAt = max(a.nextMoveAt, now-time.Second)
-	promised := a.promisedRoom()
-	movesPerMin := min(a.options.MovesPerMin, float64(a.activeReplicas())/moveShare)
+	promised := a.nominatedResources()
+	movesPerMin := min(a.options.MovesPerMin, float64(a.activeReplicas())/moveDivisor)
 	for _, machine := range a.state.MachinesByName {
 		if machine.Provisioning.Draining {
-			a.moveOne(machine, promised, movesPerMin)
+			a.moveReplica(machine, promised, movesPerMin)
 		}
 	}
 }
 
-// roomIsShort reports whether something waits for room on ordinary machines.
-func (a *Autoscaler) roomIsShort() bool {
+// onDemandCapacityShort reports whether tasks wait that need on-demand machines.
+func (a *Autoscaler) onDemandCapacityShort() bool {
 	for _, unplaced := range a.scheduler.Unplaced() {
 		if unplaced.Tasks > 0 && !unplaced.Job.Spot {
 			return true
@@ -70,8 +71,8 @@
 	return false
 }
 
-// settledAt is from when a new leader can have seen what is really idle.
-func (a *Autoscaler) settledAt() time.Duration {
+// consolidationStart returns the time from which a new leader can tell which machines are idle.
+func (a *Autoscaler) consolidationStart() time.Duration {
 	since := a.leadership.LeadingSince()
 	settled := since
 	for i := range a.state.Catalog.Types {
@@ -92,8 +93,8 @@
 	return schedulable, draining
 }
 
-// promisedRoom is the room that replicas on their way have been promised, by machine.
-func (a *Autoscaler) promisedRoom() map[*cluster.Machine]resources.Amount {
+// nominatedResources returns, by machine, the resources promised to replicas being moved there.
+func (a *Autoscaler) nominatedResources() map[*cluster.Machine]resources.Amount {
 	promised := map[*cluster.Machine]resources.Amount{}
 	for _, j := range a.state.JobOrder {
 		if nominated := j.Placement.Nominated; nominated != nil {
@@ -103,8 +104,8 @@
 	return promised
 }
 
-// activeReplicas counts replicas on machines. A move takes one away for about a second: few
-// may be away at a time.
+// activeReplicas counts the replicas on machines. A moved replica is unavailable for about a
+// second, so the rate of moves is limited in proportion to this number.
 func (a *Autoscaler) activeReplicas() int {
 	replicas := 0
 	for _, j := range a.state.JobOrder {
@@ -115,14 +116,14 @@
 	return replicas
 }
 
-// drainCandidate is a machine that could be drained, and what that would save.
+// drainCandidate is a machine that could be drained, with its score from drainSavings.
 type drainCandidate struct {
 	machine *cluster.Machine
-	saves   float64
+	savings float64
 }
 
-// drainSome picks the machines that save most for what has to be moved.
-func (a *Autoscaler) drainSome(bins []*bin, most int) {
+// startDraining starts to drain up to most machines, those with the highest savings first.
+func (a *Autoscaler) startDraining(bins []*bin, most int) {
 	now := a.context.Monotonic()
 	var list []drainCandidate
 	for _, b := range bins {
@@ -130,14 +131,14 @@
 			list = append(list, drainCandidate{b.machine, saves})
 		}
 	}
-	slices.SortStableFunc(list, func(x, y drainCandidate) int { return cmp.Compare(y.saves, x.saves) })
+	slices.SortStableFunc(list, func(x, y drainCandidate) int { return cmp.Compare(y.savings, x.savings) })
 	taken := map[*bin]resources.Amount{}
-	for _, c := range list[:min(len(list), drainAttempts)] {
+	for _, c := range list[:min(len(list), maxDrainAttempts)] {
 		if most <= 0 {
 			return
 		}
 		if !a.reserveMoves(c.machine, bins, taken) {
-			c.machine.Provisioning.DrainRetryAt = now + a.timing.Lease/drainRetryShare
+			c.machine.Provisioning.DrainRetryAt = now + a.timing.Lease/drainRetryDivisor
 			continue
 		}
 		most--
@@ -146,9 +147,10 @@
 	}
 }
 
-// drainSavings is what draining a machine saves for what has to be moved; not ok: it has no
-// replicas, or can't be drained now. Dear types go first even if more has to be moved: the
-// cheap ones may be used up, and are not to be released for a few moves less.
+// drainSavings returns a score of the savings from draining a machine relative to the tasks that
+// have to be moved. ok is false if the machine has no replicas or can't be drained now.
+// Expensive types go first even if more tasks have to be moved: cheap types may run out of
+// capacity, and should not be released just to save a few moves.
 func (a *Autoscaler) drainSavings(b *bin) (saves float64, ok bool) {
 	machine := b.machine
 	if machine == nil || b.used || !a.scheduler.Schedulable(machine) || len(machine.Tasks) == 0 || len(machine.Worker.UnknownTasks) > 0 ||
@@ -161,14 +163,13 @@
 		hasReplicas = hasReplicas || t.Job.Kind == protocol.Service
 	}
 	if !hasReplicas {
-		return 0, false // what is on it ends by itself, and its room is for more of that
+		return 0, false // its tasks end by themselves, and the machine is kept for more of them
 	}
 	tasks := float64(len(machine.Tasks))
-	return a.state.Catalog.Price(b.offering) * math.Pow(excess/tasks, excessExponent) / (drainBaseTasks + tasks), true
+	return a.state.Catalog.Price(b.offering) * math.Pow(excess/tasks, priceExcessExponent) / (drainBaseTasks + tasks), true
 }
 
-// lowestPricePerTask is the least that a place for a task of the job costs on any ordinary
-// machine.
+// lowestPricePerTask returns the lowest price per task of the job on any on-demand machine.
 func (a *Autoscaler) lowestPricePerTask(j *cluster.Job) float64 {
 	lowest := math.Inf(1)
 	for i := range a.state.Catalog.Types {
@@ -180,8 +181,8 @@
 	return lowest
 }
 
-// reserveMoves reports whether all of a machine's replicas have places elsewhere, and takes
-// these from the room that this plan may still give.
+// reserveMoves reports whether all of a machine's replicas fit elsewhere, and if so reserves the
+// resources for them in taken.
 func (a *Autoscaler) reserveMoves(machine *cluster.Machine, bins []*bin, taken map[*bin]resources.Amount) bool {
 	reserved := map[*bin]resources.Amount{}
 	for _, t := range machine.Tasks {
@@ -190,11 +191,11 @@
 			return false
 		}
 		if j.Kind == protocol.Array {
-			continue // it ends by itself
+			continue // array tasks end by themselves
 		}
 		perZone := perZoneWithout(j, machine)
 		i := slices.IndexFunc(bins, func(b *bin) bool {
-			return b.machine != nil && j.Request.FitsIn(b.room.Minus(reserved[b]).Minus(taken[b])) && a.mayMove(j, machine, b.machine, perZone)
+			return b.machine != nil && j.Request.FitsIn(b.free.Minus(reserved[b]).Minus(taken[b])) && a.mayMove(j, machine, b.machine, perZone)
 		})
 		if i < 0 {
 			return false
@@ -207,38 +208,38 @@
 	return true
 }
 
-// perZoneWithout counts a job's tasks by zone without one of those on a machine.
+// perZoneWithout counts a job's tasks by zone, less one task on the given machine.
 func perZoneWithout(j *cluster.Job, machine *cluster.Machine) map[string]int {
 	perZone := j.TasksPerZone()
 	perZone[machine.Zone]--
 	return perZone
 }
 
-// mayMove reports whether a replica may be moved from one machine to another, as far as
-// anything but room goes. The other machine's offering may cost more, but not much: room there
-// is free now, but taking it keeps that machine.
+// mayMove reports whether a replica may be moved between two machines, apart from whether it
+// fits. The price per task may be higher on the target, but not by much: its resources are free
+// now, but using them keeps that machine from being released.
 func (a *Autoscaler) mayMove(j *cluster.Job, from, to *cluster.Machine, perZone map[string]int) bool {
 	return to != from && len(to.Tasks) > 0 && a.scheduler.Schedulable(to) && j.AllowedOn(to.Offering()) && j.AllowsZone(to.Zone, perZone) &&
 		!j.Failures.Machines[to.Name] && a.state.FetchTimeS(j, to) == 0 &&
 		a.state.Catalog.PricePerTask(j, to.Offering()) <= maxMovePriceRatio*a.state.Catalog.PricePerTask(j, from.Offering())
 }
 
-// stableRun is for how long a replica has to have run to be moved: a start that is undone
-// before it counts as one counts for nothing.
-const stableRun = protocol.StableStartS * time.Second * 4 / 3
+// minRunBeforeMove is the time that a replica has to have run before it may be moved. It exceeds
+// protocol.StableStartS, because a start that is interrupted before then doesn't count.
+const minRunBeforeMove = protocol.StableStartS * time.Second * 4 / 3
 
-// moveOne stops a replica of a machine that is being drained, if a place is ready for it and
-// its job has no other on the move.
-func (a *Autoscaler) moveOne(machine *cluster.Machine, promised map[*cluster.Machine]resources.Amount, movesPerMin float64) {
+// moveReplica stops a replica on a draining machine if another machine is ready for it and no
+// other replica of its job is being moved.
+func (a *Autoscaler) moveReplica(machine *cluster.Machine, promised map[*cluster.Machine]resources.Amount, movesPerMin float64) {
 	now := a.context.Monotonic()
 	if now < a.nextMoveAt || now < machine.Provisioning.DrainRetryAt {
 		return
 	}
 	if slices.ContainsFunc(machine.Tasks, func(t *cluster.Task) bool { return t.Job.Kind != protocol.Service }) {
-		return // first let the others end
+		return // the other tasks have to end first
 	}
 	for _, t := range machine.Tasks {
-		if t.Stopping || !t.Runs() || now-t.RanSince < stableRun || t.Job.IdleTasks() > 0 {
+		if t.Stopping || !t.Runs() || now-t.RanSince < minRunBeforeMove || t.Job.IdleTasks() > 0 {
 			continue
 		}
 		to := a.moveTarget(t.Job, machine, promised)
@@ -252,10 +253,10 @@
 		a.jobs.Preempt(t, "moved to drain its machine")
 		return
 	}
-	machine.Provisioning.DrainRetryAt = now + a.timing.Lease/moveRetryShare // nothing can be moved yet
+	machine.Provisioning.DrainRetryAt = now + a.timing.Lease/moveRetryDivisor // nothing can be moved yet
 }
 
-// moveTarget finds a machine for a replica of a machine that is being drained.
+// moveTarget returns a machine for a replica of a draining machine, or nil.
 func (a *Autoscaler) moveTarget(j *cluster.Job, from *cluster.Machine, promised map[*cluster.Machine]resources.Amount) *cluster.Machine {
 	perZone := perZoneWithout(j, from)
 	for _, to := range a.state.MachinesByName {
--- a/internal/autoscaling/inventory.go
+++ b/internal/autoscaling/inventory.go
@@ -11,39 +11,39 @@
 	"oakpick/internal/rpc"
 )
 
-// inventory is the reading of the cloud's list of machines.
+// inventory is the state of reading the cloud's list of machines.
 type inventory struct {
-	readAt    time.Duration // when it is read next
-	reading   bool
-	listsRead int // whole lists
-	listed    map[string]bool
+	nextReadAt time.Duration
+	reading    bool
+	listsRead  int // number of complete lists read
+	listed     map[string]bool
 }
 
-// vanishedLags is for how many times the list's lag, and a worker's lease, a silent machine
-// has to be missing from it to be forgotten.
-const vanishedLags = 4
+// vanishedLagFactor determines for how long an unreachable machine has to be missing from the
+// list to be removed: this multiple of the list's lag, plus a worker lease.
+const vanishedLagFactor = 4
 
-// readInventory reads the list of machines if that is due.
+// readInventory requests the list of machines if a read is due.
 func (a *Autoscaler) readInventory() {
-	if a.inventory.reading || a.context.Monotonic() < a.inventory.readAt {
+	if a.inventory.reading || a.context.Monotonic() < a.inventory.nextReadAt {
 		return
 	}
 	a.inventory.reading = a.send(message.CloudCall{Op: message.CloudListMachines}, cloudCall{})
 	a.inventory.listed = map[string]bool{}
 }
 
-// machinesListed takes in a part of the list.
-func (a *Autoscaler) machinesListed(result message.CloudResult) {
+// handleMachineList processes a page of the list and requests the next one, if any.
+func (a *Autoscaler) handleMachineList(result message.CloudResult) {
 	a.inventory.reading = false
 	if result.Outcome != rpc.OK {
-		a.inventory.readAt = a.context.Monotonic() + a.timing.HeartbeatInterval
+		a.inventory.nextReadAt = a.context.Monotonic() + a.timing.HeartbeatInterval
 		return
 	}
 	machines := result.List.Machines
 	for _, listed := range machines {
 		a.inventory.listed[listed.Name] = true
 		if !a.state.ReleasedMachines[listed.Name] {
-			a.noteListed(listed)
+			a.updateListed(listed)
 		}
 	}
 	if result.List.More && len(machines) > 0 {
@@ -51,11 +51,11 @@
 		a.inventory.reading = a.send(next, cloudCall{})
 		return
 	}
-	a.listComplete()
+	a.finishList()
 }
 
-// noteListed takes in what the list says of a machine.
-func (a *Autoscaler) noteListed(listed protocol.Machine) {
+// updateListed updates a machine's state from its entry in the list.
+func (a *Autoscaler) updateListed(listed protocol.Machine) {
 	now := a.context.Monotonic()
 	known := a.state.Machines[listed.Name] != nil
 	machine := a.state.Machine(listed.Name)
@@ -75,25 +75,25 @@
 	}
 }
 
-// listComplete forgets machines that are long gone. A list may be old, so one that lacks a
-// machine proves nothing; many do.
-func (a *Autoscaler) listComplete() {
+// finishList removes machines that have been missing from the list for a long time. A list may
+// be stale, so a single list without a machine doesn't prove that the machine is gone.
+func (a *Autoscaler) finishList() {
 	now := a.context.Monotonic()
 	lag := config.Seconds(a.settings.ListLagS)
 	a.inventory.listsRead++
-	a.inventory.readAt = now + max(lag/2, a.timing.HeartbeatInterval)
+	a.inventory.nextReadAt = now + max(lag/2, a.timing.HeartbeatInterval)
 	for _, machine := range slices.Clone(a.state.MachinesByName) {
 		if a.inventory.listed[machine.Name] || len(machine.Tasks) > 0 {
 			continue
 		}
 		lastKnownAt := max(machine.Provisioning.ListedAt, machine.Provisioning.ProvisionedAt, machine.Worker.HeardAt, a.leadership.LeadingSince())
-		if cannotAnswer(machine) && now-lastKnownAt > vanishedLags*lag+a.timing.Lease {
+		if unreachable(machine) && now-lastKnownAt > vanishedLagFactor*lag+a.timing.Lease {
 			a.state.RemoveMachine(machine)
 		}
 	}
 }
 
-// cannotAnswer reports whether a machine's worker hasn't registered, or its lease has expired.
-func cannotAnswer(machine *cluster.Machine) bool {
+// unreachable reports whether a machine's worker has not registered or its lease has expired.
+func unreachable(machine *cluster.Machine) bool {
 	return !machine.Worker.Registered || machine.Worker.Expired()
 }
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -11,42 +11,42 @@
 	"oakpick/internal/resources"
 )
 
-// bin is a machine, or one to be provisioned, in the plan.
+// bin is an existing machine, or one to be provisioned, in the plan.
 type bin struct {
-	machine    *cluster.Machine // nil: not there yet
+	machine    *cluster.Machine // nil if the machine doesn't exist yet
 	offering   cluster.Offering
-	room       resources.Amount
-	readyIn    time.Duration // until it is up
-	overdue    bool          // it should have been up by now
-	used       bool
-	bestEffort bool // only best-effort tasks are in it
-	index      int  // in the plan, which decides between equals
+	free       resources.Amount
+	readyIn    time.Duration // remaining boot time
+	overdue    bool          // the machine should have been up by now
+	used       bool          // the plan has placed a task in it
+	bestEffort bool          // only best-effort tasks have been placed in it
+	index      int           // position in the plan; breaks ties
 }
 
-// packing is a plan being made: what waits, and the room to be kept, are packed into what is
-// free, expected, and has to be provisioned.
+// packing is the state of making a plan. It packs the waiting tasks and the warm capacity into
+// the bins of existing, expected and new machines.
 type packing struct {
-	autoscaler *Autoscaler
-	bins       []*bin
-	existing   int // so many of them are there, or asked for already
-	// searchFrom is the first bin that may have room. Room only shrinks here: where there was
-	// none for one task, there is none for the next of its class.
+	autoscaler   *Autoscaler
+	bins         []*bin
+	existingBins int // number of bins for machines that exist or have been requested
+	// searchFrom is, by class, the index of the first bin that may have enough free resources.
+	// These only shrink during packing, so a bin that is too full for one task of a class stays so.
 	searchFrom map[packingClass]int
-	warm       bool // room to be kept is being packed, not what waits
+	warm       bool // the packed tasks are warm capacity rather than waiting tasks
 }
 
-// overdueBootFactor is after how many times its type's boot time replicas that wait no longer
-// count on a machine that isn't up.
+// overdueBootFactor is the multiple of its type's boot time after which waiting replicas no
+// longer count on a booting machine.
 const overdueBootFactor = 1.1
 
-// packingClass tells tasks apart that may go into the same bins.
+// packingClass groups tasks that fit into the same bins.
 type packingClass struct {
 	cluster.RequestClass
 	spotOnly, warm, service bool
 }
 
 func newPacking(a *Autoscaler, present []*bin) *packing {
-	p := &packing{autoscaler: a, searchFrom: map[packingClass]int{}, existing: len(present)}
+	p := &packing{autoscaler: a, searchFrom: map[packingClass]int{}, existingBins: len(present)}
 	for _, b := range present {
 		p.append(b)
 	}
@@ -58,10 +58,10 @@
 	p.bins = append(p.bins, b)
 }
 
-// needed are the machines that something in the plan has its place on.
+// needed returns the existing machines that the plan has placed tasks on.
 func (p *packing) needed() map[*cluster.Machine]bool {
 	needed := map[*cluster.Machine]bool{}
-	for _, b := range p.bins[:p.existing] {
+	for _, b := range p.bins[:p.existingBins] {
 		if b.machine != nil && b.used {
 			needed[b.machine] = true
 		}
@@ -69,11 +69,11 @@
 	return needed
 }
 
-// awaited reports whether what is being packed are replicas that users miss.
-func (p *packing) awaited(j *cluster.Job) bool { return !p.warm && j.Kind == protocol.Service }
+// isWaitingReplica reports whether the packed tasks are replicas that users are waiting for.
+func (p *packing) isWaitingReplica(j *cluster.Job) bool { return !p.warm && j.Kind == protocol.Service }
 
-// add packs so many tasks of a job, and adds bins of machines to be provisioned for those that
-// find no room.
+// add packs so many tasks of a job, and adds bins of new machines for those that don't fit into
+// the existing bins.
 func (p *packing) add(j *cluster.Job, tasks int, perZone map[string]int, spotOnly bool) {
 	if tasks <= 0 {
 		return
@@ -84,12 +84,12 @@
 		if b == nil {
 			return
 		}
-		// The bin that was best for one task is so for the next, until it is full.
+		// The best bin for one task stays the best for the next until it is full.
 		count := 1
 		if !j.Spread {
-			count = j.Request.CountIn(c.room(b), tasks)
+			count = j.Request.CountIn(c.usableResources(b), tasks)
 		}
-		b.room = b.room.Minus(j.Request.Times(float64(count)))
+		b.free = b.free.Minus(j.Request.Times(float64(count)))
 		b.used = true
 		b.bestEffort = b.bestEffort && j.BestEffort()
 		perZone[b.offering.Zone] += count
@@ -98,18 +98,18 @@
 	}
 }
 
-// candidates are the bins that tasks of one job may go into, the best one first: the fullest
-// of those in use, then the empty ones by what they cost for each such task, so that the dear
-// ones stay unneeded. They are searched once for all tasks of the job.
+// candidates are the bins for the tasks of one job, best first: those in use, fullest first,
+// then the empty ones by price per task, so that expensive machines stay unneeded. The bins are
+// searched once for all tasks of the job.
 type candidates struct {
 	packing  *packing
 	job      *cluster.Job
 	spotOnly bool
 	list     []candidate
-	prices   map[cluster.Offering]float64 // for each task
+	prices   map[cluster.Offering]float64 // price per task
 }
 
-// candidate is a bin, and what orders it.
+// candidate is a bin with its sort key.
 type candidate struct {
 	*bin
 	key float64
@@ -123,7 +123,7 @@
 	c := &candidates{packing: p, job: j, spotOnly: spotOnly, prices: map[cluster.Offering]float64{}}
 	for _, b := range p.bins[p.searchFrom[c.class()]:] {
 		p.autoscaler.context.Stats.MachinesExamined++
-		if c.takes(b) {
+		if c.fits(b) {
 			c.list = append(c.list, candidate{b, c.key(b)})
 		}
 	}
@@ -131,44 +131,45 @@
 	return c
 }
 
-// class tells the job's tasks apart from others that go into the same bins.
+// class returns the packing class of the job's tasks.
 func (c *candidates) class() packingClass {
 	class := c.packing.autoscaler.scheduler.RequestClass(c.job)
 	return packingClass{class, c.spotOnly, c.packing.warm, c.job.Kind == protocol.Service}
 }
 
-// takes reports whether a bin has room for a task of the job, which may go there.
-func (c *candidates) takes(b *bin) bool {
-	return c.job.Request.FitsIn(c.room(b)) && (b.offering.Spot || !c.spotOnly) && c.job.AllowedOn(b.offering)
+// fits reports whether a bin has enough free resources for a task of the job and is allowed for
+// it.
+func (c *candidates) fits(b *bin) bool {
+	return c.job.Request.FitsIn(c.usableResources(b)) && (b.offering.Spot || !c.spotOnly) && c.job.AllowedOn(b.offering)
 }
 
-// room is what of a bin's room the job's tasks may take.
-func (c *candidates) room(b *bin) resources.Amount {
+// usableResources returns the part of a bin's free resources that the job's tasks may use.
+func (c *candidates) usableResources(b *bin) resources.Amount {
 	scheduler := c.packing.autoscaler.scheduler
 	switch {
 	case b.machine != nil && b.machine.Worker.Registered:
-		return scheduler.UsableResources(c.job, b.machine, b.room)
+		return scheduler.UsableResources(c.job, b.machine, b.free)
 	case scheduler.WorthProvisioning(c.job, b.offering):
-		return b.room
+		return b.free
 	}
 	return resources.Amount{}
 }
 
 const (
-	// processorWeight is what a free processor counts of a free GPU in the order of bins.
-	processorWeight = 1000
-	// unusedKey orders unused bins behind all that are in use.
-	unusedKey = 1e6
+	// processorDivisor scales free processors against free GPUs in the sort key of a bin.
+	processorDivisor = 1000
+	// unusedBinKey sorts unused bins after all bins in use.
+	unusedBinKey = 1e6
 )
 
 func (c *candidates) key(b *bin) float64 {
 	if b.used || b.machine != nil && len(b.machine.Tasks) > 0 {
-		return b.room.GPUs + b.room.CPUs/processorWeight
+		return b.free.GPUs + b.free.CPUs/processorDivisor
 	}
-	return unusedKey * (1 + c.price(b.offering))
+	return unusedBinKey * (1 + c.price(b.offering))
 }
 
-// price is the hourly price of an offering for each task of the job that it holds.
+// price returns the hourly price of an offering per task of the job that fits on it.
 func (c *candidates) price(o cluster.Offering) float64 {
 	price, ok := c.prices[o]
 	if !ok {
@@ -178,9 +179,9 @@
 	return price
 }
 
-// insert puts a bin among the candidates, if it still has room.
+// insert adds a bin to the candidates if another task fits into it.
 func (c *candidates) insert(b *bin) {
-	if !c.takes(b) {
+	if !c.fits(b) {
 		return
 	}
 	x := candidate{b, c.key(b)}
@@ -188,12 +189,13 @@
 	c.list = slices.Insert(c.list, at, x)
 }
 
-// next takes the best bin for the next of so many tasks, a new one if need be.
+// next removes and returns the best bin for the next of the given number of tasks. It adds a
+// bin if no candidate is suitable, and returns nil if no offering is available either.
 func (c *candidates) next(tasks int, perZone map[string]int) *bin {
 	p, j := c.packing, c.job
 	o, ok := p.autoscaler.cheapestOffering(j, perZone, tasks, c.spotOnly)
 	for i, x := range c.list {
-		if j.AllowsZone(x.offering.Zone, perZone) && !(ok && c.passesOver(x.bin, o)) {
+		if j.AllowsZone(x.offering.Zone, perZone) && !(ok && c.skips(x.bin, o)) {
 			c.list = slices.Delete(c.list, i, i+1)
 			return x.bin
 		}
@@ -206,20 +208,20 @@
 		return nil
 	}
 	machineType := p.autoscaler.state.Catalog.Type(o.Type)
-	b := &bin{offering: o, readyIn: config.Seconds(machineType.BootS), room: cluster.Capacity(machineType), bestEffort: j.BestEffort()}
+	b := &bin{offering: o, readyIn: config.Seconds(machineType.BootS), free: cluster.Capacity(machineType), bestEffort: j.BestEffort()}
 	p.append(b)
 	return b
 }
 
-// passesOver reports whether a bin is left to others, because a new machine would be up before
-// it. What is provisioned instead is among the bins of the next plan.
-func (c *candidates) passesOver(b *bin, o cluster.Offering) bool {
-	return c.newIsSooner(b, o) || b.overdue && c.packing.awaited(c.job)
+// skips reports whether the job's tasks don't use a booting bin because a new machine is expected
+// to be up sooner. The next plan includes the machine that is provisioned instead.
+func (c *candidates) skips(b *bin, o cluster.Offering) bool {
+	return c.newMachineIsSooner(b, o) || b.overdue && c.packing.isWaitingReplica(c.job)
 }
 
-// newIsSooner reports whether a task that would wait for a booting machine is better served by
-// a new one of another type, which is up before it and costs no more for each task.
-func (c *candidates) newIsSooner(b *bin, o cluster.Offering) bool {
+// newMachineIsSooner reports whether a new machine of another type would be up before a booting
+// one and costs no more per task.
+func (c *candidates) newMachineIsSooner(b *bin, o cluster.Offering) bool {
 	if b.readyIn == 0 || o.Type == b.offering.Type {
 		return false
 	}
--- a/internal/autoscaling/packing_test.go
+++ b/internal/autoscaling/packing_test.go
@@ -19,8 +19,8 @@
 	"oakpick/internal/timing"
 )
 
-// scanPacking is the earlier way to make a plan: every bin is examined for every task. It is
-// kept to compare the plans.
+// scanPacking is a reference implementation that examines every bin for every task. The tests
+// compare its plans with those of packing.
 type scanPacking struct{ packing }
 
 func (p *scanPacking) add(j *cluster.Job, tasks int, perZone map[string]int, spotOnly bool) {
@@ -31,9 +31,9 @@
 		}
 		count := 1
 		if !j.Spread {
-			count = j.Request.CountIn(b.room, tasks)
+			count = j.Request.CountIn(b.free, tasks)
 		}
-		b.room = b.room.Minus(j.Request.Times(float64(count)))
+		b.free = b.free.Minus(j.Request.Times(float64(count)))
 		b.used = true
 		perZone[b.offering.Zone] += count
 		tasks -= count
@@ -44,7 +44,7 @@
 	a := p.autoscaler
 	class := packingClass{a.scheduler.RequestClass(j), spotOnly, p.warm, j.Kind == protocol.Service}
 	o, ok := a.cheapestOffering(j, perZone, tasks, spotOnly)
-	passOver := func(b *bin) bool { return ok && (p.sooner(j, b, o) || b.overdue && p.awaited(j)) }
+	passOver := func(b *bin) bool { return ok && (p.sooner(j, b, o) || b.overdue && p.isWaitingReplica(j)) }
 	b := p.pack(p.bins[p.searchFrom[class]:], j, perZone, spotOnly, passOver)
 	if b == nil && !j.Spread && !j.OneZone {
 		p.searchFrom[class] = len(p.bins)
@@ -53,7 +53,7 @@
 		return b
 	}
 	machineType := a.state.Catalog.Type(o.Type)
-	b = &bin{offering: o, readyIn: config.Seconds(machineType.BootS), room: cluster.Capacity(machineType)}
+	b = &bin{offering: o, readyIn: config.Seconds(machineType.BootS), free: cluster.Capacity(machineType)}
 	p.bins = append(p.bins, b)
 	return b
 }
@@ -72,10 +72,10 @@
 	bestKey := math.Inf(1)
 	for _, b := range bins {
 		p.autoscaler.context.Stats.MachinesExamined++
-		if !j.Request.FitsIn(b.room) || spotOnly && !b.offering.Spot || !j.AllowedOn(b.offering) || !j.AllowsZone(b.offering.Zone, perZone) || passOver(b) {
+		if !j.Request.FitsIn(b.free) || spotOnly && !b.offering.Spot || !j.AllowedOn(b.offering) || !j.AllowsZone(b.offering.Zone, perZone) || passOver(b) {
 			continue
 		}
-		key := b.room.GPUs + b.room.CPUs/1000
+		key := b.free.GPUs + b.free.CPUs/1000
 		if !b.used && (b.machine == nil || len(b.machine.Tasks) == 0) {
 			key = 1e6 * (1 + p.autoscaler.state.Catalog.PricePerTask(j, b.offering))
 		}
@@ -86,7 +86,7 @@
 	return best
 }
 
-// blockTasks is how many tasks a block of the jobs of these tests has.
+// blockTasks is the number of tasks per block of the test jobs.
 const blockTasks = 64
 
 // emptyAutoscaler returns the autoscaler of a cluster without machines.
@@ -97,7 +97,7 @@
 	return New(context, state, nil, nil, scheduler, timing.Workers{}, nil, config.Cloud{RPS: 1}, Options{})
 }
 
-// plannedFleet draws an autoscaler with machine types, of which some offerings are out of capacity.
+// plannedFleet draws an autoscaler with machine types, some of whose offerings are out of capacity.
 func plannedFleet(t *rapid.T, zones []string) *Autoscaler {
 	a := emptyAutoscaler()
 	a.context.Now.Monotonic = time.Hour
@@ -120,21 +120,21 @@
 	return cluster.Offering{Type: machineType.Name, Zone: rapid.SampledFrom(zones).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")}
 }
 
-// presentCopies draws the machines that are there or coming, twice the same.
+// presentCopies draws the bins of existing and requested machines, and returns them twice.
 func presentCopies(t *rapid.T, a *Autoscaler, zones []string) (bins, copies []*bin) {
 	for i := range rapid.IntRange(0, 20).Draw(t, "machines") {
 		o := drawOffering(t, a, zones)
-		x := bin{offering: o, room: cluster.Capacity(a.state.Catalog.Type(o.Type))}
+		x := bin{offering: o, free: cluster.Capacity(a.state.Catalog.Type(o.Type))}
 		switch rapid.IntRange(0, 3).Draw(t, "state") {
 		case 0: // in use
-			x.room.CPUs -= rapid.SampledFrom([]float64{0.5, 1, 3, 4}).Draw(t, "taken")
+			x.free.CPUs -= rapid.SampledFrom([]float64{0.5, 1, 3, 4}).Draw(t, "taken")
 			x.machine = &cluster.Machine{Name: fmt.Sprint("h", i), Tasks: []*cluster.Task{{}}}
 		case 1: // empty
 			x.machine = &cluster.Machine{Name: fmt.Sprint("h", i)}
 		case 2: // booting
 			x.machine = &cluster.Machine{Name: fmt.Sprint("h", i)}
 			x.readyIn, x.overdue = config.Seconds(rapid.SampledFrom([]float64{1, 6, 30}).Draw(t, "ready")), rapid.Bool().Draw(t, "late")
-		case 3: // asked for
+		case 3: // requested
 			x.readyIn = config.Seconds(a.state.Catalog.Type(o.Type).BootS)
 		}
 		y := x
@@ -160,15 +160,15 @@
 	return cluster.NewJob(r, nil, blockTasks, 0)
 }
 
-// A plan is the same as when every bin was examined for every task: what is provisioned, and
-// which machines are needed.
-func TestPlanIsTheSameAsByScanning(t *testing.T) {
+// Plans have the same bins, used in the same way, as those of the reference implementation that
+// examines every bin for every task.
+func TestPlanMatchesFullScan(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		a := plannedFleet(t, zones)
 		present, copies := presentCopies(t, a, zones)
 		p := newPacking(a, present)
-		old := &scanPacking{packing{autoscaler: a, bins: copies, searchFrom: map[packingClass]int{}, existing: len(copies)}}
+		old := &scanPacking{packing{autoscaler: a, bins: copies, searchFrom: map[packingClass]int{}, existingBins: len(copies)}}
 		for i := range rapid.IntRange(1, 8).Draw(t, "jobs") {
 			j := plannedJob(t, a, zones, i)
 			spotOnly := j.Spot && rapid.IntRange(0, 3).Draw(t, "spot only") == 0
@@ -178,22 +178,22 @@
 			old.add(j, j.Tasks, map[string]int{}, spotOnly)
 		}
 		same := func(a, b *bin) bool {
-			return a.offering == b.offering && a.room == b.room && a.used == b.used && a.machine == b.machine
+			return a.offering == b.offering && a.free == b.free && a.used == b.used && a.machine == b.machine
 		}
 		if !slices.EqualFunc(p.bins, old.bins, same) {
-			t.Fatalf("the plan has %d bins, by scanning %d, or they differ", len(p.bins), len(old.bins))
+			t.Fatalf("the plan has %d bins and the full scan's has %d, or their bins differ", len(p.bins), len(old.bins))
 		}
 	})
 }
 
-// Of 400 machines none is examined again for each of 300 tasks.
+// A plan examines each of 400 machines once, not again for each of 300 tasks.
 func TestPlanExaminesEachMachineOncePerJob(t *testing.T) {
 	zones := []string{"a"}
 	a := emptyAutoscaler()
 	a.state.Catalog.Types = []protocol.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.5, BootS: 10, Zones: zones}}
 	var present []*bin
 	for range 400 {
-		present = append(present, &bin{machine: &cluster.Machine{}, offering: cluster.Offering{Type: "t", Zone: "a"}, room: resources.Amount{CPUs: 1.5, MemoryGB: 8}})
+		present = append(present, &bin{machine: &cluster.Machine{}, offering: cluster.Offering{Type: "t", Zone: "a"}, free: resources.Amount{CPUs: 1.5, MemoryGB: 8}})
 	}
 	p := newPacking(a, present)
 	j := cluster.NewJob(storage.JobRecord{ID: "wk-1", Tasks: 300, CPUs: 1, MemoryGB: 1, AnyType: true}, nil, blockTasks, 0)
--- a/internal/autoscaling/plan.go
+++ b/internal/autoscaling/plan.go
@@ -10,13 +10,13 @@
 	"oakpick/internal/protocol"
 )
 
-// lostReplicaFactor is for how many times as many replicas machines are provisioned if they
-// were lost while they ran: of several machines one is up sooner than any one of them, and the
-// rest are released.
+// lostReplicaFactor is the factor by which machines are overprovisioned for replicas that were
+// lost while running. The first of several machines to boot is up sooner than a single one
+// would be; the surplus is released.
 const lostReplicaFactor = 2
 
-// scaleOut packs what waits, and the room to be kept, into what is free, expected, and has to
-// be provisioned. It returns the machines that the plan needs.
+// scaleOut packs the unplaced tasks and the warm capacity into existing, expected and new
+// machines, and requests the new ones. It returns the existing machines that the plan needs.
 func (a *Autoscaler) scaleOut() map[*cluster.Machine]bool {
 	p := newPacking(a, a.presentBins())
 	for _, unplaced := range a.scheduler.Unplaced() {
@@ -30,18 +30,18 @@
 		}
 		p.add(j, tasks, j.TasksPerZone(), false)
 	}
-	a.packWarmRoom(p)
-	if !a.provision(p.bins[p.existing:]) {
+	a.packWarmCapacity(p)
+	if !a.provision(p.bins[p.existingBins:]) {
 		a.consolidate(p.bins)
 	}
 	needed := p.needed()
-	a.releaseFromBestEffort(needed)
+	a.drainBestEffortMachines(needed)
 	return needed
 }
 
-// packWarmRoom packs the room that is kept free for what is expected to arrive. Room for what
-// may use spot machines is kept on those only: it isn't worth an ordinary machine.
-func (a *Autoscaler) packWarmRoom(p *packing) {
+// packWarmCapacity packs the capacity that is kept free for expected arrivals. For jobs that
+// may use spot machines it is kept on these only, since it doesn't justify an on-demand machine.
+func (a *Autoscaler) packWarmCapacity(p *packing) {
 	p.warm = true
 	for _, name := range slices.Sorted(maps.Keys(a.state.Classes)) {
 		if c := a.state.Classes[name]; c.Sample != nil && !c.Sample.BestEffort() {
@@ -50,7 +50,7 @@
 	}
 }
 
-// presentBins are the machines that can be counted on, and those asked for.
+// presentBins returns bins for the machines that are up, booting or requested.
 func (a *Autoscaler) presentBins() []*bin {
 	var bins []*bin
 	for _, machine := range a.state.MachinesByName {
@@ -58,9 +58,9 @@
 		switch {
 		case machineType == nil:
 		case a.scheduler.Schedulable(machine):
-			// The place of a stopping task is free long before a new machine is up.
+			// A stopping task's resources are free long before a new machine would be up.
 			room := a.state.Free(machine).Plus(machine.Stopping)
-			bins = append(bins, &bin{machine: machine, offering: machine.Offering(), room: room})
+			bins = append(bins, &bin{machine: machine, offering: machine.Offering(), free: room})
 		case a.scheduler.ExpectedToJoin(machine):
 			bins = append(bins, a.bootingBin(machine, machineType))
 		}
@@ -72,33 +72,33 @@
 		}
 		o := cluster.Offering{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
 		for range request.Count {
-			bins = append(bins, &bin{offering: o, room: cluster.Capacity(machineType), readyIn: config.Seconds(machineType.BootS)})
+			bins = append(bins, &bin{offering: o, free: cluster.Capacity(machineType), readyIn: config.Seconds(machineType.BootS)})
 		}
 	}
 	return bins
 }
 
-// minBootShare is the part of its type's boot time that a booting machine is taken to need
-// still, however long it has been booting.
-const minBootShare = 10
+// minRemainingBootDivisor sets the least remaining boot time that is assumed for a booting
+// machine, however long it has been booting: its type's boot time divided by this.
+const minRemainingBootDivisor = 10
 
 func (a *Autoscaler) bootingBin(machine *cluster.Machine, machineType *protocol.MachineType) *bin {
 	age := a.context.Monotonic() - machine.Provisioning.ProvisionedAt
 	return &bin{
-		machine: machine, offering: machine.Offering(), room: cluster.Capacity(machineType),
-		readyIn: max(config.Seconds(machineType.BootS)-age, config.Seconds(machineType.BootS/minBootShare)),
+		machine: machine, offering: machine.Offering(), free: cluster.Capacity(machineType),
+		readyIn: max(config.Seconds(machineType.BootS)-age, config.Seconds(machineType.BootS/minRemainingBootDivisor)),
 		overdue: age > config.Seconds(machineType.BootS*overdueBootFactor),
 	}
 }
 
-// provision asks for machines, and reports whether ordinary ones are among them. What is asked
-// for is in the next plan already, so several requests for one offering are no more machines,
-// only sooner. Each offering has its turn.
-func (a *Autoscaler) provision(bins []*bin) (ordinary bool) {
-	counts := map[demand]int{}
-	var demands []demand
+// provision requests machines and reports whether the plan needs on-demand ones. It may make
+// several requests for one offering at once: the next plan counts the requested machines, so
+// this provisions no more of them, only sooner. The offerings take turns.
+func (a *Autoscaler) provision(bins []*bin) (onDemand bool) {
+	counts := map[machineDemand]int{}
+	var demands []machineDemand
 	for _, b := range bins {
-		d := demand{b.offering, b.bestEffort}
+		d := machineDemand{b.offering, b.bestEffort}
 		if counts[d] == 0 {
 			demands = append(demands, d)
 		}
@@ -108,23 +108,23 @@
 		more = false
 		for _, d := range demands {
 			if counts[d] > 0 {
-				requested := a.request(d, min(counts[d], protocol.MaxScaleOut))
+				requested := a.createRequest(d, min(counts[d], protocol.MaxScaleOut))
 				counts[d] -= requested
 				more = more || requested > 0
 			}
 		}
 	}
-	return slices.ContainsFunc(demands, func(d demand) bool { return !d.Spot })
+	return slices.ContainsFunc(demands, func(d machineDemand) bool { return !d.Spot })
 }
 
-// arrivalLeases is over how many worker leases arrivals are counted.
-const arrivalLeases = 10
+// arrivalWindowLeases is the length of the window over which arrivals are counted, in worker leases.
+const arrivalWindowLeases = 10
 
-// warmTasks is how many tasks of a class to keep room for: what may arrive, beyond what leaves,
-// while a machine boots.
+// warmTasks returns the number of tasks of a class to keep capacity for: the arrivals in excess
+// of departures that may occur while a machine boots.
 func (a *Autoscaler) warmTasks(c *cluster.WorkloadClass) int {
 	now := a.context.Monotonic()
-	window := a.timing.Lease * arrivalLeases
+	window := a.timing.Lease * arrivalWindowLeases
 	arrivals := 0
 	for _, at := range c.Arrivals {
 		if now-at < window {
@@ -135,12 +135,12 @@
 	expected := float64(arrivals) / span.Seconds() * a.longestBootS(c)
 	deviations := a.options.WarmRoom
 	if c.Sample != nil && c.Sample.Kind == protocol.Array {
-		deviations /= 2 // its tasks needn't all run at once
+		deviations /= 2 // the tasks of an array need not all run at the same time
 	}
 	return int(math.Round(deviations * math.Sqrt(expected) * c.MeanTasks))
 }
 
-// longestBootS is the boot time, in seconds, of the slowest type that holds a class's task.
+// longestBootS returns the longest boot time, in seconds, of the types that fit a class's task.
 func (a *Autoscaler) longestBootS(c *cluster.WorkloadClass) float64 {
 	longest := 0.0
 	for i := range a.state.Catalog.Types {
@@ -153,14 +153,14 @@
 }
 
 const (
-	// maxTasksWithGPUs is how many tasks without GPUs a machine with GPUs is taken to hold.
-	maxTasksWithGPUs = 8
-	// zoneWeight is by how much each task in a zone makes an offering there dearer.
-	zoneWeight = 0.01
+	// maxCPUTasksPerGPUMachine is the assumed maximum of tasks without GPUs on a machine with GPUs.
+	maxCPUTasksPerGPUMachine = 8
+	// zoneSpreadWeight is the relative price increase of an offering per task of the job in its zone.
+	zoneSpreadWeight = 0.01
 )
 
-// cheapestOffering is the one that gives a task of the job its place for the least, of those
-// that may be had.
+// cheapestOffering returns the offering with the lowest cost per task of the job among those
+// that may be provisioned.
 func (a *Autoscaler) cheapestOffering(j *cluster.Job, perZone map[string]int, tasks int, spotOnly bool) (best cluster.Offering, ok bool) {
 	bestCost := math.Inf(1)
 	for i := range a.state.Catalog.Types {
@@ -175,7 +175,7 @@
 				if spotOnly && !spot || !a.mayProvision(j, o, perZone) {
 					continue
 				}
-				cost := a.state.Catalog.Price(o) / float64(slots) * (1 + zoneWeight*float64(perZone[zone]))
+				cost := a.state.Catalog.Price(o) / float64(slots) * (1 + zoneSpreadWeight*float64(perZone[zone]))
 				if cost < bestCost {
 					best, bestCost = o, cost
 				}
@@ -185,8 +185,9 @@
 	return best, !math.IsInf(bestCost, 1)
 }
 
-// usableSlots is how many tasks of a job, of so many that wait, would be on a machine of a
-// type. Nobody else will use its GPUs.
+// usableSlots returns how many of the waiting tasks of a job would run on a machine of a type.
+// A job with GPUs is credited with all slots of the machine, since no other job will use its
+// GPUs.
 func usableSlots(j *cluster.Job, machineType *protocol.MachineType, tasks int) int {
 	slots := cluster.TasksPerMachine(j, machineType)
 	if slots == 0 || j.Request.GPUs > 0 {
@@ -194,7 +195,7 @@
 	}
 	slots = min(slots, max(tasks, 1))
 	if machineType.GPUs > 0 {
-		slots = min(slots, maxTasksWithGPUs)
+		slots = min(slots, maxCPUTasksPerGPUMachine)
 	}
 	return slots
 }
--- a/internal/autoscaling/provisioning.go
+++ b/internal/autoscaling/provisioning.go
@@ -12,54 +12,55 @@
 	"oakpick/internal/storage"
 )
 
-// provisioningRequest is a request for machines that is being made.
+// provisioningRequest is a pending request to the cloud for machines.
 type provisioningRequest struct {
 	storage.ProvisioningRecord
-	committed  bool // it is durable, so that it may be sent
-	calling    bool
+	committed  bool // the record is durable, so the request may be sent
+	inFlight   bool
 	retryAt    time.Duration
-	bestEffort bool // for best-effort work only
+	bestEffort bool // the machines are for best-effort jobs only
 }
 
-// AppendTo writes it.
+// AppendTo appends the request's record to a page.
 func (r *provisioningRequest) AppendTo(page *storage.PageValue) {
 	page.Provisioning = append(page.Provisioning, r.ProvisioningRecord)
 }
 
-// waiter returns a waiter for a commit that requests for best-effort work leave to others.
-func (r *provisioningRequest) waiter(ordinary func(func()) *storage.CommitWaiter, onCommit func()) *storage.CommitWaiter {
+// commitWaiter returns a waiter for the request's commit: one of the lowest priority for
+// best-effort jobs, and the one that normalPriority makes for others.
+func (r *provisioningRequest) commitWaiter(normalPriority func(func()) *storage.CommitWaiter, onCommit func()) *storage.CommitWaiter {
 	if r.bestEffort {
 		return storage.OnLowestPriorityCommit(onCommit)
 	}
-	return ordinary(onCommit)
+	return normalPriority(onCommit)
 }
 
-// deferredWaiter returns a waiter for a commit that nobody waits for.
-func (r *provisioningRequest) deferredWaiter() *storage.CommitWaiter {
-	return r.waiter(storage.OnDeferredCommit, func() {})
+// deferredCommitWaiter returns a waiter for a commit that nothing depends on.
+func (r *provisioningRequest) deferredCommitWaiter() *storage.CommitWaiter {
+	return r.commitWaiter(storage.OnDeferredCommit, func() {})
 }
 
-// demand is an offering that machines are to be provisioned of.
-type demand struct {
+// machineDemand is the offering of a machine to be provisioned.
+type machineDemand struct {
 	cluster.Offering
-	bestEffort bool // for best-effort work only
+	bestEffort bool // the machine is for best-effort jobs only
 }
 
-// The most requests that are open at a time: no more than the cloud answers in a second or
-// two.
+// Limits on the number of unanswered requests: no more than the cloud answers in one or two
+// seconds.
 const (
 	minOpenRequests    = 2
 	openRequestsPerRPS = 1.5
 )
 
-// RestoreRequest takes in a request that an earlier leader recorded.
+// RestoreRequest adds a request that an earlier leader recorded.
 func (a *Autoscaler) RestoreRequest(record storage.ProvisioningRecord) storage.Item {
 	request := &provisioningRequest{ProvisioningRecord: record, committed: true}
 	a.requests = append(a.requests, request)
 	return request
 }
 
-// RestoreMachines takes in the machines that earlier leaders' requests have brought.
+// RestoreMachines adds the machines that were provisioned for earlier leaders' requests.
 func (a *Autoscaler) RestoreMachines() {
 	now := a.context.Now
 	for _, request := range a.requests {
@@ -72,13 +73,13 @@
 	}
 }
 
-// sendRequests sends the requests that are durable, and forgets those whose machines are known
-// from elsewhere.
+// sendRequests sends the durable requests, and removes answered ones whose machines are all
+// known from other sources.
 func (a *Autoscaler) sendRequests() {
 	now := a.context.Monotonic()
 	for _, request := range slices.Clone(a.requests) {
-		if request.committed && !request.Answered && !request.calling && now >= request.retryAt {
-			request.calling = a.send(message.CloudCall{Op: message.CloudScaleOut, Provisioning: protocol.ProvisioningRequest{
+		if request.committed && !request.Answered && !request.inFlight && now >= request.retryAt {
+			request.inFlight = a.send(message.CloudCall{Op: message.CloudScaleOut, Provisioning: protocol.ProvisioningRequest{
 				RequestID: request.RequestID, Type: request.Type, Zone: request.Zone, Spot: request.Spot, Count: request.Count,
 			}}, cloudCall{request: request})
 		}
@@ -88,7 +89,7 @@
 	}
 }
 
-// knownOnlyByRequest reports whether a machine is known from nowhere but the request for it.
+// knownOnlyByRequest reports whether a request is the only source that names a machine.
 func (a *Autoscaler) knownOnlyByRequest(name string) bool {
 	if a.state.ReleasedMachines[name] {
 		return false
@@ -99,12 +100,12 @@
 
 func (a *Autoscaler) removeRequest(request *provisioningRequest) {
 	a.requests = slices.DeleteFunc(a.requests, func(x *provisioningRequest) bool { return x == request })
-	a.store.Remove(a.context.Monotonic(), request, request.deferredWaiter())
+	a.store.Remove(a.context.Monotonic(), request, request.deferredCommitWaiter())
 }
 
-// request records a request for machines; it is sent once that is durable. It returns how many
-// machines the request is for; 0: none was made.
-func (a *Autoscaler) request(d demand, count int) int {
+// createRequest records a request for up to count machines, which is sent once it is durable.
+// It returns the number of machines requested, or 0 if too many requests are unanswered.
+func (a *Autoscaler) createRequest(d machineDemand, count int) int {
 	open := 0
 	for _, request := range a.requests {
 		if !request.Answered {
@@ -119,37 +120,38 @@
 		RequestID: fmt.Sprintf("oakpick-%d-%d", a.leadership.FirstToken(), a.requestCount),
 		Type:      d.Type, Zone: d.Zone, Spot: d.Spot, Count: count, AtMs: a.context.Now.WallMs,
 	}}
-	for request.Count > 1 && !a.store.Fits(request) { // its answer has to be kept on a page
+	for request.Count > 1 && !a.store.Fits(request) { // the answer has to fit on a page, too
 		request.Count /= 2
 	}
 	a.requests = append(a.requests, request)
-	a.store.MarkDirty(a.context.Monotonic(), request, request.waiter(storage.OnCommit, func() {
+	a.store.MarkDirty(a.context.Monotonic(), request, request.commitWaiter(storage.OnCommit, func() {
 		request.committed = true
-		a.planAt = 0
+		a.nextPlanAt = 0
 	}))
 	return request.Count
 }
 
-// provisioned takes in the cloud's answer to a request for machines.
-func (a *Autoscaler) provisioned(request *provisioningRequest, result message.CloudResult) {
-	request.calling = false
-	a.planAt = 0 // the next may be waiting for this one's connection
+// handleScaleOut processes the cloud's answer to a request for machines.
+func (a *Autoscaler) handleScaleOut(request *provisioningRequest, result message.CloudResult) {
+	request.inFlight = false
+	a.nextPlanAt = 0 // another request may be waiting for this connection
 	switch result.Outcome {
 	case rpc.OK:
-		a.machinesProvisioned(request, result.Machines)
-	case rpc.NotFound, rpc.Invalid: // no capacity, or malformed
+		a.recordProvisioned(request, result.Machines)
+	case rpc.NotFound, rpc.Invalid: // no capacity, or a malformed request
 		if result.Outcome == rpc.Invalid {
-			a.context.Log(message.Error, "cloud rejects a provisioning request", "type", request.Type, "zone", request.Zone, "count", request.Count)
+			a.context.Log(message.Error, "cloud rejected a provisioning request", "type", request.Type, "zone", request.Zone, "count", request.Count)
 		}
-		a.noteOutOfCapacity(request)
+		a.markOutOfCapacity(request)
 		a.removeRequest(request)
 	default:
-		// It may have been done: only its own name asks again without provisioning twice.
-		request.retryAt = a.context.Monotonic() + a.timing.HeartbeatInterval/cloudRetryShare
+		// The cloud may have served the request. Repeating it with the same ID doesn't provision
+		// the machines twice.
+		request.retryAt = a.context.Monotonic() + a.timing.HeartbeatInterval/cloudRetriesPerHeartbeat
 	}
 }
 
-func (a *Autoscaler) machinesProvisioned(request *provisioningRequest, names []string) {
+func (a *Autoscaler) recordProvisioned(request *provisioningRequest, names []string) {
 	now := a.context.Monotonic()
 	request.Answered, request.Machines = true, names
 	a.context.Stats.MachinesScaledOut += int64(len(names))
@@ -164,12 +166,12 @@
 		machine.Provisioning.ProvisionedAt = now
 	}
 	if len(names) < request.Count {
-		a.noteOutOfCapacity(request)
+		a.markOutOfCapacity(request)
 	}
-	a.store.MarkDirty(now, request, request.deferredWaiter())
+	a.store.MarkDirty(now, request, request.deferredCommitWaiter())
 }
 
-func (a *Autoscaler) noteOutOfCapacity(request *provisioningRequest) {
+func (a *Autoscaler) markOutOfCapacity(request *provisioningRequest) {
 	o := cluster.Offering{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
-	a.outOfCapacity[o] = a.context.Monotonic() + capacityLeases*a.timing.Lease
+	a.outOfCapacity[o] = a.context.Monotonic() + outOfCapacityLeases*a.timing.Lease
 }
--- a/internal/autoscaling/scale_in.go
+++ b/internal/autoscaling/scale_in.go
@@ -11,11 +11,11 @@
 	"oakpick/internal/rpc"
 )
 
-// silentLeases is for how many worker leases a machine has to be silent to be released.
-const silentLeases = 5
+// silentReleaseLeases is the number of worker leases without contact after which a machine is released.
+const silentReleaseLeases = 5
 
-// idleTimeout is how long an empty machine of a type is kept: unless operators say otherwise,
-// as long as another would take to boot, which is when keeping it has cost as much as that.
+// idleTimeout returns how long an empty machine of a type is kept. The default is the type's boot
+// time: by then, keeping the machine has cost as much as booting another one.
 func (a *Autoscaler) idleTimeout(machineType *protocol.MachineType) time.Duration {
 	if a.options.IdleS > 0 || machineType == nil {
 		return config.Seconds(a.options.IdleS)
@@ -23,7 +23,7 @@
 	return config.Seconds(machineType.BootS)
 }
 
-// scaleIn releases machines that are empty, have failed or never came up.
+// scaleIn releases machines that are empty, failed, unreachable or never came up.
 func (a *Autoscaler) scaleIn(needed map[*cluster.Machine]bool) {
 	var names []string
 	for _, machine := range a.state.MachinesByName {
@@ -34,7 +34,7 @@
 		if reason == "" {
 			continue
 		}
-		if !machine.Provisioning.Releasing { // once, however often it has to be asked for
+		if !machine.Provisioning.Releasing { // logged once, even if the request has to be repeated
 			a.context.Log(message.Info, "machine released", "machine", machine.Name, "type", machine.Type, "reason", reason)
 		}
 		names = append(names, machine.Name)
@@ -47,51 +47,52 @@
 	for _, name := range names {
 		provisioning := &a.state.Machines[name].Provisioning
 		provisioning.ReleaseRequested = requested
-		provisioning.Releasing = true // nothing new goes there, whenever the request gets through
+		provisioning.Releasing = true // nothing is placed there, even if the request has to be repeated
 	}
 }
 
-// releaseReason says why a machine is to be released; empty: it isn't.
+// releaseReason returns why a machine is to be released, or "" if it isn't.
 func (a *Autoscaler) releaseReason(machine *cluster.Machine, needed bool) string {
 	switch {
 	case machine.Provisioning.Releasing:
-		return "requested before"
+		return "release requested before"
 	case machine.Provisioning.Failed:
-		return "it has failed"
+		return "failed"
 	case !machine.Worker.Registered:
 		return a.unregisteredReleaseReason(machine)
-	case machine.Worker.Expired() && a.context.SilentFor(machine.Worker.HeardAt) > a.timing.Lease*silentLeases:
-		return "it is silent"
+	case machine.Worker.Expired() && a.context.SilentFor(machine.Worker.HeardAt) > a.timing.Lease*silentReleaseLeases:
+		return "silent"
 	case len(machine.Tasks) > 0:
 		return ""
 	case machine.Health.Cordoned:
-		return "it is cordoned"
+		return "cordoned"
 	case len(machine.Worker.UnknownTasks) > 0:
 		return ""
 	case machine.Provisioning.Draining:
-		return "it was drained"
+		return "drained"
 	case !needed && machine.Worker.InterruptionAt == 0 && a.idleFor(machine) > a.idleTimeout(a.state.Catalog.Type(machine.Type)):
-		return "it is idle"
+		return "idle"
 	}
 	return ""
 }
 
-// idleFor is for how long a machine has been empty, as far as this leader knows.
+// idleFor returns for how long a machine has been empty, counting from the start of this term
+// at the earliest.
 func (a *Autoscaler) idleFor(machine *cluster.Machine) time.Duration {
 	return a.context.SilentFor(max(machine.Provisioning.EmptySince, a.leadership.LeadingSince()))
 }
 
-// unregisteredReleaseReason says why a machine that hasn't reported in this term is to be
-// released.
+// unregisteredReleaseReason returns why a machine that has not registered in this term is to be
+// released, or "" if it isn't.
 func (a *Autoscaler) unregisteredReleaseReason(machine *cluster.Machine) string {
 	if len(machine.Tasks) > 0 {
 		return ""
 	}
 	provisioning := &machine.Provisioning
 	if provisioning.RunningAt > 0 {
-		// It came up in an earlier term, and is cut off: it may come back.
-		if a.context.SilentFor(provisioning.RunningAt) > a.timing.Lease*silentLeases {
-			return "it is silent"
+		// The machine came up in an earlier term and is disconnected. It may come back.
+		if a.context.SilentFor(provisioning.RunningAt) > a.timing.Lease*silentReleaseLeases {
+			return "silent"
 		}
 		return ""
 	}
@@ -100,13 +101,13 @@
 		return ""
 	}
 	if a.context.Monotonic()-provisioning.ProvisionedAt > config.Seconds(machineType.BootS*a.options.GiveUpBoots) {
-		return "it never came up"
+		return "never came up"
 	}
 	return ""
 }
 
-// released takes in the cloud's answer to a release.
-func (a *Autoscaler) released(names []string, result message.CloudResult) {
+// handleScaleIn processes the cloud's answer to a release request.
+func (a *Autoscaler) handleScaleIn(names []string, result message.CloudResult) {
 	for _, name := range names {
 		machine := a.state.Machines[name]
 		if machine == nil {
--- a/internal/autoscaling/summary.go
+++ b/internal/autoscaling/summary.go
@@ -10,7 +10,7 @@
 	"oakpick/internal/resources"
 )
 
-// typeSummary counts the machines of a type.
+// typeSummary aggregates the machines of one type, spot or on-demand.
 type typeSummary struct {
 	up, booting, empty, silent int
 	allocated, capacity        resources.Amount
@@ -34,7 +34,7 @@
 	}
 }
 
-// logSummary sums the fleet up, a line for each type of machine.
+// logSummary logs a summary of the fleet, one line for each type of machine.
 func (a *Autoscaler) logSummary() {
 	summaries := map[string]*typeSummary{}
 	for _, machine := range a.state.MachinesByName {
--- a/internal/resources/amount.go
+++ b/internal/resources/amount.go
@@ -1,8 +1,8 @@
-// Package resources calculates with amounts of what a machine offers and a task takes.
+// Package resources does arithmetic on amounts of machine resources.
 package resources
 
-// Tolerance is by how much an amount may exceed another and still fit: amounts arrive as
-// decimal numbers.
+// Tolerance is the amount by which a request may exceed a capacity and still fit. It absorbs the
+// rounding errors of decimal amounts.
 const Tolerance = 1e-6
 
 // unlimited is more of a resource than any fleet has.
@@ -11,7 +11,7 @@
 // Amount is an amount of a machine's resources.
 type Amount struct{ CPUs, GPUs, MemoryGB float64 }
 
-// Unlimited returns more than any fleet has.
+// Unlimited returns an amount that exceeds the resources of any fleet.
 func Unlimited() Amount { return Amount{unlimited, unlimited, unlimited} }
 
 // Plus returns the sum.
@@ -24,7 +24,7 @@
 	return Amount{a.CPUs - b.CPUs, a.GPUs - b.GPUs, a.MemoryGB - b.MemoryGB}
 }
 
-// Times returns the amount k times.
+// Times returns the amount multiplied by k.
 func (a Amount) Times(k float64) Amount {
 	return Amount{a.CPUs * k, a.GPUs * k, a.MemoryGB * k}
 }
--- a/internal/resources/amount_test.go
+++ b/internal/resources/amount_test.go
@@ -17,8 +17,8 @@
 		{"bound by memory", resources.Amount{CPUs: 1, MemoryGB: 16}, resources.Amount{CPUs: 64, MemoryGB: 40}, 100, 2},
 		{"bound by the limit", resources.Amount{CPUs: 1}, resources.Amount{CPUs: 64}, 5, 5},
 		{"decimal amounts", resources.Amount{CPUs: 0.1}, resources.Amount{CPUs: 0.3}, 100, 3},
-		{"nothing is left", resources.Amount{CPUs: 1}, resources.Amount{CPUs: -2}, 100, 0},
-		{"nothing is asked for", resources.Amount{}, resources.Amount{CPUs: 1}, 7, 7},
+		{"no capacity left", resources.Amount{CPUs: 1}, resources.Amount{CPUs: -2}, 100, 0},
+		{"empty request", resources.Amount{}, resources.Amount{CPUs: 1}, 7, 7},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.request.CountIn(c.capacity, c.limit); got != c.want {
