--- a/internal/scheduling/best_effort.go
+++ b/internal/scheduling/best_effort.go
@@ -78,16 +78,16 @@
 // a machine that isn't worth provisioning for it, a best-effort job may only run beside
 // guaranteed tasks, and only on processors that no free GPU needs, so that a task that
 // requests these GPUs can start at once.
-func (s *Scheduler) UsableResources(j *cluster.Job, machine *cluster.Machine, room resources.Amount) resources.Amount {
+func (s *Scheduler) UsableResources(j *cluster.Job, machine *cluster.Machine, free resources.Amount) resources.Amount {
 	if !j.BestEffort() || s.WorthProvisioning(j, machine.Offering()) || s.Starving(j) {
-		return room
+		return free
 	}
 	machineType := s.state.Catalog.Type(machine.Type)
 	if machineType == nil || machine.GuaranteedTasks == 0 {
 		return resources.Amount{}
 	}
 	if j.Request.GPUs == 0 && machineType.GPUs > 0 {
-		room.CPUs = max(0, room.CPUs-room.GPUs*machineType.CPUs/machineType.GPUs)
+		free.CPUs = max(0, free.CPUs-free.GPUs*machineType.CPUs/machineType.GPUs)
 	}
-	return room
+	return free
 }
--- a/internal/scheduling/gang.go
+++ b/internal/scheduling/gang.go
@@ -70,13 +70,13 @@
 	if zone == "" {
 		return s.chooseMachine(j, perZone)
 	}
-	own := j.Zone
-	if own != "" && own != zone {
+	jobZone := j.Zone
+	if jobZone != "" && jobZone != zone {
 		return nil
 	}
 	j.Zone = zone
 	machine := s.chooseMachine(j, perZone)
-	j.Zone = own
+	j.Zone = jobZone
 	return machine
 }
 
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -175,7 +175,7 @@
 // returns none if the task would not fit even with all of them preempted.
 func (s *Scheduler) victimsOn(p *preemptionSearch, machine *cluster.Machine) (victims []*cluster.Task, cost float64) {
 	j := p.job
-	room := p.projectedFree(machine)
+	free := p.projectedFree(machine)
 	s.cycle.tasksExamined += int64(len(machine.Tasks))
 	var preemptable []*cluster.Task
 	for _, t := range machine.Tasks {
@@ -188,14 +188,14 @@
 	})
 	cost = s.state.FetchTimeS(j, machine)
 	for _, t := range preemptable {
-		if j.Request.FitsIn(room) {
+		if j.Request.FitsIn(free) {
 			break
 		}
-		room = room.Plus(t.Job.Request)
+		free = free.Plus(t.Job.Request)
 		victims = append(victims, t)
 		cost += s.preemptionCostS(t)
 	}
-	if !j.Request.FitsIn(room) {
+	if !j.Request.FitsIn(free) {
 		return nil, 0
 	}
 	return victims, cost
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -83,9 +83,9 @@
 	if j.DeadlineS == 0 {
 		return j.ReadyMs
 	}
-	atOnce := max(1, j.Request.CountIn(j.Team.Limit(), maxConcurrentTasks))
-	alone := s.state.ExpectedRunS(j) * float64(j.Tasks-j.DoneTasks) / float64(atOnce)
-	return j.ReadyMs + int64(alone*queueDelayPerRunS*msPerS)
+	concurrentTasks := max(1, j.Request.CountIn(j.Team.Limit(), maxConcurrentTasks))
+	unsharedRunS := s.state.ExpectedRunS(j) * float64(j.Tasks-j.DoneTasks) / float64(concurrentTasks)
+	return j.ReadyMs + int64(unsharedRunS*queueDelayPerRunS*msPerS)
 }
 
 // rank returns a job's scheduling rank. Jobs are ranked by priority, then by whether their
--- a/internal/scheduling/quota.go
+++ b/internal/scheduling/quota.go
@@ -26,7 +26,7 @@
 }
 
 // tasksWithinLimit returns how many more tasks of a job the team's limit allows, up to most.
-func tasksWithinLimit(j *cluster.Job, most int) int {
+func tasksWithinLimit(j *cluster.Job, limit int) int {
 	t := j.Team
 	left := resources.Unlimited()
 	reserved := reservedQuota(j)
@@ -36,7 +36,7 @@
 	if t.GPULimit > 0 {
 		left.GPUs = t.GPULimit - t.Used.GPUs - reserved.GPUs
 	}
-	return j.Request.CountIn(left, most)
+	return j.Request.CountIn(left, limit)
 }
 
 // limitShortfall returns the amount by which a team would exceed its limit with so many more
@@ -62,8 +62,8 @@
 // promised to the job, so that no job later in the queue uses it.
 func (s *Scheduler) preemptWithinTeam(j *cluster.Job, tasks int) {
 	t := j.Team
-	highest, known := s.cycle.noVictimsUpToRank[t]
-	if !isZero(limitShortfall(j, tasks)) && (!known || rank(j) > highest) {
+	highestRank, known := s.cycle.noVictimsUpToRank[t]
+	if !isZero(limitShortfall(j, tasks)) && (!known || rank(j) > highestRank) {
 		s.preemptTeamTasks(j, tasks)
 	}
 	for ; tasks > 0 && t.Promised.Plus(j.Request).FitsIn(t.Stopping); tasks-- {
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -199,6 +199,6 @@
 }
 
 // fits reports whether a task may be placed on a machine that has the given free resources.
-func (s *Scheduler) fits(j *cluster.Job, machine *cluster.Machine, room resources.Amount, perZone map[string]int) bool {
-	return j.Request.FitsIn(room) && s.Schedulable(machine) && j.AllowedOn(machine.Offering()) && j.AllowsZone(machine.Zone, perZone)
+func (s *Scheduler) fits(j *cluster.Job, machine *cluster.Machine, free resources.Amount, perZone map[string]int) bool {
+	return j.Request.FitsIn(free) && s.Schedulable(machine) && j.AllowedOn(machine.Offering()) && j.AllowsZone(machine.Zone, perZone)
 }
