--- a/internal/autoscaling/cloud.go
+++ b/internal/autoscaling/cloud.go
@@ -33,7 +33,7 @@
 	c := &a.cloud
 	changesFleet := call.Op == message.CloudScaleOut || call.Op == message.CloudScaleIn
 	if changesFleet && a.context.Monotonic() >= a.leadership.LeaseUntil() {
-		return false // without a lease there is no time by which the request has to be sent
+		return false // without a lease, nothing bounds the time at which the request is sent
 	}
 	if a.context.Monotonic() < c.backoffUntil || len(c.inFlight) >= config.CloudConnections || !c.limiter.AllowN(a.context.Now.LimiterTime(), 1) {
 		return false
--- a/internal/autoscaling/consolidation.go
+++ b/internal/autoscaling/consolidation.go
@@ -13,9 +13,11 @@
 )
 
 const (
-	// drainDivisor limits the machines drained at a time to their number divided by this, plus one.
+	// drainDivisor limits how many machines are drained at a time: one, plus the number of
+	// schedulable machines divided by this.
 	drainDivisor = 16
-	// moveDivisor limits the replicas moved per minute to their number divided by this.
+	// moveDivisor limits how many replicas are moved per minute: the number of active replicas
+	// divided by this.
 	moveDivisor = 4
 	// maxDrainAttempts is the number of drain candidates that a plan checks at most.
 	maxDrainAttempts = 8
@@ -27,8 +29,8 @@
 	priceExcessExponent = 3
 	// drainBaseTasks is added to a machine's number of tasks when drain candidates are ranked.
 	drainBaseTasks = 2
-	// A worker lease divided by these is the time until a machine is examined again that can't
-	// be drained, or from which nothing can be moved yet.
+	// drainRetryDivisor and moveRetryDivisor set, as fractions of a worker lease, when to retry
+	// a machine that can't be drained, or from which no replica can be moved yet.
 	drainRetryDivisor, moveRetryDivisor = 2, 16
 )
 
@@ -38,7 +40,7 @@
 // longer than two messages and a write take.
 func (a *Autoscaler) consolidate(bins []*bin) {
 	if a.onDemandCapacityShort() {
-		// Draining machines are used again.
+		// Draining is cancelled so that the machines can be given tasks again.
 		for _, machine := range a.state.MachinesByName {
 			machine.Provisioning.Draining = false
 		}
@@ -122,26 +124,26 @@
 	savings float64
 }
 
-// startDraining starts to drain up to most machines, those with the highest savings first.
-func (a *Autoscaler) startDraining(bins []*bin, most int) {
+// startDraining starts to drain up to limit machines, those with the highest savings first.
+func (a *Autoscaler) startDraining(bins []*bin, limit int) {
 	now := a.context.Monotonic()
 	var list []drainCandidate
 	for _, b := range bins {
-		if saves, ok := a.drainSavings(b); ok {
-			list = append(list, drainCandidate{b.machine, saves})
+		if savings, ok := a.drainSavings(b); ok {
+			list = append(list, drainCandidate{b.machine, savings})
 		}
 	}
 	slices.SortStableFunc(list, func(x, y drainCandidate) int { return cmp.Compare(y.savings, x.savings) })
 	taken := map[*bin]resources.Amount{}
 	for _, c := range list[:min(len(list), maxDrainAttempts)] {
-		if most <= 0 {
+		if limit <= 0 {
 			return
 		}
 		if !a.reserveMoves(c.machine, bins, taken) {
 			c.machine.Provisioning.DrainRetryAt = now + a.timing.Lease/drainRetryDivisor
 			continue
 		}
-		most--
+		limit--
 		c.machine.Provisioning.Draining = true
 		a.context.Log(message.Info, "machine draining", "machine", c.machine.Name, "type", c.machine.Type, "tasks", len(c.machine.Tasks))
 	}
@@ -151,7 +153,7 @@
 // have to be moved. ok is false if the machine has no replicas or can't be drained now.
 // Expensive types go first even if more tasks have to be moved: cheap types may run out of
 // capacity, and should not be released just to save a few moves.
-func (a *Autoscaler) drainSavings(b *bin) (saves float64, ok bool) {
+func (a *Autoscaler) drainSavings(b *bin) (savings float64, ok bool) {
 	machine := b.machine
 	if machine == nil || b.used || !a.scheduler.Schedulable(machine) || len(machine.Tasks) == 0 || len(machine.Worker.UnknownTasks) > 0 ||
 		a.context.Monotonic() < machine.Provisioning.DrainRetryAt {
--- a/internal/autoscaling/inventory.go
+++ b/internal/autoscaling/inventory.go
@@ -76,7 +76,7 @@
 }
 
 // finishList removes machines that have been missing from the list for a long time. A list may
-// be stale, so a single list without a machine doesn't prove that the machine is gone.
+// be stale, so a machine counts as gone only if it is absent from many lists.
 func (a *Autoscaler) finishList() {
 	now := a.context.Monotonic()
 	lag := config.Seconds(a.settings.ListLagS)
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -156,7 +156,8 @@
 }
 
 const (
-	// processorDivisor scales free processors against free GPUs in the sort key of a bin.
+	// processorDivisor is the number of free processors that weigh as much as one free GPU in
+	// the sort key of a bin.
 	processorDivisor = 1000
 	// unusedBinKey sorts unused bins after all bins in use.
 	unusedBinKey = 1e6
--- a/internal/autoscaling/plan.go
+++ b/internal/autoscaling/plan.go
@@ -59,8 +59,8 @@
 		case machineType == nil:
 		case a.scheduler.Schedulable(machine):
 			// A stopping task's resources are free long before a new machine would be up.
-			room := a.state.Free(machine).Plus(machine.Stopping)
-			bins = append(bins, &bin{machine: machine, offering: machine.Offering(), free: room})
+			free := a.state.Free(machine).Plus(machine.Stopping)
+			bins = append(bins, &bin{machine: machine, offering: machine.Offering(), free: free})
 		case a.scheduler.ExpectedToJoin(machine):
 			bins = append(bins, a.bootingBin(machine, machineType))
 		}
@@ -117,7 +117,7 @@
 	return slices.ContainsFunc(demands, func(d machineDemand) bool { return !d.Spot })
 }
 
-// arrivalWindowLeases is the length of the window over which arrivals are counted, in worker leases.
+// arrivalWindowLeases is the window over which arrivals are counted, in worker leases.
 const arrivalWindowLeases = 10
 
 // warmTasks returns the number of tasks of a class to keep capacity for: the arrivals in excess
@@ -185,9 +185,9 @@
 	return best, !math.IsInf(bestCost, 1)
 }
 
-// usableSlots returns how many of the waiting tasks of a job would run on a machine of a type.
-// A job with GPUs is credited with all slots of the machine, since no other job will use its
-// GPUs.
+// usableSlots returns how many tasks of a job are expected to share a machine of a type. Tasks
+// without GPUs count only as far as they wait, and only up to maxCPUTasksPerGPUMachine on a
+// machine with GPUs, because no other job is expected to use its GPUs.
 func usableSlots(j *cluster.Job, machineType *protocol.MachineType, tasks int) int {
 	slots := cluster.TasksPerMachine(j, machineType)
 	if slots == 0 || j.Request.GPUs > 0 {
--- a/internal/autoscaling/scale_in.go
+++ b/internal/autoscaling/scale_in.go
@@ -11,7 +11,8 @@
 	"oakpick/internal/rpc"
 )
 
-// silentReleaseLeases is the number of worker leases without contact after which a machine is released.
+// silentReleaseLeases is the number of worker leases without contact after which a machine is
+// released.
 const silentReleaseLeases = 5
 
 // idleTimeout returns how long an empty machine of a type is kept. The default is the type's boot
--- a/internal/scheduling/quota.go
+++ b/internal/scheduling/quota.go
@@ -25,8 +25,8 @@
 	return reserved
 }
 
-// tasksWithinLimit returns how many more tasks of a job the team's limit allows, up to most.
-func tasksWithinLimit(j *cluster.Job, limit int) int {
+// tasksWithinLimit returns how many more tasks of a job the team's limit allows, up to maxTasks.
+func tasksWithinLimit(j *cluster.Job, maxTasks int) int {
 	t := j.Team
 	left := resources.Unlimited()
 	reserved := reservedQuota(j)
@@ -36,7 +36,7 @@
 	if t.GPULimit > 0 {
 		left.GPUs = t.GPULimit - t.Used.GPUs - reserved.GPUs
 	}
-	return j.Request.CountIn(left, limit)
+	return j.Request.CountIn(left, maxTasks)
 }
 
 // limitShortfall returns the amount by which a team would exceed its limit with so many more
