--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -36,7 +36,7 @@
 	Schedulable(machine *cluster.Machine) bool
 	ExpectedToJoin(machine *cluster.Machine) bool
 	RequestClass(j *cluster.Job) cluster.RequestClass
-	UsableResources(j *cluster.Job, machine *cluster.Machine, room resources.Amount) resources.Amount
+	UsableResources(j *cluster.Job, machine *cluster.Machine, free resources.Amount) resources.Amount
 	Starving(j *cluster.Job) bool
 	WorthProvisioning(j *cluster.Job, o cluster.Offering) bool
 }
