--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -40,7 +40,7 @@
 	state := c.leader.state
 	unfinishedNode := func(id string) *dependency.Node {
 		j := state.Jobs[id]
-		if j == nil || j.IsCancelled() {
+		if j == nil || j.IsDurablyCancelled() {
 			return nil
 		}
 		return j.Prerequisites.Node
@@ -57,7 +57,7 @@
 }
 
 func checkPrerequisites(state *cluster.State, j *cluster.Job) error {
-	if j.IsCancelled() {
+	if j.IsDurablyCancelled() {
 		return nil
 	}
 	if node := j.Prerequisites.Node; node != state.Dependencies.Node(j.ID) {
@@ -68,7 +68,7 @@
 			return fmt.Errorf("%s is not cancelled, and %s, which it needs, is", j.ID, id)
 		}
 		// A job that is to be born cancelled waits for none.
-		if waits := j.Prerequisites.Node.Needs(id); waits != (state.Jobs[id] != nil) && !j.Cancelled {
+		if waits := j.Prerequisites.Node.HasPrerequisite(id); waits != (state.Jobs[id] != nil) && !j.Cancelled {
 			return fmt.Errorf("%s waits for %s: %t, which isn't over: %t", j.ID, id, waits, state.Jobs[id] != nil)
 		}
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -6,7 +6,7 @@
 	"oakpick/internal/message"
 )
 
-// Status is what a node says of itself.
+// Status is the status of a node as reported by the administration API.
 type Status struct {
 	Node   string        `json:"node"`
 	Role   string        `json:"role"`
@@ -17,30 +17,30 @@
 	Leads  *LeaderStatus `json:"leads,omitempty"`
 }
 
-// LeaderStatus is what only the leader knows.
+// LeaderStatus is the part of the status that only the leader can report.
 type LeaderStatus struct {
-	SinceS              float64             `json:"since_s"`
-	LeaseForS           float64             `json:"certain_for_s"`
-	Jobs                int                 `json:"jobs"`
-	EndedJobs           int                 `json:"over"` // in memory, that is not in the archive
-	Archive             archive.Status      `json:"archive"`
-	Classes             map[string]Queue    `json:"classes"`
-	Teams               map[string]TeamUse  `json:"teams"`
-	Machines            map[string]Machines `json:"machines"`
-	UnconfirmedMachines []string            `json:"machines_in_doubt"` // starts may still arrive there
-	CordonedMachines    []string            `json:"machines_set_aside"`
-	FailingJobs         []string            `json:"jobs_failing_everywhere"`
-	Backlog             int                 `json:"pages_to_write"`
-	BacklogS            float64             `json:"oldest_page_waits_s"`
-	BudgetFill          float64             `json:"write_budget_fill"` // 0 to 1
-	BudgetWaitS         float64             `json:"write_budget_waits_s"`
-	Pages               int                 `json:"pages"`
-	OversizedPages      int                 `json:"pages_above_limits_to_come"`
-	SteppedDownPeers    []string            `json:"peers_let_go"`
+	SinceS              float64                  `json:"since_s"`
+	LeaseRemainingS     float64                  `json:"certain_for_s"`
+	Jobs                int                      `json:"jobs"`
+	EndedJobs           int                      `json:"over"` // in memory, that is, not in the archive
+	Archive             archive.Status           `json:"archive"`
+	Classes             map[string]ClassCounts   `json:"classes"`
+	Teams               map[string]TeamUsage     `json:"teams"`
+	Machines            map[string]MachineCounts `json:"machines"`
+	UnconfirmedMachines []string                 `json:"machines_in_doubt"` // unconfirmed start commands may still arrive there
+	CordonedMachines    []string                 `json:"machines_set_aside"`
+	FailingJobs         []string                 `json:"jobs_failing_everywhere"`
+	Backlog             int                      `json:"pages_to_write"`
+	BacklogS            float64                  `json:"oldest_page_waits_s"`
+	BudgetFill          float64                  `json:"write_budget_fill"` // from 0 to 1
+	BudgetWaitS         float64                  `json:"write_budget_waits_s"`
+	Pages               int                      `json:"pages"`
+	OversizedPages      int                      `json:"pages_above_limits_to_come"`
+	SteppedDownPeers    []string                 `json:"peers_let_go"`
 }
 
-// Queue is a class's tasks.
-type Queue struct {
+// ClassCounts are the counts of jobs and tasks of a class.
+type ClassCounts struct {
 	Jobs        int `json:"jobs"`
 	Waiting     int `json:"waiting"`
 	Placed      int `json:"placed"`
@@ -48,8 +48,8 @@
 	BlockedJobs int `json:"waiting_for_prerequisites"`
 }
 
-// TeamUse is a team's use and quota.
-type TeamUse struct {
+// TeamUsage is the resource usage and quota of a team.
+type TeamUsage struct {
 	Waiting        int     `json:"waiting"` // tasks
 	CPUs           float64 `json:"cpus"`
 	GuaranteedCPUs float64 `json:"cpus_guaranteed"`
@@ -59,8 +59,8 @@
 	GPULimit       float64 `json:"gpus_at_most"`
 }
 
-// Machines counts a type's machines.
-type Machines struct {
+// MachineCounts are the counts of machines of a type, by state.
+type MachineCounts struct {
 	Booting int `json:"booting"`
 	Up      int `json:"up"`
 	Silent  int `json:"silent"`
@@ -84,15 +84,15 @@
 	pages, oldest := l.store.Backlog(now)
 	budget := l.store.WriteBudget(now)
 	s := &LeaderStatus{
-		SinceS: (now - elector.LeadingSince()).Seconds(), LeaseForS: max(0, elector.LeaseUntil()-now).Seconds(),
+		SinceS: (now - elector.LeadingSince()).Seconds(), LeaseRemainingS: max(0, elector.LeaseUntil()-now).Seconds(),
 		Jobs: len(l.state.JobOrder), EndedJobs: len(l.state.EndedJobs), Archive: l.archive.Status(),
-		Classes: map[string]Queue{}, Teams: map[string]TeamUse{}, Machines: map[string]Machines{},
+		Classes: map[string]ClassCounts{}, Teams: map[string]TeamUsage{}, Machines: map[string]MachineCounts{},
 		UnconfirmedMachines: []string{}, CordonedMachines: []string{}, FailingJobs: l.failingJobs(),
 		Backlog: pages, BacklogS: oldest.Seconds(), BudgetFill: budget.Fill, BudgetWaitS: budget.WaitingFor.Seconds(), Pages: l.store.PageCount(), OversizedPages: l.store.OversizedPages(),
 		SteppedDownPeers: elector.SteppedDownPeers(),
 	}
 	for name, t := range l.state.Teams {
-		s.Teams[name] = TeamUse{
+		s.Teams[name] = TeamUsage{
 			CPUs: t.Used.CPUs, GuaranteedCPUs: t.GuaranteedCPUs, CPULimit: t.CPULimit,
 			GPUs: t.Used.GPUs, GuaranteedGPUs: t.GuaranteedGPUs, GPULimit: t.GPULimit,
 		}
@@ -117,7 +117,7 @@
 	}
 	for _, t := range j.ActiveTasks {
 		queue.Placed++
-		if t.Runs() {
+		if t.SeenRunning() {
 			queue.Running++
 		}
 	}
@@ -131,7 +131,7 @@
 	switch {
 	case !worker.Registered:
 		counts.Booting++
-	case worker.Expired() || c.context.Monotonic()-worker.HeardAt > c.timing.Workers.Lease:
+	case worker.Expired() || c.context.Monotonic()-worker.LastSeenAt > c.timing.Workers.Lease:
 		counts.Silent++
 	default:
 		counts.Up++
@@ -151,7 +151,7 @@
 	}
 }
 
-// failingJobs lists the jobs that fail on every machine.
+// failingJobs returns the IDs of the jobs that fail on every machine.
 func (l *leader) failingJobs() []string {
 	ids := []string{}
 	for _, j := range l.state.JobOrder {
