--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -42,9 +42,9 @@
 	return gap
 }
 
-// Since returns the later of a time and the end of the last pause. Timeouts count from it:
+// ClampToResume returns the later of a time and the end of the last pause. Timeouts count from it:
 // what was not received during a pause says nothing about the sender.
-func (d *Detector) Since(at time.Duration) time.Duration {
+func (d *Detector) ClampToResume(at time.Duration) time.Duration {
 	if d.totals.Count == 0 {
 		return at
 	}
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -28,7 +28,7 @@
 func TestNothingIsKnownBeforeTheFirstPause(t *testing.T) {
 	d := Detector{Threshold: time.Second}
 	d.Step(0)
-	if d.Since(0) != 0 || d.Within(0, time.Hour) {
+	if d.ClampToResume(0) != 0 || d.Within(0, time.Hour) {
 		t.Error("a pause is known before there was one")
 	}
 }
@@ -37,10 +37,10 @@
 	d := Detector{Threshold: time.Second}
 	d.Step(0)
 	d.Step(10 * time.Second)
-	if got := d.Since(3 * time.Second); got != 10*time.Second {
+	if got := d.ClampToResume(3 * time.Second); got != 10*time.Second {
 		t.Errorf("since %v, want the end of the pause, 10s", got)
 	}
-	if got := d.Since(12 * time.Second); got != 12*time.Second {
+	if got := d.ClampToResume(12 * time.Second); got != 12*time.Second {
 		t.Errorf("since %v, want 12s", got)
 	}
 	if !d.Within(12*time.Second, 3*time.Second) || d.Within(13*time.Second, 3*time.Second) {
--- a/internal/step/context.go
+++ b/internal/step/context.go
@@ -72,5 +72,5 @@
 // SilentFor is for how long something last heard at a time has been silent while it could
 // have been heard: what was not heard during a pause of this process says nothing.
 func (c *Context) SilentFor(heardAt time.Duration) time.Duration {
-	return c.Monotonic() - c.Pauses.Since(heardAt)
+	return c.Monotonic() - c.Pauses.ClampToResume(heardAt)
 }
