--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -135,7 +135,7 @@
 	if !a.ready && inherited {
 		return false
 	}
-	if a.context.Pauses.Within(now, a.timing.SilentAfter) {
+	if a.context.Pauses.ResumedWithin(now, a.timing.SilentAfter) {
 		return false
 	}
 	a.ready = true
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -51,8 +51,8 @@
 	return max(at, d.resumedAt)
 }
 
-// Within tells whether the last pause ended less than span ago.
-func (d *Detector) Within(now, span time.Duration) bool {
+// ResumedWithin tells whether the last pause ended less than span ago.
+func (d *Detector) ResumedWithin(now, span time.Duration) bool {
 	return d.totals.Count > 0 && now-d.resumedAt < span
 }
 
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -28,7 +28,7 @@
 func TestNothingIsKnownBeforeTheFirstPause(t *testing.T) {
 	d := Detector{Threshold: time.Second}
 	d.Step(0)
-	if d.ClampToResume(0) != 0 || d.Within(0, time.Hour) {
+	if d.ClampToResume(0) != 0 || d.ResumedWithin(0, time.Hour) {
 		t.Error("a pause is known before there was one")
 	}
 }
@@ -43,7 +43,7 @@
 	if got := d.ClampToResume(12 * time.Second); got != 12*time.Second {
 		t.Errorf("since %v, want 12s", got)
 	}
-	if !d.Within(12*time.Second, 3*time.Second) || d.Within(13*time.Second, 3*time.Second) {
+	if !d.ResumedWithin(12*time.Second, 3*time.Second) || d.ResumedWithin(13*time.Second, 3*time.Second) {
 		t.Error("a span after the pause has the wrong end")
 	}
 }
