--- a/internal/rpc/outcome.go
+++ b/internal/rpc/outcome.go
@@ -39,8 +39,8 @@
 // Unwrap returns the error of the network.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// Dial returns a function that connects within the timeout. Its errors are *DialError.
-func Dial(timeout time.Duration) fasthttp.DialFunc {
+// NewDialFunc returns a function that connects within the timeout. Its errors are *DialError.
+func NewDialFunc(timeout time.Duration) fasthttp.DialFunc {
 	dialer := &net.Dialer{Timeout: timeout}
 	return func(addr string) (net.Conn, error) {
 		// The library's function has no context; the timeout bounds the call.
--- a/internal/rpc/outcome_test.go
+++ b/internal/rpc/outcome_test.go
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
-	dial := Dial(5 * time.Second)
+	dial := NewDialFunc(5 * time.Second)
 	connection, err := dial(address)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -26,7 +26,7 @@
 	newHostClient := func(connections int, dialTimeout time.Duration) *fasthttp.HostClient {
 		return &fasthttp.HostClient{
 			Addr:                      addr,
-			Dial:                      rpc.Dial(dialTimeout),
+			Dial:                      rpc.NewDialFunc(dialTimeout),
 			MaxConns:                  connections,
 			MaxConnWaitTimeout:        dialTimeout,
 			MaxIdleConnDuration:       10 * timeout,
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -25,7 +25,7 @@
 // interval.
 func NewCloudClient(addr string, workers config.Workers) *CloudClient {
 	timeout := config.Seconds(workers.HeartbeatIntervalS * 1.5)
-	client := newHostClient(addr, rpc.Dial(timeout/2), config.CloudConnections, maxCloudResponseBytes)
+	client := newHostClient(addr, rpc.NewDialFunc(timeout/2), config.CloudConnections, maxCloudResponseBytes)
 	return &CloudClient{client: client, timeout: timeout}
 }
 
--- a/internal/transport/worker_client.go
+++ b/internal/transport/worker_client.go
@@ -28,7 +28,7 @@
 	timeout := config.Seconds(workers.HeartbeatIntervalS * 0.75)
 	return &WorkerClient{
 		timeout: timeout,
-		pool:    newConnectionPool(rpc.Dial(timeout*2/3), timeout*idleTimeouts, maxConnections),
+		pool:    newConnectionPool(rpc.NewDialFunc(timeout*2/3), timeout*idleTimeouts, maxConnections),
 	}
 }
 
