--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -88,7 +88,7 @@
 func (l *eventLoop) forwardTo(peer string, request queuedEvent) {
 	ctx, cancel := context.WithTimeout(l.process.ctx, forwardTimeout)
 	defer cancel()
-	ctx, done := l.forwarded.Begin(ctx, peer)
+	ctx, done := l.forwarded.Track(ctx, peer)
 	defer done()
 	reply, err := l.clients.peers.Forward(ctx, peer, request.raw.Method, request.raw.Path, request.raw.Body)
 	if err != nil && errors.Is(context.Cause(ctx), transport.ErrLeaderChanged) {
--- a/internal/transport/forwarded_requests.go
+++ b/internal/transport/forwarded_requests.go
@@ -29,10 +29,10 @@
 	return &ForwardedRequests{inFlight: map[uint64]forwardedRequest{}}
 }
 
-// Begin notes that a request goes to a peer. The context that it gives ends with
+// Track notes that a request goes to a peer. The context that it gives ends with
 // ErrLeaderChanged as its cause if another is found to lead; done has to be called when
 // the request is over.
-func (f *ForwardedRequests) Begin(ctx context.Context, peer string) (_ context.Context, done func()) {
+func (f *ForwardedRequests) Track(ctx context.Context, peer string) (_ context.Context, done func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/transport/forwarded_requests_test.go
+++ b/internal/transport/forwarded_requests_test.go
@@ -10,11 +10,11 @@
 // say why. Those that are with the new leader, or are over, are left alone.
 func TestForwardedRequestsEndWhenAnotherLeads(t *testing.T) {
 	forwarded := NewForwardedRequests()
-	old, endOld := forwarded.Begin(t.Context(), "a")
+	old, endOld := forwarded.Track(t.Context(), "a")
 	defer endOld()
-	fresh, endFresh := forwarded.Begin(t.Context(), "b")
+	fresh, endFresh := forwarded.Track(t.Context(), "b")
 	defer endFresh()
-	over, endOver := forwarded.Begin(t.Context(), "a")
+	over, endOver := forwarded.Track(t.Context(), "a")
 	endOver()
 	forwarded.CancelExcept("b")
 	if !errors.Is(context.Cause(old), ErrLeaderChanged) {
