--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -15,21 +15,21 @@
 
 const jsonContentType = "application/json"
 
-// adminTimeout is how long an operator's request may take.
+// adminTimeout bounds the time that an operator's request may take.
 const adminTimeout = protocol.SubmitTimeoutS * time.Second
 
-// adminHandler serves the administration API: JSON over HTTP, on the listener for peers.
+// adminHandler serves the administration API as JSON over HTTP, on the listener for peers.
 type adminHandler struct {
 	loop  *eventLoop
 	limit *transport.ConcurrencyLimit
 }
 
-// adminError is the body of a refusal.
+// adminError is the body of an error response.
 type adminError struct {
 	Error string `json:"error"`
 }
 
-// processMetrics is the answer about this process. Its fields are in the order of their names.
+// processMetrics is the body of GET /admin/metrics. Its fields are sorted by JSON name.
 type processMetrics struct {
 	Latency            map[string]latency.Summary `json:"latency"`
 	LongestPauseMs     int64                      `json:"longest_pause_ms"`
@@ -43,16 +43,16 @@
 func newAdminHandler(loop *eventLoop, limit *transport.ConcurrencyLimit) http.Handler {
 	h := &adminHandler{loop: loop, limit: limit}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /admin/status", h.forKind(message.AdminStatus))
-	mux.HandleFunc("GET /admin/settings", h.forKind(message.AdminRead))
-	mux.HandleFunc("PATCH /admin/settings", h.forKind(message.AdminChange))
-	mux.HandleFunc("GET /admin/jobs/{id}", h.forKind(message.AdminJob))
+	mux.HandleFunc("GET /admin/status", h.handlerFor(message.AdminStatus))
+	mux.HandleFunc("GET /admin/settings", h.handlerFor(message.AdminRead))
+	mux.HandleFunc("PATCH /admin/settings", h.handlerFor(message.AdminChange))
+	mux.HandleFunc("GET /admin/jobs/{id}", h.handlerFor(message.AdminJob))
 	mux.HandleFunc("GET /admin/metrics", h.metrics)
 	return mux
 }
 
-// forKind gives the handler of a kind of requests, which the controller answers.
-func (h *adminHandler) forKind(kind message.AdminRequestKind) http.HandlerFunc {
+// handlerFor returns an HTTP handler that passes requests of the given kind to the controller.
+func (h *adminHandler) handlerFor(kind message.AdminRequestKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody))
 		if err != nil {
@@ -61,7 +61,7 @@
 		}
 		fromPeer := r.Header.Get(transport.ForwardedHeader) != ""
 		raw := transport.RawRequest{Method: r.Method, Path: r.URL.Path, Body: body, FromPeer: fromPeer}
-		request := message.AdminRequest{Kind: kind, Body: body, Job: r.PathValue("id")} // no id but of a job
+		request := message.AdminRequest{Kind: kind, Body: body, Job: r.PathValue("id")} // only job paths have an id
 		reply := h.loop.Handle(request, raw, adminTimeout)
 		if reply.RetryAfterS > 0 {
 			w.Header().Set("Retry-After", strconv.Itoa(reply.RetryAfterS))
@@ -87,5 +87,5 @@
 	w.WriteHeader(status)
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(v) // the sender may have gone
+	_ = encoder.Encode(v) // the client may have disconnected
 }
--- a/internal/daemon/agents_test.go
+++ b/internal/daemon/agents_test.go
@@ -19,7 +19,8 @@
 	"oakpick/internal/distribution/tracker"
 )
 
-// publishVersion has a store make a version, and gives the sum of its bytes.
+// publishVersion publishes a version in the store. It returns the manifest and the SHA-256 sum of
+// the content.
 func publishVersion(t *testing.T, store *registry.Memory, version string) (*distribution.Manifest, [sha256.Size]byte) {
 	t.Helper()
 	var chunks [][]byte
@@ -33,18 +34,18 @@
 	return manifest, sha256.Sum256(bytes.Join(chunks, nil))
 }
 
-// agentFleet is four real agents in two zones, and the store and the trackers that they ask.
+// agentFleet runs four real agents in two zones, with a store and the trackers of controllers.
 type agentFleet struct {
 	store    *registry.Memory
 	operator *operator.Client
 	settings []agent.Settings
-	stops    []context.CancelFunc
+	cancels  []context.CancelFunc
 	running  sync.WaitGroup
 }
 
 func startAgentFleet(t *testing.T, trackers []string) *agentFleet {
 	t.Helper()
-	directory := t.TempDir() // made first: it is removed after the agents have ended
+	directory := t.TempDir() // created first, so that it is removed only after the agents have stopped
 	f := &agentFleet{store: registry.NewMemory(), operator: &operator.Client{Controllers: trackers}}
 	t.Cleanup(f.running.Wait)
 	storeAddress := startHTTPServer(t, &registry.Handler{Content: f.store, Slots: registry.NewSlots(2)})
@@ -58,7 +59,7 @@
 			t.Fatal(err)
 		}
 		f.settings = append(f.settings, settings)
-		f.stops = append(f.stops, f.start(t, settings))
+		f.cancels = append(f.cancels, f.start(t, settings))
 	}
 	return f
 }
@@ -75,8 +76,8 @@
 	return cancel
 }
 
-// use has the fleet use a version.
-func (f *agentFleet) use(t *testing.T, version *distribution.Manifest) {
+// useVersion sets the version of models/a that the agents are to serve.
+func (f *agentFleet) useVersion(t *testing.T, version *distribution.Manifest) {
 	t.Helper()
 	eventually(t, func() (string, bool) {
 		_, err := f.operator.Use(t.Context(), "models/a", version.Digest)
@@ -84,7 +85,7 @@
 	})
 }
 
-// waitUntilServed waits until an agent serves a version, which it compares by its sum.
+// waitUntilServed waits until an agent serves content with the given sum.
 func waitUntilServed(t *testing.T, settings agent.Settings, sum [sha256.Size]byte) {
 	t.Helper()
 	eventually(t, func() (string, bool) {
@@ -93,8 +94,8 @@
 	})
 }
 
-// checkAllComplete waits until every agent has all chunks of the version in use, and says so in
-// the operators' table.
+// checkAllComplete waits until every agent has all chunks of the version in use and serves it,
+// then checks the table that operators get.
 func (f *agentFleet) checkAllComplete(t *testing.T) {
 	t.Helper()
 	var status tracker.Status
@@ -109,22 +110,23 @@
 	}
 }
 
-// Real agents fetch a version from the store and from each other, and then another; a leader
-// ends meanwhile. What each serves is read to the last byte. One that starts again has what
-// it had.
+// Real agents fetch a version and then a second one, from the store and from each other; the
+// leader is stopped while they fetch the second. Every agent must serve exactly the published
+// bytes. One agent is stopped before the second version is published. Once restarted with its
+// directory, it must serve the second version, too.
 func TestAgentsFetchVersionsAcrossFailover(t *testing.T) {
 	p, trackers := newControllersWithTrackers(t)
 	f := startAgentFleet(t, trackers)
 	first, firstSum := publishVersion(t, f.store, "first")
-	f.use(t, first)
+	f.useVersion(t, first)
 	for _, settings := range f.settings {
 		waitUntilServed(t, settings, firstSum)
 	}
 	f.checkAllComplete(t)
 
-	f.stops[0]()
+	f.cancels[0]()
 	second, secondSum := publishVersion(t, f.store, "second")
-	f.use(t, second)
+	f.useVersion(t, second)
 	p.stopLeader()
 	for _, settings := range f.settings[1:] {
 		waitUntilServed(t, settings, secondSum)
--- a/internal/daemon/controller_pair_test.go
+++ b/internal/daemon/controller_pair_test.go
@@ -19,11 +19,11 @@
 	"oakpick/internal/protocol"
 )
 
-// controllerPair is what two whole processes do, on loopback; the first leads.
+// controllerPair runs two complete controllers on loopback addresses; the first one leads.
 type controllerPair struct {
 	apiAddresses, peerAddresses []string
 	state                       *stateService
-	stops                       []context.CancelFunc // each ends one
+	cancels                     []context.CancelFunc // by controller; each stops one
 }
 
 func newControllerPair(t *testing.T) *controllerPair {
@@ -31,7 +31,7 @@
 	return newControllerPairWith(t, config.Extensions{}, config.Extensions{})
 }
 
-// newControllerPairWith has each of them switch something on.
+// newControllerPairWith starts the pair, each controller with its own extensions.
 func newControllerPairWith(t *testing.T, extensions ...config.Extensions) *controllerPair {
 	t.Helper()
 	p := &controllerPair{
@@ -47,13 +47,13 @@
 		cfg.Services.State, cfg.Services.Cloud = state, cloud
 		ctx, cancel := context.WithCancel(t.Context())
 		t.Cleanup(cancel)
-		p.stops = append(p.stops, cancel)
+		p.cancels = append(p.cancels, cancel)
 		controllers.Go(func() {
 			if err := Run(ctx, cfg, extensions[i], slog.New(slog.DiscardHandler)); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 		})
-		// The first leads before the second begins.
+		// The second controller starts only once the first one leads.
 		eventually(t, func() (string, bool) {
 			status, _ := request(t, "GET", p.peerAddresses[i]+"/admin/settings", "")
 			return fmt.Sprintf("%s answers with %d", name, status), status == 200
@@ -62,7 +62,8 @@
 	return p
 }
 
-// config gives the settings of a controller, but for the services.
+// config returns the settings of a controller without the addresses of the state service and
+// the cloud.
 func (p *controllerPair) config(t *testing.T, i int) *config.Config {
 	t.Helper()
 	raw, err := os.ReadFile("../../testdata/settings.json")
@@ -79,14 +80,14 @@
 	return &cfg
 }
 
-// stopLeader ends the first controller, and its lease.
+// stopLeader stops the first controller and deletes its leader key, as if its lease had expired.
 func (p *controllerPair) stopLeader() {
-	p.stops[0]()
+	p.cancels[0]()
 	p.state.deleteKey(election.LeaderKey)
 }
 
-// freeAddress gives a loopback address that nobody listens on. Its host is this process's own:
-// on 127.0.0.1 another process's connection could take the port before it is used.
+// freeAddress returns an unused loopback address. The host is derived from the process ID: on
+// 127.0.0.1, a connection of another process could take the port before it is used.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	const firstOctet, octets = 230, 20
@@ -97,11 +98,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // nothing was accepted
+	defer func() { _ = listener.Close() }() // no connection was accepted
 	return listener.Addr().String()
 }
 
-// startHTTPServer serves on loopback until the test ends.
+// startHTTPServer serves on a loopback address until the test ends. It returns the address.
 func startHTTPServer(t *testing.T, handler http.Handler) string {
 	t.Helper()
 	var listenConfig net.ListenConfig
@@ -110,12 +111,13 @@
 		t.Fatal(err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
-	go func() { _ = server.Serve(listener) }() // ends with Close
+	go func() { _ = server.Serve(listener) }() // returns on Close
 	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
 
-// request sends a request and gives the answer; without one, status 0 and why.
+// request sends an HTTP request and returns the status and the body of the response. If there is
+// no response, the status is 0 and the error's text is returned in place of the body.
 func request(t *testing.T, method, url, body string) (status int, answer string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+url, strings.NewReader(body))
@@ -126,7 +128,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer func() { _ = res.Body.Close() }() // it was read to its end, or the error counts
+	defer func() { _ = res.Body.Close() }() // errors of reading the body are returned
 	content, err := io.ReadAll(res.Body)
 	if err != nil {
 		return 0, err.Error()
@@ -134,19 +136,19 @@
 	return res.StatusCode, string(content)
 }
 
-// eventually checks again and again until it is so, for twenty seconds at most.
+// eventually repeats a check until it succeeds, and fails the test after 20 s.
 func eventually(t *testing.T, check func() (state string, ok bool)) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		if state, ok := check(); ok {
 			return
 		} else if time.Now().After(deadline) {
-			t.Fatalf("not so after 20 s: %s", state)
+			t.Fatalf("condition not met after 20 s: %s", state)
 		}
 	}
 }
 
-// emptyCloud has a machine type, and no machine of it.
+// emptyCloud serves a cloud with one machine type, no machines and no capacity.
 func emptyCloud(w http.ResponseWriter, r *http.Request) {
 	status, body := http.StatusOK, []byte(nil)
 	switch {
@@ -160,10 +162,10 @@
 		status, body = http.StatusServiceUnavailable, protocol.EncodeNoCapacity()
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a controller that has ended reads no more
+	_, _ = w.Write(body) // a stopped controller doesn't read the response
 }
 
-// submission is the body of a user's submission of a service with one replica.
+// submission returns the body of a user's submission of a service with one replica.
 func submission(i int) string {
 	return string(protocol.Encode(map[string]any{
 		"id": jobID(i), "jobclass": "c", "owner": "alpha", "shape": "service", "rank": "standard", "pieces": 1,
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,7 +1,7 @@
-// Package daemon is a controller's process: an event loop that alone touches the controller's
-// state and works through a queue of events in batches, and the goroutines that carry its
-// effects out and bring the results back as events.
+// Package daemon runs a controller process. An event loop owns the controller's state and
+// processes a queue of events in batches. Other goroutines perform the resulting effects, such
+// as calls to other components, and queue their results as events.
 //
-// Requests come in from the goroutines of the servers, which wait for the reply. The optional
-// tracker of weights has an event loop and a queue of its own.
+// The servers' goroutines submit requests to the event loop and wait for the replies. The
+// optional weight tracker has an event loop and a queue of its own.
 package daemon
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -12,13 +12,13 @@
 	"oakpick/internal/transport"
 )
 
-// forwardTimeout is how long another controller may take for a user's request.
+// forwardTimeout bounds the time that a request may take at the leader to which it is forwarded.
 const forwardTimeout = protocol.PollTimeoutS * time.Second
 
 var logLevels = [...]slog.Level{message.Debug: slog.LevelDebug, message.Info: slog.LevelInfo, message.Error: slog.LevelError}
 
-// performEffect carries an effect out, in a goroutine of its own if it has to wait. Results come
-// back as events.
+// performEffect performs an effect, in a goroutine of its own if it may block. Results are queued
+// as events.
 func (l *eventLoop) performEffect(effect message.Effect) {
 	goroutines := l.process.goroutines
 	switch e := effect.(type) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// enqueue brings a result to the controller.
+// enqueue queues the result of an effect for the controller.
 func (l *eventLoop) enqueue(event message.Event) {
 	enqueue(l.process.ctx, l.queue, queuedEvent{event: event})
 }
@@ -68,23 +68,23 @@
 	l.enqueue(l.clients.workers.Send(call))
 }
 
-// forward sends a pending request on to the leader.
+// forward sends a pending request to the leader.
 func (l *eventLoop) forward(forward message.Forward) {
 	request, ok := l.pending.take(forward.ID)
 	if !ok {
 		return
 	}
 	if request.raw.FromPeer {
-		// The peer holds us for the leader, and we know of another: it will
-		// learn. Forwarding it again could go round in circles.
+		// The peer considers this node the leader, but this node knows another one. The peer
+		// will learn of that leader; forwarding the request again could create a loop.
 		request.reply <- transport.Unavailable("not the leader")
 		return
 	}
 	l.process.goroutines.Go(func() error { l.forwardTo(forward.Peer, request); return nil })
 }
 
-// forwardTo puts a request to the leader and waits for its answer. If another leads before there
-// is one, the request is decided anew.
+// forwardTo sends a request to the leader and waits for the reply. If the leader changes before
+// the reply arrives, the request is queued again.
 func (l *eventLoop) forwardTo(peer string, request queuedEvent) {
 	ctx, cancel := context.WithTimeout(l.process.ctx, forwardTimeout)
 	defer cancel()
--- a/internal/daemon/event_loop.go
+++ b/internal/daemon/event_loop.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	maxBatch      = 64 // events of a step
+	maxBatch      = 64 // events per step
 	queueCapacity = 4 * maxBatch
-	// ticksPerHeartbeat is how many ticks there are in a heartbeat interval.
+	// ticksPerHeartbeat is the number of ticks per heartbeat interval.
 	ticksPerHeartbeat = 40
 )
 
-// eventLoop feeds the controller with events and carries its effects out.
+// eventLoop passes events to the controller and performs its effects.
 type eventLoop struct {
 	process   *process
 	clients   *clients
@@ -27,12 +27,12 @@
 	metrics   *metrics
 	healthy   atomic.Bool
 
-	// What follows belongs to the goroutine of run.
+	// The fields below are used only by the goroutine of run.
 
 	controller  *controller.Controller
 	pending     *pendingRequests[queuedEvent]
-	knownLeader string // the last that was known; empty: none yet
-	// observeLeadership is told after every step who leads; nil: nobody wants to know.
+	knownLeader string // last known leader; empty until one is known
+	// observeLeadership, unless nil, is called with the current leadership after every step.
 	observeLeadership func(election.View)
 }
 
@@ -47,22 +47,23 @@
 	return l
 }
 
-// queuedEvent is an event on its way to the controller. Only requests have more than the event.
+// queuedEvent is an event queued for the controller. The fields other than event are set only
+// for requests.
 type queuedEvent struct {
 	event    message.Event
 	raw      transport.RawRequest
-	reply    chan message.Reply // takes one reply without blocking
-	deadline time.Time          // when the sender has been told to come back; zero: there is none
+	reply    chan message.Reply // has room for one reply, so that sending never blocks
+	deadline time.Time          // when Handle stops waiting and refuses the request; zero: no deadline
 }
 
-// expired tells whether an event is a poll whose user has gone: to answer it would only
-// keep others waiting. What changes something is carried out all the same.
+// expired tells whether an event is a poll that Handle has already refused: answering it would
+// only delay other requests. Requests that change something are always processed.
 func (e *queuedEvent) expired(now time.Time) bool {
 	request, ok := e.event.(message.UserRequest)
 	return ok && request.Kind == message.Poll && !e.deadline.IsZero() && now.After(e.deadline)
 }
 
-// Handle hands a request to the controller and waits for the reply. Any goroutine may call it.
+// Handle passes a request to the controller and waits for the reply. Any goroutine may call it.
 func (l *eventLoop) Handle(request message.Request, raw transport.RawRequest, timeout time.Duration) message.Reply {
 	receivedAt := time.Now()
 	defer func() { l.metrics.recordRequest(request, time.Since(receivedAt)) }()
@@ -76,10 +77,10 @@
 	return reply
 }
 
-// Healthy tells whether the node can take requests. Any goroutine may call it.
+// Healthy tells whether the node can serve requests. Any goroutine may call it.
 func (l *eventLoop) Healthy() bool { return l.healthy.Load() }
 
-// run steps the controller until the process ends.
+// run steps the controller until the process's context ends.
 func (l *eventLoop) run() {
 	interval := config.Seconds(l.process.config.Settings.Workers.HeartbeatIntervalS / ticksPerHeartbeat)
 	ticker := time.NewTicker(interval)
@@ -94,7 +95,8 @@
 	}
 }
 
-// step takes events in, carries the effects out and publishes what others need of the state.
+// step passes events to the controller, performs the resulting effects and publishes the state
+// that other goroutines read.
 func (l *eventLoop) step(events []message.Event) {
 	wasLeader := l.controller.Leads()
 	now := message.Now{Monotonic: l.process.uptime(), WallMs: time.Now().UnixMilli()}
@@ -113,7 +115,8 @@
 	}
 }
 
-// nextBatch waits for events, or for the tick, and appends them; not open: the process ends.
+// nextBatch waits for events or the tick, and appends them. open is false once the process's
+// context has ended.
 func (l *eventLoop) nextBatch(events []message.Event, tick <-chan time.Time) (_ []message.Event, open bool) {
 	select {
 	case <-l.process.ctx.Done():
@@ -125,8 +128,8 @@
 	}
 }
 
-// drainQueue appends an event and those that are queued behind it, up to maxBatch. Expired ones
-// count, too, but are dropped.
+// drainQueue appends an event and those queued behind it, up to maxBatch. Expired polls are
+// dropped, but count towards maxBatch.
 func (l *eventLoop) drainQueue(events []message.Event, next queuedEvent) []message.Event {
 	now := time.Now()
 	for taken := 1; ; taken++ {
@@ -146,7 +149,8 @@
 	}
 }
 
-// accept makes a request pending, under an ID of its own.
+// accept gives a request a new ID and adds it to the pending requests. Other events are
+// returned unchanged.
 func (l *eventLoop) accept(queued queuedEvent) message.Event {
 	request, ok := queued.event.(message.Request)
 	if !ok {
@@ -155,7 +159,7 @@
 	return request.WithID(l.pending.add(queued))
 }
 
-// failPendingRequests refuses what a former leader had not answered yet.
+// failPendingRequests refuses the requests that are pending when this node stops leading.
 func (l *eventLoop) failPendingRequests() {
 	for id, request := range l.pending.byID {
 		request.reply <- transport.Unavailable("the leader has changed")
@@ -163,7 +167,8 @@
 	}
 }
 
-// observeLeader has requests that are with a former leader put to the one that leads now.
+// observeLeader cancels the requests forwarded to a former leader once a new leader is known, so
+// that they are queued again.
 func (l *eventLoop) observeLeader() {
 	leader := l.controller.KnownLeader()
 	if leader != "" && leader != l.knownLeader {
--- a/internal/daemon/event_loop_test.go
+++ b/internal/daemon/event_loop_test.go
@@ -9,20 +9,20 @@
 	"oakpick/internal/message"
 )
 
-// The event loop finds a full queue. Polls whose users have been told to come back are
-// dropped; what changes something, and results of effects, are not.
+// When the event loop falls behind, polls that have already been refused are dropped. Requests
+// that change something and results of effects are not.
 func TestEventLoopDropsExpiredPolls(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	loop := &eventLoop{
 		process: &process{ctx: ctx}, queue: make(chan queuedEvent, 8),
 		pending: newPendingRequests[queuedEvent](), metrics: newMetrics(),
 	}
-	past, ahead := time.Now().Add(-time.Second), time.Now().Add(time.Hour)
+	past, future := time.Now().Add(-time.Second), time.Now().Add(time.Hour)
 	for _, event := range []queuedEvent{
 		{event: message.UserRequest{Kind: message.Poll, Job: "old"}, deadline: past},
 		{event: message.UserRequest{Kind: message.Submit, Job: "submitted"}, deadline: past},
 		{event: message.UserRequest{Kind: message.Cancel, Job: "cancelled"}, deadline: past},
-		{event: message.UserRequest{Kind: message.Poll, Job: "new"}, deadline: ahead},
+		{event: message.UserRequest{Kind: message.Poll, Job: "new"}, deadline: future},
 		{event: message.CloudResult{ID: 7}},
 	} {
 		loop.queue <- event
@@ -35,13 +35,13 @@
 		}
 	}
 	if !open || len(events) != 4 || !slices.Equal(jobs, []string{"submitted", "cancelled", "new"}) {
-		t.Errorf("open %t, %d events, of users %v", open, len(events), jobs)
+		t.Errorf("open %t, %d events, of jobs %v", open, len(events), jobs)
 	}
 	if n := loop.metrics.expired.Load(); n != 1 {
 		t.Errorf("%d polls dropped", n)
 	}
 	cancel()
 	if _, open := loop.nextBatch(nil, nil); open {
-		t.Error("open after the end")
+		t.Error("open after the context has ended")
 	}
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -9,16 +9,16 @@
 	"oakpick/internal/storage"
 )
 
-// metrics are latency histograms and counts of this process. Any goroutine may use them.
+// metrics holds the latency histograms and counters of this process. Any goroutine may use it.
 type metrics struct {
 	latencies *latency.Recorder
 	shed      atomic.Int64 // requests refused by the concurrency limit
-	expired   atomic.Int64 // polls dropped since their users had gone
-	// Pauses of the process, see the controller's Stats.
+	expired   atomic.Int64 // polls dropped because they had already been refused
+	// Pauses of the process, copied from the controller's Stats.
 	pauses, longestPauseMs atomic.Int64
 }
 
-// Names of latencies, as the administration API tells them.
+// Names of latency histograms in the administration API.
 var (
 	userRequestNames = [...]string{message.Submit: "submit", message.Poll: "poll", message.Cancel: "cancel"}
 	stateCallNames   = [...]string{
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -16,45 +16,45 @@
 	"oakpick/internal/transport"
 )
 
-// process is what every part of a controller's process shares. It doesn't change.
+// process holds the values that all parts of a controller process share. It is immutable.
 type process struct {
 	config     *config.Config
 	log        *slog.Logger
 	identity   identity
-	startedAt  time.Time       // when the monotonic clock of the steps began
-	goroutines *errgroup.Group // owns every goroutine
-	ctx        context.Context // ends with the process
+	startedAt  time.Time       // start of the monotonic clock
+	goroutines *errgroup.Group // all goroutines of the process
+	ctx        context.Context // ends when the process has to stop
 }
 
-// uptime is the monotonic clock of the steps.
+// uptime returns the time since the process started: the monotonic clock of all steps.
 func (p *process) uptime() time.Duration { return time.Since(p.startedAt) }
 
 func (p *process) heartbeatInterval() time.Duration {
 	return config.Seconds(p.config.Settings.Workers.HeartbeatIntervalS)
 }
 
-// pastDeadline tells whether the time is over until which something may be sent, by the
-// monotonic clock; 0: it has none.
+// pastDeadline tells whether a deadline on the monotonic clock has passed. A deadline of 0 never
+// passes.
 func (p *process) pastDeadline(deadline time.Duration) bool {
 	return deadline > 0 && p.uptime() >= deadline
 }
 
-// identity tells this process from earlier ones of the same node.
+// identity distinguishes this process from earlier processes of the same node.
 type identity struct {
 	incarnation string // hexadecimal
-	seed        uint64 // of random numbers
+	seed        uint64 // for random numbers
 }
 
 func newIdentity() identity {
 	var random [16]byte
-	_, _ = rand.Read(random[:]) // it never fails
+	_, _ = rand.Read(random[:]) // never returns an error
 	return identity{
 		incarnation: hex.EncodeToString(random[:8]),
 		seed:        binary.LittleEndian.Uint64(random[8:]),
 	}
 }
 
-// clients are those of the other components.
+// clients holds the clients for the other components.
 type clients struct {
 	state   *storage.Client
 	cloud   *transport.CloudClient
@@ -62,7 +62,7 @@
 	peers   *transport.PeerClient
 }
 
-// newClients makes all but the workers' client, which depends on the API server.
+// newClients creates all clients except the one for workers, which depends on the API server.
 func newClients(cfg *config.Config) *clients {
 	workers := cfg.Settings.Workers
 	stateTimeout := config.Seconds(workers.HeartbeatIntervalS) / 2
--- a/internal/daemon/queue_test.go
+++ b/internal/daemon/queue_test.go
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	full := make(chan int)
-	enqueue(ctx, full, 1) // the test hangs here if it doesn't end
+	enqueue(ctx, full, 1) // blocks forever if the ended context is ignored
 	queue := make(chan int, 1)
 	enqueue(t.Context(), queue, 2)
 	if got := <-queue; got != 2 {
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -19,14 +19,15 @@
 )
 
 const (
-	memoryLimitShare = 0.7 // of the process's memory, for the Go heap
+	memoryLimitShare = 0.7 // share of the process's memory that the Go runtime may use
 	gcPercent        = 300
-	// peerIdleIntervals is for how many heartbeat intervals an idle connection of a peer is kept.
-	peerIdleIntervals = 40
+	// peerIdleHeartbeatIntervals is the number of heartbeat intervals after which an idle
+	// connection of a peer is closed.
+	peerIdleHeartbeatIntervals = 40
 )
 
-// Run serves until the context ends, which is no error, or something that the process cannot do
-// without fails. It returns once every goroutine of the process has ended.
+// Run runs a controller until the context ends, which is not an error, or until an essential part
+// of the process fails. It returns once all goroutines of the process have ended.
 func Run(ctx context.Context, cfg *config.Config, extensions config.Extensions, log *slog.Logger) error {
 	tuneRuntime(cfg.Settings.Limits)
 	listeners, err := listen(ctx, cfg)
@@ -46,22 +47,23 @@
 	if err := goroutines.Wait(); ctx.Err() == nil {
 		return err
 	}
-	return nil // what the servers say of being closed is no failure
+	return nil // the servers' errors result from the shutdown
 }
 
-// tuneRuntime keeps the Go runtime within the limits of the process.
+// tuneRuntime configures the Go runtime for the limits of the process.
 func tuneRuntime(limits config.Limits) {
 	runtime.GOMAXPROCS(max(1, int(limits.CPU)))
 	debug.SetMemoryLimit(int64(limits.MemoryMB * memoryLimitShare * (1 << 20)))
 	debug.SetGCPercent(gcPercent)
 }
 
-// listeners are those of the process, but for the tracker's.
+// listeners holds the listeners of the process, except the tracker's.
 type listeners struct {
 	api   net.Listener // users and workers
 	peers net.Listener // peers and operators
 }
 
+// listen opens the listeners. Its errors begin with the name of the setting that has the address.
 func listen(ctx context.Context, cfg *config.Config) (*listeners, error) {
 	var listenConfig net.ListenConfig
 	api, err := listenConfig.Listen(ctx, "tcp4", cfg.APIListen)
@@ -70,28 +72,28 @@
 	}
 	peers, err := listenConfig.Listen(ctx, "tcp4", cfg.PeerListen)
 	if err != nil {
-		_ = api.Close() // the error that counts is the other
+		_ = api.Close() // the other error is the one to report
 		return nil, fmt.Errorf("cluster_listen: %w", err)
 	}
 	return &listeners{api: api, peers: peers}, nil
 }
 
-// close closes both. The servers may have closed them before, so errors say nothing.
+// close closes both listeners. The servers may have closed them already, so errors are ignored.
 func (l *listeners) close() {
 	_ = l.api.Close()
 	_ = l.peers.Close()
 }
 
-// daemon is the parts of a controller's process.
+// daemon holds the parts of a controller process.
 type daemon struct {
 	process    *process
 	loop       *eventLoop
 	apiServer  *transport.APIServer
 	peerServer *transport.PeerServer
-	tracker    *trackerService // nil: not switched on
+	tracker    *trackerService // nil: disabled
 }
 
-// newDaemon sets the parts up. Nothing runs yet but the tracker's listener.
+// newDaemon creates the parts. It opens the tracker's listener, but starts no goroutine.
 func newDaemon(p *process, extensions config.Extensions) (*daemon, error) {
 	settings := p.config.Settings
 	clients := newClients(p.config)
@@ -115,7 +117,7 @@
 	return d, nil
 }
 
-// start starts every goroutine. They end with the process's context.
+// start starts all goroutines. They end with the process's context.
 func (d *daemon) start(l *listeners) {
 	if d.tracker != nil {
 		d.tracker.start()
@@ -124,7 +126,7 @@
 	p.goroutines.Go(func() error { return d.apiServer.Serve(l.api) })
 	p.goroutines.Go(func() error {
 		maxStreams := p.config.Settings.Sockets().API
-		return d.peerServer.Serve(p.ctx, l.peers, maxStreams, peerIdleIntervals*p.heartbeatInterval())
+		return d.peerServer.Serve(p.ctx, l.peers, maxStreams, peerIdleHeartbeatIntervals*p.heartbeatInterval())
 	})
 	p.goroutines.Go(func() error { d.loop.run(); return nil })
 	p.goroutines.Go(func() error {
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -11,8 +11,8 @@
 	"oakpick/internal/protocol"
 )
 
-// One leads, the other forwards users' requests and operators' settings over its
-// HTTP/2 stream.
+// One controller leads; the other one forwards users' requests and operators' settings to it
+// over HTTP/2.
 func TestFollowerForwardsToLeader(t *testing.T) {
 	p := newControllerPair(t)
 	for i, api := range p.apiAddresses {
@@ -24,7 +24,7 @@
 				t.Errorf("an unknown job: %d %q", status, body)
 			}
 			if status, _ := request(t, "POST", api+"/v2/runs", "\x90"); status != 400 {
-				t.Errorf("a list for a job: %d", status)
+				t.Errorf("a list in place of a submission: %d", status)
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-// jobStatus reads the status of a job; empty: the body has none.
+// jobStatus decodes the status of a job from a response; empty: the response has none.
 func jobStatus(body string) string {
 	var response protocol.JobResponse
 	if protocol.Decode([]byte(body), &response) != nil {
@@ -80,8 +80,8 @@
 	return response.Status
 }
 
-// pollConcurrently asks for a job at both nodes at once, by polls and by repeated submissions,
-// and allows only these statuses.
+// pollConcurrently queries a job at both nodes concurrently, by polls and by repeated
+// submissions. A response must have one of the allowed statuses or be a 503.
 func (p *controllerPair) pollConcurrently(t *testing.T, i int, allowed ...string) {
 	t.Helper()
 	var users sync.WaitGroup
@@ -100,9 +100,9 @@
 	users.Wait()
 }
 
-// Users poll a job at both nodes at once and again and again: right after it was
-// accepted, while it is cancelled, and after the leader has ended. Whoever asks
-// after an answer was heard gets none that is older.
+// Users poll a job at both nodes concurrently: right after it was accepted, while it is
+// cancelled, and after the leader has stopped. A request that is sent after a response was
+// received must not get an older status than that response.
 func TestJobStatusNeverGoesBack(t *testing.T) {
 	p := newControllerPair(t)
 	submitEventually(t, p.apiAddresses[0], 1)
@@ -126,7 +126,7 @@
 	for n := range 12 {
 		path := protocol.JobPath(jobID(1+n%8), false)
 		if code, body := request(t, "GET", p.apiAddresses[1]+path, ""); code != 503 && jobStatus(body) != protocol.StatusCancelled {
-			t.Errorf("after the leader has ended: %d %q", code, jobStatus(body))
+			t.Errorf("after the leader has stopped: %d %q", code, jobStatus(body))
 		}
 	}
 }
--- a/internal/daemon/state_service_test.go
+++ b/internal/daemon/state_service_test.go
@@ -11,14 +11,14 @@
 	"oakpick/internal/protocol"
 )
 
-// stateService is a state service in memory, over HTTP. Its leases never expire by themselves.
+// stateService is an in-memory state service over HTTP. Its leases never expire by themselves.
 type stateService struct {
 	mu       sync.Mutex
 	keys     map[string]protocol.Entry
 	revision int64
 }
 
-// deleteKey removes a key, as when its lease has expired.
+// deleteKey deletes a key, as if its lease had expired.
 func (s *stateService) deleteKey(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,10 +31,10 @@
 	defer s.mu.Unlock()
 	status, response := s.answer(r)
 	w.WriteHeader(status)
-	_, _ = w.Write(protocol.Encode(response)) // a controller that has ended reads no more
+	_, _ = w.Write(protocol.Encode(response)) // a stopped controller doesn't read the response
 }
 
-// answer carries a request out. s.mu is held.
+// answer executes a request. The caller holds s.mu.
 func (s *stateService) answer(r *http.Request) (status int, response any) {
 	path := r.URL.Path
 	switch {
@@ -68,7 +68,7 @@
 	return list
 }
 
-// commit makes the changes of a transaction if its conditions hold. Deletions aren't supported.
+// commit applies a transaction if its conditions hold. Deletions aren't supported.
 func (s *stateService) commit(body []byte) (status int, response protocol.TxnResponse) {
 	var txn struct {
 		If   []protocol.Condition `msgpack:"if"`
--- a/internal/daemon/tracker_loop.go
+++ b/internal/daemon/tracker_loop.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	trackerBatch         = 64 // commands of a step
-	trackerQueueCapacity = 4 * trackerBatch
-	// ticksPerInventory is how many ticks there are in an inventory interval.
+	maxTrackerBatch      = 64 // commands per step
+	trackerQueueCapacity = 4 * maxTrackerBatch
+	// ticksPerInventory is the number of ticks per inventory interval.
 	ticksPerInventory = 8
-	// trackerRetries is how many retries of the tracker there are in a heartbeat interval.
-	trackerRetries = 20
+	// trackerRetriesPerHeartbeat is the number of retries of the tracker per heartbeat interval.
+	trackerRetriesPerHeartbeat = 20
 )
 
-// trackerLoop is the event loop of the tracker. Its queue is its own, so that nothing of it
-// waits behind the scheduler's or holds that up.
+// trackerLoop is the event loop of the tracker. It has a queue of its own, so that the tracker
+// and the scheduler don't delay each other.
 type trackerLoop struct {
 	process    *process
 	clients    *clients
@@ -31,19 +31,19 @@
 	metrics    *trackerMetrics
 	timeout    time.Duration // of a request
 
-	// What follows belongs to the goroutine of run.
+	// The fields below are used only by the goroutine of run.
 
 	tracker *tracker.Tracker
 	pending *pendingRequests[trackerEvent]
 }
 
-// trackerEvent is a request's command with the way back for its reply, or the result of an
-// effect.
+// trackerEvent is either a request, with a function that creates its command and a channel for
+// its reply, or the result of an effect.
 type trackerEvent struct {
-	newCommand commandMaker
+	newCommand commandFunc
 	request    trackerRequest
-	reply      chan message.Reply // takes one reply without blocking
-	result     tracker.Command    // nil: it is a request
+	reply      chan message.Reply // has room for one reply, so that sending never blocks
+	result     tracker.Command    // nil for a request
 }
 
 func newTrackerLoop(p *process, clients *clients, settings *config.Distribution) *trackerLoop {
@@ -54,7 +54,7 @@
 		queue: make(chan trackerEvent, trackerQueueCapacity), pending: newPendingRequests[trackerEvent](),
 		tracker: tracker.New(tracker.Parameters{
 			ReportInterval: interval, IdleReportInterval: config.Seconds(settings.IdleInventoryIntervalS),
-			RetryInterval: config.Seconds(cfg.Settings.Workers.HeartbeatIntervalS / trackerRetries),
+			RetryInterval: config.Seconds(cfg.Settings.Workers.HeartbeatIntervalS / trackerRetriesPerHeartbeat),
 			StoreSlots:    settings.StoreFetchers, Zones: cfg.Settings.Zones,
 			ProcessID: cfg.Node + "-" + p.identity.incarnation, Seed: p.identity.seed,
 		}),
@@ -63,15 +63,16 @@
 	return l
 }
 
-// observeLeadership notes who leads. Only the controller's event loop calls it.
+// observeLeadership publishes the current leadership to the tracker. Only the controller's event
+// loop calls it.
 func (l *trackerLoop) observeLeadership(view election.View) {
 	if *l.leadership.Load() != view {
 		l.leadership.Store(&view)
 	}
 }
 
-// submit hands a command to the tracker and waits for the reply. Any goroutine may call it.
-func (l *trackerLoop) submit(newCommand commandMaker, request trackerRequest) message.Reply {
+// submit passes a command to the tracker and waits for the reply. Any goroutine may call it.
+func (l *trackerLoop) submit(newCommand commandFunc, request trackerRequest) message.Reply {
 	event := trackerEvent{newCommand: newCommand, request: request, reply: make(chan message.Reply, 1)}
 	reply, err := submit(l.queue, event, event.reply, l.timeout)
 	if err != nil {
@@ -80,12 +81,12 @@
 	return reply
 }
 
-// run steps the tracker until the process ends.
+// run steps the tracker until the process's context ends.
 func (l *trackerLoop) run() {
 	ticker := time.NewTicker(l.timeout / ticksPerInventory)
 	defer ticker.Stop()
 	for {
-		commands := make([]tracker.Command, 0, trackerBatch)
+		commands := make([]tracker.Command, 0, maxTrackerBatch)
 		select {
 		case <-l.process.ctx.Done():
 			return
@@ -98,9 +99,9 @@
 	}
 }
 
-// drainQueue appends what is queued, up to a batch.
+// drainQueue appends the commands of queued events, up to maxTrackerBatch in all.
 func (l *trackerLoop) drainQueue(commands []tracker.Command) []tracker.Command {
-	for len(commands) < trackerBatch {
+	for len(commands) < maxTrackerBatch {
 		select {
 		case event := <-l.queue:
 			commands = append(commands, l.accept(event))
@@ -111,7 +112,7 @@
 	return commands
 }
 
-// step takes commands in and carries the effects out.
+// step passes commands to the tracker and performs the resulting effects.
 func (l *trackerLoop) step(commands []tracker.Command) {
 	startedAt := time.Now()
 	effects := l.tracker.Step(l.process.uptime(), *l.leadership.Load(), commands)
@@ -121,7 +122,8 @@
 	}
 }
 
-// accept makes a request pending, under an ID of its own.
+// accept gives a request a new ID, adds it to the pending requests and returns its command. The
+// result of an effect is returned unchanged.
 func (l *trackerLoop) accept(event trackerEvent) tracker.Command {
 	if event.result != nil {
 		return event.result
@@ -129,7 +131,8 @@
 	return event.newCommand(l.pending.add(event))
 }
 
-// performEffect carries an effect out, in a goroutine of its own if it has to wait.
+// performEffect performs an effect, in a goroutine of its own if it may block. Results are queued
+// as events.
 func (l *trackerLoop) performEffect(effect tracker.Effect) {
 	switch e := effect.(type) {
 	case tracker.Reply:
@@ -149,20 +152,20 @@
 	}
 }
 
-// forward sends a pending request on to the leader.
+// forward sends a pending request to the leader.
 func (l *trackerLoop) forward(forward tracker.Forward) {
 	event, ok := l.pending.take(forward.ID)
 	if !ok {
 		return
 	}
 	if event.request.fromPeer {
-		event.reply <- trackerUnavailable("not the leader", l.timeout) // forwarding it again could go round in circles
+		event.reply <- trackerUnavailable("not the leader", l.timeout) // forwarding it again could create a loop
 		return
 	}
 	l.process.goroutines.Go(func() error { event.reply <- l.forwardTo(forward.Peer, event.request); return nil })
 }
 
-// forwardTo puts a request to the leader and waits for its answer.
+// forwardTo sends a request to the leader and waits for the reply.
 func (l *trackerLoop) forwardTo(peer string, request trackerRequest) message.Reply {
 	ctx, cancel := context.WithTimeout(l.process.ctx, l.timeout)
 	defer cancel()
@@ -175,7 +178,8 @@
 		return trackerUnavailable("the leader can't be reached", l.timeout)
 	}
 	if !json.Valid(reply.Body) {
-		// It doesn't track weights: another version, or not switched on there.
+		// A leader without a tracker, because it runs another version or has the tracker
+		// disabled, doesn't answer in JSON.
 		return trackerUnavailable("the leader does not track weights", l.timeout)
 	}
 	return reply
--- a/internal/daemon/tracker_metrics.go
+++ b/internal/daemon/tracker_metrics.go
@@ -8,7 +8,7 @@
 	"oakpick/internal/distribution/tracker"
 )
 
-// trackerMetrics are the tracker's, as Prometheus reads them.
+// trackerMetrics holds the Prometheus metrics of the tracker.
 type trackerMetrics struct {
 	registry    *prometheus.Registry
 	shed        prometheus.Counter
--- a/internal/daemon/tracker_requests.go
+++ b/internal/daemon/tracker_requests.go
@@ -10,18 +10,19 @@
 	"oakpick/internal/message"
 )
 
-// trackerRequest is a request as it came, for forwarding it to the leader.
+// trackerRequest is a request as received, so that it can be forwarded to the leader.
 type trackerRequest struct {
 	method, path, query string
 	body                []byte
-	fromPeer            bool // it was forwarded once, and isn't again
+	fromPeer            bool // a peer has forwarded it, so it isn't forwarded again
 }
 
-// commandMaker makes the command of a request, under the request's ID.
-type commandMaker func(id uint64) tracker.Command
+// commandFunc creates the command of a request with the given ID.
+type commandFunc func(id uint64) tracker.Command
 
-// parseTrackerRequest makes the command that a request asks for, or nil and the refusal.
-func parseTrackerRequest(request trackerRequest) (commandMaker, message.Reply) {
+// parseTrackerRequest returns a function that creates the command for a request. If the request
+// is invalid, it returns nil and the refusal.
+func parseTrackerRequest(request trackerRequest) (commandFunc, message.Reply) {
 	name, named := strings.CutPrefix(request.path, distribution.PathWeights+"/")
 	if named {
 		if err := distribution.CheckName(name); err != nil {
@@ -29,7 +30,7 @@
 		}
 	}
 	known := named || request.path == distribution.PathWeights || request.path == distribution.PathInventory
-	var newCommand commandMaker
+	var newCommand commandFunc
 	var err error
 	switch {
 	case request.path == distribution.PathInventory && request.method == http.MethodPost:
@@ -55,7 +56,7 @@
 	return trackerError(http.StatusBadRequest, err.Error(), 0)
 }
 
-func parseInventory(body []byte) (commandMaker, error) {
+func parseInventory(body []byte) (commandFunc, error) {
 	inventory := &distribution.Inventory{}
 	if err := distribution.Decode(body, inventory); err != nil {
 		return nil, err
@@ -66,7 +67,7 @@
 	return func(id uint64) tracker.Command { return tracker.InventoryCall{ID: id, Inventory: inventory} }, nil
 }
 
-func parseStatus(name, query string) (commandMaker, error) {
+func parseStatus(name, query string) (commandFunc, error) {
 	after, err := parseAfter(query)
 	if err != nil {
 		return nil, err
@@ -74,7 +75,7 @@
 	return func(id uint64) tracker.Command { return tracker.StatusCall{ID: id, Name: name, After: after} }, nil
 }
 
-func parseNames(query string) (commandMaker, error) {
+func parseNames(query string) (commandFunc, error) {
 	after, err := parseAfter(query)
 	if err != nil {
 		return nil, err
@@ -82,7 +83,7 @@
 	return func(id uint64) tracker.Command { return tracker.NamesCall{ID: id, After: after} }, nil
 }
 
-// parseAfter reads behind which entry a page of a list begins; empty: at the first.
+// parseAfter returns the entry after which a page of a list begins; empty: the first page.
 func parseAfter(query string) (string, error) {
 	values, err := url.ParseQuery(query)
 	if err != nil {
@@ -91,7 +92,7 @@
 	return values.Get("after"), nil
 }
 
-func parseUse(name string, body []byte) (commandMaker, error) {
+func parseUse(name string, body []byte) (commandFunc, error) {
 	var use distribution.UseRequest
 	if err := distribution.Decode(body, &use); err != nil {
 		return nil, err
--- a/internal/daemon/tracker_service.go
+++ b/internal/daemon/tracker_service.go
@@ -21,26 +21,26 @@
 
 const (
 	trackerMetricsPath = "/metrics"
-	// idleInventoryIntervals is for how many inventory intervals of an idle agent its idle
-	// connection is kept.
-	idleInventoryIntervals = 3
-	// keepAliveShare is the part of the connections from which on each is closed with its
-	// answer, so that a fleet of any size is served in turns.
+	// idleTimeoutInventoryIntervals is the number of inventory intervals of an idle agent after
+	// which an idle connection is closed.
+	idleTimeoutInventoryIntervals = 3
+	// keepAliveShare is the share of the allowed connections above which every connection is
+	// closed after its response, so that the agents of a large fleet are served in turns.
 	keepAliveShare     = 0.75
-	trackerBufferBytes = 4096 // of each connection, for reading and for writing
+	trackerBufferBytes = 4096 // size of each connection's read buffer and write buffer
 )
 
-// trackerService serves the tracker of weights: to agents and operators on a listener of its
-// own, and to peers beside what they are served else.
+// trackerService serves the weight tracker: to agents and operators on a listener of its own, and
+// to peers on the listener for peers.
 type trackerService struct {
-	loop      *trackerLoop
-	listener  net.Listener
-	server    *fasthttp.Server
-	limit     *transport.ConcurrencyLimit
-	keepAlive int // connections, from which on each is closed with its answer
+	loop           *trackerLoop
+	listener       net.Listener
+	server         *fasthttp.Server
+	limit          *transport.ConcurrencyLimit
+	keepAliveLimit int // open connections above which each is closed after its response
 }
 
-// newTrackerService opens the listener; start serves it.
+// newTrackerService creates the service and opens its listener; start serves it.
 func newTrackerService(p *process, clients *clients, settings *config.Distribution) (*trackerService, error) {
 	address, err := settings.TrackerAddress(p.config.PeerListen)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 	loop := newTrackerLoop(p, clients, settings)
 	s := &trackerService{
-		loop: loop, listener: listener, keepAlive: int(keepAliveShare * float64(settings.Connections)),
+		loop: loop, listener: listener, keepAliveLimit: int(keepAliveShare * float64(settings.Connections)),
 		limit: transport.NewConcurrencyLimit(settings.Connections/4, loop.timeout, func() { loop.metrics.shed.Inc() }),
 	}
 	s.server = s.newServer(settings)
@@ -66,8 +66,8 @@
 	return &fasthttp.Server{
 		Concurrency:           settings.Connections,
 		MaxRequestBodySize:    distribution.MaxMessageBytes,
-		ReadTimeout:           idleInventoryIntervals * idle,
-		IdleTimeout:           idleInventoryIntervals * idle,
+		ReadTimeout:           idleTimeoutInventoryIntervals * idle,
+		IdleTimeout:           idleTimeoutInventoryIntervals * idle,
 		WriteTimeout:          idle,
 		ReadBufferSize:        trackerBufferBytes,
 		WriteBufferSize:       trackerBufferBytes,
@@ -85,7 +85,7 @@
 	}
 }
 
-// start serves until the process's context ends.
+// start starts the goroutines of the service. They end with the process's context.
 func (s *trackerService) start() {
 	p := s.loop.process
 	p.goroutines.Go(func() error { return s.server.Serve(s.listener) })
@@ -101,11 +101,11 @@
 		// The body belongs to the server's buffers, which the next request reuses.
 		body: append([]byte(nil), ctx.PostBody()...),
 	})
-	reply.CloseConnection = int(s.server.GetOpenConnectionsCount()) > s.keepAlive
+	reply.CloseConnection = int(s.server.GetOpenConnectionsCount()) > s.keepAliveLimit
 	transport.WriteFastHTTPReply(ctx, jsonContentType, reply)
 }
 
-// peerHandler answers what other controllers forward.
+// peerHandler returns the handler for requests that other controllers forward.
 func (s *trackerService) peerHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, distribution.MaxMessageBytes))
@@ -118,24 +118,24 @@
 	})
 }
 
-// answer answers a request, whether it came directly or from a peer.
+// answer answers a request that came directly or from a peer.
 func (s *trackerService) answer(request trackerRequest) message.Reply {
 	newCommand, refusal := parseTrackerRequest(request)
 	if newCommand == nil {
 		return refusal
 	}
-	if request.fromPeer { // which has admitted it
+	if request.fromPeer { // the peer's concurrency limit has admitted it
 		return s.loop.submit(newCommand, request)
 	}
 	return s.limit.Run(func() message.Reply { return s.loop.submit(newCommand, request) })
 }
 
-// trackerUnavailable refuses a request that may come again after a time.
+// trackerUnavailable returns a refusal that the sender may retry after the given time.
 func trackerUnavailable(reason string, retryAfter time.Duration) message.Reply {
 	return trackerError(http.StatusServiceUnavailable, reason, max(1, retrySeconds(retryAfter)))
 }
 
-// trackerError refuses a request; retryAfterS is in seconds, 0: no such header.
+// trackerError returns a refusal. With a retryAfterS of 0, it has no Retry-After header.
 func trackerError(status int, reason string, retryAfterS int) message.Reply {
 	body, err := json.Marshal(distribution.ErrorAnswer{Error: reason})
 	if err != nil {
@@ -144,7 +144,7 @@
 	return message.Reply{Status: status, Body: body, RetryAfterS: retryAfterS}
 }
 
-// retrySeconds rounds up to the whole seconds that a header can tell.
+// retrySeconds rounds up to whole seconds, the unit of the Retry-After header.
 func retrySeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
--- a/internal/daemon/tracker_test.go
+++ b/internal/daemon/tracker_test.go
@@ -13,7 +13,7 @@
 	"oakpick/internal/distribution"
 )
 
-// trackerExtension switches the tracker on at some address.
+// trackerExtension returns settings that enable the tracker, and the address of the tracker.
 func trackerExtension(t *testing.T) (config.Extensions, string) {
 	t.Helper()
 	address := freeAddress(t)
@@ -30,7 +30,8 @@
 	}}, address
 }
 
-// newControllersWithTrackers are two controllers that serve the tracker, at these addresses.
+// newControllersWithTrackers starts two controllers with trackers. It returns the trackers'
+// addresses, too.
 func newControllersWithTrackers(t *testing.T) (*controllerPair, []string) {
 	t.Helper()
 	first, firstAddress := trackerExtension(t)
@@ -38,7 +39,7 @@
 	return newControllerPairWith(t, first, second), []string{firstAddress, secondAddress}
 }
 
-// inventoryJSON is an inventory, with a change if there is one.
+// inventoryJSON encodes an inventory. A change that isn't nil is applied to it before.
 func inventoryJSON(t *testing.T, change func(*distribution.Inventory)) string {
 	t.Helper()
 	inventory := distribution.Inventory{Agent: "one", Zone: "north", Address: "127.0.0.1:1", Session: 1, Sequence: 1, Wants: []string{"models/a"}}
@@ -52,13 +53,13 @@
 	return string(text)
 }
 
-// trackerRequestCases are requests that either controller answers alike, once models/a has the
-// digest as its manifest.
+// trackerRequestCases returns requests that both controllers answer alike once models/a refers
+// to the given manifest.
 func trackerRequestCases(t *testing.T, manifest string) map[string]trackerRequestCase {
 	t.Helper()
 	const weights, inventory = distribution.PathWeights, distribution.PathInventory
-	inZone := inventoryJSON(t, func(i *distribution.Inventory) { i.Zone = "nowhere" })
-	ofStore := inventoryJSON(t, func(i *distribution.Inventory) { i.Agent = "store" })
+	unknownZone := inventoryJSON(t, func(i *distribution.Inventory) { i.Zone = "nowhere" })
+	storeAgent := inventoryJSON(t, func(i *distribution.Inventory) { i.Agent = "store" })
 	return map[string]trackerRequestCase{
 		"names":                {"GET", weights, "", 200, manifest},
 		"status":               {"GET", weights + "/models/a", "", 200, manifest},
@@ -70,8 +71,8 @@
 		"method of inventory":  {"GET", inventory, "", 405, "method"},
 		"unknown path":         {"GET", "/elsewhere", "", 404, "path"},
 		"empty inventory":      {"POST", inventory, `{}`, 400, "agent"},
-		"inventory's zone":     {"POST", inventory, inZone, 400, "zone"},
-		"inventory of a store": {"POST", inventory, ofStore, 400, "agent"},
+		"inventory's zone":     {"POST", inventory, unknownZone, 400, "zone"},
+		"inventory of a store": {"POST", inventory, storeAgent, 400, "agent"},
 		"metrics":              {"GET", "/metrics", "", 200, "oakpick_tracker_agents"},
 	}
 }
@@ -79,11 +80,12 @@
 type trackerRequestCase struct {
 	method, path, body string
 	status             int
-	contains           string // of the answer
+	contains           string // part of the response body
 }
 
-// Either controller takes requests, and the leader answers; what is malformed gets 4xx with
-// the field's name at both. A name outlives the leader, and is told by the next one only.
+// Both controllers accept requests, and the leader answers them. Both refuse a malformed request
+// with a 4xx status that names the field. A name survives a change of leader: until the new
+// leader answers, requests are refused with 503.
 func TestTrackerAnswersAtEitherController(t *testing.T) {
 	p, trackers := newControllersWithTrackers(t)
 	manifest := digest.FromString("version").String()
@@ -107,7 +109,7 @@
 			}
 		})
 	}
-	t.Run("inventories", func(t *testing.T) { takesInventories(t, trackers, manifest) })
+	t.Run("inventories", func(t *testing.T) { checkInventories(t, trackers, manifest) })
 	p.stopLeader()
 	eventually(t, func() (string, bool) {
 		status, body := request(t, "GET", trackers[1]+distribution.PathWeights+"/models/a", "")
@@ -118,9 +120,9 @@
 	})
 }
 
-// takesInventories puts an inventory to each tracker, the second through the follower, which
-// knows nothing itself, and one that was taken before.
-func takesInventories(t *testing.T, trackers []string, manifest string) {
+// checkInventories sends an inventory to each tracker. The second one is the follower's, which
+// has no state of its own and forwards it. A repeated inventory must be refused.
+func checkInventories(t *testing.T, trackers []string, manifest string) {
 	t.Helper()
 	for n, address := range trackers {
 		inventory := inventoryJSON(t, func(i *distribution.Inventory) { i.Sequence = int64(n + 1) })
@@ -132,13 +134,13 @@
 		}
 	}
 	if status, body := request(t, "POST", trackers[1]+distribution.PathInventory, inventoryJSON(t, nil)); status != 409 {
-		t.Errorf("an inventory that was taken before: %d %s", status, body)
+		t.Errorf("a repeated inventory: %d %s", status, body)
 	}
 }
 
-// A leader that doesn't track weights, because it is of another version or has it switched
-// off, answers users as ever; the other says that it can't serve agents.
-func TestTrackerIsUnavailableIfTheLeaderHasNone(t *testing.T) {
+// A leader may have no tracker, because it runs another version or has the tracker disabled. It
+// serves users as usual, and the other controller's tracker refuses requests as unavailable.
+func TestTrackerIsUnavailableIfLeaderHasNone(t *testing.T) {
 	on, address := trackerExtension(t)
 	p := newControllerPairWith(t, config.Extensions{}, on)
 	eventually(t, func() (string, bool) {
@@ -147,7 +149,7 @@
 	})
 	for _, api := range p.apiAddresses {
 		if status, _ := request(t, "GET", api+"/v2/runs/wk-000001", ""); status != 404 {
-			t.Errorf("a user: %d", status)
+			t.Errorf("a user's request: %d", status)
 		}
 	}
 }
