--- a/internal/transport/api_server.go
+++ b/internal/transport/api_server.go
@@ -12,13 +12,13 @@
 	"oakpick/internal/protocol"
 )
 
-// Of every connection of the API server.
+// Buffer sizes of each connection of the API server.
 const (
 	readBufferBytes  = 4096
 	writeBufferBytes = 4096
 )
 
-// heartbeatTimeout is how long a heartbeat may wait for its answer.
+// heartbeatTimeout bounds the time until a heartbeat is answered.
 const heartbeatTimeout = protocol.SubmitTimeoutS * time.Second / 2
 
 // APIServer serves users, workers and health checks.
@@ -28,9 +28,9 @@
 	server  *fasthttp.Server
 }
 
-// NewAPIServer makes the server. It holds at most maxConnections, and none that has been idle
-// for longer than idleTimeout: a worker that was silent for its lease has lost it, and the
-// connections of machines that were cut off must not take others' places.
+// NewAPIServer creates a server for at most maxConnections connections. It closes a connection
+// that is idle for longer than idleTimeout: a worker that was silent for the duration of its lease
+// has lost the lease, and connections of unreachable machines must not use up the maximum.
 func NewAPIServer(handler RequestHandler, limit *ConcurrencyLimit, maxConnections int, idleTimeout time.Duration) *APIServer {
 	s := &APIServer{handler: handler, limit: limit}
 	s.server = &fasthttp.Server{
@@ -56,7 +56,7 @@
 // Serve serves a listener until it is closed.
 func (s *APIServer) Serve(listener net.Listener) error { return s.server.Serve(listener) }
 
-// OpenConnections is how many connections there are.
+// OpenConnections returns the number of open connections.
 func (s *APIServer) OpenConnections() int { return int(s.server.GetOpenConnectionsCount()) }
 
 // serveRequest answers a request in the connection's goroutine.
@@ -84,7 +84,8 @@
 	return healthyReply
 }
 
-// heartbeat answers a worker. Heartbeats aren't limited: they are as many as there are workers.
+// heartbeat answers a worker's heartbeat. Heartbeats bypass the concurrency limit, since the number
+// of workers bounds them.
 func (s *APIServer) heartbeat(method string, body []byte) message.Reply {
 	if method != http.MethodPost {
 		return methodNotAllowed
@@ -96,15 +97,15 @@
 	return s.handler.Handle(message.HeartbeatRequest{Heartbeat: heartbeat}, RawRequest{}, heartbeatTimeout)
 }
 
-// refuseUnreadable answers a request that the HTTP library couldn't read.
+// refuseUnreadable answers a request that the HTTP library failed to read.
 func refuseUnreadable(ctx *fasthttp.RequestCtx, err error) {
 	reply := badRequest("malformed request")
-	reply.CloseConnection = errors.Is(err, fasthttp.ErrBodyTooLarge) // what is left of the body follows
+	reply.CloseConnection = errors.Is(err, fasthttp.ErrBodyTooLarge) // the rest of the body is unread
 	WriteFastHTTPReply(ctx, protocol.ContentType, reply)
 }
 
-// DiscardLogger keeps the HTTP library from writing to the log.
+// DiscardLogger discards the log messages of the HTTP library.
 type DiscardLogger struct{}
 
-// Printf writes nothing.
+// Printf discards a message.
 func (DiscardLogger) Printf(string, ...any) {}
--- a/internal/transport/api_server_test.go
+++ b/internal/transport/api_server_test.go
@@ -14,7 +14,7 @@
 	"oakpick/internal/protocol"
 )
 
-// fakeHandler answers every request with the same reply, after a delay, and keeps the requests.
+// fakeHandler answers every request with the same reply after a delay, and records the requests.
 type fakeHandler struct {
 	reply    message.Reply
 	delay    time.Duration
@@ -30,12 +30,12 @@
 
 func (h *fakeHandler) Healthy() bool { return h.healthy }
 
-// startAPIServer serves in memory, and gives a client.
+// startAPIServer serves on an in-memory listener and returns a client for it.
 func startAPIServer(t *testing.T, handler RequestHandler, limit *ConcurrencyLimit) *fasthttp.HostClient {
 	t.Helper()
 	listener := fasthttputil.NewInmemoryListener()
 	server := NewAPIServer(handler, limit, 100, time.Second)
-	go func() { _ = server.Serve(listener) }() // ends with the listener
+	go func() { _ = server.Serve(listener) }() // returns when the listener is closed
 	t.Cleanup(func() { _ = listener.Close() })
 	return &fasthttp.HostClient{Addr: "x", Dial: func(string) (net.Conn, error) { return listener.Dial() }}
 }
@@ -96,9 +96,9 @@
 	}
 }
 
-// occupy sends a hundred requests to a limit, and returns once each is refused or in progress.
-// Those in progress are answered on release, which waits for them.
-func occupy(t *testing.T, limit *ConcurrencyLimit) (inProgress, refused int, release func()) {
+// saturate sends 100 requests to a limit and returns once each of them is refused or in progress.
+// release lets the requests in progress finish, and waits for them.
+func saturate(t *testing.T, limit *ConcurrencyLimit) (inProgress, refused int, release func()) {
 	t.Helper()
 	const requests = 100
 	hold, admitted, statuses := make(chan struct{}), make(chan struct{}, requests), make(chan int, requests)
@@ -113,7 +113,7 @@
 	}
 	for refused+len(admitted) < requests {
 		if status := <-statuses; status != http.StatusServiceUnavailable {
-			t.Fatalf("answered %d while all were held", status)
+			t.Fatalf("a request got %d while the admitted ones were held", status)
 		}
 		refused++
 	}
@@ -125,17 +125,16 @@
 	}
 }
 
-// In a burst the limit refuses at once what it can't take, and a cancellation
-// gets through all the same.
+// In a burst, requests over the limit are refused at once, but a cancellation is still served.
 func TestLimitShedsBurstButNotCancellations(t *testing.T) {
 	var shed atomic.Int64
 	limit := NewConcurrencyLimit(8, time.Second, func() { shed.Add(1) })
-	inProgress, refused, release := occupy(t, limit)
+	inProgress, refused, release := saturate(t, limit)
 	if inProgress > 8 || refused < 92 {
 		t.Errorf("%d admitted, %d refused", inProgress, refused)
 	}
 	if int(shed.Load()) != refused {
-		t.Errorf("%d counted as shed, %d were", shed.Load(), refused)
+		t.Errorf("onShed was called %d times for %d refused requests", shed.Load(), refused)
 	}
 	handler := &fakeHandler{reply: message.Reply{Status: http.StatusOK}}
 	cancellation := RawRequest{Method: http.MethodPost, Path: "/v2/runs/wk-1/abort"}
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -12,7 +12,7 @@
 	"oakpick/internal/rpc"
 )
 
-// maxCloudResponseBytes is the limit on the cloud's answers; its lists are long.
+// maxCloudResponseBytes limits the cloud's responses, which hold long lists.
 const maxCloudResponseBytes = 1 << 20
 
 // CloudClient sends requests to the cloud.
@@ -21,7 +21,7 @@
 	timeout time.Duration
 }
 
-// NewCloudClient makes a client of the cloud at addr, whose timeout follows from the heartbeat
+// NewCloudClient creates a client for the cloud at addr. Its timeout is derived from the heartbeat
 // interval.
 func NewCloudClient(addr string, workers config.Workers) *CloudClient {
 	timeout := config.Seconds(workers.HeartbeatIntervalS * 1.5)
@@ -42,12 +42,12 @@
 	}
 	result.Outcome = cloudOutcome(res.StatusCode(), res.Body())
 	if result.Outcome == rpc.OK && decodeCloudResponse(&result, call.Op, res.Body()) != nil {
-		result.Outcome = rpc.Unknown // an answer that can't be read tells nothing
+		result.Outcome = rpc.Unknown // a response that can't be decoded tells nothing
 	}
 	return result
 }
 
-// writeRequest makes the request of a call.
+// writeRequest fills in the HTTP request for a call.
 func (c *CloudClient) writeRequest(req *fasthttp.Request, call message.CloudCall) {
 	uri := "http://" + c.client.Addr
 	switch call.Op {
@@ -65,7 +65,7 @@
 	req.SetRequestURI(uri)
 }
 
-// listQuery asks for the page of machines that follows one; empty: the first page.
+// listQuery returns the query for the page of machines after startAfter; empty: the first page.
 func listQuery(startAfter string) string {
 	args := fasthttp.AcquireArgs()
 	defer fasthttp.ReleaseArgs(args)
@@ -76,7 +76,7 @@
 	return args.String()
 }
 
-// cloudOutcome tells what an answer's status means.
+// cloudOutcome returns the outcome of a call by the status and the body of its response.
 func cloudOutcome(status int, body []byte) rpc.Outcome {
 	switch status {
 	case fasthttp.StatusOK:
@@ -94,7 +94,7 @@
 	return rpc.Unknown
 }
 
-// decodeCloudResponse reads what a call has brought.
+// decodeCloudResponse decodes the body of a response into the result of the call.
 func decodeCloudResponse(result *message.CloudResult, op message.CloudOp, body []byte) error {
 	switch op {
 	case message.CloudListTypes:
@@ -110,5 +110,5 @@
 		result.Machines = response.Names
 		return err
 	}
-	return nil // the answer to a scale-in says no more than its status
+	return nil // the response to a scale-in holds nothing besides its status
 }
--- a/internal/transport/concurrency_limit.go
+++ b/internal/transport/concurrency_limit.go
@@ -11,42 +11,43 @@
 	"oakpick/internal/message"
 )
 
-// The bounds of the limit, as parts of the most that it may be.
+// Parameters of the limit. A divisor gives a value as a fraction of another one.
 const (
-	leastMaxLimit = 8 // the most is never less
-	leastMinLimit = 4
-	minDivisor    = 16
-	startDivisor  = 4
-	windowDivisor = 10 // the shortest window of measured times, as a part of the longest
-	minSamples    = 20 // of a window
-	waitDivisor   = 4  // how long a request with priority waits, as a part of the window
+	maxLimitFloor       = 8  // lowest allowed maximum limit
+	minLimitFloor       = 4  // lowest allowed minimum and initial limits
+	minLimitDivisor     = 16 // maximum limit / minimum limit
+	initialLimitDivisor = 4  // maximum limit / initial limit
+	minWindowDivisor    = 10 // longest measurement window / shortest
+	minSamples          = 20 // per measurement window
+	maxWaitDivisor      = 4  // longest measurement window / longest wait of a request with priority
 )
 
-// retryJitterS is over how many seconds the retries of shed requests are spread.
+// retryJitterS is the number of seconds over which the retries of shed requests are spread.
 const retryJitterS = 4
 
-// ConcurrencyLimit bounds the users' requests in progress. It adapts to measured latencies: it
-// admits more while they hold and fewer once they grow with the load.
+// ConcurrencyLimit bounds the number of requests in progress. It adapts to the measured latencies:
+// the limit rises while they are stable and falls once they grow with the load.
 type ConcurrencyLimit struct {
 	limiter adaptivelimiter.AdaptiveLimiter[any]
 	maxWait time.Duration // of a request with priority
 	onShed  func()
 }
 
-// NewConcurrencyLimit makes a limit that never exceeds most. Latencies are measured over up to
-// window. onShed is called for every request that is refused, by the goroutine that asks.
-func NewConcurrencyLimit(most int, window time.Duration, onShed func()) *ConcurrencyLimit {
-	most = max(most, leastMaxLimit)
-	atLeast, atFirst := max(leastMinLimit, most/minDivisor), max(leastMinLimit, most/startDivisor)
+// NewConcurrencyLimit creates a limit that never exceeds maxLimit (or maxLimitFloor, if greater).
+// Latencies are measured over windows of at most the given length. onShed is called for every
+// refused request, by the goroutine that called Run or RunWithPriority.
+func NewConcurrencyLimit(maxLimit int, window time.Duration, onShed func()) *ConcurrencyLimit {
+	maxLimit = max(maxLimit, maxLimitFloor)
+	minLimit, initialLimit := max(minLimitFloor, maxLimit/minLimitDivisor), max(minLimitFloor, maxLimit/initialLimitDivisor)
 	limiter := adaptivelimiter.NewBuilder[any]().
-		WithLimits(uint(atLeast), uint(most), uint(atFirst)).
-		WithRecentWindow(window/windowDivisor, window, minSamples).
+		WithLimits(uint(minLimit), uint(maxLimit), uint(initialLimit)).
+		WithRecentWindow(window/minWindowDivisor, window, minSamples).
 		Build()
-	return &ConcurrencyLimit{limiter: limiter, maxWait: window / waitDivisor, onShed: onShed}
+	return &ConcurrencyLimit{limiter: limiter, maxWait: window / maxWaitDivisor, onShed: onShed}
 }
 
-// Run answers a request if it is admitted, and refuses it at once if not. The Retry-After of a
-// refusal is jittered, so that the retries don't come together.
+// Run answers a request if it is admitted at once, and refuses it otherwise. The Retry-After of
+// refusals is jittered, so that the retries are spread.
 func (l *ConcurrencyLimit) Run(answer func() message.Reply) message.Reply {
 	permit, ok := l.limiter.TryAcquirePermit()
 	if !ok {
@@ -57,10 +58,10 @@
 	return runPermitted(permit, answer)
 }
 
-// RunWithPriority answers a request that goes before others: if it can't be admitted at once it
-// waits for a while, and is admitted before any that comes to Run.
+// RunWithPriority answers a request with priority. If it can't be admitted at once, it waits for up
+// to maxWait and is admitted before all requests to Run.
 func (l *ConcurrencyLimit) RunWithPriority(answer func() message.Reply) message.Reply {
-	// maxWait bounds the wait; the HTTP server has no context that would end any sooner.
+	// The HTTP server has no context that could end the wait before maxWait.
 	permit, err := l.limiter.AcquirePermitWithMaxWait(context.Background(), l.maxWait)
 	if err != nil {
 		return l.shed()
@@ -68,7 +69,7 @@
 	return runPermitted(permit, answer)
 }
 
-// Usage gives the present limit and how many requests are in progress.
+// Usage returns the current limit and the number of requests in progress.
 func (l *ConcurrencyLimit) Usage() (limit, inFlight int) {
 	metrics, ok := l.limiter.(adaptivelimiter.Metrics)
 	if !ok {
@@ -77,7 +78,7 @@
 	return metrics.Limit(), metrics.Inflight()
 }
 
-// shed counts a request that isn't admitted, and refuses it.
+// shed counts and refuses a request that isn't admitted.
 func (l *ConcurrencyLimit) shed() message.Reply {
 	l.onShed()
 	return Unavailable("too much asked")
@@ -86,7 +87,7 @@
 func runPermitted(permit adaptivelimiter.Permit, answer func() message.Reply) message.Reply {
 	reply := answer()
 	if reply.Status == http.StatusServiceUnavailable {
-		permit.Drop() // a refusal's latency says nothing of the load
+		permit.Drop() // the latency of a refusal says nothing about the load
 	} else {
 		permit.Record()
 	}
--- a/internal/transport/concurrency_limit_test.go
+++ b/internal/transport/concurrency_limit_test.go
@@ -11,8 +11,8 @@
 	"oakpick/internal/message"
 )
 
-// slowHandler takes ten milliseconds for each request, one after the other, also
-// for those whose senders have given up.
+// slowHandler processes requests one at a time and takes 10 ms for each, even if the sender has
+// given up.
 type slowHandler struct {
 	queue chan chan struct{}
 	ended chan struct{}
@@ -43,8 +43,8 @@
 
 func (*slowHandler) Healthy() bool { return true }
 
-// answersUnderOverload has three hundred users poll for twenty seconds, each again a second
-// after an answer, and counts the answers in time.
+// answersUnderOverload has 300 users poll for 20 s, each again one second after a response, and
+// counts the successful responses.
 func answersUnderOverload(t *testing.T, limited bool) int64 {
 	t.Helper()
 	var inTime atomic.Int64
@@ -52,7 +52,7 @@
 		handler := newSlowHandler()
 		limit := NewConcurrencyLimit(75, 2*time.Second, func() {})
 		end := time.Now().Add(20 * time.Second)
-		// What a peer has admitted isn't limited again.
+		// Requests that a peer has forwarded bypass the limit.
 		poll := RawRequest{Method: http.MethodGet, Path: "/v2/runs/wk-1", FromPeer: !limited}
 		var users sync.WaitGroup
 		for range 300 {
@@ -72,9 +72,9 @@
 	return inTime.Load()
 }
 
-// Three times more is asked than can be answered. Without a limit the queue
-// grows until whatever is answered comes too late; with it, nearly all that can
-// be done is of use. The handler could do 2000 in the time.
+// The load is three times the capacity of the handler. Without a limit, the queue grows until
+// every response comes too late. With the limit, nearly all of the handler's work leads to
+// responses in time. The handler could process 2000 requests in the 20 s.
 func TestLimitKeepsAnswersInTimeUnderOverload(t *testing.T) {
 	with := answersUnderOverload(t, true)
 	without := answersUnderOverload(t, false)
@@ -84,9 +84,9 @@
 	}
 }
 
-// Polls take every permit, and come again at once whenever one is refused. A submission
-// waits for the first permit that is given back and goes before all of them; one for which
-// none is given back in time is refused.
+// Polls hold every permit. A submission that waits gets the first permit that is released, while a
+// poll that comes meanwhile is refused. If no permit is released in time, the submission is
+// refused, too.
 func TestSubmissionsHavePriorityOverPolls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := NewConcurrencyLimit(8, 2*time.Second, func() {})
--- a/internal/transport/connection_pool.go
+++ b/internal/transport/connection_pool.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/protocol"
 )
 
-// connectionPool bounds the connections to workers. One that is idle stays open until another
-// worker needs its place, the least recently used first.
+// connectionPool bounds the number of connections to workers. An idle connection stays open until
+// its place is needed for another worker; the least recently used one is closed first.
 type connectionPool struct {
 	dial           fasthttp.DialFunc
 	idleTimeout    time.Duration // after which the HTTP library closes a connection
@@ -36,19 +36,19 @@
 	}
 }
 
-// acquire gives the worker's idle connection, or a new one; nil: all are in use.
+// acquire returns the worker's idle connection or a new one, or nil if all connections are in use.
 func (p *connectionPool) acquire(addr string) *workerConnection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if element := p.idleByAddr[addr]; element != nil {
 		return p.removeIdle(element)
 	}
-	for most := p.maxConnections(); p.open >= most; p.open-- {
-		leastRecent := p.idle.Front()
-		if leastRecent == nil {
+	for limit := p.maxConnections(); p.open >= limit; p.open-- {
+		leastRecentlyUsed := p.idle.Front()
+		if leastRecentlyUsed == nil {
 			return nil
 		}
-		p.removeIdle(leastRecent).client.CloseIdleConnections()
+		p.removeIdle(leastRecentlyUsed).client.CloseIdleConnections()
 	}
 	p.open++
 	client := newHostClient(addr, p.dial, 1, protocol.MaxBody)
@@ -56,14 +56,15 @@
 	return &workerConnection{addr, client}
 }
 
-// removeIdle takes a connection off the idle ones. p.mu is held.
+// removeIdle removes a connection from the idle ones. The caller holds p.mu.
 func (p *connectionPool) removeIdle(element *list.Element) *workerConnection {
 	connection := p.idle.Remove(element).(*workerConnection)
 	delete(p.idleByAddr, connection.addr)
 	return connection
 }
 
-// release keeps a connection for the next commands, or closes it after a failure.
+// release keeps a connection for reuse. It closes the connection if it isn't reusable or if the
+// worker has another idle connection.
 func (p *connectionPool) release(connection *workerConnection, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,6 +1,6 @@
-// Package transport carries messages: the servers for users, workers and peers, the clients of
-// the cloud, workers and peers, and the limit on requests in progress.
+// Package transport connects a controller to the network: it has the servers for users, workers
+// and peers, the clients for the cloud, workers and peers, and the limit on concurrent requests.
 //
-// Every type is safe for use by several goroutines. Servers hand requests to a RequestHandler,
-// which answers each in the goroutine that serves it.
+// All types are safe for concurrent use. The servers pass requests to a RequestHandler, which
+// answers each request in the goroutine that serves it.
 package transport
--- a/internal/transport/forwarded_requests.go
+++ b/internal/transport/forwarded_requests.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// ErrLeaderChanged is the cause with which a forwarded request ends early: another
-// controller leads by now, and the request is better put to that one.
+// ErrLeaderChanged is the cause with which a forwarded request is cancelled when another
+// controller becomes the leader. The request should then be sent to the new leader.
 var ErrLeaderChanged = errors.New("another controller leads")
 
-// ForwardedRequests are the users' requests that are in flight to other controllers. A peer that
-// is paused takes requests and answers none; nobody has to wait for it any longer than until
-// another controller leads.
+// ForwardedRequests tracks the requests that are in flight to other controllers. A paused peer
+// accepts requests but doesn't answer them; tracking allows cancelling them as soon as another
+// controller leads.
 type ForwardedRequests struct {
 	mu       sync.Mutex
 	lastID   uint64
@@ -24,14 +24,14 @@
 	cancel context.CancelCauseFunc
 }
 
-// NewForwardedRequests makes an empty set.
+// NewForwardedRequests creates an empty set.
 func NewForwardedRequests() *ForwardedRequests {
 	return &ForwardedRequests{inFlight: map[uint64]forwardedRequest{}}
 }
 
-// Track notes that a request goes to a peer. The context that it gives ends with
-// ErrLeaderChanged as its cause if another is found to lead; done has to be called when
-// the request is over.
+// Track records a request that is forwarded to a peer. The returned context is cancelled, with
+// ErrLeaderChanged as its cause, when another controller is found to lead. The caller must call
+// done when the request has ended.
 func (f *ForwardedRequests) Track(ctx context.Context, peer string) (_ context.Context, done func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	f.mu.Lock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// CancelExcept ends the requests that are in flight to any controller but the leader.
+// CancelExcept cancels the requests in flight to controllers other than the leader.
 func (f *ForwardedRequests) CancelExcept(leader string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/transport/http_client.go
+++ b/internal/transport/http_client.go
@@ -7,7 +7,7 @@
 	"oakpick/internal/rpc"
 )
 
-// newHostClient makes a client that sends every request at most once.
+// newHostClient creates a client that sends every request at most once.
 func newHostClient(addr string, dial fasthttp.DialFunc, maxConnections, maxResponseBytes int) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr: addr, Dial: dial, MaxConns: maxConnections, MaxResponseBodySize: maxResponseBytes,
@@ -15,7 +15,7 @@
 	}
 }
 
-// setPostBody makes a request a POST of this body.
+// setPostBody turns a request into a POST request with the given body.
 func setPostBody(req *fasthttp.Request, body []byte) {
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetContentType(protocol.ContentType)
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -18,18 +18,18 @@
 	"oakpick/internal/protocol"
 )
 
-// ForwardedHeader marks what a peer forwards, which is not forwarded again.
+// ForwardedHeader marks requests that come from a peer, which are not forwarded again.
 const ForwardedHeader = "Oakpick-Forwarded"
 
-// PeerClient sends requests to the other controllers over HTTP/2 streams, one connection a peer.
+// PeerClient sends requests to the other controllers over HTTP/2, with one connection per peer.
 type PeerClient struct {
 	client  *http.Client
-	node    string            // our own name
-	addrs   map[string]string // by peer
+	node    string            // name of this node
+	addrs   map[string]string // by name of the peer
 	timeout time.Duration     // of a request to step down
 }
 
-// NewPeerClient makes the client of a node, whose timeouts follow from the heartbeat interval.
+// NewPeerClient creates the client of a node. Its timeouts are derived from the heartbeat interval.
 func NewPeerClient(node string, peers []config.Peer, workers config.Workers) *PeerClient {
 	timeout := config.Seconds(workers.HeartbeatIntervalS / 2)
 	addrs := make(map[string]string, len(peers))
@@ -40,13 +40,13 @@
 		dialer := net.Dialer{Timeout: timeout / 2}
 		return dialer.DialContext(ctx, "tcp4", addr)
 	}
-	//nolint:staticcheck // SA1019: how it pings was measured; the standard library's way is still to be
+	//nolint:staticcheck // SA1019: the pings of this client have been measured, those of net/http not yet
 	streams := &http2.Transport{AllowHTTP: true, DialTLSContext: dial, ReadIdleTimeout: timeout, PingTimeout: timeout / 2, DisableCompression: true}
 	return &PeerClient{client: &http.Client{Transport: streams}, node: node, addrs: addrs, timeout: timeout}
 }
 
-// Forward sends a user's request on to a peer and brings back its answer. An error says that the
-// peer gave none before the context ended; it may have got the request all the same.
+// Forward forwards a request to a peer and returns the reply. An error means that no reply was
+// received before the context ended; the peer may have received the request nevertheless.
 func (c *PeerClient) Forward(ctx context.Context, peer, method, path string, body []byte) (message.Reply, error) {
 	response, err := c.call(ctx, peer, method, path, body)
 	if err != nil {
@@ -55,8 +55,8 @@
 	return message.Reply{Status: response.status, Body: response.body, RetryAfterS: response.retryAfterS}, nil
 }
 
-// StepDown asks a peer to step down from older terms. Without an answer the result's response
-// is zero: nothing is known of the peer.
+// StepDown asks a peer to step down from older terms. If the peer doesn't answer, the
+// StepDownResponse of the result is zero, and nothing is known about the peer.
 func (c *PeerClient) StepDown(ctx context.Context, call message.PeerCall) message.PeerResult {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -72,10 +72,10 @@
 	return result
 }
 
-// peerResponse is a peer's answer, read to its end.
+// peerResponse is a peer's response, whose body has been read.
 type peerResponse struct {
 	status      int
-	retryAfterS int // 0: no such header
+	retryAfterS int // 0: no Retry-After header
 	body        []byte
 }
 
@@ -89,11 +89,11 @@
 	if err != nil {
 		return peerResponse{}, fmt.Errorf("peer %q: %w", peer, err)
 	}
-	defer func() { _ = response.Body.Close() }() // what was read is all that counts
+	defer func() { _ = response.Body.Close() }() // the body has been read, or its error is returned
 	content, err := io.ReadAll(io.LimitReader(response.Body, protocol.MaxBody))
 	if err != nil {
-		return peerResponse{}, fmt.Errorf("answer of peer %q: %w", peer, err)
+		return peerResponse{}, fmt.Errorf("response of peer %q: %w", peer, err)
 	}
-	retryAfterS, _ := strconv.Atoi(response.Header.Get(headerRetryAfter)) // absent or malformed: 0
+	retryAfterS, _ := strconv.Atoi(response.Header.Get(headerRetryAfter)) // 0 if absent or malformed
 	return peerResponse{status: response.StatusCode, retryAfterS: retryAfterS, body: content}, nil
 }
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// stepDownTimeout is how long a peer's request to step down may wait for its answer.
+	// stepDownTimeout bounds the time until a peer's request to step down is answered.
 	stepDownTimeout = protocol.PollTimeoutS * time.Second
 	maxHeaderBytes  = 8 << 10
 )
 
-// PeerServer serves the other controllers, and what is mounted beside them.
+// PeerServer serves the other controllers, and the handlers mounted on the same listener.
 type PeerServer struct {
 	handler RequestHandler
 	limit   *ConcurrencyLimit
 	mounted map[string]http.Handler
 }
 
-// NewPeerServer makes the server. Each mounted handler serves the paths that begin with its prefix.
+// NewPeerServer creates the server. Each mounted handler serves the paths that begin with its key.
 func NewPeerServer(handler RequestHandler, limit *ConcurrencyLimit, mounted map[string]http.Handler) *PeerServer {
 	return &PeerServer{handler, limit, mounted}
 }
@@ -65,11 +65,11 @@
 	WriteReply(w, protocol.ContentType, s.handler.Handle(request, RawRequest{}, stepDownTimeout))
 }
 
-// Serve serves HTTP/2 in clear text, and HTTP/1.1 for operators' tools, until the context ends.
-// It always returns an error. maxStreams is for each connection; one that has been idle for
+// Serve serves HTTP/2 without TLS, and HTTP/1.1 for operators' tools, until the context ends. It
+// always returns an error. maxStreams applies to each connection; a connection that is idle for
 // longer than idleTimeout is closed.
 func (s *PeerServer) Serve(ctx context.Context, listener net.Listener, maxStreams int, idleTimeout time.Duration) error {
-	//nolint:staticcheck // SA1019: its limits were measured; the standard library's way is still to be
+	//nolint:staticcheck // SA1019: the limits of this server have been measured, those of net/http not yet
 	streams := &http2.Server{IdleTimeout: idleTimeout, MaxConcurrentStreams: uint32(maxStreams)}
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -81,7 +81,7 @@
 	if err := http2.ConfigureServer(server, streams); err != nil {
 		return fmt.Errorf("setting up HTTP/2: %w", err)
 	}
-	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // Serve returns in either case
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // makes Serve return, even on an error
 	defer stop()
 	return server.Serve(listener)
 }
--- a/internal/transport/reply.go
+++ b/internal/transport/reply.go
@@ -10,10 +10,10 @@
 	"oakpick/internal/protocol"
 )
 
-// retryAfterS is after how many seconds a refused request may come again.
+// retryAfterS is the number of seconds after which a refused request may be retried.
 const retryAfterS = 1
 
-// headerRetryAfter holds a number of seconds.
+// headerRetryAfter names the header with the number of seconds until a retry.
 const headerRetryAfter = "Retry-After"
 
 var (
@@ -22,29 +22,29 @@
 	notFound         = message.Reply{Status: http.StatusNotFound, Body: protocol.EncodeError("no such path")}
 )
 
-// Unavailable refuses a request that may come again soon.
+// Unavailable returns a refusal that the sender may retry soon.
 func Unavailable(reason string) message.Reply {
 	return message.Reply{
 		Status: http.StatusServiceUnavailable, Body: protocol.EncodeError(reason), RetryAfterS: retryAfterS,
 	}
 }
 
-// badRequest refuses a request that the sender has to correct.
+// badRequest returns a refusal of a request that the sender has to correct.
 func badRequest(reason string) message.Reply {
 	return message.Reply{Status: http.StatusBadRequest, Body: protocol.EncodeError(reason)}
 }
 
-// WriteReply writes a reply with the standard library's server.
+// WriteReply writes a reply to a response of the net/http server.
 func WriteReply(w http.ResponseWriter, contentType string, reply message.Reply) {
 	w.Header().Set("Content-Type", contentType)
 	if reply.RetryAfterS > 0 {
 		w.Header().Set(headerRetryAfter, strconv.Itoa(reply.RetryAfterS))
 	}
 	w.WriteHeader(reply.Status)
-	_, _ = w.Write(reply.Body) // a sender that has gone asks again
+	_, _ = w.Write(reply.Body) // a client that has disconnected retries
 }
 
-// WriteFastHTTPReply writes a reply with the fasthttp server. The body is copied.
+// WriteFastHTTPReply writes a reply to a response of the fasthttp server. It copies the body.
 func WriteFastHTTPReply(ctx *fasthttp.RequestCtx, contentType string, reply message.Reply) {
 	ctx.SetStatusCode(reply.Status)
 	ctx.SetContentType(contentType)
--- a/internal/transport/request_handler.go
+++ b/internal/transport/request_handler.go
@@ -6,18 +6,18 @@
 	"oakpick/internal/message"
 )
 
-// RequestHandler answers requests. Many goroutines call it at the same time.
+// RequestHandler answers requests. It must be safe for concurrent use.
 type RequestHandler interface {
-	// Handle answers a request, with Unavailable if there is no answer within timeout. It
-	// keeps nothing of raw's body, which belongs to the server.
+	// Handle answers a request, with Unavailable if there is no reply within the timeout. It
+	// must not retain raw.Body, which belongs to the server.
 	Handle(request message.Request, raw RawRequest, timeout time.Duration) message.Reply
-	// Healthy tells whether requests can be answered now.
+	// Healthy tells whether requests can be answered at present.
 	Healthy() bool
 }
 
-// RawRequest is a user's or an operator's request as it came, for forwarding it to the leader.
+// RawRequest is a user's or an operator's request as received, so that it can be forwarded.
 type RawRequest struct {
 	Method, Path string
 	Body         []byte
-	FromPeer     bool // it was forwarded once, and isn't again
+	FromPeer     bool // a peer has forwarded it, so it isn't forwarded again
 }
--- a/internal/transport/user_requests.go
+++ b/internal/transport/user_requests.go
@@ -8,7 +8,8 @@
 	"oakpick/internal/protocol"
 )
 
-// userTimeout leaves time for the answer's way within what users wait.
+// userTimeout returns the time within which a request of a kind is answered. It leaves a quarter of
+// the user's own timeout for the response to arrive.
 func userTimeout(kind message.UserRequestKind) time.Duration {
 	if kind == message.Poll {
 		return protocol.PollTimeoutS * time.Second * 3 / 4
@@ -16,13 +17,13 @@
 	return protocol.SubmitTimeoutS * time.Second * 3 / 4
 }
 
-// handleUserRequest answers a user's request, whether it came directly or from a peer.
+// handleUserRequest answers a user's request that came directly or from a peer.
 func handleUserRequest(handler RequestHandler, limit *ConcurrencyLimit, raw RawRequest) message.Reply {
 	request, refusal, ok := parseUserRequest(raw)
 	if !ok {
 		return refusal
 	}
-	// A cancellation is never shed, nor is what a peer has already admitted.
+	// Cancellations are never shed, nor are requests that a peer has already admitted.
 	if request.Kind == message.Cancel || raw.FromPeer {
 		return handler.Handle(request, raw, userTimeout(request.Kind))
 	}
@@ -33,7 +34,7 @@
 	return limit.Run(answer)
 }
 
-// parseUserRequest finds what a request asks for; if it isn't one, the refusal and false.
+// parseUserRequest decodes a user's request. If it is invalid, the refusal and false are returned.
 func parseUserRequest(raw RawRequest) (request message.UserRequest, refusal message.Reply, ok bool) {
 	job, cancel, ok := protocol.SplitJobPath(raw.Path)
 	if !ok {
--- a/internal/transport/worker_client.go
+++ b/internal/transport/worker_client.go
@@ -11,24 +11,24 @@
 	"oakpick/internal/rpc"
 )
 
-// idleTimeouts is for how many of its timeouts the worker client keeps an idle connection.
-const idleTimeouts = 24
+// idleTimeoutFactor is the idle timeout of a connection as a multiple of the client's timeout.
+const idleTimeoutFactor = 24
 
-// WorkerClient sends direct commands to workers, over a bounded number of connections.
-// When all are in use, commands aren't sent: machines that hang can't keep them from the
-// others for longer than a call takes.
+// WorkerClient sends direct commands to workers over a bounded number of connections. While all
+// connections are in use, commands aren't sent: unresponsive machines can't block the commands for
+// other machines for longer than the timeout of a call.
 type WorkerClient struct {
 	timeout time.Duration
 	pool    *connectionPool
 }
 
-// NewWorkerClient makes the client, whose timeout follows from the heartbeat interval.
-// maxConnections tells how many connections it may hold now.
+// NewWorkerClient creates the client. Its timeout is derived from the heartbeat interval.
+// maxConnections returns the number of connections that the client may hold at present.
 func NewWorkerClient(workers config.Workers, maxConnections func() int) *WorkerClient {
 	timeout := config.Seconds(workers.HeartbeatIntervalS * 0.75)
 	return &WorkerClient{
 		timeout: timeout,
-		pool:    newConnectionPool(rpc.NewDialFunc(timeout*2/3), timeout*idleTimeouts, maxConnections),
+		pool:    newConnectionPool(rpc.NewDialFunc(timeout*2/3), timeout*idleTimeoutFactor, maxConnections),
 	}
 }
 
@@ -55,8 +55,8 @@
 	return result
 }
 
-// decodeCommandsResponse reads a worker's answer: whether it has executed the commands, and its
-// heartbeat. A conflict counts without one; an execution that can't be read doesn't.
+// decodeCommandsResponse returns the outcome of commands and the worker's heartbeat. A conflict is
+// valid without a readable heartbeat; the outcome of an execution without one is Unknown.
 func decodeCommandsResponse(status int, body []byte) (rpc.Outcome, *protocol.Heartbeat) {
 	if status != fasthttp.StatusOK && status != fasthttp.StatusConflict {
 		return rpc.Unknown, nil
--- a/internal/transport/worker_client_test.go
+++ b/internal/transport/worker_client_test.go
@@ -15,12 +15,12 @@
 	"oakpick/internal/rpc"
 )
 
-// fakeWorkers are workers in memory that answer every command with a conflict; connections to
-// those that hang are never made.
+// fakeWorkers are in-memory workers that answer every command with a conflict. Connections to
+// hanging workers are never established.
 type fakeWorkers struct {
 	listener *fasthttputil.InmemoryListener
-	hanging  map[string]chan struct{} // by address; closed: the connection fails
-	dialing  chan struct{}            // a dial that hangs has begun
+	hanging  map[string]chan struct{} // by address; closing the channel makes the dial fail
+	dialing  chan struct{}            // receives a value when a dial begins to hang
 
 	mu      sync.Mutex
 	open    int // connections
@@ -68,7 +68,7 @@
 	workers := &fakeWorkers{
 		listener: fasthttputil.NewInmemoryListener(), hanging: map[string]chan struct{}{}, dialing: make(chan struct{}),
 	}
-	go func() { // ends with the listener
+	go func() { // returns when the listener is closed
 		_ = fasthttp.Serve(workers.listener, func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(fasthttp.StatusConflict) })
 	}()
 	t.Cleanup(func() { _ = workers.listener.Close() })
@@ -81,9 +81,9 @@
 	return client.Send(message.CommandsCall{Machine: addr, Addr: addr, FencingToken: 1, Incarnation: 1}).Outcome
 }
 
-// More machines get commands than there may be connections: the least
-// recently used make place, and one that is used again stays.
-func TestCommandsShareTheirConnections(t *testing.T) {
+// Commands go to more machines than there may be connections: the least recently used connections
+// are closed, and one that is used again stays open.
+func TestWorkerConnectionsAreReusedWithinLimit(t *testing.T) {
 	client, workers := newWorkerClientWithFakes(t, 3)
 	for _, addr := range []string{"a:1", "b:1", "a:1", "c:1", "a:1", "d:1", "a:1", "b:1"} {
 		if outcome := sendCommands(client, addr); outcome != rpc.Conflict {
@@ -93,13 +93,13 @@
 	if workers.maxOpen > 3 {
 		t.Errorf("%d connections at once, 3 were allowed", workers.maxOpen)
 	}
-	if workers.dials != 5 { // a, b, c, d, and b anew
+	if workers.dials != 5 { // a, b, c, d, and b again
 		t.Errorf("%d connections were made, not 5", workers.dials)
 	}
 }
 
-// Machines that hang take every connection: others' commands aren't sent, which
-// is a proof that nothing was executed, and go out once there is room again.
+// While unresponsive machines use all connections, commands for other machines aren't sent, and so
+// certainly aren't executed. They are sent once a connection is free again.
 func TestHangingMachinesDoNotQueueOthers(t *testing.T) {
 	client, workers := newWorkerClientWithFakes(t, 2)
 	gate := make(chan struct{})
@@ -118,11 +118,11 @@
 		<-outcomes
 	}
 	if outcome := sendCommands(client, "a:1"); outcome != rpc.Conflict {
-		t.Errorf("outcome %d after room was made", outcome)
+		t.Errorf("outcome %d after a connection became free", outcome)
 	}
 }
 
-// A conflict counts without a heartbeat; an execution whose heartbeat can't be read doesn't.
+// A conflict is valid without a heartbeat; an execution whose heartbeat can't be decoded isn't.
 func TestCommandsResponseOutcome(t *testing.T) {
 	heartbeat := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "i-1", Addr: "a:1"})
 	for name, c := range map[string]struct {
