--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -1,4 +1,4 @@
-// Package latency keeps histograms of durations by name, and summarizes them.
+// Package latency keeps latency histograms by name, and summarizes them.
 package latency
 
 import (
@@ -14,7 +14,7 @@
 	significantDigits    = 2
 )
 
-// Recorder keeps a histogram for each name. It may be used by several goroutines.
+// Recorder keeps a histogram for each name. It is safe for concurrent use.
 type Recorder struct {
 	mu         sync.Mutex
 	histograms map[string]*hdrhistogram.Histogram
@@ -25,7 +25,7 @@
 	return &Recorder{histograms: map[string]*hdrhistogram.Histogram{}}
 }
 
-// Add records a duration. One outside the range counts as the shortest or the longest.
+// Add records a duration. A duration outside the range counts as the shortest or the longest.
 func (r *Recorder) Add(name string, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,7 +44,7 @@
 	clear(r.histograms)
 }
 
-// Summary is the count of a histogram, its percentiles and its maximum, in milliseconds.
+// Summary holds the count, the percentiles and the maximum of a histogram, in milliseconds.
 type Summary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -53,7 +53,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Summaries returns a summary for each name. The map is the caller's.
+// Summaries returns a summary for each name. The caller owns the map.
 func (r *Recorder) Summaries() map[string]Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,33 +1,32 @@
 // Package pause detects that a process was paused while its clocks ran on: the machine was
-// suspended, or gave it no processor time. It concludes that from the times of the steps of
-// the process's event loop, which follow within milliseconds in normal operation. The
+// suspended, or gave it no processor time. A pause shows as a gap between two steps of the
+// process's event loop, which follow each other within milliseconds in normal operation. The
 // package reads no clock itself; all times are of one monotonic clock of the caller.
 package pause
 
 import "time"
 
-// Detector detects pauses between the steps of one event loop. It belongs to the goroutine
-// of that loop.
+// Detector detects pauses between the steps of one event loop. Only the goroutine of that loop
+// may use it.
 type Detector struct {
-	// Threshold is how long the loop may take from one step to the next without that
-	// counting as a pause.
+	// Threshold is the longest time from one step to the next that doesn't count as a pause.
 	Threshold time.Duration
 
-	stepped   bool // at least once
+	stepped   bool // Step has been called
 	lastStep  time.Duration
 	resumedAt time.Duration // end of the last pause
 	totals    Totals
 }
 
-// Totals sum up the pauses since the process began.
+// Totals holds the number and the durations of the pauses since the process began.
 type Totals struct {
 	Count   int64
 	Sum     time.Duration
 	Longest time.Duration
 }
 
-// Step notes a step of the event loop. It returns how long the process was paused since the
-// step before, or 0 if it was not.
+// Step records a step of the event loop. It returns how long the process was paused since the
+// previous step, or 0 if it was not.
 func (d *Detector) Step(now time.Duration) time.Duration {
 	gap := now - d.lastStep
 	first := !d.stepped
@@ -42,8 +41,8 @@
 	return gap
 }
 
-// ClampToResume returns the later of a time and the end of the last pause. Timeouts count from it:
-// what was not received during a pause says nothing about the sender.
+// ClampToResume returns the later of a time and the end of the last pause. Timeouts count from the
+// result: a missing message says nothing about its sender if the receiver was paused.
 func (d *Detector) ClampToResume(at time.Duration) time.Duration {
 	if d.totals.Count == 0 {
 		return at
@@ -56,5 +55,5 @@
 	return d.totals.Count > 0 && now-d.resumedAt < span
 }
 
-// Totals returns the sums so far.
+// Totals returns the totals so far.
 func (d *Detector) Totals() Totals { return d.totals }
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -8,7 +8,7 @@
 func TestPausesAreDetectedBetweenSteps(t *testing.T) {
 	d := Detector{Threshold: time.Second}
 	steps := []struct{ at, want time.Duration }{
-		{5 * time.Second, 0}, // the first step: nothing is known of before
+		{5 * time.Second, 0}, // the first step has no previous one
 		{6 * time.Second, 0},
 		{7*time.Second + time.Millisecond, time.Second + time.Millisecond},
 		{8 * time.Second, 0},
@@ -25,15 +25,15 @@
 	}
 }
 
-func TestNothingIsKnownBeforeTheFirstPause(t *testing.T) {
+func TestDetectorBeforeFirstPause(t *testing.T) {
 	d := Detector{Threshold: time.Second}
 	d.Step(0)
 	if d.ClampToResume(0) != 0 || d.ResumedWithin(0, time.Hour) {
-		t.Error("a pause is known before there was one")
+		t.Error("a pause is reported before the first one")
 	}
 }
 
-func TestTimeoutsCountFromTheEndOfAPause(t *testing.T) {
+func TestTimeoutsCountFromEndOfPause(t *testing.T) {
 	d := Detector{Threshold: time.Second}
 	d.Step(0)
 	d.Step(10 * time.Second)
@@ -44,6 +44,6 @@
 		t.Errorf("since %v, want 12s", got)
 	}
 	if !d.ResumedWithin(12*time.Second, 3*time.Second) || d.ResumedWithin(13*time.Second, 3*time.Second) {
-		t.Error("a span after the pause has the wrong end")
+		t.Error("ResumedWithin is wrong at the end of the span")
 	}
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry computes when something that failed is tried again: exponential backoff
-// up to a bound, with jitter, so that what failed together isn't retried together. It
+// Package retry computes the delay before a failed operation is retried: exponential backoff up
+// to a maximum, with jitter, so that operations that failed together aren't retried together. It
 // reads no clock and has no random source of its own.
 package retry
 
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Policy is an exponential backoff: the wait doubles with every failure in a row.
+// Policy is an exponential backoff: the delay doubles with every consecutive failure.
 type Policy struct {
 	InitialDelay time.Duration // after the first failure
 	MaxDelay     time.Duration // upper bound, before jitter
-	// Jitter is by what fraction of itself a wait may be longer or shorter.
+	// Jitter is the fraction of a delay by which it may be longer or shorter.
 	Jitter float64
 }
 
-// Backoff returns how long to wait after the given number of failures in a row; 0 if there is
+// Backoff returns the delay after the given number of consecutive failures, or 0 if there are
 // none.
 func (p Policy) Backoff(failures int, random *rand.Rand) time.Duration {
 	if failures <= 0 {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestWaitDoublesUpToABound(t *testing.T) {
+func TestBackoffDoublesUpToMaxDelay(t *testing.T) {
 	p := Policy{InitialDelay: time.Second, MaxDelay: 10 * time.Second}
 	random := rand.New(rand.NewPCG(1, 2))
 	for failures, want := range map[int]time.Duration{0: 0, 1: 1, 2: 2, 3: 4, 4: 8, 5: 10, 6: 10, 1_000_000: 10} {
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestWaitsAreSpreadByJitter(t *testing.T) {
+func TestBackoffIsSpreadByJitter(t *testing.T) {
 	p := Policy{InitialDelay: time.Second, MaxDelay: 8 * time.Second, Jitter: 0.25}
 	random := rand.New(rand.NewPCG(1, 2))
 	least, most := time.Hour, time.Duration(0)
--- a/internal/rpc/outcome.go
+++ b/internal/rpc/outcome.go
@@ -1,5 +1,5 @@
-// Package rpc holds what the clients of other components share: how a call ended, and
-// connections that tell whether a request can have been sent.
+// Package rpc defines the outcomes of calls to other components, and a dial function whose errors
+// show that a request can't have been sent.
 package rpc
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Outcome is how a call to another component ended.
+// Outcome tells how a call to another component ended.
 type Outcome uint8
 
 const (
@@ -19,31 +19,32 @@
 	OK Outcome = iota
 	// Conflict means that a condition of the request did not hold.
 	Conflict
-	// NotFound means that there is no such thing.
+	// NotFound means that the requested object does not exist or, for the cloud, that it has no
+	// capacity.
 	NotFound
-	// Invalid means that the request was called malformed.
+	// Invalid means that the component rejected the request as malformed.
 	Invalid
 	// Refused means that the component did not execute the request because of its load.
 	Refused
-	// NotSent means that no connection was made: nothing was executed.
+	// NotSent means that no connection was made, so nothing was executed.
 	NotSent
-	// Unknown means that the request may have been executed, or may yet be.
+	// Unknown means that the request may have been executed, or may still be.
 	Unknown
 )
 
-// DialError tells that a connection was never made: nothing was sent on it.
+// DialError is the error of a connection that could not be made: nothing was sent on it.
 type DialError struct{ Err error }
 
 func (e *DialError) Error() string { return "dial: " + e.Err.Error() }
 
-// Unwrap returns the error of the network.
+// Unwrap returns the network error.
 func (e *DialError) Unwrap() error { return e.Err }
 
 // NewDialFunc returns a function that connects within the timeout. Its errors are *DialError.
 func NewDialFunc(timeout time.Duration) fasthttp.DialFunc {
 	dialer := &net.Dialer{Timeout: timeout}
 	return func(addr string) (net.Conn, error) {
-		// The library's function has no context; the timeout bounds the call.
+		// A fasthttp.DialFunc gets no context; the timeout bounds the call.
 		connection, err := dialer.DialContext(context.Background(), "tcp4", addr)
 		if err != nil {
 			return nil, &DialError{err}
@@ -52,8 +53,8 @@
 	}
 }
 
-// NeverRetry is a RetryIfErr that keeps the HTTP library from sending anything twice by
-// itself: every retry is a decision of the controller, which has to know of it.
+// NeverRetry is a RetryIfErr function that disables the retries of the HTTP library: the
+// controller has to know of every retry, so it alone decides on them.
 func NeverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
 // OutcomeOfError returns the outcome of a call that got no response.
--- a/internal/rpc/outcome_test.go
+++ b/internal/rpc/outcome_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestDialMarksFailures(t *testing.T) {
+func TestDialFailureIsDialError(t *testing.T) {
 	var config net.ListenConfig
 	listener, err := config.Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
