--- a/internal/daemon/controller_pair_test.go
+++ b/internal/daemon/controller_pair_test.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer func() { _ = res.Body.Close() }() // errors of reading the body are returned
+	defer func() { _ = res.Body.Close() }() // an error of reading is returned below
 	content, err := io.ReadAll(res.Body)
 	if err != nil {
 		return 0, err.Error()
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -44,7 +44,7 @@
 	clear(r.histograms)
 }
 
-// Summary holds the count, the percentiles and the maximum of a histogram, in milliseconds.
+// Summary holds the count of a histogram, and its percentiles and maximum in milliseconds.
 type Summary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -38,10 +38,10 @@
 	d.Step(0)
 	d.Step(10 * time.Second)
 	if got := d.ClampToResume(3 * time.Second); got != 10*time.Second {
-		t.Errorf("since %v, want the end of the pause, 10s", got)
+		t.Errorf("got %v, want the end of the pause, 10s", got)
 	}
 	if got := d.ClampToResume(12 * time.Second); got != 12*time.Second {
-		t.Errorf("since %v, want 12s", got)
+		t.Errorf("got %v, want 12s", got)
 	}
 	if !d.ResumedWithin(12*time.Second, 3*time.Second) || d.ResumedWithin(13*time.Second, 3*time.Second) {
 		t.Error("ResumedWithin is wrong at the end of the span")
--- a/internal/rpc/outcome.go
+++ b/internal/rpc/outcome.go
@@ -1,5 +1,5 @@
 // Package rpc defines the outcomes of calls to other components, and a dial function whose errors
-// show that a request can't have been sent.
+// prove that no request was sent.
 package rpc
 
 import (
@@ -19,8 +19,7 @@
 	OK Outcome = iota
 	// Conflict means that a condition of the request did not hold.
 	Conflict
-	// NotFound means that the requested object does not exist or, for the cloud, that it has no
-	// capacity.
+	// NotFound means that the requested object does not exist, or that the cloud has no capacity.
 	NotFound
 	// Invalid means that the component rejected the request as malformed.
 	Invalid
@@ -32,7 +31,7 @@
 	Unknown
 )
 
-// DialError is the error of a connection that could not be made: nothing was sent on it.
+// DialError is the error of a failed attempt to connect: no request was sent.
 type DialError struct{ Err error }
 
 func (e *DialError) Error() string { return "dial: " + e.Err.Error() }
--- a/internal/transport/api_server.go
+++ b/internal/transport/api_server.go
@@ -30,7 +30,7 @@
 
 // NewAPIServer creates a server for at most maxConnections connections. It closes a connection
 // that is idle for longer than idleTimeout: a worker that was silent for the duration of its lease
-// has lost the lease, and connections of unreachable machines must not use up the maximum.
+// has lost the lease, and connections of unreachable machines must not keep others out.
 func NewAPIServer(handler RequestHandler, limit *ConcurrencyLimit, maxConnections int, idleTimeout time.Duration) *APIServer {
 	s := &APIServer{handler: handler, limit: limit}
 	s.server = &fasthttp.Server{
@@ -84,8 +84,8 @@
 	return healthyReply
 }
 
-// heartbeat answers a worker's heartbeat. Heartbeats bypass the concurrency limit, since the number
-// of workers bounds them.
+// heartbeat answers a worker's heartbeat. Heartbeats bypass the concurrency limit, since their number
+// is bounded by that of the workers.
 func (s *APIServer) heartbeat(method string, body []byte) message.Reply {
 	if method != http.MethodPost {
 		return methodNotAllowed
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -12,7 +12,7 @@
 	"oakpick/internal/rpc"
 )
 
-// maxCloudResponseBytes limits the cloud's responses, which hold long lists.
+// maxCloudResponseBytes limits the size of the cloud's responses, which can hold long lists.
 const maxCloudResponseBytes = 1 << 20
 
 // CloudClient sends requests to the cloud.
@@ -42,7 +42,7 @@
 	}
 	result.Outcome = cloudOutcome(res.StatusCode(), res.Body())
 	if result.Outcome == rpc.OK && decodeCloudResponse(&result, call.Op, res.Body()) != nil {
-		result.Outcome = rpc.Unknown // a response that can't be decoded tells nothing
+		result.Outcome = rpc.Unknown // the result can't be decoded
 	}
 	return result
 }
@@ -110,5 +110,5 @@
 		result.Machines = response.Names
 		return err
 	}
-	return nil // the response to a scale-in holds nothing besides its status
+	return nil // a scale-in has no result besides its status
 }
--- a/internal/transport/concurrency_limit.go
+++ b/internal/transport/concurrency_limit.go
@@ -11,13 +11,13 @@
 	"oakpick/internal/message"
 )
 
-// Parameters of the limit. A divisor gives a value as a fraction of another one.
+// Parameters of the limit. Each divisor is the ratio given in its comment.
 const (
 	maxLimitFloor       = 8  // lowest allowed maximum limit
 	minLimitFloor       = 4  // lowest allowed minimum and initial limits
 	minLimitDivisor     = 16 // maximum limit / minimum limit
 	initialLimitDivisor = 4  // maximum limit / initial limit
-	minWindowDivisor    = 10 // longest measurement window / shortest
+	minWindowDivisor    = 10 // longest measurement window / shortest window
 	minSamples          = 20 // per measurement window
 	maxWaitDivisor      = 4  // longest measurement window / longest wait of a request with priority
 )
@@ -47,7 +47,7 @@
 }
 
 // Run answers a request if it is admitted at once, and refuses it otherwise. The Retry-After of
-// refusals is jittered, so that the retries are spread.
+// refusals is jittered to spread the retries.
 func (l *ConcurrencyLimit) Run(answer func() message.Reply) message.Reply {
 	permit, ok := l.limiter.TryAcquirePermit()
 	if !ok {
@@ -59,7 +59,7 @@
 }
 
 // RunWithPriority answers a request with priority. If it can't be admitted at once, it waits for up
-// to maxWait and is admitted before all requests to Run.
+// to maxWait and takes precedence over requests to Run.
 func (l *ConcurrencyLimit) RunWithPriority(answer func() message.Reply) message.Reply {
 	// The HTTP server has no context that could end the wait before maxWait.
 	permit, err := l.limiter.AcquirePermitWithMaxWait(context.Background(), l.maxWait)
--- a/internal/transport/concurrency_limit_test.go
+++ b/internal/transport/concurrency_limit_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// Polls hold every permit. A submission that waits gets the first permit that is released, while a
-// poll that comes meanwhile is refused. If no permit is released in time, the submission is
-// refused, too.
+// Polls hold every permit. A waiting submission gets the first permit that is released, and a poll
+// that arrives while it waits is refused. If no permit is released in time, the submission is
+// refused.
 func TestSubmissionsHavePriorityOverPolls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := NewConcurrencyLimit(8, 2*time.Second, func() {})
--- a/internal/transport/connection_pool.go
+++ b/internal/transport/connection_pool.go
@@ -18,8 +18,8 @@
 	maxConnections func() int
 
 	mu         sync.Mutex
-	open       int // idle and in use
-	idle       *list.List
+	open       int        // idle and in use
+	idle       *list.List // of *workerConnection, the least recently used first
 	idleByAddr map[string]*list.Element
 }
 
--- a/internal/transport/forwarded_requests_test.go
+++ b/internal/transport/forwarded_requests_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// When another controller is found to lead, requests in flight to the former leader are cancelled
-// with ErrLeaderChanged. Requests to the new leader and completed requests are unaffected.
-func TestForwardedRequestsEndWhenAnotherLeads(t *testing.T) {
+// A leader is paused while requests are in flight to it. Once another controller is found to lead,
+// these requests are cancelled with ErrLeaderChanged. Requests to the new leader and completed
+// requests are unaffected.
+func TestForwardedRequestsAreCancelledWhenLeaderChanges(t *testing.T) {
 	forwarded := NewForwardedRequests()
 	old, endOld := forwarded.Track(t.Context(), "a")
 	defer endOld()
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -40,9 +40,9 @@
 		dialer := net.Dialer{Timeout: timeout / 2}
 		return dialer.DialContext(ctx, "tcp4", addr)
 	}
-	//nolint:staticcheck // SA1019: the pings of this client have been measured, those of net/http not yet
-	streams := &http2.Transport{AllowHTTP: true, DialTLSContext: dial, ReadIdleTimeout: timeout, PingTimeout: timeout / 2, DisableCompression: true}
-	return &PeerClient{client: &http.Client{Transport: streams}, node: node, addrs: addrs, timeout: timeout}
+	//nolint:staticcheck // SA1019: net/http's own HTTP/2 client can replace it once its pings have been measured
+	http2Transport := &http2.Transport{AllowHTTP: true, DialTLSContext: dial, ReadIdleTimeout: timeout, PingTimeout: timeout / 2, DisableCompression: true}
+	return &PeerClient{client: &http.Client{Transport: http2Transport}, node: node, addrs: addrs, timeout: timeout}
 }
 
 // Forward forwards a request to a peer and returns the reply. An error means that no reply was
@@ -89,7 +89,7 @@
 	if err != nil {
 		return peerResponse{}, fmt.Errorf("peer %q: %w", peer, err)
 	}
-	defer func() { _ = response.Body.Close() }() // the body has been read, or its error is returned
+	defer func() { _ = response.Body.Close() }() // an error of reading is returned below
 	content, err := io.ReadAll(io.LimitReader(response.Body, protocol.MaxBody))
 	if err != nil {
 		return peerResponse{}, fmt.Errorf("response of peer %q: %w", peer, err)
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -56,12 +56,12 @@
 
 // stepDown answers a new leader's request to step down from older terms.
 func (s *PeerServer) stepDown(w http.ResponseWriter, body []byte) {
-	var m protocol.StepDownRequest
-	if protocol.Decode(body, &m) != nil {
+	var decoded protocol.StepDownRequest
+	if protocol.Decode(body, &decoded) != nil {
 		http.Error(w, "body", http.StatusBadRequest)
 		return
 	}
-	request := message.StepDownRequest{Term: m.Term, Leader: m.Leader, AsksArchive: m.ReadsArchive}
+	request := message.StepDownRequest{Term: decoded.Term, Leader: decoded.Leader, AsksArchive: decoded.ReadsArchive}
 	WriteReply(w, protocol.ContentType, s.handler.Handle(request, RawRequest{}, stepDownTimeout))
 }
 
@@ -69,8 +69,8 @@
 // always returns an error. maxStreams applies to each connection; a connection that is idle for
 // longer than idleTimeout is closed.
 func (s *PeerServer) Serve(ctx context.Context, listener net.Listener, maxStreams int, idleTimeout time.Duration) error {
-	//nolint:staticcheck // SA1019: the limits of this server have been measured, those of net/http not yet
-	streams := &http2.Server{IdleTimeout: idleTimeout, MaxConcurrentStreams: uint32(maxStreams)}
+	//nolint:staticcheck // SA1019: net/http's own HTTP/2 server can replace it once its limits have been measured
+	http2Server := &http2.Server{IdleTimeout: idleTimeout, MaxConcurrentStreams: uint32(maxStreams)}
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
@@ -78,10 +78,10 @@
 		Handler: s, Protocols: protocols, IdleTimeout: idleTimeout, ReadHeaderTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	//nolint:staticcheck // SA1019: as above
-	if err := http2.ConfigureServer(server, streams); err != nil {
+	if err := http2.ConfigureServer(server, http2Server); err != nil {
 		return fmt.Errorf("setting up HTTP/2: %w", err)
 	}
-	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // makes Serve return, even on an error
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // Serve returns even if Close fails
 	defer stop()
 	return server.Serve(listener)
 }
--- a/internal/transport/reply.go
+++ b/internal/transport/reply.go
@@ -13,7 +13,7 @@
 // retryAfterS is the number of seconds after which a refused request may be retried.
 const retryAfterS = 1
 
-// headerRetryAfter names the header with the number of seconds until a retry.
+// headerRetryAfter is the header with the delay of a retry, in seconds.
 const headerRetryAfter = "Retry-After"
 
 var (
@@ -34,17 +34,17 @@
 	return message.Reply{Status: http.StatusBadRequest, Body: protocol.EncodeError(reason)}
 }
 
-// WriteReply writes a reply to a response of the net/http server.
+// WriteReply sends a reply as the response of a net/http handler.
 func WriteReply(w http.ResponseWriter, contentType string, reply message.Reply) {
 	w.Header().Set("Content-Type", contentType)
 	if reply.RetryAfterS > 0 {
 		w.Header().Set(headerRetryAfter, strconv.Itoa(reply.RetryAfterS))
 	}
 	w.WriteHeader(reply.Status)
-	_, _ = w.Write(reply.Body) // a client that has disconnected retries
+	_, _ = w.Write(reply.Body) // a client that has disconnected will retry
 }
 
-// WriteFastHTTPReply writes a reply to a response of the fasthttp server. It copies the body.
+// WriteFastHTTPReply sends a reply as the response of a fasthttp handler. It copies the body.
 func WriteFastHTTPReply(ctx *fasthttp.RequestCtx, contentType string, reply message.Reply) {
 	ctx.SetStatusCode(reply.Status)
 	ctx.SetContentType(contentType)
--- a/internal/transport/user_requests.go
+++ b/internal/transport/user_requests.go
@@ -34,7 +34,7 @@
 	return limit.Run(answer)
 }
 
-// parseUserRequest decodes a user's request. If it is invalid, the refusal and false are returned.
+// parseUserRequest decodes a user's request. If it is invalid, ok is false and refusal is the reply.
 func parseUserRequest(raw RawRequest) (request message.UserRequest, refusal message.Reply, ok bool) {
 	job, cancel, ok := protocol.SplitJobPath(raw.Path)
 	if !ok {
--- a/internal/transport/worker_client_test.go
+++ b/internal/transport/worker_client_test.go
@@ -100,7 +100,7 @@
 
 // While unresponsive machines use all connections, commands for other machines aren't sent, and so
 // certainly aren't executed. They are sent once a connection is free again.
-func TestHangingMachinesDoNotQueueOthers(t *testing.T) {
+func TestHangingMachinesDoNotBlockOthers(t *testing.T) {
 	client, workers := newWorkerClientWithFakes(t, 2)
 	gate := make(chan struct{})
 	workers.hanging["x:1"], workers.hanging["y:1"] = gate, gate
