--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -26,7 +26,7 @@
 	ctx        context.Context // ends when the process has to stop
 }
 
-// uptime returns the time since the process started: the monotonic clock of all steps.
+// uptime returns the time since the process started. It is the monotonic clock of all steps.
 func (p *process) uptime() time.Duration { return time.Since(p.startedAt) }
 
 func (p *process) heartbeatInterval() time.Duration {
--- a/internal/daemon/tracker_loop.go
+++ b/internal/daemon/tracker_loop.go
@@ -37,8 +37,8 @@
 	pending *pendingRequests[trackerEvent]
 }
 
-// trackerEvent is either a request, with a function that creates its command and a channel for
-// its reply, or the result of an effect.
+// trackerEvent is either a request or the result of an effect. A request has a function that
+// creates its command, and a channel for its reply.
 type trackerEvent struct {
 	newCommand commandFunc
 	request    trackerRequest
--- a/internal/daemon/tracker_test.go
+++ b/internal/daemon/tracker_test.go
@@ -39,7 +39,7 @@
 	return newControllerPairWith(t, first, second), []string{firstAddress, secondAddress}
 }
 
-// inventoryJSON encodes an inventory. A change that isn't nil is applied to it before.
+// inventoryJSON encodes an inventory, to which change is applied first unless it is nil.
 func inventoryJSON(t *testing.T, change func(*distribution.Inventory)) string {
 	t.Helper()
 	inventory := distribution.Inventory{Agent: "one", Zone: "north", Address: "127.0.0.1:1", Session: 1, Sequence: 1, Wants: []string{"models/a"}}
@@ -61,19 +61,19 @@
 	unknownZone := inventoryJSON(t, func(i *distribution.Inventory) { i.Zone = "nowhere" })
 	storeAgent := inventoryJSON(t, func(i *distribution.Inventory) { i.Agent = "store" })
 	return map[string]trackerRequestCase{
-		"names":                {"GET", weights, "", 200, manifest},
-		"status":               {"GET", weights + "/models/a", "", 200, manifest},
-		"status of no name":    {"GET", weights + "/models/b", "", 404, "name"},
-		"malformed name":       {"GET", weights + "/Models", "", 400, "name"},
-		"malformed manifest":   {"PUT", weights + "/models/a", `{"manifest":"sha256:x"}`, 400, "manifest"},
-		"malformed body":       {"PUT", weights + "/models/a", `[`, 400, "body"},
-		"method of a name":     {"DELETE", weights + "/models/a", "", 405, "method"},
-		"method of inventory":  {"GET", inventory, "", 405, "method"},
-		"unknown path":         {"GET", "/elsewhere", "", 404, "path"},
-		"empty inventory":      {"POST", inventory, `{}`, 400, "agent"},
-		"inventory's zone":     {"POST", inventory, unknownZone, 400, "zone"},
-		"inventory of a store": {"POST", inventory, storeAgent, 400, "agent"},
-		"metrics":              {"GET", "/metrics", "", 200, "oakpick_tracker_agents"},
+		"names":                      {"GET", weights, "", 200, manifest},
+		"status":                     {"GET", weights + "/models/a", "", 200, manifest},
+		"status of unknown name":     {"GET", weights + "/models/b", "", 404, "name"},
+		"malformed name":             {"GET", weights + "/Models", "", 400, "name"},
+		"malformed manifest":         {"PUT", weights + "/models/a", `{"manifest":"sha256:x"}`, 400, "manifest"},
+		"malformed body":             {"PUT", weights + "/models/a", `[`, 400, "body"},
+		"wrong method for a name":    {"DELETE", weights + "/models/a", "", 405, "method"},
+		"wrong method for inventory": {"GET", inventory, "", 405, "method"},
+		"unknown path":               {"GET", "/elsewhere", "", 404, "path"},
+		"empty inventory":            {"POST", inventory, `{}`, 400, "agent"},
+		"inventory of unknown zone":  {"POST", inventory, unknownZone, 400, "zone"},
+		"inventory of a store":       {"POST", inventory, storeAgent, 400, "agent"},
+		"metrics":                    {"GET", "/metrics", "", 200, "oakpick_tracker_agents"},
 	}
 }
 
