--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -3,5 +3,6 @@
 // as calls to other components, and queue their results as events.
 //
 // The servers' goroutines submit requests to the event loop and wait for the replies. The
-// optional weight tracker has an event loop and a queue of its own.
+// optional weight tracker, which assigns agents the sources of model weights, has an event loop
+// and a queue of its own.
 package daemon
