--- a/internal/daemon/tracker_test.go
+++ b/internal/daemon/tracker_test.go
@@ -125,7 +125,7 @@
 	for n, address := range trackers {
 		inventory := inventoryJSON(t, func(i *distribution.Inventory) { i.Sequence = int64(n + 1) })
 		status, body := request(t, "POST", address+distribution.PathInventory, inventory)
-		var answer distribution.Answer
+		var answer distribution.InventoryResponse
 		err := json.Unmarshal([]byte(body), &answer)
 		if status != 200 || err != nil || len(answer.Names) != 1 || answer.Names[0].Manifest.String() != manifest {
 			t.Errorf("%d %s", status, body)
--- a/internal/distribution/agent/core_reports.go
+++ b/internal/distribution/agent/core_reports.go
@@ -9,7 +9,7 @@
 )
 
 // handleTrackerAnswer takes over the names and sources that the tracker gives.
-func (c *Core) handleTrackerAnswer(answer distribution.Answer) {
+func (c *Core) handleTrackerAnswer(answer distribution.InventoryResponse) {
 	c.reports.inFlight = false
 	asked := time.Duration(answer.NextMs) * time.Millisecond
 	c.reports.interval = min(max(asked, c.settings.ReportInterval/reportIntervalRange), c.settings.ReportInterval*reportIntervalRange)
--- a/internal/distribution/agent/core_sources.go
+++ b/internal/distribution/agent/core_sources.go
@@ -53,7 +53,7 @@
 
 // updateSources takes over the sources that the tracker lists. Others are released, unless the
 // tracker has just started and can't know them yet.
-func (c *Core) updateSources(answer distribution.Answer) {
+func (c *Core) updateSources(answer distribution.InventoryResponse) {
 	listed := map[sourceKey]bool{}
 	for _, given := range answer.Sources {
 		key := sourceKey{given.Agent, given.Manifest}
--- a/internal/distribution/agent/tracker_client.go
+++ b/internal/distribution/agent/tracker_client.go
@@ -70,8 +70,8 @@
 }
 
 // send posts an encoded inventory to one tracker and decodes the answer.
-func (t *trackerClient) send(ctx context.Context, tracker string, body []byte) (distribution.Answer, error) {
-	var answer distribution.Answer
+func (t *trackerClient) send(ctx context.Context, tracker string, body []byte) (distribution.InventoryResponse, error) {
+	var answer distribution.InventoryResponse
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+tracker+distribution.PathInventory, bytes.NewReader(body))
 	if err != nil {
 		return answer, fmt.Errorf("tracker %s: %w", tracker, err)
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -110,8 +110,8 @@
 	Chunks int           `json:"chunks,omitempty" validate:"gte=0"`                 // how many are missing
 }
 
-// Answer is the tracker's answer to an inventory.
-type Answer struct {
+// InventoryResponse is the tracker's answer to an inventory.
+type InventoryResponse struct {
 	Term    int64           `json:"term"`
 	Names   []NameRecord    `json:"names,omitempty"`
 	Sources []Source        `json:"sources,omitempty"`
--- a/internal/distribution/simulation/agent_effects.go
+++ b/internal/distribution/simulation/agent_effects.go
@@ -56,7 +56,7 @@
 		controller := a.controller
 		a.world.After(latency, func() {
 			a.world.sendInventory(controller, inventory, func(reply tracker.Reply) {
-				if answer, ok := reply.Body.(distribution.Answer); ok && reply.Status == http.StatusOK {
+				if answer, ok := reply.Body.(distribution.InventoryResponse); ok && reply.Status == http.StatusOK {
 					a.world.After(latency, func() { finish(agent.TrackerAnswered{Answer: answer}) })
 					return
 				}
--- a/internal/distribution/tracker/answer.go
+++ b/internal/distribution/tracker/answer.go
@@ -11,8 +11,8 @@
 )
 
 // answer tells an agent which manifests its names have and where to fetch them.
-func (t *Tracker) answer(agent *agentState, report *distribution.Inventory) distribution.Answer {
-	answer := distribution.Answer{
+func (t *Tracker) answer(agent *agentState, report *distribution.Inventory) distribution.InventoryResponse {
+	answer := distribution.InventoryResponse{
 		Term:  t.stateTerm,
 		Names: t.recordsOf(report.Wants),
 		Keep:  t.now-t.electedAt < warmUpReports*t.parameters.IdleReportInterval,
--- a/internal/distribution/tracker/helpers_test.go
+++ b/internal/distribution/tracker/helpers_test.go
@@ -67,10 +67,10 @@
 }
 
 // report sends an inventory, which has to be accepted, and returns the answer.
-func (l *testLeader) report(t *testing.T, now time.Duration, inventory *distribution.Inventory) distribution.Answer {
+func (l *testLeader) report(t *testing.T, now time.Duration, inventory *distribution.Inventory) distribution.InventoryResponse {
 	t.Helper()
 	reply := l.send(now, InventoryCall{2, inventory})
-	answer, ok := reply.Body.(distribution.Answer)
+	answer, ok := reply.Body.(distribution.InventoryResponse)
 	if !ok || reply.Status != http.StatusOK {
 		t.Fatalf("inventory of %s: %+v", inventory.Agent, reply)
 	}
@@ -87,6 +87,6 @@
 }
 
 // hasSource reports whether an answer lists an agent as a source.
-func hasSource(answer distribution.Answer, agent string) bool {
+func hasSource(answer distribution.InventoryResponse, agent string) bool {
 	return slices.ContainsFunc(answer.Sources, func(source distribution.Source) bool { return source.Agent == agent })
 }
--- a/internal/distribution/tracker/invariants_test.go
+++ b/internal/distribution/tracker/invariants_test.go
@@ -11,7 +11,7 @@
 func (m *model) checkReply(reply Reply) {
 	var records []distribution.NameRecord
 	switch body := reply.Body.(type) {
-	case distribution.Answer:
+	case distribution.InventoryResponse:
 		records = body.Names
 		m.checkSources(body)
 	case distribution.NameRecord:
@@ -38,7 +38,7 @@
 }
 
 // checkSources checks that an answer lists each source once, with a lease that hasn't expired.
-func (m *model) checkSources(answer distribution.Answer) {
+func (m *model) checkSources(answer distribution.InventoryResponse) {
 	listed := map[string]bool{}
 	for _, source := range answer.Sources {
 		key := source.Agent + source.Manifest.String()
--- a/internal/distribution/tracker/sources_test.go
+++ b/internal/distribution/tracker/sources_test.go
@@ -13,7 +13,7 @@
 func TestAccusedSourcesAreNotAssigned(t *testing.T) {
 	leader := newTestLeader(t)
 	leader.use(t, "x", manifests[0])
-	report := func(agent string, sequence, session int64, chunks int, accused string) distribution.Answer {
+	report := func(agent string, sequence, session int64, chunks int, accused string) distribution.InventoryResponse {
 		t.Helper()
 		inventory := newInventory(agent, sequence, chunks)
 		inventory.Session = session
