--- a/internal/daemon/tracker_service.go
+++ b/internal/daemon/tracker_service.go
@@ -137,7 +137,7 @@
 
 // trackerError refuses a request; retryAfterS is in seconds, 0: no such header.
 func trackerError(status int, reason string, retryAfterS int) message.Reply {
-	body, err := json.Marshal(distribution.ErrorAnswer{Error: reason})
+	body, err := json.Marshal(distribution.ErrorResponse{Error: reason})
 	if err != nil {
 		body = []byte("{}")
 	}
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -149,8 +149,8 @@
 	Manifest digest.Digest `json:"manifest" validate:"sha256digest"`
 }
 
-// ErrorAnswer is the body of every answer with an error status.
-type ErrorAnswer struct {
+// ErrorResponse is the body of every answer with an error status.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
--- a/internal/distribution/operator/client.go
+++ b/internal/distribution/operator/client.go
@@ -78,7 +78,7 @@
 
 // newRefusedError reads the reason from the body of an answer. Only a tracker's answers have one.
 func newRefusedError(controller string, status int, body []byte) *RefusedError {
-	var answer distribution.ErrorAnswer
+	var answer distribution.ErrorResponse
 	if json.Unmarshal(body, &answer) != nil {
 		answer.Error = "it doesn't track weights"
 	}
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -102,7 +102,7 @@
 
 // refuse answers with an error. One that may pass names a time to ask again.
 func (t *Tracker) refuse(id uint64, status int, why string) {
-	reply := Reply{ID: id, Status: status, Body: distribution.ErrorAnswer{Error: why}}
+	reply := Reply{ID: id, Status: status, Body: distribution.ErrorResponse{Error: why}}
 	if status == http.StatusServiceUnavailable {
 		reply.RetryAfter = t.parameters.ReportInterval
 	}
