--- a/internal/daemon/tracker_requests.go
+++ b/internal/daemon/tracker_requests.go
@@ -92,7 +92,7 @@
 }
 
 func parseUse(name string, body []byte) (commandMaker, error) {
-	var use distribution.UseRequest
+	var use distribution.SetManifestRequest
 	if err := distribution.Decode(body, &use); err != nil {
 		return nil, err
 	}
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -144,8 +144,8 @@
 // StoreSource is the name of the store among sources.
 const StoreSource = "store"
 
-// UseRequest asks that a name refer to a manifest.
-type UseRequest struct {
+// SetManifestRequest asks that a name refer to a manifest.
+type SetManifestRequest struct {
 	Manifest digest.Digest `json:"manifest" validate:"sha256digest"`
 }
 
--- a/internal/distribution/operator/client.go
+++ b/internal/distribution/operator/client.go
@@ -96,7 +96,7 @@
 // Use has a name refer to a manifest, and returns the record once it is durable.
 func (c *Client) Use(ctx context.Context, name string, manifest digest.Digest) (distribution.NameRecord, error) {
 	var record distribution.NameRecord
-	err := c.call(ctx, http.MethodPut, distribution.PathWeights+"/"+name, distribution.UseRequest{Manifest: manifest}, &record)
+	err := c.call(ctx, http.MethodPut, distribution.PathWeights+"/"+name, distribution.SetManifestRequest{Manifest: manifest}, &record)
 	return record, err
 }
 
