--- a/internal/distribution/agent/core_sources.go
+++ b/internal/distribution/agent/core_sources.go
@@ -65,7 +65,7 @@
 		c.addSource(key, given)
 	}
 	for key, source := range c.sources {
-		if !listed[key] && !answer.Keep {
+		if !listed[key] && !answer.KeepSources {
 			source.released = true
 		}
 	}
--- a/internal/distribution/agent/core_sources_test.go
+++ b/internal/distribution/agent/core_sources_test.go
@@ -57,7 +57,7 @@
 		t.Error("the source is gone without an answer")
 	}
 	started := trackerAnswer(1, m)
-	started.Answer.Keep = true
+	started.Answer.KeepSources = true
 	c.Step(time.Minute, started)
 	if source := c.sources[sourceKey{"two", m.Digest}]; source == nil || source.released {
 		t.Error("a tracker that has just started takes the source away")
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -116,7 +116,7 @@
 	Names   []NameRecord    `json:"names,omitempty"`
 	Sources []Source        `json:"sources,omitempty"`
 	Recheck []digest.Digest `json:"recheck,omitempty"` // manifests whose chunks the agent should verify again
-	Keep    bool            `json:"keep,omitempty"`    // the tracker has just started: sources that aren't listed stay in use
+	KeepSources    bool            `json:"keep,omitempty"`    // the tracker has just started: sources that aren't listed stay in use
 	NextMs  int64           `json:"next_ms"`           // when to report again
 }
 
--- a/internal/distribution/tracker/answer.go
+++ b/internal/distribution/tracker/answer.go
@@ -15,7 +15,7 @@
 	answer := distribution.InventoryResponse{
 		Term:  t.stateTerm,
 		Names: t.recordsOf(report.Wants),
-		Keep:  t.now-t.electedAt < warmUpReports*t.parameters.IdleReportInterval,
+		KeepSources:  t.now-t.electedAt < warmUpReports*t.parameters.IdleReportInterval,
 	}
 	missing := missingManifests(agent, answer.Names)
 	t.leaveUnreported(agent, report, missing)
