--- a/internal/distribution/agent/core_reports.go
+++ b/internal/distribution/agent/core_reports.go
@@ -11,7 +11,7 @@
 // handleTrackerAnswer takes over the names and sources that the tracker gives.
 func (c *Core) handleTrackerAnswer(answer distribution.InventoryResponse) {
 	c.reports.inFlight = false
-	asked := time.Duration(answer.NextMs) * time.Millisecond
+	asked := time.Duration(answer.NextReportMs) * time.Millisecond
 	c.reports.interval = min(max(asked, c.settings.ReportInterval/reportIntervalRange), c.settings.ReportInterval*reportIntervalRange)
 	c.reports.nextAt = c.now + c.reports.interval
 	if answer.Term < c.reports.term {
--- a/internal/distribution/agent/core_test.go
+++ b/internal/distribution/agent/core_test.go
@@ -39,7 +39,7 @@
 // trackerAnswer refers weightsName to a manifest and lists sources.
 func trackerAnswer(revision int64, m *distribution.Manifest, sources ...distribution.Source) TrackerAnswered {
 	return TrackerAnswered{distribution.InventoryResponse{
-		Term: 1, NextMs: 1000, Sources: sources, Names: []distribution.NameRecord{{Name: weightsName, Manifest: m.Digest, Revision: revision}},
+		Term: 1, NextReportMs: 1000, Sources: sources, Names: []distribution.NameRecord{{Name: weightsName, Manifest: m.Digest, Revision: revision}},
 	}}
 }
 
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -117,7 +117,7 @@
 	Sources []Source        `json:"sources,omitempty"`
 	Recheck []digest.Digest `json:"recheck,omitempty"` // manifests whose chunks the agent should verify again
 	KeepSources    bool            `json:"keep,omitempty"`    // the tracker has just started: sources that aren't listed stay in use
-	NextMs  int64           `json:"next_ms"`           // when to report again
+	NextReportMs  int64           `json:"next_ms"`           // when to report again
 }
 
 // NameRecord says which manifest a name has.
--- a/internal/distribution/tracker/answer.go
+++ b/internal/distribution/tracker/answer.go
@@ -28,7 +28,7 @@
 	}
 	answer.Recheck = t.accusedManifests(agent)
 	hasUnknownNames := len(answer.Names) < len(report.Wants)
-	answer.NextMs = t.nextReportInterval(agent, len(missing) > 0, hasUnknownNames).Milliseconds()
+	answer.NextReportMs = t.nextReportInterval(agent, len(missing) > 0, hasUnknownNames).Milliseconds()
 	return answer
 }
 
