--- a/internal/distribution/agent/core_fetch.go
+++ b/internal/distribution/agent/core_fetch.go
@@ -172,7 +172,7 @@
 	if available.total[position] > 0 {
 		return false
 	}
-	waitsForOthers := source.Others > 0 && c.now-version.lastFetchAt < stripeWaitReports*c.settings.ReportInterval
+	waitsForOthers := source.OtherStoreUsers > 0 && c.now-version.lastFetchAt < stripeWaitReports*c.settings.ReportInterval
 	return source.inStripe(position) || !waitsForOthers
 }
 
--- a/internal/distribution/agent/core_fetch_test.go
+++ b/internal/distribution/agent/core_fetch_test.go
@@ -69,7 +69,7 @@
 // while, unless nobody else may use it.
 func TestOwnStripeOfTheStoreIsFetchedFirst(t *testing.T) {
 	m := newManifest(t, "1", 4)
-	store := distribution.Source{Agent: distribution.StoreSource, Manifest: m.Digest, LeaseMs: 3000, Stripe: 1, Stripes: 4, Others: 3}
+	store := distribution.Source{Agent: distribution.StoreSource, Manifest: m.Digest, LeaseMs: 3000, Stripe: 1, Stripes: 4, OtherStoreUsers: 3}
 	c, effects := newFetchingCore(t, m, store)
 	got := effectsOf[GetChunk](effects)
 	if len(got) != 1 || got[0].Chunk.Digest != m.Chunks[1].Digest {
@@ -81,7 +81,7 @@
 	if more := effectsOf[GetChunk](c.Step(3*time.Second, trackerAnswer(1, m, store))); len(more) != 1 {
 		t.Errorf("no other stripe is fetched after a while: %+v", more)
 	}
-	store.Others = 0
+	store.OtherStoreUsers = 0
 	c, effects = newFetchingCore(t, m, store)
 	got = effectsOf[GetChunk](effects)
 	if more := effectsOf[GetChunk](c.Step(100*time.Millisecond, ChunkResult{ID: got[0].ID, ReceivedBytes: 100})); len(more) != 1 {
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -138,7 +138,7 @@
 	// modulo Stripes are fetched first.
 	Stripe  int `json:"stripe,omitempty"`
 	Stripes int `json:"stripes,omitempty"`
-	Others  int `json:"others,omitempty"` // other agents that may use the store
+	OtherStoreUsers  int `json:"others,omitempty"` // other agents that may use the store
 }
 
 // StoreSource is the name of the store among sources.
--- a/internal/distribution/tracker/answer.go
+++ b/internal/distribution/tracker/answer.go
@@ -95,7 +95,7 @@
 	}
 	if lease.source == nil {
 		source.Stripe, source.Stripes = lease.stripe, t.parameters.StoreSlots
-		source.Others = len(t.swarms[lease.manifest].activeStoreLeases(t.now)) - 1
+		source.OtherStoreUsers = len(t.swarms[lease.manifest].activeStoreLeases(t.now)) - 1
 		return source
 	}
 	source.Address, source.Zone = lease.source.address, lease.source.zone
