--- a/internal/distribution/agent/core_reports.go
+++ b/internal/distribution/agent/core_reports.go
@@ -95,11 +95,11 @@
 	version := c.versions[target.wanted]
 	switch {
 	case target.wanted == "":
-		reason.Why = "no manifest is known for the name"
+		reason.Reason = "no manifest is known for the name"
 	case version == nil:
-		reason.Why = "nobody has given the manifest yet"
+		reason.Reason = "nobody has given the manifest yet"
 	case version.complete():
-		reason.Why = "all chunks are there, activation is under way"
+		reason.Reason = "all chunks are there, activation is under way"
 	default:
 		c.addChunkReason(&reason, version)
 	}
@@ -124,15 +124,15 @@
 	}
 	switch {
 	case c.now < c.disk.pausedUntil:
-		reason.Why = "the disk takes no more"
+		reason.Reason = "the disk takes no more"
 	case c.disk.overBudget:
-		reason.Why = "disk_bytes is used up by chunks that are in use"
+		reason.Reason = "disk_bytes is used up by chunks that are in use"
 	case fetching > 0:
-		reason.Why = "chunks are being fetched"
+		reason.Reason = "chunks are being fetched"
 	case unavailable > 0:
-		reason.Why = "no source has the chunk"
+		reason.Reason = "no source has the chunk"
 	default:
-		reason.Why = "sources are busy or paused"
+		reason.Reason = "sources are busy or paused"
 	}
 	reason.Chunks = len(version.Chunks) - version.heldCount
 	if unavailable > 0 {
--- a/internal/distribution/operator/tables.go
+++ b/internal/distribution/operator/tables.go
@@ -57,7 +57,7 @@
 func describeWaits(member tracker.AgentStatus) string {
 	var reasons []string
 	for _, wait := range member.Waits {
-		text := wait.Why
+		text := wait.Reason
 		if wait.Chunks > 0 {
 			text += fmt.Sprintf(" (%d missing)", wait.Chunks)
 		}
