--- a/internal/distribution/agent/core_reports.go
+++ b/internal/distribution/agent/core_reports.go
@@ -134,8 +134,8 @@
 	default:
 		reason.Reason = "sources are busy or paused"
 	}
-	reason.Chunks = len(version.Chunks) - version.heldCount
+	reason.MissingChunks = len(version.Chunks) - version.heldCount
 	if unavailable > 0 {
-		reason.Chunks = unavailable
+		reason.MissingChunks = unavailable
 	}
 }
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -107,7 +107,7 @@
 	Name   string        `json:"name" validate:"weights"`
 	Reason    string        `json:"why" validate:"max=256"`
 	Chunk  digest.Digest `json:"chunk,omitempty" validate:"omitempty,sha256digest"` // a chunk that no source has
-	Chunks int           `json:"chunks,omitempty" validate:"gte=0"`                 // how many are missing
+	MissingChunks int           `json:"chunks,omitempty" validate:"gte=0"`                 // how many are missing
 }
 
 // InventoryResponse is the tracker's answer to an inventory.
--- a/internal/distribution/operator/tables.go
+++ b/internal/distribution/operator/tables.go
@@ -58,8 +58,8 @@
 	var reasons []string
 	for _, wait := range member.Waits {
 		text := wait.Reason
-		if wait.Chunks > 0 {
-			text += fmt.Sprintf(" (%d missing)", wait.Chunks)
+		if wait.MissingChunks > 0 {
+			text += fmt.Sprintf(" (%d missing)", wait.MissingChunks)
 		}
 		if wait.Chunk != "" {
 			text += ", one is " + wait.Chunk.String()
