--- a/internal/distribution/agent/core_sources.go
+++ b/internal/distribution/agent/core_sources.go
@@ -201,7 +201,7 @@
 	if version == nil || chunks == nil {
 		return false
 	}
-	chunks = chunks.ForChunks(len(version.Chunks))
+	chunks = chunks.Resized(len(version.Chunks))
 	changed = !slices.Equal(source.chunks, chunks)
 	source.chunks = chunks
 	return changed
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -82,10 +82,10 @@
 		t.Error("a removed position is still in the set")
 	}
 	all := ChunkSet{0xff, 0xff, 0xff}
-	if cut := all.ForChunks(10); len(cut) != 2 || cut.Has(10) || !cut.Has(9) {
+	if cut := all.Resized(10); len(cut) != 2 || cut.Has(10) || !cut.Has(9) {
 		t.Errorf("%v", cut)
 	}
-	if short := (ChunkSet{1}).ForChunks(100); !short.Has(0) || short.Has(8) || len(short) != 13 {
+	if short := (ChunkSet{1}).Resized(100); !short.Has(0) || short.Has(8) || len(short) != 13 {
 		t.Errorf("%v", short)
 	}
 }
--- a/internal/distribution/manifest.go
+++ b/internal/distribution/manifest.go
@@ -157,9 +157,9 @@
 	}
 }
 
-// ForChunks returns a copy of a set, which may come from another process, that has the size for a
+// Resized returns a copy of a set, which may come from another process, that has the size for a
 // number of chunks: positions beyond them are left out, and missing ones are not in the set.
-func (s ChunkSet) ForChunks(chunks int) ChunkSet {
+func (s ChunkSet) Resized(chunks int) ChunkSet {
 	out := NewChunkSet(chunks)
 	copy(out, s)
 	if rest := chunks % bitsPerByte; rest != 0 {
