--- a/internal/daemon/tracker_requests.go
+++ b/internal/daemon/tracker_requests.go
@@ -97,6 +97,6 @@
 		return nil, err
 	}
 	return func(id uint64) tracker.Command {
-		return tracker.UseCall{ID: id, Name: name, Manifest: use.Manifest}
+		return tracker.SetManifestCall{ID: id, Name: name, Manifest: use.Manifest}
 	}, nil
 }
--- a/internal/distribution/simulation/tracker_host.go
+++ b/internal/distribution/simulation/tracker_host.go
@@ -129,7 +129,7 @@
 		}
 		done := false
 		w.trackers[attempts%len(w.trackers)].send(func(id uint64) tracker.Command {
-			return tracker.UseCall{ID: id, Name: name, Manifest: manifest}
+			return tracker.SetManifestCall{ID: id, Name: name, Manifest: manifest}
 		}, false, func(r tracker.Reply) { done = done || r.Status == http.StatusOK })
 		attempts++
 		w.After(w.reportInterval(), func() {
--- a/internal/distribution/tracker/helpers_test.go
+++ b/internal/distribution/tracker/helpers_test.go
@@ -55,7 +55,7 @@
 // use has a name refer to a manifest, durably.
 func (l *testLeader) use(t *testing.T, name string, manifest digest.Digest) {
 	t.Helper()
-	for _, effect := range l.tracker.Step(0, l.term, []Command{UseCall{1, name, manifest}}) {
+	for _, effect := range l.tracker.Step(0, l.term, []Command{SetManifestCall{1, name, manifest}}) {
 		call, ok := effect.(StateCall)
 		if !ok {
 			continue
--- a/internal/distribution/tracker/messages.go
+++ b/internal/distribution/tracker/messages.go
@@ -27,8 +27,8 @@
 		ID        uint64
 		Inventory *distribution.Inventory
 	}
-	// UseCall asks that a name refer to a manifest.
-	UseCall struct {
+	// SetManifestCall asks that a name refer to a manifest.
+	SetManifestCall struct {
 		ID       uint64
 		Name     string
 		Manifest digest.Digest
@@ -51,7 +51,7 @@
 )
 
 func (InventoryCall) command() {}
-func (UseCall) command()       {}
+func (SetManifestCall) command()       {}
 func (NamesCall) command()     {}
 func (StatusCall) command()    {}
 func (StateResult) command()   {}
--- a/internal/distribution/tracker/model_test.go
+++ b/internal/distribution/tracker/model_test.go
@@ -98,7 +98,7 @@
 func (m *model) use() {
 	m.lastID++
 	name := rapid.SampledFrom([]string{"x", "y"}).Draw(m.T, "name")
-	m.step(UseCall{m.lastID, name, rapid.SampledFrom(manifests).Draw(m.T, "manifest")})
+	m.step(SetManifestCall{m.lastID, name, rapid.SampledFrom(manifests).Draw(m.T, "manifest")})
 }
 
 // answerStateCall answers a call to the state service: it was carried out or not, now or later,
--- a/internal/distribution/tracker/name_changes.go
+++ b/internal/distribution/tracker/name_changes.go
@@ -24,7 +24,7 @@
 }
 
 // change has a name's manifest written, unless the name has it already.
-func (n *nameStore) change(change UseCall) {
+func (n *nameStore) change(change SetManifestCall) {
 	if len(n.queue) == 0 && n.records[change.Name].Manifest == change.Manifest {
 		n.tracker.reply(change.ID, n.records[change.Name])
 		return
--- a/internal/distribution/tracker/names.go
+++ b/internal/distribution/tracker/names.go
@@ -33,7 +33,7 @@
 	listCursor string // the last key that was read while loading
 
 	call  pendingCall
-	queue []UseCall // changes; the first one is being written
+	queue []SetManifestCall // changes; the first one is being written
 	write pendingWrite
 }
 
--- a/internal/distribution/tracker/names_test.go
+++ b/internal/distribution/tracker/names_test.go
@@ -10,7 +10,7 @@
 // uncertain: neither is told that the change holds, since another leader may have replaced it.
 func TestQueuedChangeIsNotConfirmedWithoutLease(t *testing.T) {
 	leader := newTestLeader(t)
-	effects := leader.tracker.Step(0, leader.term, []Command{UseCall{1, "x", manifests[0]}, UseCall{2, "x", manifests[0]}})
+	effects := leader.tracker.Step(0, leader.term, []Command{SetManifestCall{1, "x", manifests[0]}, SetManifestCall{2, "x", manifests[0]}})
 	result := StateResult{leader.state.execute(effects[0].(StateCall).StateCall)}
 	leader.term.LeaseUntil = time.Second
 	statuses := map[uint64]int{}
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -115,7 +115,7 @@
 		if t.admit(c.ID) {
 			t.handleInventory(c)
 		}
-	case UseCall:
+	case SetManifestCall:
 		if t.admit(c.ID) {
 			t.names.change(c)
 		}
--- a/internal/distribution/tracker/tracker_test.go
+++ b/internal/distribution/tracker/tracker_test.go
@@ -67,11 +67,11 @@
 		t.Errorf("unknown name: %+v", reply)
 	}
 	for i := range maxQueuedChanges {
-		if reply := leader.send(0, UseCall{uint64(10 + i), fmt.Sprint("n", i), manifests[0]}); reply.Status != 0 {
+		if reply := leader.send(0, SetManifestCall{uint64(10 + i), fmt.Sprint("n", i), manifests[0]}); reply.Status != 0 {
 			t.Fatalf("change %d is not queued: %+v", i, reply)
 		}
 	}
-	reply := leader.send(0, UseCall{99, "more", manifests[0]})
+	reply := leader.send(0, SetManifestCall{99, "more", manifests[0]})
 	if reply.Status != http.StatusServiceUnavailable || reply.RetryAfter == 0 {
 		t.Errorf("change beyond the queue: %+v", reply)
 	}
