--- a/internal/daemon/tracker_metrics.go
+++ b/internal/daemon/tracker_metrics.go
@@ -46,7 +46,7 @@
 func (m *trackerMetrics) recordStep(d time.Duration, t *tracker.Tracker) {
 	m.step.Observe(d.Seconds())
 	counts := t.Counts()
-	m.agents.Set(float64(t.Agents()))
+	m.agents.Set(float64(t.AgentCount()))
 	m.inventories.Set(float64(counts.Inventories))
 	m.stale.Set(float64(counts.Stale))
 	m.leases.Set(float64(counts.Leases))
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -68,8 +68,8 @@
 // Counts returns what was done in the current term.
 func (t *Tracker) Counts() Counts { return t.counts }
 
-// Agents returns how many agents are known.
-func (t *Tracker) Agents() int { return len(t.agents) }
+// AgentCount returns how many agents are known.
+func (t *Tracker) AgentCount() int { return len(t.agents) }
 
 // resetOnNewTerm drops all state when the controller stops or starts to lead.
 func (t *Tracker) resetOnNewTerm() {
--- a/internal/distribution/tracker/tracker_test.go
+++ b/internal/distribution/tracker/tracker_test.go
@@ -84,8 +84,8 @@
 	leader.report(t, 0, newInventory("one", 1, 4))
 	leader.report(t, 10*time.Second, newInventory("two", 1, 0))
 	leader.tracker.Step(13*time.Second, leader.term, []Command{Tick{}})
-	if leader.tracker.Agents() != 1 {
-		t.Errorf("%d agents are known", leader.tracker.Agents())
+	if leader.tracker.AgentCount() != 1 {
+		t.Errorf("%d agents are known", leader.tracker.AgentCount())
 	}
 	answer := leader.report(t, 14*time.Second, newInventory("two", 2, 0))
 	if len(answer.Sources) != 1 || answer.Sources[0].Agent != distribution.StoreSource {
