--- a/internal/daemon/tracker_metrics.go
+++ b/internal/daemon/tracker_metrics.go
@@ -48,7 +48,7 @@
 	counts := t.Counts()
 	m.agents.Set(float64(t.AgentCount()))
 	m.inventories.Set(float64(counts.Inventories))
-	m.stale.Set(float64(counts.Stale))
+	m.stale.Set(float64(counts.StaleInventories))
 	m.leases.Set(float64(counts.Leases))
 	m.revoked.Set(float64(counts.Reassigned))
 }
--- a/internal/distribution/tracker/inventory.go
+++ b/internal/distribution/tracker/inventory.go
@@ -19,7 +19,7 @@
 		return
 	}
 	if t.isStale(report) {
-		t.counts.Stale++
+		t.counts.StaleInventories++
 		t.refuse(call.ID, http.StatusConflict, "sequence: a later inventory of this agent is known")
 		return
 	}
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -36,7 +36,7 @@
 // Counts counts what the tracker has done in the current term.
 type Counts struct {
 	Inventories int64 // accepted
-	Stale       int64 // inventories refused because a later one was known
+	StaleInventories       int64 // inventories refused because a later one was known
 	Examined    int64 // candidates for sources
 	Leases      int64 // granted
 	Reassigned  int64 // leases that were moved to an agent with fewer
