--- a/internal/distribution/tracker/sources.go
+++ b/internal/distribution/tracker/sources.go
@@ -104,7 +104,7 @@
 	if len(holders) == 0 {
 		return nil
 	}
-	t.counts.Examined++
+	t.counts.CandidatesExamined++
 	return holders[t.rng.IntN(len(holders))]
 }
 
--- a/internal/distribution/tracker/sources_test.go
+++ b/internal/distribution/tracker/sources_test.go
@@ -57,7 +57,7 @@
 			}
 		}
 		counts := leader.tracker.Counts()
-		return float64(counts.Examined) / float64(counts.Inventories)
+		return float64(counts.CandidatesExamined) / float64(counts.Inventories)
 	}
 	few, many := examinedPerInventory(40), examinedPerInventory(4000)
 	t.Logf("candidates examined for an inventory: %.1f with 40 agents, %.1f with 4,000", few, many)
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -37,7 +37,7 @@
 type Counts struct {
 	Inventories int64 // accepted
 	StaleInventories       int64 // inventories refused because a later one was known
-	Examined    int64 // candidates for sources
+	CandidatesExamined    int64 // candidates for sources
 	Leases      int64 // granted
 	Reassigned  int64 // leases that were moved to an agent with fewer
 }
