--- a/internal/daemon/tracker_metrics.go
+++ b/internal/daemon/tracker_metrics.go
@@ -49,6 +49,6 @@
 	m.agents.Set(float64(t.AgentCount()))
 	m.inventories.Set(float64(counts.Inventories))
 	m.stale.Set(float64(counts.StaleInventories))
-	m.leases.Set(float64(counts.Leases))
+	m.leases.Set(float64(counts.LeasesGranted))
 	m.revoked.Set(float64(counts.Reassigned))
 }
--- a/internal/distribution/tracker/leases.go
+++ b/internal/distribution/tracker/leases.go
@@ -41,7 +41,7 @@
 	}
 	agent.downloadLeases = append(agent.downloadLeases, lease)
 	source.agent.uploadLeases = append(source.agent.uploadLeases, lease)
-	t.counts.Leases++
+	t.counts.LeasesGranted++
 }
 
 // endLease removes a lease from both of its sides.
--- a/internal/distribution/tracker/sources.go
+++ b/internal/distribution/tracker/sources.go
@@ -158,7 +158,7 @@
 	lease := &sourceLease{downloader: agent, manifest: swarm.manifest, stripe: stripe, validUntil: t.now + t.leaseDuration()}
 	swarm.storeLeases[stripe] = lease
 	agent.downloadLeases = append(agent.downloadLeases, lease)
-	t.counts.Leases++
+	t.counts.LeasesGranted++
 }
 
 // freeStripe returns the last stripe of the store without a lease, or -1, and how many stripes
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -38,7 +38,7 @@
 	Inventories int64 // accepted
 	StaleInventories       int64 // inventories refused because a later one was known
 	CandidatesExamined    int64 // candidates for sources
-	Leases      int64 // granted
+	LeasesGranted      int64 // granted
 	Reassigned  int64 // leases that were moved to an agent with fewer
 }
 
