--- a/internal/daemon/tracker_metrics.go
+++ b/internal/daemon/tracker_metrics.go
@@ -50,5 +50,5 @@
 	m.inventories.Set(float64(counts.Inventories))
 	m.stale.Set(float64(counts.StaleInventories))
 	m.leases.Set(float64(counts.LeasesGranted))
-	m.revoked.Set(float64(counts.Reassigned))
+	m.revoked.Set(float64(counts.LeasesReassigned))
 }
--- a/internal/distribution/tracker/sources.go
+++ b/internal/distribution/tracker/sources.go
@@ -125,7 +125,7 @@
 				continue
 			}
 			t.endLease(lease)
-			t.counts.Reassigned++
+			t.counts.LeasesReassigned++
 			t.grantLease(agent, source)
 			return
 		}
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -39,7 +39,7 @@
 	StaleInventories       int64 // inventories refused because a later one was known
 	CandidatesExamined    int64 // candidates for sources
 	LeasesGranted      int64 // granted
-	Reassigned  int64 // leases that were moved to an agent with fewer
+	LeasesReassigned  int64 // leases that were moved to an agent with fewer
 }
 
 // New returns the tracker of a controller that doesn't lead yet.
