--- a/internal/distribution/operator/tables.go
+++ b/internal/distribution/operator/tables.go
@@ -66,8 +66,8 @@
 		}
 		reasons = append(reasons, wait.Name+": "+text)
 	}
-	if member.Accused > 0 {
-		reasons = append(reasons, fmt.Sprintf("%d takers got damaged chunks from it", member.Accused))
+	if member.DamageReporters > 0 {
+		reasons = append(reasons, fmt.Sprintf("%d takers got damaged chunks from it", member.DamageReporters))
 	}
 	return strings.Join(reasons, "; ")
 }
--- a/internal/distribution/tracker/status.go
+++ b/internal/distribution/tracker/status.go
@@ -72,7 +72,7 @@
 	LastReportAgeS float64                   `json:"heard_s_ago"`
 	Sources        []string                  `json:"sources,omitempty"`
 	Downloaders    []string                  `json:"takers,omitempty"`
-	Accused        int                       `json:"accused_of_damage,omitempty"`
+	DamageReporters        int                       `json:"accused_of_damage,omitempty"`
 	Waits          []distribution.WaitReason `json:"waits,omitempty"`
 }
 
@@ -125,7 +125,7 @@
 		Total:          member.total,
 		Active:         member.active,
 		LastReportAgeS: (t.now - agent.lastReportAt).Round(time.Millisecond).Seconds(),
-		Accused:        t.accuserCount(member),
+		DamageReporters:        t.accuserCount(member),
 		Waits:          agent.waits,
 	}
 	for _, lease := range agent.downloadLeases {
