--- a/internal/distribution/agent/core_reports.go
+++ b/internal/distribution/agent/core_reports.go
@@ -95,11 +95,11 @@
 	version := c.versions[target.wanted]
 	switch {
 	case target.wanted == "":
-		reason.Reason = "no manifest is known for the name"
+		reason.Description = "no manifest is known for the name"
 	case version == nil:
-		reason.Reason = "nobody has given the manifest yet"
+		reason.Description = "nobody has given the manifest yet"
 	case version.complete():
-		reason.Reason = "all chunks are there, activation is under way"
+		reason.Description = "all chunks are there, activation is under way"
 	default:
 		c.addChunkReason(&reason, version)
 	}
@@ -124,15 +124,15 @@
 	}
 	switch {
 	case c.now < c.disk.pausedUntil:
-		reason.Reason = "the disk takes no more"
+		reason.Description = "the disk takes no more"
 	case c.disk.overBudget:
-		reason.Reason = "disk_bytes is used up by chunks that are in use"
+		reason.Description = "disk_bytes is used up by chunks that are in use"
 	case fetching > 0:
-		reason.Reason = "chunks are being fetched"
+		reason.Description = "chunks are being fetched"
 	case unavailable > 0:
-		reason.Reason = "no source has the chunk"
+		reason.Description = "no source has the chunk"
 	default:
-		reason.Reason = "sources are busy or paused"
+		reason.Description = "sources are busy or paused"
 	}
 	reason.MissingChunks = len(version.Chunks) - version.heldCount
 	if unavailable > 0 {
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -105,7 +105,7 @@
 // WaitReason says why an agent doesn't serve the wanted manifest of a name yet.
 type WaitReason struct {
 	Name   string        `json:"name" validate:"weights"`
-	Reason    string        `json:"why" validate:"max=256"`
+	Description    string        `json:"why" validate:"max=256"`
 	Chunk  digest.Digest `json:"chunk,omitempty" validate:"omitempty,sha256digest"` // a chunk that no source has
 	MissingChunks int           `json:"chunks,omitempty" validate:"gte=0"`                 // how many are missing
 }
--- a/internal/distribution/operator/tables.go
+++ b/internal/distribution/operator/tables.go
@@ -57,7 +57,7 @@
 func describeWaits(member tracker.AgentStatus) string {
 	var reasons []string
 	for _, wait := range member.Waits {
-		text := wait.Reason
+		text := wait.Description
 		if wait.MissingChunks > 0 {
 			text += fmt.Sprintf(" (%d missing)", wait.MissingChunks)
 		}
--- a/internal/distribution/simulation/disk_test.go
+++ b/internal/distribution/simulation/disk_test.go
@@ -28,7 +28,7 @@
 	if full.Active(weightsName) != first.Digest || full.Counts().Faults[distribution.FaultDisk] == 0 {
 		t.Errorf("it serves %s; faults %v", full.Active(weightsName), full.Counts().Faults)
 	}
-	if len(full.ReportedWaits) != 1 || !strings.Contains(full.ReportedWaits[0].Reason, "disk") {
+	if len(full.ReportedWaits) != 1 || !strings.Contains(full.ReportedWaits[0].Description, "disk") {
 		t.Errorf("it waits for %+v", full.ReportedWaits)
 	}
 	freeBytes = 1 << 30
--- a/internal/distribution/tracker/status_test.go
+++ b/internal/distribution/tracker/status_test.go
@@ -21,7 +21,7 @@
 	leader.use(t, "x", manifests[0])
 	for i := range entries {
 		inventory := newInventory(fmt.Sprintf("agent-%04d", i), 1, 2)
-		inventory.Waits = []distribution.WaitReason{{Name: "x", Reason: strings.Repeat("w", 200), Chunk: manifests[1], MissingChunks: 3}}
+		inventory.Waits = []distribution.WaitReason{{Name: "x", Description: strings.Repeat("w", 200), Chunk: manifests[1], MissingChunks: 3}}
 		leader.report(t, time.Second, inventory)
 	}
 	if names := listNames(t, leader); names != entries+1 {
