--- a/internal/daemon/tracker_test.go
+++ b/internal/daemon/tracker_test.go
@@ -41,7 +41,7 @@
 // inventoryJSON is an inventory, with a change if there is one.
 func inventoryJSON(t *testing.T, change func(*distribution.Inventory)) string {
 	t.Helper()
-	inventory := distribution.Inventory{Agent: "one", Zone: "north", Address: "127.0.0.1:1", Session: 1, Sequence: 1, Wants: []string{"models/a"}}
+	inventory := distribution.Inventory{Agent: "one", Zone: "north", Address: "127.0.0.1:1", Session: 1, Sequence: 1, WantedNames: []string{"models/a"}}
 	if change != nil {
 		change(&inventory)
 	}
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -92,7 +92,7 @@
 
 // newTestInventory makes a valid inventory.
 func newTestInventory() Inventory {
-	return Inventory{Agent: "a", Zone: "z", Address: "10.0.0.1:7000", Session: 1, Sequence: 1, UploadSlots: 4, Wants: []string{"models/a"}}
+	return Inventory{Agent: "a", Zone: "z", Address: "10.0.0.1:7000", Session: 1, Sequence: 1, UploadSlots: 4, WantedNames: []string{"models/a"}}
 }
 
 // Every field that is out of range is named.
@@ -105,8 +105,8 @@
 		"session":              func(i *Inventory) { i.Session = 0 },
 		"sequence":             func(i *Inventory) { i.Sequence = -1 },
 		"upload_slots":         func(i *Inventory) { i.UploadSlots = 1 << 30 },
-		"wants[0]":             func(i *Inventory) { i.Wants[0] = "../x" },
-		"wants":                func(i *Inventory) { i.Wants = make([]string, 65) },
+		"wants[0]":             func(i *Inventory) { i.WantedNames[0] = "../x" },
+		"wants":                func(i *Inventory) { i.WantedNames = make([]string, 65) },
 		"holdings[0].manifest": func(i *Inventory) { i.Holdings = []Holding{{Manifest: "sha256:x", Total: 1}} },
 		"holdings[0].chunks":   func(i *Inventory) { i.Holdings = []Holding{{Manifest: d, Chunks: 2, Total: 1}} },
 		"holdings[0].total":    func(i *Inventory) { i.Holdings = []Holding{{Manifest: d, Chunks: 0, Total: 1 << 40}} },
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -81,7 +81,7 @@
 	Session     int64         `json:"session" validate:"gt=0"`  // grows with each start of the agent
 	Sequence    int64         `json:"sequence" validate:"gt=0"` // grows with each inventory of a session
 	UploadSlots int           `json:"upload_slots" validate:"gte=0,lte=1024"`
-	Wants       []string      `json:"wants,omitempty" validate:"max=64,dive,weights"`
+	WantedNames       []string      `json:"wants,omitempty" validate:"max=64,dive,weights"`
 	Holdings    []Holding     `json:"holdings,omitempty" validate:"max=128,dive"`
 	Faults      []SourceFault `json:"faults,omitempty" validate:"max=64,dive"`
 	Waits       []WaitReason  `json:"waits,omitempty" validate:"max=64,dive"`
--- a/internal/distribution/tracker/answer.go
+++ b/internal/distribution/tracker/answer.go
@@ -14,7 +14,7 @@
 func (t *Tracker) answer(agent *agentState, report *distribution.Inventory) distribution.InventoryResponse {
 	answer := distribution.InventoryResponse{
 		Term:  t.stateTerm,
-		Names: t.recordsOf(report.Wants),
+		Names: t.recordsOf(report.WantedNames),
 		KeepSources:  t.now-t.electedAt < warmUpReports*t.parameters.IdleReportInterval,
 	}
 	missing := missingManifests(agent, answer.Names)
@@ -27,7 +27,7 @@
 		answer.Sources = append(answer.Sources, t.describeLease(lease))
 	}
 	answer.Recheck = t.accusedManifests(agent)
-	hasUnknownNames := len(answer.Names) < len(report.Wants)
+	hasUnknownNames := len(answer.Names) < len(report.WantedNames)
 	answer.NextReportMs = t.nextReportInterval(agent, len(missing) > 0, hasUnknownNames).Milliseconds()
 	return answer
 }
--- a/internal/distribution/tracker/helpers_test.go
+++ b/internal/distribution/tracker/helpers_test.go
@@ -81,7 +81,7 @@
 // chunks of the first manifest.
 func newInventory(agent string, sequence int64, chunks int) *distribution.Inventory {
 	return &distribution.Inventory{
-		Agent: agent, Zone: "a", Address: agent + ":1", Session: 1, Sequence: sequence, UploadSlots: 2, Wants: []string{"x"},
+		Agent: agent, Zone: "a", Address: agent + ":1", Session: 1, Sequence: sequence, UploadSlots: 2, WantedNames: []string{"x"},
 		Holdings: []distribution.Holding{{Manifest: manifests[0], Chunks: chunks, Total: 4}},
 	}
 }
--- a/internal/distribution/tracker/model_test.go
+++ b/internal/distribution/tracker/model_test.go
@@ -63,7 +63,7 @@
 	m.sequences[agent]++
 	inventory := &distribution.Inventory{
 		Agent: agent, Zone: zones[int(agent[len(agent)-1])%2], Address: agent + ":1", Session: 1, Sequence: m.sequences[agent],
-		UploadSlots: 2, Wants: []string{"x", "y"}, Holdings: m.drawHoldings(), Faults: m.drawFaults(),
+		UploadSlots: 2, WantedNames: []string{"x", "y"}, Holdings: m.drawHoldings(), Faults: m.drawFaults(),
 	}
 	if rapid.IntRange(0, 5).Draw(m.T, "late") == 0 {
 		inventory.Sequence = max(1, inventory.Sequence-2)
