--- a/internal/distribution/agent/core_messages.go
+++ b/internal/distribution/agent/core_messages.go
@@ -18,7 +18,9 @@
 // The events of Core.Step.
 type (
 	// TrackerAnswered is the answer to a Report.
-	TrackerAnswered struct{ Answer distribution.InventoryResponse }
+	TrackerAnswered struct {
+		Answer distribution.InventoryResponse
+	}
 	// TrackerFailed says that no tracker answered a Report.
 	TrackerFailed struct{ RetryAfter time.Duration }
 	// ManifestResult answers GetManifest.
--- a/internal/distribution/agent/core_reports.go
+++ b/internal/distribution/agent/core_reports.go
@@ -59,7 +59,7 @@
 		Session:     c.settings.Session,
 		Sequence:    c.reports.sequence,
 		UploadSlots: c.settings.UploadSlots,
-		WantedNames:       c.settings.Names,
+		WantedNames: c.settings.Names,
 		Holdings:    c.holdings(),
 		Faults:      faults,
 		Waits:       c.waitReasons(),
--- a/internal/distribution/layout/layout.go
+++ b/internal/distribution/layout/layout.go
@@ -84,8 +84,8 @@
 	if err != nil {
 		return nil, err
 	}
-	empty := image.DescriptorEmptyJSON // every manifest refers to it as its configuration
-	for d, content := range map[digest.Digest][]byte{m.Digest: m.Raw, empty.Digest: empty.Data} {
+	emptyConfig := image.DescriptorEmptyJSON // every manifest refers to it as its configuration
+	for d, content := range map[digest.Digest][]byte{m.Digest: m.Raw, emptyConfig.Digest: emptyConfig.Data} {
 		if err := durable.Replace(l.fs, l.blobPath(d), bytes.NewReader(content)); err != nil {
 			return nil, err
 		}
@@ -110,12 +110,12 @@
 // packChunk writes the bytes of a source as a blob. A source without bytes makes none.
 func (l *Layout) packChunk(source io.Reader) (distribution.Chunk, error) {
 	name := path.Join(l.root, blobsDir, "chunk"+durable.TemporarySuffix)
-	sum := digest.SHA256.Digester()
-	size, err := durable.Write(l.fs, name, io.TeeReader(source, sum.Hash()))
+	digester := digest.SHA256.Digester()
+	size, err := durable.Write(l.fs, name, io.TeeReader(source, digester.Hash()))
 	if err != nil || size == 0 {
 		return distribution.Chunk{}, errors.Join(err, l.fs.Remove(name))
 	}
-	chunk := distribution.Chunk{Digest: sum.Digest(), Size: size}
+	chunk := distribution.Chunk{Digest: digester.Digest(), Size: size}
 	return chunk, durable.Rename(l.fs, name, l.blobPath(chunk.Digest))
 }
 
--- a/internal/distribution/layout/layout_test.go
+++ b/internal/distribution/layout/layout_test.go
@@ -91,8 +91,8 @@
 func TestFailedPackKeepsTag(t *testing.T) {
 	l := createLayout(t, afero.NewMemMapFs())
 	m := packString(t, l, "aaaabbbb", "v1")
-	broken := errors.New("the file can't be read")
-	if _, err := l.Pack(io.MultiReader(strings.NewReader("ccccdd"), iotest.ErrReader(broken)), 4, "v1"); !errors.Is(err, broken) {
+	readErr := errors.New("the file can't be read")
+	if _, err := l.Pack(io.MultiReader(strings.NewReader("ccccdd"), iotest.ErrReader(readErr)), 4, "v1"); !errors.Is(err, readErr) {
 		t.Errorf("%v", err)
 	}
 	if tags, err := l.Tags(); err != nil || tags["v1"] != m.Digest {
--- a/internal/distribution/manifest.go
+++ b/internal/distribution/manifest.go
@@ -160,10 +160,10 @@
 // Resized returns a copy of a set, which may come from another process, that has the size for a
 // number of chunks: positions beyond them are left out, and missing ones are not in the set.
 func (s ChunkSet) Resized(chunks int) ChunkSet {
-	out := NewChunkSet(chunks)
-	copy(out, s)
+	resized := NewChunkSet(chunks)
+	copy(resized, s)
 	if rest := chunks % bitsPerByte; rest != 0 {
-		out[len(out)-1] &= math.MaxUint8 >> (bitsPerByte - rest)
+		resized[len(resized)-1] &= math.MaxUint8 >> (bitsPerByte - rest)
 	}
-	return out
+	return resized
 }
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -81,7 +81,7 @@
 	Session     int64         `json:"session" validate:"gt=0"`  // grows with each start of the agent
 	Sequence    int64         `json:"sequence" validate:"gt=0"` // grows with each inventory of a session
 	UploadSlots int           `json:"upload_slots" validate:"gte=0,lte=1024"`
-	WantedNames       []string      `json:"wants,omitempty" validate:"max=64,dive,weights"`
+	WantedNames []string      `json:"wants,omitempty" validate:"max=64,dive,weights"`
 	Holdings    []Holding     `json:"holdings,omitempty" validate:"max=128,dive"`
 	Faults      []SourceFault `json:"faults,omitempty" validate:"max=64,dive"`
 	Waits       []WaitReason  `json:"waits,omitempty" validate:"max=64,dive"`
@@ -104,20 +104,20 @@
 
 // WaitReason says why an agent doesn't serve the wanted manifest of a name yet.
 type WaitReason struct {
-	Name   string        `json:"name" validate:"weights"`
-	Description    string        `json:"why" validate:"max=256"`
-	Chunk  digest.Digest `json:"chunk,omitempty" validate:"omitempty,sha256digest"` // a chunk that no source has
+	Name          string        `json:"name" validate:"weights"`
+	Description   string        `json:"why" validate:"max=256"`
+	Chunk         digest.Digest `json:"chunk,omitempty" validate:"omitempty,sha256digest"` // a chunk that no source has
 	MissingChunks int           `json:"chunks,omitempty" validate:"gte=0"`                 // how many are missing
 }
 
 // InventoryResponse is the tracker's answer to an inventory.
 type InventoryResponse struct {
-	Term    int64           `json:"term"`
-	Names   []NameRecord    `json:"names,omitempty"`
-	Sources []Source        `json:"sources,omitempty"`
-	Recheck []digest.Digest `json:"recheck,omitempty"` // manifests whose chunks the agent should verify again
-	KeepSources    bool            `json:"keep,omitempty"`    // the tracker has just started: sources that aren't listed stay in use
-	NextReportMs  int64           `json:"next_ms"`           // when to report again
+	Term         int64           `json:"term"`
+	Names        []NameRecord    `json:"names,omitempty"`
+	Sources      []Source        `json:"sources,omitempty"`
+	Recheck      []digest.Digest `json:"recheck,omitempty"` // manifests whose chunks the agent should verify again
+	KeepSources  bool            `json:"keep,omitempty"`    // the tracker has just started: sources that aren't listed stay in use
+	NextReportMs int64           `json:"next_ms"`           // when to report again
 }
 
 // NameRecord says which manifest a name has.
@@ -136,9 +136,9 @@
 	LeaseMs  int64         `json:"lease_ms"`
 	// Stripe and Stripes are set for the store: chunks at positions with the remainder Stripe
 	// modulo Stripes are fetched first.
-	Stripe  int `json:"stripe,omitempty"`
-	Stripes int `json:"stripes,omitempty"`
-	OtherStoreUsers  int `json:"others,omitempty"` // other agents that may use the store
+	Stripe          int `json:"stripe,omitempty"`
+	Stripes         int `json:"stripes,omitempty"`
+	OtherStoreUsers int `json:"others,omitempty"` // other agents that may use the store
 }
 
 // StoreSource is the name of the store among sources.
@@ -174,9 +174,9 @@
 		return fieldError("body", "more than %d bytes", MaxMessageBytes)
 	}
 	if err := json.Unmarshal(body, message); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) && wrong.Field != "" {
-			return fieldError(wrong.Field, "a %s where a %s belongs", wrong.Value, wrong.Type)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) && typeErr.Field != "" {
+			return fieldError(typeErr.Field, "a %s where a %s belongs", typeErr.Value, typeErr.Type)
 		}
 		return fieldError("body", "not a JSON object of this kind")
 	}
--- a/internal/distribution/tracker/helpers_test.go
+++ b/internal/distribution/tracker/helpers_test.go
@@ -70,11 +70,11 @@
 func (l *testLeader) report(t *testing.T, now time.Duration, inventory *distribution.Inventory) distribution.InventoryResponse {
 	t.Helper()
 	reply := l.send(now, InventoryCall{2, inventory})
-	answer, ok := reply.Body.(distribution.InventoryResponse)
+	response, ok := reply.Body.(distribution.InventoryResponse)
 	if !ok || reply.Status != http.StatusOK {
 		t.Fatalf("inventory of %s: %+v", inventory.Agent, reply)
 	}
-	return answer
+	return response
 }
 
 // newInventory is the report of an agent that wants the name x and holds so many of the four
--- a/internal/distribution/tracker/invariants_test.go
+++ b/internal/distribution/tracker/invariants_test.go
@@ -38,12 +38,12 @@
 }
 
 // checkSources checks that an answer lists each source once, with a lease that hasn't expired.
-func (m *model) checkSources(answer distribution.InventoryResponse) {
+func (m *model) checkSources(response distribution.InventoryResponse) {
 	listed := map[string]bool{}
-	for _, source := range answer.Sources {
+	for _, source := range response.Sources {
 		key := source.Agent + source.Manifest.String()
 		if listed[key] || source.LeaseMs <= 0 {
-			m.Fatalf("sources %+v", answer.Sources)
+			m.Fatalf("sources %+v", response.Sources)
 		}
 		listed[key] = true
 	}
--- a/internal/distribution/tracker/inventory.go
+++ b/internal/distribution/tracker/inventory.go
@@ -29,7 +29,7 @@
 	for _, fault := range report.Faults {
 		t.recordFault(agent, fault)
 	}
-	t.reply(call.ID, t.answer(agent, report))
+	t.reply(call.ID, t.inventoryResponse(agent, report))
 }
 
 // isStale reports whether a later inventory of the agent is known.
@@ -53,13 +53,13 @@
 		agent = &agentState{
 			name: report.Agent, zone: report.Zone, members: map[digest.Digest]*swarmMember{}, avoidUntil: map[sourceKey]time.Duration{},
 		}
-		agent.element = t.byLastReport.PushBack(agent)
+		agent.lastReportElement = t.byLastReport.PushBack(agent)
 		t.agents[agent.name] = agent
 	}
 	agent.address, agent.uploadSlots, agent.waits = report.Address, report.UploadSlots, report.Waits
 	agent.session, agent.sequence = report.Session, report.Sequence
 	agent.lastReportAt = t.now
-	t.byLastReport.MoveToBack(agent.element)
+	t.byLastReport.MoveToBack(agent.lastReportElement)
 	return agent
 }
 
@@ -74,7 +74,7 @@
 	for len(agent.downloadLeases) > 0 {
 		t.endLease(agent.downloadLeases[0])
 	}
-	t.byLastReport.Remove(agent.element)
+	t.byLastReport.Remove(agent.lastReportElement)
 	delete(t.agents, agent.name)
 }
 
@@ -103,14 +103,14 @@
 		return
 	}
 	maps.DeleteFunc(agent.avoidUntil, func(_ sourceKey, until time.Duration) bool { return t.now >= until })
-	agent.avoidUntil[sourceKey{fault.Source, fault.Manifest}] = t.now + avoidReports*t.parameters.ReportInterval
+	agent.avoidUntil[sourceKey{fault.Source, fault.Manifest}] = t.now + avoidSourceIntervals*t.parameters.ReportInterval
 	if fault.Fault == distribution.FaultDamaged {
-		t.accuse(agent, fault)
+		t.recordDamageReport(agent, fault)
 	}
 }
 
-// accuse records that an agent got damaged chunks from a source.
-func (t *Tracker) accuse(accuser *agentState, fault distribution.SourceFault) {
+// recordDamageReport records that an agent got damaged chunks from a source.
+func (t *Tracker) recordDamageReport(reporter *agentState, fault distribution.SourceFault) {
 	source := t.agents[fault.Source]
 	if source == nil {
 		return
@@ -119,17 +119,17 @@
 	if member == nil {
 		return
 	}
-	if member.accusedAt == nil {
-		member.accusedAt = map[string]time.Duration{}
+	if member.damageReportedAt == nil {
+		member.damageReportedAt = map[string]time.Duration{}
 	}
-	member.accusedAt[accuser.name] = t.now
-	t.emit(Log{"source has damaged chunks", []any{"source", source.name, "downloader", accuser.name, "manifest", fault.Manifest.String()}})
+	member.damageReportedAt[reporter.name] = t.now
+	t.emit(Log{"source has damaged chunks", []any{"source", source.name, "downloader", reporter.name, "manifest", fault.Manifest.String()}})
 }
 
-// accuserCount returns how many agents have lately got damaged chunks from a member.
-func (t *Tracker) accuserCount(member *swarmMember) int {
-	maps.DeleteFunc(member.accusedAt, func(_ string, at time.Duration) bool {
-		return t.now-at > accusationReports*t.parameters.ReportInterval
+// damageReporterCount returns how many agents have lately got damaged chunks from a member.
+func (t *Tracker) damageReporterCount(member *swarmMember) int {
+	maps.DeleteFunc(member.damageReportedAt, func(_ string, at time.Duration) bool {
+		return t.now-at > damageReportIntervals*t.parameters.ReportInterval
 	})
-	return len(member.accusedAt)
+	return len(member.damageReportedAt)
 }
--- a/internal/distribution/tracker/answer.go
+++ b/internal/distribution/tracker/inventory_response.go
@@ -10,30 +10,30 @@
 	"oakpick/internal/distribution"
 )
 
-// answer tells an agent which manifests its names have and where to fetch them.
-func (t *Tracker) answer(agent *agentState, report *distribution.Inventory) distribution.InventoryResponse {
-	answer := distribution.InventoryResponse{
-		Term:  t.stateTerm,
-		Names: t.recordsOf(report.WantedNames),
-		KeepSources:  t.now-t.electedAt < warmUpReports*t.parameters.IdleReportInterval,
+// inventoryResponse tells an agent which manifests its names have and where to fetch them.
+func (t *Tracker) inventoryResponse(agent *agentState, report *distribution.Inventory) distribution.InventoryResponse {
+	response := distribution.InventoryResponse{
+		Term:        t.stateTerm,
+		Names:       t.nameRecords(report.WantedNames),
+		KeepSources: t.now-t.electedAt < warmUpIntervals*t.parameters.IdleReportInterval,
 	}
-	missing := missingManifests(agent, answer.Names)
-	t.leaveUnreported(agent, report, missing)
+	missing := missingManifests(agent, response.Names)
+	t.leaveUnreportedSwarms(agent, report, missing)
 	t.endUnneededLeases(agent, missing)
 	for _, manifest := range missing {
 		t.assignSources(agent, manifest)
 	}
-	for _, lease := range agent.downloadLeases[:min(len(agent.downloadLeases), maxAnsweredSources)] {
-		answer.Sources = append(answer.Sources, t.describeLease(lease))
+	for _, lease := range agent.downloadLeases[:min(len(agent.downloadLeases), maxSourcesPerResponse)] {
+		response.Sources = append(response.Sources, t.sourceMessage(lease))
 	}
-	answer.Recheck = t.accusedManifests(agent)
-	hasUnknownNames := len(answer.Names) < len(report.WantedNames)
-	answer.NextReportMs = t.nextReportInterval(agent, len(missing) > 0, hasUnknownNames).Milliseconds()
-	return answer
+	response.Recheck = t.manifestsToRecheck(agent)
+	hasUnknownNames := len(response.Names) < len(report.WantedNames)
+	response.NextReportMs = t.nextReportInterval(agent, len(missing) > 0, hasUnknownNames).Milliseconds()
+	return response
 }
 
-// recordsOf returns the records of those names that have a manifest.
-func (t *Tracker) recordsOf(names []string) (records []distribution.NameRecord) {
+// nameRecords returns the records of those names that have a manifest.
+func (t *Tracker) nameRecords(names []string) (records []distribution.NameRecord) {
 	for _, name := range names {
 		if record, found := t.names.lookup(name); found {
 			records = append(records, record)
@@ -54,9 +54,9 @@
 	return missing
 }
 
-// leaveUnreported ends an agent's part in swarms of manifests that it neither reports nor
+// leaveUnreportedSwarms ends an agent's part in swarms of manifests that it neither reports nor
 // needs.
-func (t *Tracker) leaveUnreported(agent *agentState, report *distribution.Inventory, missing []digest.Digest) {
+func (t *Tracker) leaveUnreportedSwarms(agent *agentState, report *distribution.Inventory, missing []digest.Digest) {
 	reported := map[digest.Digest]bool{}
 	for _, holding := range report.Holdings {
 		reported[holding.Manifest] = true
@@ -77,19 +77,19 @@
 	}
 }
 
-// accusedManifests returns the manifests of which an agent is accused of sending damaged
+// manifestsToRecheck returns the manifests of which an agent is accused of sending damaged
 // chunks. It should verify them.
-func (t *Tracker) accusedManifests(agent *agentState) (accused []digest.Digest) {
+func (t *Tracker) manifestsToRecheck(agent *agentState) (manifests []digest.Digest) {
 	for _, manifest := range slices.Sorted(maps.Keys(agent.members)) {
-		if t.accuserCount(agent.members[manifest]) > 0 {
-			accused = append(accused, manifest)
+		if t.damageReporterCount(agent.members[manifest]) > 0 {
+			manifests = append(manifests, manifest)
 		}
 	}
-	return accused
+	return manifests
 }
 
-// describeLease returns a lease as the agent is told of it.
-func (t *Tracker) describeLease(lease *sourceLease) distribution.Source {
+// sourceMessage returns a lease as the agent is told of it.
+func (t *Tracker) sourceMessage(lease *sourceLease) distribution.Source {
 	source := distribution.Source{
 		Agent: lease.sourceName(), Manifest: lease.manifest, LeaseMs: (lease.validUntil - t.now).Milliseconds(),
 	}
--- a/internal/distribution/tracker/leases.go
+++ b/internal/distribution/tracker/leases.go
@@ -26,13 +26,13 @@
 	return l.source.name
 }
 
-// isForStore reports whether the lease is on the store, for a manifest.
-func (l *sourceLease) isForStore(manifest digest.Digest) bool {
+// isStoreLeaseFor reports whether the lease is on the store, for a manifest.
+func (l *sourceLease) isStoreLeaseFor(manifest digest.Digest) bool {
 	return l.source == nil && l.manifest == manifest
 }
 
 // leaseDuration is how long a lease lasts unless it is renewed.
-func (t *Tracker) leaseDuration() time.Duration { return leaseReports * t.parameters.ReportInterval }
+func (t *Tracker) leaseDuration() time.Duration { return leaseIntervals * t.parameters.ReportInterval }
 
 // grantLease gives an agent a lease on an upload slot of another.
 func (t *Tracker) grantLease(agent *agentState, source *swarmMember) {
--- a/internal/distribution/tracker/messages.go
+++ b/internal/distribution/tracker/messages.go
@@ -50,12 +50,12 @@
 	Tick struct{}
 )
 
-func (InventoryCall) command() {}
-func (SetManifestCall) command()       {}
-func (NamesCall) command()     {}
-func (StatusCall) command()    {}
-func (StateResult) command()   {}
-func (Tick) command()          {}
+func (InventoryCall) command()   {}
+func (SetManifestCall) command() {}
+func (NamesCall) command()       {}
+func (StatusCall) command()      {}
+func (StateResult) command()     {}
+func (Tick) command()            {}
 
 // Effect is an output of Step.
 type Effect interface{ effect() }
@@ -102,15 +102,15 @@
 // Durations as multiples of the report interval (...Reports), and counts that concern a single
 // agent.
 const (
-	maxSameZoneSources  = 6  // of one manifest, for one agent
-	maxOtherZoneSources = 2  // of one manifest, for one agent
-	fairSources         = 4  // below which an agent gets leases of others that have more
-	candidatesPerSource = 4  // that are examined
-	maxAnsweredSources  = 96 // in one answer, over all manifests
-	leaseReports        = 3  // that may be missed before a lease expires
-	stalledReports      = 8  // without a new chunk, after which an agent loses its leases
-	avoidReports        = 10 // for which a faulty source isn't given to the agent again
-	accusationReports   = 40 // for which an accusation of damage counts
-	minAccusers         = 2  // different agents, after which a source is given to nobody
-	warmUpReports       = 2  // for which a new leader has agents keep sources that it doesn't list
+	maxSameZoneSources    = 6  // of one manifest, for one agent
+	maxOtherZoneSources   = 2  // of one manifest, for one agent
+	minSources            = 4  // below which an agent gets leases of others that have more
+	candidatesPerSource   = 4  // that are examined
+	maxSourcesPerResponse = 96 // in one answer, over all manifests
+	leaseIntervals        = 3  // that may be missed before a lease expires
+	stalledIntervals      = 8  // without a new chunk, after which an agent loses its leases
+	avoidSourceIntervals  = 10 // for which a faulty source isn't given to the agent again
+	damageReportIntervals = 40 // for which an accusation of damage counts
+	minDamageReporters    = 2  // different agents, after which a source is given to nobody
+	warmUpIntervals       = 2  // for which a new leader has agents keep sources that it doesn't list
 )
--- a/internal/distribution/tracker/model_test.go
+++ b/internal/distribution/tracker/model_test.go
@@ -24,14 +24,14 @@
 	pendingCalls     []storage.StateCall // to the state service, not answered yet
 	delayedCalls     []storage.StateCall // that are still to be carried out, though their answer was lost
 	sequences        map[string]int64    // of each agent's last inventory
-	answered         map[uint64]bool     // requests
+	repliedIDs       map[uint64]bool     // requests
 	repliedRevisions map[string]int64    // the highest that was answered for a name
 }
 
 func newModel(t *rapid.T) *model {
 	return &model{
 		T: t, tracker: New(testParameters()), state: newFakeStateService(),
-		sequences: map[string]int64{}, answered: map[uint64]bool{}, repliedRevisions: map[string]int64{},
+		sequences: map[string]int64{}, repliedIDs: map[uint64]bool{}, repliedRevisions: map[string]int64{},
 	}
 }
 
@@ -40,10 +40,10 @@
 	for _, effect := range m.tracker.Step(m.now, m.term, []Command{command}) {
 		switch e := effect.(type) {
 		case Reply:
-			if m.answered[e.ID] {
+			if m.repliedIDs[e.ID] {
 				m.Fatalf("request %d is answered twice", e.ID)
 			}
-			m.answered[e.ID] = true
+			m.repliedIDs[e.ID] = true
 			m.checkReply(e)
 		case StateCall:
 			m.pendingCalls = append(m.pendingCalls, e.StateCall)
--- a/internal/distribution/tracker/name_changes.go
+++ b/internal/distribution/tracker/name_changes.go
@@ -18,13 +18,13 @@
 // pendingWrite is the write of the first change in the queue.
 type pendingWrite struct {
 	id           string
-	count        int   // of writes in this term
+	sequence     int   // of writes in this term
 	token        int64 // fencing token on which the write depends
 	baseRevision int64 // revision of the record that it replaces
 }
 
-// change has a name's manifest written, unless the name has it already.
-func (n *nameStore) change(change SetManifestCall) {
+// enqueueChange has a name's manifest written, unless the name has it already.
+func (n *nameStore) enqueueChange(change SetManifestCall) {
 	if len(n.queue) == 0 && n.records[change.Name].Manifest == change.Manifest {
 		n.tracker.reply(change.ID, n.records[change.Name])
 		return
@@ -44,8 +44,8 @@
 func (n *nameStore) writeFirst() {
 	change := n.queue[0]
 	key := NamesPrefix + change.Name
-	n.write.count++
-	n.write.id = fmt.Sprintf("%s-%d-%d", n.tracker.parameters.ProcessID, n.tracker.stateTerm, n.write.count)
+	n.write.sequence++
+	n.write.id = fmt.Sprintf("%s-%d-%d", n.tracker.parameters.ProcessID, n.tracker.stateTerm, n.write.sequence)
 	n.write.token, n.write.baseRevision = n.tracker.term.FencingToken, n.records[change.Name].Revision
 	n.send(storage.StateCall{Op: storage.StateTxn, Txn: protocol.Txn{
 		If: []protocol.Condition{
@@ -100,7 +100,7 @@
 
 // completeFirst answers the first change of the queue and starts the next.
 func (n *nameStore) completeFirst(record distribution.NameRecord) {
-	n.update(record)
+	n.updateRecord(record)
 	n.replyIfLeaseHeld(n.queue[0].ID, record)
 	n.tracker.emit(Log{"weights changed", []any{"name", record.Name, "manifest", record.Manifest.String(), "revision", record.Revision}})
 	n.advanceQueue()
--- a/internal/distribution/tracker/names.go
+++ b/internal/distribution/tracker/names.go
@@ -118,12 +118,12 @@
 		n.records[name] = distribution.NameRecord{Name: name, Revision: entry.Version}
 		return ""
 	}
-	n.update(distribution.NameRecord{Name: name, Manifest: digest.Digest(stored.Manifest), Revision: entry.Version})
+	n.updateRecord(distribution.NameRecord{Name: name, Manifest: digest.Digest(stored.Manifest), Revision: entry.Version})
 	return stored.WriteID
 }
 
-// update records what is durable, unless a later revision is known.
-func (n *nameStore) update(record distribution.NameRecord) {
+// updateRecord records what is durable, unless a later revision is known.
+func (n *nameStore) updateRecord(record distribution.NameRecord) {
 	known, exists := n.records[record.Name]
 	if exists && known.Manifest != "" && known.Revision >= record.Revision {
 		return
@@ -137,8 +137,8 @@
 	return record, record.Manifest != ""
 }
 
-// sorted returns the records of all names that have a manifest, in the order of names.
-func (n *nameStore) sorted() []distribution.NameRecord {
+// sortedRecords returns the records of all names that have a manifest, in the order of names.
+func (n *nameStore) sortedRecords() []distribution.NameRecord {
 	records := make([]distribution.NameRecord, 0, len(n.records))
 	for _, name := range slices.Sorted(maps.Keys(n.records)) {
 		if record, found := n.lookup(name); found {
--- a/internal/distribution/tracker/sources.go
+++ b/internal/distribution/tracker/sources.go
@@ -10,14 +10,14 @@
 func (t *Tracker) assignSources(agent *agentState, manifest digest.Digest) {
 	member := t.join(agent, manifest)
 	swarm := member.swarm
-	stalled := t.now-member.lastProgressAt > stalledReports*t.parameters.ReportInterval
+	stalled := t.now-member.lastProgressAt > stalledIntervals*t.parameters.ReportInterval
 	if stalled {
 		member.lastProgressAt = t.now // give the new sources time
 	}
 	sameZone, otherZones := t.renewLeases(agent, swarm, stalled)
 	sameZone += t.grantLeases(agent, swarm, []string{agent.zone}, maxSameZoneSources-sameZone)
 	otherZones += t.grantLeases(agent, swarm, t.otherZones(agent.zone), maxOtherZoneSources-otherZones)
-	for range fairSources - sameZone - otherZones {
+	for range minSources - sameZone - otherZones {
 		t.reassignLease(agent, swarm)
 	}
 	t.grantStoreLease(agent, swarm, stalled)
@@ -59,9 +59,9 @@
 		return false
 	}
 	delete(agent.avoidUntil, key)
-	accusers := t.accuserCount(source)
-	_, accusedByAgent := source.accusedAt[agent.name]
-	return accusers < minAccusers && !accusedByAgent
+	reporters := t.damageReporterCount(source)
+	_, reportedByAgent := source.damageReportedAt[agent.name]
+	return reporters < minDamageReporters && !reportedByAgent
 }
 
 // otherZones returns all zones but one, starting from a random one.
@@ -146,8 +146,8 @@
 // grantStoreLease gives an agent a slot of the store, if it has none and one is free. An agent
 // that has stalled has just lost its slot, and leaves it to others.
 func (t *Tracker) grantStoreLease(agent *agentState, swarm *swarmState, stalled bool) {
-	has := slices.ContainsFunc(agent.downloadLeases, func(lease *sourceLease) bool { return lease.isForStore(swarm.manifest) })
-	if has || stalled && len(swarm.members) > len(swarm.storeLeases) {
+	hasStoreLease := slices.ContainsFunc(agent.downloadLeases, func(lease *sourceLease) bool { return lease.isStoreLeaseFor(swarm.manifest) })
+	if hasStoreLease || stalled && len(swarm.members) > len(swarm.storeLeases) {
 		return
 	}
 	stripe, usedInZone := t.freeStripe(swarm, agent.zone)
--- a/internal/distribution/tracker/state.go
+++ b/internal/distribution/tracker/state.go
@@ -15,7 +15,7 @@
 	session, sequence   int64 // of its last inventory
 	uploadSlots         int
 	lastReportAt        time.Duration
-	element             *list.Element // in Tracker.byLastReport
+	lastReportElement   *list.Element // in Tracker.byLastReport
 	members             map[digest.Digest]*swarmMember
 	uploadLeases        []*sourceLease // on its upload slots
 	downloadLeases      []*sourceLease // by which it may fetch
@@ -34,13 +34,13 @@
 
 // swarmMember is an agent's part in the swarm of a manifest.
 type swarmMember struct {
-	agent          *agentState
-	swarm          *swarmState
-	chunks, total  int
-	active         bool                     // it serves the manifest
-	lastProgressAt time.Duration            // when chunks last grew
-	holderIndex    int                      // in the zone's holders, or notHolding
-	accusedAt      map[string]time.Duration // of sending damaged chunks, by the accusing agent
+	agent            *agentState
+	swarm            *swarmState
+	chunks, total    int
+	active           bool                     // it serves the manifest
+	lastProgressAt   time.Duration            // when chunks last grew
+	holderIndex      int                      // in the zone's holders, or notHolding
+	damageReportedAt map[string]time.Duration // of sending damaged chunks, by the accusing agent
 }
 
 // complete reports whether the agent holds every chunk, as far as the tracker has been told.
@@ -127,7 +127,7 @@
 
 // expireSilentAgents removes agents that have missed several inventories.
 func (t *Tracker) expireSilentAgents() {
-	maxSilence := leaseReports * t.parameters.IdleReportInterval
+	maxSilence := leaseIntervals * t.parameters.IdleReportInterval
 	for element := t.byLastReport.Front(); element != nil; element = t.byLastReport.Front() {
 		agent := element.Value.(*agentState)
 		if t.now-agent.lastReportAt <= maxSilence {
--- a/internal/distribution/tracker/status.go
+++ b/internal/distribution/tracker/status.go
@@ -38,7 +38,7 @@
 func (t *Tracker) handleNames(call NamesCall) {
 	page := NamesPage{Names: []distribution.NameRecord{}}
 	var budget pageBudget
-	for _, record := range t.names.sorted() {
+	for _, record := range t.names.sortedRecords() {
 		if record.Name <= call.After {
 			continue
 		}
@@ -64,16 +64,16 @@
 
 // AgentStatus is what is known of an agent regarding one manifest.
 type AgentStatus struct {
-	Agent          string                    `json:"agent"`
-	Zone           string                    `json:"zone"`
-	Chunks         int                       `json:"chunks"`
-	Total          int                       `json:"total"`
-	Active         bool                      `json:"active"`
-	LastReportAgeS float64                   `json:"heard_s_ago"`
-	Sources        []string                  `json:"sources,omitempty"`
-	Downloaders    []string                  `json:"takers,omitempty"`
-	DamageReporters        int                       `json:"accused_of_damage,omitempty"`
-	Waits          []distribution.WaitReason `json:"waits,omitempty"`
+	Agent           string                    `json:"agent"`
+	Zone            string                    `json:"zone"`
+	Chunks          int                       `json:"chunks"`
+	Total           int                       `json:"total"`
+	Active          bool                      `json:"active"`
+	LastReportAgeS  float64                   `json:"heard_s_ago"`
+	Sources         []string                  `json:"sources,omitempty"`
+	Downloaders     []string                  `json:"takers,omitempty"`
+	DamageReporters int                       `json:"accused_of_damage,omitempty"`
+	Waits           []distribution.WaitReason `json:"waits,omitempty"`
 }
 
 // handleStatus answers with the agents after one. The counts are of all agents.
@@ -119,14 +119,14 @@
 func (t *Tracker) agentStatus(member *swarmMember) AgentStatus {
 	agent := member.agent
 	status := AgentStatus{
-		Agent:          agent.name,
-		Zone:           agent.zone,
-		Chunks:         member.chunks,
-		Total:          member.total,
-		Active:         member.active,
-		LastReportAgeS: (t.now - agent.lastReportAt).Round(time.Millisecond).Seconds(),
-		DamageReporters:        t.accuserCount(member),
-		Waits:          agent.waits,
+		Agent:           agent.name,
+		Zone:            agent.zone,
+		Chunks:          member.chunks,
+		Total:           member.total,
+		Active:          member.active,
+		LastReportAgeS:  (t.now - agent.lastReportAt).Round(time.Millisecond).Seconds(),
+		DamageReporters: t.damageReporterCount(member),
+		Waits:           agent.waits,
 	}
 	for _, lease := range agent.downloadLeases {
 		if lease.manifest == member.swarm.manifest {
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -35,11 +35,11 @@
 
 // Counts counts what the tracker has done in the current term.
 type Counts struct {
-	Inventories int64 // accepted
-	StaleInventories       int64 // inventories refused because a later one was known
-	CandidatesExamined    int64 // candidates for sources
+	Inventories        int64 // accepted
+	StaleInventories   int64 // inventories refused because a later one was known
+	CandidatesExamined int64 // candidates for sources
 	LeasesGranted      int64 // granted
-	LeasesReassigned  int64 // leases that were moved to an agent with fewer
+	LeasesReassigned   int64 // leases that were moved to an agent with fewer
 }
 
 // New returns the tracker of a controller that doesn't lead yet.
@@ -101,8 +101,8 @@
 }
 
 // refuse answers with an error. One that may pass names a time to ask again.
-func (t *Tracker) refuse(id uint64, status int, why string) {
-	reply := Reply{ID: id, Status: status, Body: distribution.ErrorResponse{Error: why}}
+func (t *Tracker) refuse(id uint64, status int, message string) {
+	reply := Reply{ID: id, Status: status, Body: distribution.ErrorResponse{Error: message}}
 	if status == http.StatusServiceUnavailable {
 		reply.RetryAfter = t.parameters.ReportInterval
 	}
@@ -117,7 +117,7 @@
 		}
 	case SetManifestCall:
 		if t.admit(c.ID) {
-			t.names.change(c)
+			t.names.enqueueChange(c)
 		}
 	case NamesCall:
 		if t.admit(c.ID) {
