--- a/internal/distribution/manifest.go
+++ b/internal/distribution/manifest.go
@@ -1,4 +1,4 @@
-// Package distribution holds what trackers, agents and stores of weights share: manifests, sets
+// Package distribution defines what trackers, agents and stores of weights share: manifests, sets
 // of chunks, and the messages between agents and the tracker with their validation.
 package distribution
 
@@ -12,9 +12,10 @@
 )
 
 const (
-	// MaxManifestBytes is the largest manifest that is read, as registries commonly allow.
+	// MaxManifestBytes is the largest manifest that is accepted. Registries commonly have the same
+	// limit.
 	MaxManifestBytes = 4 << 20
-	// MaxVersionBytes bounds the size of all chunks of a manifest together.
+	// MaxVersionBytes is the largest total size of a manifest's chunks.
 	MaxVersionBytes = 1 << 50
 
 	schemaVersion = 2
@@ -22,13 +23,13 @@
 	chunkType     = "application/octet-stream"
 )
 
-// FieldError names a field of a message and what is wrong with it.
+// FieldError reports the field of a message that is invalid, and why.
 type FieldError struct {
 	Field   string
 	Problem string
 }
 
-// Error returns the field and what is wrong with it.
+// Error returns the field and the problem, separated by a colon.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 // fieldError returns a FieldError with a formatted problem.
@@ -36,21 +37,23 @@
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Chunk is a part of a version's bytes.
+// Chunk identifies a contiguous part of a version's bytes.
 type Chunk struct {
 	Digest digest.Digest
 	Size   int64
 }
 
-// Manifest lists the chunks of a version in order.
+// Manifest lists the chunks of a version of weights, in the order of the version's bytes.
 type Manifest struct {
 	Digest digest.Digest
-	Raw    []byte // as it was fetched; its digest is Digest
+	Raw    []byte // the encoded manifest; its digest is Digest
 	Chunks []Chunk
-	Size   int64 // of all chunks together
+	Size   int64 // total of all chunks; a chunk that is listed twice counts twice
 }
 
-// ParseManifest reads an OCI image manifest and checks that it has the wanted digest.
+// ParseManifest decodes an OCI image manifest. It checks that the manifest has the digest want,
+// that each layer has a valid digest and size, and that layers with equal digests have equal
+// sizes.
 func ParseManifest(raw []byte, want digest.Digest) (*Manifest, error) {
 	if len(raw) > MaxManifestBytes {
 		return nil, fieldError("manifest", "more than %d bytes", MaxManifestBytes)
@@ -84,7 +87,8 @@
 	return m, nil
 }
 
-// decodeManifest reads an OCI image manifest and checks everything but its layers.
+// decodeManifest decodes an OCI image manifest and validates everything but the digests and sizes
+// of its layers.
 func decodeManifest(raw []byte) (*specs.Manifest, error) {
 	var m specs.Manifest
 	if err := json.Unmarshal(raw, &m); err != nil {
@@ -102,13 +106,13 @@
 	return &m, nil
 }
 
-// ActiveVersion is the version that a name is served from.
+// ActiveVersion is the version of a name that an agent serves.
 type ActiveVersion struct {
 	Manifest digest.Digest `json:"manifest"`
-	Revision int64         `json:"revision"` // of the name's record that led to it
+	Revision int64         `json:"revision"` // of the name record that selected the manifest
 }
 
-// NewManifest returns the manifest of some chunks.
+// NewManifest returns an OCI image manifest with the given chunks as its layers.
 func NewManifest(chunks []Chunk) (*Manifest, error) {
 	empty := specs.DescriptorEmptyJSON
 	m := specs.Manifest{MediaType: specs.MediaTypeImageManifest, ArtifactType: artifactType, Config: empty}
@@ -123,21 +127,22 @@
 	return ParseManifest(raw, digest.FromBytes(raw))
 }
 
-// CheckDigest accepts SHA-256 digests only, which every agent can verify.
+// CheckDigest returns an error unless d is a valid SHA-256 digest, the only kind that every agent
+// can verify.
 func CheckDigest(d digest.Digest) error {
 	if err := d.Validate(); err != nil {
 		return err
 	}
 	if d.Algorithm() != digest.SHA256 {
-		return fmt.Errorf("%s digests are not taken", d.Algorithm())
+		return fmt.Errorf("unsupported digest algorithm %s", d.Algorithm())
 	}
 	return nil
 }
 
-// ChunkSet is a set of positions in a manifest, one bit each.
+// ChunkSet is a set of chunk positions in a manifest, stored as a bitmap.
 type ChunkSet []byte
 
-// NewChunkSet returns an empty set for a number of chunks.
+// NewChunkSet returns an empty set with room for the given number of chunks.
 func NewChunkSet(chunks int) ChunkSet { return make(ChunkSet, (chunks+bitsPerByte-1)/bitsPerByte) }
 
 const bitsPerByte = 8
@@ -147,18 +152,19 @@
 	return i/bitsPerByte < len(s) && s[i/bitsPerByte]&(1<<(i%bitsPerByte)) != 0
 }
 
-// Add adds a position to the set, which must be large enough.
+// Add adds a position, which must be within the size of the set.
 func (s ChunkSet) Add(i int) { s[i/bitsPerByte] |= 1 << (i % bitsPerByte) }
 
-// Remove removes a position from the set.
+// Remove removes a position. A position beyond the size of the set is ignored.
 func (s ChunkSet) Remove(i int) {
 	if i/bitsPerByte < len(s) {
 		s[i/bitsPerByte] &^= 1 << (i % bitsPerByte)
 	}
 }
 
-// Resized returns a copy of a set, which may come from another process, that has the size for a
-// number of chunks: positions beyond them are left out, and missing ones are not in the set.
+// Resized returns a copy of the set with the size for the given number of chunks. Positions beyond
+// that number are dropped, and the positions by which the copy is longer are not in the set. Sets
+// from other processes may have any size.
 func (s ChunkSet) Resized(chunks int) ChunkSet {
 	resized := NewChunkSet(chunks)
 	copy(resized, s)
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -14,25 +14,24 @@
 	"oakpick/internal/config"
 )
 
-// Paths of the tracker's API.
+// HTTP paths of the tracker's API.
 const (
 	PathPrefix    = "/v1/distribution/"
 	PathInventory = PathPrefix + "inventory"
-	PathWeights   = PathPrefix + "weights" // and /{name}
+	PathWeights   = PathPrefix + "weights" // all names; a single name is at PathWeights/{name}
 )
 
-// ChunksHeader is the header in which agents tell which chunks of a manifest they hold: a
-// ChunkSet in base64.
+// ChunksHeader is the response header in which an agent reports the chunks of a manifest that it
+// holds: a ChunkSet in base64.
 const ChunksHeader = "Oakpick-Chunks"
 
-// ManifestHeader is the header in which a request for a blob names the manifest that it belongs
-// to.
+// ManifestHeader is the request header that names the manifest to which a requested blob belongs.
 const ManifestHeader = "Oakpick-Manifest"
 
-// MaxMessageBytes is the largest message between an agent and the tracker.
+// MaxMessageBytes is the maximum size of a message between an agent and the tracker.
 const MaxMessageBytes = 64 << 10
 
-// MaxNameBytes is the longest name of weights.
+// MaxNameBytes is the maximum length of a name of weights.
 const MaxNameBytes = 128
 
 var (
@@ -40,7 +39,8 @@
 	tagPattern  = regexp.MustCompile(`^[a-zA-Z0-9_][a-zA-Z0-9._-]{0,127}$`)
 )
 
-// CheckName accepts the names that the OCI distribution specification allows, up to MaxNameBytes.
+// CheckName returns an error unless name is valid by the OCI distribution specification and no
+// longer than MaxNameBytes.
 func CheckName(name string) error {
 	if len(name) > MaxNameBytes || !namePattern.MatchString(name) {
 		return fieldError("name", "%.40q is not a name of weights", name)
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// CheckReference accepts a tag or a digest.
+// CheckReference returns an error unless reference is a tag or a digest.
 func CheckReference(reference string) error {
 	if tagPattern.MatchString(reference) {
 		return nil
@@ -59,27 +59,27 @@
 	return nil
 }
 
-// Fault is what an agent found wrong with a source.
+// Fault is a kind of failure that an agent observed while it fetched from a source.
 type Fault string
 
-// Faults of sources.
+// Faults of sources. FaultBusy and FaultDisk are not reported to the tracker.
 const (
-	FaultDamaged     Fault = "damaged"     // the bytes don't have the digest
-	FaultUnreachable Fault = "unreachable" // it can't be reached, or the connection broke
-	FaultSlow        Fault = "slow"        // it stalled, or was below the minimum rate
-	FaultMissing     Fault = "missing"     // it doesn't have a chunk that it claims to have
-	FaultUseless     Fault = "useless"     // it has had no needed chunk for a while
-	FaultBusy        Fault = "busy"        // all of its slots are in use
-	FaultDisk        Fault = "disk"        // not the source's: the chunk can't be stored
+	FaultDamaged     Fault = "damaged"     // the received bytes don't match the digest
+	FaultUnreachable Fault = "unreachable" // the connection failed or broke
+	FaultSlow        Fault = "slow"        // the transfer stalled or was below the minimum rate
+	FaultMissing     Fault = "missing"     // the source doesn't have a chunk that it advertised
+	FaultUseless     Fault = "useless"     // the source has had no needed chunk for a while
+	FaultBusy        Fault = "busy"        // all upload slots of the source are in use
+	FaultDisk        Fault = "disk"        // the agent itself failed to store the chunk
 )
 
-// Inventory is an agent's report to the tracker.
+// Inventory is an agent's periodic report to the tracker.
 type Inventory struct {
 	Agent       string        `json:"agent" validate:"required,max=128"`
 	Zone        string        `json:"zone" validate:"required,max=128"`
 	Address     string        `json:"address" validate:"required,max=256,hostname_port"`
-	Session     int64         `json:"session" validate:"gt=0"`  // grows with each start of the agent
-	Sequence    int64         `json:"sequence" validate:"gt=0"` // grows with each inventory of a session
+	Session     int64         `json:"session" validate:"gt=0"`  // increases with each start of the agent
+	Sequence    int64         `json:"sequence" validate:"gt=0"` // increases with each inventory of a session
 	UploadSlots int           `json:"upload_slots" validate:"gte=0,lte=1024"`
 	WantedNames []string      `json:"wants,omitempty" validate:"max=64,dive,weights"`
 	Holdings    []Holding     `json:"holdings,omitempty" validate:"max=128,dive"`
@@ -87,80 +87,81 @@
 	Waits       []WaitReason  `json:"waits,omitempty" validate:"max=64,dive"`
 }
 
-// Holding says how much of a manifest an agent holds.
+// Holding reports how many chunks of a manifest an agent holds.
 type Holding struct {
 	Manifest digest.Digest `json:"manifest" validate:"sha256digest"`
 	Chunks   int           `json:"chunks" validate:"gte=0,ltefield=Total"`
 	Total    int           `json:"total" validate:"gte=1,lte=4194304"`
-	Active   bool          `json:"active,omitempty"` // the agent serves it
+	Active   bool          `json:"active,omitempty"` // the agent serves the manifest
 }
 
-// SourceFault is what was found wrong with a source since the last inventory.
+// SourceFault reports a fault that an agent found in a source since its last inventory.
 type SourceFault struct {
 	Source   string        `json:"source" validate:"required,max=128"`
 	Manifest digest.Digest `json:"manifest" validate:"sha256digest"`
 	Fault    Fault         `json:"fault" validate:"oneof=damaged unreachable slow missing useless"`
 }
 
-// WaitReason says why an agent doesn't serve the wanted manifest of a name yet.
+// WaitReason explains why an agent doesn't serve the wanted manifest of a name yet.
 type WaitReason struct {
 	Name          string        `json:"name" validate:"weights"`
 	Description   string        `json:"why" validate:"max=256"`
-	Chunk         digest.Digest `json:"chunk,omitempty" validate:"omitempty,sha256digest"` // a chunk that no source has
-	MissingChunks int           `json:"chunks,omitempty" validate:"gte=0"`                 // how many are missing
+	Chunk         digest.Digest `json:"chunk,omitempty" validate:"omitempty,sha256digest"` // one of the chunks that no source has
+	MissingChunks int           `json:"chunks,omitempty" validate:"gte=0"`                 // number of chunks that no source has, or of all missing chunks if each has a source
 }
 
-// InventoryResponse is the tracker's answer to an inventory.
+// InventoryResponse is the tracker's response to an inventory.
 type InventoryResponse struct {
 	Term         int64           `json:"term"`
 	Names        []NameRecord    `json:"names,omitempty"`
 	Sources      []Source        `json:"sources,omitempty"`
 	Recheck      []digest.Digest `json:"recheck,omitempty"` // manifests whose chunks the agent should verify again
-	KeepSources  bool            `json:"keep,omitempty"`    // the tracker has just started: sources that aren't listed stay in use
-	NextReportMs int64           `json:"next_ms"`           // when to report again
+	KeepSources  bool            `json:"keep,omitempty"`    // the leader is new: the agent keeps sources that aren't listed
+	NextReportMs int64           `json:"next_ms"`           // time until the next inventory is due
 }
 
-// NameRecord says which manifest a name has.
+// NameRecord maps a name of weights to a manifest.
 type NameRecord struct {
 	Name     string        `json:"name"`
 	Manifest digest.Digest `json:"manifest"`
-	Revision int64         `json:"revision"` // grows with every change
+	Revision int64         `json:"revision"` // increases with every change
 }
 
-// Source is where an agent may fetch chunks of a manifest, for as long as the lease lasts.
+// Source is a peer or the store. The agent may fetch chunks of the manifest from it until the
+// lease expires.
 type Source struct {
 	Agent    string        `json:"agent"`
 	Address  string        `json:"address,omitempty"`
 	Zone     string        `json:"zone,omitempty"`
 	Manifest digest.Digest `json:"manifest"`
 	LeaseMs  int64         `json:"lease_ms"`
-	// Stripe and Stripes are set for the store: chunks at positions with the remainder Stripe
-	// modulo Stripes are fetched first.
+	// Stripe and Stripes are set for the store only: the agent first fetches the chunks whose
+	// position modulo Stripes equals Stripe.
 	Stripe          int `json:"stripe,omitempty"`
 	Stripes         int `json:"stripes,omitempty"`
-	OtherStoreUsers int `json:"others,omitempty"` // other agents that may use the store
+	OtherStoreUsers int `json:"others,omitempty"` // other agents with a lease on the store for the manifest
 }
 
-// StoreSource is the name of the store among sources.
+// StoreSource is the Agent field of a Source that is the store.
 const StoreSource = "store"
 
-// SetManifestRequest asks that a name refer to a manifest.
+// SetManifestRequest is the body of a request that sets the manifest of a name.
 type SetManifestRequest struct {
 	Manifest digest.Digest `json:"manifest" validate:"sha256digest"`
 }
 
-// ErrorResponse is the body of every answer with an error status.
+// ErrorResponse is the body of every response with an error status.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-// validate returns the validator of messages, with the tags that are particular to them.
+// validate returns the validator of messages, with the custom tags weights and sha256digest.
 var validate = sync.OnceValue(func() *validator.Validate {
 	v := config.NewValidator("json")
 	register := func(tag string, check func(string) error) {
 		err := v.RegisterValidation(tag, func(f validator.FieldLevel) bool { return check(f.Field().String()) == nil })
 		if err != nil {
-			panic(err) // the tags are constants below
+			panic(err) // unreachable: both tags below are valid
 		}
 	}
 	register("weights", CheckName)
@@ -168,7 +169,7 @@
 	return v
 })
 
-// Decode reads a JSON message and checks it. Its error names the field at fault.
+// Decode decodes a JSON message and validates its struct tags. The error names the invalid field.
 func Decode(body []byte, message any) error {
 	if len(body) > MaxMessageBytes {
 		return fieldError("body", "more than %d bytes", MaxMessageBytes)
@@ -182,7 +183,7 @@
 	}
 	var problems validator.ValidationErrors
 	if err := validate().Struct(message); errors.As(err, &problems) {
-		first := problems[0] // one is enough for the sender to go on
+		first := problems[0] // one invalid field is enough to refuse the message
 		_, field, _ := strings.Cut(first.Namespace(), ".")
 		return fieldError(field, "out of range (%s)", strings.TrimSpace(first.Tag()+" "+first.Param()))
 	} else if err != nil {
@@ -191,7 +192,8 @@
 	return nil
 }
 
-// Check checks what the struct tags of an inventory can't express.
+// Check validates what struct tags can't express: each manifest is listed once, and the agent
+// doesn't have the store's name.
 func (i *Inventory) Check() error {
 	seen := map[digest.Digest]bool{}
 	for n, holding := range i.Holdings {
