--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -185,7 +185,7 @@
 		"v1": true, digest.FromString("x").String(): true, "": false, "a/b": false, "sha256:1": false, "-x": false,
 	} {
 		if got := CheckReference(reference) == nil; got != valid {
-			t.Errorf("reference %q: accepted %v, want %v", reference, got, valid)
+			t.Errorf("reference %q: accepted is %v", reference, got)
 		}
 	}
 }
