--- a/internal/distribution/tracker/inventory.go
+++ b/internal/distribution/tracker/inventory.go
@@ -11,7 +11,7 @@
 	"oakpick/internal/distribution"
 )
 
-// handleInventory records an agent's report and answers it.
+// handleInventory records an agent's inventory and replies to it.
 func (t *Tracker) handleInventory(call InventoryCall) {
 	report := call.Inventory
 	if !t.zones[report.Zone] {
@@ -32,7 +32,7 @@
 	t.reply(call.ID, t.inventoryResponse(agent, report))
 }
 
-// isStale reports whether a later inventory of the agent is known.
+// isStale reports whether this or a later inventory of the agent has been recorded.
 func (t *Tracker) isStale(report *distribution.Inventory) bool {
 	agent := t.agents[report.Agent]
 	if agent == nil {
@@ -41,8 +41,9 @@
 	return report.Session < agent.session || report.Session == agent.session && report.Sequence <= agent.sequence
 }
 
-// updateAgent records who reports. An agent that has restarted or moved starts afresh: its
-// leases and the accusations against it were another process's.
+// updateAgent updates the record of the reporting agent. An agent that has restarted or changed its
+// zone gets a new record: the leases and the damage reports of the old one concern the previous
+// process.
 func (t *Tracker) updateAgent(report *distribution.Inventory) *agentState {
 	agent := t.agents[report.Agent]
 	if agent != nil && (agent.zone != report.Zone || agent.session != report.Session) {
@@ -63,7 +64,7 @@
 	return agent
 }
 
-// removeAgent removes an agent with its leases and holdings.
+// removeAgent removes an agent with its leases and memberships.
 func (t *Tracker) removeAgent(agent *agentState) {
 	for _, manifest := range slices.Sorted(maps.Keys(agent.members)) {
 		t.leave(agent.members[manifest])
@@ -78,7 +79,7 @@
 	delete(t.agents, agent.name)
 }
 
-// updateHoldings records how much of each manifest an agent holds.
+// updateHoldings records how many chunks of each manifest an agent holds.
 func (t *Tracker) updateHoldings(agent *agentState, holdings []distribution.Holding) {
 	for _, holding := range holdings {
 		member := t.join(agent, holding.Manifest)
@@ -90,8 +91,9 @@
 	}
 }
 
-// recordFault ends the lease of an agent on a source that it found faulty, and keeps the
-// source from it for a while. The store stays: there is no other.
+// recordFault ends an agent's lease on a source that the agent found faulty, and excludes the
+// source from being assigned to the agent for a while. The store is never excluded, because there
+// is no other.
 func (t *Tracker) recordFault(agent *agentState, fault distribution.SourceFault) {
 	for _, lease := range agent.downloadLeases {
 		if lease.manifest == fault.Manifest && lease.sourceName() == fault.Source {
@@ -109,7 +111,7 @@
 	}
 }
 
-// recordDamageReport records that an agent got damaged chunks from a source.
+// recordDamageReport records that an agent received damaged chunks from a source.
 func (t *Tracker) recordDamageReport(reporter *agentState, fault distribution.SourceFault) {
 	source := t.agents[fault.Source]
 	if source == nil {
@@ -126,7 +128,7 @@
 	t.emit(Log{"source has damaged chunks", []any{"source", source.name, "downloader", reporter.name, "manifest", fault.Manifest.String()}})
 }
 
-// damageReporterCount returns how many agents have lately got damaged chunks from a member.
+// damageReporterCount returns how many agents have recently reported damaged chunks of a member.
 func (t *Tracker) damageReporterCount(member *swarmMember) int {
 	maps.DeleteFunc(member.damageReportedAt, func(_ string, at time.Duration) bool {
 		return t.now-at > damageReportIntervals*t.parameters.ReportInterval
--- a/internal/distribution/tracker/inventory_response.go
+++ b/internal/distribution/tracker/inventory_response.go
@@ -10,7 +10,8 @@
 	"oakpick/internal/distribution"
 )
 
-// inventoryResponse tells an agent which manifests its names have and where to fetch them.
+// inventoryResponse updates an agent's memberships and leases, and returns the response that lists
+// the records of its names and its sources.
 func (t *Tracker) inventoryResponse(agent *agentState, report *distribution.Inventory) distribution.InventoryResponse {
 	response := distribution.InventoryResponse{
 		Term:        t.stateTerm,
@@ -32,7 +33,7 @@
 	return response
 }
 
-// nameRecords returns the records of those names that have a manifest.
+// nameRecords returns the records of those of the names that have a manifest.
 func (t *Tracker) nameRecords(names []string) (records []distribution.NameRecord) {
 	for _, name := range names {
 		if record, found := t.names.lookup(name); found {
@@ -42,8 +43,8 @@
 	return records
 }
 
-// missingManifests returns the manifests of names that an agent doesn't hold completely, each
-// once, in the agent's order.
+// missingManifests returns the manifests of some records that an agent doesn't hold completely,
+// without duplicates and in the order of the records.
 func missingManifests(agent *agentState, records []distribution.NameRecord) (missing []digest.Digest) {
 	for _, record := range records {
 		member := agent.members[record.Manifest]
@@ -54,8 +55,8 @@
 	return missing
 }
 
-// leaveUnreportedSwarms ends an agent's part in swarms of manifests that it neither reports nor
-// needs.
+// leaveUnreportedSwarms ends an agent's memberships in the swarms of manifests that the agent
+// neither reports nor needs.
 func (t *Tracker) leaveUnreportedSwarms(agent *agentState, report *distribution.Inventory, missing []digest.Digest) {
 	reported := map[digest.Digest]bool{}
 	for _, holding := range report.Holdings {
@@ -68,7 +69,7 @@
 	}
 }
 
-// endUnneededLeases ends an agent's leases for manifests that it doesn't miss.
+// endUnneededLeases ends an agent's leases for manifests that aren't missing.
 func (t *Tracker) endUnneededLeases(agent *agentState, missing []digest.Digest) {
 	for _, lease := range slices.Clone(agent.downloadLeases) {
 		if !slices.Contains(missing, lease.manifest) {
@@ -77,8 +78,8 @@
 	}
 }
 
-// manifestsToRecheck returns the manifests of which an agent is accused of sending damaged
-// chunks. It should verify them.
+// manifestsToRecheck returns the manifests of which other agents received damaged chunks from an
+// agent. The agent should verify its chunks.
 func (t *Tracker) manifestsToRecheck(agent *agentState) (manifests []digest.Digest) {
 	for _, manifest := range slices.Sorted(maps.Keys(agent.members)) {
 		if t.damageReporterCount(agent.members[manifest]) > 0 {
@@ -88,7 +89,7 @@
 	return manifests
 }
 
-// sourceMessage returns a lease as the agent is told of it.
+// sourceMessage returns the Source that describes a lease to its downloader.
 func (t *Tracker) sourceMessage(lease *sourceLease) distribution.Source {
 	source := distribution.Source{
 		Agent: lease.sourceName(), Manifest: lease.manifest, LeaseMs: (lease.validUntil - t.now).Milliseconds(),
@@ -102,8 +103,9 @@
 	return source
 }
 
-// nextReportInterval returns when an agent should report again: soon while it has nowhere to
-// fetch from. The intervals vary, so that agents don't report all at once.
+// nextReportInterval returns the time after which an agent should report again. It is shortest for
+// an agent that lacks chunks and has no source. A random part keeps agents from reporting all at
+// once.
 func (t *Tracker) nextReportInterval(agent *agentState, fetching, hasUnknownNames bool) time.Duration {
 	interval := t.parameters.IdleReportInterval
 	switch {
--- a/internal/distribution/tracker/leases.go
+++ b/internal/distribution/tracker/leases.go
@@ -9,12 +9,12 @@
 	"oakpick/internal/distribution"
 )
 
-// sourceLease lets an agent fetch a manifest's chunks from a source.
+// sourceLease allows an agent to fetch a manifest's chunks from a source until it expires.
 type sourceLease struct {
 	downloader *agentState
-	source     *agentState // nil: the store
+	source     *agentState // nil if the source is the store
 	manifest   digest.Digest
-	stripe     int // of the store
+	stripe     int // if the source is the store
 	validUntil time.Duration
 }
 
@@ -26,15 +26,15 @@
 	return l.source.name
 }
 
-// isStoreLeaseFor reports whether the lease is on the store, for a manifest.
+// isStoreLeaseFor reports whether the lease is on the store and for a manifest.
 func (l *sourceLease) isStoreLeaseFor(manifest digest.Digest) bool {
 	return l.source == nil && l.manifest == manifest
 }
 
-// leaseDuration is how long a lease lasts unless it is renewed.
+// leaseDuration returns the time after which a lease expires unless it is renewed.
 func (t *Tracker) leaseDuration() time.Duration { return leaseIntervals * t.parameters.ReportInterval }
 
-// grantLease gives an agent a lease on an upload slot of another.
+// grantLease grants an agent a lease on an upload slot of a peer.
 func (t *Tracker) grantLease(agent *agentState, source *swarmMember) {
 	lease := &sourceLease{
 		downloader: agent, source: source.agent, manifest: source.swarm.manifest, validUntil: t.now + t.leaseDuration(),
@@ -44,7 +44,7 @@
 	t.counts.LeasesGranted++
 }
 
-// endLease removes a lease from both of its sides.
+// endLease removes a lease from its downloader and its source.
 func (t *Tracker) endLease(lease *sourceLease) {
 	lease.downloader.downloadLeases = removeLease(lease.downloader.downloadLeases, lease)
 	if lease.source != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// endLeasesFor ends those leases of a list that are for a manifest.
+// endLeasesFor ends the leases in a list that are for a manifest.
 func (t *Tracker) endLeasesFor(leases []*sourceLease, manifest digest.Digest) {
 	for _, lease := range slices.Clone(leases) {
 		if lease.manifest == manifest {
@@ -73,15 +73,15 @@
 	return leases
 }
 
-// hasLease reports whether an agent has a lease on a source already.
+// hasLease reports whether an agent already has a lease on a source for the manifest.
 func hasLease(agent *agentState, source *swarmMember) bool {
 	return slices.ContainsFunc(agent.downloadLeases, func(lease *sourceLease) bool {
 		return lease.source == source.agent && lease.manifest == source.swarm.manifest
 	})
 }
 
-// hasFreeSlot reports whether a source has an upload slot without a lease. Leases that have
-// expired are ended first.
+// hasFreeSlot ends expired leases on a source and reports whether the source has an upload slot
+// without a lease.
 func (t *Tracker) hasFreeSlot(source *agentState) bool {
 	for _, lease := range slices.Clone(source.uploadLeases) {
 		if t.now >= lease.validUntil {
--- a/internal/distribution/tracker/messages.go
+++ b/internal/distribution/tracker/messages.go
@@ -1,7 +1,7 @@
-// Package tracker decides which agents fetch weights from which sources, and keeps which
-// manifest each name has. It is a deterministic state machine: the time, the controller's term
-// and commands go into Step, effects come out. It reads no clock, does no input or output and
-// starts no goroutine.
+// Package tracker assigns to agents the sources from which they fetch weights, and stores the
+// manifest of each name in the state service. It is a deterministic state machine: Step takes the
+// time, the controller's term and commands, and returns effects. The package reads no clock,
+// performs no I/O and starts no goroutines.
 package tracker
 
 import (
@@ -14,39 +14,40 @@
 	"oakpick/internal/storage"
 )
 
-// Term is what the tracker needs to know of the controller's term.
+// Term is the controller's view of the leadership.
 type Term = election.View
 
 // Command is an input of Step.
 type Command interface{ command() }
 
-// The commands of Step. Those with an ID are answered by a Reply or a Forward with that ID.
+// The commands of Step. Each call with an ID gets one Reply or Forward with the same ID.
 type (
-	// InventoryCall is a report of an agent.
+	// InventoryCall delivers an agent's inventory.
 	InventoryCall struct {
 		ID        uint64
 		Inventory *distribution.Inventory
 	}
-	// SetManifestCall asks that a name refer to a manifest.
+	// SetManifestCall sets the manifest of a name.
 	SetManifestCall struct {
 		ID       uint64
 		Name     string
 		Manifest digest.Digest
 	}
-	// NamesCall asks for the names after one.
+	// NamesCall requests the page of names that begins after a name.
 	NamesCall struct {
 		ID    uint64
 		After string
 	}
-	// StatusCall asks which agents hold what of a name, for those after one.
+	// StatusCall requests the page of agents that hold or want a name's manifest, beginning after
+	// an agent.
 	StatusCall struct {
 		ID    uint64
 		Name  string
 		After string
 	}
-	// StateResult answers a StateCall.
+	// StateResult is the result of a StateCall.
 	StateResult struct{ storage.StateResult }
-	// Tick only lets time pass.
+	// Tick only advances the time.
 	Tick struct{}
 )
 
@@ -62,19 +63,19 @@
 
 // The effects of Step.
 type (
-	// Reply answers a command. Body is encoded as JSON.
+	// Reply answers a call. Body is encoded as JSON. RetryAfter is set if the caller should retry.
 	Reply struct {
 		ID         uint64
 		Status     int
 		Body       any
 		RetryAfter time.Duration
 	}
-	// Forward hands a command on to the leader.
+	// Forward passes a call on to the leader.
 	Forward struct {
 		ID   uint64
 		Peer string
 	}
-	// StateCall makes a call to the state service.
+	// StateCall requests a call to the state service.
 	StateCall struct{ storage.StateCall }
 	// Log writes a log line.
 	Log struct {
@@ -92,25 +93,24 @@
 type Parameters struct {
 	ReportInterval     time.Duration // between inventories of an agent that fetches
 	IdleReportInterval time.Duration // between inventories of an agent that doesn't fetch
-	RetryInterval      time.Duration // before a lost or refused call to the state service is repeated
-	StoreSlots         int           // agents that may use the store at a time, for each manifest
+	RetryInterval      time.Duration // before a failed or lost call to the state service is repeated
+	StoreSlots         int           // agents that may fetch a manifest from the store at the same time
 	Zones              []string
-	ProcessID          string // makes the IDs of this process's writes unique
+	ProcessID          string // part of the write IDs, which it makes unique to this process
 	Seed               uint64
 }
 
-// Durations as multiples of the report interval (...Reports), and counts that concern a single
-// agent.
+// Limits, and durations as multiples of the report interval (the names that end in Intervals).
 const (
-	maxSameZoneSources    = 6  // of one manifest, for one agent
-	maxOtherZoneSources   = 2  // of one manifest, for one agent
-	minSources            = 4  // below which an agent gets leases of others that have more
-	candidatesPerSource   = 4  // that are examined
-	maxSourcesPerResponse = 96 // in one answer, over all manifests
-	leaseIntervals        = 3  // that may be missed before a lease expires
-	stalledIntervals      = 8  // without a new chunk, after which an agent loses its leases
-	avoidSourceIntervals  = 10 // for which a faulty source isn't given to the agent again
-	damageReportIntervals = 40 // for which an accusation of damage counts
-	minDamageReporters    = 2  // different agents, after which a source is given to nobody
-	warmUpIntervals       = 2  // for which a new leader has agents keep sources that it doesn't list
+	maxSameZoneSources    = 6  // of one agent for one manifest
+	maxOtherZoneSources   = 2  // of one agent for one manifest
+	minSources            = 4  // of one agent for one manifest; below it, leases of agents with more are reassigned
+	candidatesPerSource   = 4  // holders examined for each source that is to be assigned
+	maxSourcesPerResponse = 96 // over all manifests
+	leaseIntervals        = 3  // until a lease expires that isn't renewed
+	stalledIntervals      = 8  // without a new chunk, after which an agent's leases are ended
+	avoidSourceIntervals  = 10 // for which a faulty source isn't assigned again to the same agent
+	damageReportIntervals = 40 // for which a report of damaged chunks counts against the source
+	minDamageReporters    = 2  // different agents; a source that so many report is assigned to no agent
+	warmUpIntervals       = 2  // idle ones, for which agents keep sources that a new leader doesn't list
 )
--- a/internal/distribution/tracker/name_changes.go
+++ b/internal/distribution/tracker/name_changes.go
@@ -11,19 +11,20 @@
 	"oakpick/internal/storage"
 )
 
-// maxQueuedChanges bounds the changes of names that wait for those before them. Operators make
-// them, so there are few.
+// maxQueuedChanges bounds the queue of changes of names, including the one that is being written.
+// Operators make the changes, so there are few.
 const maxQueuedChanges = 64
 
 // pendingWrite is the write of the first change in the queue.
 type pendingWrite struct {
 	id           string
-	sequence     int   // of writes in this term
-	token        int64 // fencing token on which the write depends
-	baseRevision int64 // revision of the record that it replaces
+	sequence     int   // number of the write in this term
+	token        int64 // fencing token that the write requires
+	baseRevision int64 // revision of the record that the write replaces
 }
 
-// enqueueChange has a name's manifest written, unless the name has it already.
+// enqueueChange queues a change to be written. If the name already has the manifest and no change
+// is queued, it replies at once.
 func (n *nameStore) enqueueChange(change SetManifestCall) {
 	if len(n.queue) == 0 && n.records[change.Name].Manifest == change.Manifest {
 		n.tracker.reply(change.ID, n.records[change.Name])
@@ -39,8 +40,8 @@
 	}
 }
 
-// writeFirst sends the first change of the queue as a new write. It is carried out only if
-// this controller still leads and nobody else has changed the record.
+// writeFirst sends the first change of the queue as a new write. The state service applies it only
+// if this controller still leads and no other write has changed the record.
 func (n *nameStore) writeFirst() {
 	change := n.queue[0]
 	key := NamesPrefix + change.Name
@@ -56,15 +57,15 @@
 	}})
 }
 
-// handleWrite processes the outcome of a write.
+// handleWrite processes the result of a write.
 func (n *nameStore) handleWrite(result StateResult) {
 	change := n.queue[0]
 	switch result.Outcome {
 	case rpc.OK:
 		n.completeFirst(distribution.NameRecord{Name: change.Name, Manifest: change.Manifest, Revision: result.Revision})
 	case rpc.Conflict:
-		// An earlier copy of this write may have been carried out, the fencing token may have
-		// advanced, or another controller leads. The record tells.
+		// An earlier attempt of this write may have been applied, the fencing token may have
+		// advanced, or another controller may lead. The record is read back to find out.
 		n.send(storage.StateCall{Op: storage.StateGet, Key: NamesPrefix + change.Name})
 	case rpc.Invalid:
 		n.tracker.refuse(change.ID, http.StatusInternalServerError, "the state service calls the write malformed")
@@ -74,7 +75,7 @@
 	}
 }
 
-// handleReadBack processes the record that was read after a write met a conflict.
+// handleReadBack processes the record that was read back after a conflict.
 func (n *nameStore) handleReadBack(result StateResult) {
 	change := n.queue[0]
 	switch result.Outcome {
@@ -90,15 +91,15 @@
 		return
 	}
 	if n.write.token == n.tracker.term.FencingToken && n.records[change.Name].Revision == n.write.baseRevision {
-		// Neither condition has changed here, so this controller's term has ended, which it
-		// will learn of.
+		// The token and the revision are those that the write required, so the conflict means that
+		// another controller leads. The call is repeated until this controller's term ends.
 		n.scheduleRetry()
 		return
 	}
 	n.writeFirst()
 }
 
-// completeFirst answers the first change of the queue and starts the next.
+// completeFirst records and answers the first change of the queue, and advances the queue.
 func (n *nameStore) completeFirst(record distribution.NameRecord) {
 	n.updateRecord(record)
 	n.replyIfLeaseHeld(n.queue[0].ID, record)
@@ -106,7 +107,8 @@
 	n.advanceQueue()
 }
 
-// advanceQueue drops the first change and starts the next one that isn't in effect already.
+// advanceQueue removes the first change, answers those that are in effect already, and writes the
+// next that isn't.
 func (n *nameStore) advanceQueue() {
 	n.queue = n.queue[1:]
 	for len(n.queue) > 0 {
@@ -120,8 +122,8 @@
 	}
 }
 
-// replyIfLeaseHeld answers with a durable record. Without the lease, another controller may
-// have replaced it already.
+// replyIfLeaseHeld answers a call with a durable record. Without the lease it refuses the call,
+// because another controller may have replaced the record already.
 func (n *nameStore) replyIfLeaseHeld(id uint64, record distribution.NameRecord) {
 	if n.tracker.holdsLease() {
 		n.tracker.reply(id, record)
@@ -130,7 +132,7 @@
 	n.tracker.refuse(id, http.StatusServiceUnavailable, "the term is in doubt")
 }
 
-// refuseQueued refuses all changes that wait when the term ends. The first may have been
+// refuseQueued refuses all queued changes when the term ends. The first of them may have been
 // written.
 func (n *nameStore) refuseQueued() {
 	for _, change := range n.queue {
--- a/internal/distribution/tracker/names.go
+++ b/internal/distribution/tracker/names.go
@@ -14,33 +14,33 @@
 	"oakpick/internal/storage"
 )
 
-// NamesPrefix is the prefix of the keys that hold which manifest a name has. It lies outside
-// what the scheduler reads when it takes over.
+// NamesPrefix is the prefix of the keys that hold the manifests of names. It lies outside of the
+// keys that the scheduler reads when it takes over.
 const NamesPrefix = "oakpick/weights/"
 
 // storedName is the value of a name's key.
 type storedName struct {
 	Manifest string `msgpack:"manifest"`
-	WriteID  string `msgpack:"write"` // tells, after an answer was lost, whether that write was carried out
+	WriteID  string `msgpack:"write"` // shows, after a response was lost, whether that write was applied
 }
 
-// nameStore holds which manifest each name has, as far as that is durable, and writes changes
-// one at a time. It belongs to one term of the controller.
+// nameStore holds the durable record of each name, and writes changes one at a time. It belongs to
+// one term of the controller.
 type nameStore struct {
 	tracker    *Tracker
 	records    map[string]distribution.NameRecord
 	loaded     bool
-	listCursor string // the last key that was read while loading
+	listCursor string // last key that was read while loading
 
 	call  pendingCall
-	queue []SetManifestCall // changes; the first one is being written
+	queue []SetManifestCall // changes; the first is being written
 	write pendingWrite
 }
 
-// pendingCall is the call to the state service that is under way or to be repeated: at most
-// one at a time.
+// pendingCall is the call to the state service that is in flight or waits to be repeated. There is
+// at most one.
 type pendingCall struct {
-	id             uint64 // 0: none is under way
+	id             uint64 // 0 if no call is in flight
 	last           storage.StateCall
 	retryScheduled bool
 	retryAt        time.Duration
@@ -50,7 +50,7 @@
 	return &nameStore{tracker: t, records: map[string]distribution.NameRecord{}}
 }
 
-// load starts to read all names.
+// load starts to read the records of all names.
 func (n *nameStore) load() { n.send(storage.StateCall{Op: storage.StateList, Key: NamesPrefix}) }
 
 // send makes a call to the state service.
@@ -61,23 +61,23 @@
 	n.tracker.emit(StateCall{call})
 }
 
-// scheduleRetry has the last call repeated unchanged, so that a write has the same ID again.
+// scheduleRetry schedules the last call to be repeated unchanged, so that a write keeps its ID.
 func (n *nameStore) scheduleRetry() {
 	n.call.id, n.call.retryScheduled = 0, true
 	n.call.retryAt = n.tracker.now + n.tracker.parameters.RetryInterval
 }
 
-// retryIfDue repeats the last call at the time that scheduleRetry set.
+// retryIfDue repeats the last call if its retry is due.
 func (n *nameStore) retryIfDue() {
 	if n.call.retryScheduled && n.tracker.now >= n.call.retryAt {
 		n.send(n.call.last)
 	}
 }
 
-// handleStateResult processes the answer to the call under way.
+// handleStateResult processes the result of the call in flight.
 func (n *nameStore) handleStateResult(result StateResult) {
 	if result.ID != n.call.id {
-		return // of an earlier term, or of a call that has been repeated since
+		return // the result of an earlier term, or of a call that has been repeated since
 	}
 	n.call.id = 0
 	switch n.call.last.Op {
@@ -90,7 +90,7 @@
 	}
 }
 
-// handleList records one part of the list of all names, and asks for the next.
+// handleList records a page of the list of all names, and requests the next page.
 func (n *nameStore) handleList(result StateResult) {
 	if result.Outcome != rpc.OK {
 		n.scheduleRetry()
@@ -107,14 +107,15 @@
 	n.loaded = true
 }
 
-// recordEntry records what a key holds, and returns the ID of the write that put it there.
+// recordEntry records the value of a key. It returns the ID of the write that stored the value, or
+// an empty one if the value can't be read.
 func (n *nameStore) recordEntry(entry protocol.Entry) (writeID string) {
 	var stored storedName
 	name := strings.TrimPrefix(entry.Key, NamesPrefix)
 	if protocol.Decode(entry.Value, &stored) != nil ||
 		distribution.CheckDigest(digest.Digest(stored.Manifest)) != nil || distribution.CheckName(name) != nil {
 		n.tracker.emit(Log{"a record of weights can't be read", []any{"key", entry.Key}})
-		// Its revision is kept, so that the record can be replaced.
+		// The revision is kept, so that a write can replace the record.
 		n.records[name] = distribution.NameRecord{Name: name, Revision: entry.Version}
 		return ""
 	}
@@ -122,7 +123,7 @@
 	return stored.WriteID
 }
 
-// updateRecord records what is durable, unless a later revision is known.
+// updateRecord stores a durable record in memory, unless it is known with this or a later revision.
 func (n *nameStore) updateRecord(record distribution.NameRecord) {
 	known, exists := n.records[record.Name]
 	if exists && known.Manifest != "" && known.Revision >= record.Revision {
@@ -131,13 +132,13 @@
 	n.records[record.Name] = record
 }
 
-// lookup returns the record of a name, and whether it has a manifest.
+// lookup returns the record of a name and whether the name has a manifest.
 func (n *nameStore) lookup(name string) (record distribution.NameRecord, found bool) {
 	record = n.records[name]
 	return record, record.Manifest != ""
 }
 
-// sortedRecords returns the records of all names that have a manifest, in the order of names.
+// sortedRecords returns the records of all names that have a manifest, sorted by name.
 func (n *nameStore) sortedRecords() []distribution.NameRecord {
 	records := make([]distribution.NameRecord, 0, len(n.records))
 	for _, name := range slices.Sorted(maps.Keys(n.records)) {
--- a/internal/distribution/tracker/sources.go
+++ b/internal/distribution/tracker/sources.go
@@ -6,13 +6,13 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// assignSources renews an agent's leases for a manifest, and grants more where it has too few.
+// assignSources renews an agent's leases for a manifest, and grants further ones up to the limits.
 func (t *Tracker) assignSources(agent *agentState, manifest digest.Digest) {
 	member := t.join(agent, manifest)
 	swarm := member.swarm
 	stalled := t.now-member.lastProgressAt > stalledIntervals*t.parameters.ReportInterval
 	if stalled {
-		member.lastProgressAt = t.now // give the new sources time
+		member.lastProgressAt = t.now // the agent isn't stalled again before it could use the new sources
 	}
 	sameZone, otherZones := t.renewLeases(agent, swarm, stalled)
 	sameZone += t.grantLeases(agent, swarm, []string{agent.zone}, maxSameZoneSources-sameZone)
@@ -23,8 +23,8 @@
 	t.grantStoreLease(agent, swarm, stalled)
 }
 
-// renewLeases extends the leases whose source is still eligible and ends the others: all of
-// them if the agent has stalled. It returns how many leases on peers are left.
+// renewLeases extends an agent's leases on sources that are still eligible and ends the others. If
+// the agent has stalled, it ends all. It returns how many leases on peers remain.
 func (t *Tracker) renewLeases(agent *agentState, swarm *swarmState, stalled bool) (sameZone, otherZones int) {
 	for _, lease := range slices.Clone(agent.downloadLeases) {
 		if lease.manifest != swarm.manifest {
@@ -46,7 +46,8 @@
 	return sameZone, otherZones
 }
 
-// isEligible reports whether an agent may use a source at all.
+// isEligible reports whether a source may be assigned to an agent: it holds chunks, reports
+// regularly, and isn't excluded because of a fault.
 func (t *Tracker) isEligible(agent *agentState, source *swarmMember) bool {
 	if source == nil || source.agent == agent || source.chunks == 0 {
 		return false
@@ -64,7 +65,7 @@
 	return reporters < minDamageReporters && !reportedByAgent
 }
 
-// otherZones returns all zones but one, starting from a random one.
+// otherZones returns all zones but one, in order from a random zone on.
 func (t *Tracker) otherZones(zone string) []string {
 	all := t.parameters.Zones
 	zones := make([]string, 0, len(all))
@@ -77,8 +78,9 @@
 	return zones
 }
 
-// grantLeases gives an agent up to a number of leases on sources of some zones, and returns how
-// many. How many candidates it examines depends on that number, not on the size of the swarm.
+// grantLeases grants an agent up to the wanted number of leases on sources of some zones, and
+// returns the number granted. The number of candidates that it examines depends on the wanted
+// number, not on the size of the swarm.
 func (t *Tracker) grantLeases(agent *agentState, swarm *swarmState, zones []string, wanted int) (granted int) {
 	for _, zone := range zones {
 		for range candidatesPerSource * max(0, wanted-granted) {
@@ -98,7 +100,7 @@
 	return granted
 }
 
-// randomHolder returns any member of a zone that holds chunks, or nil if there is none.
+// randomHolder returns a random member of a zone that holds chunks, or nil if there is none.
 func (t *Tracker) randomHolder(swarm *swarmState, zone string) *swarmMember {
 	holders := swarm.holders[zone]
 	if len(holders) == 0 {
@@ -108,8 +110,9 @@
 	return holders[t.rng.IntN(len(holders))]
 }
 
-// reassignLease gives an agent with few sources a slot on which an agent with at least two more
-// has a lease. Until that one hears of it, both may ask the source, whose slots decide.
+// reassignLease moves a lease to an agent from another agent that has at least two leases more.
+// Until the other agent's next inventory is answered, both may send requests to the source, whose
+// own limit of uploads applies.
 func (t *Tracker) reassignLease(agent *agentState, swarm *swarmState) {
 	for _, zone := range append([]string{agent.zone}, t.otherZones(agent.zone)...) {
 		for range candidatesPerSource {
@@ -132,8 +135,8 @@
 	}
 }
 
-// leaseToReassign returns a lease on a source whose downloader has at least two leases more
-// than an agent, or nil.
+// leaseToReassign returns a lease on a source, held by a downloader with at least two leases more
+// than the agent, or nil if there is none.
 func leaseToReassign(source, agent *agentState) *sourceLease {
 	for _, lease := range source.uploadLeases {
 		if len(lease.downloader.downloadLeases) > len(agent.downloadLeases)+1 {
@@ -143,15 +146,16 @@
 	return nil
 }
 
-// grantStoreLease gives an agent a slot of the store, if it has none and one is free. An agent
-// that has stalled has just lost its slot, and leaves it to others.
+// grantStoreLease grants an agent a lease on the store if it has none and a stripe is free. A
+// stalled agent, whose lease has just been ended, gets none if there are more members than stripes:
+// the stripe is left to another member.
 func (t *Tracker) grantStoreLease(agent *agentState, swarm *swarmState, stalled bool) {
 	hasStoreLease := slices.ContainsFunc(agent.downloadLeases, func(lease *sourceLease) bool { return lease.isStoreLeaseFor(swarm.manifest) })
 	if hasStoreLease || stalled && len(swarm.members) > len(swarm.storeLeases) {
 		return
 	}
 	stripe, usedInZone := t.freeStripe(swarm, agent.zone)
-	// No zone takes all slots, so that each zone fetches the chunks that it lacks by itself.
+	// No zone gets all stripes, so that each zone can fetch the chunks that it lacks by itself.
 	if stripe < 0 || usedInZone >= swarm.storeSlotsPerZone() {
 		return
 	}
@@ -161,8 +165,8 @@
 	t.counts.LeasesGranted++
 }
 
-// freeStripe returns the last stripe of the store without a lease, or -1, and how many stripes
-// agents of a zone have. Leases that have expired are ended first.
+// freeStripe ends expired leases on the store. It returns the last stripe without a lease, or -1 if
+// there is none, and the number of stripes that agents of a zone have.
 func (t *Tracker) freeStripe(swarm *swarmState, zone string) (stripe, usedInZone int) {
 	stripe = -1
 	for i, lease := range swarm.storeLeases {
@@ -180,8 +184,8 @@
 	return stripe, usedInZone
 }
 
-// storeSlotsPerZone returns how many of the store's slots agents of one zone may have: an equal
-// part for each zone that has members, rounded up.
+// storeSlotsPerZone returns how many stripes of the store agents of one zone may have: an equal
+// share for each zone that has members, rounded up.
 func (s *swarmState) storeSlotsPerZone() int {
 	zones := max(1, len(s.membersPerZone))
 	return (len(s.storeLeases) + zones - 1) / zones
--- a/internal/distribution/tracker/state.go
+++ b/internal/distribution/tracker/state.go
@@ -9,7 +9,7 @@
 	"oakpick/internal/distribution"
 )
 
-// agentState is what the tracker knows of an agent.
+// agentState is the tracker's record of an agent.
 type agentState struct {
 	name, zone, address string
 	session, sequence   int64 // of its last inventory
@@ -17,10 +17,10 @@
 	lastReportAt        time.Duration
 	lastReportElement   *list.Element // in Tracker.byLastReport
 	members             map[digest.Digest]*swarmMember
-	uploadLeases        []*sourceLease // on its upload slots
-	downloadLeases      []*sourceLease // by which it may fetch
+	uploadLeases        []*sourceLease // of other agents, on this agent's upload slots
+	downloadLeases      []*sourceLease // of this agent, on peers and the store
 	waits               []distribution.WaitReason
-	avoidUntil          map[sourceKey]time.Duration // sources that it isn't given before
+	avoidUntil          map[sourceKey]time.Duration // when a faulty source may be assigned to this agent again
 }
 
 // sourceKey identifies an agent as a source of a manifest.
@@ -32,22 +32,22 @@
 // notHolding is the holder index of a member that holds no chunk.
 const notHolding = -1
 
-// swarmMember is an agent's part in the swarm of a manifest.
+// swarmMember is the membership of an agent in the swarm of a manifest.
 type swarmMember struct {
 	agent            *agentState
 	swarm            *swarmState
 	chunks, total    int
-	active           bool                     // it serves the manifest
-	lastProgressAt   time.Duration            // when chunks last grew
+	active           bool                     // the agent serves the manifest
+	lastProgressAt   time.Duration            // when the number of chunks last increased
 	holderIndex      int                      // in the zone's holders, or notHolding
-	damageReportedAt map[string]time.Duration // of sending damaged chunks, by the accusing agent
+	damageReportedAt map[string]time.Duration // when damaged chunks were last reported, by reporting agent
 }
 
-// complete reports whether the agent holds every chunk, as far as the tracker has been told.
+// complete reports whether the agent holds every chunk, according to its last inventory.
 func (m *swarmMember) complete() bool { return m.total > 0 && m.chunks >= m.total }
 
-// updateHolderIndex adds a member to its zone's holders or removes it, by whether it holds a
-// chunk.
+// updateHolderIndex adds the member to its zone's holders if it holds a chunk, and removes it
+// otherwise.
 func (m *swarmMember) updateHolderIndex() {
 	zone := m.agent.zone
 	holders := m.swarm.holders[zone]
@@ -63,13 +63,13 @@
 	}
 }
 
-// swarmState is the agents that hold or want chunks of one manifest.
+// swarmState records the agents that hold or want chunks of one manifest.
 type swarmState struct {
 	manifest       digest.Digest
-	members        map[string]*swarmMember   // by agent
-	holders        map[string][]*swarmMember // those with at least one chunk, by zone
+	members        map[string]*swarmMember   // by agent name
+	holders        map[string][]*swarmMember // members with at least one chunk, by zone
 	membersPerZone map[string]int
-	storeLeases    []*sourceLease // by stripe of the store; nil: free
+	storeLeases    []*sourceLease // by stripe of the store; nil if the stripe is free
 }
 
 func newSwarm(manifest digest.Digest, storeSlots int) *swarmState {
@@ -92,7 +92,7 @@
 	return active
 }
 
-// join makes an agent a member of a manifest's swarm, if it isn't yet.
+// join returns an agent's membership in the swarm of a manifest, which it creates if needed.
 func (t *Tracker) join(agent *agentState, manifest digest.Digest) *swarmMember {
 	if member := agent.members[manifest]; member != nil {
 		return member
@@ -108,7 +108,8 @@
 	return member
 }
 
-// leave ends a membership and the leases that belong to it.
+// leave ends a membership and both sides' leases that belong to it: those that the agent has for
+// the manifest and those that other agents have on it.
 func (t *Tracker) leave(member *swarmMember) {
 	agent, swarm := member.agent, member.swarm
 	member.chunks = 0
@@ -125,7 +126,7 @@
 	}
 }
 
-// expireSilentAgents removes agents that have missed several inventories.
+// expireSilentAgents removes agents without an inventory for leaseIntervals idle report intervals.
 func (t *Tracker) expireSilentAgents() {
 	maxSilence := leaseIntervals * t.parameters.IdleReportInterval
 	for element := t.byLastReport.Front(); element != nil; element = t.byLastReport.Front() {
--- a/internal/distribution/tracker/status.go
+++ b/internal/distribution/tracker/status.go
@@ -13,28 +13,29 @@
 // NamesPage is a page of the list of all names.
 type NamesPage struct {
 	Names []distribution.NameRecord `json:"names"`
-	More  bool                      `json:"more,omitempty"` // there are names after the last
+	More  bool                      `json:"more,omitempty"` // further names follow
 }
 
-// maxPageBytes bounds the entries of a page, as JSON. A page that a follower forwards has to
-// fit into a message between controllers, whatever the size of its last entry.
+// maxPageBytes is the maximum size of a page's entries as JSON. It is half of a message between
+// controllers: if a follower forwarded the call, the page has to fit into such a message, whatever
+// the size of its last entry.
 const maxPageBytes = distribution.MaxMessageBytes / 2
 
-// pageBudget counts the bytes of a page's entries.
+// pageBudget tracks the size of a page's entries as JSON.
 type pageBudget struct{ usedBytes int }
 
-// reserve adds an entry and reports whether the page has room for it. The first entry always
-// fits.
+// reserve reports whether an entry fits on the page, and counts its size if so. The first entry
+// always fits.
 func (b *pageBudget) reserve(entry any) bool {
 	text, err := json.Marshal(entry)
 	if err != nil || b.usedBytes > 0 && b.usedBytes+len(text) > maxPageBytes {
-		return false // an entry that can't be encoded fits on no page
+		return false // an entry that can't be encoded is on no page
 	}
 	b.usedBytes += len(text) + len(",")
 	return true
 }
 
-// handleNames answers with the names after one.
+// handleNames replies with the page of names after call.After.
 func (t *Tracker) handleNames(call NamesCall) {
 	page := NamesPage{Names: []distribution.NameRecord{}}
 	var budget pageBudget
@@ -51,18 +52,20 @@
 	t.reply(call.ID, page)
 }
 
-// Status is a page of the agents that hold or want a name's manifest.
+// Status is a page of the agents that hold or want a name's manifest. Its counts are of all agents,
+// not only of those on the page.
 type Status struct {
 	distribution.NameRecord
-	Agents   int           `json:"agents"`   // all that hold some of it or want it
-	Complete int           `json:"complete"` // that hold all of it
-	Active   int           `json:"active"`   // that serve it
-	Store    []string      `json:"store"`    // agents that may fetch from the store
+	Agents   int           `json:"agents"`   // that hold some of the manifest or want it
+	Complete int           `json:"complete"` // that hold all of the manifest
+	Active   int           `json:"active"`   // that serve the manifest
+	Store    []string      `json:"store"`    // agents with a lease on the store
 	Members  []AgentStatus `json:"members"`
-	More     bool          `json:"more"` // there are agents after the last
+	More     bool          `json:"more"` // further agents follow
 }
 
-// AgentStatus is what is known of an agent regarding one manifest.
+// AgentStatus describes an agent with regard to one manifest. Waits cover all names that the agent
+// wants.
 type AgentStatus struct {
 	Agent           string                    `json:"agent"`
 	Zone            string                    `json:"zone"`
@@ -76,7 +79,7 @@
 	Waits           []distribution.WaitReason `json:"waits,omitempty"`
 }
 
-// handleStatus answers with the agents after one. The counts are of all agents.
+// handleStatus replies with the page of agents after call.After.
 func (t *Tracker) handleStatus(call StatusCall) {
 	record, known := t.names.lookup(call.Name)
 	if !known {
@@ -115,7 +118,7 @@
 	t.reply(call.ID, status)
 }
 
-// agentStatus returns what is known of a member and its leases for the manifest.
+// agentStatus describes a member and its leases for the manifest.
 func (t *Tracker) agentStatus(member *swarmMember) AgentStatus {
 	agent := member.agent
 	status := AgentStatus{
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -11,38 +11,38 @@
 	"oakpick/internal/distribution"
 )
 
-// Tracker is the state machine.
+// Tracker is the state machine. It answers calls only while its controller leads.
 type Tracker struct {
 	parameters Parameters
 	rng        *rand.Rand
 	zones      map[string]bool
-	lastCallID uint64 // to the state service; never reused, also not in a later term
+	lastCallID uint64 // of calls to the state service; IDs aren't reused in a later term
 
-	// Of the step under way.
+	// State of the current step.
 	now     time.Duration
 	term    Term
 	effects []Effect
 
-	// Of the term in which this controller leads; nil and zero while it doesn't.
+	// State of the term in which this controller leads; nil or zero while it doesn't lead.
 	stateTerm    int64
 	electedAt    time.Duration
 	names        *nameStore
 	agents       map[string]*agentState
-	byLastReport *list.List // of *agentState, the one with the oldest report first
+	byLastReport *list.List // of *agentState, in the order of their last reports, the oldest first
 	swarms       map[digest.Digest]*swarmState
 	counts       Counts
 }
 
-// Counts counts what the tracker has done in the current term.
+// Counts holds the tracker's counters for the current term.
 type Counts struct {
 	Inventories        int64 // accepted
-	StaleInventories   int64 // inventories refused because a later one was known
-	CandidatesExamined int64 // candidates for sources
-	LeasesGranted      int64 // granted
-	LeasesReassigned   int64 // leases that were moved to an agent with fewer
+	StaleInventories   int64 // refused because a later inventory of the agent was known
+	CandidatesExamined int64 // holders that were considered as a source for an agent
+	LeasesGranted      int64 // on peers and on the store
+	LeasesReassigned   int64 // moved to an agent with fewer leases
 }
 
-// New returns the tracker of a controller that doesn't lead yet.
+// New returns a tracker for a controller that doesn't lead yet.
 func New(p Parameters) *Tracker {
 	t := &Tracker{parameters: p, rng: rand.New(rand.NewPCG(p.Seed, 0)), zones: map[string]bool{}}
 	for _, zone := range p.Zones {
@@ -65,13 +65,14 @@
 	return t.effects
 }
 
-// Counts returns what was done in the current term.
+// Counts returns the counters of the current term.
 func (t *Tracker) Counts() Counts { return t.counts }
 
-// AgentCount returns how many agents are known.
+// AgentCount returns the number of known agents.
 func (t *Tracker) AgentCount() int { return len(t.agents) }
 
-// resetOnNewTerm drops all state when the controller stops or starts to lead.
+// resetOnNewTerm discards the state of the previous term when the controller starts or stops
+// leading. In a new term, it starts to load the names.
 func (t *Tracker) resetOnNewTerm() {
 	if t.term.Term == t.stateTerm {
 		return
@@ -90,17 +91,18 @@
 	t.names.load()
 }
 
-// holdsLease reports whether no other controller can lead yet.
+// holdsLease reports whether this controller leads and no other can lead yet.
 func (t *Tracker) holdsLease() bool { return t.stateTerm != 0 && t.now < t.term.LeaseUntil }
 
 func (t *Tracker) emit(e Effect) { t.effects = append(t.effects, e) }
 
-// reply answers a request.
+// reply answers a call successfully.
 func (t *Tracker) reply(id uint64, body any) {
 	t.emit(Reply{ID: id, Status: http.StatusOK, Body: body})
 }
 
-// refuse answers with an error. One that may pass names a time to ask again.
+// refuse answers a call with an error. Callers that get the status 503 (Service Unavailable) are
+// asked to retry after the report interval.
 func (t *Tracker) refuse(id uint64, status int, message string) {
 	reply := Reply{ID: id, Status: status, Body: distribution.ErrorResponse{Error: message}}
 	if status == http.StatusServiceUnavailable {
@@ -135,8 +137,8 @@
 	}
 }
 
-// admit reports whether a request can be answered here and now. If not, it is refused, or
-// forwarded to the leader.
+// admit reports whether this controller can answer a call now. If it can't, admit refuses the call
+// or forwards it to the leader.
 func (t *Tracker) admit(id uint64) bool {
 	switch {
 	case t.holdsLease() && t.names.loaded:
