--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -102,12 +102,13 @@
 	Fault    Fault         `json:"fault" validate:"oneof=damaged unreachable slow missing useless"`
 }
 
-// WaitReason explains why an agent doesn't serve the wanted manifest of a name yet.
+// WaitReason explains why an agent doesn't serve the wanted manifest of a name yet. If no source
+// has some of the missing chunks, MissingChunks counts only those and Chunk is one of them.
 type WaitReason struct {
 	Name          string        `json:"name" validate:"weights"`
 	Description   string        `json:"why" validate:"max=256"`
-	Chunk         digest.Digest `json:"chunk,omitempty" validate:"omitempty,sha256digest"` // one of the chunks that no source has
-	MissingChunks int           `json:"chunks,omitempty" validate:"gte=0"`                 // number of chunks that no source has, or of all missing chunks if each has a source
+	Chunk         digest.Digest `json:"chunk,omitempty" validate:"omitempty,sha256digest"`
+	MissingChunks int           `json:"chunks,omitempty" validate:"gte=0"`
 }
 
 // InventoryResponse is the tracker's response to an inventory.
--- a/internal/distribution/tracker/helpers_test.go
+++ b/internal/distribution/tracker/helpers_test.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// testLeader is the tracker of a leader that has read the names, and its state service.
+// testLeader is the tracker of a controller that leads and has loaded the names, with the state
+// service that the tracker uses.
 type testLeader struct {
 	tracker *Tracker
 	term    Term
@@ -42,7 +43,7 @@
 	return leader
 }
 
-// send steps the tracker with a command and returns its reply, or an empty one.
+// send runs a step with one command and returns the reply, or an empty one if there is none.
 func (l *testLeader) send(now time.Duration, command Command) Reply {
 	for _, effect := range l.tracker.Step(now, l.term, []Command{command}) {
 		if reply, ok := effect.(Reply); ok {
@@ -52,8 +53,8 @@
 	return Reply{}
 }
 
-// use has a name refer to a manifest, durably.
-func (l *testLeader) use(t *testing.T, name string, manifest digest.Digest) {
+// setManifest sets the manifest of a name and requires that the change succeeds.
+func (l *testLeader) setManifest(t *testing.T, name string, manifest digest.Digest) {
 	t.Helper()
 	for _, effect := range l.tracker.Step(0, l.term, []Command{SetManifestCall{1, name, manifest}}) {
 		call, ok := effect.(StateCall)
@@ -66,7 +67,7 @@
 	}
 }
 
-// report sends an inventory, which has to be accepted, and returns the answer.
+// report sends an inventory, requires that it is accepted, and returns the response.
 func (l *testLeader) report(t *testing.T, now time.Duration, inventory *distribution.Inventory) distribution.InventoryResponse {
 	t.Helper()
 	reply := l.send(now, InventoryCall{2, inventory})
@@ -77,7 +78,7 @@
 	return response
 }
 
-// newInventory is the report of an agent that wants the name x and holds so many of the four
+// newInventory returns the inventory of an agent that wants the name x and holds some of the four
 // chunks of the first manifest.
 func newInventory(agent string, sequence int64, chunks int) *distribution.Inventory {
 	return &distribution.Inventory{
@@ -86,7 +87,7 @@
 	}
 }
 
-// hasSource reports whether an answer lists an agent as a source.
-func hasSource(answer distribution.InventoryResponse, agent string) bool {
-	return slices.ContainsFunc(answer.Sources, func(source distribution.Source) bool { return source.Agent == agent })
+// hasSource reports whether a response lists an agent as a source.
+func hasSource(response distribution.InventoryResponse, agent string) bool {
+	return slices.ContainsFunc(response.Sources, func(source distribution.Source) bool { return source.Agent == agent })
 }
--- a/internal/distribution/tracker/invariants_test.go
+++ b/internal/distribution/tracker/invariants_test.go
@@ -7,7 +7,7 @@
 	"oakpick/internal/protocol"
 )
 
-// checkReply checks what is answered: revisions never go back, and every record is durable.
+// checkReply checks that revisions never decrease and that every record in a reply is durable.
 func (m *model) checkReply(reply Reply) {
 	var records []distribution.NameRecord
 	switch body := reply.Body.(type) {
@@ -19,37 +19,38 @@
 	}
 	for _, record := range records {
 		if record.Revision < m.repliedRevisions[record.Name] {
-			m.Fatalf("%s had revision %d, and now has %d", record.Name, m.repliedRevisions[record.Name], record.Revision)
+			m.Fatalf("%s had revision %d and now has %d", record.Name, m.repliedRevisions[record.Name], record.Revision)
 		}
 		m.repliedRevisions[record.Name] = record.Revision
 		m.checkDurable(record)
 	}
 }
 
-// checkDurable checks that a record, or a later one, is stored.
+// checkDurable checks that a record, or a later one of the same name, is stored.
 func (m *model) checkDurable(record distribution.NameRecord) {
 	var value storedName
 	stored := m.state.entries[NamesPrefix+record.Name]
 	if protocol.Decode(stored.Value, &value) != nil || stored.Version < record.Revision ||
 		stored.Version == record.Revision && value.Manifest != record.Manifest.String() {
-		m.Fatalf("%s is answered as %s, revision %d, and stored as %s, revision %d",
+		m.Fatalf("%s is returned as %s, revision %d, and stored as %s, revision %d",
 			record.Name, record.Manifest, record.Revision, value.Manifest, stored.Version)
 	}
 }
 
-// checkSources checks that an answer lists each source once, with a lease that hasn't expired.
+// checkSources checks that a response lists each source once, with a lease that hasn't expired.
 func (m *model) checkSources(response distribution.InventoryResponse) {
 	listed := map[string]bool{}
 	for _, source := range response.Sources {
 		key := source.Agent + source.Manifest.String()
 		if listed[key] || source.LeaseMs <= 0 {
-			m.Fatalf("sources %+v", response.Sources)
+			m.Fatalf("a source is listed twice or its lease has expired: %+v", response.Sources)
 		}
 		listed[key] = true
 	}
 }
 
-// checkInvariants checks the parts of the tracker's state against each other.
+// checkInvariants checks that the parts of the tracker's state agree and that no write was applied
+// twice.
 func (m *model) checkInvariants() {
 	for _, agent := range m.tracker.agents {
 		m.checkUploadLeases(agent)
@@ -60,48 +61,48 @@
 	m.checkNames()
 	for write, times := range m.state.writeCounts {
 		if times > 1 {
-			m.Fatalf("write %s was carried out %d times", write, times)
+			m.Fatalf("write %s was applied %d times", write, times)
 		}
 	}
 }
 
-// checkUploadLeases checks that both sides agree on an agent's upload leases, and that there
-// are no more valid ones than slots.
+// checkUploadLeases checks that the downloaders have an agent's upload leases, too, and that at
+// most as many leases are valid as the agent has slots.
 func (m *model) checkUploadLeases(agent *agentState) {
 	valid := 0
 	for _, lease := range agent.uploadLeases {
 		downloader := lease.downloader
 		if lease.source != agent || downloader == agent ||
 			!slices.Contains(downloader.downloadLeases, lease) || m.tracker.agents[downloader.name] != downloader {
-			m.Fatalf("%s has an upload lease that its downloader doesn't have: %+v", agent.name, lease)
+			m.Fatalf("%s has an upload lease that its downloader lacks: %+v", agent.name, lease)
 		}
 		if m.tracker.now < lease.validUntil {
 			valid++
 		}
 	}
 	if valid > agent.uploadSlots {
-		m.Fatalf("%s has %d upload leases on %d slots", agent.name, valid, agent.uploadSlots)
+		m.Fatalf("%s has %d valid upload leases and %d slots", agent.name, valid, agent.uploadSlots)
 	}
 }
 
-// checkDownloadLeases checks that both sides agree on an agent's download leases, and that the
-// sources hold something of the manifest.
+// checkDownloadLeases checks that the sources have an agent's download leases, too, and that they
+// are members of the manifest's swarm.
 func (m *model) checkDownloadLeases(agent *agentState) {
 	for _, lease := range agent.downloadLeases {
 		if lease.source == nil {
 			continue
 		}
 		if !slices.Contains(lease.source.uploadLeases, lease) || m.tracker.agents[lease.source.name] != lease.source {
-			m.Fatalf("%s has a download lease that its source doesn't have: %+v", agent.name, lease)
+			m.Fatalf("%s has a download lease that its source lacks: %+v", agent.name, lease)
 		}
 		if lease.source.members[lease.manifest] == nil {
-			m.Fatalf("%s has a lease for %s on %s, which has nothing of it", agent.name, lease.manifest, lease.source.name)
+			m.Fatalf("%s has a lease for %s on %s, which is no member of the swarm", agent.name, lease.manifest, lease.source.name)
 		}
 	}
 }
 
-// checkHolderIndexes checks that an agent is found among the holders of what it holds, and only
-// there.
+// checkHolderIndexes checks that an agent is indexed as a holder of those manifests of which it
+// holds chunks, and of no others.
 func (m *model) checkHolderIndexes(agent *agentState) {
 	for d, member := range agent.members {
 		holders := m.tracker.swarms[d].holders[agent.zone]
@@ -111,7 +112,7 @@
 	}
 }
 
-// checkStoreLeases checks that agents and swarms agree on the leases on the store.
+// checkStoreLeases checks that agents and swarms have the same leases on the store.
 func (m *model) checkStoreLeases() {
 	unmatched := 0
 	for _, agent := range m.tracker.agents {
@@ -133,12 +134,12 @@
 		}
 	}
 	if unmatched != 0 {
-		m.Fatalf("agents have %d leases on the store more than swarms", unmatched)
+		m.Fatalf("agents have %d more leases on the store than swarms", unmatched)
 	}
 }
 
-// checkNames checks that while nothing is being written, the known records are those that are
-// stored, whatever earlier calls are still carried out.
+// checkNames checks that the known records are the stored ones while no write is queued, even if
+// calls of earlier terms are still being applied.
 func (m *model) checkNames() {
 	names := m.tracker.names
 	if names == nil || !names.loaded || len(names.queue) > 0 {
@@ -146,7 +147,7 @@
 	}
 	for name, record := range names.records {
 		if stored := m.state.entries[NamesPrefix+name]; stored.Version != record.Revision {
-			m.Fatalf("%s is known with revision %d and stored with %d, and nothing is being written", name, record.Revision, stored.Version)
+			m.Fatalf("no write is queued, and %s is known with revision %d and stored with %d", name, record.Revision, stored.Version)
 		}
 	}
 }
--- a/internal/distribution/tracker/model_test.go
+++ b/internal/distribution/tracker/model_test.go
@@ -13,7 +13,7 @@
 	"oakpick/internal/storage"
 )
 
-// model drives a tracker with randomly drawn commands and checks it after each.
+// model drives a tracker with randomly drawn commands and checks its state after each.
 type model struct {
 	*rapid.T
 	tracker          *Tracker
@@ -21,11 +21,11 @@
 	now              time.Duration
 	term             Term
 	lastID           uint64
-	pendingCalls     []storage.StateCall // to the state service, not answered yet
-	delayedCalls     []storage.StateCall // that are still to be carried out, though their answer was lost
+	pendingCalls     []storage.StateCall // to the state service, without a result yet
+	delayedCalls     []storage.StateCall // applied later, after the tracker got an unknown outcome
 	sequences        map[string]int64    // of each agent's last inventory
-	repliedIDs       map[uint64]bool     // requests
-	repliedRevisions map[string]int64    // the highest that was answered for a name
+	repliedIDs       map[uint64]bool     // of calls that were replied to
+	repliedRevisions map[string]int64    // highest one that a reply contained, by name
 }
 
 func newModel(t *rapid.T) *model {
@@ -35,13 +35,13 @@
 	}
 }
 
-// step hands a command to the tracker and checks the replies and the state that follow.
+// step runs the tracker with a command and checks the replies and the state that follow.
 func (m *model) step(command Command) {
 	for _, effect := range m.tracker.Step(m.now, m.term, []Command{command}) {
 		switch e := effect.(type) {
 		case Reply:
 			if m.repliedIDs[e.ID] {
-				m.Fatalf("request %d is answered twice", e.ID)
+				m.Fatalf("call %d has a second reply", e.ID)
 			}
 			m.repliedIDs[e.ID] = true
 			m.checkReply(e)
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("agent-%d", rapid.IntRange(0, 5).Draw(m.T, label))
 }
 
-// report sends a drawn inventory, sometimes an old one.
+// report sends a drawn inventory, sometimes one that is older than the last.
 func (m *model) report() {
 	agent := m.drawAgent("agent")
 	m.sequences[agent]++
@@ -83,48 +83,48 @@
 }
 
 func (m *model) drawFaults() []distribution.SourceFault {
-	if rapid.IntRange(0, 3).Draw(m.T, "accuses") != 0 {
+	if rapid.IntRange(0, 3).Draw(m.T, "reports a fault") != 0 {
 		return nil
 	}
 	faults := []distribution.Fault{distribution.FaultDamaged, distribution.FaultSlow, distribution.FaultUseless}
 	return []distribution.SourceFault{{
 		Source:   m.drawAgent("source"),
-		Manifest: rapid.SampledFrom(manifests).Draw(m.T, "of"),
+		Manifest: rapid.SampledFrom(manifests).Draw(m.T, "faulty manifest"),
 		Fault:    rapid.SampledFrom(faults).Draw(m.T, "fault"),
 	}}
 }
 
-// use asks that a drawn name refer to a drawn manifest.
-func (m *model) use() {
+// setManifest requests a drawn manifest for a drawn name.
+func (m *model) setManifest() {
 	m.lastID++
 	name := rapid.SampledFrom([]string{"x", "y"}).Draw(m.T, "name")
 	m.step(SetManifestCall{m.lastID, name, rapid.SampledFrom(manifests).Draw(m.T, "manifest")})
 }
 
-// answerStateCall answers a call to the state service: it was carried out or not, now or later,
-// and its answer may be lost.
-func (m *model) answerStateCall() {
+// deliverStateResult delivers the result of a call to the state service. The call is applied now,
+// later or never, and its outcome may be unknown to the tracker.
+func (m *model) deliverStateResult() {
 	if len(m.pendingCalls) == 0 {
 		return
 	}
 	call := m.pendingCalls[0]
 	m.pendingCalls = m.pendingCalls[1:]
-	lost := StateResult{storage.StateResult{ID: call.ID, Outcome: rpc.Unknown}}
-	switch rapid.IntRange(0, 5).Draw(m.T, "fate") {
-	case 0: // never carried out
-		m.step(lost)
-	case 1: // carried out, and only the answer is lost
+	outcomeUnknown := StateResult{storage.StateResult{ID: call.ID, Outcome: rpc.Unknown}}
+	switch rapid.IntRange(0, 5).Draw(m.T, "outcome") {
+	case 0: // never applied
+		m.step(outcomeUnknown)
+	case 1: // applied, but its response is lost
 		m.state.execute(call)
-		m.step(lost)
-	case 2: // carried out later
+		m.step(outcomeUnknown)
+	case 2: // applied later
 		m.delayedCalls = append(m.delayedCalls, call)
-		m.step(lost)
+		m.step(outcomeUnknown)
 	default:
 		m.step(StateResult{m.state.execute(call)})
 	}
 }
 
-// executeDelayedCall carries out a call whose answer was lost long ago.
+// executeDelayedCall applies the oldest call with an unknown outcome.
 func (m *model) executeDelayedCall() {
 	if len(m.delayedCalls) > 0 {
 		m.state.execute(m.delayedCalls[0])
@@ -132,15 +132,15 @@
 	}
 }
 
-// advanceTime lets a drawn time pass.
+// advanceTime advances the time by a drawn duration.
 func (m *model) advanceTime() {
 	m.now += time.Duration(rapid.IntRange(1, 6000).Draw(m.T, "ms")) * time.Millisecond
 	m.term.LeaseUntil = m.now + time.Minute
 	m.step(Tick{})
 }
 
-// failOver has another controller lead and then this one again, as a new process. Calls that
-// are under way may still be carried out.
+// failOver lets another controller lead, and then this one again in a new term. Pending calls of
+// the earlier term may still be applied.
 func (m *model) failOver() {
 	m.delayedCalls = append(m.delayedCalls, m.pendingCalls...)
 	m.pendingCalls = nil
@@ -151,7 +151,7 @@
 	m.step(Tick{})
 }
 
-// setDefaultFlags sets the flags that the command line doesn't give.
+// setDefaultFlags sets the flags that the command line doesn't set.
 func setDefaultFlags(t *testing.T, defaults map[string]string) {
 	t.Helper()
 	flag.Visit(func(f *flag.Flag) { delete(defaults, f.Name) })
@@ -162,23 +162,23 @@
 	}
 }
 
-// Whatever happens in whatever order, both sides of leases agree and never exceed a source's
-// slots, indexes are complete, a write is carried out once at most, and what is answered about
-// a name is durable and never goes back.
+// Commands, failures and delays in a random order keep these invariants: both sides of a lease
+// agree, valid leases never exceed a source's slots, indexes are complete, a write is applied once
+// at most, and the records in replies are durable and their revisions never decrease.
 func TestTrackerModel(t *testing.T) {
 	setDefaultFlags(t, map[string]string{"rapid.seed": "20261202", "rapid.checks": "2000", "rapid.steps": "60"})
 	rapid.Check(t, func(r *rapid.T) {
 		m := newModel(r)
 		m.failOver()
 		r.Repeat(map[string]func(*rapid.T){
-			"inventory": func(*rapid.T) { m.report() },
-			"report":    func(*rapid.T) { m.report() }, // twice, so that inventories are frequent
-			"use":       func(*rapid.T) { m.use() },
-			"state":     func(*rapid.T) { m.answerStateCall() },
-			"late":      func(*rapid.T) { m.executeDelayedCall() },
-			"time":      func(*rapid.T) { m.advanceTime() },
-			"raise":     func(*rapid.T) { m.term.FencingToken = m.state.advanceToken() },
-			"take over": func(*rapid.T) { m.failOver() },
+			"inventory":           func(*rapid.T) { m.report() },
+			"report":              func(*rapid.T) { m.report() }, // twice, so that inventories are frequent
+			"use":                 func(*rapid.T) { m.setManifest() },
+			"state result":        func(*rapid.T) { m.deliverStateResult() },
+			"late state call":     func(*rapid.T) { m.executeDelayedCall() },
+			"time":                func(*rapid.T) { m.advanceTime() },
+			"raise fencing token": func(*rapid.T) { m.term.FencingToken = m.state.advanceToken() },
+			"take over":           func(*rapid.T) { m.failOver() },
 			"status": func(*rapid.T) {
 				m.lastID++
 				m.step(StatusCall{ID: m.lastID, Name: "x"})
--- a/internal/distribution/tracker/names_test.go
+++ b/internal/distribution/tracker/names_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Two operators ask for the same change, and the answer to the write comes when the lease is
-// uncertain: neither is told that the change holds, since another leader may have replaced it.
+// Two operators request the same change, and the result of the write arrives after the lease has
+// expired. Neither change is confirmed, since another leader may have replaced the record.
 func TestQueuedChangeIsNotConfirmedWithoutLease(t *testing.T) {
 	leader := newTestLeader(t)
 	effects := leader.tracker.Step(0, leader.term, []Command{SetManifestCall{1, "x", manifests[0]}, SetManifestCall{2, "x", manifests[0]}})
--- a/internal/distribution/tracker/sources_test.go
+++ b/internal/distribution/tracker/sources_test.go
@@ -8,49 +8,48 @@
 	"oakpick/internal/distribution"
 )
 
-// A source that one agent accuses of damage is kept from that agent only, one that two accuse
-// is given to nobody, and a new session of it is trusted again.
-func TestAccusedSourcesAreNotAssigned(t *testing.T) {
+// A source that one agent reports for damaged chunks isn't assigned to that agent again. Once two
+// agents have reported it, it is assigned to none, until a new session of the source begins.
+func TestSourcesReportedForDamageAreNotAssigned(t *testing.T) {
 	leader := newTestLeader(t)
-	leader.use(t, "x", manifests[0])
-	report := func(agent string, sequence, session int64, chunks int, accused string) distribution.InventoryResponse {
+	leader.setManifest(t, "x", manifests[0])
+	report := func(agent string, sequence, session int64, chunks int, faulty string) distribution.InventoryResponse {
 		t.Helper()
 		inventory := newInventory(agent, sequence, chunks)
 		inventory.Session = session
-		if accused != "" {
-			inventory.Faults = []distribution.SourceFault{{Source: accused, Manifest: manifests[0], Fault: distribution.FaultDamaged}}
+		if faulty != "" {
+			inventory.Faults = []distribution.SourceFault{{Source: faulty, Manifest: manifests[0], Fault: distribution.FaultDamaged}}
 		}
 		return leader.report(t, 20*time.Second, inventory)
 	}
 	report("bad", 1, 1, 4, "")
 	if !hasSource(report("one", 1, 1, 0, ""), "bad") {
-		t.Fatal("a source that nobody accuses is not assigned")
+		t.Fatal("a source without damage reports is not assigned")
 	}
 	if hasSource(report("one", 2, 1, 0, "bad"), "bad") {
-		t.Error("the source is assigned again to the agent that accuses it")
+		t.Error("the source is assigned again to the agent that reported it")
 	}
 	if !hasSource(report("two", 1, 1, 0, ""), "bad") {
-		t.Error("a single accuser takes the source from all")
+		t.Error("a single report excludes the source for all agents")
 	}
 	report("two", 2, 1, 0, "bad")
 	if hasSource(report("three", 1, 1, 0, ""), "bad") {
-		t.Error("the source is assigned to a third agent after two accused it")
+		t.Error("the source is assigned to a third agent after two reported it")
 	}
-	if answer := report("bad", 2, 1, 4, ""); len(answer.Recheck) != 1 {
-		t.Errorf("the accused source is not asked to verify: %+v", answer)
+	if response := report("bad", 2, 1, 4, ""); len(response.Recheck) != 1 {
+		t.Errorf("the reported source is not asked to verify its chunks: %+v", response)
 	}
 	report("bad", 1, 2, 4, "")
 	if !hasSource(report("three", 2, 1, 0, ""), "bad") {
-		t.Error("the source is not trusted in a new session")
+		t.Error("the source is not assigned in its new session")
 	}
 }
 
-// The number of candidates that are examined for an inventory doesn't grow with the number of
-// agents.
+// The number of candidates examined for an inventory doesn't grow with the number of agents.
 func TestExaminedCandidatesDontGrowWithFleet(t *testing.T) {
 	examinedPerInventory := func(agents int) float64 {
 		leader := newTestLeader(t)
-		leader.use(t, "x", manifests[0])
+		leader.setManifest(t, "x", manifests[0])
 		for round := range int64(4) {
 			for i := range agents {
 				leader.report(t, time.Duration(round)*time.Second, newInventory(fmt.Sprint(i), round+1, int(round)))
--- a/internal/distribution/tracker/state_service_test.go
+++ b/internal/distribution/tracker/state_service_test.go
@@ -7,25 +7,25 @@
 	"oakpick/internal/storage"
 )
 
-// fakeStateService is the state service in memory: the names' keys and the leader's key.
+// fakeStateService is an in-memory state service with the keys of the names and the leader key.
 type fakeStateService struct {
 	entries     map[string]protocol.Entry
 	revision    int64
-	writeCounts map[string]int // how often each write ID was carried out
+	writeCounts map[string]int // how often each write was applied, by write ID
 }
 
 func newFakeStateService() *fakeStateService {
 	return &fakeStateService{entries: map[string]protocol.Entry{}, writeCounts: map[string]int{}}
 }
 
-// advanceToken writes the leader's key, and returns its version: the new fencing token.
+// advanceToken writes the leader key and returns its version, which is the new fencing token.
 func (s *fakeStateService) advanceToken() int64 {
 	s.revision++
 	s.entries[election.LeaderKey] = protocol.Entry{Key: election.LeaderKey, Version: s.revision}
 	return s.revision
 }
 
-// execute carries out a call.
+// execute applies a call and returns its result.
 func (s *fakeStateService) execute(call storage.StateCall) storage.StateResult {
 	result := storage.StateResult{ID: call.ID}
 	switch call.Op {
@@ -47,7 +47,7 @@
 	return result
 }
 
-// executeTxn makes the changes of a transaction if all of its conditions hold.
+// executeTxn applies the changes of a transaction if all of its conditions hold.
 func (s *fakeStateService) executeTxn(txn protocol.Txn, result *storage.StateResult) {
 	for _, condition := range txn.If {
 		if s.entries[condition.Key].Version != condition.Version {
--- a/internal/distribution/tracker/status_test.go
+++ b/internal/distribution/tracker/status_test.go
@@ -10,15 +10,15 @@
 	"oakpick/internal/distribution"
 )
 
-// Names and agents are listed in pages, each of which fits into a message between controllers.
-// Together the pages list every entry once.
+// Names and agents are listed in pages that fit into a message between controllers. Together, the
+// pages list every entry once.
 func TestPagesListEveryEntryOnce(t *testing.T) {
 	const entries = 2000
 	leader := newTestLeader(t)
 	for i := range entries {
-		leader.use(t, fmt.Sprintf("x%04d", i), manifests[0])
+		leader.setManifest(t, fmt.Sprintf("x%04d", i), manifests[0])
 	}
-	leader.use(t, "x", manifests[0])
+	leader.setManifest(t, "x", manifests[0])
 	for i := range entries {
 		inventory := newInventory(fmt.Sprintf("agent-%04d", i), 1, 2)
 		inventory.Waits = []distribution.WaitReason{{Name: "x", Description: strings.Repeat("w", 200), Chunk: manifests[1], MissingChunks: 3}}
@@ -33,7 +33,7 @@
 	}
 }
 
-// requireFits fails if a page doesn't fit into a message between controllers.
+// requireFits fails the test unless a page fits into a message between controllers.
 func requireFits(t *testing.T, page any) {
 	t.Helper()
 	if text, err := json.Marshal(page); err != nil || len(text) > distribution.MaxMessageBytes {
