--- a/internal/distribution/layout/layout.go
+++ b/internal/distribution/layout/layout.go
@@ -1,5 +1,5 @@
-// Package layout keeps versions of weights in a directory as an OCI image layout: it splits files
-// into chunks, verifies what is stored, and is content that a registry.Handler can serve.
+// Package layout stores versions of weights in a directory as an OCI image layout. It splits files
+// into chunks, verifies stored chunks, and provides the content that a registry.Handler serves.
 package layout
 
 import (
@@ -23,10 +23,10 @@
 
 const (
 	blobsDir      = "blobs"
-	maxIndexBytes = 16 << 20 // bytes of the index that are read
+	maxIndexBytes = 16 << 20 // limit for reading the index
 )
 
-// Layout is a directory with an OCI image layout.
+// Layout is an OCI image layout in a directory.
 type Layout struct {
 	fs   afero.Fs
 	root string
@@ -37,16 +37,16 @@
 	l := &Layout{files, root}
 	text, err := afero.ReadFile(files, path.Join(root, image.ImageLayoutFile))
 	if err != nil {
-		return nil, fmt.Errorf("%s is no image layout: %w", root, err)
+		return nil, fmt.Errorf("%s is not an OCI image layout: %w", root, err)
 	}
 	var version image.ImageLayout
 	if json.Unmarshal(text, &version) != nil || version.Version != image.ImageLayoutVersion {
-		return nil, fmt.Errorf("%s: %s: version %q is not %s", root, image.ImageLayoutFile, version.Version, image.ImageLayoutVersion)
+		return nil, fmt.Errorf("%s: %s: unsupported version %q, want %s", root, image.ImageLayoutFile, version.Version, image.ImageLayoutVersion)
 	}
 	return l, nil
 }
 
-// Create opens a layout, and creates it if there is none.
+// Create opens a layout, which it creates if there is none.
 func Create(files afero.Fs, root string) (*Layout, error) {
 	l, err := Open(files, root)
 	if !errors.Is(err, fs.ErrNotExist) {
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	index := image.Index{Versioned: specs.Versioned{SchemaVersion: 2}, MediaType: image.MediaTypeImageIndex}
-	// The file that marks a directory as a layout comes last.
+	// The file that marks a directory as a layout is written last, after the layout is complete.
 	return l, errors.Join(l.writeIndex(index), l.writeJSON(image.ImageLayoutFile, image.ImageLayout{Version: image.ImageLayoutVersion}))
 }
 
@@ -66,9 +66,9 @@
 	return path.Join(l.root, blobsDir, d.Algorithm().String(), d.Encoded())
 }
 
-// Pack splits the bytes of a source into chunks of a size, the last one shorter, and has a tag
-// refer to the version. Chunks that exist already are not written again. The tag changes last,
-// atomically.
+// Pack splits the content of source into chunks of chunkBytes, the last one possibly shorter, and
+// sets a tag to the new version. A chunk that the layout already contains takes no further space.
+// The tag changes last and atomically, so that a failed Pack leaves it unchanged.
 func (l *Layout) Pack(source io.Reader, chunkBytes int64, tag string) (*distribution.Manifest, error) {
 	if chunkBytes <= 0 {
 		return nil, &distribution.FieldError{Field: "chunk size", Problem: fmt.Sprintf("%d is out of range", chunkBytes)}
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	emptyConfig := image.DescriptorEmptyJSON // every manifest refers to it as its configuration
+	emptyConfig := image.DescriptorEmptyJSON // the configuration that every manifest refers to
 	for d, content := range map[digest.Digest][]byte{m.Digest: m.Raw, emptyConfig.Digest: emptyConfig.Data} {
 		if err := durable.Replace(l.fs, l.blobPath(d), bytes.NewReader(content)); err != nil {
 			return nil, err
@@ -93,7 +93,7 @@
 	return m, l.setTag(m, tag)
 }
 
-// packChunks writes the bytes of a source as chunks.
+// packChunks splits the content of source into chunks and writes them as blobs.
 func (l *Layout) packChunks(source io.Reader, chunkBytes int64) (chunks []distribution.Chunk, err error) {
 	for {
 		chunk, err := l.packChunk(io.LimitReader(source, chunkBytes))
@@ -107,7 +107,8 @@
 	}
 }
 
-// packChunk writes the bytes of a source as a blob. A source without bytes makes none.
+// packChunk writes the content of source as a blob. If the content is empty, it writes no blob and
+// returns a chunk of size 0.
 func (l *Layout) packChunk(source io.Reader) (distribution.Chunk, error) {
 	name := path.Join(l.root, blobsDir, "chunk"+durable.TemporarySuffix)
 	digester := digest.SHA256.Digester()
@@ -130,7 +131,7 @@
 
 func (l *Layout) writeIndex(index image.Index) error { return l.writeJSON(image.ImageIndexFile, index) }
 
-// readIndex reads the list of versions with their tags.
+// readIndex reads the index, which lists the manifests with their tags.
 func (l *Layout) readIndex() (image.Index, error) {
 	var index image.Index
 	file, err := l.fs.Open(path.Join(l.root, image.ImageIndexFile))
@@ -148,7 +149,7 @@
 	return index, nil
 }
 
-// setTag has a tag refer to a version.
+// setTag sets a tag to a manifest.
 func (l *Layout) setTag(m *distribution.Manifest, tag string) error {
 	index, err := l.readIndex()
 	if err != nil {
@@ -170,7 +171,7 @@
 	return l.writeIndex(index)
 }
 
-// Tags returns the manifest of each tag.
+// Tags returns the digest of each tag's manifest.
 func (l *Layout) Tags() (map[string]digest.Digest, error) {
 	index, err := l.readIndex()
 	tags := map[string]digest.Digest{}
@@ -182,7 +183,8 @@
 	return tags, err
 }
 
-// Check reads every byte of every version and names what is missing or damaged.
+// Check reads and verifies the chunks of every manifest in the index. Its error names all manifests
+// and chunks that are missing or damaged.
 func (l *Layout) Check() error {
 	index, err := l.readIndex()
 	if err != nil {
@@ -206,7 +208,7 @@
 	return errors.Join(problems...)
 }
 
-// readManifest reads and verifies a manifest.
+// readManifest reads and validates a manifest.
 func (l *Layout) readManifest(d digest.Digest) (*distribution.Manifest, error) {
 	raw, _, err := l.Manifest("", d.String())
 	if err != nil {
@@ -215,7 +217,7 @@
 	return distribution.ParseManifest(raw, d)
 }
 
-// checkChunk reads a chunk and compares its digest.
+// checkChunk reads a chunk and verifies its digest.
 func (l *Layout) checkChunk(c distribution.Chunk) error {
 	blob, err := l.Blob("", c.Digest)
 	if err != nil {
@@ -224,12 +226,12 @@
 	defer blob.Close() //nolint:errcheck // it was only read
 	got, err := digest.SHA256.FromReader(blob)
 	if err != nil || got != c.Digest {
-		return errors.Join(err, fmt.Errorf("chunk %s: its bytes have the digest %s", c.Digest, got))
+		return errors.Join(err, fmt.Errorf("chunk %s: content has digest %s", c.Digest, got))
 	}
 	return nil
 }
 
-// Manifest returns a manifest by tag or digest.
+// Manifest returns a manifest and its digest, by tag or digest.
 func (l *Layout) Manifest(_, reference string) ([]byte, digest.Digest, error) {
 	d := digest.Digest(reference)
 	if distribution.CheckDigest(d) != nil {
@@ -248,12 +250,12 @@
 	defer blob.Close() //nolint:errcheck // it was only read
 	raw, err := io.ReadAll(io.LimitReader(blob, distribution.MaxManifestBytes+1))
 	if err == nil && len(raw) > distribution.MaxManifestBytes {
-		return nil, "", registry.ErrNotFound // it is a chunk
+		return nil, "", registry.ErrNotFound // too large for a manifest, so the digest is that of a chunk
 	}
 	return raw, d, err
 }
 
-// Blob opens a blob.
+// Blob opens a blob. It returns registry.ErrNotFound if there is none with the digest.
 func (l *Layout) Blob(_ string, d digest.Digest) (registry.Blob, error) {
 	if distribution.CheckDigest(d) != nil {
 		return nil, registry.ErrNotFound
@@ -265,5 +267,5 @@
 	return file, err
 }
 
-// Chunks returns nil: a store is asked for chunks without telling first which it has.
+// Chunks returns nil: agents request chunks from a store without asking first which it has.
 func (*Layout) Chunks(digest.Digest) distribution.ChunkSet { return nil }
--- a/internal/distribution/layout/layout_test.go
+++ b/internal/distribution/layout/layout_test.go
@@ -16,7 +16,7 @@
 	"oakpick/internal/distribution/registry"
 )
 
-// createLayout creates a layout in /store.
+// createLayout creates a layout in the directory /store.
 func createLayout(t *testing.T, files afero.Fs) *Layout {
 	t.Helper()
 	l, err := Create(files, "/store")
@@ -26,7 +26,7 @@
 	return l
 }
 
-// packString packs a string in chunks of four bytes.
+// packString packs a string into chunks of four bytes.
 func packString(t *testing.T, l *Layout, content, tag string) *distribution.Manifest {
 	t.Helper()
 	m, err := l.Pack(strings.NewReader(content), 4, tag)
@@ -36,7 +36,7 @@
 	return m
 }
 
-// Packed versions are read back by tag and by digest, the last chunk has the remaining bytes, and
+// Packed versions can be read by tag and by digest, the last chunk has the remaining bytes, and
 // chunks that two versions share are stored once.
 func TestPackedVersionsAreReadBack(t *testing.T) {
 	files := afero.NewMemMapFs()
@@ -44,7 +44,7 @@
 	first := packString(t, l, "aaaabbbbcc", "v1")
 	second := packString(t, l, "aaaabbbbdddd", "v2")
 	if len(first.Chunks) != 3 || first.Chunks[2].Size != 2 || first.Chunks[1] != second.Chunks[1] {
-		t.Errorf("%+v %+v", first.Chunks, second.Chunks)
+		t.Errorf("unexpected chunks: %+v and %+v", first.Chunks, second.Chunks)
 	}
 	again, err := Open(files, "/store")
 	if err != nil {
@@ -52,23 +52,23 @@
 	}
 	for reference, want := range map[string]*distribution.Manifest{"v1": first, "v2": second, first.Digest.String(): first} {
 		if raw, d, err := again.Manifest("", reference); err != nil || d != want.Digest || !bytes.Equal(raw, want.Raw) {
-			t.Errorf("%s refers to %s, not %s: %v", reference, d, want.Digest, err)
+			t.Errorf("%s refers to %s, want %s: %v", reference, d, want.Digest, err)
 		}
 	}
 	packString(t, l, "eeee", "v1")
 	if tags, err := l.Tags(); err != nil || len(tags) != 2 || tags["v1"] == first.Digest {
-		t.Errorf("%v %v", tags, err)
+		t.Errorf("unexpected tags after v1 was set again: %v, error %v", tags, err)
 	}
 	if err := l.Check(); err != nil {
 		t.Error(err)
 	}
 	blobs, err := afero.ReadDir(files, "/store/blobs/sha256")
 	if err != nil || len(blobs) != 5+3+1 { // chunks, manifests, the empty configuration
-		t.Errorf("%d blobs, %v", len(blobs), err)
+		t.Errorf("unexpected number of blobs: %d, error %v", len(blobs), err)
 	}
 }
 
-// A damaged or missing chunk is named.
+// Check names every chunk that is damaged or missing.
 func TestCheckNamesDamage(t *testing.T) {
 	files := afero.NewMemMapFs()
 	l := createLayout(t, files)
@@ -82,29 +82,29 @@
 	err := l.Check()
 	for i, wantNamed := range []bool{true, false, true} {
 		if named := err != nil && strings.Contains(err.Error(), m.Chunks[i].Digest.String()); named != wantNamed {
-			t.Errorf("chunk %d: named %v in %v", i, named, err)
+			t.Errorf("chunk %d: named is %v in the error %v", i, named, err)
 		}
 	}
 }
 
-// A source that fails leaves the tag as it was.
+// A read error while a version is being packed leaves the tag unchanged.
 func TestFailedPackKeepsTag(t *testing.T) {
 	l := createLayout(t, afero.NewMemMapFs())
 	m := packString(t, l, "aaaabbbb", "v1")
 	readErr := errors.New("the file can't be read")
 	if _, err := l.Pack(io.MultiReader(strings.NewReader("ccccdd"), iotest.ErrReader(readErr)), 4, "v1"); !errors.Is(err, readErr) {
-		t.Errorf("%v", err)
+		t.Errorf("unexpected error: %v", err)
 	}
 	if tags, err := l.Tags(); err != nil || tags["v1"] != m.Digest {
-		t.Errorf("%v %v", tags, err)
+		t.Errorf("unexpected tags: %v, error %v", tags, err)
 	}
 	if err := l.Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-// Invalid arguments are refused with the field's name, and directories that are no layout of the
-// known version are not opened.
+// Invalid arguments are refused with an error that names the field. Directories without a layout of
+// the supported version are not opened.
 func TestInvalidArgumentsAreRefused(t *testing.T) {
 	l := createLayout(t, afero.NewMemMapFs())
 	for field, pack := range map[string]func() error{
@@ -115,7 +115,7 @@
 		t.Run(field, func(t *testing.T) {
 			var problem *distribution.FieldError
 			if err := pack(); !errors.As(err, &problem) || problem.Field != field {
-				t.Errorf("%v, and %s is at fault", err, field)
+				t.Errorf("got error %v, want one for the field %s", err, field)
 			}
 		})
 	}
@@ -127,11 +127,11 @@
 		t.Fatal(err)
 	}
 	if _, err := Create(other, "/store"); err == nil {
-		t.Error("a layout of another version is opened")
+		t.Error("a layout with an unsupported version is opened")
 	}
 }
 
-// An agent's client fetches a version from a layout on a real disk.
+// An agent's client resolves a tag and fetches all chunks from a layout on a real disk.
 func TestLayoutIsServedToAgents(t *testing.T) {
 	l, err := Create(afero.NewOsFs(), t.TempDir()+"/store")
 	if err != nil {
@@ -145,7 +145,7 @@
 	address := strings.TrimPrefix(server.URL, "http://")
 	got, err := client.Resolve(t.Context(), address, "models/a", "v1")
 	if err != nil || got.Digest != m.Digest {
-		t.Fatalf("%v", err)
+		t.Fatalf("unexpected manifest or error: %v", err)
 	}
 	var received []byte
 	for _, c := range m.Chunks {
@@ -159,10 +159,10 @@
 			received = append(received, content...)
 		})
 		if fetched.Fault != "" {
-			t.Errorf("%+v", fetched)
+			t.Errorf("unexpected fault: %+v", fetched)
 		}
 	}
 	if string(received) != "aaaabbbbcc" {
-		t.Errorf("received %q", received)
+		t.Errorf("unexpected content: %q", received)
 	}
 }
--- a/internal/distribution/manifest.go
+++ b/internal/distribution/manifest.go
@@ -1,5 +1,9 @@
 // Package distribution defines what trackers, agents and stores of weights share: manifests, sets
 // of chunks, and the messages between agents and the tracker with their validation.
+//
+// A version of weights is a sequence of bytes, split into chunks that an OCI image manifest lists.
+// A name of weights refers to one manifest at a time. Agents fetch the chunks from each other and
+// from the store, an OCI registry.
 package distribution
 
 import (
--- a/internal/distribution/tracker/helpers_test.go
+++ b/internal/distribution/tracker/helpers_test.go
@@ -78,8 +78,8 @@
 	return response
 }
 
-// newInventory returns the inventory of an agent that wants the name x and holds some of the four
-// chunks of the first manifest.
+// newInventory returns the inventory of an agent that wants the name x and holds the given
+// number of the four chunks of the first manifest.
 func newInventory(agent string, sequence int64, chunks int) *distribution.Inventory {
 	return &distribution.Inventory{
 		Agent: agent, Zone: "a", Address: agent + ":1", Session: 1, Sequence: sequence, UploadSlots: 2, WantedNames: []string{"x"},
--- a/internal/distribution/tracker/invariants_test.go
+++ b/internal/distribution/tracker/invariants_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// checkUploadLeases checks that the downloaders have an agent's upload leases, too, and that at
-// most as many leases are valid as the agent has slots.
+// checkUploadLeases checks that the downloaders of an agent's upload leases have these leases, too,
+// and that no more of them are valid than the agent has slots.
 func (m *model) checkUploadLeases(agent *agentState) {
 	valid := 0
 	for _, lease := range agent.uploadLeases {
@@ -85,8 +85,8 @@
 	}
 }
 
-// checkDownloadLeases checks that the sources have an agent's download leases, too, and that they
-// are members of the manifest's swarm.
+// checkDownloadLeases checks that the sources of an agent's download leases have these leases, too,
+// and are members of the manifest's swarm.
 func (m *model) checkDownloadLeases(agent *agentState) {
 	for _, lease := range agent.downloadLeases {
 		if lease.source == nil {
--- a/internal/distribution/tracker/inventory.go
+++ b/internal/distribution/tracker/inventory.go
@@ -91,9 +91,8 @@
 	}
 }
 
-// recordFault ends an agent's lease on a source that the agent found faulty, and excludes the
-// source from being assigned to the agent for a while. The store is never excluded, because there
-// is no other.
+// recordFault ends an agent's lease on a source that the agent found faulty. The source isn't
+// assigned to the agent again for a while, except for the store, because there is no other store.
 func (t *Tracker) recordFault(agent *agentState, fault distribution.SourceFault) {
 	for _, lease := range agent.downloadLeases {
 		if lease.manifest == fault.Manifest && lease.sourceName() == fault.Source {
@@ -128,7 +127,7 @@
 	t.emit(Log{"source has damaged chunks", []any{"source", source.name, "downloader", reporter.name, "manifest", fault.Manifest.String()}})
 }
 
-// damageReporterCount returns how many agents have recently reported damaged chunks of a member.
+// damageReporterCount returns how many agents have recently reported damaged chunks from a member.
 func (t *Tracker) damageReporterCount(member *swarmMember) int {
 	maps.DeleteFunc(member.damageReportedAt, func(_ string, at time.Duration) bool {
 		return t.now-at > damageReportIntervals*t.parameters.ReportInterval
--- a/internal/distribution/tracker/inventory_response.go
+++ b/internal/distribution/tracker/inventory_response.go
@@ -33,7 +33,7 @@
 	return response
 }
 
-// nameRecords returns the records of those of the names that have a manifest.
+// nameRecords returns the records of the given names, except for names without a manifest.
 func (t *Tracker) nameRecords(names []string) (records []distribution.NameRecord) {
 	for _, name := range names {
 		if record, found := t.names.lookup(name); found {
@@ -43,8 +43,8 @@
 	return records
 }
 
-// missingManifests returns the manifests of some records that an agent doesn't hold completely,
-// without duplicates and in the order of the records.
+// missingManifests returns the manifests of the given records that an agent doesn't hold
+// completely, without duplicates and in the order of the records.
 func missingManifests(agent *agentState, records []distribution.NameRecord) (missing []digest.Digest) {
 	for _, record := range records {
 		member := agent.members[record.Manifest]
@@ -78,8 +78,8 @@
 	}
 }
 
-// manifestsToRecheck returns the manifests of which other agents received damaged chunks from an
-// agent. The agent should verify its chunks.
+// manifestsToRecheck returns the manifests of which an agent sent damaged chunks, according to
+// other agents. The agent should verify its stored chunks of these manifests.
 func (t *Tracker) manifestsToRecheck(agent *agentState) (manifests []digest.Digest) {
 	for _, manifest := range slices.Sorted(maps.Keys(agent.members)) {
 		if t.damageReporterCount(agent.members[manifest]) > 0 {
--- a/internal/distribution/tracker/leases.go
+++ b/internal/distribution/tracker/leases.go
@@ -14,7 +14,7 @@
 	downloader *agentState
 	source     *agentState // nil if the source is the store
 	manifest   digest.Digest
-	stripe     int // if the source is the store
+	stripe     int // used only if the source is the store
 	validUntil time.Duration
 }
 
--- a/internal/distribution/tracker/messages.go
+++ b/internal/distribution/tracker/messages.go
@@ -14,7 +14,7 @@
 	"oakpick/internal/storage"
 )
 
-// Term is the controller's view of the leadership.
+// Term describes the controller's term, or which other controller leads.
 type Term = election.View
 
 // Command is an input of Step.
@@ -33,13 +33,13 @@
 		Name     string
 		Manifest digest.Digest
 	}
-	// NamesCall requests the page of names that begins after a name.
+	// NamesCall requests a page of the list of names, beginning after the name After.
 	NamesCall struct {
 		ID    uint64
 		After string
 	}
-	// StatusCall requests the page of agents that hold or want a name's manifest, beginning after
-	// an agent.
+	// StatusCall requests a page of the agents that hold or want a name's manifest, beginning
+	// after the agent After.
 	StatusCall struct {
 		ID    uint64
 		Name  string
@@ -104,13 +104,13 @@
 const (
 	maxSameZoneSources    = 6  // of one agent for one manifest
 	maxOtherZoneSources   = 2  // of one agent for one manifest
-	minSources            = 4  // of one agent for one manifest; below it, leases of agents with more are reassigned
+	minSources            = 4  // of one agent for one manifest; an agent with fewer takes over leases of agents with more
 	candidatesPerSource   = 4  // holders examined for each source that is to be assigned
 	maxSourcesPerResponse = 96 // over all manifests
-	leaseIntervals        = 3  // until a lease expires that isn't renewed
+	leaseIntervals        = 3  // after which a lease expires unless it is renewed
 	stalledIntervals      = 8  // without a new chunk, after which an agent's leases are ended
-	avoidSourceIntervals  = 10 // for which a faulty source isn't assigned again to the same agent
+	avoidSourceIntervals  = 10 // for which an agent isn't assigned a source again that it found faulty
 	damageReportIntervals = 40 // for which a report of damaged chunks counts against the source
-	minDamageReporters    = 2  // different agents; a source that so many report is assigned to no agent
-	warmUpIntervals       = 2  // idle ones, for which agents keep sources that a new leader doesn't list
+	minDamageReporters    = 2  // different agents; a source that so many agents report is assigned to no agent
+	warmUpIntervals       = 2  // idle report intervals after an election, for which agents keep sources that aren't listed
 )
--- a/internal/distribution/tracker/model_test.go
+++ b/internal/distribution/tracker/model_test.go
@@ -25,7 +25,7 @@
 	delayedCalls     []storage.StateCall // applied later, after the tracker got an unknown outcome
 	sequences        map[string]int64    // of each agent's last inventory
 	repliedIDs       map[uint64]bool     // of calls that were replied to
-	repliedRevisions map[string]int64    // highest one that a reply contained, by name
+	repliedRevisions map[string]int64    // highest revision in a reply, by name
 }
 
 func newModel(t *rapid.T) *model {
--- a/internal/distribution/tracker/name_changes.go
+++ b/internal/distribution/tracker/name_changes.go
@@ -11,7 +11,7 @@
 	"oakpick/internal/storage"
 )
 
-// maxQueuedChanges bounds the queue of changes of names, including the one that is being written.
+// maxQueuedChanges bounds the queue of name changes, including the one that is being written.
 // Operators make the changes, so there are few.
 const maxQueuedChanges = 64
 
@@ -91,8 +91,9 @@
 		return
 	}
 	if n.write.token == n.tracker.term.FencingToken && n.records[change.Name].Revision == n.write.baseRevision {
-		// The token and the revision are those that the write required, so the conflict means that
-		// another controller leads. The call is repeated until this controller's term ends.
+		// The token and the revision are still those that the write required, so the conflict means
+		// that another controller leads. The read is repeated until this controller learns that its
+		// term has ended.
 		n.scheduleRetry()
 		return
 	}
--- a/internal/distribution/tracker/sources.go
+++ b/internal/distribution/tracker/sources.go
@@ -12,7 +12,7 @@
 	swarm := member.swarm
 	stalled := t.now-member.lastProgressAt > stalledIntervals*t.parameters.ReportInterval
 	if stalled {
-		member.lastProgressAt = t.now // the agent isn't stalled again before it could use the new sources
+		member.lastProgressAt = t.now // restarts the timeout, so that the agent can use its new sources
 	}
 	sameZone, otherZones := t.renewLeases(agent, swarm, stalled)
 	sameZone += t.grantLeases(agent, swarm, []string{agent.zone}, maxSameZoneSources-sameZone)
@@ -65,7 +65,7 @@
 	return reporters < minDamageReporters && !reportedByAgent
 }
 
-// otherZones returns all zones but one, in order from a random zone on.
+// otherZones returns all zones except the given one, starting at a random zone.
 func (t *Tracker) otherZones(zone string) []string {
 	all := t.parameters.Zones
 	zones := make([]string, 0, len(all))
@@ -111,8 +111,8 @@
 }
 
 // reassignLease moves a lease to an agent from another agent that has at least two leases more.
-// Until the other agent's next inventory is answered, both may send requests to the source, whose
-// own limit of uploads applies.
+// Until the other agent learns of it from the response to its next inventory, both may request
+// chunks from the source, which itself accepts no more uploads than it has slots.
 func (t *Tracker) reassignLease(agent *agentState, swarm *swarmState) {
 	for _, zone := range append([]string{agent.zone}, t.otherZones(agent.zone)...) {
 		for range candidatesPerSource {
@@ -135,8 +135,8 @@
 	}
 }
 
-// leaseToReassign returns a lease on a source, held by a downloader with at least two leases more
-// than the agent, or nil if there is none.
+// leaseToReassign returns a lease on the source that is held by an agent with at least two leases
+// more than the given one, or nil if there is none.
 func leaseToReassign(source, agent *agentState) *sourceLease {
 	for _, lease := range source.uploadLeases {
 		if len(lease.downloader.downloadLeases) > len(agent.downloadLeases)+1 {
@@ -146,16 +146,17 @@
 	return nil
 }
 
-// grantStoreLease grants an agent a lease on the store if it has none and a stripe is free. A
-// stalled agent, whose lease has just been ended, gets none if there are more members than stripes:
-// the stripe is left to another member.
+// grantStoreLease grants an agent a lease on the store if it has none and a slot is free. If the
+// swarm has more members than the store has slots, an agent that has stalled gets no lease, so that
+// the slot that it has just lost goes to another member.
 func (t *Tracker) grantStoreLease(agent *agentState, swarm *swarmState, stalled bool) {
 	hasStoreLease := slices.ContainsFunc(agent.downloadLeases, func(lease *sourceLease) bool { return lease.isStoreLeaseFor(swarm.manifest) })
 	if hasStoreLease || stalled && len(swarm.members) > len(swarm.storeLeases) {
 		return
 	}
 	stripe, usedInZone := t.freeStripe(swarm, agent.zone)
-	// No zone gets all stripes, so that each zone can fetch the chunks that it lacks by itself.
+	// Each zone gets only its share of the slots, so that every zone can fetch the chunks that it
+	// lacks directly from the store.
 	if stripe < 0 || usedInZone >= swarm.storeSlotsPerZone() {
 		return
 	}
@@ -166,7 +167,7 @@
 }
 
 // freeStripe ends expired leases on the store. It returns the last stripe without a lease, or -1 if
-// there is none, and the number of stripes that agents of a zone have.
+// there is none, and the number of stripes that are leased to agents of a zone.
 func (t *Tracker) freeStripe(swarm *swarmState, zone string) (stripe, usedInZone int) {
 	stripe = -1
 	for i, lease := range swarm.storeLeases {
@@ -184,7 +185,7 @@
 	return stripe, usedInZone
 }
 
-// storeSlotsPerZone returns how many stripes of the store agents of one zone may have: an equal
+// storeSlotsPerZone returns how many of the store's slots agents of one zone may lease: an equal
 // share for each zone that has members, rounded up.
 func (s *swarmState) storeSlotsPerZone() int {
 	zones := max(1, len(s.membersPerZone))
--- a/internal/distribution/tracker/sources_test.go
+++ b/internal/distribution/tracker/sources_test.go
@@ -8,8 +8,8 @@
 	"oakpick/internal/distribution"
 )
 
-// A source that one agent reports for damaged chunks isn't assigned to that agent again. Once two
-// agents have reported it, it is assigned to none, until a new session of the source begins.
+// A source that one agent reports for damaged chunks is still assigned to other agents, but not to
+// that agent. A source that two agents report is assigned to none until it starts a new session.
 func TestSourcesReportedForDamageAreNotAssigned(t *testing.T) {
 	leader := newTestLeader(t)
 	leader.setManifest(t, "x", manifests[0])
--- a/internal/distribution/tracker/state.go
+++ b/internal/distribution/tracker/state.go
@@ -69,7 +69,7 @@
 	members        map[string]*swarmMember   // by agent name
 	holders        map[string][]*swarmMember // members with at least one chunk, by zone
 	membersPerZone map[string]int
-	storeLeases    []*sourceLease // by stripe of the store; nil if the stripe is free
+	storeLeases    []*sourceLease // on the store's slots; the index is the lease's stripe, nil is a free slot
 }
 
 func newSwarm(manifest digest.Digest, storeSlots int) *swarmState {
@@ -92,7 +92,7 @@
 	return active
 }
 
-// join returns an agent's membership in the swarm of a manifest, which it creates if needed.
+// join returns an agent's membership in the swarm of a manifest, and creates it if needed.
 func (t *Tracker) join(agent *agentState, manifest digest.Digest) *swarmMember {
 	if member := agent.members[manifest]; member != nil {
 		return member
@@ -108,8 +108,8 @@
 	return member
 }
 
-// leave ends a membership and both sides' leases that belong to it: those that the agent has for
-// the manifest and those that other agents have on it.
+// leave ends a membership. It also ends the leases for the manifest that the agent has on sources
+// and that other agents have on the agent.
 func (t *Tracker) leave(member *swarmMember) {
 	agent, swarm := member.agent, member.swarm
 	member.chunks = 0
--- a/internal/distribution/tracker/status.go
+++ b/internal/distribution/tracker/status.go
@@ -16,9 +16,9 @@
 	More  bool                      `json:"more,omitempty"` // further names follow
 }
 
-// maxPageBytes is the maximum size of a page's entries as JSON. It is half of a message between
-// controllers: if a follower forwarded the call, the page has to fit into such a message, whatever
-// the size of its last entry.
+// maxPageBytes is the maximum size of a page's entries as JSON. It is half the size of a message
+// between controllers, because the page for a call that a follower forwarded has to fit into such a
+// message, whatever the size of its last entry.
 const maxPageBytes = distribution.MaxMessageBytes / 2
 
 // pageBudget tracks the size of a page's entries as JSON.
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -16,7 +16,7 @@
 	parameters Parameters
 	rng        *rand.Rand
 	zones      map[string]bool
-	lastCallID uint64 // of calls to the state service; IDs aren't reused in a later term
+	lastCallID uint64 // of the calls to the state service; never reused, not even in a later term
 
 	// State of the current step.
 	now     time.Duration
--- a/internal/distribution/tracker/tracker_test.go
+++ b/internal/distribution/tracker/tracker_test.go
@@ -10,7 +10,7 @@
 )
 
 // An inventory that arrives after a later one is refused and changes nothing: the tracker keeps
-// what the agent holds according to the later one.
+// the holdings of the later one.
 func TestLateInventoryChangesNothing(t *testing.T) {
 	leader := newTestLeader(t)
 	leader.setManifest(t, "x", manifests[0])
@@ -26,7 +26,7 @@
 	}
 	response := leader.report(t, 3*time.Second, newInventory("two", 1, 0))
 	if !hasSource(response, "one") {
-		t.Errorf("the agent is no source any more: %+v", response.Sources)
+		t.Errorf("the agent is no longer a source: %+v", response.Sources)
 	}
 }
 
