--- a/internal/distribution/layout/layout.go
+++ b/internal/distribution/layout/layout.go
@@ -67,7 +67,7 @@
 }
 
 // Pack splits the content of source into chunks of chunkBytes, the last one possibly shorter, and
-// sets a tag to the new version. A chunk that the layout already contains takes no further space.
+// makes a tag refer to the new version. A chunk that the layout already contains takes no further space.
 // The tag changes last and atomically, so that a failed Pack leaves it unchanged.
 func (l *Layout) Pack(source io.Reader, chunkBytes int64, tag string) (*distribution.Manifest, error) {
 	if chunkBytes <= 0 {
@@ -149,7 +149,7 @@
 	return index, nil
 }
 
-// setTag sets a tag to a manifest.
+// setTag makes a tag refer to a manifest.
 func (l *Layout) setTag(m *distribution.Manifest, tag string) error {
 	index, err := l.readIndex()
 	if err != nil {
@@ -191,7 +191,7 @@
 		return err
 	}
 	var problems []error
-	checked := map[digest.Digest]bool{} // chunks
+	checked := map[digest.Digest]bool{} // by chunk digest
 	for _, descriptor := range index.Manifests {
 		m, err := l.readManifest(descriptor.Digest)
 		if err != nil {
@@ -231,7 +231,7 @@
 	return nil
 }
 
-// Manifest returns a manifest and its digest, by tag or digest.
+// Manifest returns the manifest with a tag or digest, and its digest.
 func (l *Layout) Manifest(_, reference string) ([]byte, digest.Digest, error) {
 	d := digest.Digest(reference)
 	if distribution.CheckDigest(d) != nil {
--- a/internal/distribution/manifest.go
+++ b/internal/distribution/manifest.go
@@ -27,7 +27,7 @@
 	chunkType     = "application/octet-stream"
 )
 
-// FieldError reports the field of a message that is invalid, and why.
+// FieldError names an invalid field of a message and describes the problem.
 type FieldError struct {
 	Field   string
 	Problem string
@@ -166,9 +166,9 @@
 	}
 }
 
-// Resized returns a copy of the set with the size for the given number of chunks. Positions beyond
-// that number are dropped, and the positions by which the copy is longer are not in the set. Sets
-// from other processes may have any size.
+// Resized returns a copy of the set with the size for the given number of chunks, because sets from
+// other processes may have any size. A smaller copy lacks the positions beyond that number, and a
+// larger copy doesn't contain the additional positions.
 func (s ChunkSet) Resized(chunks int) ChunkSet {
 	resized := NewChunkSet(chunks)
 	copy(resized, s)
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -59,10 +59,10 @@
 	return nil
 }
 
-// Fault is a kind of failure that an agent observed while it fetched from a source.
+// Fault is a reason why an agent failed to fetch chunks from a source.
 type Fault string
 
-// Faults of sources. FaultBusy and FaultDisk are not reported to the tracker.
+// Kinds of faults. FaultBusy and FaultDisk are not reported to the tracker.
 const (
 	FaultDamaged     Fault = "damaged"     // the received bytes don't match the digest
 	FaultUnreachable Fault = "unreachable" // the connection failed or broke
@@ -102,8 +102,9 @@
 	Fault    Fault         `json:"fault" validate:"oneof=damaged unreachable slow missing useless"`
 }
 
-// WaitReason explains why an agent doesn't serve the wanted manifest of a name yet. If no source
-// has some of the missing chunks, MissingChunks counts only those and Chunk is one of them.
+// WaitReason explains why an agent doesn't serve the wanted manifest of a name yet. If some
+// of the missing chunks have no source, MissingChunks counts only these and Chunk is one of them.
+// Otherwise MissingChunks counts all missing chunks.
 type WaitReason struct {
 	Name          string        `json:"name" validate:"weights"`
 	Description   string        `json:"why" validate:"max=256"`
--- a/internal/distribution/tracker/model_test.go
+++ b/internal/distribution/tracker/model_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// executeDelayedCall applies the oldest call with an unknown outcome.
+// executeDelayedCall applies the oldest of the delayed calls.
 func (m *model) executeDelayedCall() {
 	if len(m.delayedCalls) > 0 {
 		m.state.execute(m.delayedCalls[0])
--- a/internal/distribution/tracker/status_test.go
+++ b/internal/distribution/tracker/status_test.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/distribution"
 )
 
-// Names and agents are listed in pages that fit into a message between controllers. Together, the
-// pages list every entry once.
+// Names and agents are listed in pages, each of which fits into a message between controllers.
+// Together the pages list every entry once.
 func TestPagesListEveryEntryOnce(t *testing.T) {
 	const entries = 2000
 	leader := newTestLeader(t)
