--- a/internal/distribution/layout/layout.go
+++ b/internal/distribution/layout/layout.go
@@ -67,8 +67,8 @@
 }
 
 // Pack splits the content of source into chunks of chunkBytes, the last one possibly shorter, and
-// makes a tag refer to the new version. A chunk that the layout already contains takes no further space.
-// The tag changes last and atomically, so that a failed Pack leaves it unchanged.
+// makes a tag refer to the new version. A chunk that the layout already contains takes no further
+// space. The tag changes last and atomically, so that a failed Pack leaves it unchanged.
 func (l *Layout) Pack(source io.Reader, chunkBytes int64, tag string) (*distribution.Manifest, error) {
 	if chunkBytes <= 0 {
 		return nil, &distribution.FieldError{Field: "chunk size", Problem: fmt.Sprintf("%d is out of range", chunkBytes)}
