--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -137,7 +137,7 @@
 	if !a.failoverWaitDone && inherited {
 		return false
 	}
-	if a.context.Pauses.Within(now, a.timing.HeartbeatTimeout) {
+	if a.context.Pauses.ResumedWithin(now, a.timing.HeartbeatTimeout) {
 		return false
 	}
 	a.failoverWaitDone = true
--- a/internal/daemon/tracker_metrics.go
+++ b/internal/daemon/tracker_metrics.go
@@ -8,7 +8,7 @@
 	"oakpick/internal/distribution/tracker"
 )
 
-// trackerMetrics are the tracker's, as Prometheus reads them.
+// trackerMetrics holds the Prometheus metrics of the tracker.
 type trackerMetrics struct {
 	registry    *prometheus.Registry
 	shed        prometheus.Counter
@@ -46,9 +46,9 @@
 func (m *trackerMetrics) recordStep(d time.Duration, t *tracker.Tracker) {
 	m.step.Observe(d.Seconds())
 	counts := t.Counts()
-	m.agents.Set(float64(t.Agents()))
+	m.agents.Set(float64(t.AgentCount()))
 	m.inventories.Set(float64(counts.Inventories))
-	m.stale.Set(float64(counts.Stale))
-	m.leases.Set(float64(counts.Leases))
-	m.revoked.Set(float64(counts.Reassigned))
+	m.stale.Set(float64(counts.StaleInventories))
+	m.leases.Set(float64(counts.LeasesGranted))
+	m.revoked.Set(float64(counts.LeasesReassigned))
 }
--- a/internal/distribution/agent/core_reports.go
+++ b/internal/distribution/agent/core_reports.go
@@ -9,9 +9,9 @@
 )
 
 // handleTrackerAnswer takes over the names and sources that the tracker gives.
-func (c *Core) handleTrackerAnswer(answer distribution.Answer) {
+func (c *Core) handleTrackerAnswer(answer distribution.InventoryResponse) {
 	c.reports.inFlight = false
-	asked := time.Duration(answer.NextMs) * time.Millisecond
+	asked := time.Duration(answer.NextReportMs) * time.Millisecond
 	c.reports.interval = min(max(asked, c.settings.ReportInterval/reportIntervalRange), c.settings.ReportInterval*reportIntervalRange)
 	c.reports.nextAt = c.now + c.reports.interval
 	if answer.Term < c.reports.term {
@@ -59,7 +59,7 @@
 		Session:     c.settings.Session,
 		Sequence:    c.reports.sequence,
 		UploadSlots: c.settings.UploadSlots,
-		Wants:       c.settings.Names,
+		WantedNames: c.settings.Names,
 		Holdings:    c.holdings(),
 		Faults:      faults,
 		Waits:       c.waitReasons(),
@@ -95,11 +95,11 @@
 	version := c.versions[target.wanted]
 	switch {
 	case target.wanted == "":
-		reason.Why = "no manifest is known for the name"
+		reason.Description = "no manifest is known for the name"
 	case version == nil:
-		reason.Why = "nobody has given the manifest yet"
+		reason.Description = "nobody has given the manifest yet"
 	case version.complete():
-		reason.Why = "all chunks are there, activation is under way"
+		reason.Description = "all chunks are there, activation is under way"
 	default:
 		c.addChunkReason(&reason, version)
 	}
@@ -124,18 +124,18 @@
 	}
 	switch {
 	case c.now < c.disk.pausedUntil:
-		reason.Why = "the disk takes no more"
+		reason.Description = "the disk takes no more"
 	case c.disk.overBudget:
-		reason.Why = "disk_bytes is used up by chunks that are in use"
+		reason.Description = "disk_bytes is used up by chunks that are in use"
 	case fetching > 0:
-		reason.Why = "chunks are being fetched"
+		reason.Description = "chunks are being fetched"
 	case unavailable > 0:
-		reason.Why = "no source has the chunk"
+		reason.Description = "no source has the chunk"
 	default:
-		reason.Why = "sources are busy or paused"
+		reason.Description = "sources are busy or paused"
 	}
-	reason.Chunks = len(version.Chunks) - version.heldCount
+	reason.MissingChunks = len(version.Chunks) - version.heldCount
 	if unavailable > 0 {
-		reason.Chunks = unavailable
+		reason.MissingChunks = unavailable
 	}
 }
--- a/internal/distribution/agent/core_sources.go
+++ b/internal/distribution/agent/core_sources.go
@@ -53,7 +53,7 @@
 
 // updateSources takes over the sources that the tracker lists. Others are released, unless the
 // tracker has just started and can't know them yet.
-func (c *Core) updateSources(answer distribution.Answer) {
+func (c *Core) updateSources(answer distribution.InventoryResponse) {
 	listed := map[sourceKey]bool{}
 	for _, given := range answer.Sources {
 		key := sourceKey{given.Agent, given.Manifest}
@@ -65,7 +65,7 @@
 		c.addSource(key, given)
 	}
 	for key, source := range c.sources {
-		if !listed[key] && !answer.Keep {
+		if !listed[key] && !answer.KeepSources {
 			source.released = true
 		}
 	}
@@ -201,7 +201,7 @@
 	if version == nil || chunks == nil {
 		return false
 	}
-	chunks = chunks.ForChunks(len(version.Chunks))
+	chunks = chunks.Resized(len(version.Chunks))
 	changed = !slices.Equal(source.chunks, chunks)
 	source.chunks = chunks
 	return changed
--- a/internal/distribution/operator/client.go
+++ b/internal/distribution/operator/client.go
@@ -78,7 +78,7 @@
 
 // newRefusedError reads the reason from the body of an answer. Only a tracker's answers have one.
 func newRefusedError(controller string, status int, body []byte) *RefusedError {
-	var answer distribution.ErrorAnswer
+	var answer distribution.ErrorResponse
 	if json.Unmarshal(body, &answer) != nil {
 		answer.Error = "it doesn't track weights"
 	}
@@ -96,7 +96,7 @@
 // Use has a name refer to a manifest, and returns the record once it is durable.
 func (c *Client) Use(ctx context.Context, name string, manifest digest.Digest) (distribution.NameRecord, error) {
 	var record distribution.NameRecord
-	err := c.call(ctx, http.MethodPut, distribution.PathWeights+"/"+name, distribution.UseRequest{Manifest: manifest}, &record)
+	err := c.call(ctx, http.MethodPut, distribution.PathWeights+"/"+name, distribution.SetManifestRequest{Manifest: manifest}, &record)
 	return record, err
 }
 
--- a/internal/distribution/operator/tables.go
+++ b/internal/distribution/operator/tables.go
@@ -57,17 +57,17 @@
 func describeWaits(member tracker.AgentStatus) string {
 	var reasons []string
 	for _, wait := range member.Waits {
-		text := wait.Why
-		if wait.Chunks > 0 {
-			text += fmt.Sprintf(" (%d missing)", wait.Chunks)
+		text := wait.Description
+		if wait.MissingChunks > 0 {
+			text += fmt.Sprintf(" (%d missing)", wait.MissingChunks)
 		}
 		if wait.Chunk != "" {
 			text += ", one is " + wait.Chunk.String()
 		}
 		reasons = append(reasons, wait.Name+": "+text)
 	}
-	if member.Accused > 0 {
-		reasons = append(reasons, fmt.Sprintf("%d takers got damaged chunks from it", member.Accused))
+	if member.DamageReporters > 0 {
+		reasons = append(reasons, fmt.Sprintf("%d takers got damaged chunks from it", member.DamageReporters))
 	}
 	return strings.Join(reasons, "; ")
 }
--- a/internal/distribution/tracker/inventory.go
+++ b/internal/distribution/tracker/inventory.go
@@ -11,7 +11,7 @@
 	"oakpick/internal/distribution"
 )
 
-// handleInventory records an agent's report and answers it.
+// handleInventory records an agent's inventory and replies to it.
 func (t *Tracker) handleInventory(call InventoryCall) {
 	report := call.Inventory
 	if !t.zones[report.Zone] {
@@ -19,7 +19,7 @@
 		return
 	}
 	if t.isStale(report) {
-		t.counts.Stale++
+		t.counts.StaleInventories++
 		t.refuse(call.ID, http.StatusConflict, "sequence: a later inventory of this agent is known")
 		return
 	}
@@ -29,10 +29,10 @@
 	for _, fault := range report.Faults {
 		t.recordFault(agent, fault)
 	}
-	t.reply(call.ID, t.answer(agent, report))
+	t.reply(call.ID, t.inventoryResponse(agent, report))
 }
 
-// isStale reports whether a later inventory of the agent is known.
+// isStale reports whether this or a later inventory of the agent has been recorded.
 func (t *Tracker) isStale(report *distribution.Inventory) bool {
 	agent := t.agents[report.Agent]
 	if agent == nil {
@@ -41,8 +41,9 @@
 	return report.Session < agent.session || report.Session == agent.session && report.Sequence <= agent.sequence
 }
 
-// updateAgent records who reports. An agent that has restarted or moved starts afresh: its
-// leases and the accusations against it were another process's.
+// updateAgent updates the record of the reporting agent. An agent that has restarted or changed its
+// zone gets a new record: the leases and the damage reports of the old one concern the previous
+// process.
 func (t *Tracker) updateAgent(report *distribution.Inventory) *agentState {
 	agent := t.agents[report.Agent]
 	if agent != nil && (agent.zone != report.Zone || agent.session != report.Session) {
@@ -53,17 +54,17 @@
 		agent = &agentState{
 			name: report.Agent, zone: report.Zone, members: map[digest.Digest]*swarmMember{}, avoidUntil: map[sourceKey]time.Duration{},
 		}
-		agent.element = t.byLastReport.PushBack(agent)
+		agent.lastReportElement = t.byLastReport.PushBack(agent)
 		t.agents[agent.name] = agent
 	}
 	agent.address, agent.uploadSlots, agent.waits = report.Address, report.UploadSlots, report.Waits
 	agent.session, agent.sequence = report.Session, report.Sequence
 	agent.lastReportAt = t.now
-	t.byLastReport.MoveToBack(agent.element)
+	t.byLastReport.MoveToBack(agent.lastReportElement)
 	return agent
 }
 
-// removeAgent removes an agent with its leases and holdings.
+// removeAgent removes an agent with its leases and memberships.
 func (t *Tracker) removeAgent(agent *agentState) {
 	for _, manifest := range slices.Sorted(maps.Keys(agent.members)) {
 		t.leave(agent.members[manifest])
@@ -74,11 +75,11 @@
 	for len(agent.downloadLeases) > 0 {
 		t.endLease(agent.downloadLeases[0])
 	}
-	t.byLastReport.Remove(agent.element)
+	t.byLastReport.Remove(agent.lastReportElement)
 	delete(t.agents, agent.name)
 }
 
-// updateHoldings records how much of each manifest an agent holds.
+// updateHoldings records how many chunks of each manifest an agent holds.
 func (t *Tracker) updateHoldings(agent *agentState, holdings []distribution.Holding) {
 	for _, holding := range holdings {
 		member := t.join(agent, holding.Manifest)
@@ -90,8 +91,8 @@
 	}
 }
 
-// recordFault ends the lease of an agent on a source that it found faulty, and keeps the
-// source from it for a while. The store stays: there is no other.
+// recordFault ends an agent's lease on a source that the agent found faulty. The source isn't
+// assigned to the agent again for a while, except for the store, because there is no other store.
 func (t *Tracker) recordFault(agent *agentState, fault distribution.SourceFault) {
 	for _, lease := range agent.downloadLeases {
 		if lease.manifest == fault.Manifest && lease.sourceName() == fault.Source {
@@ -103,14 +104,14 @@
 		return
 	}
 	maps.DeleteFunc(agent.avoidUntil, func(_ sourceKey, until time.Duration) bool { return t.now >= until })
-	agent.avoidUntil[sourceKey{fault.Source, fault.Manifest}] = t.now + avoidReports*t.parameters.ReportInterval
+	agent.avoidUntil[sourceKey{fault.Source, fault.Manifest}] = t.now + avoidSourceIntervals*t.parameters.ReportInterval
 	if fault.Fault == distribution.FaultDamaged {
-		t.accuse(agent, fault)
+		t.recordDamageReport(agent, fault)
 	}
 }
 
-// accuse records that an agent got damaged chunks from a source.
-func (t *Tracker) accuse(accuser *agentState, fault distribution.SourceFault) {
+// recordDamageReport records that an agent received damaged chunks from a source.
+func (t *Tracker) recordDamageReport(reporter *agentState, fault distribution.SourceFault) {
 	source := t.agents[fault.Source]
 	if source == nil {
 		return
@@ -119,17 +120,17 @@
 	if member == nil {
 		return
 	}
-	if member.accusedAt == nil {
-		member.accusedAt = map[string]time.Duration{}
+	if member.damageReportedAt == nil {
+		member.damageReportedAt = map[string]time.Duration{}
 	}
-	member.accusedAt[accuser.name] = t.now
-	t.emit(Log{"source has damaged chunks", []any{"source", source.name, "downloader", accuser.name, "manifest", fault.Manifest.String()}})
+	member.damageReportedAt[reporter.name] = t.now
+	t.emit(Log{"source has damaged chunks", []any{"source", source.name, "downloader", reporter.name, "manifest", fault.Manifest.String()}})
 }
 
-// accuserCount returns how many agents have lately got damaged chunks from a member.
-func (t *Tracker) accuserCount(member *swarmMember) int {
-	maps.DeleteFunc(member.accusedAt, func(_ string, at time.Duration) bool {
-		return t.now-at > accusationReports*t.parameters.ReportInterval
+// damageReporterCount returns how many agents have recently reported damaged chunks from a member.
+func (t *Tracker) damageReporterCount(member *swarmMember) int {
+	maps.DeleteFunc(member.damageReportedAt, func(_ string, at time.Duration) bool {
+		return t.now-at > damageReportIntervals*t.parameters.ReportInterval
 	})
-	return len(member.accusedAt)
+	return len(member.damageReportedAt)
 }
--- a/internal/distribution/tracker/status_test.go
+++ b/internal/distribution/tracker/status_test.go
@@ -16,12 +16,12 @@
 	const entries = 2000
 	leader := newTestLeader(t)
 	for i := range entries {
-		leader.use(t, fmt.Sprintf("x%04d", i), manifests[0])
+		leader.setManifest(t, fmt.Sprintf("x%04d", i), manifests[0])
 	}
-	leader.use(t, "x", manifests[0])
+	leader.setManifest(t, "x", manifests[0])
 	for i := range entries {
 		inventory := newInventory(fmt.Sprintf("agent-%04d", i), 1, 2)
-		inventory.Waits = []distribution.WaitReason{{Name: "x", Why: strings.Repeat("w", 200), Chunk: manifests[1], Chunks: 3}}
+		inventory.Waits = []distribution.WaitReason{{Name: "x", Description: strings.Repeat("w", 200), Chunk: manifests[1], MissingChunks: 3}}
 		leader.report(t, time.Second, inventory)
 	}
 	if names := listNames(t, leader); names != entries+1 {
@@ -33,7 +33,7 @@
 	}
 }
 
-// requireFits fails if a page doesn't fit into a message between controllers.
+// requireFits fails the test unless a page fits into a message between controllers.
 func requireFits(t *testing.T, page any) {
 	t.Helper()
 	if text, err := json.Marshal(page); err != nil || len(text) > distribution.MaxMessageBytes {
--- a/internal/rpc/outcome_test.go
+++ b/internal/rpc/outcome_test.go
@@ -43,14 +43,14 @@
 	}
 }
 
-func TestDialMarksFailures(t *testing.T) {
+func TestDialFailureIsDialError(t *testing.T) {
 	var config net.ListenConfig
 	listener, err := config.Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
-	dial := Dial(5 * time.Second)
+	dial := NewDialFunc(5 * time.Second)
 	connection, err := dial(address)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/step/context.go
+++ b/internal/step/context.go
@@ -71,5 +71,5 @@
 // SilenceDuration returns how long a peer or machine last heard at heardAt has been silent. Time
 // during which this process was paused does not count, because no message could be received then.
 func (c *Context) SilenceDuration(heardAt time.Duration) time.Duration {
-	return c.Monotonic() - c.Pauses.Since(heardAt)
+	return c.Monotonic() - c.Pauses.ClampToResume(heardAt)
 }
