--- a/internal/distribution/agent/core.go
+++ b/internal/distribution/agent/core.go
@@ -34,7 +34,7 @@
 }
 
 // NewCore returns the core of an agent that holds what was found on disk.
-func NewCore(settings CoreSettings, stored Stored) *Core {
+func NewCore(settings CoreSettings, stored StoredState) *Core {
 	c := &Core{
 		settings:      settings,
 		rng:           rand.New(rand.NewPCG(settings.Seed, 0)),
@@ -52,7 +52,7 @@
 }
 
 // restore takes over what was found on disk.
-func (c *Core) restore(stored Stored) {
+func (c *Core) restore(stored StoredState) {
 	for d, size := range stored.Chunks {
 		c.chunks[d] = &chunkState{Chunk: distribution.Chunk{Digest: d, Size: size}, stored: true}
 		c.disk.usedBytes += size
--- a/internal/distribution/agent/core_disk_test.go
+++ b/internal/distribution/agent/core_disk_test.go
@@ -11,8 +11,8 @@
 )
 
 // storedChunks is what an agent has on disk that holds all chunks of some manifests.
-func storedChunks(manifests ...*distribution.Manifest) Stored {
-	stored := Stored{Contents: chunkstore.Contents{Chunks: map[digest.Digest]int64{}, Manifests: manifests}}
+func storedChunks(manifests ...*distribution.Manifest) StoredState {
+	stored := StoredState{Contents: chunkstore.Contents{Chunks: map[digest.Digest]int64{}, Manifests: manifests}}
 	for _, m := range manifests {
 		for _, chunk := range m.Chunks {
 			stored.Chunks[chunk.Digest] = chunk.Size
--- a/internal/distribution/agent/core_fetch_test.go
+++ b/internal/distribution/agent/core_fetch_test.go
@@ -47,7 +47,7 @@
 // The chunk that the fewest sources have is fetched first.
 func TestRarestChunkIsFetchedFirst(t *testing.T) {
 	m := newManifest(t, "1", 6)
-	c := newCore(Stored{})
+	c := newCore(StoredState{})
 	c.Step(0, trackerAnswer(1, m, peerSource("two", "a", m), peerSource("three", "a", m), peerSource("four", "a", m)))
 	c.Step(1, ManifestResult{Digest: m.Digest, Manifest: m})
 	c.Step(2,
--- a/internal/distribution/agent/core_messages.go
+++ b/internal/distribution/agent/core_messages.go
@@ -170,8 +170,8 @@
 	maxReportedFaults      = 64 // in one inventory
 )
 
-// Stored is what is on disk when an agent starts.
-type Stored struct {
+// StoredState is what is on disk when an agent starts.
+type StoredState struct {
 	chunkstore.Contents
 	Active map[string]distribution.ActiveVersion // by name of the weights
 }
--- a/internal/distribution/agent/core_test.go
+++ b/internal/distribution/agent/core_test.go
@@ -29,7 +29,7 @@
 }
 
 // newCore makes a core of zone a with a store.
-func newCore(stored Stored) *Core {
+func newCore(stored StoredState) *Core {
 	return NewCore(CoreSettings{
 		Agent: "one", Zone: "a", Address: "one:1", Session: 1, Names: []string{weightsName}, HasStore: true, UploadSlots: 4, MaxDownloads: 8,
 		MinBytesPerSecond: 10, StallTimeout: time.Second, ReportInterval: time.Second, Seed: 1,
@@ -52,7 +52,7 @@
 // returns the effects of getting there.
 func newFetchingCore(t *testing.T, m *distribution.Manifest, sources ...distribution.Source) (*Core, []Effect) {
 	t.Helper()
-	c := newCore(Stored{})
+	c := newCore(StoredState{})
 	c.Step(0, trackerAnswer(1, m, sources...))
 	all := distribution.NewChunkSet(len(m.Chunks))
 	for i := range m.Chunks {
@@ -81,7 +81,7 @@
 // changes nothing: a worker never goes back to an old version by itself.
 func TestOlderAnswersAreIgnored(t *testing.T) {
 	first, second := newManifest(t, "1", 2), newManifest(t, "2", 2)
-	c := newCore(Stored{})
+	c := newCore(StoredState{})
 	late := trackerAnswer(7, first)
 	c.Step(0, trackerAnswer(9, second))
 	if got := effectsOf[GetManifest](c.Step(time.Second, late)); len(got) != 0 {
@@ -101,7 +101,7 @@
 // After a restart the revision that was active counts: an answer of a lower one is older.
 func TestActiveRevisionSurvivesRestart(t *testing.T) {
 	first, second := newManifest(t, "1", 1), newManifest(t, "2", 1)
-	c := newCore(Stored{
+	c := newCore(StoredState{
 		Contents: chunkstore.Contents{Chunks: map[digest.Digest]int64{second.Chunks[0].Digest: 100}, Manifests: []*distribution.Manifest{second}},
 		Active:   map[string]distribution.ActiveVersion{weightsName: {Manifest: second.Digest, Revision: 9}},
 	})
--- a/internal/distribution/agent/stored.go
+++ b/internal/distribution/agent/stored.go
@@ -8,19 +8,19 @@
 )
 
 // LoadStored reads and verifies what is on disk, and which version is active for each name.
-func LoadStored(store *chunkstore.Store, names []string) (Stored, error) {
+func LoadStored(store *chunkstore.Store, names []string) (StoredState, error) {
 	found, err := store.Scan()
 	if err != nil {
-		return Stored{}, err
+		return StoredState{}, err
 	}
-	stored := Stored{Contents: found, Active: map[string]distribution.ActiveVersion{}}
+	stored := StoredState{Contents: found, Active: map[string]distribution.ActiveVersion{}}
 	for _, name := range names {
 		active, err := store.Active(name)
 		if errors.Is(err, chunkstore.ErrNotStored) {
 			continue
 		}
 		if err != nil {
-			return Stored{}, err
+			return StoredState{}, err
 		}
 		stored.Active[name] = active
 	}
