--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	stored, err := LoadStored(store, settings.Names)
+	stored, err := LoadStoredState(store, settings.Names)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/distribution/agent/stored.go
+++ b/internal/distribution/agent/stored.go
@@ -7,8 +7,8 @@
 	"oakpick/internal/distribution/chunkstore"
 )
 
-// LoadStored reads and verifies what is on disk, and which version is active for each name.
-func LoadStored(store *chunkstore.Store, names []string) (StoredState, error) {
+// LoadStoredState reads and verifies what is on disk, and which version is active for each name.
+func LoadStoredState(store *chunkstore.Store, names []string) (StoredState, error) {
 	found, err := store.Scan()
 	if err != nil {
 		return StoredState{}, err
--- a/internal/distribution/simulation/agent.go
+++ b/internal/distribution/simulation/agent.go
@@ -96,7 +96,7 @@
 		a.world.recordViolation("%s: %v", a.Name, err)
 		return
 	}
-	stored, err := agent.LoadStored(store, a.world.Options.Names)
+	stored, err := agent.LoadStoredState(store, a.world.Options.Names)
 	if err != nil {
 		a.world.recordViolation("%s: %v", a.Name, err)
 		return
