--- a/cmd/oakpick/weights.go
+++ b/cmd/oakpick/weights.go
@@ -91,7 +91,7 @@
 		if err != nil {
 			return err
 		}
-		record, err := client.Use(ctx, u.Name, manifest)
+		record, err := client.SetManifest(ctx, u.Name, manifest)
 		if err != nil {
 			return err
 		}
--- a/internal/daemon/agents_test.go
+++ b/internal/daemon/agents_test.go
@@ -79,7 +79,7 @@
 func (f *agentFleet) use(t *testing.T, version *distribution.Manifest) {
 	t.Helper()
 	eventually(t, func() (string, bool) {
-		_, err := f.operator.Use(t.Context(), "models/a", version.Digest)
+		_, err := f.operator.SetManifest(t.Context(), "models/a", version.Digest)
 		return fmt.Sprint(err), err == nil
 	})
 }
--- a/internal/distribution/operator/client.go
+++ b/internal/distribution/operator/client.go
@@ -93,8 +93,8 @@
 // retryable reports whether another controller may answer.
 func (e *RefusedError) retryable() bool { return e.Status >= http.StatusInternalServerError }
 
-// Use has a name refer to a manifest, and returns the record once it is durable.
-func (c *Client) Use(ctx context.Context, name string, manifest digest.Digest) (distribution.NameRecord, error) {
+// SetManifest has a name refer to a manifest, and returns the record once it is durable.
+func (c *Client) SetManifest(ctx context.Context, name string, manifest digest.Digest) (distribution.NameRecord, error) {
 	var record distribution.NameRecord
 	err := c.call(ctx, http.MethodPut, distribution.PathWeights+"/"+name, distribution.UseRequest{Manifest: manifest}, &record)
 	return record, err
--- a/internal/scale/distributionrun/fleet.go
+++ b/internal/scale/distributionrun/fleet.go
@@ -63,7 +63,7 @@
 // useVersion has a name refer to a version, however often that has to be asked.
 func (e *experiment) useVersion(ctx context.Context, name string, version *distribution.Manifest) error {
 	return waitUntil(ctx, controlTimeout, "the name can't be changed", func() bool {
-		_, err := e.operator.Use(ctx, name, version.Digest)
+		_, err := e.operator.SetManifest(ctx, name, version.Digest)
 		return err == nil
 	})
 }
