--- a/internal/distribution/agent/core.go
+++ b/internal/distribution/agent/core.go
@@ -12,28 +12,28 @@
 )
 
 // Core is the agent's decision logic: a deterministic state machine that reads no clock and
-// does no input or output. Events go into Step, effects come out of it.
+// performs no I/O. Step processes events and returns the effects to carry out.
 type Core struct {
 	settings CoreSettings
 	rng      *rand.Rand
-	now      time.Duration // of the step under way
-	effects  []Effect      // of the step under way
+	now      time.Duration // time of the current step
+	effects  []Effect      // effects of the current step
 
 	targets       []*targetState
 	versions      map[digest.Digest]*versionState
 	chunks        map[digest.Digest]*chunkState
 	sources       map[sourceKey]*sourceState
-	excludedUntil map[sourceKey]time.Duration // released sources that aren't used again before
+	excludedUntil map[sourceKey]time.Duration // before this time a released source isn't used again
 	fetches       map[uint64]*activeFetch
 	lastFetchID   uint64
-	verifiedAt    map[digest.Digest]time.Duration // when a manifest's chunks were last verified on request
+	verifiedAt    map[digest.Digest]time.Duration // when the tracker last had a manifest's chunks verified
 
 	disk    diskState
 	reports reportState
 	counts  CoreCounts
 }
 
-// NewCore returns the core of an agent that holds what was found on disk.
+// NewCore returns a Core that starts with the state found on disk.
 func NewCore(settings CoreSettings, stored StoredState) *Core {
 	c := &Core{
 		settings:      settings,
@@ -51,14 +51,15 @@
 	return c
 }
 
-// restore takes over what was found on disk.
+// restore sets up chunks, versions and targets from the state found on disk.
 func (c *Core) restore(stored StoredState) {
 	for d, size := range stored.Chunks {
 		c.chunks[d] = &chunkState{Chunk: distribution.Chunk{Digest: d, Size: size}, stored: true}
 		c.disk.usedBytes += size
 	}
 	for d, size := range stored.Partial {
-		// Who sent these bytes isn't known any more.
+		// The sources of these bytes are unknown after a restart. The empty name stands for
+		// them, so that no single source is blamed if the chunk turns out to be damaged.
 		c.chunks[d] = &chunkState{Chunk: distribution.Chunk{Digest: d}, partialBytes: size, contributors: map[string]bool{"": true}}
 		c.disk.usedBytes += size
 	}
@@ -116,21 +117,22 @@
 	return d + time.Duration(c.rng.Int64N(int64(d)/2+1))
 }
 
-// backoff returns the pause after a number of consecutive failures.
+// backoff returns the delay before the next attempt, with jitter. It doubles with each consecutive
+// failure, up to maxRetryDoublings times.
 func (c *Core) backoff(failures int) time.Duration {
 	doublings := min(max(failures-1, 0), maxRetryDoublings)
 	return c.jitter(c.settings.ReportInterval / retryDivisor << doublings)
 }
 
-// Counts returns what the agent has done since its start.
+// Counts returns a copy of the counters since the agent's start.
 func (c *Core) Counts() CoreCounts {
 	counts := c.counts
 	counts.Faults = maps.Clone(counts.Faults)
 	return counts
 }
 
-// DiskUsedBytes returns how many bytes chunks take on disk, including those reserved for
-// fetches under way.
+// DiskUsedBytes returns how many bytes chunks take on disk, including the space reserved for
+// fetches in progress.
 func (c *Core) DiskUsedBytes() int64 { return c.disk.usedBytes }
 
 // Active returns the manifest that a name is served from, or "" if none is active yet.
@@ -143,8 +145,8 @@
 	return ""
 }
 
-// Chunks returns the positions of a manifest whose chunks are stored, and whether the
-// manifest is known.
+// Chunks returns the positions in a manifest whose chunks are stored, and whether the manifest
+// is known.
 func (c *Core) Chunks(manifest digest.Digest) (distribution.ChunkSet, bool) {
 	version := c.versions[manifest]
 	if version == nil {
--- a/internal/distribution/agent/core_disk.go
+++ b/internal/distribution/agent/core_disk.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// markRemoved records that nothing of a chunk is on disk any more.
+// markRemoved records that no bytes of a chunk are on disk any more.
 func (c *Core) markRemoved(chunk *chunkState) {
 	if chunk.stored {
 		c.disk.usedBytes -= chunk.Size
@@ -28,25 +28,25 @@
 	}
 }
 
-// handleChunkLost records that a stored chunk turned out to be damaged or gone.
+// handleChunkLost records that a stored chunk is damaged or missing.
 func (c *Core) handleChunkLost(d digest.Digest) {
 	chunk := c.chunks[d]
 	if chunk == nil || !chunk.stored {
 		return
 	}
-	c.log("a stored chunk is damaged or gone", "chunk", d.String())
+	c.log("stored chunk is damaged or missing", "chunk", d.String())
 	c.markRemoved(chunk)
 }
 
-// recordDiskFailure pauses fetches after a write failed.
+// recordDiskFailure pauses fetches after a failed write and evicts unreferenced chunks.
 func (c *Core) recordDiskFailure(chunk *chunkState) {
 	c.disk.consecutiveFailures++
 	c.disk.pausedUntil = c.now + c.backoff(c.disk.consecutiveFailures)
-	c.evict(chunk.Size) // without a budget, only a full disk tells that there is too much
+	c.evict(chunk.Size) // without a disk limit, a failed write is the only sign of a full disk
 }
 
-// ensureSpace reports whether the budget has room for more bytes. If not, it starts to evict
-// chunks that are not referenced.
+// ensureSpace reports whether the disk limit has room for more bytes. If not, it starts evicting
+// unreferenced chunks.
 func (c *Core) ensureSpace(bytes int64) bool {
 	if c.settings.DiskLimitBytes == 0 || c.disk.usedBytes+bytes <= c.settings.DiskLimitBytes {
 		return true
@@ -55,8 +55,8 @@
 	return false
 }
 
-// evict removes unreferenced chunks, the least recently used first, until enough bytes are or
-// will be free. It reports whether any removal is under way.
+// evict removes unreferenced chunks, the least recently used first, until enough bytes are being
+// freed. It reports whether any removal is in progress.
 func (c *Core) evict(bytes int64) bool {
 	evictable, freed := c.evictableChunks()
 	for _, chunk := range evictable {
@@ -70,8 +70,8 @@
 	return freed > 0
 }
 
-// evictableChunks returns the chunks that may be removed, the least recently used first, and
-// how many bytes removals under way will free.
+// evictableChunks returns the chunks that may be removed, the least recently used first, and the
+// number of bytes that removals in progress will free.
 func (c *Core) evictableChunks() (evictable []*chunkState, removingBytes int64) {
 	for _, chunk := range c.chunks {
 		switch {
@@ -87,7 +87,7 @@
 	return evictable, removingBytes
 }
 
-// handleRemoveResult records whether a chunk could be removed.
+// handleRemoveResult records that a chunk was removed, or delays the next attempt.
 func (c *Core) handleRemoveResult(result RemoveResult) {
 	chunk := c.chunks[result.Chunk]
 	if chunk == nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// removeUnusedVersions forgets versions that nothing is stored of and no name refers to.
+// removeUnusedVersions deletes versions that have no stored chunk and that no name refers to.
 func (c *Core) removeUnusedVersions() {
 	for d, version := range c.versions {
 		if version.heldCount == 0 && !c.isReferenced(d) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// belongsToVersion reports whether a known version has a chunk.
+// belongsToVersion reports whether any known version contains a chunk.
 func (c *Core) belongsToVersion(chunk *chunkState) bool {
 	for _, version := range c.versions {
 		if len(version.positions[chunk.Digest]) > 0 {
--- a/internal/distribution/agent/core_disk_test.go
+++ b/internal/distribution/agent/core_disk_test.go
@@ -21,8 +21,8 @@
 	return stored
 }
 
-// carryOut answers effects as an agent does for which everything succeeds.
-func carryOut(effects []Effect) (events []Event) {
+// successResults answers effects as an agent does for which everything succeeds.
+func successResults(effects []Effect) (events []Event) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case Remove:
@@ -38,7 +38,7 @@
 
 // Chunks of what is served or wanted are never evicted. Others are, and one that is being read
 // is tried again later, not at once.
-func TestEvictionSparesReferencedChunks(t *testing.T) {
+func TestEvictionKeepsReferencedChunks(t *testing.T) {
 	const diskLimitBytes = 650
 	old, active, wanted := newManifest(t, "old", 3), newManifest(t, "active", 3), newManifest(t, "wanted", 3)
 	stored := storedChunks(old, active)
@@ -65,7 +65,7 @@
 		if c.DiskUsedBytes() > diskLimitBytes {
 			t.Fatalf("%d bytes are used", c.DiskUsedBytes())
 		}
-		effects = c.Step(time.Duration(i)*100*time.Millisecond, append(carryOut(effects), trackerAnswer(2, wanted, store))...)
+		effects = c.Step(time.Duration(i)*100*time.Millisecond, append(successResults(effects), trackerAnswer(2, wanted, store))...)
 	}
 	if c.Active(weightsName) != wanted.Digest {
 		t.Errorf("it serves %s", c.Active(weightsName))
--- a/internal/distribution/agent/core_fetch.go
+++ b/internal/distribution/agent/core_fetch.go
@@ -10,17 +10,17 @@
 	"oakpick/internal/distribution"
 )
 
-// activeFetch is a fetch of a chunk that is under way.
+// activeFetch is a fetch of a chunk that is in progress.
 type activeFetch struct {
 	id            uint64
 	chunk         *chunkState
 	source        *sourceState
-	reservedBytes int64 // of the disk, for the bytes still to come
+	reservedBytes int64 // disk space for the bytes not received yet
 	cancelled     bool
 }
 
-// startFetches starts as many fetches as sources and the limit on downloads allow, for the
-// names in their configured order.
+// startFetches starts as many fetches as the sources and MaxDownloads allow. Names are processed
+// in their configured order.
 func (c *Core) startFetches() {
 	c.disk.overBudget = false
 	for _, target := range c.targets {
@@ -32,14 +32,15 @@
 	}
 }
 
-// availability counts, for each position of a version, the peers that have its chunk.
+// availability holds, for each position of a version, the number of usable peers that have its
+// chunk.
 type availability struct {
 	sameZone []int
 	total    []int // over all zones
 }
 
-// availability counts the usable peers that have each chunk of a version.
-func (c *Core) availability(version *versionState, sources []*sourceState) availability {
+// countAvailability counts the usable peers that have each chunk of a version.
+func (c *Core) countAvailability(version *versionState, sources []*sourceState) availability {
 	chunks := len(version.Chunks)
 	counts := availability{sameZone: make([]int, chunks), total: make([]int, chunks)}
 	for _, source := range sources {
@@ -59,14 +60,14 @@
 	return counts
 }
 
-// startVersionFetches gives each idle source of a version a chunk to fetch, the preferred
-// sources first.
+// startVersionFetches starts a fetch from each idle source of a version, the preferred sources
+// first.
 func (c *Core) startVersionFetches(target *targetState, version *versionState) {
 	if c.now < c.disk.pausedUntil || !c.hasIdleSource(version) {
 		return
 	}
 	sources := c.sourcesByPreference(version.Digest)
-	available := c.availability(version, sources)
+	available := c.countAvailability(version, sources)
 	for _, source := range sources {
 		if source.fetch != nil || !c.isUsable(source) {
 			continue
@@ -85,7 +86,7 @@
 		}
 		source.lastUsefulAt = c.now
 		if !c.startFetch(target, version, source, position) {
-			return // there is no room on disk
+			return // not enough disk space
 		}
 	}
 }
@@ -100,20 +101,20 @@
 	return false
 }
 
-// handleIdleSource asks a source that has no needed chunk for its chunk set, or releases it
-// after a while.
+// handleIdleSource requests the chunk set of a source that has no chunk to fetch now. It releases
+// the source after maxUselessReports without a needed chunk.
 func (c *Core) handleIdleSource(target *targetState, version *versionState, source *sourceState) {
 	if source.isStore() {
 		return
 	}
-	if c.now-source.lastUsefulAt > uselessReports*c.settings.ReportInterval && !c.offersMissingChunk(version, source) {
+	if c.now-source.lastUsefulAt > maxUselessReports*c.settings.ReportInterval && !c.offersMissingChunk(version, source) {
 		c.recordFault(source, distribution.FaultUseless, 0)
 		return
 	}
 	c.requestChunkSet(source, target)
 }
 
-// offersMissingChunk reports whether a source has a chunk that isn't stored.
+// offersMissingChunk reports whether a source has a chunk that isn't stored yet.
 func (*Core) offersMissingChunk(version *versionState, source *sourceState) bool {
 	for i := range version.Chunks {
 		if !version.held.Has(i) && source.has(i) {
@@ -126,11 +127,11 @@
 // candidate is a chunk that may be fetched from a source.
 type candidate struct {
 	position int
-	sources  int  // peers that have it
-	inStripe bool // of the store, in the agent's own stripe
+	sources  int  // number of peers that have it
+	inStripe bool // in the agent's own stripe of the store
 }
 
-// betterThan prefers the agent's own stripe, then the chunk that the fewest peers have.
+// betterThan prefers chunks in the agent's own stripe, then chunks that fewer peers have.
 func (a candidate) betterThan(b candidate) bool {
 	if a.inStripe != b.inStripe {
 		return a.inStripe
@@ -138,11 +139,11 @@
 	return a.sources < b.sources
 }
 
-// selectChunk returns the position of the chunk to fetch from a source next: one that the
-// fewest peers have, so that rare chunks spread first.
+// selectChunk returns the position of the next chunk to fetch from a source. It prefers the chunk
+// that the fewest peers have, so that rare chunks spread first.
 func (c *Core) selectChunk(version *versionState, source *sourceState, available availability) (position int, found bool) {
 	var best candidate
-	first := c.rng.IntN(len(version.Chunks)) // among equals, the first one from here on
+	first := c.rng.IntN(len(version.Chunks)) // the search starts here, so that ties are broken at random
 	for offset := range version.Chunks {
 		i := (first + offset) % len(version.Chunks)
 		if version.held.Has(i) || !source.has(i) || !c.isFetchable(version.Chunks[i].Digest) || !c.mayFetchFrom(source, version, i, available) {
@@ -156,15 +157,16 @@
 	return best.position, found
 }
 
-// isFetchable reports whether a chunk is neither stored, nor being fetched or removed.
+// isFetchable reports whether a chunk is neither stored nor being fetched or removed.
 func (c *Core) isFetchable(d digest.Digest) bool {
 	chunk := c.chunks[d]
 	return chunk.fetch == nil && !chunk.stored && !chunk.removing
 }
 
-// mayFetchFrom reports whether a source may be asked for a position. Peers of other zones are
-// only asked for what none of the own zone has, and the store for what no peer has: at first
-// in the agent's own stripe only, while other agents may use the store.
+// mayFetchFrom reports whether the chunk at a position may be fetched from a source. Peers in
+// other zones are used only for chunks that no peer in the agent's zone has, and the store only
+// for chunks that no peer has. While other agents use the store too, each fetches its own stripe
+// first, and other stripes only after stripeWaitReports without a fetch.
 func (c *Core) mayFetchFrom(source *sourceState, version *versionState, position int, available availability) bool {
 	if !source.isStore() {
 		return source.Zone == c.settings.Zone || available.sameZone[position] == 0
@@ -176,7 +178,7 @@
 	return source.inStripe(position) || !waitsForOthers
 }
 
-// startFetch starts to fetch a chunk, and reports whether the disk has room for it.
+// startFetch starts fetching a chunk. It returns false if there isn't enough disk space.
 func (c *Core) startFetch(target *targetState, version *versionState, source *sourceState, position int) bool {
 	chunk := c.chunks[version.Chunks[position].Digest]
 	if chunk.singleSource && chunk.partialBytes > 0 {
@@ -196,19 +198,20 @@
 		version.lastFetchAt = c.now
 	}
 	c.emit(GetChunk{
-		ID: fetch.id, From: source.peer(), Name: target.name, Manifest: version.Digest, Chunk: chunk.Chunk, Offset: chunk.partialBytes,
+		ID: fetch.id, From: source.endpoint(), Name: target.name, Manifest: version.Digest, Chunk: chunk.Chunk, Offset: chunk.partialBytes,
 		StallTimeout: c.settings.StallTimeout, Timeout: c.fetchTimeout(remaining),
 	})
 	return true
 }
 
-// fetchTimeout returns how long a fetch may take at the minimum rate.
+// fetchTimeout returns the time limit of a fetch: the time it takes at the minimum rate, plus the
+// stall timeout.
 func (c *Core) fetchTimeout(bytes int64) time.Duration {
 	seconds := float64(bytes) / float64(c.settings.MinBytesPerSecond)
 	return c.settings.StallTimeout + time.Duration(seconds*float64(time.Second))
 }
 
-// handleChunkResult records how a fetch ended.
+// handleChunkResult processes the result of a fetch.
 func (c *Core) handleChunkResult(result ChunkResult) {
 	fetch := c.fetches[result.ID]
 	if fetch == nil {
@@ -235,7 +238,7 @@
 	}
 }
 
-// handleFetchFault records whose fault a failed fetch was.
+// handleFetchFault attributes a failed fetch to the source or to the agent's own disk.
 func (c *Core) handleFetchFault(chunk *chunkState, source *sourceState, result ChunkResult) {
 	switch result.Fault {
 	case distribution.FaultDamaged:
@@ -251,7 +254,8 @@
 	c.recordFault(source, result.Fault, result.RetryAfter)
 }
 
-// removeFromChunkSet records that a source doesn't have a chunk that it claimed to have.
+// removeFromChunkSet removes a chunk from the set of a source that claimed the chunk but doesn't
+// have it.
 func (c *Core) removeFromChunkSet(source *sourceState, chunk *chunkState) {
 	version := c.versions[source.Manifest]
 	if version == nil || source.chunks == nil {
@@ -262,7 +266,7 @@
 	}
 }
 
-// recordReceived records which source sent bytes of a chunk.
+// recordReceived counts received bytes and records the source as a contributor to the chunk.
 func (c *Core) recordReceived(chunk *chunkState, source *sourceState, bytes int64) {
 	if chunk.contributors == nil {
 		chunk.contributors = map[string]bool{}
@@ -275,13 +279,13 @@
 	}
 }
 
-// handleDamagedChunk blames the source that sent the whole chunk. If several sent parts of it,
-// none can be blamed, and it is fetched again from a single one.
+// handleDamagedChunk blames the source if it sent the whole chunk. If several sources sent parts of
+// the chunk, none is blamed, and the chunk is fetched again from a single source.
 func (c *Core) handleDamagedChunk(chunk *chunkState, source *sourceState) {
 	if len(chunk.contributors) > 1 {
 		chunk.singleSource = true
 		c.counts.Faults[distribution.FaultDamaged]++
-		c.log("a chunk from several sources is damaged", "chunk", chunk.Digest.String(), "sources", slices.Sorted(maps.Keys(chunk.contributors)))
+		c.log("chunk received from several sources is damaged", "chunk", chunk.Digest.String(), "sources", slices.Sorted(maps.Keys(chunk.contributors)))
 	} else {
 		c.recordFault(source, distribution.FaultDamaged, 0)
 	}
--- a/internal/distribution/agent/core_messages.go
+++ b/internal/distribution/agent/core_messages.go
@@ -1,6 +1,6 @@
-// Package agent fetches, verifies, stores and serves weights on one machine. Its decisions are
-// made by Core, a deterministic state machine; the rest of the package carries Core's effects
-// out: files, HTTP requests, upload slots and rate limits.
+// Package agent fetches, verifies, stores and serves weights on one machine. Core, a
+// deterministic state machine, makes the decisions. The rest of the package carries out Core's
+// effects: file access, HTTP requests, upload slots and rate limits.
 package agent
 
 import (
@@ -17,15 +17,15 @@
 
 // The events of Core.Step.
 type (
-	// TrackerAnswered is the answer to a Report.
+	// TrackerAnswered carries a tracker's answer to a Report.
 	TrackerAnswered struct{ Answer distribution.Answer }
-	// TrackerFailed says that no tracker answered a Report.
+	// TrackerFailed means that no tracker answered a Report.
 	TrackerFailed struct{ RetryAfter time.Duration }
 	// ManifestResult answers GetManifest.
 	ManifestResult struct {
 		Source   string
 		Digest   digest.Digest
-		Manifest *distribution.Manifest // nil: Fault says why
+		Manifest *distribution.Manifest // nil if the request failed for the reason in Fault
 		Fault    distribution.Fault
 	}
 	// ChunkSetResult answers GetChunkSet.
@@ -38,11 +38,11 @@
 	// ChunkResult answers GetChunk.
 	ChunkResult struct {
 		ID            uint64
-		Fault         distribution.Fault // "": the chunk is stored and verified
+		Fault         distribution.Fault // empty if the chunk is stored and verified
 		Cancelled     bool
-		ReceivedBytes int64                 // from this source
-		PartialBytes  int64                 // on disk, of a chunk that isn't complete
-		Chunks        distribution.ChunkSet // that the source claims to hold; nil: it didn't say
+		ReceivedBytes int64                 // received from this source
+		PartialBytes  int64                 // on disk, if the chunk is incomplete
+		Chunks        distribution.ChunkSet // claimed by the source; nil if it sent no chunk set
 		RetryAfter    time.Duration
 	}
 	// ActivateResult answers Activate.
@@ -51,14 +51,14 @@
 		Manifest digest.Digest
 		Failed   bool
 	}
-	// RemoveResult answers Remove. A chunk that is being read isn't removed.
+	// RemoveResult answers Remove. Removed is false if the chunk is being read or an error occurred.
 	RemoveResult struct {
 		Chunk   digest.Digest
 		Removed bool
 	}
-	// ChunkLost says that a stored chunk turned out to be damaged and has been removed.
+	// ChunkLost means that a stored chunk is missing, or was damaged and has been removed.
 	ChunkLost struct{ Chunk digest.Digest }
-	// Tick only lets time pass.
+	// Tick only advances the time.
 	Tick struct{}
 )
 
@@ -75,9 +75,9 @@
 // Effect is an output of Core.Step.
 type Effect interface{ effect() }
 
-// Peer is the target of a request: an agent or the store.
-type Peer struct {
-	Name    string // distribution.StoreSource: the store
+// Endpoint is the destination of a request: an agent or the store.
+type Endpoint struct {
+	Name    string // distribution.StoreSource for the store
 	Address string
 }
 
@@ -85,40 +85,40 @@
 type (
 	// Report sends an inventory to the tracker.
 	Report struct{ Inventory distribution.Inventory }
-	// GetManifest fetches a manifest from a peer, or reads it from disk if From is empty.
+	// GetManifest fetches a manifest from an agent or the store, or reads it from disk if From is empty.
 	GetManifest struct {
-		From   Peer
+		From   Endpoint
 		Name   string
 		Digest digest.Digest
 	}
 	// GetChunkSet asks a peer which chunks of a manifest it holds.
 	GetChunkSet struct {
-		From     Peer
+		From     Endpoint
 		Name     string
 		Manifest digest.Digest
 	}
-	// GetChunk fetches a chunk from an offset on, verifies it and stores it.
+	// GetChunk fetches a chunk starting at an offset, verifies it and stores it.
 	GetChunk struct {
 		ID           uint64
-		From         Peer
+		From         Endpoint
 		Name         string
 		Manifest     digest.Digest
 		Chunk        distribution.Chunk
 		Offset       int64
-		StallTimeout time.Duration // without a byte
-		Timeout      time.Duration // of the whole fetch
+		StallTimeout time.Duration // longest time without receiving a byte
+		Timeout      time.Duration // limit for the whole fetch
 	}
-	// CancelChunk ends a GetChunk; its ChunkResult still follows.
+	// CancelChunk cancels a GetChunk, whose ChunkResult still follows.
 	CancelChunk struct{ ID uint64 }
-	// Activate makes a manifest the one that a name is served from, atomically.
+	// Activate atomically makes a manifest the one that a name is served from.
 	Activate struct {
 		Name     string
 		Revision int64
 		Manifest digest.Digest
 	}
-	// Remove deletes what is on disk of a chunk.
+	// Remove deletes a chunk from disk, whether it is complete or partial.
 	Remove struct{ Chunk digest.Digest }
-	// Verify reads a stored chunk again. ChunkLost follows if it is damaged.
+	// Verify reads a stored chunk and checks its digest. ChunkLost follows if it is damaged or missing.
 	Verify struct{ Chunk digest.Digest }
 	// Log writes a log line.
 	Log struct {
@@ -142,36 +142,36 @@
 	Agent, Zone, Address string
 	Session              int64
 	Names                []string
-	HasStore             bool // false: only peers are asked
+	HasStore             bool // if false, only peers are used as sources
 	UploadSlots          int
-	MaxDownloads         int           // at a time
-	DiskLimitBytes       int64         // for chunks; 0: no limit
-	MinBytesPerSecond    int64         // below which a source counts as slow
-	StallTimeout         time.Duration // without a byte, after which a source counts as slow
-	ReportInterval       time.Duration // until the tracker asks for another
+	MaxDownloads         int           // concurrent fetches
+	DiskLimitBytes       int64         // limit for chunks; 0 means no limit
+	MinBytesPerSecond    int64         // a source below this rate counts as slow
+	StallTimeout         time.Duration // a source that sends nothing for this long counts as slow
+	ReportInterval       time.Duration // used until the tracker requests another interval
 	Seed                 uint64
 }
 
-// Durations as multiples (...Reports) and fractions (...Divisor) of the report interval, and
-// counts that concern a single source.
+// Limits and durations of Core. The names of durations end in Reports if they are multiples of
+// the report interval, and in Divisor if they are fractions of it.
 const (
-	reportIntervalRange    = 16 // the factor by which the tracker may shorten or lengthen the interval
-	retryDivisor           = 8  // the first pause after a failure
-	maxRetryDoublings      = 6  // of that pause
-	refreshDivisor         = 2  // the first pause between two requests for a source's chunk set
-	maxRefreshReports      = 2  // the longest of these pauses
-	uselessReports         = 4  // without a needed chunk, before a source is released
-	maxMissingChunks       = 3  // chunks that a source claimed in error, before it is released
-	maxUnreachableFailures = 2  // in a row, before an unreachable source is released
-	exclusionReports       = 10 // for which a released source isn't used again
-	stripeWaitReports      = 2  // without a fetch, before other agents' stripes are fetched from the store
-	verifyReports          = 40 // between two verifications of a manifest's chunks
-	maxReportedHoldings    = 64 // in one inventory
-	maxReportedFaults      = 64 // in one inventory
+	maxReportIntervalFactor = 16 // by which the tracker may shorten or lengthen the interval
+	retryDivisor            = 8  // retry delay after the first failure
+	maxRetryDoublings       = 6  // of the retry delay
+	refreshDivisor          = 2  // first interval between requests for a source's chunk set
+	maxRefreshReports       = 2  // longest interval between these requests
+	maxUselessReports       = 4  // without a needed chunk, after which a source is released
+	maxMissingChunks        = 3  // wrongly claimed chunks, after which a source is released
+	maxUnreachableFailures  = 2  // consecutive failures, after which an unreachable source is released
+	exclusionReports        = 10 // during which a released source isn't used again
+	stripeWaitReports       = 2  // without a fetch, after which the agent fetches other agents' stripes of the store
+	verifyIntervalReports   = 40 // shortest interval between two verifications of a manifest's chunks
+	maxReportedHoldings     = 64 // per inventory
+	maxReportedFaults       = 64 // per inventory
 )
 
-// StoredState is what is on disk when an agent starts.
+// StoredState is the state found on disk when the agent starts.
 type StoredState struct {
 	chunkstore.Contents
-	Active map[string]distribution.ActiveVersion // by name of the weights
+	Active map[string]distribution.ActiveVersion // by the name of the weights
 }
--- a/internal/distribution/agent/core_reports.go
+++ b/internal/distribution/agent/core_reports.go
@@ -8,14 +8,15 @@
 	"oakpick/internal/distribution"
 )
 
-// handleTrackerAnswer takes over the names and sources that the tracker gives.
+// handleTrackerAnswer applies the names and sources in a tracker's answer and schedules the next
+// report.
 func (c *Core) handleTrackerAnswer(answer distribution.Answer) {
 	c.reports.inFlight = false
-	asked := time.Duration(answer.NextMs) * time.Millisecond
-	c.reports.interval = min(max(asked, c.settings.ReportInterval/reportIntervalRange), c.settings.ReportInterval*reportIntervalRange)
+	requested := time.Duration(answer.NextMs) * time.Millisecond
+	c.reports.interval = min(max(requested, c.settings.ReportInterval/maxReportIntervalFactor), c.settings.ReportInterval*maxReportIntervalFactor)
 	c.reports.nextAt = c.now + c.reports.interval
 	if answer.Term < c.reports.term {
-		return // of a leader that has been replaced
+		return // the answer comes from a leader that has been replaced
 	}
 	c.reports.term = answer.Term
 	for _, record := range answer.Names {
@@ -27,7 +28,7 @@
 	}
 }
 
-// handleTrackerFailure keeps what is known and schedules the next report.
+// handleTrackerFailure schedules the next report and keeps the known names and sources.
 func (c *Core) handleTrackerFailure(failure TrackerFailed) {
 	c.reports.inFlight = false
 	c.reports.nextAt = c.now + c.jitter(max(failure.RetryAfter, c.settings.ReportInterval/2))
@@ -38,7 +39,7 @@
 	c.reports.bringForward(c.now + c.jitter(c.settings.ReportInterval/retryDivisor))
 }
 
-// reportIfDue sends an inventory when one is due and none is under way.
+// reportIfDue sends an inventory if one is due and none is in flight.
 func (c *Core) reportIfDue() {
 	if c.reports.inFlight || c.now < c.reports.nextAt {
 		return
@@ -48,7 +49,8 @@
 	c.emit(Report{c.inventory()})
 }
 
-// inventory builds a report. The source faults in it are not reported again.
+// inventory builds a report and clears the pending source faults, so that each is reported at most
+// once.
 func (c *Core) inventory() distribution.Inventory {
 	faults := c.reports.faults[:min(len(c.reports.faults), maxReportedFaults)]
 	c.reports.faults = nil
@@ -66,7 +68,7 @@
 	}
 }
 
-// holdings lists the manifests of which something is stored or that a name refers to.
+// holdings lists the manifests that have stored chunks or that a name refers to.
 func (c *Core) holdings() (holdings []distribution.Holding) {
 	for _, d := range slices.Sorted(maps.Keys(c.versions)) {
 		version := c.versions[d]
@@ -79,7 +81,7 @@
 	return holdings
 }
 
-// waitReasons tells of every name that isn't served from the wanted manifest, why.
+// waitReasons returns a reason for each name that isn't served from its wanted manifest.
 func (c *Core) waitReasons() (waits []distribution.WaitReason) {
 	for _, target := range c.targets {
 		if target.wanted == "" || target.active != target.wanted {
@@ -89,7 +91,7 @@
 	return waits
 }
 
-// waitReason tells why a name isn't served from the wanted manifest.
+// waitReason returns the reason why a name isn't served from its wanted manifest.
 func (c *Core) waitReason(target *targetState) distribution.WaitReason {
 	reason := distribution.WaitReason{Name: target.name}
 	version := c.versions[target.wanted]
@@ -106,8 +108,8 @@
 	return reason
 }
 
-// addChunkReason tells why chunks of a version are still missing, and names one that no
-// source has.
+// addChunkReason sets the reason why chunks of a version are missing, and names a chunk that no
+// usable source has, if there is one.
 func (c *Core) addChunkReason(reason *distribution.WaitReason, version *versionState) {
 	fetching, unavailable := 0, 0
 	for i, listed := range version.Chunks {
--- a/internal/distribution/agent/core_sources.go
+++ b/internal/distribution/agent/core_sources.go
@@ -16,43 +16,43 @@
 	manifest digest.Digest
 }
 
-// sourceState is a place where chunks of a manifest may be fetched.
+// sourceState is the state of an agent or the store as a source of one manifest's chunks.
 type sourceState struct {
 	distribution.Source
-	chunks distribution.ChunkSet // nil: not known yet
+	chunks distribution.ChunkSet // nil until the source has sent its chunk set
 	fetch  *activeFetch          // at most one at a time
 
-	refreshing      bool // its chunk set is being asked for
+	refreshing      bool // a request for its chunk set is in flight
 	refreshAt       time.Duration
 	refreshInterval time.Duration
 
 	pausedUntil         time.Duration
 	consecutiveFailures int
-	missingChunks       int           // that it claimed to have
-	lastUsefulAt        time.Duration // when it last had a chunk that was needed
-	released            bool          // given back, or no longer listed by the tracker
+	missingChunks       int           // chunks that it claimed but didn't have
+	lastUsefulAt        time.Duration // when it last had a needed chunk
+	released            bool          // released after a fault, or no longer listed by the tracker
 }
 
 func (s *sourceState) key() sourceKey { return sourceKey{s.Agent, s.Manifest} }
 
-func (s *sourceState) peer() Peer { return Peer{s.Agent, s.Address} }
+func (s *sourceState) endpoint() Endpoint { return Endpoint{s.Agent, s.Address} }
 
 func (s *sourceState) isStore() bool { return s.Agent == distribution.StoreSource }
 
 // has reports whether the source is known to have the chunk at a position.
 func (s *sourceState) has(i int) bool { return s.isStore() || s.chunks.Has(i) }
 
-// inStripe reports whether a position is in this agent's stripe of the store, which it fetches
+// inStripe reports whether a position is in the stripe of the store that this agent fetches
 // first.
 func (s *sourceState) inStripe(i int) bool { return s.Stripes > 0 && i%s.Stripes == s.Stripe }
 
-// isUsable reports whether a source may be asked now.
+// isUsable reports whether requests may be sent to a source now.
 func (c *Core) isUsable(source *sourceState) bool {
 	return !source.released && c.now >= source.pausedUntil
 }
 
-// updateSources takes over the sources that the tracker lists. Others are released, unless the
-// tracker has just started and can't know them yet.
+// updateSources adds or updates the sources that the tracker lists and releases all others. If the
+// answer sets Keep, none is released: the tracker has just started and doesn't know them yet.
 func (c *Core) updateSources(answer distribution.Answer) {
 	listed := map[sourceKey]bool{}
 	for _, given := range answer.Sources {
@@ -80,7 +80,8 @@
 	return !excluded || c.now >= until
 }
 
-// addSource adds a source, or updates the one that is known.
+// addSource adds a source or updates a known one. A new address ends the pause and resets the
+// failure count.
 func (c *Core) addSource(key sourceKey, given distribution.Source) {
 	source := c.sources[key]
 	if source == nil {
@@ -93,8 +94,9 @@
 	source.Source, source.released = given, false
 }
 
-// removeUnusedSources drops released sources and those of manifests that no name refers to,
-// once nothing of them is under way, and exclusions that have ended.
+// removeUnusedSources deletes sources that are released or whose manifest no name refers to, and
+// exclusions that have expired. A source stays while a fetch from it is in flight. A released
+// source also stays while a request for its chunk set is in flight.
 func (c *Core) removeUnusedSources() {
 	for key, source := range c.sources {
 		if source.fetch != nil {
@@ -111,8 +113,8 @@
 	}
 }
 
-// sourcesByPreference returns a manifest's sources: peers of the own zone, then those of other
-// zones, then the store, each group in a new random order.
+// sourcesByPreference returns a manifest's sources in order of preference: peers in the agent's
+// zone, peers in other zones, the store. The order within each group is random.
 func (c *Core) sourcesByPreference(manifest digest.Digest) []*sourceState {
 	var sources []*sourceState
 	for _, source := range c.sources {
@@ -120,21 +122,21 @@
 			sources = append(sources, source)
 		}
 	}
-	// Sorted before they are shuffled, so that the order depends on the seed alone.
+	// Sorting before the shuffle makes the order depend on the seed alone.
 	slices.SortFunc(sources, func(a, b *sourceState) int { return cmp.Compare(a.Agent, b.Agent) })
 	c.rng.Shuffle(len(sources), func(i, j int) { sources[i], sources[j] = sources[j], sources[i] })
 	slices.SortStableFunc(sources, func(a, b *sourceState) int { return cmp.Compare(c.distance(a), c.distance(b)) })
 	return sources
 }
 
-// Distances of sources: the nearest is preferred.
+// Distances of sources, from the most to the least preferred.
 const (
 	distanceSameZone = iota
 	distanceOtherZone
 	distanceStore
 )
 
-// distance returns how far a source is from the agent.
+// distance returns the rank of a source in the order of preference.
 func (c *Core) distance(source *sourceState) int {
 	switch {
 	case source.isStore():
@@ -145,7 +147,7 @@
 	return distanceSameZone
 }
 
-// firstUsableSource returns the preferred source that may be asked now, or nil.
+// firstUsableSource returns the most preferred source that is usable now, or nil.
 func (c *Core) firstUsableSource(manifest digest.Digest) *sourceState {
 	for _, source := range c.sourcesByPreference(manifest) {
 		if c.isUsable(source) {
@@ -165,17 +167,18 @@
 	return false
 }
 
-// requestChunkSet asks a peer which chunks it holds, if that is due.
+// requestChunkSet asks a peer which chunks it holds, if the next request is due and none is in
+// flight.
 func (c *Core) requestChunkSet(source *sourceState, target *targetState) {
 	if source.isStore() || source.refreshing || source.fetch != nil || !c.isUsable(source) || c.now < source.refreshAt {
 		return
 	}
 	source.refreshing = true
-	c.emit(GetChunkSet{source.peer(), target.name, source.Manifest})
+	c.emit(GetChunkSet{source.endpoint(), target.name, source.Manifest})
 }
 
-// handleChunkSetResult takes over which chunks a source holds. One that has nothing new is
-// asked less and less often.
+// handleChunkSetResult records which chunks a source holds. The interval until the next request
+// doubles each time, up to a limit, and starts again at its minimum when the chunk set changes.
 func (c *Core) handleChunkSetResult(result ChunkSetResult) {
 	source := c.sources[sourceKey{result.Source, result.Manifest}]
 	if source == nil {
@@ -195,7 +198,8 @@
 	source.refreshAt = c.now + c.jitter(source.refreshInterval)
 }
 
-// updateChunkSet records which chunks a source claims to hold, and reports whether they changed.
+// updateChunkSet records which chunks a source claims to hold, and reports whether the set has
+// changed.
 func (c *Core) updateChunkSet(source *sourceState, chunks distribution.ChunkSet) (changed bool) {
 	version := c.versions[source.Manifest]
 	if version == nil || chunks == nil {
@@ -207,8 +211,8 @@
 	return changed
 }
 
-// recordFault pauses a source after a failed request, or releases it. The store is only
-// paused, because there is no other.
+// recordFault pauses or releases a source after a failed request. The store is only paused,
+// because there is no other store.
 func (c *Core) recordFault(source *sourceState, fault distribution.Fault, retryAfter time.Duration) {
 	c.counts.Faults[fault]++
 	if fault == distribution.FaultBusy {
@@ -234,7 +238,8 @@
 	}
 }
 
-// releaseSource stops using a source and has the tracker told why, so that it gives another.
+// releaseSource stops using a source and reports its fault, so that the tracker assigns another
+// source.
 func (c *Core) releaseSource(source *sourceState, fault distribution.Fault) {
 	c.excludedUntil[source.key()] = c.now + exclusionReports*c.settings.ReportInterval
 	source.released = true
--- a/internal/distribution/agent/core_sources_test.go
+++ b/internal/distribution/agent/core_sources_test.go
@@ -10,7 +10,7 @@
 
 // A damaged chunk that came from one source is that source's fault. One that came from two is
 // neither's: it is fetched again as a whole, from one source.
-func TestDamageFromSeveralSourcesBlamesNone(t *testing.T) {
+func TestDamagedChunkFromSeveralSourcesBlamesNone(t *testing.T) {
 	m := newManifest(t, "1", 1)
 	c, effects := newFetchingCore(t, m, peerSource("two", "a", m), peerSource("three", "a", m))
 	first := effectsOf[GetChunk](effects)[0]
--- a/internal/distribution/agent/core_state.go
+++ b/internal/distribution/agent/core_state.go
@@ -8,7 +8,7 @@
 	"oakpick/internal/distribution"
 )
 
-// CoreCounts counts what an agent has done since its start.
+// CoreCounts holds the counters since the agent's start.
 type CoreCounts struct {
 	StoredChunks  int64
 	PeerBytes     int64 // received from other agents
@@ -18,27 +18,27 @@
 	EvictedChunks int64
 }
 
-// targetState is a name whose weights the agent is to hold and serve.
+// targetState is the state of a name whose weights the agent is configured to hold and serve.
 type targetState struct {
 	name       string
 	revision   int64
-	wanted     digest.Digest // "": the tracker has not told yet
-	active     digest.Digest // "": nothing is served yet
+	wanted     digest.Digest // empty until the tracker sends the name's manifest
+	active     digest.Digest // empty until a version is activated
 	activating bool
 
 	activateRetryAt       time.Duration
 	manifestRetryAt       time.Duration
 	fetchingManifest      bool
-	failedManifestFetches int // of the wanted manifest
+	failedManifestFetches int // failures to read or fetch the wanted manifest
 }
 
-// versionState is a manifest with the chunks of it that are stored.
+// versionState is a manifest together with the positions whose chunks are stored.
 type versionState struct {
 	*distribution.Manifest
-	positions   map[digest.Digest][]int // of each chunk
-	held        distribution.ChunkSet
-	heldCount   int           // positions in held
-	lastFetchAt time.Duration // when a fetch last started, not counting other agents' stripes of the store
+	positions   map[digest.Digest][]int // of each chunk in the manifest
+	held        distribution.ChunkSet   // positions whose chunks are stored
+	heldCount   int                     // number of positions in held
+	lastFetchAt time.Duration           // last start of a fetch from a peer or from the agent's own stripe of the store
 }
 
 // complete reports whether every chunk is stored.
@@ -58,20 +58,20 @@
 	}
 }
 
-// chunkState is what is known of a chunk, which may belong to several versions.
+// chunkState is the state of a chunk, which may belong to several versions.
 type chunkState struct {
 	distribution.Chunk
-	stored        bool  // complete and verified
-	partialBytes  int64 // on disk, of a chunk that isn't complete
+	stored        bool  // complete and verified on disk
+	partialBytes  int64 // bytes on disk of an incomplete chunk
 	fetch         *activeFetch
-	contributors  map[string]bool // sources of the partial bytes
-	singleSource  bool            // to be fetched from one source, so that damage has one culprit
+	contributors  map[string]bool // names of the sources that sent the partial bytes
+	singleSource  bool            // fetched from one source only, so that damage can be attributed to it
 	removing      bool
 	removeRetryAt time.Duration
 	lastUsedAt    time.Duration
 }
 
-// storedBytes returns how much of the chunk is on disk.
+// storedBytes returns how many bytes of the chunk are on disk.
 func (k *chunkState) storedBytes() int64 {
 	if k.stored {
 		return k.Size
@@ -79,23 +79,23 @@
 	return k.partialBytes
 }
 
-// diskState is the agent's account of its disk.
+// diskState tracks disk usage and failed writes.
 type diskState struct {
-	usedBytes           int64         // by chunks, with the bytes reserved for fetches
-	pausedUntil         time.Duration // after a write failed
+	usedBytes           int64         // taken by chunks or reserved for fetches
+	pausedUntil         time.Duration // no fetch starts before this time after a failed write
 	consecutiveFailures int
-	overBudget          bool // there is no room, and nothing that may be evicted
+	overBudget          bool // a fetch needs space, and no chunk can be evicted
 }
 
-// reportState is what the agent tells the tracker, and when.
+// reportState tracks the reports to the tracker.
 type reportState struct {
-	term     int64 // the highest that a tracker answered with
-	sequence int64 // of the last inventory
+	term     int64 // highest term of the answers received
+	sequence int64 // sequence number of the last inventory
 	inFlight bool
 	nextAt   time.Duration
-	interval time.Duration // as the tracker last asked for
-	faults   []distribution.SourceFault
+	interval time.Duration              // as configured, until the tracker requests another
+	faults   []distribution.SourceFault // for the next inventory
 }
 
-// bringForward makes the next report due at a time, unless it is due before.
+// bringForward makes the next report due at the given time, unless it is due earlier.
 func (r *reportState) bringForward(at time.Duration) { r.nextAt = min(r.nextAt, at) }
--- a/internal/distribution/agent/core_targets.go
+++ b/internal/distribution/agent/core_targets.go
@@ -9,21 +9,21 @@
 	"oakpick/internal/distribution"
 )
 
-// applyNameRecord records which manifest a name refers to. A record that isn't newer than the
-// one known is ignored.
+// applyNameRecord sets the manifest that a name refers to. It ignores a record whose revision
+// isn't newer than the known one.
 func (c *Core) applyNameRecord(record distribution.NameRecord) {
 	for _, target := range c.targets {
 		if target.name != record.Name || record.Revision <= target.revision {
 			continue
 		}
-		c.log("weights change", "name", target.name, "from", target.wanted.String(), "to", record.Manifest.String(), "revision", record.Revision)
+		c.log("wanted version changed", "name", target.name, "from", target.wanted.String(), "to", record.Manifest.String(), "revision", record.Revision)
 		target.revision, target.wanted = record.Revision, record.Manifest
-		// A manifest that is being fetched is the previous one.
+		// A manifest request in flight is for the previous manifest and doesn't count any more.
 		target.manifestRetryAt, target.failedManifestFetches, target.fetchingManifest = c.now, 0, false
 	}
 }
 
-// advanceTargets requests manifests that are missing and activates versions that are complete.
+// advanceTargets requests missing manifests and activates complete versions.
 func (c *Core) advanceTargets() {
 	for _, target := range c.targets {
 		version := c.versions[target.wanted]
@@ -38,25 +38,25 @@
 	}
 }
 
-// requestManifest reads the wanted manifest from disk, or after that failed, fetches it from
-// any usable source.
+// requestManifest reads the wanted manifest from disk. After a failure it fetches the manifest
+// from a usable source instead.
 func (c *Core) requestManifest(target *targetState) {
 	if target.fetchingManifest || c.now < target.manifestRetryAt {
 		return
 	}
-	from := Peer{}
+	from := Endpoint{}
 	if target.failedManifestFetches > 0 {
 		source := c.firstUsableSource(target.wanted)
 		if source == nil {
 			return
 		}
-		from = source.peer()
+		from = source.endpoint()
 	}
 	target.fetchingManifest = true
 	c.emit(GetManifest{from, target.name, target.wanted})
 }
 
-// handleManifestResult records a manifest, or whose fault it is that there is none.
+// handleManifestResult adds the manifest, or records the failure and the source's fault.
 func (c *Core) handleManifestResult(result ManifestResult) {
 	for _, target := range c.targets {
 		if target.wanted != result.Digest || !target.fetchingManifest {
@@ -80,7 +80,7 @@
 	}
 }
 
-// addManifest makes a manifest known, with the chunks of it that are stored already.
+// addManifest adds a version for a manifest. Its chunks that are already stored count as held.
 func (c *Core) addManifest(m *distribution.Manifest) {
 	if c.versions[m.Digest] != nil {
 		return
@@ -95,7 +95,7 @@
 			chunk = &chunkState{Chunk: listed}
 			c.chunks[listed.Digest] = chunk
 		}
-		chunk.Size = listed.Size // a partial chunk that was found on disk had none
+		chunk.Size = listed.Size // not known yet if a partial chunk was found on disk
 		if chunk.stored {
 			version.setHeld([]int{i}, true)
 		}
@@ -103,7 +103,8 @@
 	c.versions[m.Digest] = version
 }
 
-// handleActivateResult records what a name is served from, and reports it soon.
+// handleActivateResult records the manifest that a name is served from and reports it soon. After a
+// failure, the next attempt is delayed.
 func (c *Core) handleActivateResult(result ActivateResult) {
 	for _, target := range c.targets {
 		if target.name != result.Name {
@@ -117,23 +118,23 @@
 		target.active = result.Manifest
 		c.counts.Activations++
 		c.reportSoon()
-		c.log("weights are active", "name", target.name, "manifest", result.Manifest.String())
+		c.log("version activated", "name", target.name, "manifest", result.Manifest.String())
 	}
 }
 
-// isActive reports whether a name is served from a manifest.
+// isActive reports whether any name is served from a manifest.
 func (c *Core) isActive(manifest digest.Digest) bool {
 	return slices.ContainsFunc(c.targets, func(target *targetState) bool { return target.active == manifest })
 }
 
-// isReferenced reports whether a name wants a manifest or is served from it.
+// isReferenced reports whether a manifest is wanted or active for any name.
 func (c *Core) isReferenced(manifest digest.Digest) bool {
 	return slices.ContainsFunc(c.targets, func(target *targetState) bool {
 		return target.active == manifest || target.wanted == manifest
 	})
 }
 
-// isChunkReferenced reports whether a version that is wanted or served has a chunk.
+// isChunkReferenced reports whether a version that is wanted or active for any name has a chunk.
 func (c *Core) isChunkReferenced(d digest.Digest) bool {
 	for _, target := range c.targets {
 		for _, manifest := range [...]digest.Digest{target.wanted, target.active} {
@@ -145,13 +146,14 @@
 	return false
 }
 
-// verifyManifest has all stored chunks of a manifest read again, unless that was done lately.
+// verifyManifest starts the verification of all stored chunks of a manifest, unless the last one
+// was recent.
 func (c *Core) verifyManifest(manifest digest.Digest) {
 	version := c.versions[manifest]
 	if version == nil {
 		return
 	}
-	if at, verified := c.verifiedAt[manifest]; verified && c.now-at < verifyReports*c.settings.ReportInterval {
+	if at, verified := c.verifiedAt[manifest]; verified && c.now-at < verifyIntervalReports*c.settings.ReportInterval {
 		return
 	}
 	c.verifiedAt[manifest] = c.now
@@ -162,7 +164,7 @@
 	}
 }
 
-// cancelUnneededFetches cancels fetches of chunks that no name refers to any more.
+// cancelUnneededFetches cancels fetches of chunks that no wanted or active version has.
 func (c *Core) cancelUnneededFetches() {
 	for _, id := range slices.Sorted(maps.Keys(c.fetches)) {
 		fetch := c.fetches[id]
--- a/internal/distribution/agent/core_test.go
+++ b/internal/distribution/agent/core_test.go
@@ -82,14 +82,14 @@
 func TestOlderAnswersAreIgnored(t *testing.T) {
 	first, second := newManifest(t, "1", 2), newManifest(t, "2", 2)
 	c := newCore(StoredState{})
-	late := trackerAnswer(7, first)
+	lowerRevision := trackerAnswer(7, first)
 	c.Step(0, trackerAnswer(9, second))
-	if got := effectsOf[GetManifest](c.Step(time.Second, late)); len(got) != 0 {
+	if got := effectsOf[GetManifest](c.Step(time.Second, lowerRevision)); len(got) != 0 {
 		t.Errorf("a lower revision is followed: %+v", got)
 	}
-	deposed := trackerAnswer(11, first)
-	deposed.Answer.Term = 0
-	if got := effectsOf[GetManifest](c.Step(2*time.Second, deposed)); len(got) != 0 {
+	lowerTerm := trackerAnswer(11, first)
+	lowerTerm.Answer.Term = 0
+	if got := effectsOf[GetManifest](c.Step(2*time.Second, lowerTerm)); len(got) != 0 {
 		t.Errorf("a lower term is followed: %+v", got)
 	}
 	// A later one is followed at once, although the manifest before is still being asked for.
--- a/internal/distribution/agent/effects.go
+++ b/internal/distribution/agent/effects.go
@@ -42,7 +42,7 @@
 }
 
 // sourceAddress returns where a peer or the store is reached.
-func (a *Agent) sourceAddress(p Peer) string {
+func (a *Agent) sourceAddress(p Endpoint) string {
 	if p.Name == distribution.StoreSource {
 		return a.settings.Store
 	}
@@ -83,11 +83,11 @@
 
 // startChunkFetch starts a fetch that CancelChunk can end.
 func (a *Agent) startChunkFetch(ctx context.Context, e GetChunk) {
-	ctxFetch, cancel := context.WithCancel(ctx)
+	fetchCtx, cancel := context.WithCancel(ctx)
 	a.cancels[e.ID] = cancel
 	a.start(ctx, func() Event {
 		defer cancel()
-		return a.getChunk(ctxFetch, e)
+		return a.getChunk(fetchCtx, e)
 	})
 }
 
--- a/internal/distribution/agent/settings.go
+++ b/internal/distribution/agent/settings.go
@@ -43,21 +43,21 @@
 
 // validate checks what the struct tags can't express.
 func (s *Settings) validate(path string) error {
-	var problems []error
+	var errs []error
 	for i, name := range s.Names {
 		if distribution.CheckName(name) != nil {
-			problems = append(problems, fmt.Errorf("%s: names[%d]: %.40q is not a name of weights", path, i, name))
+			errs = append(errs, fmt.Errorf("%s: names[%d]: %.40q is not a name of weights", path, i, name))
 		}
 	}
 	if s.Agent == distribution.StoreSource {
-		problems = append(problems, fmt.Errorf("%s: agent: %q is the store's name", path, s.Agent))
+		errs = append(errs, fmt.Errorf("%s: agent: %q is the store's name", path, s.Agent))
 	}
 	// Otherwise sources would be blamed as slow for the agent's own limit.
 	if s.DownloadBytes > 0 && s.MinimumRate*int64(s.Downloads) > s.DownloadBytes {
-		problems = append(problems, fmt.Errorf("%s: minimum_rate_bytes: %d for each of %d downloads is more than download_bytes_per_s allows, %d",
+		errs = append(errs, fmt.Errorf("%s: minimum_rate_bytes: %d for each of %d downloads is more than download_bytes_per_s allows, %d",
 			path, s.MinimumRate, s.Downloads, s.DownloadBytes))
 	}
-	return errors.Join(problems...)
+	return errors.Join(errs...)
 }
 
 // coreSettings returns the settings that Core needs.
