--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -22,9 +22,9 @@
 	"oakpick/internal/distribution/registry"
 )
 
-// Agent is the process. One goroutine owns Core and works through a queue of events; others
-// carry Core's effects out and put the results into the queue. All of them belong to group
-// and end with its context.
+// Agent is the agent process. One goroutine, the event loop, owns Core and processes queued
+// events. Other goroutines carry out Core's effects and queue the results. All goroutines belong
+// to group and end with its context.
 type Agent struct {
 	settings  Settings
 	log       *slog.Logger
@@ -38,22 +38,22 @@
 	group     *errgroup.Group
 	startedAt time.Time
 
-	cancels map[uint64]context.CancelFunc // of fetches under way; used by Core's owner only
+	cancels map[uint64]context.CancelFunc // by ID of the fetches in progress; used by the event loop only
 
 	mu        sync.Mutex
-	chunkSets map[digest.Digest]distribution.ChunkSet // as Core last had them, for the server
+	chunkSets map[digest.Digest]distribution.ChunkSet // copies of Core's chunk sets, for the server
 }
 
 const (
-	rateBurstBytes     = 64 << 10 // that are paced at a time
-	maxHeaderBytes     = 8 << 10  // of a request to the agent
-	idleTimeoutFactor  = 10       // request timeouts for which an idle connection is kept
+	rateBurstBytes     = 64 << 10 // largest burst of the rate limiters
+	maxHeaderBytes     = 8 << 10  // headers of a request to the agent
+	idleTimeoutFactor  = 10       // an idle connection is closed after this many request timeouts
 	eventQueueCapacity = 256
 )
 
-// Run serves until the context ends or something that the agent can't do without fails.
+// Run runs the agent until the context ends or an error occurs that the agent can't recover from.
 func Run(ctx context.Context, settings Settings, log *slog.Logger) error {
-	// That the context may have ended already is handled below, as the end of the run.
+	// Listen ignores the end of the context: an ended context isn't an error and is handled below.
 	listener, err := new(net.ListenConfig).Listen(context.WithoutCancel(ctx), "tcp", settings.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -66,7 +66,7 @@
 	defer a.client.Close()
 	err = a.serve(ctx, listener)
 	if ctx.Err() != nil {
-		return nil // being asked to end is no failure, nor are the errors that follow from it
+		return nil // a requested shutdown is not a failure, and neither are errors caused by it
 	}
 	return err
 }
@@ -83,14 +83,14 @@
 	a.group.Go(func() error { return server.Serve(listener) })
 	a.group.Go(func() error { a.run(ctx); return nil })
 	a.group.Go(func() error { <-ctx.Done(); return errors.Join(ctx.Err(), server.Close()) })
-	a.log.Info("agent serves", "agent", a.settings.Agent, "listen", a.settings.Listen)
+	a.log.Info("agent is serving", "agent", a.settings.Agent, "listen", a.settings.Listen)
 	return a.group.Wait()
 }
 
-// requestTimeout bounds small requests: everything but a chunk's bytes.
+// requestTimeout returns the timeout of small requests, which are all but the chunk transfers.
 func (a *Agent) requestTimeout() time.Duration { return a.core.settings.StallTimeout }
 
-// newAgent reads what is on disk and builds the agent around it.
+// newAgent creates an agent from the settings and the state found on disk.
 func newAgent(settings Settings, log *slog.Logger, files afero.Fs) (*Agent, error) {
 	store, err := chunkstore.Open(files, settings.Directory)
 	if err != nil {
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	for _, d := range stored.Damaged {
-		log.Warn("a stored chunk was damaged and is fetched anew", "chunk", d.String())
+		log.Warn("removed damaged chunk from disk; it is fetched again if needed", "chunk", d.String())
 	}
 	session, err := store.NextSession(time.Now().UnixMilli())
 	if err != nil {
@@ -133,12 +133,12 @@
 func randomSeed() (uint64, error) {
 	var seed [8]byte
 	if _, err := rand.Read(seed[:]); err != nil {
-		return 0, fmt.Errorf("seed: %w", err)
+		return 0, fmt.Errorf("generate seed: %w", err)
 	}
 	return binary.LittleEndian.Uint64(seed[:]), nil
 }
 
-// newLimiter paces bytes; nil means no limit.
+// newLimiter returns a limiter for a byte rate, or nil (no limit) if the rate is 0.
 func newLimiter(bytesPerSecond int64) *rate.Limiter {
 	if bytesPerSecond == 0 {
 		return nil
--- a/internal/distribution/agent/core_disk_test.go
+++ b/internal/distribution/agent/core_disk_test.go
@@ -10,7 +10,7 @@
 	"oakpick/internal/distribution/chunkstore"
 )
 
-// storedChunks is what an agent has on disk that holds all chunks of some manifests.
+// storedChunks returns the state on disk of an agent that holds all chunks of some manifests.
 func storedChunks(manifests ...*distribution.Manifest) StoredState {
 	stored := StoredState{Contents: chunkstore.Contents{Chunks: map[digest.Digest]int64{}, Manifests: manifests}}
 	for _, m := range manifests {
@@ -21,7 +21,7 @@
 	return stored
 }
 
-// successResults answers effects as an agent does for which everything succeeds.
+// successResults returns the events that answer effects if everything succeeds.
 func successResults(effects []Effect) (events []Event) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -36,8 +36,8 @@
 	return events
 }
 
-// Chunks of what is served or wanted are never evicted. Others are, and one that is being read
-// is tried again later, not at once.
+// Chunks of active or wanted versions are never evicted. Other chunks are. A chunk that can't be
+// removed because it is being read is tried again later, not in the same step.
 func TestEvictionKeepsReferencedChunks(t *testing.T) {
 	const diskLimitBytes = 650
 	old, active, wanted := newManifest(t, "old", 3), newManifest(t, "active", 3), newManifest(t, "wanted", 3)
@@ -50,11 +50,11 @@
 	effects := c.Step(1, ManifestResult{Digest: wanted.Digest, Manifest: wanted})
 	removes := effectsOf[Remove](effects)
 	if len(removes) != 1 || len(c.versions[old.Digest].positions[removes[0].Chunk]) == 0 {
-		t.Fatalf("not one old chunk is removed: %+v", removes)
+		t.Fatalf("not exactly one old chunk is removed: %+v", removes)
 	}
 	effects = c.Step(2, RemoveResult{Chunk: removes[0].Chunk}) // it is being read
 	if again := effectsOf[Remove](effects); len(again) != 1 || again[0] == removes[0] {
-		t.Errorf("tried again at once: %+v", again)
+		t.Errorf("the chunk that is being read is tried again at once: %+v", again)
 	}
 	for i := range 200 {
 		for _, e := range effectsOf[Remove](effects) {
@@ -68,11 +68,11 @@
 		effects = c.Step(time.Duration(i)*100*time.Millisecond, append(successResults(effects), trackerAnswer(2, wanted, store))...)
 	}
 	if c.Active(weightsName) != wanted.Digest {
-		t.Errorf("it serves %s", c.Active(weightsName))
+		t.Errorf("the active version is %s", c.Active(weightsName))
 	}
 }
 
-// A stored chunk that turned out to be damaged is fetched again.
+// A stored chunk that is lost because it was damaged is fetched again.
 func TestLostChunkIsFetchedAgain(t *testing.T) {
 	m := newManifest(t, "1", 2)
 	c, effects := newFetchingCore(t, m, peerSource("two", "a", m))
@@ -96,7 +96,8 @@
 	}
 }
 
-// Without a budget, a full disk has old chunks evicted. Those of versions in use stay.
+// Without a disk limit, a full disk causes unreferenced chunks to be evicted. Chunks of versions in
+// use are kept.
 func TestFullDiskEvictsUnreferencedChunks(t *testing.T) {
 	old, wanted := newManifest(t, "old", 3), newManifest(t, "wanted", 3)
 	c := newCore(storedChunks(old))
@@ -105,12 +106,12 @@
 	effects := c.Step(time.Second, ChunkResult{ID: get[0].ID, Fault: distribution.FaultDisk, ReceivedBytes: 40})
 	removes := effectsOf[Remove](effects)
 	if len(removes) != 1 || len(c.versions[old.Digest].positions[removes[0].Chunk]) == 0 {
-		t.Errorf("not one old chunk is removed: %+v", effects)
+		t.Errorf("not exactly one old chunk is removed: %+v", effects)
 	}
 	if len(effectsOf[GetChunk](effects)) != 0 {
-		t.Error("fetches go on at once on a full disk")
+		t.Error("fetches continue at once on a full disk")
 	}
 	if got := effectsOf[GetChunk](c.Step(time.Minute, RemoveResult{removes[0].Chunk, true})); len(got) != 1 {
-		t.Errorf("fetches don't go on: %+v", got)
+		t.Errorf("fetches don't continue after the removal: %+v", got)
 	}
 }
--- a/internal/distribution/agent/core_fetch_test.go
+++ b/internal/distribution/agent/core_fetch_test.go
@@ -10,7 +10,8 @@
 	"oakpick/internal/distribution"
 )
 
-// A chunk is fetched from one source at a time, and each source is asked for one chunk.
+// Each chunk is fetched from only one source at a time, and each source serves only one fetch at a
+// time. Peers in other zones aren't used for chunks that the agent's zone has.
 func TestOneFetchPerSourceAndChunk(t *testing.T) {
 	m := newManifest(t, "1", 20)
 	_, effects := newFetchingCore(t, m, peerSource("two", "a", m), peerSource("three", "a", m), peerSource("four", "b", m))
@@ -20,11 +21,11 @@
 		sources[get.From.Name]++
 	}
 	if len(chunks) != 2 || sources["two"] != 1 || sources["three"] != 1 || sources["four"] != 0 {
-		t.Errorf("chunks %v, sources %v: another zone is asked for what the own has", chunks, sources)
+		t.Errorf("chunks %v, sources %v: not one fetch for each source of the agent's zone", chunks, sources)
 	}
 }
 
-// The store is not asked for what a peer has.
+// The store is not used for chunks that a peer has.
 func TestPeersArePreferredToTheStore(t *testing.T) {
 	m := newManifest(t, "1", 20)
 	store := distribution.Source{Agent: distribution.StoreSource, Manifest: m.Digest, LeaseMs: 3000, Stripes: 1}
@@ -32,8 +33,8 @@
 	fetched := 0
 	for now := time.Second; now < 20*time.Second; now += time.Second {
 		for id, fetch := range c.fetches {
-			if fetch.source.isStore() && now > time.Second { // the first was begun before the peer had told
-				t.Fatal("the store is asked for what a peer has")
+			if fetch.source.isStore() && now > time.Second { // the first fetch began before the peer's chunk set was known
+				t.Fatal("a chunk that a peer has is fetched from the store")
 			}
 			fetched++
 			c.Step(now, ChunkResult{ID: id, ReceivedBytes: 100}, trackerAnswer(1, m, peerSource("two", "a", m), store))
@@ -44,7 +45,7 @@
 	}
 }
 
-// The chunk that the fewest sources have is fetched first.
+// The chunk that the fewest peers have is fetched first.
 func TestRarestChunkIsFetchedFirst(t *testing.T) {
 	m := newManifest(t, "1", 6)
 	c := newCore(StoredState{})
@@ -54,7 +55,7 @@
 		ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}},
 		ChunkSetResult{Source: "four", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
 	c.Step(3, ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
-	for _, source := range c.sources { // as if they had answered while idle
+	for _, source := range c.sources { // sets the chunk sets directly, as if all sources had answered while idle
 		source.chunks = distribution.ChunkSet{0b110111}
 	}
 	c.sources[sourceKey{"two", m.Digest}].chunks = distribution.ChunkSet{0b111111}
@@ -65,31 +66,31 @@
 	}
 }
 
-// The store is asked for what no peer has: first in the own stripe, elsewhere only after a
-// while, unless nobody else may use it.
+// Chunks that no peer has are fetched from the store: first the agent's own stripe, other stripes
+// only after a wait. There is no wait if no other agent uses the store.
 func TestOwnStripeOfTheStoreIsFetchedFirst(t *testing.T) {
 	m := newManifest(t, "1", 4)
 	store := distribution.Source{Agent: distribution.StoreSource, Manifest: m.Digest, LeaseMs: 3000, Stripe: 1, Stripes: 4, Others: 3}
 	c, effects := newFetchingCore(t, m, store)
 	got := effectsOf[GetChunk](effects)
 	if len(got) != 1 || got[0].Chunk.Digest != m.Chunks[1].Digest {
-		t.Fatalf("not the own stripe: %+v", got)
+		t.Fatalf("not exactly the agent's own stripe is fetched: %+v", got)
 	}
 	if more := effectsOf[GetChunk](c.Step(100*time.Millisecond, ChunkResult{ID: got[0].ID, ReceivedBytes: 100})); len(more) != 0 {
 		t.Errorf("another stripe is fetched at once: %+v", more)
 	}
 	if more := effectsOf[GetChunk](c.Step(3*time.Second, trackerAnswer(1, m, store))); len(more) != 1 {
-		t.Errorf("no other stripe is fetched after a while: %+v", more)
+		t.Errorf("no other stripe is fetched after the wait: %+v", more)
 	}
 	store.Others = 0
 	c, effects = newFetchingCore(t, m, store)
 	got = effectsOf[GetChunk](effects)
 	if more := effectsOf[GetChunk](c.Step(100*time.Millisecond, ChunkResult{ID: got[0].ID, ReceivedBytes: 100})); len(more) != 1 {
-		t.Errorf("it waits for other agents, and there are none: %+v", more)
+		t.Errorf("the agent waits although no other agent uses the store: %+v", more)
 	}
 }
 
-// Fetches that another version makes useless are cancelled at once, and no source is blamed.
+// Fetches for a version that is replaced are cancelled at once, and the source is not blamed.
 func TestFetchesOfReplacedVersionAreCancelled(t *testing.T) {
 	first, second := newManifest(t, "1", 3), newManifest(t, "2", 3)
 	c, effects := newFetchingCore(t, first, peerSource("two", "a", first))
--- a/internal/distribution/agent/core_sources_test.go
+++ b/internal/distribution/agent/core_sources_test.go
@@ -8,8 +8,8 @@
 	"oakpick/internal/distribution"
 )
 
-// A damaged chunk that came from one source is that source's fault. One that came from two is
-// neither's: it is fetched again as a whole, from one source.
+// A damaged chunk is reported as a source's fault if that source sent all of its bytes. If two
+// sources sent parts of it, neither is blamed, and the whole chunk is fetched again from one source.
 func TestDamagedChunkFromSeveralSourcesBlamesNone(t *testing.T) {
 	m := newManifest(t, "1", 1)
 	c, effects := newFetchingCore(t, m, peerSource("two", "a", m), peerSource("three", "a", m))
@@ -35,7 +35,7 @@
 	})
 	fourth := effectsOf[GetChunk](effects)
 	if len(fourth) != 1 || fourth[0].Offset != 0 {
-		t.Fatalf("bytes of two sources are mixed again: %+v", fourth)
+		t.Fatalf("the chunk is resumed although it must come from one source: %+v", fourth)
 	}
 	c.Step(60*time.Second, ChunkResult{ID: fourth[0].ID, Fault: distribution.FaultDamaged, ReceivedBytes: 100}, TrackerFailed{})
 	inventory := effectsOf[Report](c.Step(80*time.Second, Tick{}))
@@ -45,8 +45,8 @@
 	}
 }
 
-// Without an answer of any tracker the sources stay in use. An answer that doesn't list them
-// ends that, unless the tracker has just started.
+// While no tracker answers, sources stay in use. An answer that doesn't list them releases them,
+// unless it sets Keep because the tracker has just started.
 func TestSourcesStayInUseWithoutATracker(t *testing.T) {
 	m := newManifest(t, "1", 9)
 	c, _ := newFetchingCore(t, m, peerSource("two", "a", m))
@@ -54,22 +54,22 @@
 		c.Step(now, TrackerFailed{})
 	}
 	if len(c.sources) != 1 {
-		t.Error("the source is gone without an answer")
+		t.Error("the source is removed although no tracker answered")
 	}
 	started := trackerAnswer(1, m)
 	started.Answer.Keep = true
 	c.Step(time.Minute, started)
 	if source := c.sources[sourceKey{"two", m.Digest}]; source == nil || source.released {
-		t.Error("a tracker that has just started takes the source away")
+		t.Error("the source is released by an answer that sets Keep")
 	}
 	c.Step(2*time.Minute, trackerAnswer(1, m))
 	if source := c.sources[sourceKey{"two", m.Digest}]; source != nil && !source.released {
-		t.Error("the source is used without a lease")
+		t.Error("the source is still used after an answer that doesn't list it")
 	}
 }
 
-// A source that is slow, that claims chunks it doesn't have, that can't be reached or that sends
-// damaged chunks is released, and the tracker is told why.
+// A source is released and reported to the tracker if it is slow, claims chunks that it doesn't
+// have, can't be reached, or sends damaged chunks.
 func TestFaultySourcesAreReleased(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault    distribution.Fault
--- a/internal/distribution/agent/core_test.go
+++ b/internal/distribution/agent/core_test.go
@@ -11,10 +11,10 @@
 	"oakpick/internal/distribution/chunkstore"
 )
 
-// weightsName is the only name that the cores of these tests hold.
+// weightsName is the only name configured for the cores of these tests.
 const weightsName = "models/a"
 
-// newManifest makes a manifest of chunks that no other version has.
+// newManifest returns a manifest whose chunks belong to no other version.
 func newManifest(t *testing.T, version string, chunks int) *distribution.Manifest {
 	t.Helper()
 	var list []distribution.Chunk
@@ -28,7 +28,7 @@
 	return m
 }
 
-// newCore makes a core of zone a with a store.
+// newCore returns a core in zone a that has a store.
 func newCore(stored StoredState) *Core {
 	return NewCore(CoreSettings{
 		Agent: "one", Zone: "a", Address: "one:1", Session: 1, Names: []string{weightsName}, HasStore: true, UploadSlots: 4, MaxDownloads: 8,
@@ -36,20 +36,20 @@
 	}, stored)
 }
 
-// trackerAnswer refers weightsName to a manifest and lists sources.
+// trackerAnswer returns an answer that assigns a manifest to weightsName and lists sources.
 func trackerAnswer(revision int64, m *distribution.Manifest, sources ...distribution.Source) TrackerAnswered {
 	return TrackerAnswered{distribution.Answer{
 		Term: 1, NextMs: 1000, Sources: sources, Names: []distribution.NameRecord{{Name: weightsName, Manifest: m.Digest, Revision: revision}},
 	}}
 }
 
-// peerSource is an agent as a source of a manifest.
+// peerSource returns a source that is another agent.
 func peerSource(agent, zone string, m *distribution.Manifest) distribution.Source {
 	return distribution.Source{Agent: agent, Address: agent + ":1", Zone: zone, Manifest: m.Digest, LeaseMs: 3000}
 }
 
-// newFetchingCore makes a core that knows a manifest and that its sources hold all chunks, and
-// returns the effects of getting there.
+// newFetchingCore returns a core that knows a manifest and whose sources hold all of its chunks, with
+// the effects emitted on the way.
 func newFetchingCore(t *testing.T, m *distribution.Manifest, sources ...distribution.Source) (*Core, []Effect) {
 	t.Helper()
 	c := newCore(StoredState{})
@@ -77,28 +77,29 @@
 	return out
 }
 
-// An answer that is older than one given, of a name's lower revision or of an earlier leader,
-// changes nothing: a worker never goes back to an old version by itself.
+// An answer with a lower revision of a name than the known one, or of an earlier leader, is
+// ignored: an agent never returns to an old version by itself.
 func TestOlderAnswersAreIgnored(t *testing.T) {
 	first, second := newManifest(t, "1", 2), newManifest(t, "2", 2)
 	c := newCore(StoredState{})
 	lowerRevision := trackerAnswer(7, first)
 	c.Step(0, trackerAnswer(9, second))
 	if got := effectsOf[GetManifest](c.Step(time.Second, lowerRevision)); len(got) != 0 {
-		t.Errorf("a lower revision is followed: %+v", got)
+		t.Errorf("an answer with a lower revision is applied: %+v", got)
 	}
 	lowerTerm := trackerAnswer(11, first)
 	lowerTerm.Answer.Term = 0
 	if got := effectsOf[GetManifest](c.Step(2*time.Second, lowerTerm)); len(got) != 0 {
-		t.Errorf("a lower term is followed: %+v", got)
+		t.Errorf("an answer of a lower term is applied: %+v", got)
 	}
-	// A later one is followed at once, although the manifest before is still being asked for.
+	// A newer revision is applied at once, although the previous manifest is still being fetched.
 	if got := effectsOf[GetManifest](c.Step(3*time.Second, trackerAnswer(12, first))); len(got) != 1 || got[0].Digest != first.Digest {
-		t.Errorf("a later answer is not followed: %+v", got)
+		t.Errorf("a newer revision is ignored: %+v", got)
 	}
 }
 
-// After a restart the revision that was active counts: an answer of a lower one is older.
+// After a restart, the revision of the active version is known, and an answer with a lower
+// revision is ignored.
 func TestActiveRevisionSurvivesRestart(t *testing.T) {
 	first, second := newManifest(t, "1", 1), newManifest(t, "2", 1)
 	c := newCore(StoredState{
--- a/internal/distribution/agent/effects.go
+++ b/internal/distribution/agent/effects.go
@@ -8,7 +8,8 @@
 	"oakpick/internal/distribution/registry"
 )
 
-// execute starts what Core decided.
+// execute carries out an effect of Core. Requests and file access run in goroutines, whose results
+// are queued as events.
 func (a *Agent) execute(ctx context.Context, effect Effect) {
 	switch e := effect.(type) {
 	case Report:
@@ -34,14 +35,14 @@
 	}
 }
 
-// logDiskError logs an error of the chunk store; nil is ignored.
+// logDiskError logs an error of the chunk store. It ignores nil.
 func (a *Agent) logDiskError(err error) {
 	if err != nil {
-		a.log.Error("disk", "error", err.Error())
+		a.log.Error("chunk store error", "error", err.Error())
 	}
 }
 
-// sourceAddress returns where a peer or the store is reached.
+// sourceAddress returns the address of an agent or of the store.
 func (a *Agent) sourceAddress(p Endpoint) string {
 	if p.Name == distribution.StoreSource {
 		return a.settings.Store
@@ -49,13 +50,13 @@
 	return p.Address
 }
 
-// getManifest reads a manifest from disk, or fetches it from a peer and stores it.
+// getManifest reads a manifest from disk, or fetches it from an agent or the store and stores it.
 func (a *Agent) getManifest(ctx context.Context, e GetManifest) Event {
 	result := ManifestResult{Source: e.From.Name, Digest: e.Digest}
 	if e.From.Name == "" {
 		m, err := a.store.Manifest(e.Digest)
 		if err != nil {
-			result.Fault = distribution.FaultMissing // whatever the reason, it is fetched instead
+			result.Fault = distribution.FaultMissing // after any error the manifest is fetched instead
 			return result
 		}
 		result.Manifest = m
@@ -75,13 +76,13 @@
 	return result
 }
 
-// getChunkSet asks a peer which chunks it holds.
+// getChunkSet asks a peer which chunks of a manifest it holds.
 func (a *Agent) getChunkSet(ctx context.Context, e GetChunkSet) Event {
 	fetched := a.client.Chunks(ctx, e.From.Address, e.Name, e.Manifest)
 	return ChunkSetResult{Source: e.From.Name, Manifest: e.Manifest, Chunks: fetched.Chunks, Fault: fetched.Fault}
 }
 
-// startChunkFetch starts a fetch that CancelChunk can end.
+// startChunkFetch starts a fetch that CancelChunk can cancel.
 func (a *Agent) startChunkFetch(ctx context.Context, e GetChunk) {
 	fetchCtx, cancel := context.WithCancel(ctx)
 	a.cancels[e.ID] = cancel
@@ -91,7 +92,7 @@
 	})
 }
 
-// getChunk fetches a chunk into the store.
+// getChunk fetches a chunk and writes it to the chunk store.
 func (a *Agent) getChunk(ctx context.Context, e GetChunk) Event {
 	result := ChunkResult{ID: e.ID, PartialBytes: e.Offset}
 	request := registry.BlobRequest{
@@ -111,24 +112,24 @@
 	return result
 }
 
-// activate makes a version the one that a name is served from, if every chunk of it is stored.
+// activate makes a version the one that a name is served from, if all of its chunks are stored.
 func (a *Agent) activate(e Activate) Event {
 	err := a.store.Activate(e.Name, distribution.ActiveVersion{Manifest: e.Manifest, Revision: e.Revision})
 	if err != nil {
-		a.log.Error("weights can't be activated", "name", e.Name, "manifest", e.Manifest.String(), "error", err.Error())
+		a.log.Error("failed to activate version", "name", e.Name, "manifest", e.Manifest.String(), "error", err.Error())
 	}
 	return ActivateResult{e.Name, e.Manifest, err != nil}
 }
 
-// remove deletes what is on disk of a chunk, unless it is being read.
+// remove deletes a chunk from disk, unless it is being read.
 func (a *Agent) remove(e Remove) Event {
 	removed, err := a.store.Remove(e.Chunk)
 	a.logDiskError(err)
 	return RemoveResult{e.Chunk, removed}
 }
 
-// verify reads a stored chunk again. One that can't be read is not taken for lost: that may be
-// the disk's passing state.
+// verify reads a stored chunk and checks its digest. A chunk that can't be read doesn't count as
+// lost, because the disk error may be temporary.
 func (a *Agent) verify(e Verify) Event {
 	intact, err := a.store.Verify(e.Chunk)
 	a.logDiskError(err)
--- a/internal/distribution/agent/loop.go
+++ b/internal/distribution/agent/loop.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	maxEventBatch  = 64 // events of one step
-	ticksPerReport = 20
+	maxEventBatch  = 64 // events per step
+	ticksPerReport = 20 // ticks per configured report interval
 )
 
-// run is the event loop: it owns Core, and ends with the context.
+// run is the event loop. It owns Core and returns when the context ends.
 func (a *Agent) run(ctx context.Context) {
 	ticker := time.NewTicker(a.core.settings.ReportInterval / ticksPerReport)
 	defer ticker.Stop()
@@ -28,7 +28,7 @@
 	}
 }
 
-// step hands events to Core and starts what Core decides.
+// step passes events to Core and executes the resulting effects.
 func (a *Agent) step(ctx context.Context, events []Event) {
 	effects := a.core.Step(time.Since(a.startedAt), events...)
 	a.releaseCancels(events)
@@ -38,7 +38,7 @@
 	}
 }
 
-// drainEvents adds the events that are queued already, up to a batch.
+// drainEvents appends events that are already queued, up to maxEventBatch in total.
 func (a *Agent) drainEvents(events []Event) []Event {
 	for len(events) < maxEventBatch {
 		select {
@@ -51,7 +51,7 @@
 	return events
 }
 
-// releaseCancels drops the cancel functions of fetches that have ended.
+// releaseCancels deletes the cancel functions of fetches that have ended.
 func (a *Agent) releaseCancels(events []Event) {
 	for _, e := range events {
 		if result, ok := e.(ChunkResult); ok {
@@ -60,18 +60,18 @@
 	}
 }
 
-// publishState shows the server and the metrics what Core has.
+// publishState copies Core's state to the metrics and to the chunk sets that the server reads.
 func (a *Agent) publishState() {
 	a.metrics.update(a.core)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	clear(a.chunkSets)
 	for d := range a.core.versions {
-		a.chunkSets[d], _ = a.core.Chunks(d) // known, since it is one of Core's versions
+		a.chunkSets[d], _ = a.core.Chunks(d) // the manifest is known: d is a key of Core's versions
 	}
 }
 
-// start runs a task in a goroutine of the group and queues the event that it returns.
+// start runs a task in a goroutine of the group and queues the event that the task returns.
 func (a *Agent) start(ctx context.Context, task func() Event) {
 	a.group.Go(func() error {
 		a.enqueue(ctx, task())
@@ -79,7 +79,7 @@
 	})
 }
 
-// enqueue hands an event to Core's owner.
+// enqueue queues an event for the event loop, unless the context ends first.
 func (a *Agent) enqueue(ctx context.Context, e Event) {
 	select {
 	case a.events <- e:
--- a/internal/distribution/agent/metrics.go
+++ b/internal/distribution/agent/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// metrics are the Prometheus metrics of an agent.
+// metrics holds the Prometheus metrics of an agent.
 type metrics struct {
 	registry        *prometheus.Registry
 	storedChunks    prometheus.Gauge
@@ -19,7 +19,7 @@
 	controlBytes    prometheus.Counter
 }
 
-// metricOpts names a metric of the agent.
+// metricOpts returns the options of a metric, with the agent's prefix.
 func metricOpts(name, help string) prometheus.Opts {
 	return prometheus.Opts{Namespace: "oakpick", Subsystem: "agent", Name: name, Help: help}
 }
@@ -40,7 +40,7 @@
 	return prometheus.NewCounterVec(prometheus.CounterOpts(metricOpts(name, help)), []string{label})
 }
 
-// newMetrics registers the metrics of an agent with a registry of their own.
+// newMetrics creates the metrics of an agent and a registry for them.
 func newMetrics(a *Agent) *metrics {
 	m := &metrics{
 		registry:     prometheus.NewRegistry(),
@@ -66,7 +66,7 @@
 	return m
 }
 
-// countUpload counts a request of a peer for a chunk.
+// countUpload counts a peer's request for a chunk.
 func (m *metrics) countUpload(admitted bool) {
 	label := "no"
 	if admitted {
@@ -75,10 +75,10 @@
 	m.uploads.WithLabelValues(label).Inc()
 }
 
-// countControlBytes counts bytes that are not those of chunks.
+// countControlBytes counts bytes sent or received that don't belong to chunks.
 func (m *metrics) countControlBytes(bytes int) { m.controlBytes.Add(float64(bytes)) }
 
-// update copies what Core has counted.
+// update copies Core's counters and disk usage to the metrics.
 func (m *metrics) update(c *Core) {
 	m.storedChunks.Set(float64(c.counts.StoredChunks))
 	m.downloadedBytes.WithLabelValues("peers").Set(float64(c.counts.PeerBytes))
--- a/internal/distribution/agent/server.go
+++ b/internal/distribution/agent/server.go
@@ -16,17 +16,17 @@
 	"oakpick/internal/distribution/registry"
 )
 
-// PathActive is the path prefix below which the active version of a name is read.
+// PathActive is the path prefix for reading the active version of a name.
 const PathActive = "/v1/active/"
 
-// Headers of an answer below PathActive.
+// Headers of responses below PathActive.
 const (
 	HeaderManifest = distribution.ManifestHeader
 	HeaderRevision = "Oakpick-Revision"
 )
 
-// handler serves peers, the model server beside the agent, and metrics. Uploads that wait for
-// their rate limit end with the context.
+// handler returns the HTTP handler for peers, for the model server on the same machine, and for
+// metrics. Uploads that wait for the rate limiter are aborted when the context ends.
 func (a *Agent) handler(ctx context.Context) http.Handler {
 	uploads := newLimiter(a.settings.UploadBytes)
 	blobs := &registry.Handler{
@@ -50,8 +50,8 @@
 	return mux
 }
 
-// serveActive sends all bytes of the version that is active now, also if another one is
-// activated meanwhile.
+// serveActive sends the content of the version that is active when the request arrives, even if
+// another version is activated during the response.
 func (a *Agent) serveActive(w http.ResponseWriter, r *http.Request) {
 	name := strings.TrimPrefix(r.URL.Path, PathActive)
 	if err := distribution.CheckName(name); err != nil {
@@ -68,7 +68,7 @@
 		http.Error(w, "it can't be read", http.StatusInternalServerError)
 		return
 	}
-	defer version.Close() //nolint:errcheck // it was only read
+	defer version.Close() //nolint:errcheck // opened for reading only
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.FormatInt(version.Size, 10))
 	w.Header().Set(HeaderManifest, version.Manifest.String())
@@ -76,15 +76,15 @@
 	if r.Method == http.MethodHead {
 		return
 	}
-	_, _ = io.Copy(w, version) // a reader that gets fewer bytes than announced asks again
+	_, _ = io.Copy(w, version) // a client that receives fewer bytes than Content-Length retries
 }
 
-// peerContent is what peers may fetch: the stored manifests and chunks.
+// peerContent provides the stored manifests and chunks to peers.
 type peerContent struct{ agent *Agent }
 
 // Manifest returns a stored manifest by digest.
 func (c peerContent) Manifest(_, reference string) ([]byte, digest.Digest, error) {
-	m, err := c.agent.store.Manifest(digest.Digest(reference)) // by digest only: tags are the store's
+	m, err := c.agent.store.Manifest(digest.Digest(reference)) // only the store resolves tags
 	if err != nil {
 		return nil, "", translateNotStored(err)
 	}
@@ -100,7 +100,7 @@
 	return file, nil
 }
 
-// translateNotStored turns the chunk store's error for what isn't stored into the registry's.
+// translateNotStored turns chunkstore.ErrNotStored into registry.ErrNotFound.
 func translateNotStored(err error) error {
 	if errors.Is(err, chunkstore.ErrNotStored) {
 		return registry.ErrNotFound
@@ -115,13 +115,13 @@
 	return c.agent.chunkSets[manifest]
 }
 
-// countingWriter counts the bytes of uploads.
+// countingWriter is a ResponseWriter that counts uploaded bytes.
 type countingWriter struct {
 	http.ResponseWriter
 	metrics *metrics
 }
 
-// Write writes and counts.
+// Write writes to the response and counts the bytes.
 func (w countingWriter) Write(b []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(b)
 	w.metrics.uploadedBytes.Add(float64(n))
--- a/internal/distribution/agent/settings.go
+++ b/internal/distribution/agent/settings.go
@@ -34,14 +34,14 @@
 	return Settings{UploadSlots: 4, Downloads: 8, MinimumRate: mebibyte, StallS: 10, ReportS: 2.5}
 }
 
-// LoadSettings reads and checks a settings file. Its error names every key at fault.
+// LoadSettings reads and validates a settings file. Its error names every invalid key.
 func LoadSettings(path string) (Settings, error) {
 	s := Defaults()
 	err := config.LoadTOML(path, &s)
 	return s, errors.Join(err, s.validate(path))
 }
 
-// validate checks what the struct tags can't express.
+// validate checks the rules that the struct tags can't express.
 func (s *Settings) validate(path string) error {
 	var errs []error
 	for i, name := range s.Names {
@@ -52,7 +52,7 @@
 	if s.Agent == distribution.StoreSource {
 		errs = append(errs, fmt.Errorf("%s: agent: %q is the store's name", path, s.Agent))
 	}
-	// Otherwise sources would be blamed as slow for the agent's own limit.
+	// With a lower download limit, sources would be reported as slow because of that limit.
 	if s.DownloadBytes > 0 && s.MinimumRate*int64(s.Downloads) > s.DownloadBytes {
 		errs = append(errs, fmt.Errorf("%s: minimum_rate_bytes: %d for each of %d downloads is more than download_bytes_per_s allows, %d",
 			path, s.MinimumRate, s.Downloads, s.DownloadBytes))
@@ -60,7 +60,7 @@
 	return errors.Join(errs...)
 }
 
-// coreSettings returns the settings that Core needs.
+// coreSettings returns the settings of Core.
 func (s *Settings) coreSettings(session int64, seed uint64) CoreSettings {
 	return CoreSettings{
 		Agent:             s.Agent,
--- a/internal/distribution/agent/settings_test.go
+++ b/internal/distribution/agent/settings_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// Every key at fault is named.
+// The error names every invalid key.
 func TestLoadSettingsNamesEveryInvalidKey(t *testing.T) {
 	for added, want := range map[string]string{
 		"stall = 3":                     "stall: unknown",
--- a/internal/distribution/agent/stored.go
+++ b/internal/distribution/agent/stored.go
@@ -7,7 +7,7 @@
 	"oakpick/internal/distribution/chunkstore"
 )
 
-// LoadStoredState reads and verifies what is on disk, and which version is active for each name.
+// LoadStoredState reads and verifies the chunk store, and reads each name's active version.
 func LoadStoredState(store *chunkstore.Store, names []string) (StoredState, error) {
 	found, err := store.Scan()
 	if err != nil {
@@ -27,9 +27,8 @@
 	return stored, nil
 }
 
-// ClassifyFetch returns what was wrong with a fetch, or "" if the chunk is stored. It depends
-// on the chunk store's error, on how many bytes were received, and on the fault that the
-// transfer itself had.
+// ClassifyFetch returns the fault of a fetch, or "" if the chunk is stored. It depends on the chunk
+// store's error, the number of bytes received and the fault of the transfer.
 func ClassifyFetch(storeErr error, receivedBytes int64, transferFault distribution.Fault) distribution.Fault {
 	var diskErr *chunkstore.DiskError
 	switch {
@@ -40,7 +39,7 @@
 	case storeErr != nil && transferFault == "":
 		return distribution.FaultUnreachable
 	case storeErr == nil && receivedBytes > 0:
-		return "" // the chunk is complete, whatever happened to the connection afterwards
+		return "" // the chunk is complete, so a later connection error doesn't matter
 	}
 	return transferFault
 }
--- a/internal/distribution/agent/tracker_client.go
+++ b/internal/distribution/agent/tracker_client.go
@@ -16,11 +16,12 @@
 	"oakpick/internal/distribution/registry"
 )
 
-// trackerClient reports to the tracker that answered last, or if it fails, to the next one.
+// trackerClient sends reports to the tracker that answered last. If that tracker fails, it tries
+// the others in turn.
 type trackerClient struct {
 	http     *http.Client
 	trackers []string // addresses
-	current  int      // index in trackers; at most one report is under way at a time
+	current  int      // index in trackers; needs no lock, since at most one report is in flight
 }
 
 func newTrackerClient(trackers []string, timeout time.Duration, count func(bytes int)) *trackerClient {
@@ -34,7 +35,8 @@
 	return &trackerClient{http: &http.Client{Timeout: timeout, Transport: transport}, trackers: trackers}
 }
 
-// refusedError says that a tracker answered, but not with what was asked for.
+// refusedError means that a tracker responded with an error status, or with a body that is too long
+// or can't be read.
 type refusedError struct {
 	tracker    string
 	status     int
@@ -58,8 +60,8 @@
 		if err == nil {
 			return TrackerAnswered{answer}
 		}
-		// The reason isn't logged: the agent goes on with what it knows, and while a tracker is
-		// down every agent would log it with every report.
+		// The error isn't logged: the agent continues with its last known state, and during an outage
+		// of a tracker every agent would log the error with every report.
 		var refused *refusedError
 		if errors.As(err, &refused) {
 			failed.RetryAfter = max(failed.RetryAfter, refused.retryAfter)
@@ -92,11 +94,11 @@
 	return answer, nil
 }
 
-// retryAfter returns the pause that an answer asks for, or 0 if it names none.
+// retryAfter returns the delay that a response requests in Retry-After, or 0 if it requests none.
 func retryAfter(res *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(res.Header.Get("Retry-After"))
 	if err != nil {
-		return 0 // there is none, or it is a date, which controllers don't send
+		return 0 // the header is missing or is a date, which controllers don't send
 	}
 	return time.Duration(seconds) * time.Second
 }
