--- a/internal/distribution/chunkstore/active.go
+++ b/internal/distribution/chunkstore/active.go
@@ -20,7 +20,7 @@
 	return s.replaceFile(s.path(manifestsDir, m.Digest), m.Raw)
 }
 
-// Manifest reads a stored manifest. A damaged one counts as not stored.
+// Manifest reads a stored manifest. A damaged manifest counts as not stored.
 func (s *Store) Manifest(d digest.Digest) (*distribution.Manifest, error) {
 	if err := distribution.CheckDigest(d); err != nil {
 		return nil, ErrNotStored
@@ -39,13 +39,13 @@
 	return m, nil
 }
 
-// activePath returns the file that holds the active version of a name.
+// activePath returns the path of the file that records the active version of a name.
 func (s *Store) activePath(name string) string {
 	return path.Join(s.root, activeDir, url.PathEscape(name)+".json")
 }
 
-// Activate makes a version the one that a name is served from, atomically. All of its chunks have
-// to be stored.
+// Activate atomically makes a version the one that a name is served from. All chunks of the
+// version must be stored.
 func (s *Store) Activate(name string, version distribution.ActiveVersion) error {
 	m, err := s.Manifest(version.Manifest)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return s.replaceFile(s.activePath(name), text)
 }
 
-// Active returns which version a name is served from.
+// Active returns the version that a name is served from.
 func (s *Store) Active(name string) (distribution.ActiveVersion, error) {
 	text, err := afero.ReadFile(s.fs, s.activePath(name))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -75,12 +75,12 @@
 	}
 	var version distribution.ActiveVersion
 	if json.Unmarshal(text, &version) != nil || distribution.CheckDigest(version.Manifest) != nil {
-		return distribution.ActiveVersion{}, ErrNotStored // a damaged file names nothing
+		return distribution.ActiveVersion{}, ErrNotStored // the file is damaged
 	}
 	return version, nil
 }
 
-// VersionReader reads all bytes of one version. Its chunks aren't removed before it is closed.
+// VersionReader reads the bytes of a version. The version's chunks aren't removed before Close.
 type VersionReader struct {
 	distribution.ActiveVersion
 	Size    int64
@@ -88,7 +88,7 @@
 	current int
 }
 
-// OpenActive opens the version that a name is served from.
+// OpenActive opens the version that a name is served from for reading.
 func (s *Store) OpenActive(name string) (*VersionReader, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,15 +112,15 @@
 	return r, nil
 }
 
-// closeUnlocked closes what was opened so far, for a caller that holds the store's lock, which
-// closing takes itself.
+// closeUnlocked closes the chunks opened so far. The caller holds the store's lock, which is
+// released meanwhile because closing a chunk acquires it.
 func (r *VersionReader) closeUnlocked(s *Store) {
 	s.mu.Unlock()
-	_ = r.Close() // nothing was read, and the error that led here is returned
+	_ = r.Close() // nothing was read, and the caller returns the error that caused the close
 	s.mu.Lock()
 }
 
-// Read reads on in the chunks, one after the other.
+// Read reads from the chunks in order.
 func (r *VersionReader) Read(p []byte) (int, error) {
 	for r.current < len(r.chunks) {
 		n, err := r.chunks[r.current].Read(p)
@@ -135,11 +135,11 @@
 	return 0, io.EOF
 }
 
-// Close closes the chunks and lets them be removed.
+// Close closes the chunks and allows them to be removed.
 func (r *VersionReader) Close() error {
-	var problems []error
+	var errs []error
 	for _, chunk := range r.chunks {
-		problems = append(problems, chunk.Close())
+		errs = append(errs, chunk.Close())
 	}
-	return errors.Join(problems...)
+	return errors.Join(errs...)
 }
--- a/internal/distribution/chunkstore/active_test.go
+++ b/internal/distribution/chunkstore/active_test.go
@@ -10,16 +10,16 @@
 	"oakpick/internal/distribution"
 )
 
-// failingRenames is a file system on which renames fail after some that succeed, as the end of
-// the process makes them.
+// failingRenames is a file system whose renames fail after a number of successful ones, as if the
+// process had ended.
 type failingRenames struct {
 	afero.Fs
-	remaining int // renames that succeed
+	remaining int // renames that still succeed
 }
 
 var errProcessEnded = errors.New("the process has ended")
 
-// Rename renames a file while some renames remain.
+// Rename renames a file if remaining allows it, and fails otherwise.
 func (f *failingRenames) Rename(from, to string) error {
 	if f.remaining--; f.remaining < 0 {
 		return errProcessEnded
@@ -27,8 +27,8 @@
 	return f.Fs.Rename(from, to)
 }
 
-// The process ends during activation: before the rename the old version is served, after it the
-// new one, and never a mixture.
+// If the process ends during an activation, the old version stays active unless the file was
+// already renamed. Then the new version is active. A mixture is never served.
 func TestActivationIsAtomic(t *testing.T) {
 	files := afero.NewMemMapFs()
 	s := openStore(t, files)
@@ -47,7 +47,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer r.Close() //nolint:errcheck // it was only read
+		defer r.Close() //nolint:errcheck // opened for reading only
 		if got, err := io.ReadAll(r); err != nil || string(got) != want || r.Revision != revision || r.Size != int64(len(want)) {
 			t.Errorf("%q of revision %d, %v", got, r.Revision, err)
 		}
@@ -59,7 +59,7 @@
 	requireServed("twothree", 2)
 }
 
-// A version of which a chunk is missing or truncated can't become active.
+// A version with a missing or truncated chunk can't be activated.
 func TestIncompleteVersionIsNotActivated(t *testing.T) {
 	files := afero.NewMemMapFs()
 	s := openStore(t, files)
--- a/internal/distribution/chunkstore/read.go
+++ b/internal/distribution/chunkstore/read.go
@@ -11,14 +11,14 @@
 	"oakpick/internal/distribution"
 )
 
-// ChunkFile is a stored chunk that is open for reading. It isn't removed before it is closed.
+// ChunkFile is a stored chunk that is open for reading. The chunk isn't removed while it is open.
 type ChunkFile struct {
 	afero.File
 	Size    int64
 	release func()
 }
 
-// Close closes the file and lets the chunk be removed.
+// Close closes the file and allows the chunk to be removed.
 func (f *ChunkFile) Close() error {
 	f.release()
 	return f.File.Close()
@@ -31,7 +31,7 @@
 	return s.openChunkLocked(d)
 }
 
-// openChunkLocked opens a stored chunk for a caller that holds the lock.
+// openChunkLocked opens a stored chunk. The caller holds the lock.
 func (s *Store) openChunkLocked(d digest.Digest) (*ChunkFile, error) {
 	if err := distribution.CheckDigest(d); err != nil {
 		return nil, ErrNotStored
@@ -53,7 +53,7 @@
 	return &ChunkFile{file, info.Size(), release}, nil
 }
 
-// releaseReader counts one reader of a chunk less.
+// releaseReader decrements the number of readers of a chunk.
 func (s *Store) releaseReader(d digest.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,8 +62,8 @@
 	}
 }
 
-// Verify reads a stored chunk again and reports whether it is stored and has its digest. A
-// damaged chunk is removed.
+// Verify reads a chunk and reports whether it is stored and matches its digest. It removes a
+// damaged chunk.
 func (s *Store) Verify(d digest.Digest) (intact bool, err error) {
 	file, err := s.OpenChunk(d)
 	if errors.Is(err, ErrNotStored) {
--- a/internal/distribution/chunkstore/scan.go
+++ b/internal/distribution/chunkstore/scan.go
@@ -18,16 +18,16 @@
 	"oakpick/internal/durable"
 )
 
-// Contents is what Scan found on disk.
+// Contents lists the chunks and manifests that Scan found on disk.
 type Contents struct {
-	Chunks    map[digest.Digest]int64 // verified, with their sizes
-	Partial   map[digest.Digest]int64 // not complete, with the sizes of what is there
+	Chunks    map[digest.Digest]int64 // sizes of the verified chunks
+	Partial   map[digest.Digest]int64 // bytes on disk of the incomplete chunks
 	Manifests []*distribution.Manifest
-	Damaged   []digest.Digest // chunks that were damaged and have been removed
+	Damaged   []digest.Digest // damaged chunks, which were removed
 }
 
-// Scan reads everything that is stored and verifies it, on all processors. Damaged chunks are
-// removed.
+// Scan reads all stored chunks and manifests and verifies them, using all processors for the
+// chunks. It removes damaged chunks.
 func (s *Store) Scan() (Contents, error) {
 	found := Contents{Chunks: map[digest.Digest]int64{}, Partial: map[digest.Digest]int64{}}
 	if err := s.scanChunks(&found); err != nil {
@@ -47,14 +47,14 @@
 		return found, err
 	}
 	for d := range manifests {
-		if m, err := s.Manifest(d); err == nil { // one that can't be read is fetched again
+		if m, err := s.Manifest(d); err == nil { // a manifest that can't be read is fetched again
 			found.Manifests = append(found.Manifests, m)
 		}
 	}
 	return found, nil
 }
 
-// scanChunks verifies the stored chunks.
+// scanChunks verifies the stored chunks and adds them to found.
 func (s *Store) scanChunks(found *Contents) error {
 	chunks, err := s.listDigests(chunksDir)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return group.Wait()
 }
 
-// listDigests returns the digests by which files of a directory are named, and their sizes.
+// listDigests returns the digests that name the files of a directory, with the file sizes.
 func (s *Store) listDigests(dir string) (map[digest.Digest]int64, error) {
 	entries, err := afero.ReadDir(s.fs, path.Join(s.root, dir))
 	if err != nil {
@@ -95,8 +95,8 @@
 	return out, nil
 }
 
-// NextSession returns a session number that is higher than the last one and not below the given
-// minimum, and stores it.
+// NextSession stores and returns a session number that is higher than the last one and at least
+// the given minimum.
 func (s *Store) NextSession(minimum int64) (int64, error) {
 	name := path.Join(s.root, sessionFile)
 	session := minimum
--- a/internal/distribution/chunkstore/scan_test.go
+++ b/internal/distribution/chunkstore/scan_test.go
@@ -9,8 +9,8 @@
 	"github.com/spf13/afero"
 )
 
-// A restart finds complete chunks, partial chunks and manifests, and removes chunks whose files
-// were damaged in the meantime.
+// After a restart, Scan finds complete chunks, partial chunks and manifests, and removes chunks
+// whose files were damaged in the meantime.
 func TestScanVerifies(t *testing.T) {
 	files := afero.NewMemMapFs()
 	s := openStore(t, files)
@@ -33,12 +33,12 @@
 		t.Errorf("%+v", found)
 	}
 	if _, err := s.OpenChunk(m.Chunks[1].Digest); !errors.Is(err, ErrNotStored) {
-		t.Errorf("the damaged chunk is still there: %v", err)
+		t.Errorf("the damaged chunk is still stored: %v", err)
 	}
 }
 
-// Every session number is higher than the last one and not below the minimum.
-func TestSessionsGrow(t *testing.T) {
+// Each session number is higher than the last one and not below the minimum.
+func TestSessionNumbersIncrease(t *testing.T) {
 	files := afero.NewMemMapFs()
 	last := int64(0)
 	for _, minimum := range []int64{100, 50, 1000, 0} {
--- a/internal/distribution/chunkstore/store.go
+++ b/internal/distribution/chunkstore/store.go
@@ -1,6 +1,6 @@
-// Package chunkstore keeps chunks of weights on disk by their digest. A chunk counts as stored
-// only once all of its bytes are written and have its digest; until then it is a partial chunk.
-// Which version a name is served from is one small file, which is replaced atomically.
+// Package chunkstore stores chunks of weights on disk by their digest. A chunk counts as stored
+// only once all of its bytes are written and match the digest; until then it is a partial chunk.
+// A small file for each name, which is replaced atomically, records the name's active version.
 package chunkstore
 
 import (
@@ -25,13 +25,13 @@
 	sessionFile  = "session"
 )
 
-// ErrDamaged means that a chunk's bytes don't have its digest.
-var ErrDamaged = errors.New("the bytes don't have the digest")
+// ErrDamaged means that a chunk's bytes don't match its digest.
+var ErrDamaged = errors.New("bytes don't match the digest")
 
 // ErrNotStored means that a chunk, manifest or active version isn't stored.
 var ErrNotStored = errors.New("not stored")
 
-// DiskError means that the disk, and not the source of the bytes, is at fault.
+// DiskError is an error of the disk, as opposed to an error of the source of a chunk's bytes.
 type DiskError struct{ Err error }
 
 // Error returns the error of the file system.
@@ -40,17 +40,17 @@
 // Unwrap returns the error of the file system.
 func (e *DiskError) Unwrap() error { return e.Err }
 
-// Store keeps chunks below a directory of a file system. It is safe for concurrent use, with one
-// Write of a chunk at a time.
+// Store stores chunks below a directory of a file system. It is safe for concurrent use, except
+// that each chunk may have only one Write at a time.
 type Store struct {
 	fs   afero.Fs
 	root string
 
 	mu      sync.Mutex
-	readers map[digest.Digest]int // of each chunk; those with readers are not removed
+	readers map[digest.Digest]int // open readers of each chunk; a chunk with readers isn't removed
 }
 
-// Open opens the store below a directory, and creates what is missing of it.
+// Open opens the store below a directory and creates missing directories.
 func Open(files afero.Fs, root string) (*Store, error) {
 	s := &Store{fs: files, root: root, readers: map[digest.Digest]int{}}
 	for _, dir := range []string{chunksDir, partialDir, manifestsDir, activeDir} {
@@ -61,7 +61,7 @@
 	return s, nil
 }
 
-// path returns the file of a digest in one of the directories.
+// path returns the path of a digest's file in one of the directories.
 func (s *Store) path(dir string, d digest.Digest) string {
 	return path.Join(s.root, dir, d.Encoded())
 }
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// Remove deletes what is on disk of a chunk, unless it is being read.
+// Remove deletes a chunk's complete and partial files, unless the chunk is being read.
 func (s *Store) Remove(d digest.Digest) (removed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/distribution/chunkstore/store_test.go
+++ b/internal/distribution/chunkstore/store_test.go
@@ -36,7 +36,7 @@
 	return c
 }
 
-// putVersion stores chunks of some contents and their manifest.
+// putVersion stores chunks with the given contents and a manifest of them.
 func putVersion(t *testing.T, s *Store, contents ...string) *distribution.Manifest {
 	t.Helper()
 	var list []distribution.Chunk
@@ -53,7 +53,7 @@
 	return m
 }
 
-// A chunk that is being uploaded, or read as part of a version, isn't removed before that ends.
+// A chunk isn't removed while it is uploaded or read as part of a version.
 func TestChunksInUseAreNotRemoved(t *testing.T) {
 	s := openStore(t, afero.NewMemMapFs())
 	m := putVersion(t, s, "one", "two")
@@ -78,7 +78,7 @@
 	if err := upload.Close(); err != nil {
 		t.Error(err)
 	}
-	_ = upload.Close() // a second time doesn't release another reader
+	_ = upload.Close() // a second Close must not release another reader
 	requireRemoved(false)
 	if err := reader.Close(); err != nil {
 		t.Error(err)
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Close() //nolint:errcheck // it was only read
+	defer r.Close() //nolint:errcheck // opened for reading only
 	if got, err := io.ReadAll(r); err != nil || !bytes.Equal(got, []byte(strings.Repeat("one", 1000)+"two")) {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
--- a/internal/distribution/chunkstore/write.go
+++ b/internal/distribution/chunkstore/write.go
@@ -13,16 +13,16 @@
 	"oakpick/internal/durable"
 )
 
-// Write stores a chunk's bytes from an offset on, as far as the source gives them. It returns
-// how many bytes the source gave, and how many are kept of a chunk that isn't complete. The
-// error is ErrDamaged, a DiskError, or the source's.
+// Write reads a chunk's bytes from a source and stores them, starting at an offset. It returns how
+// many bytes it received, and how many bytes of an incomplete chunk are kept. The error is
+// ErrDamaged, a DiskError, or the source's error.
 func (s *Store) Write(chunk distribution.Chunk, offset int64, source io.Reader) (received, kept int64, err error) {
 	name := s.path(partialDir, chunk.Digest)
 	file, err := s.fs.OpenFile(name, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return 0, 0, &DiskError{err}
 	}
-	defer file.Close() //nolint:errcheck // a complete chunk was synced, and a part's digest is checked when it is complete
+	defer file.Close() //nolint:errcheck // a complete chunk was synced, and a partial one is verified when it is completed
 	sum := chunk.Digest.Algorithm().Hash()
 	if offset, err = resumePartial(file, offset, sum); err != nil {
 		return 0, 0, &DiskError{err}
@@ -31,12 +31,12 @@
 	if err != nil {
 		return received, kept, err
 	}
-	kept, err = s.complete(chunk, name, file, sum, kept)
+	kept, err = s.commitPartial(chunk, name, file, sum, kept)
 	return received, kept, err
 }
 
-// resumePartial prepares a partial file for appending at an offset, or at its end if it is
-// shorter, and adds the bytes before to the hash. It returns where to go on.
+// resumePartial prepares a partial file for appending at an offset, or at the file's end if that
+// comes first, and adds the bytes before that position to the hash. It returns the position.
 func resumePartial(file afero.File, offset int64, sum hash.Hash) (int64, error) {
 	info, err := file.Stat()
 	if err != nil {
@@ -54,7 +54,7 @@
 }
 
 // appendFrom copies the rest of a chunk from its source to the partial file and to the hash. It
-// returns how many bytes it received and how many are in the file.
+// returns how many bytes it received and how many bytes the file has.
 func appendFrom(file afero.File, sum hash.Hash, source io.Reader, size, offset int64) (received, kept int64, err error) {
 	received, err = io.Copy(io.MultiWriter(diskWriter{file}, sum), io.LimitReader(source, size-offset))
 	kept = offset + received
@@ -63,18 +63,18 @@
 	}
 	var diskErr *DiskError
 	if errors.As(err, &diskErr) {
-		// The last write may be incomplete. The digest would reveal that only after the rest
-		// was fetched, so everything of this call is dropped. If that fails too, the next call
-		// still has the digest.
+		// The last write may be incomplete. The digest would show that only after the rest of the
+		// chunk was fetched, so all bytes of this call are discarded. If truncating fails too, the
+		// digest still reveals the damage when the chunk is completed.
 		_ = file.Truncate(offset)
 		kept = offset
 	}
 	return received, kept, err
 }
 
-// complete verifies a partial file that has all bytes and makes it a stored chunk. It returns
-// how many bytes are kept if that fails.
-func (s *Store) complete(chunk distribution.Chunk, name string, file afero.File, sum hash.Hash, size int64) (kept int64, err error) {
+// commitPartial verifies a partial file that has all bytes and moves it to the stored chunks. It
+// returns how many bytes are kept if that fails.
+func (s *Store) commitPartial(chunk distribution.Chunk, name string, file afero.File, sum hash.Hash, size int64) (kept int64, err error) {
 	if digest.NewDigest(chunk.Digest.Algorithm(), sum) != chunk.Digest {
 		if err := s.fs.Remove(name); err != nil {
 			return 0, &DiskError{err}
@@ -87,10 +87,10 @@
 	return 0, nil
 }
 
-// diskWriter marks errors of its writer as the disk's, to tell them from those of the source.
+// diskWriter wraps errors of its writer in DiskError, to distinguish them from the source's errors.
 type diskWriter struct{ io.Writer }
 
-// Write passes bytes on and wraps an error in a DiskError.
+// Write writes to the underlying writer and wraps an error in a DiskError.
 func (w diskWriter) Write(p []byte) (int, error) {
 	n, err := w.Writer.Write(p)
 	if err != nil {
--- a/internal/distribution/chunkstore/write_test.go
+++ b/internal/distribution/chunkstore/write_test.go
@@ -10,8 +10,9 @@
 	"github.com/spf13/afero"
 )
 
-// A chunk whose source breaks off is kept as a partial chunk and resumed from there, also from
-// another source. It counts as stored only once it is complete and has its digest.
+// If the source fails, the received bytes are kept as a partial chunk. A later call continues from
+// there, also with another source. The chunk counts as stored only once it is complete and matches
+// its digest.
 func TestInterruptedChunkIsResumed(t *testing.T) {
 	s := openStore(t, afero.NewMemMapFs())
 	content := "0123456789"
@@ -35,14 +36,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close() //nolint:errcheck // it was only read
+	defer file.Close() //nolint:errcheck // opened for reading only
 	if got, err := io.ReadAll(file); err != nil || string(got) != content || file.Size != int64(len(content)) {
 		t.Errorf("%q %v", got, err)
 	}
 }
 
-// A partial chunk was truncated by the end of the process: the rest is written where the bytes
-// really end, and the digest tells if that is wrong.
+// If a partial chunk is shorter than the offset, because the process ended before all bytes were
+// on disk, the new bytes are written at the end of the file. The digest reveals a gap.
 func TestTruncatedPartialChunkIsResumedAtItsEnd(t *testing.T) {
 	files := afero.NewMemMapFs()
 	s := openStore(t, files)
@@ -58,7 +59,7 @@
 	}
 }
 
-// Bytes that don't have the digest are discarded and never count as stored.
+// Bytes that don't match the digest are discarded and never count as stored.
 func TestDamagedBytesAreDiscarded(t *testing.T) {
 	files := afero.NewMemMapFs()
 	s := openStore(t, files)
@@ -72,7 +73,7 @@
 	}
 }
 
-// Errors of the disk are distinguished from those of the source.
+// Errors of the disk can be distinguished from errors of the source.
 func TestDiskErrorsAreDistinguished(t *testing.T) {
 	s := openStore(t, &failingRenames{afero.NewMemMapFs(), 0})
 	var diskErr *DiskError
