--- a/internal/distribution/operator/client.go
+++ b/internal/distribution/operator/client.go
@@ -1,5 +1,5 @@
-// Package operator is the client of the tracker's administration API, for the command line: it
-// lists names, shows the status of their distribution, and changes which manifest a name has.
+// Package operator is the command line's client of the tracker's administration API. It lists names,
+// shows the status of their distribution, and changes the manifest that a name refers to.
 package operator
 
 import (
@@ -21,31 +21,33 @@
 
 // Client sends each request to one controller after another until one answers.
 type Client struct {
-	Controllers []string // addresses of their trackers
+	Controllers []string // addresses of the controllers' trackers
 	HTTP        http.Client
 }
 
-// maxAnswerBytes bounds what is read of an answer: a page of a status, with the agents' waits.
+// maxAnswerBytes limits the size of a response body. The largest is a page of a status, which
+// includes the agents' wait reasons.
 const maxAnswerBytes = 16 << 20
 
-// call sends a request to one controller after another and decodes the first answer.
+// call sends a request to one controller after another until one succeeds or refuses the request
+// with an error that isn't retryable. It decodes the answer.
 func (c *Client) call(ctx context.Context, method, path string, body, answer any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
-	var problems []error
+	var errs []error
 	for _, controller := range c.Controllers {
 		retryable, err := c.send(ctx, controller, method, path, text, answer)
 		if err == nil || !retryable {
 			return err
 		}
-		problems = append(problems, err)
+		errs = append(errs, err)
 	}
-	return errors.Join(problems...)
+	return errors.Join(errs...)
 }
 
-// send sends a request to one controller. After an error, retryable tells whether another
+// send sends a request to one controller. If it fails, retryable reports whether another
 // controller may succeed.
 func (c *Client) send(ctx context.Context, controller, method, path string, body []byte, answer any) (retryable bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+controller+path, bytes.NewReader(body))
@@ -76,11 +78,12 @@
 	Reason     string
 }
 
-// newRefusedError reads the reason from the body of an answer. Only a tracker's answers have one.
+// newRefusedError returns the error for a response with an error status. The reason is in the body if
+// a tracker sent the response.
 func newRefusedError(controller string, status int, body []byte) *RefusedError {
 	var answer distribution.ErrorAnswer
 	if json.Unmarshal(body, &answer) != nil {
-		answer.Error = "it doesn't track weights"
+		answer.Error = "the response is not from a distribution tracker"
 	}
 	return &RefusedError{Controller: controller, Status: status, Reason: answer.Error}
 }
@@ -93,14 +96,14 @@
 // retryable reports whether another controller may answer.
 func (e *RefusedError) retryable() bool { return e.Status >= http.StatusInternalServerError }
 
-// SetManifest has a name refer to a manifest, and returns the record once it is durable.
+// SetManifest makes a name refer to a manifest and returns the record once it is durable.
 func (c *Client) SetManifest(ctx context.Context, name string, manifest digest.Digest) (distribution.NameRecord, error) {
 	var record distribution.NameRecord
 	err := c.call(ctx, http.MethodPut, distribution.PathWeights+"/"+name, distribution.UseRequest{Manifest: manifest}, &record)
 	return record, err
 }
 
-// Names lists all names, page by page.
+// Names returns all names. It fetches them page by page.
 func (c *Client) Names(ctx context.Context) ([]distribution.NameRecord, error) {
 	var all []distribution.NameRecord
 	for after := ""; ; {
@@ -116,7 +119,8 @@
 	}
 }
 
-// pagePath returns the path of the page after an entry, or of the first page.
+// pagePath returns the path of the page that follows an entry, or of the first page if after is
+// empty.
 func pagePath(path, after string) string {
 	if after == "" {
 		return path
@@ -124,7 +128,8 @@
 	return path + "?after=" + url.QueryEscape(after)
 }
 
-// Status returns which agents hold what of a name, page by page.
+// Status returns the distribution status of a name with all of its agents. It fetches them page by
+// page.
 func (c *Client) Status(ctx context.Context, name string) (tracker.Status, error) {
 	var all tracker.Status
 	for after := ""; ; {
--- a/internal/distribution/operator/tables.go
+++ b/internal/distribution/operator/tables.go
@@ -23,28 +23,28 @@
 	return table.Flush()
 }
 
-// WriteStatus writes a table of which agents hold what, from which sources they fetch, and why
-// they wait.
+// WriteStatus writes a summary of a name's distribution and a table of the agents: the chunks they
+// hold, their sources and downloaders, and the reasons why they wait.
 func WriteStatus(w io.Writer, s tracker.Status) error {
-	_, err := fmt.Fprintf(w, "%s is %s, revision %d\n%d agents: %d hold all of it, %d serve it; fetching from the store: %s\n\n",
-		s.Name, s.Manifest, s.Revision, s.Agents, s.Complete, s.Active, cmp.Or(strings.Join(s.Store, ", "), "nobody"))
+	_, err := fmt.Fprintf(w, "%s: manifest %s, revision %d\n%d agents: %d complete, %d active; fetching from the store: %s\n\n",
+		s.Name, s.Manifest, s.Revision, s.Agents, s.Complete, s.Active, cmp.Or(strings.Join(s.Store, ", "), "none"))
 	if err != nil {
 		return err
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	// Errors of writing to the table are reported by Flush.
-	_, _ = fmt.Fprintln(table, "agent\tzone\tchunks\tserves\theard\tfetches from\tgives to\twaits")
+	_, _ = fmt.Fprintln(table, "agent\tzone\tchunks\tactive\tlast report\tsources\tdownloaders\twait reasons")
 	for _, member := range s.Members {
 		lastReportAge := time.Duration(member.LastReportAgeS * float64(time.Second)).Round(time.Second / 10)
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d/%d\t%s\t%s ago\t%s\t%s\t%s\n",
 			member.Agent, member.Zone, member.Chunks, member.Total, yesNo(member.Active), lastReportAge,
-			orDash(member.Sources), orDash(member.Downloaders), describeWaits(member))
+			joinOrDash(member.Sources), joinOrDash(member.Downloaders), describeWaits(member))
 	}
 	return table.Flush()
 }
 
-// orDash lists names, or writes a dash if there are none.
-func orDash(names []string) string { return cmp.Or(strings.Join(names, ","), "-") }
+// joinOrDash joins names with commas, or returns a dash if there are none.
+func joinOrDash(names []string) string { return cmp.Or(strings.Join(names, ","), "-") }
 
 func yesNo(value bool) string {
 	if value {
@@ -53,7 +53,7 @@
 	return "no"
 }
 
-// describeWaits says why an agent waits, and who accuses it of damage.
+// describeWaits returns the reasons why an agent waits, and how many agents accuse it of damage.
 func describeWaits(member tracker.AgentStatus) string {
 	var reasons []string
 	for _, wait := range member.Waits {
@@ -62,12 +62,12 @@
 			text += fmt.Sprintf(" (%d missing)", wait.Chunks)
 		}
 		if wait.Chunk != "" {
-			text += ", one is " + wait.Chunk.String()
+			text += ", for example " + wait.Chunk.String()
 		}
 		reasons = append(reasons, wait.Name+": "+text)
 	}
 	if member.Accused > 0 {
-		reasons = append(reasons, fmt.Sprintf("%d takers got damaged chunks from it", member.Accused))
+		reasons = append(reasons, fmt.Sprintf("%d agents received damaged chunks from it", member.Accused))
 	}
 	return strings.Join(reasons, "; ")
 }
