--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -53,7 +53,7 @@
 
 // Run runs the agent until the context ends or an error occurs that the agent can't recover from.
 func Run(ctx context.Context, settings Settings, log *slog.Logger) error {
-	// Listen ignores the end of the context: an ended context isn't an error and is handled below.
+	// Listen succeeds even if the context has ended: that isn't an error and is handled below.
 	listener, err := new(net.ListenConfig).Listen(context.WithoutCancel(ctx), "tcp", settings.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
--- a/internal/distribution/agent/core.go
+++ b/internal/distribution/agent/core.go
@@ -23,10 +23,10 @@
 	versions      map[digest.Digest]*versionState
 	chunks        map[digest.Digest]*chunkState
 	sources       map[sourceKey]*sourceState
-	excludedUntil map[sourceKey]time.Duration // before this time a released source isn't used again
+	excludedUntil map[sourceKey]time.Duration // time until which a released source isn't used
 	fetches       map[uint64]*activeFetch
 	lastFetchID   uint64
-	verifiedAt    map[digest.Digest]time.Duration // when the tracker last had a manifest's chunks verified
+	verifiedAt    map[digest.Digest]time.Duration // when a manifest's chunks were last verified at the tracker's request
 
 	disk    diskState
 	reports reportState
--- a/internal/distribution/agent/core_disk_test.go
+++ b/internal/distribution/agent/core_disk_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// A stored chunk that is lost because it was damaged is fetched again.
+// A stored chunk that turns out to be damaged is fetched again.
 func TestLostChunkIsFetchedAgain(t *testing.T) {
 	m := newManifest(t, "1", 2)
 	c, effects := newFetchingCore(t, m, peerSource("two", "a", m))
--- a/internal/distribution/agent/core_fetch.go
+++ b/internal/distribution/agent/core_fetch.go
@@ -143,7 +143,7 @@
 // that the fewest peers have, so that rare chunks spread first.
 func (c *Core) selectChunk(version *versionState, source *sourceState, available availability) (position int, found bool) {
 	var best candidate
-	first := c.rng.IntN(len(version.Chunks)) // the search starts here, so that ties are broken at random
+	first := c.rng.IntN(len(version.Chunks)) // a random start breaks ties between equally good chunks
 	for offset := range version.Chunks {
 		i := (first + offset) % len(version.Chunks)
 		if version.held.Has(i) || !source.has(i) || !c.isFetchable(version.Chunks[i].Digest) || !c.mayFetchFrom(source, version, i, available) {
@@ -165,8 +165,8 @@
 
 // mayFetchFrom reports whether the chunk at a position may be fetched from a source. Peers in
 // other zones are used only for chunks that no peer in the agent's zone has, and the store only
-// for chunks that no peer has. While other agents use the store too, each fetches its own stripe
-// first, and other stripes only after stripeWaitReports without a fetch.
+// for chunks that no peer has. While other agents use the store too, each agent fetches its own
+// stripe first, and other stripes only after stripeWaitReports without a fetch.
 func (c *Core) mayFetchFrom(source *sourceState, version *versionState, position int, available availability) bool {
 	if !source.isStore() {
 		return source.Zone == c.settings.Zone || available.sameZone[position] == 0
--- a/internal/distribution/agent/core_fetch_test.go
+++ b/internal/distribution/agent/core_fetch_test.go
@@ -21,7 +21,7 @@
 		sources[get.From.Name]++
 	}
 	if len(chunks) != 2 || sources["two"] != 1 || sources["three"] != 1 || sources["four"] != 0 {
-		t.Errorf("chunks %v, sources %v: not one fetch for each source of the agent's zone", chunks, sources)
+		t.Errorf("chunks %v, sources %v: want one fetch from each source in the agent's zone", chunks, sources)
 	}
 }
 
@@ -74,7 +74,7 @@
 	c, effects := newFetchingCore(t, m, store)
 	got := effectsOf[GetChunk](effects)
 	if len(got) != 1 || got[0].Chunk.Digest != m.Chunks[1].Digest {
-		t.Fatalf("not exactly the agent's own stripe is fetched: %+v", got)
+		t.Fatalf("want one fetch in the agent's own stripe: %+v", got)
 	}
 	if more := effectsOf[GetChunk](c.Step(100*time.Millisecond, ChunkResult{ID: got[0].ID, ReceivedBytes: 100})); len(more) != 0 {
 		t.Errorf("another stripe is fetched at once: %+v", more)
--- a/internal/distribution/agent/core_messages.go
+++ b/internal/distribution/agent/core_messages.go
@@ -1,6 +1,9 @@
 // Package agent fetches, verifies, stores and serves weights on one machine. Core, a
 // deterministic state machine, makes the decisions. The rest of the package carries out Core's
 // effects: file access, HTTP requests, upload slots and rate limits.
+//
+// The tracker's answers contain the manifest that each name refers to, and the sources to fetch its
+// chunks from: other agents (peers) and the store.
 package agent
 
 import (
@@ -110,7 +113,7 @@
 	}
 	// CancelChunk cancels a GetChunk, whose ChunkResult still follows.
 	CancelChunk struct{ ID uint64 }
-	// Activate atomically makes a manifest the one that a name is served from.
+	// Activate atomically makes a manifest the active one of a name.
 	Activate struct {
 		Name     string
 		Revision int64
@@ -155,16 +158,16 @@
 // Limits and durations of Core. The names of durations end in Reports if they are multiples of
 // the report interval, and in Divisor if they are fractions of it.
 const (
-	maxReportIntervalFactor = 16 // by which the tracker may shorten or lengthen the interval
+	maxReportIntervalFactor = 16 // the tracker may shorten or lengthen the interval by at most this factor
 	retryDivisor            = 8  // retry delay after the first failure
-	maxRetryDoublings       = 6  // of the retry delay
+	maxRetryDoublings       = 6  // the retry delay doubles at most this many times
 	refreshDivisor          = 2  // first interval between requests for a source's chunk set
 	maxRefreshReports       = 2  // longest interval between these requests
-	maxUselessReports       = 4  // without a needed chunk, after which a source is released
-	maxMissingChunks        = 3  // wrongly claimed chunks, after which a source is released
-	maxUnreachableFailures  = 2  // consecutive failures, after which an unreachable source is released
-	exclusionReports        = 10 // during which a released source isn't used again
-	stripeWaitReports       = 2  // without a fetch, after which the agent fetches other agents' stripes of the store
+	maxUselessReports       = 4  // a source is released after this long without a needed chunk
+	maxMissingChunks        = 3  // a source is released after it wrongly claimed this many chunks
+	maxUnreachableFailures  = 2  // an unreachable source is released after this many consecutive failures
+	exclusionReports        = 10 // a released source isn't used again for this long
+	stripeWaitReports       = 2  // other agents' stripes of the store are fetched after this long without a fetch
 	verifyIntervalReports   = 40 // shortest interval between two verifications of a manifest's chunks
 	maxReportedHoldings     = 64 // per inventory
 	maxReportedFaults       = 64 // per inventory
--- a/internal/distribution/agent/core_targets.go
+++ b/internal/distribution/agent/core_targets.go
@@ -18,7 +18,7 @@
 		}
 		c.log("wanted version changed", "name", target.name, "from", target.wanted.String(), "to", record.Manifest.String(), "revision", record.Revision)
 		target.revision, target.wanted = record.Revision, record.Manifest
-		// A manifest request in flight is for the previous manifest and doesn't count any more.
+		// A request in flight is for the previous manifest and must not block the next request.
 		target.manifestRetryAt, target.failedManifestFetches, target.fetchingManifest = c.now, 0, false
 	}
 }
@@ -80,7 +80,7 @@
 	}
 }
 
-// addManifest adds a version for a manifest. Its chunks that are already stored count as held.
+// addManifest adds a version for a manifest. Chunks that are already stored are marked as held.
 func (c *Core) addManifest(m *distribution.Manifest) {
 	if c.versions[m.Digest] != nil {
 		return
--- a/internal/distribution/agent/core_test.go
+++ b/internal/distribution/agent/core_test.go
@@ -48,8 +48,8 @@
 	return distribution.Source{Agent: agent, Address: agent + ":1", Zone: zone, Manifest: m.Digest, LeaseMs: 3000}
 }
 
-// newFetchingCore returns a core that knows a manifest and whose sources hold all of its chunks, with
-// the effects emitted on the way.
+// newFetchingCore returns a core that knows a manifest and whose sources hold all of its chunks. It
+// also returns the effects emitted since the manifest became known.
 func newFetchingCore(t *testing.T, m *distribution.Manifest, sources ...distribution.Source) (*Core, []Effect) {
 	t.Helper()
 	c := newCore(StoredState{})
--- a/internal/distribution/agent/effects.go
+++ b/internal/distribution/agent/effects.go
@@ -112,7 +112,7 @@
 	return result
 }
 
-// activate makes a version the one that a name is served from, if all of its chunks are stored.
+// activate makes a version the active one of a name, if all of its chunks are stored.
 func (a *Agent) activate(e Activate) Event {
 	err := a.store.Activate(e.Name, distribution.ActiveVersion{Manifest: e.Manifest, Revision: e.Revision})
 	if err != nil {
--- a/internal/distribution/chunkstore/active.go
+++ b/internal/distribution/chunkstore/active.go
@@ -44,8 +44,8 @@
 	return path.Join(s.root, activeDir, url.PathEscape(name)+".json")
 }
 
-// Activate atomically makes a version the one that a name is served from. All chunks of the
-// version must be stored.
+// Activate atomically makes a version the active version of a name. All chunks of the version must
+// be stored.
 func (s *Store) Activate(name string, version distribution.ActiveVersion) error {
 	m, err := s.Manifest(version.Manifest)
 	if err != nil {
@@ -88,7 +88,7 @@
 	current int
 }
 
-// OpenActive opens the version that a name is served from for reading.
+// OpenActive opens the active version of a name for reading.
 func (s *Store) OpenActive(name string) (*VersionReader, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 }
 
 // closeUnlocked closes the chunks opened so far. The caller holds the store's lock, which is
-// released meanwhile because closing a chunk acquires it.
+// released during the close because closing a chunk acquires it.
 func (r *VersionReader) closeUnlocked(s *Store) {
 	s.mu.Unlock()
 	_ = r.Close() // nothing was read, and the caller returns the error that caused the close
--- a/internal/distribution/chunkstore/active_test.go
+++ b/internal/distribution/chunkstore/active_test.go
@@ -27,8 +27,8 @@
 	return f.Fs.Rename(from, to)
 }
 
-// If the process ends during an activation, the old version stays active unless the file was
-// already renamed. Then the new version is active. A mixture is never served.
+// If the process ends during an activation, the old version is active before the rename and the
+// new version after it. A mixture is never served.
 func TestActivationIsAtomic(t *testing.T) {
 	files := afero.NewMemMapFs()
 	s := openStore(t, files)
--- a/internal/distribution/chunkstore/write.go
+++ b/internal/distribution/chunkstore/write.go
@@ -54,7 +54,7 @@
 }
 
 // appendFrom copies the rest of a chunk from its source to the partial file and to the hash. It
-// returns how many bytes it received and how many bytes the file has.
+// returns how many bytes it received and how many bytes the file then contains.
 func appendFrom(file afero.File, sum hash.Hash, source io.Reader, size, offset int64) (received, kept int64, err error) {
 	received, err = io.Copy(io.MultiWriter(diskWriter{file}, sum), io.LimitReader(source, size-offset))
 	kept = offset + received
--- a/internal/distribution/operator/client.go
+++ b/internal/distribution/operator/client.go
@@ -78,8 +78,8 @@
 	Reason     string
 }
 
-// newRefusedError returns the error for a response with an error status. The reason is in the body if
-// a tracker sent the response.
+// newRefusedError returns the error for a response with an error status. Only a tracker's response
+// has the reason in its body.
 func newRefusedError(controller string, status int, body []byte) *RefusedError {
 	var answer distribution.ErrorAnswer
 	if json.Unmarshal(body, &answer) != nil {
@@ -93,7 +93,7 @@
 	return fmt.Sprintf("%s: %d: %s", e.Controller, e.Status, e.Reason)
 }
 
-// retryable reports whether another controller may answer.
+// retryable reports whether the request may succeed at another controller.
 func (e *RefusedError) retryable() bool { return e.Status >= http.StatusInternalServerError }
 
 // SetManifest makes a name refer to a manifest and returns the record once it is durable.
--- a/internal/distribution/operator/tables.go
+++ b/internal/distribution/operator/tables.go
@@ -53,7 +53,8 @@
 	return "no"
 }
 
-// describeWaits returns the reasons why an agent waits, and how many agents accuse it of damage.
+// describeWaits returns the reasons why an agent waits, and how many agents received damaged
+// chunks from it.
 func describeWaits(member tracker.AgentStatus) string {
 	var reasons []string
 	for _, wait := range member.Waits {
