--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -26,17 +26,17 @@
 // events. Other goroutines carry out Core's effects and queue the results. All goroutines belong
 // to group and end with its context.
 type Agent struct {
-	settings  Settings
-	log       *slog.Logger
-	store     *chunkstore.Store
-	core      *Core
-	client    *registry.Client
-	tracker   *trackerClient
-	slots     registry.Slots
-	metrics   *metrics
-	events    chan Event
-	group     *errgroup.Group
-	startedAt time.Time
+	settings    Settings
+	log         *slog.Logger
+	store       *chunkstore.Store
+	core        *Core
+	client      *registry.Client
+	tracker     *trackerClient
+	uploadSlots registry.Slots
+	metrics     *metrics
+	events      chan Event
+	group       *errgroup.Group
+	startedAt   time.Time
 
 	cancels map[uint64]context.CancelFunc // by ID of the fetches in progress; used by the event loop only
 
@@ -53,7 +53,7 @@
 
 // Run runs the agent until the context ends or an error occurs that the agent can't recover from.
 func Run(ctx context.Context, settings Settings, log *slog.Logger) error {
-	// Listen succeeds even if the context has ended: that isn't an error and is handled below.
+	// A context that has already ended doesn't make Listen fail. The end is handled below.
 	listener, err := new(net.ListenConfig).Listen(context.WithoutCancel(ctx), "tcp", settings.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -113,15 +113,15 @@
 	}
 	core := NewCore(settings.coreSettings(session, seed), stored)
 	a := &Agent{
-		settings:  settings,
-		log:       log,
-		store:     store,
-		core:      core,
-		slots:     registry.NewSlots(settings.UploadSlots),
-		events:    make(chan Event, eventQueueCapacity),
-		startedAt: time.Now(),
-		cancels:   map[uint64]context.CancelFunc{},
-		chunkSets: map[digest.Digest]distribution.ChunkSet{},
+		settings:    settings,
+		log:         log,
+		store:       store,
+		core:        core,
+		uploadSlots: registry.NewSlots(settings.UploadSlots),
+		events:      make(chan Event, eventQueueCapacity),
+		startedAt:   time.Now(),
+		cancels:     map[uint64]context.CancelFunc{},
+		chunkSets:   map[digest.Digest]distribution.ChunkSet{},
 	}
 	a.metrics = newMetrics(a)
 	a.client = registry.NewClient(a.requestTimeout(), newLimiter(settings.DownloadBytes), a.metrics.countControlBytes)
--- a/internal/distribution/agent/core_fetch.go
+++ b/internal/distribution/agent/core_fetch.go
@@ -117,7 +117,7 @@
 // offersMissingChunk reports whether a source has a chunk that isn't stored yet.
 func (*Core) offersMissingChunk(version *versionState, source *sourceState) bool {
 	for i := range version.Chunks {
-		if !version.held.Has(i) && source.has(i) {
+		if !version.held.Has(i) && source.hasChunk(i) {
 			return true
 		}
 	}
@@ -127,7 +127,7 @@
 // candidate is a chunk that may be fetched from a source.
 type candidate struct {
 	position int
-	sources  int  // number of peers that have it
+	peers    int  // number of peers that have it
 	inStripe bool // in the agent's own stripe of the store
 }
 
@@ -136,7 +136,7 @@
 	if a.inStripe != b.inStripe {
 		return a.inStripe
 	}
-	return a.sources < b.sources
+	return a.peers < b.peers
 }
 
 // selectChunk returns the position of the next chunk to fetch from a source. It prefers the chunk
@@ -146,7 +146,7 @@
 	first := c.rng.IntN(len(version.Chunks)) // a random start breaks ties between equally good chunks
 	for offset := range version.Chunks {
 		i := (first + offset) % len(version.Chunks)
-		if version.held.Has(i) || !source.has(i) || !c.isFetchable(version.Chunks[i].Digest) || !c.mayFetchFrom(source, version, i, available) {
+		if version.held.Has(i) || !source.hasChunk(i) || !c.isFetchable(version.Chunks[i].Digest) || !c.mayFetchFrom(source, version, i, available) {
 			continue
 		}
 		next := candidate{i, available.total[i], source.isStore() && source.inStripe(i)}
--- a/internal/distribution/agent/core_sources.go
+++ b/internal/distribution/agent/core_sources.go
@@ -22,8 +22,8 @@
 	chunks distribution.ChunkSet // nil until the source has sent its chunk set
 	fetch  *activeFetch          // at most one at a time
 
-	refreshing      bool // a request for its chunk set is in flight
-	refreshAt       time.Duration
+	refreshing      bool          // a request for its chunk set is in flight
+	refreshAt       time.Duration // when the next request for its chunk set is due
 	refreshInterval time.Duration
 
 	pausedUntil         time.Duration
@@ -39,8 +39,8 @@
 
 func (s *sourceState) isStore() bool { return s.Agent == distribution.StoreSource }
 
-// has reports whether the source is known to have the chunk at a position.
-func (s *sourceState) has(i int) bool { return s.isStore() || s.chunks.Has(i) }
+// hasChunk reports whether the source is known to have the chunk at a position.
+func (s *sourceState) hasChunk(i int) bool { return s.isStore() || s.chunks.Has(i) }
 
 // inStripe reports whether a position is in the stripe of the store that this agent fetches
 // first.
@@ -55,14 +55,14 @@
 // answer sets Keep, none is released: the tracker has just started and doesn't know them yet.
 func (c *Core) updateSources(answer distribution.Answer) {
 	listed := map[sourceKey]bool{}
-	for _, given := range answer.Sources {
-		key := sourceKey{given.Agent, given.Manifest}
+	for _, entry := range answer.Sources {
+		key := sourceKey{entry.Agent, entry.Manifest}
 		if !c.acceptsSource(key) {
 			continue
 		}
 		delete(c.excludedUntil, key)
 		listed[key] = true
-		c.addSource(key, given)
+		c.addSource(key, entry)
 	}
 	for key, source := range c.sources {
 		if !listed[key] && !answer.Keep {
@@ -82,16 +82,16 @@
 
 // addSource adds a source or updates a known one. A new address ends the pause and resets the
 // failure count.
-func (c *Core) addSource(key sourceKey, given distribution.Source) {
+func (c *Core) addSource(key sourceKey, update distribution.Source) {
 	source := c.sources[key]
 	if source == nil {
 		source = &sourceState{lastUsefulAt: c.now, refreshInterval: c.settings.ReportInterval / refreshDivisor}
 		c.sources[key] = source
 	}
-	if source.Address != given.Address {
+	if source.Address != update.Address {
 		source.consecutiveFailures, source.pausedUntil = 0, c.now
 	}
-	source.Source, source.released = given, false
+	source.Source, source.released = update, false
 }
 
 // removeUnusedSources deletes sources that are released or whose manifest no name refers to, and
@@ -160,7 +160,7 @@
 // hasUsableSource reports whether any usable source has the chunk at a position.
 func (c *Core) hasUsableSource(version *versionState, i int) bool {
 	for _, source := range c.sources {
-		if source.Manifest == version.Digest && c.isUsable(source) && source.has(i) {
+		if source.Manifest == version.Digest && c.isUsable(source) && source.hasChunk(i) {
 			return true
 		}
 	}
--- a/internal/distribution/agent/core_targets.go
+++ b/internal/distribution/agent/core_targets.go
@@ -134,7 +134,8 @@
 	})
 }
 
-// isChunkReferenced reports whether a version that is wanted or active for any name has a chunk.
+// isChunkReferenced reports whether a chunk belongs to a version that is wanted or active for any
+// name.
 func (c *Core) isChunkReferenced(d digest.Digest) bool {
 	for _, target := range c.targets {
 		for _, manifest := range [...]digest.Digest{target.wanted, target.active} {
@@ -164,7 +165,7 @@
 	}
 }
 
-// cancelUnneededFetches cancels fetches of chunks that no wanted or active version has.
+// cancelUnneededFetches cancels fetches of chunks that no wanted or active version contains.
 func (c *Core) cancelUnneededFetches() {
 	for _, id := range slices.Sorted(maps.Keys(c.fetches)) {
 		fetch := c.fetches[id]
--- a/internal/distribution/agent/metrics.go
+++ b/internal/distribution/agent/metrics.go
@@ -59,7 +59,7 @@
 			"Bytes to and from controllers, and of what is asked of peers beside chunks, both ways with headers."),
 	}
 	slotsInUse := prometheus.NewGaugeFunc(prometheus.GaugeOpts(metricOpts("upload_slots_in_use", "Upload slots in use.")),
-		func() float64 { return float64(a.slots.InUse()) })
+		func() float64 { return float64(a.uploadSlots.InUse()) })
 	m.registry.MustRegister(m.storedChunks, m.downloadedBytes, m.faults, m.activations, m.evictedChunks, m.diskBytes,
 		m.uploads, m.uploadedBytes, m.controlBytes, slotsInUse,
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), collectors.NewGoCollector())
--- a/internal/distribution/agent/server.go
+++ b/internal/distribution/agent/server.go
@@ -31,7 +31,7 @@
 	uploads := newLimiter(a.settings.UploadBytes)
 	blobs := &registry.Handler{
 		Content:    peerContent{a},
-		Slots:      a.slots,
+		Slots:      a.uploadSlots,
 		RetryAfter: a.core.settings.ReportInterval,
 		OnUpload:   a.metrics.countUpload,
 		WrapBody: func(w http.ResponseWriter) http.ResponseWriter {
--- a/internal/distribution/agent/tracker_client.go
+++ b/internal/distribution/agent/tracker_client.go
@@ -84,11 +84,11 @@
 		return answer, fmt.Errorf("tracker %s: %w", tracker, err)
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, distribution.MaxMessageBytes+1))
-	if err != nil || len(text) > distribution.MaxMessageBytes || res.StatusCode != http.StatusOK {
+	data, err := io.ReadAll(io.LimitReader(res.Body, distribution.MaxMessageBytes+1))
+	if err != nil || len(data) > distribution.MaxMessageBytes || res.StatusCode != http.StatusOK {
 		return answer, &refusedError{tracker: tracker, status: res.StatusCode, retryAfter: retryAfter(res)}
 	}
-	if err := json.Unmarshal(text, &answer); err != nil {
+	if err := json.Unmarshal(data, &answer); err != nil {
 		return answer, fmt.Errorf("tracker %s: answer: %w", tracker, err)
 	}
 	return answer, nil
--- a/internal/distribution/chunkstore/active.go
+++ b/internal/distribution/chunkstore/active.go
@@ -57,16 +57,16 @@
 			return fmt.Errorf("chunk %s: %w", chunk.Digest, ErrNotStored)
 		}
 	}
-	text, err := json.Marshal(version)
+	data, err := json.Marshal(version)
 	if err != nil {
 		return err
 	}
-	return s.replaceFile(s.activePath(name), text)
+	return s.replaceFile(s.activePath(name), data)
 }
 
 // Active returns the version that a name is served from.
 func (s *Store) Active(name string) (distribution.ActiveVersion, error) {
-	text, err := afero.ReadFile(s.fs, s.activePath(name))
+	data, err := afero.ReadFile(s.fs, s.activePath(name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return distribution.ActiveVersion{}, ErrNotStored
 	}
@@ -74,7 +74,7 @@
 		return distribution.ActiveVersion{}, &DiskError{err}
 	}
 	var version distribution.ActiveVersion
-	if json.Unmarshal(text, &version) != nil || distribution.CheckDigest(version.Manifest) != nil {
+	if json.Unmarshal(data, &version) != nil || distribution.CheckDigest(version.Manifest) != nil {
 		return distribution.ActiveVersion{}, ErrNotStored // the file is damaged
 	}
 	return version, nil
--- a/internal/distribution/chunkstore/scan.go
+++ b/internal/distribution/chunkstore/scan.go
@@ -100,18 +100,18 @@
 func (s *Store) NextSession(minimum int64) (int64, error) {
 	name := path.Join(s.root, sessionFile)
 	session := minimum
-	text, err := afero.ReadFile(s.fs, name)
+	data, err := afero.ReadFile(s.fs, name)
 	if err == nil {
 		var last int64
-		if json.NewDecoder(bytes.NewReader(text)).Decode(&last) == nil {
+		if json.NewDecoder(bytes.NewReader(data)).Decode(&last) == nil {
 			session = max(session, last+1)
 		}
 	} else if !errors.Is(err, fs.ErrNotExist) {
 		return 0, &DiskError{err}
 	}
-	text, err = json.Marshal(session)
+	data, err = json.Marshal(session)
 	if err != nil {
 		return 0, err
 	}
-	return session, s.replaceFile(name, text)
+	return session, s.replaceFile(name, data)
 }
--- a/internal/distribution/operator/client.go
+++ b/internal/distribution/operator/client.go
@@ -19,7 +19,7 @@
 	"oakpick/internal/distribution/tracker"
 )
 
-// Client sends each request to one controller after another until one answers.
+// Client sends each request to one controller after another until one fulfils or refuses it.
 type Client struct {
 	Controllers []string // addresses of the controllers' trackers
 	HTTP        http.Client
@@ -29,16 +29,16 @@
 // includes the agents' wait reasons.
 const maxAnswerBytes = 16 << 20
 
-// call sends a request to one controller after another until one succeeds or refuses the request
+// call sends a request to one controller after another until one fulfils the request or refuses it
 // with an error that isn't retryable. It decodes the answer.
 func (c *Client) call(ctx context.Context, method, path string, body, answer any) error {
-	text, err := json.Marshal(body)
+	data, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
 	var errs []error
 	for _, controller := range c.Controllers {
-		retryable, err := c.send(ctx, controller, method, path, text, answer)
+		retryable, err := c.send(ctx, controller, method, path, data, answer)
 		if err == nil || !retryable {
 			return err
 		}
@@ -60,15 +60,15 @@
 		return true, err
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
 		return true, fmt.Errorf("%s: %w", controller, err)
 	}
 	if res.StatusCode != http.StatusOK {
-		refused := newRefusedError(controller, res.StatusCode, text)
+		refused := newRefusedError(controller, res.StatusCode, data)
 		return refused.retryable(), refused
 	}
-	return false, json.Unmarshal(text, answer)
+	return false, json.Unmarshal(data, answer)
 }
 
 // RefusedError means that a controller answered with an error status.
