--- a/internal/daemon/agents_test.go
+++ b/internal/daemon/agents_test.go
@@ -20,7 +20,7 @@
 )
 
 // publishVersion has a store make a version, and gives the sum of its bytes.
-func publishVersion(t *testing.T, store *registry.Memory, version string) (*distribution.Manifest, [sha256.Size]byte) {
+func publishVersion(t *testing.T, store *registry.MemoryContent, version string) (*distribution.Manifest, [sha256.Size]byte) {
 	t.Helper()
 	var chunks [][]byte
 	for i := range 12 {
@@ -35,7 +35,7 @@
 
 // agentFleet is four real agents in two zones, and the store and the trackers that they ask.
 type agentFleet struct {
-	store    *registry.Memory
+	store    *registry.MemoryContent
 	operator *operator.Client
 	settings []agent.Settings
 	stops    []context.CancelFunc
--- a/internal/distribution/registry/memory.go
+++ b/internal/distribution/registry/memory.go
@@ -9,20 +9,20 @@
 	"oakpick/internal/distribution"
 )
 
-// Memory is content in memory, for simulated stores. It is safe for concurrent use.
-type Memory struct {
+// MemoryContent is content in memory, for simulated stores. It is safe for concurrent use.
+type MemoryContent struct {
 	mu        sync.Mutex
 	manifests map[string]*distribution.Manifest // by digest and by tag
 	blobs     map[digest.Digest][]byte
 }
 
 // NewMemory returns a Memory without content.
-func NewMemory() *Memory {
-	return &Memory{manifests: map[string]*distribution.Manifest{}, blobs: map[digest.Digest][]byte{}}
+func NewMemory() *MemoryContent {
+	return &MemoryContent{manifests: map[string]*distribution.Manifest{}, blobs: map[digest.Digest][]byte{}}
 }
 
 // Publish adds a version of some chunks, and has tags refer to it.
-func (m *Memory) Publish(chunks [][]byte, tags ...string) (*distribution.Manifest, error) {
+func (m *MemoryContent) Publish(chunks [][]byte, tags ...string) (*distribution.Manifest, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var list []distribution.Chunk
@@ -42,14 +42,14 @@
 }
 
 // Bytes returns the content of a blob, or nil if there is none.
-func (m *Memory) Bytes(d digest.Digest) []byte {
+func (m *MemoryContent) Bytes(d digest.Digest) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.blobs[d]
 }
 
 // Manifest returns a manifest by tag or digest.
-func (m *Memory) Manifest(_, reference string) ([]byte, digest.Digest, error) {
+func (m *MemoryContent) Manifest(_, reference string) ([]byte, digest.Digest, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	manifest := m.manifests[reference]
@@ -60,7 +60,7 @@
 }
 
 // Blob opens a blob.
-func (m *Memory) Blob(_ string, d digest.Digest) (Blob, error) {
+func (m *MemoryContent) Blob(_ string, d digest.Digest) (Blob, error) {
 	content := m.Bytes(d)
 	if content == nil {
 		return nil, ErrNotFound
@@ -69,7 +69,7 @@
 }
 
 // Chunks returns nil: content in memory is complete.
-func (*Memory) Chunks(digest.Digest) distribution.ChunkSet { return nil }
+func (*MemoryContent) Chunks(digest.Digest) distribution.ChunkSet { return nil }
 
 // memoryBlob is a blob of bytes in memory.
 type memoryBlob struct{ *bytes.Reader }
--- a/internal/distribution/registry/registry_test.go
+++ b/internal/distribution/registry/registry_test.go
@@ -16,7 +16,7 @@
 
 // testContent is content that calls a hook when a blob is opened, and claims to hold one chunk.
 type testContent struct {
-	*Memory
+	*MemoryContent
 	manifest *distribution.Manifest
 	onOpen   func()
 }
@@ -25,7 +25,7 @@
 	if w.onOpen != nil {
 		w.onOpen()
 	}
-	return w.Memory.Blob(name, d)
+	return w.MemoryContent.Blob(name, d)
 }
 
 func (*testContent) Chunks(digest.Digest) distribution.ChunkSet { return distribution.ChunkSet{1} }
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &testContent{Memory: m, manifest: manifest}, manifest.Chunks[0]
+	return &testContent{MemoryContent: m, manifest: manifest}, manifest.Chunks[0]
 }
 
 // fetchBlob fetches a chunk from an offset on.
--- a/internal/scale/distributionrun/store.go
+++ b/internal/scale/distributionrun/store.go
@@ -20,7 +20,7 @@
 // simulatedStore is the read side of the OCI distribution specification from memory, with an
 // uplink that all answers share, slots, outages, and answers that are wrong or break off.
 type simulatedStore struct {
-	*registry.Memory
+	*registry.MemoryContent
 
 	uplink        *rate.Limiter
 	unavailable   atomic.Bool
@@ -40,7 +40,7 @@
 
 func newSimulatedStore(p Parameters) *simulatedStore {
 	return &simulatedStore{
-		Memory: registry.NewMemory(),
+		MemoryContent: registry.NewMemory(),
 		uplink: rate.NewLimiter(rate.Limit(p.StoreRateMB*mebibyte), pacedBytes), random: rand.New(rand.NewPCG(p.Seed, contentStream)),
 	}
 }
@@ -88,7 +88,7 @@
 		content[len(content)/2] ^= 1
 		return registry.NewBlob(content), nil
 	}
-	return s.Memory.Blob(name, d)
+	return s.MemoryContent.Blob(name, d)
 }
 
 // takeOne counts down; false: nothing is left.
