--- a/internal/daemon/agents_test.go
+++ b/internal/daemon/agents_test.go
@@ -45,7 +45,7 @@
 func startAgentFleet(t *testing.T, trackers []string) *agentFleet {
 	t.Helper()
 	directory := t.TempDir() // made first: it is removed after the agents have ended
-	f := &agentFleet{store: registry.NewMemory(), operator: &operator.Client{Controllers: trackers}}
+	f := &agentFleet{store: registry.NewMemoryContent(), operator: &operator.Client{Controllers: trackers}}
 	t.Cleanup(f.running.Wait)
 	storeAddress := startHTTPServer(t, &registry.Handler{Content: f.store, Slots: registry.NewSlots(2)})
 	for i := range 4 {
--- a/internal/distribution/registry/memory.go
+++ b/internal/distribution/registry/memory.go
@@ -16,8 +16,8 @@
 	blobs     map[digest.Digest][]byte
 }
 
-// NewMemory returns a Memory without content.
-func NewMemory() *MemoryContent {
+// NewMemoryContent returns a Memory without content.
+func NewMemoryContent() *MemoryContent {
 	return &MemoryContent{manifests: map[string]*distribution.Manifest{}, blobs: map[digest.Digest][]byte{}}
 }
 
--- a/internal/distribution/registry/registry_test.go
+++ b/internal/distribution/registry/registry_test.go
@@ -41,7 +41,7 @@
 // newTestContent returns content of one version of one chunk, tagged v1, with the chunk.
 func newTestContent(t *testing.T) (*testContent, distribution.Chunk) {
 	t.Helper()
-	m := NewMemory()
+	m := NewMemoryContent()
 	manifest, err := m.Publish([][]byte{[]byte("0123456789")}, "v1")
 	if err != nil {
 		t.Fatal(err)
