--- a/internal/distribution/registry/client.go
+++ b/internal/distribution/registry/client.go
@@ -45,7 +45,7 @@
 // to count, unless that is nil.
 func NewClient(timeout time.Duration, downloadLimit *rate.Limiter, count func(bytes int)) *Client {
 	dialer := &net.Dialer{Timeout: timeout}
-	dialControl := Dial(dialer.DialContext)
+	dialControl := DialFunc(dialer.DialContext)
 	if count != nil {
 		dialControl = CountingDial(dialControl, count)
 	}
@@ -57,7 +57,7 @@
 	}
 }
 
-func newTransport(dial Dial, timeout time.Duration) *http.Transport {
+func newTransport(dial DialFunc, timeout time.Duration) *http.Transport {
 	return &http.Transport{
 		DialContext:            dial,
 		ResponseHeaderTimeout:  timeout,
--- a/internal/distribution/registry/counting.go
+++ b/internal/distribution/registry/counting.go
@@ -5,12 +5,12 @@
 	"net"
 )
 
-// Dial connects to an address.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc connects to an address.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // CountingDial returns a Dial whose connections pass the number of bytes that they read and
 // write to count.
-func CountingDial(dial Dial, count func(bytes int)) Dial {
+func CountingDial(dial DialFunc, count func(bytes int)) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
