--- a/internal/distribution/registry/blob_client.go
+++ b/internal/distribution/registry/blob_client.go
@@ -15,19 +15,19 @@
 	"oakpick/internal/distribution"
 )
 
-// BlobRequest asks for the bytes of a chunk from an offset on.
+// BlobRequest describes the bytes of a chunk to fetch, starting at an offset.
 type BlobRequest struct {
 	Address      string
 	Name         string
 	Manifest     digest.Digest
 	Chunk        distribution.Chunk
 	Offset       int64
-	StallTimeout time.Duration // without a byte
-	Timeout      time.Duration // of the whole request
+	StallTimeout time.Duration // maximum time without receiving a byte
+	Timeout      time.Duration // for the whole request
 }
 
-// Blob fetches the bytes of a chunk from an offset on and hands them to the sink. The fault in
-// the result is the source's; the sink keeps its own errors.
+// Blob fetches the bytes of a chunk, starting at the offset, and passes a reader for them to sink.
+// The fault in the result covers failures of the source only; sink handles its own errors.
 func (c *Client) Blob(ctx context.Context, r BlobRequest, sink func(io.Reader)) FetchResult {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
@@ -50,7 +50,7 @@
 		result.Fault = distribution.FaultDamaged
 		return result
 	}
-	body.Reader = c.limited(ctx, res.Body)
+	body.Reader = c.rateLimited(ctx, res.Body)
 	sink(body)
 	if body.err != nil && !errors.Is(body.err, io.EOF) {
 		result.Fault = body.fault(ctx, body.err)
@@ -72,7 +72,7 @@
 	return req, nil
 }
 
-// coversRequest reports whether the headers of an answer announce the bytes that were asked for.
+// coversRequest reports whether a response's headers announce exactly the requested bytes.
 func coversRequest(res *http.Response, r BlobRequest) bool {
 	if r.Offset == 0 && res.StatusCode == http.StatusOK {
 		return res.ContentLength == r.Chunk.Size
@@ -81,38 +81,38 @@
 	return res.StatusCode == http.StatusPartialContent && strings.EqualFold(res.Header.Get("Content-Range"), want)
 }
 
-// limited returns a reader that keeps to the client's download limit.
-func (c *Client) limited(ctx context.Context, reader io.Reader) io.Reader {
+// rateLimited wraps a reader so that it keeps to the client's download limit.
+func (c *Client) rateLimited(ctx context.Context, reader io.Reader) io.Reader {
 	if c.downloadLimit == nil {
 		return reader
 	}
 	return &rateLimitedReader{ctx, reader, c.downloadLimit}
 }
 
-// stallReader cancels a request when no byte has come for a while.
+// stallReader reads a response body. It cancels the request if no byte arrives within the timeout.
 type stallReader struct {
 	io.Reader
 	timeout time.Duration
 	timer   *time.Timer
 	cancel  context.CancelFunc
 	expired atomic.Bool
-	err     error // of the last Read
+	err     error // returned by the last Read
 }
 
-// newStallReader starts the timer. The reader is set when the answer's headers have come.
+// newStallReader starts the timer. The caller sets Reader once the response headers have arrived.
 func newStallReader(timeout time.Duration, cancel context.CancelFunc) *stallReader {
 	s := &stallReader{timeout: timeout, cancel: cancel}
 	s.timer = time.AfterFunc(timeout, s.expire)
 	return s
 }
 
-// expire cancels the request, and remembers that this is why it fails.
+// expire cancels the request and records that the stall timeout is the cause.
 func (s *stallReader) expire() {
 	s.expired.Store(true)
 	s.cancel()
 }
 
-// Read reads and restarts the timer.
+// Read reads from the response, and restarts the timer if it received any bytes.
 func (s *stallReader) Read(p []byte) (int, error) {
 	n, err := s.Reader.Read(p)
 	if n > 0 {
@@ -122,7 +122,8 @@
 	return n, err
 }
 
-// fault returns the fault that an error of the request means.
+// fault returns FaultSlow if the stall timer or the deadline of the request has expired.
+// Otherwise it maps the connection error err to a fault.
 func (s *stallReader) fault(ctx context.Context, err error) distribution.Fault {
 	if s.expired.Load() || errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return distribution.FaultSlow
--- a/internal/distribution/registry/client.go
+++ b/internal/distribution/registry/client.go
@@ -19,30 +19,31 @@
 )
 
 const (
-	// idleTimeoutFactor is for how many timeouts an idle connection is kept.
+	// idleTimeoutFactor is the timeout of idle connections as a multiple of the client's timeout.
 	idleTimeoutFactor = 10
-	// maxRetryAfterSeconds is the longest pause that a source can ask for.
+	// maxRetryAfterSeconds caps the delay that a source can request with Retry-After.
 	maxRetryAfterSeconds = 60
 )
 
 // FetchResult is the outcome of a request to a source.
 type FetchResult struct {
-	Fault      distribution.Fault    // "": the request succeeded
-	Chunks     distribution.ChunkSet // that the source claims to hold; nil: it didn't say
-	RetryAfter time.Duration         // that the source asks for; 0: none
+	Fault      distribution.Fault    // empty if the request succeeded
+	Chunks     distribution.ChunkSet // claimed by the source; nil if it sent no chunk set
+	RetryAfter time.Duration         // requested by the source; 0 if it requested no delay
 }
 
 // Client fetches manifests and blobs from stores and agents.
 type Client struct {
 	blobs         *http.Client  // for blobs
-	control       *http.Client  // for everything else
-	downloadLimit *rate.Limiter // of blobs' bytes; nil: no limit
-	timeout       time.Duration // of everything but a blob's bytes
+	control       *http.Client  // for all other requests, called control requests
+	downloadLimit *rate.Limiter // for the bytes of blobs; nil means no limit
+	timeout       time.Duration // for a whole control request
 }
 
-// NewClient returns a client. The timeout bounds every part of a request but a blob's bytes,
-// whose rate downloadLimit limits unless it is nil. The bytes of all other requests are passed
-// to count, unless that is nil.
+// NewClient returns a client. The timeout bounds dialing, the wait for response headers, and each
+// control request as a whole, but not the transfer of a blob's bytes. downloadLimit limits the
+// rate of that transfer unless it is nil. If count isn't nil, it is called with the number of
+// bytes of each read and write on the connections for control requests.
 func NewClient(timeout time.Duration, downloadLimit *rate.Limiter, count func(bytes int)) *Client {
 	dialer := &net.Dialer{Timeout: timeout}
 	dialControl := DialFunc(dialer.DialContext)
@@ -76,7 +77,7 @@
 
 // Manifest fetches a manifest by digest and verifies it.
 func (c *Client) Manifest(ctx context.Context, address, name string, d digest.Digest) (*distribution.Manifest, FetchResult) {
-	raw, result := c.fetchSmall(ctx, http.MethodGet, address, pathBase+name+pathManifests+d.String())
+	raw, result := c.sendControlRequest(ctx, http.MethodGet, address, pathBase+name+pathManifests+d.String())
 	if result.Fault != "" {
 		return nil, result
 	}
@@ -88,9 +89,10 @@
 	return m, result
 }
 
-// Resolve fetches the manifest that a tag or digest refers to, and verifies it.
+// Resolve fetches and parses the manifest that a tag or digest refers to. The digest of the
+// returned manifest is computed from the received bytes.
 func (c *Client) Resolve(ctx context.Context, address, name, reference string) (*distribution.Manifest, error) {
-	raw, result := c.fetchSmall(ctx, http.MethodGet, address, pathBase+name+pathManifests+reference)
+	raw, result := c.sendControlRequest(ctx, http.MethodGet, address, pathBase+name+pathManifests+reference)
 	if result.Fault != "" {
 		return nil, fmt.Errorf("%s: %s", address, result.Fault)
 	}
@@ -99,12 +101,13 @@
 
 // Chunks asks an agent which chunks of a manifest it holds.
 func (c *Client) Chunks(ctx context.Context, address, name string, manifest digest.Digest) FetchResult {
-	_, result := c.fetchSmall(ctx, http.MethodHead, address, pathBase+name+pathManifests+manifest.String())
+	_, result := c.sendControlRequest(ctx, http.MethodHead, address, pathBase+name+pathManifests+manifest.String())
 	return result
 }
 
-// fetchSmall makes a request whose answer is at most as long as a manifest.
-func (c *Client) fetchSmall(ctx context.Context, method, address, path string) ([]byte, FetchResult) {
+// sendControlRequest sends a request and returns the body and the result. It reads at most one
+// byte more than the manifest limit, so that the caller can detect a body that is too long.
+func (c *Client) sendControlRequest(ctx context.Context, method, address, path string) ([]byte, FetchResult) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
@@ -125,11 +128,12 @@
 	return raw, result
 }
 
-// parseHeader returns what the status and the headers of an answer say.
+// parseHeader returns the fault, chunk set and retry delay that a response's status and headers
+// give.
 func parseHeader(res *http.Response) FetchResult {
 	result := FetchResult{Fault: statusFault(res.StatusCode)}
 	if text := res.Header.Get(distribution.ChunksHeader); text != "" {
-		if set, err := base64.StdEncoding.DecodeString(text); err == nil { // a malformed one says nothing
+		if set, err := base64.StdEncoding.DecodeString(text); err == nil { // a malformed chunk set is ignored
 			result.Chunks = set
 		}
 	}
@@ -139,7 +143,7 @@
 	return result
 }
 
-// statusFault returns the fault that a status of an answer means, or "".
+// statusFault maps the status of a response to a fault. It returns "" for success.
 func statusFault(status int) distribution.Fault {
 	switch status {
 	case http.StatusOK, http.StatusPartialContent:
@@ -149,12 +153,12 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return distribution.FaultBusy
 	case http.StatusRequestedRangeNotSatisfiable:
-		return distribution.FaultDamaged // the source has fewer bytes than the manifest says
+		return distribution.FaultDamaged // the source's blob is shorter than the manifest says
 	}
 	return distribution.FaultUnreachable
 }
 
-// connectionFault distinguishes a source that is slow from one that can't be reached.
+// connectionFault returns FaultSlow for a timeout and FaultUnreachable for any other error.
 func connectionFault(err error) distribution.Fault {
 	var netErr net.Error
 	if errors.Is(err, context.DeadlineExceeded) || errors.As(err, &netErr) && netErr.Timeout() {
--- a/internal/distribution/registry/counting.go
+++ b/internal/distribution/registry/counting.go
@@ -5,11 +5,11 @@
 	"net"
 )
 
-// DialFunc connects to an address.
+// DialFunc connects to an address, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// CountingDial returns a Dial whose connections pass the number of bytes that they read and
-// write to count.
+// CountingDial returns a DialFunc whose connections call count with the number of bytes of each
+// read and write.
 func CountingDial(dial DialFunc, count func(bytes int)) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -20,20 +20,20 @@
 	}
 }
 
-// countingConn counts the bytes of a connection.
+// countingConn is a connection that counts the bytes that it transfers.
 type countingConn struct {
 	net.Conn
 	count func(bytes int)
 }
 
-// Read reads and counts.
+// Read reads from the connection and counts the bytes.
 func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.count(n)
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes to the connection and counts the bytes.
 func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.count(n)
--- a/internal/distribution/registry/errors.go
+++ b/internal/distribution/registry/errors.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// Error codes of the specification.
+// Error codes of the OCI distribution specification.
 const (
 	codeBlobUnknown     = "BLOB_UNKNOWN"
 	codeDigestInvalid   = "DIGEST_INVALID"
@@ -14,20 +14,20 @@
 	codeManifestUnknown = "MANIFEST_UNKNOWN"
 	codeNameInvalid     = "NAME_INVALID"
 	codeTooManyRequests = "TOOMANYREQUESTS"
-	codeUnavailable     = "UNAVAILABLE" // not of the specification
+	codeUnavailable     = "UNAVAILABLE" // not defined by the specification
 	codeUnsupported     = "UNSUPPORTED"
 )
 
-// ErrNotFound means that a manifest or blob isn't there.
-var ErrNotFound = errors.New("not there")
+// ErrNotFound means that a manifest or blob doesn't exist.
+var ErrNotFound = errors.New("not found")
 
-// errorEntry is an error in an answer.
+// errorEntry is one error in the body of an error response.
 type errorEntry struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-// writeError answers with an error in the format of the specification.
+// writeError sends an error response in the format of the OCI distribution specification.
 func writeError(w http.ResponseWriter, status int, code, message string) {
 	body, err := json.Marshal(map[string][]errorEntry{"errors": {{code, message}}})
 	if err != nil {
@@ -36,10 +36,10 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // the client may be gone
+	_, _ = w.Write(body) // the client may have disconnected
 }
 
-// writeContentError answers that something isn't here, or a server error if it can't be read.
+// writeContentError sends status 404 for ErrNotFound, and status 500 for any other error.
 func writeContentError(w http.ResponseWriter, err error, notFoundCode, notFoundMessage string) {
 	if errors.Is(err, ErrNotFound) {
 		writeError(w, http.StatusNotFound, notFoundCode, notFoundMessage)
--- a/internal/distribution/registry/handler.go
+++ b/internal/distribution/registry/handler.go
@@ -16,7 +16,7 @@
 	"oakpick/internal/distribution"
 )
 
-// Paths and headers of the specification.
+// Paths and headers of the OCI distribution specification.
 const (
 	pathBase      = "/v2/"
 	pathManifests = "/manifests/"
@@ -29,23 +29,24 @@
 	io.ReadSeekCloser
 }
 
-// Content is what a handler serves.
+// Content provides the manifests and blobs that a Handler serves.
 type Content interface {
-	// Manifest returns a manifest by tag or digest, with its digest.
+	// Manifest returns the manifest that has a tag or digest, with its digest.
 	Manifest(name, reference string) ([]byte, digest.Digest, error)
 	// Blob opens a blob.
 	Blob(name string, d digest.Digest) (Blob, error)
-	// Chunks returns which chunks of a manifest are held, or nil to tell nothing.
+	// Chunks returns the chunks of a manifest that are held. If it returns nil, no chunks header
+	// is sent.
 	Chunks(manifest digest.Digest) distribution.ChunkSet
 }
 
-// Slots limits the uploads at a time.
+// Slots is a semaphore that limits the number of concurrent uploads.
 type Slots chan struct{}
 
-// NewSlots returns a number of free slots.
+// NewSlots returns a semaphore with the given number of slots, all of them free.
 func NewSlots(slots int) Slots { return make(Slots, slots) }
 
-// tryAcquire takes a slot if one is free.
+// tryAcquire takes a slot if one is free, and reports whether it did.
 func (s Slots) tryAcquire() bool {
 	select {
 	case s <- struct{}{}:
@@ -58,22 +59,25 @@
 // release frees a slot.
 func (s Slots) release() { <-s }
 
-// InUse returns how many slots are taken.
+// InUse returns the number of slots that are in use.
 func (s Slots) InUse() int { return len(s) }
 
-// Handler serves content over HTTP.
+// Handler serves Content over HTTP.
 type Handler struct {
 	Content Content
 	Slots   Slots
-	// RetryAfter is the pause that a client is asked for when no slot is free.
+	// RetryAfter is the delay that the Retry-After header requests when no slot is free. It is
+	// rounded down to whole seconds, but the header requests at least one second.
 	RetryAfter time.Duration
-	// WrapBody wraps the writer of a blob's bytes, to limit or count them. It may be nil.
+	// WrapBody wraps the response writer of a blob, for example to limit or count its bytes. It
+	// may be nil.
 	WrapBody func(http.ResponseWriter) http.ResponseWriter
-	// OnUpload is called for every request for a blob's bytes. It may be nil.
+	// OnUpload is called for every valid GET request for a blob. The parameter admitted tells
+	// whether an upload slot was free. OnUpload may be nil.
 	OnUpload func(admitted bool)
 }
 
-// ServeHTTP answers a request below /v2/.
+// ServeHTTP handles requests for paths below /v2/.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		w.Header().Set("Allow", "GET, HEAD")
@@ -100,7 +104,8 @@
 	writeError(w, http.StatusNotFound, codeUnsupported, "no such path")
 }
 
-// cutLast splits a string around the last separator: names may contain it too.
+// cutLast splits s around the last separator. Repository names may contain the separator too, so
+// splitting around the first one would be wrong.
 func cutLast(s, separator string) (before, after string, found bool) {
 	i := strings.LastIndex(s, separator)
 	if i < 0 {
@@ -109,7 +114,7 @@
 	return s[:i], s[i+len(separator):], true
 }
 
-// serveManifest answers a request for a manifest by tag or digest.
+// serveManifest handles a request for a manifest by tag or digest.
 func (h *Handler) serveManifest(w http.ResponseWriter, r *http.Request, name, reference string) {
 	if err := distribution.CheckName(name); err != nil {
 		writeError(w, http.StatusBadRequest, codeNameInvalid, err.Error())
@@ -129,19 +134,20 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.Header().Set(headerDigest, d.String())
 	if r.Method == http.MethodGet {
-		_, _ = w.Write(raw) // the client may be gone
+		_, _ = w.Write(raw) // the client may have disconnected
 	}
 }
 
-// setChunksHeader tells which chunks of a manifest are held.
+// setChunksHeader sets the header that lists the held chunks of a manifest, unless the content
+// returns no chunk set.
 func (h *Handler) setChunksHeader(w http.ResponseWriter, manifest digest.Digest) {
 	if set := h.Content.Chunks(manifest); set != nil {
 		w.Header().Set(distribution.ChunksHeader, base64.StdEncoding.EncodeToString(set))
 	}
 }
 
-// serveBlob answers a request for a blob, if a slot is free. A request for the headers alone needs
-// none.
+// serveBlob handles a request for a blob. A GET request needs a free upload slot; a HEAD request
+// needs none.
 func (h *Handler) serveBlob(w http.ResponseWriter, r *http.Request, name, reference string) {
 	if err := distribution.CheckName(name); err != nil {
 		writeError(w, http.StatusBadRequest, codeNameInvalid, err.Error())
@@ -168,14 +174,14 @@
 	h.sendBlob(w, r, name, d)
 }
 
-// sendBlob sends the bytes of a blob, or the range of them that is asked for.
+// sendBlob sends a blob, or the requested range of it.
 func (h *Handler) sendBlob(w http.ResponseWriter, r *http.Request, name string, d digest.Digest) {
 	blob, err := h.Content.Blob(name, d)
 	if err != nil {
 		writeContentError(w, err, codeBlobUnknown, "blob: not here")
 		return
 	}
-	defer blob.Close() //nolint:errcheck // it was only read
+	defer blob.Close() //nolint:errcheck // the blob was only read
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set(headerDigest, d.String())
 	w.Header().Set("Etag", `"`+d.String()+`"`)
@@ -186,7 +192,8 @@
 	http.ServeContent(body, r, "", time.Time{}, blob)
 }
 
-// acquireSlot takes an upload slot, or refuses the request with a time to ask again.
+// acquireSlot takes an upload slot and reports whether one was free. If none was, it refuses the
+// request with a Retry-After header.
 func (h *Handler) acquireSlot(w http.ResponseWriter) bool {
 	admitted := h.Slots.tryAcquire()
 	if h.OnUpload != nil {
--- a/internal/distribution/registry/memory.go
+++ b/internal/distribution/registry/memory.go
@@ -9,19 +9,20 @@
 	"oakpick/internal/distribution"
 )
 
-// MemoryContent is content in memory, for simulated stores. It is safe for concurrent use.
+// MemoryContent holds manifests and blobs in memory. Simulated stores serve it as their Content.
+// It is safe for concurrent use.
 type MemoryContent struct {
 	mu        sync.Mutex
 	manifests map[string]*distribution.Manifest // by digest and by tag
 	blobs     map[digest.Digest][]byte
 }
 
-// NewMemoryContent returns a Memory without content.
+// NewMemoryContent returns an empty MemoryContent.
 func NewMemoryContent() *MemoryContent {
 	return &MemoryContent{manifests: map[string]*distribution.Manifest{}, blobs: map[digest.Digest][]byte{}}
 }
 
-// Publish adds a version of some chunks, and has tags refer to it.
+// Publish adds the chunks and their manifest, and points the tags to that manifest.
 func (m *MemoryContent) Publish(chunks [][]byte, tags ...string) (*distribution.Manifest, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -41,14 +42,14 @@
 	return manifest, nil
 }
 
-// Bytes returns the content of a blob, or nil if there is none.
+// Bytes returns the content of a blob, or nil if the blob is unknown.
 func (m *MemoryContent) Bytes(d digest.Digest) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.blobs[d]
 }
 
-// Manifest returns a manifest by tag or digest.
+// Manifest returns the manifest that has a tag or digest, with its digest.
 func (m *MemoryContent) Manifest(_, reference string) ([]byte, digest.Digest, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -68,14 +69,14 @@
 	return NewBlob(content), nil
 }
 
-// Chunks returns nil: content in memory is complete.
+// Chunks returns nil, so that no chunks header is sent: content in memory is always complete.
 func (*MemoryContent) Chunks(digest.Digest) distribution.ChunkSet { return nil }
 
-// memoryBlob is a blob of bytes in memory.
+// memoryBlob is a Blob that reads from a byte slice.
 type memoryBlob struct{ *bytes.Reader }
 
 // Close does nothing.
 func (memoryBlob) Close() error { return nil }
 
-// NewBlob returns a blob of some bytes.
+// NewBlob returns a Blob that reads from content.
 func NewBlob(content []byte) Blob { return memoryBlob{bytes.NewReader(content)} }
--- a/internal/distribution/registry/rate_limit.go
+++ b/internal/distribution/registry/rate_limit.go
@@ -8,14 +8,14 @@
 	"golang.org/x/time/rate"
 )
 
-// rateLimitedReader reads no faster than a limiter allows.
+// rateLimitedReader reads no faster than the limiter allows.
 type rateLimitedReader struct {
 	ctx    context.Context
 	reader io.Reader
 	limit  *rate.Limiter
 }
 
-// Read reads up to a burst of the limiter, and waits for what it has read.
+// Read reads at most the limiter's burst, then waits until the limiter admits the bytes read.
 func (r *rateLimitedReader) Read(p []byte) (int, error) {
 	p = p[:min(len(p), r.limit.Burst())]
 	n, err := r.reader.Read(p)
@@ -27,14 +27,15 @@
 	return n, err
 }
 
-// RateLimitedWriter writes no faster than a limiter allows. Waiting ends with the context.
+// RateLimitedWriter writes no faster than the limiter allows. A write that waits for the limiter
+// fails when the context ends.
 type RateLimitedWriter struct {
 	http.ResponseWriter
 	Context context.Context
 	Limit   *rate.Limiter
 }
 
-// Write writes in parts of at most a burst of the limiter.
+// Write writes p in parts no longer than the limiter's burst.
 func (w RateLimitedWriter) Write(p []byte) (written int, err error) {
 	for len(p) > 0 {
 		part := p[:min(len(p), w.Limit.Burst())]
--- a/internal/distribution/registry/registry_test.go
+++ b/internal/distribution/registry/registry_test.go
@@ -14,7 +14,8 @@
 	"oakpick/internal/distribution"
 )
 
-// testContent is content that calls a hook when a blob is opened, and claims to hold one chunk.
+// testContent calls a hook when a blob is opened, and claims to hold only the first chunk of
+// every manifest.
 type testContent struct {
 	*MemoryContent
 	manifest *distribution.Manifest
@@ -30,7 +31,7 @@
 
 func (*testContent) Chunks(digest.Digest) distribution.ChunkSet { return distribution.ChunkSet{1} }
 
-// startServer serves content and returns the address.
+// startServer serves content with a number of upload slots and returns the server's address.
 func startServer(t *testing.T, m *testContent, slots int) (address string) {
 	t.Helper()
 	server := httptest.NewServer(&Handler{Content: m, Slots: NewSlots(slots), RetryAfter: 3 * time.Second})
@@ -38,7 +39,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// newTestContent returns content of one version of one chunk, tagged v1, with the chunk.
+// newTestContent returns content with a single version, tagged v1, and the only chunk of that
+// version.
 func newTestContent(t *testing.T) (*testContent, distribution.Chunk) {
 	t.Helper()
 	m := NewMemoryContent()
@@ -49,7 +51,7 @@
 	return &testContent{MemoryContent: m, manifest: manifest}, manifest.Chunks[0]
 }
 
-// fetchBlob fetches a chunk from an offset on.
+// fetchBlob fetches a chunk, starting at an offset.
 func fetchBlob(t *testing.T, address string, m *distribution.Manifest, c distribution.Chunk, offset int64) ([]byte, FetchResult) {
 	t.Helper()
 	client := NewClient(5*time.Second, nil, nil)
@@ -61,7 +63,7 @@
 	return got, f
 }
 
-// Chunks are fetched from any offset on, and manifests by digest and by tag.
+// Chunks can be fetched from any offset, and manifests by digest and by tag.
 func TestChunksAreFetchedFromAnyOffset(t *testing.T) {
 	m, c := newTestContent(t)
 	address := startServer(t, m, 1)
@@ -83,17 +85,17 @@
 		t.Errorf("%v", err)
 	}
 	if _, err := client.Resolve(t.Context(), address, "models/a", "v2"); err == nil {
-		t.Error("an unknown tag has a manifest")
+		t.Error("an unknown tag was resolved")
 	}
 }
 
-// A source admits no more uploads than it has slots, whoever holds which lease. Others are told
-// when to ask again. A slot is free again when its upload ends.
+// A source never serves more uploads at a time than it has slots, regardless of who holds a lease.
+// It refuses further requests with a Retry-After header. A slot is free again when its upload ends.
 func TestSlotsAreNeverExceeded(t *testing.T) {
 	m, c := newTestContent(t)
 	const slots = 2
-	inside, release := make(chan struct{}, 16), make(chan struct{})
-	m.onOpen = func() { inside <- struct{}{}; <-release }
+	opened, release := make(chan struct{}, 16), make(chan struct{})
+	m.onOpen = func() { opened <- struct{}{}; <-release }
 	address := startServer(t, m, slots)
 	done := make(chan FetchResult)
 	for range slots {
@@ -103,15 +105,15 @@
 		}()
 	}
 	for range slots {
-		<-inside
+		<-opened
 	}
 	for range 10 {
 		if _, f := fetchBlob(t, address, m.manifest, c, 0); f.Fault != distribution.FaultBusy || f.RetryAfter != 3*time.Second {
 			t.Errorf("%+v", f)
 		}
 	}
-	if len(inside) != 0 {
-		t.Error("more uploads than slots")
+	if len(opened) != 0 {
+		t.Error("more concurrent uploads than slots")
 	}
 	close(release)
 	for range slots {
@@ -124,7 +126,8 @@
 	}
 }
 
-// request sends a request, with a header unless that is empty, and returns the answer.
+// request sends a request and returns the status and body of the response. It sets the header
+// unless the header's name is empty.
 func request(t *testing.T, method, url, header, value string) (status int, body string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, nil)
@@ -146,11 +149,11 @@
 	return res.StatusCode, string(text)
 }
 
-// Invalid requests are refused with what is wrong with them, and valid ones are answered.
+// Invalid requests are refused with a message that names the problem, and valid ones are served.
 func TestInvalidRequestsAreRefused(t *testing.T) {
 	m, c := newTestContent(t)
 	address := startServer(t, m, 4)
-	good := "/v2/models/a/blobs/" + c.Digest.String()
+	blobPath := "/v2/models/a/blobs/" + c.Digest.String()
 	unknown := digest.FromString("other").String()
 	for _, test := range []struct {
 		method, path, header, value string
@@ -164,15 +167,15 @@
 		{"GET", "/v2/models/a/manifests/" + unknown, "", "", 404, "manifest"},
 		{"GET", "/v2/models/a/manifests/!", "", "", 400, "reference"},
 		{"GET", "/v2/models/a/tags/list", "", "", 404, "path"},
-		{"PUT", good, "", "", 405, "read side"},
+		{"PUT", blobPath, "", "", 405, "read side"},
 		{"DELETE", "/v2/models/a/manifests/v1", "", "", 405, "read side"},
-		{"GET", good, "Range", "bytes=99-", 416, ""},
-		{"GET", good, "Range", "bytes=9-1", 416, ""},
-		{"GET", good, "Range", "lines=1-2", 416, ""},
-		{"GET", good, distribution.ManifestHeader, "x", 400, distribution.ManifestHeader},
+		{"GET", blobPath, "Range", "bytes=99-", 416, ""},
+		{"GET", blobPath, "Range", "bytes=9-1", 416, ""},
+		{"GET", blobPath, "Range", "lines=1-2", 416, ""},
+		{"GET", blobPath, distribution.ManifestHeader, "x", 400, distribution.ManifestHeader},
 		{"GET", "/v2/", "", "", 200, ""},
-		{"HEAD", good, "", "", 200, ""},
-		{"GET", good, "Range", "bytes=0-1", 206, "01"},
+		{"HEAD", blobPath, "", "", 200, ""},
+		{"GET", blobPath, "Range", "bytes=0-1", 206, "01"},
 	} {
 		t.Run(test.method+" "+test.path+" "+test.value, func(t *testing.T) {
 			status, body := request(t, test.method, "http://"+address+test.path, test.header, test.value)
@@ -183,54 +186,55 @@
 	}
 }
 
-// faultCase is an answer of a source to a request from an offset on, and the fault that it means.
+// faultCase is the response of a source to a request for a chunk, starting at an offset, and the
+// fault that the client has to report.
 type faultCase struct {
-	answer http.HandlerFunc
-	offset int64
-	fault  distribution.Fault
+	handler http.HandlerFunc
+	offset  int64
+	fault   distribution.Fault
 }
 
-// answerStatus answers with a status and nothing else.
-func answerStatus(status int) http.HandlerFunc {
+// respondWithStatus returns a handler that sends a status without a body.
+func respondWithStatus(status int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }
 }
 
-// faultCases are the faults of a source of a chunk of ten bytes.
+// faultCases returns the ways in which a source can fail to serve a chunk of ten bytes.
 func faultCases() map[string]faultCase {
 	const size = "10"
 	return map[string]faultCase{
-		"never answers": {func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, 0, distribution.FaultSlow},
+		"never responds": {func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, 0, distribution.FaultSlow},
 		"stalls": {func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Length", size)
 			_, _ = w.Write([]byte("012"))
 			_ = http.NewResponseController(w).Flush()
 			<-r.Context().Done()
 		}, 0, distribution.FaultSlow},
-		"breaks off": {func(w http.ResponseWriter, _ *http.Request) {
+		"closes the connection early": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", size)
 			_, _ = w.Write([]byte("012"))
 		}, 0, distribution.FaultUnreachable},
-		"has fewer bytes": {func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("012")) }, 0, distribution.FaultDamaged},
+		"sends too few bytes": {func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("012")) }, 0, distribution.FaultDamaged},
 		"ignores the range": {func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("0123456789")) }, 4,
 			distribution.FaultDamaged},
-		"another range": {func(w http.ResponseWriter, _ *http.Request) {
+		"sends another range": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Range", "bytes 0-5/10")
 			w.WriteHeader(http.StatusPartialContent)
 		}, 4, distribution.FaultDamaged},
-		"the range is beyond its end": {answerStatus(416), 4, distribution.FaultDamaged},
-		"has it not":                  {answerStatus(404), 0, distribution.FaultMissing},
-		"is busy":                     {answerStatus(503), 0, distribution.FaultBusy},
-		"fails":                       {answerStatus(500), 0, distribution.FaultUnreachable},
+		"range not satisfiable": {respondWithStatus(416), 4, distribution.FaultDamaged},
+		"chunk not found":       {respondWithStatus(404), 0, distribution.FaultMissing},
+		"busy":                  {respondWithStatus(503), 0, distribution.FaultBusy},
+		"internal error":        {respondWithStatus(500), 0, distribution.FaultUnreachable},
 	}
 }
 
-// The faults of a source are distinguished: it hangs, breaks off, has too few bytes, or answers
-// another range than was asked for.
+// The client distinguishes the failures of a source: it hangs, closes the connection early, has too
+// few bytes, or sends another range than the requested one.
 func TestFaultsAreDistinguished(t *testing.T) {
 	m, c := newTestContent(t)
 	for name, test := range faultCases() {
 		t.Run(name, func(t *testing.T) {
-			server := httptest.NewServer(test.answer)
+			server := httptest.NewServer(test.handler)
 			defer server.Close()
 			_, f := fetchBlob(t, strings.TrimPrefix(server.URL, "http://"), m.manifest, c, test.offset)
 			if f.Fault != test.fault {
@@ -239,11 +243,11 @@
 		})
 	}
 	if _, f := fetchBlob(t, "127.0.0.1:1", m.manifest, c, 0); f.Fault != distribution.FaultUnreachable {
-		t.Errorf("nobody there: %q", f.Fault)
+		t.Errorf("connection refused: %q", f.Fault)
 	}
 }
 
-// A manifest that is too long, or has another digest than asked for, is refused.
+// The client refuses a manifest that is too long or doesn't have the requested digest.
 func TestInvalidManifestsAreRefused(t *testing.T) {
 	m, _ := newTestContent(t)
 	client := NewClient(5*time.Second, nil, nil)
--- a/internal/scale/distributionrun/store.go
+++ b/internal/scale/distributionrun/store.go
@@ -41,7 +41,7 @@
 func newSimulatedStore(p Parameters) *simulatedStore {
 	return &simulatedStore{
 		MemoryContent: registry.NewMemoryContent(),
-		uplink: rate.NewLimiter(rate.Limit(p.StoreRateMB*mebibyte), pacedBytes), random: rand.New(rand.NewPCG(p.Seed, contentStream)),
+		uplink:        rate.NewLimiter(rate.Limit(p.StoreRateMB*mebibyte), pacedBytes), random: rand.New(rand.NewPCG(p.Seed, contentStream)),
 	}
 }
 
