--- a/internal/distribution/simulation/agent.go
+++ b/internal/distribution/simulation/agent.go
@@ -16,7 +16,7 @@
 	"oakpick/internal/distribution/chunkstore"
 )
 
-// Agent simulates an agent's process and machine. Its disk outlives the process.
+// Agent simulates an agent's process and its machine. The disk outlives the process.
 type Agent struct {
 	endpoint
 	world *World
@@ -24,27 +24,27 @@
 
 	Name        string
 	Disk        afero.Fs
-	Up          bool // the process runs
+	Up          bool // whether the process runs
 	UploadSlots int
-	// ClaimsAllChunks makes it claim every chunk of every manifest that it knows.
+	// ClaimsAllChunks makes the agent claim to hold every chunk of each manifest that it knows.
 	ClaimsAllChunks bool
-	// SendsDamagedChunks makes it send wrong bytes.
+	// SendsDamagedChunks makes the agent send wrong bytes.
 	SendsDamagedChunks bool
-	// CutFromTrackers makes its inventories and their answers get lost.
-	CutFromTrackers bool
-	// ReceivedBytes counts by chunk, over all incarnations.
+	// TrackersUnreachable drops the inventories that the agent sends.
+	TrackersUnreachable bool
+	// ReceivedBytes counts the received bytes of each chunk, over all incarnations.
 	ReceivedBytes map[digest.Digest]int64
-	// ActivatedNames are the names of which a version became active, in any incarnation.
+	// ActivatedNames contains the names that have had an active version, in any incarnation.
 	ActivatedNames map[string]bool
-	// ReportedWaits are those of its last inventory.
+	// ReportedWaits contains the wait reasons in the agent's latest inventory.
 	ReportedWaits []distribution.WaitReason
 
-	// Of the process that runs now.
-	incarnation int
-	core        *agent.Core
-	store       *chunkstore.Store
-	controller  int // index of the controller that it reports to
-	fetches     map[uint64]*transfer
+	// State of the current incarnation of the process.
+	incarnation     int
+	core            *agent.Core
+	store           *chunkstore.Store
+	controllerIndex int // of the controller to which the agent sends inventories
+	fetches         map[uint64]*transfer
 }
 
 // directory is the root of the chunk store on an agent's disk.
@@ -53,43 +53,43 @@
 func newAgent(w *World, i int) *Agent {
 	zones := w.Options.Settings.Zones
 	return &Agent{
-		endpoint:       endpoint{bytesPerSecond: w.Options.BytesPerSecond},
-		world:          w,
-		zone:           zones[i%len(zones)],
-		Name:           fmt.Sprintf("agent-%04d", i),
-		Disk:           afero.NewMemMapFs(),
-		UploadSlots:    4,
-		ReceivedBytes:  map[digest.Digest]int64{},
-		ActivatedNames: map[string]bool{},
-		controller:     i % len(w.Controllers),
+		endpoint:        endpoint{bytesPerSecond: w.Options.BytesPerSecond},
+		world:           w,
+		zone:            zones[i%len(zones)],
+		Name:            fmt.Sprintf("agent-%04d", i),
+		Disk:            afero.NewMemMapFs(),
+		UploadSlots:     4,
+		ReceivedBytes:   map[digest.Digest]int64{},
+		ActivatedNames:  map[string]bool{},
+		controllerIndex: i % len(w.Controllers),
 	}
 }
 
 // Zone returns the agent's zone.
 func (a *Agent) Zone() string { return a.zone }
 
-// SetRate changes the rate of the agent's link.
+// SetRate changes the bandwidth of the agent's link.
 func (a *Agent) SetRate(bytesPerSecond float64) {
 	a.bytesPerSecond = bytesPerSecond
-	reshare(&a.endpoint)
+	reallocateBandwidth(&a.endpoint)
 }
 
-// SetHanging makes the machine stand still without breaking connections, or go on.
+// SetHanging makes the machine hang without breaking its connections, or ends the hang.
 func (a *Agent) SetHanging(hanging bool) {
 	a.hanging = hanging
-	reshare(&a.endpoint)
+	reallocateBandwidth(&a.endpoint)
 }
 
-// Counts returns what the process has counted.
+// Counts returns the counters of the current incarnation.
 func (a *Agent) Counts() agent.CoreCounts { return a.core.Counts() }
 
-// DiskUsedBytes returns what the agent takes on disk, by its own account.
+// DiskUsedBytes returns the bytes that the agent takes on disk, according to its own accounting.
 func (a *Agent) DiskUsedBytes() int64 { return a.core.DiskUsedBytes() }
 
-// Active returns the manifest that the agent serves a name from.
+// Active returns the manifest from which the agent serves a name.
 func (a *Agent) Active(name string) digest.Digest { return a.core.Active(name) }
 
-// Start starts the process, which reads what is on disk.
+// Start starts the process, which loads the chunks and active versions from disk.
 func (a *Agent) Start() {
 	store, err := chunkstore.Open(a.Disk, directory)
 	if err != nil {
@@ -116,8 +116,8 @@
 	tick()
 }
 
-// coreSettings returns the settings of this incarnation. Every incarnation of every agent has a
-// seed of its own.
+// coreSettings returns the settings of the current incarnation. The seed depends on the
+// incarnation, and on the length and the last two digits of the agent's name.
 func (a *Agent) coreSettings() agent.CoreSettings {
 	o := a.world.Options
 	last, lastButOne := a.Name[len(a.Name)-1], a.Name[len(a.Name)-2]
@@ -138,10 +138,11 @@
 	}
 }
 
-// minRateDivisor is the share of a link's rate below which a source counts as slow.
+// minRateDivisor sets the minimum rate of a source, which is the link's rate divided by it. A source
+// below this rate counts as slow.
 const minRateDivisor = 64
 
-// Kill ends the process. Its connections break at once.
+// Kill kills the process. Its connections break at once.
 func (a *Agent) Kill() {
 	a.Up = false
 	for _, t := range slices.Concat(a.uploads, a.downloads) {
@@ -149,8 +150,8 @@
 	}
 }
 
-// step hands an event to the core and carries out its effects. While the machine hangs, events
-// other than ticks wait.
+// step passes an event to the core and carries out the resulting effects. While the machine hangs,
+// ticks are dropped and all other events are delayed.
 func (a *Agent) step(event agent.Event) {
 	if a.hanging {
 		if _, isTick := event.(agent.Tick); !isTick {
@@ -163,7 +164,8 @@
 	}
 }
 
-// schedule hands an event to the process after a time, if the same one still runs then.
+// schedule passes an event to the process after a delay, unless the current incarnation has ended
+// by then.
 func (a *Agent) schedule(delay time.Duration, event func() agent.Event) {
 	incarnation := a.incarnation
 	a.world.After(delay, func() {
@@ -173,8 +175,9 @@
 	})
 }
 
-// checkServed reads every byte that the agent serves: they have to be those of one version.
-func (a *Agent) checkServed() {
+// verifyServedContent reads every name that the agent serves, and verifies that the bytes are
+// exactly those of the active version.
+func (a *Agent) verifyServedContent() {
 	for _, name := range a.world.Options.Names {
 		reader, err := a.store.OpenActive(name)
 		if errors.Is(err, chunkstore.ErrNotStored) && !a.ActivatedNames[name] {
--- a/internal/distribution/simulation/agent_effects.go
+++ b/internal/distribution/simulation/agent_effects.go
@@ -18,7 +18,7 @@
 		a.ReportedWaits = e.Inventory.Waits
 		a.report(e.Inventory)
 	case agent.GetManifest:
-		a.schedule(2*latency, func() agent.Event { return a.getManifest(e) })
+		a.schedule(2*networkLatency, func() agent.Event { return a.getManifest(e) })
 	case agent.GetChunkSet:
 		a.getChunkSet(e)
 	case agent.GetChunk:
@@ -26,14 +26,14 @@
 	case agent.CancelChunk:
 		a.cancelChunk(e)
 	case agent.Activate:
-		a.schedule(latency, func() agent.Event { return a.activate(e) })
+		a.schedule(networkLatency, func() agent.Event { return a.activate(e) })
 	case agent.Remove:
-		a.schedule(latency, func() agent.Event {
+		a.schedule(networkLatency, func() agent.Event {
 			removed, err := a.store.Remove(e.Chunk)
 			return agent.RemoveResult{Chunk: e.Chunk, Removed: removed && err == nil}
 		})
 	case agent.Verify:
-		a.schedule(latency, func() agent.Event {
+		a.schedule(networkLatency, func() agent.Event {
 			if intact, err := a.store.Verify(e.Chunk); err != nil || intact {
 				return agent.Tick{}
 			}
@@ -42,8 +42,8 @@
 	}
 }
 
-// report sends an inventory to one controller. If that one doesn't answer in time, or refuses,
-// the next inventory goes to another.
+// report sends an inventory to one controller. If this controller refuses the inventory, or
+// doesn't answer within the report interval, the next inventory goes to the next controller.
 func (a *Agent) report(inventory distribution.Inventory) {
 	incarnation, finished := a.incarnation, false
 	finish := func(e agent.Event) {
@@ -52,28 +52,28 @@
 			a.step(e)
 		}
 	}
-	if !a.CutFromTrackers && !a.world.PartitionedZones[a.zone] {
-		controller := a.controller
-		a.world.After(latency, func() {
-			a.world.sendInventory(controller, inventory, func(reply tracker.Reply) {
+	if !a.TrackersUnreachable && !a.world.PartitionedZones[a.zone] {
+		controllerIndex := a.controllerIndex
+		a.world.After(networkLatency, func() {
+			a.world.sendInventory(controllerIndex, inventory, func(reply tracker.Reply) {
 				if answer, ok := reply.Body.(distribution.Answer); ok && reply.Status == http.StatusOK {
-					a.world.After(latency, func() { finish(agent.TrackerAnswered{Answer: answer}) })
+					a.world.After(networkLatency, func() { finish(agent.TrackerAnswered{Answer: answer}) })
 					return
 				}
-				a.controller = (controller + 1) % len(a.world.Controllers)
-				a.world.After(latency, func() { finish(agent.TrackerFailed{RetryAfter: reply.RetryAfter}) })
+				a.controllerIndex = (controllerIndex + 1) % len(a.world.Controllers)
+				a.world.After(networkLatency, func() { finish(agent.TrackerFailed{RetryAfter: reply.RetryAfter}) })
 			})
 		})
 	}
 	a.world.After(a.world.reportInterval(), func() {
 		if !finished {
-			a.controller = (a.controller + 1) % len(a.world.Controllers)
+			a.controllerIndex = (a.controllerIndex + 1) % len(a.world.Controllers)
 			finish(agent.TrackerFailed{})
 		}
 	})
 }
 
-// findPeer returns a running agent by its name, or nil.
+// findPeer returns the running agent with a name, or nil.
 func (a *Agent) findPeer(name string) *Agent {
 	for _, peer := range a.world.Agents {
 		if peer.Name == name && peer.Up {
@@ -90,12 +90,12 @@
 	switch {
 	case peer == nil:
 		result.Fault = distribution.FaultUnreachable
-		a.schedule(latency, func() agent.Event { return result })
+		a.schedule(networkLatency, func() agent.Event { return result })
 	case peer.hanging || a.world.arePartitioned(a.zone, peer.zone):
 		result.Fault = distribution.FaultSlow
 		a.schedule(2*a.world.reportInterval(), func() agent.Event { return result })
 	default:
-		a.schedule(2*latency, func() agent.Event {
+		a.schedule(2*networkLatency, func() agent.Event {
 			if peer.Up {
 				result.Chunks = peer.chunkSet(e.Manifest)
 			} else {
@@ -106,7 +106,8 @@
 	}
 }
 
-// getManifest reads a manifest from disk, or gets it from a peer or the store and stores it.
+// getManifest reads a manifest from disk if the effect names no source. Otherwise it fetches the
+// manifest from a peer or the store, and writes it to disk.
 func (a *Agent) getManifest(e agent.GetManifest) agent.Event {
 	result := agent.ManifestResult{Source: e.From.Name, Digest: e.Digest, Fault: distribution.FaultMissing}
 	if e.From.Name == "" {
@@ -126,7 +127,8 @@
 	return result
 }
 
-// manifestFrom returns the manifest that a source has, or nil, and whether it can be reached.
+// manifestFrom returns a manifest from a source, or nil if the source doesn't have it, and whether
+// the source is reachable.
 func (a *Agent) manifestFrom(source string, d digest.Digest) (m *distribution.Manifest, reachable bool) {
 	if source == distribution.StoreSource {
 		if a.world.Store.Down || a.world.arePartitioned(a.zone, storeZone) {
@@ -141,16 +143,16 @@
 	return peer.storedManifest(d), true
 }
 
-// storedManifest returns a manifest that is on the agent's disk, or nil.
+// storedManifest returns a manifest from the agent's disk, or nil.
 func (a *Agent) storedManifest(d digest.Digest) *distribution.Manifest {
 	m, err := a.store.Manifest(d)
 	if err != nil {
-		return nil // whatever the reason, others are asked
+		return nil // after any error, the manifest counts as missing
 	}
 	return m
 }
 
-// chunkSet returns the chunks that the agent claims to hold.
+// chunkSet returns the chunks of a manifest that the agent claims to hold.
 func (a *Agent) chunkSet(manifest digest.Digest) distribution.ChunkSet {
 	set, known := a.core.Chunks(manifest)
 	if a.ClaimsAllChunks && known {
@@ -161,12 +163,12 @@
 	return set
 }
 
-// getChunk starts a transfer, unless the source refuses it.
+// getChunk starts a transfer, or reports a fault if the source can't serve the chunk.
 func (a *Agent) getChunk(e agent.GetChunk) {
 	t := &transfer{world: a.world, to: a, request: e}
 	fault := t.open()
 	if fault != "" {
-		a.schedule(latency, func() agent.Event { return agent.ChunkResult{ID: e.ID, Fault: fault, PartialBytes: e.Offset} })
+		a.schedule(networkLatency, func() agent.Event { return agent.ChunkResult{ID: e.ID, Fault: fault, PartialBytes: e.Offset} })
 		return
 	}
 	var set distribution.ChunkSet
@@ -185,7 +187,7 @@
 	t.start()
 }
 
-// cancelChunk ends a fetch that is under way.
+// cancelChunk cancels a running fetch.
 func (a *Agent) cancelChunk(e agent.CancelChunk) {
 	t := a.fetches[e.ID]
 	if t == nil {
@@ -199,29 +201,30 @@
 	t.end(distribution.FaultUnreachable)
 }
 
-// activate makes a version active, and checks at once what is served from it.
+// activate makes a version active, and verifies the served content at once.
 func (a *Agent) activate(e agent.Activate) agent.Event {
 	err := a.store.Activate(e.Name, distribution.ActiveVersion{Manifest: e.Manifest, Revision: e.Revision})
 	if err == nil {
 		a.ActivatedNames[e.Name] = true
-		a.checkServed()
+		a.verifyServedContent()
 	}
 	return agent.ActivateResult{Name: e.Name, Manifest: e.Manifest, Failed: err != nil}
 }
 
-// uploadContent returns what the agent sends of a chunk; nil: it doesn't have it.
+// uploadContent returns the bytes that the agent sends for a chunk, or nil if it can't read the
+// chunk.
 func (a *Agent) uploadContent(d digest.Digest) []byte {
 	file, err := a.store.OpenChunk(d)
 	if err != nil {
-		return nil // the requesting agent is told that it isn't there
+		return nil // the requesting agent is told that the chunk is missing
 	}
-	defer file.Close() //nolint:errcheck // it was only read
+	defer file.Close() //nolint:errcheck // the file was only read
 	content, err := io.ReadAll(file)
 	if err != nil {
 		return nil
 	}
 	if a.SendsDamagedChunks {
-		return corrupted(content)
+		return corruptedCopy(content)
 	}
 	return content
 }
--- a/internal/distribution/simulation/disk_test.go
+++ b/internal/distribution/simulation/disk_test.go
@@ -11,53 +11,53 @@
 	"oakpick/internal/distribution"
 )
 
-// A full disk pauses fetches until there is room again. What is served stays served.
+// A full disk pauses fetches until there is free space again. The active version stays served.
 func TestFullDiskPausesFetches(t *testing.T) {
 	o := Defaults()
 	w := New(o)
 	first := w.Store.Publish(chunks, chunkBytes, nil, 0)
 	freeBytes := int64(chunks * chunkBytes * 3 / 2)
-	full := w.Agents[0]
-	full.Disk = &fullDisk{full.Disk, &freeBytes}
+	limitedAgent := w.Agents[0]
+	limitedAgent.Disk = &limitedDisk{limitedAgent.Disk, &freeBytes}
 	w.Use(weightsName, first.Digest)
 	w.StartAll()
 	requireReady(t, w, first)
 	second := w.Store.Publish(chunks, chunkBytes, nil, 0)
 	w.Use(weightsName, second.Digest)
 	w.Run(maxWait)
-	if full.Active(weightsName) != first.Digest || full.Counts().Faults[distribution.FaultDisk] == 0 {
-		t.Errorf("it serves %s; faults %v", full.Active(weightsName), full.Counts().Faults)
+	if limitedAgent.Active(weightsName) != first.Digest || limitedAgent.Counts().Faults[distribution.FaultDisk] == 0 {
+		t.Errorf("the agent serves %s; faults %v", limitedAgent.Active(weightsName), limitedAgent.Counts().Faults)
 	}
-	if len(full.ReportedWaits) != 1 || !strings.Contains(full.ReportedWaits[0].Why, "disk") {
-		t.Errorf("it waits for %+v", full.ReportedWaits)
+	if len(limitedAgent.ReportedWaits) != 1 || !strings.Contains(limitedAgent.ReportedWaits[0].Why, "disk") {
+		t.Errorf("the agent waits for %+v", limitedAgent.ReportedWaits)
 	}
 	freeBytes = 1 << 30
 	requireReady(t, w, second)
 }
 
-// fullDisk is a file system with so many bytes left.
-type fullDisk struct {
+// limitedDisk is a file system with a limited number of free bytes.
+type limitedDisk struct {
 	afero.Fs
 	freeBytes *int64
 }
 
-// OpenFile opens a file that can grow as far as the disk has room.
-func (d *fullDisk) OpenFile(name string, flag int, mode os.FileMode) (afero.File, error) {
+// OpenFile opens a file whose writes use up the free bytes.
+func (d *limitedDisk) OpenFile(name string, flag int, mode os.FileMode) (afero.File, error) {
 	file, err := d.Fs.OpenFile(name, flag, mode)
 	if err != nil {
 		return nil, err
 	}
-	return &fullDiskFile{file, d.freeBytes}, nil
+	return &limitedDiskFile{file, d.freeBytes}, nil
 }
 
-// fullDiskFile is a file of a fullDisk.
-type fullDiskFile struct {
+// limitedDiskFile is a file of a limitedDisk.
+type limitedDiskFile struct {
 	afero.File
 	freeBytes *int64
 }
 
-// Write writes what there is room for, as a full disk does.
-func (f *fullDiskFile) Write(p []byte) (int, error) {
+// Write writes as many bytes as there is space for, and returns ENOSPC if that isn't all of them.
+func (f *limitedDiskFile) Write(p []byte) (int, error) {
 	fits := min(int64(len(p)), *f.freeBytes)
 	n, err := f.File.Write(p[:fits])
 	*f.freeBytes -= int64(n)
--- a/internal/distribution/simulation/fleet_test.go
+++ b/internal/distribution/simulation/fleet_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// singleAgentTime returns how long one agent takes to fetch everything from the store.
+// singleAgentTime returns the time in which a single agent fetches a version from the store.
 func singleAgentTime(t *testing.T, o Options) time.Duration {
 	t.Helper()
 	o.Agents = 1
@@ -14,8 +14,8 @@
 	return requireReady(t, w, m)
 }
 
-// Forty agents are ready within twice the time that one alone takes, and the store sends
-// little more than one copy.
+// Forty agents are ready within twice the time that a single agent takes, and the store sends at
+// most two copies of the version.
 func TestFleetIsReadyWithinTwiceTheTimeOfOne(t *testing.T) {
 	o := Defaults()
 	o.Agents, o.StoreSlots = 40, 8
@@ -23,7 +23,7 @@
 	w, m := startWorld(t, o)
 	took := requireReady(t, w, m)
 	copies := storeCopies(w, m)
-	t.Logf("one alone %.1f s, forty %.1f s (%.2f times), store sent %.2f copies", one.Seconds(), took.Seconds(), took.Seconds()/one.Seconds(), copies)
+	t.Logf("one agent %.1f s, forty agents %.1f s (%.2f times), store sent %.2f copies", one.Seconds(), took.Seconds(), took.Seconds()/one.Seconds(), copies)
 	if took > 2*one {
 		t.Errorf("forty agents took %.2f times as long as one", took.Seconds()/one.Seconds())
 	}
@@ -32,8 +32,8 @@
 	}
 }
 
-// A thousand agents start at once. One of them never finishes, and one has a slow link: the
-// others get ready all the same.
+// A thousand agents start at once. One of them is too slow to finish, and another one has a slow
+// link. All agents except the one that is too slow get ready.
 func TestThousandAgentsAtOnce(t *testing.T) {
 	o := Defaults()
 	o.Agents, o.StoreSlots, o.TicksPerReport = 1000, 8, 4
@@ -46,7 +46,7 @@
 	w.Agents[18].SetRate(o.BytesPerSecond / 20)
 	others := slices.DeleteFunc(slices.Clone(w.Agents), func(a *Agent) bool { return a == neverReady })
 	if !w.RunUntil(maxWait, func() bool { return allActive(others, m) }) {
-		t.Error("not all others are ready")
+		t.Error("some of the other agents are not ready")
 	}
 	requireNoViolations(t, w)
 	if copies := storeCopies(w, m); copies > 4 {
--- a/internal/distribution/simulation/helpers_test.go
+++ b/internal/distribution/simulation/helpers_test.go
@@ -12,27 +12,28 @@
 	weightsName = "models/frontdesk"
 	chunkBytes  = 1024
 	chunks      = 64
-	// maxWait is long enough for anything that is to happen.
+	// maxWait is the longest simulated time that tests wait for an expected state.
 	maxWait = 5 * time.Minute
 )
 
-// requireNoViolations fails if anything happened that must not.
+// requireNoViolations fails the test if an invariant was violated, or if an agent had more
+// concurrent uploads than upload slots.
 func requireNoViolations(t *testing.T, w *World) {
 	t.Helper()
 	for _, violation := range w.Violations {
 		t.Error(violation)
 	}
 	for _, a := range w.Agents {
-		if a.MaxUploads > a.UploadSlots {
-			t.Errorf("%s had %d uploads at a time in %d slots", a.Name, a.MaxUploads, a.UploadSlots)
+		if a.PeakUploads > a.UploadSlots {
+			t.Errorf("%s had %d concurrent uploads with %d slots", a.Name, a.PeakUploads, a.UploadSlots)
 		}
 	}
 	if len(w.World.Violations) > 0 {
-		t.Errorf("rules broken: %v", w.World.Violations)
+		t.Errorf("scheduler invariants violated: %v", w.World.Violations)
 	}
 }
 
-// startWorld returns a world in which all agents start to fetch a first version.
+// startWorld returns a world in which all agents have been started and fetch a first version.
 func startWorld(t *testing.T, o Options) (*World, *distribution.Manifest) {
 	t.Helper()
 	w := New(o)
@@ -42,15 +43,15 @@
 	return w, m
 }
 
-// requireReady runs until every running agent serves the version, and returns how long that
-// took. It fails if they never do.
+// requireReady runs until every running agent serves the version, and returns the elapsed time.
+// It fails the test if that takes longer than maxWait.
 func requireReady(t *testing.T, w *World, m *distribution.Manifest) time.Duration {
 	t.Helper()
-	took, ok := w.UntilReady(maxWait, weightsName, m.Digest)
+	took, ok := w.RunUntilReady(maxWait, weightsName, m.Digest)
 	if !ok {
 		for _, a := range w.Agents {
 			if a.Up && a.Active(weightsName) != m.Digest {
-				t.Errorf("%s serves %.14s: %+v", a.Name, a.Active(weightsName), a.ReportedWaits)
+				t.Errorf("%s serves %.14s and waits for %+v", a.Name, a.Active(weightsName), a.ReportedWaits)
 			}
 		}
 		t.Fatal("not every agent is ready")
@@ -59,10 +60,11 @@
 	return took
 }
 
-// storedChunks returns how many chunks an agent has stored in this incarnation.
+// storedChunks returns the number of chunks that an agent has stored in its current incarnation.
 func storedChunks(a *Agent) int { return int(a.Counts().StoredChunks) }
 
-// totalStoredChunks returns how many chunks all agents have stored in this incarnation.
+// totalStoredChunks returns the number of chunks that all agents have stored in their current
+// incarnations.
 func totalStoredChunks(w *World) (total int) {
 	for _, a := range w.Agents {
 		total += storedChunks(a)
@@ -70,18 +72,19 @@
 	return total
 }
 
-// storeCopies returns how many times the store has sent a version's bytes.
+// storeCopies returns the number of bytes that the store has sent, as a multiple of the version's
+// size.
 func storeCopies(w *World, m *distribution.Manifest) float64 {
 	return float64(w.Store.TotalSentBytes()) / float64(m.Size)
 }
 
-// allActive reports whether some agents serve a version.
+// allActive reports whether all of the given agents serve a version.
 func allActive(agents []*Agent, m *distribution.Manifest) bool {
 	return !slices.ContainsFunc(agents, func(a *Agent) bool { return a.Active(weightsName) != m.Digest })
 }
 
-// waitForBusiestUploader runs until an agent has half of the chunks and uploads to several
-// others, and returns the one with the most uploads.
+// waitForBusiestUploader runs until an agent holds half of the chunks and has several uploads. If
+// several agents qualify, it returns the one with the most uploads.
 func waitForBusiestUploader(t *testing.T, w *World) *Agent {
 	t.Helper()
 	var found *Agent
@@ -99,7 +102,7 @@
 	return found
 }
 
-// requireFetchedOnce fails if an agent received a chunk's bytes more than once.
+// requireFetchedOnce fails the test if an agent received more bytes of a chunk than the chunk has.
 func requireFetchedOnce(t *testing.T, w *World) {
 	t.Helper()
 	for _, a := range w.Agents {
--- a/internal/distribution/simulation/outages_test.go
+++ b/internal/distribution/simulation/outages_test.go
@@ -8,27 +8,28 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// The leader ends, loses the state service for a while, or stands still until another leads and
-// then goes on. Meanwhile transfers go on from known sources, names never go back, and no source
-// exceeds its slots, although the new leader knows nothing of the old one's leases.
+// The leader crashes, loses the state service for a while, or pauses until another controller leads
+// and then resumes. Meanwhile transfers from known sources continue, names never revert to an older
+// version, and no source exceeds its slots, although the new leader doesn't know the leases that
+// the old leader granted.
 func TestLeaderFailsDuringFetch(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		fail func(w *World)
 	}{
-		{"ends", func(w *World) {
+		{"leader crashes", func(w *World) {
 			leader := w.Leader()
 			leader.Crash()
 			w.After(20*time.Second, leader.Start)
 		}},
-		{"in doubt", func(w *World) {
+		{"state service outage", func(w *World) {
 			w.State.SetOutage(true)
 			w.After(8*time.Second, func() { w.State.SetOutage(false) })
 		}},
-		{"deposed and wakes", func(w *World) {
+		{"leader pauses and resumes", func(w *World) {
 			w.Leader().PausedUntil = w.Now + 6*time.Second
 		}},
-		{"all end", func(w *World) {
+		{"all controllers crash", func(w *World) {
 			for _, node := range w.Controllers {
 				node.Crash()
 				w.After(5*time.Second, node.Start)
@@ -43,7 +44,7 @@
 			w.Run(4 * time.Second)
 			after := totalStoredChunks(w)
 			if after <= before {
-				t.Errorf("%d chunks before, %d after four seconds without a leader", before, after)
+				t.Errorf("%d chunks stored before the failure, %d four seconds later", before, after)
 			}
 			requireReady(t, w, m)
 			requireFetchedOnce(t, w)
@@ -51,19 +52,19 @@
 	}
 }
 
-// If every chunk is with some peer, all agents get ready without the store. If one is with
-// nobody, they wait, name the chunk, and go on when the store is back.
+// If every chunk is held by some peer, all agents get ready without the store. If one chunk is held
+// by no peer, the agents wait, report that chunk, and continue when the store is available again.
 func TestStoreOutage(t *testing.T) {
-	t.Run("every chunk is with some peer", func(t *testing.T) {
+	t.Run("every chunk is held by a peer", func(t *testing.T) {
 		w, m := startWorld(t, Defaults())
 		if !w.RunUntil(maxWait, func() bool { return w.Store.TotalSentBytes() >= m.Size }) {
-			t.Fatal("the store has not sent everything once")
+			t.Fatal("the store has not sent a full copy")
 		}
 		w.Run(time.Second)
 		w.Store.Down = true
 		requireReady(t, w, m)
 	})
-	t.Run("one chunk is with nobody", func(t *testing.T) {
+	t.Run("one chunk is held by no peer", func(t *testing.T) {
 		w := New(Defaults())
 		m := w.Store.Publish(chunks, chunkBytes, nil, 0)
 		missing := m.Chunks[5].Digest
@@ -76,14 +77,14 @@
 		requireWaitForChunk(t, w, missing)
 		w.Store.MissingChunks[missing], w.Store.Down = false, false
 		if took := requireReady(t, w, m); took > time.Minute {
-			t.Errorf("it took %v after the store was back", took)
+			t.Errorf("the agents took %v after the store was available again", took)
 		}
 		requireFetchedOnce(t, w)
 	})
 }
 
-// requireWaitForChunk fails unless every agent has all chunks but one, and some report that they
-// wait for it. The others wait without naming a chunk.
+// requireWaitForChunk fails the test unless every agent holds all chunks but one, and at least one
+// agent reports the missing chunk. The other agents may report a wait without a chunk.
 func requireWaitForChunk(t *testing.T, w *World, missing digest.Digest) {
 	t.Helper()
 	named := 0
@@ -99,12 +100,12 @@
 		}
 	}
 	if named == 0 {
-		t.Error("no agent names the chunk that is missing")
+		t.Error("no agent reports the missing chunk")
 	}
 }
 
-// A zone is partitioned from everything during the fetch. The other zone gets ready, and both do
-// once the partition heals.
+// A zone is partitioned from everything else during the fetch. The other zone gets ready during the
+// partition, and both zones are ready after the partition has healed.
 func TestZonePartitionHeals(t *testing.T) {
 	w, m := startWorld(t, Defaults())
 	w.Run(6 * time.Second)
@@ -118,16 +119,16 @@
 	requireReady(t, w, m)
 }
 
-// setPartitioned partitions a zone from everything, or heals the partition.
+// setPartitioned partitions a zone from everything else, or heals the partition.
 func setPartitioned(w *World, zone string, partitioned bool) {
 	w.PartitionedZones[zone] = partitioned
 	for _, a := range w.Agents {
-		reshare(&a.endpoint)
+		reallocateBandwidth(&a.endpoint)
 	}
 }
 
-// Agents are killed at every stage of the fetch, also during writes and activations, and start
-// again with what is on their disks: nothing that they had is fetched again.
+// Agents are killed at every stage of the fetch, also during writes and activations, and restarted
+// with the chunks on their disks. They don't fetch again the bytes that they already have.
 func TestRestartedAgentsKeepTheirChunks(t *testing.T) {
 	w, m := startWorld(t, Defaults())
 	for i := range 40 {
--- a/internal/distribution/simulation/sources_test.go
+++ b/internal/distribution/simulation/sources_test.go
@@ -11,9 +11,10 @@
 	"oakpick/internal/distribution"
 )
 
-// A source is killed, hangs without an error, or becomes slow for good during its uploads. The
-// downloaders go on elsewhere within the stall timeout and the time that the minimum rate allows
-// for a chunk, and resume from the bytes that they have: none is fetched twice.
+// A source is killed, hangs without an error, or becomes permanently slow during its uploads. The
+// downloading agents switch to other sources within the stall timeout plus the time that the
+// minimum rate allows for a chunk. They resume after the bytes that they already have, so that no
+// byte is fetched twice.
 func TestSourceFailsDuringUpload(t *testing.T) {
 	stallBound := func(w *World) time.Duration { return 3 * w.reportInterval() }
 	slowBound := func(w *World) time.Duration {
@@ -23,27 +24,27 @@
 	for _, test := range []struct {
 		name  string
 		fail  func(*Agent)
-		bound func(*World) time.Duration // until downloaders have gone on elsewhere
+		bound func(*World) time.Duration // until downloading agents have switched sources
 	}{
 		{"killed", func(a *Agent) { a.Kill() }, stallBound},
-		{"hangs", func(a *Agent) { a.SetHanging(true); a.CutFromTrackers = true }, stallBound},
-		{"slow for ever", func(a *Agent) { a.SetRate(1) }, slowBound},
+		{"hangs", func(a *Agent) { a.SetHanging(true); a.TrackersUnreachable = true }, stallBound},
+		{"permanently slow", func(a *Agent) { a.SetRate(1) }, slowBound},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			w, m := startWorld(t, Defaults())
-			victim := waitForBusiestUploader(t, w)
-			if !slices.ContainsFunc(victim.uploads, func(upload *transfer) bool { return upload.to != victim }) {
+			failedSource := waitForBusiestUploader(t, w)
+			if !slices.ContainsFunc(failedSource.uploads, func(upload *transfer) bool { return upload.to != failedSource }) {
 				t.Fatal("the source has no uploads")
 			}
-			test.fail(victim)
+			test.fail(failedSource)
 			bound := test.bound(w)
 			w.Run(bound)
-			for _, upload := range victim.uploads {
-				if upload.progressAt+bound < w.Now || upload.lastMovedAt+bound < w.Now {
-					t.Errorf("%s still waits for %s after %v", upload.to.Name, victim.Name, bound)
+			for _, upload := range failedSource.uploads {
+				if upload.progressUpdatedAt+bound < w.Now || upload.lastProgressAt+bound < w.Now {
+					t.Errorf("%s still waits for %s after %v", upload.to.Name, failedSource.Name, bound)
 				}
 			}
-			victim.Up = false // it need not be ready itself
+			failedSource.Up = false // not required to be ready itself
 			requireReady(t, w, m)
 			requireFetchedOnce(t, w)
 			if copies := storeCopies(w, m); copies > 1.5 {
@@ -53,8 +54,9 @@
 	}
 }
 
-// More agents than slots ask a source, because a new leader grants leases while others still use
-// the slots. The source refuses what it has no slot for.
+// A source is asked for more uploads than it has slots, because a new leader grants leases while
+// agents with leases of the old leader still use the slots. The source refuses requests for which
+// it has no free slot.
 func TestUploadsNeverExceedSlots(t *testing.T) {
 	o := Defaults()
 	o.Agents = 30
@@ -75,23 +77,24 @@
 		refused += a.RefusedUploads
 	}
 	if refused == 0 {
-		t.Error("no source was ever asked for more than its slots: the scenario tests nothing")
+		t.Error("no source refused an upload: the scenario doesn't test the limit")
 	}
 }
 
-// A source sends wrong bytes, has truncated files, or claims chunks that it doesn't have: that
-// is detected, and no damaged chunk is passed on. If it concerns all sources, the store is left.
+// A source sends wrong bytes, has truncated files, or claims chunks that it doesn't have. The
+// downloading agents detect this and never pass on a damaged chunk. If all agents are such sources,
+// the chunks are fetched from the store.
 func TestFaultySourcesAreDetected(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		corrupt func(w *World, a *Agent, m *distribution.Manifest)
 		fault   distribution.Fault
-		all     bool // sources; otherwise two
+		all     bool // all agents are corrupted; otherwise two
 	}{
 		{"wrong bytes", func(_ *World, a *Agent, _ *distribution.Manifest) { a.SendsDamagedChunks = true }, distribution.FaultDamaged, false},
-		{"a file cut short", truncateChunks, distribution.FaultDamaged, false},
-		{"claims what it doesn't have", func(_ *World, a *Agent, _ *distribution.Manifest) { a.ClaimsAllChunks = true }, distribution.FaultMissing, false},
-		{"wrong bytes from all", func(_ *World, a *Agent, _ *distribution.Manifest) { a.SendsDamagedChunks = true }, distribution.FaultDamaged, true},
+		{"truncated files", truncateChunks, distribution.FaultDamaged, false},
+		{"claims chunks that it doesn't have", func(_ *World, a *Agent, _ *distribution.Manifest) { a.ClaimsAllChunks = true }, distribution.FaultMissing, false},
+		{"wrong bytes from all agents", func(_ *World, a *Agent, _ *distribution.Manifest) { a.SendsDamagedChunks = true }, distribution.FaultDamaged, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			w, m := startWorld(t, Defaults())
@@ -107,13 +110,13 @@
 				detected += a.Counts().Faults[test.fault]
 			}
 			if detected == 0 {
-				t.Errorf("no agent detected that a source is %s", test.fault)
+				t.Errorf("no agent detected the fault %s", test.fault)
 			}
 		})
 	}
 }
 
-// truncateChunks truncates the file of every stored chunk, without the agent's knowledge.
+// truncateChunks truncates the file of every stored chunk without notifying the agent.
 func truncateChunks(w *World, a *Agent, m *distribution.Manifest) {
 	for _, chunk := range m.Chunks {
 		name := fmt.Sprintf("%s/chunks/%s", directory, chunk.Digest.Encoded())
@@ -125,8 +128,8 @@
 	}
 }
 
-// A chunk that came from two sources is damaged: neither can be blamed yet, and it is fetched
-// again from a single one.
+// A chunk whose bytes came from two sources is damaged. Neither source can be identified as
+// faulty yet, so the chunk is fetched again from a single source.
 func TestDamageFromTwoSourcesIsRepaired(t *testing.T) {
 	w, m := startWorld(t, Defaults())
 	w.Run(9 * time.Second)
--- a/internal/distribution/simulation/store.go
+++ b/internal/distribution/simulation/store.go
@@ -14,7 +14,7 @@
 	world         *World
 	Down          bool
 	DamagedChunks map[digest.Digest]bool // sent with wrong bytes
-	MissingChunks map[digest.Digest]bool // answered as not there
+	MissingChunks map[digest.Digest]bool // reported as missing
 	manifests     map[digest.Digest]*distribution.Manifest
 	chunks        map[digest.Digest][]byte
 	SentBytes     map[digest.Digest]int64 // by chunk
@@ -32,7 +32,7 @@
 	}
 }
 
-// TotalSentBytes returns how much the store has sent, over all chunks.
+// TotalSentBytes returns the number of bytes that the store has sent.
 func (s *Store) TotalSentBytes() (sum int64) {
 	for _, n := range s.SentBytes {
 		sum += n
@@ -40,8 +40,8 @@
 	return sum
 }
 
-// Publish makes a version of random chunks. If a previous version is given, the first kept
-// chunks are the same as in that one.
+// Publish creates a version from random chunks. If previous isn't nil, the new version
+// starts with the first chunks of the previous one; kept is the number of these chunks.
 func (s *Store) Publish(chunks int, chunkBytes int64, previous *distribution.Manifest, kept int) *distribution.Manifest {
 	rng := rand.New(rand.NewPCG(s.world.Options.Seed, uint64(len(s.chunks))))
 	var list []distribution.Chunk
@@ -63,26 +63,26 @@
 	}
 	m, err := distribution.NewManifest(list)
 	if err != nil {
-		panic(err) // the chunks made here are valid
+		panic(err) // the generated chunks are valid
 	}
 	s.manifests[m.Digest] = m
 	s.world.versions[m.Digest] = version
 	return m
 }
 
-// uploadContent returns what the store sends of a chunk; nil: it doesn't have it.
+// uploadContent returns the bytes that the store sends for a chunk, or nil if the chunk is missing.
 func (s *Store) uploadContent(d digest.Digest) []byte {
 	if s.MissingChunks[d] {
 		return nil
 	}
 	if s.DamagedChunks[d] {
-		return corrupted(s.chunks[d])
+		return corruptedCopy(s.chunks[d])
 	}
 	return s.chunks[d]
 }
 
-// corrupted returns a copy in which every byte is wrong.
-func corrupted(content []byte) []byte {
+// corruptedCopy returns a copy of content in which every byte is wrong.
+func corruptedCopy(content []byte) []byte {
 	out := make([]byte, len(content))
 	for i, b := range content {
 		out[i] = ^b
--- a/internal/distribution/simulation/tracker_host.go
+++ b/internal/distribution/simulation/tracker_host.go
@@ -14,7 +14,8 @@
 	"oakpick/internal/storage"
 )
 
-// trackerHost is the tracker of a controller, renewed with each incarnation of its process.
+// trackerHost runs the tracker of a controller, with a new tracker for each incarnation of the
+// controller's process.
 type trackerHost struct {
 	world       *World
 	node        *fake.Controller
@@ -24,7 +25,7 @@
 	nextID      uint64
 }
 
-// pendingRequest is a command that hasn't been answered.
+// pendingRequest is a request to the tracker that hasn't been answered.
 type pendingRequest struct {
 	command  func(id uint64) tracker.Command
 	reply    func(tracker.Reply)
@@ -33,10 +34,11 @@
 
 const (
 	trackerTickInterval = 50 * time.Millisecond
-	latency             = 5 * time.Millisecond
+	networkLatency      = 5 * time.Millisecond // one way
 )
 
-// runningTracker returns the tracker of the process that runs now, or nil if none does.
+// runningTracker returns the tracker of the controller's running process, or nil if the process is
+// down or paused.
 func (h *trackerHost) runningTracker() *tracker.Tracker {
 	if !h.node.Up || h.world.Now < h.node.PausedUntil {
 		return nil
@@ -56,7 +58,7 @@
 	return h.tracker
 }
 
-// step hands a command to the tracker and carries out its effects.
+// step passes a command to the tracker and carries out the resulting effects.
 func (h *trackerHost) step(command tracker.Command) {
 	running := h.runningTracker()
 	if running == nil {
@@ -92,7 +94,8 @@
 	}
 }
 
-// forward sends a request to the leader, unless another controller has forwarded it already.
+// forward sends a request to the leader. A request that another controller has forwarded already
+// is refused instead.
 func (h *trackerHost) forward(effect tracker.Forward) {
 	request := h.pending[effect.ID]
 	delete(h.pending, effect.ID)
@@ -102,12 +105,13 @@
 	}
 	for _, other := range h.world.trackers {
 		if other.node.Name == effect.Peer {
-			h.world.After(latency, func() { other.send(request.command, true, request.reply) })
+			h.world.After(networkLatency, func() { other.send(request.command, true, request.reply) })
 		}
 	}
 }
 
-// send hands a request to the tracker. If the tracker never answers, reply is never called.
+// send passes a request to the tracker. If the tracker isn't running or doesn't answer, reply is
+// never called.
 func (h *trackerHost) send(command func(id uint64) tracker.Command, fromPeer bool, reply func(tracker.Reply)) {
 	if h.runningTracker() == nil {
 		return
@@ -117,14 +121,14 @@
 	h.step(command(h.nextID))
 }
 
-// Use has a name refer to a version, as an operator who asks one controller after another until
-// one confirms. Later calls replace earlier ones.
+// Use points a name to a version. Like an operator, it asks one controller after another until one
+// confirms the change. Each call of Use, for any name, ends the retries of earlier calls.
 func (w *World) Use(name string, manifest digest.Digest) {
-	w.lastUse++
-	use, attempts := w.lastUse, 0
+	w.lastUseID++
+	use, attempts := w.lastUseID, 0
 	var try func()
 	try = func() {
-		if use != w.lastUse {
+		if use != w.lastUseID {
 			return
 		}
 		done := false
@@ -141,19 +145,19 @@
 	try()
 }
 
-// sendInventory sends an agent's report to a controller, which decodes and checks it as a real
-// one does, and hands the reply to answer.
+// sendInventory sends an agent's inventory to a controller and passes the reply to answer. As on
+// the network, the inventory is encoded as JSON, then decoded and validated.
 func (w *World) sendInventory(controller int, inventory distribution.Inventory, answer func(tracker.Reply)) {
 	text, err := json.Marshal(inventory)
 	if err != nil {
-		w.recordViolation("inventory: %v", err)
+		w.recordViolation("encoding an inventory: %v", err)
 		return
 	}
-	w.Bytes.Up += int64(len(text))
-	w.Bytes.Inventories++
+	w.Traffic.UpBytes += int64(len(text))
+	w.Traffic.Inventories++
 	decoded := &distribution.Inventory{}
 	if err := distribution.Decode(text, decoded); err != nil {
-		w.recordViolation("an inventory is refused: %v", err)
+		w.recordViolation("an inventory was rejected: %v", err)
 		return
 	}
 	w.trackers[controller].send(func(id uint64) tracker.Command {
@@ -161,11 +165,11 @@
 	}, false, func(reply tracker.Reply) {
 		text, err := json.Marshal(reply.Body)
 		if err != nil {
-			w.recordViolation("answer: %v", err)
+			w.recordViolation("encoding a reply: %v", err)
 		}
-		w.Bytes.Down += int64(len(text))
+		w.Traffic.DownBytes += int64(len(text))
 		if len(text) > distribution.MaxMessageBytes {
-			w.recordViolation("an answer of %d bytes", len(text))
+			w.recordViolation("a reply of %d bytes exceeds the size limit", len(text))
 		}
 		answer(reply)
 	})
--- a/internal/distribution/simulation/transfer.go
+++ b/internal/distribution/simulation/transfer.go
@@ -9,34 +9,36 @@
 	"oakpick/internal/distribution/agent"
 )
 
-// endpoint is a machine's link, which its transfers share evenly.
+// endpoint is the network link of a machine. Uploads share its bandwidth evenly, and so do
+// downloads.
 type endpoint struct {
 	bytesPerSecond float64 // in each direction
-	hanging        bool    // nothing is transferred, and no connection breaks
+	hanging        bool    // transfers stall, but connections don't break
 	uploads        []*transfer
 	downloads      []*transfer
-	MaxUploads     int // at a time, so far
-	RefusedUploads int
+	PeakUploads    int // highest number of concurrent uploads so far
+	RefusedUploads int // because all upload slots were in use
 }
 
-// transfer is a chunk that is being sent.
+// transfer is the transfer of a chunk from a source to an agent.
 type transfer struct {
-	world          *World
-	from           *endpoint
-	source         *Agent // nil: the store
-	to             *Agent
-	request        agent.GetChunk
-	content        []byte // from the requested offset on
-	doneBytes      float64
-	progressAt     time.Duration // to which doneBytes refers
-	bytesPerSecond float64
-	planID         int // of the last planned end; earlier ones are void
-	lastMovedAt    time.Duration
-	ended          bool
-	onEnd          func(agent.ChunkResult)
+	world             *World
+	from              *endpoint
+	source            *Agent // nil if the source is the store
+	to                *Agent
+	request           agent.GetChunk
+	content           []byte // starting at the requested offset
+	transferredBytes  float64
+	progressUpdatedAt time.Duration // last update of transferredBytes
+	bytesPerSecond    float64
+	endTimerID        int           // of the latest timer for the end; earlier timers are ignored
+	lastProgressAt    time.Duration // last update at which the rate wasn't 0
+	ended             bool
+	onEnd             func(agent.ChunkResult)
 }
 
-// open finds the source and the content of the transfer. A fault says why the source refuses.
+// open sets the source and the content of the transfer. It returns a fault if the source can't
+// serve the request.
 func (t *transfer) open() distribution.Fault {
 	chunk := t.request.Chunk
 	var content []byte
@@ -62,31 +64,31 @@
 		return distribution.FaultMissing
 	}
 	if int64(len(content)) != chunk.Size {
-		return distribution.FaultDamaged // the answer's header announces another size
+		return distribution.FaultDamaged // the response header announces another size
 	}
 	t.content = content[t.request.Offset:]
 	return ""
 }
 
-// start starts the transfer and sets the timeouts that the requesting agent has.
+// start starts the transfer, and the timers for its request timeout and its stall timeout.
 func (t *transfer) start() {
-	t.progressAt, t.lastMovedAt = t.world.Now, t.world.Now
+	t.progressUpdatedAt, t.lastProgressAt = t.world.Now, t.world.Now
 	t.from.uploads = append(t.from.uploads, t)
 	t.to.downloads = append(t.to.downloads, t)
-	t.from.MaxUploads = max(t.from.MaxUploads, len(t.from.uploads))
-	reshare(t.from, &t.to.endpoint)
+	t.from.PeakUploads = max(t.from.PeakUploads, len(t.from.uploads))
+	reallocateBandwidth(t.from, &t.to.endpoint)
 	t.world.After(t.request.Timeout, func() { t.end(distribution.FaultSlow) })
 	t.watchStall()
 }
 
-// watchStall ends the transfer when nothing has been transferred for too long.
+// watchStall ends the transfer when it has made no progress for the stall timeout.
 func (t *transfer) watchStall() {
 	t.world.After(t.request.StallTimeout/4, func() {
 		if t.ended {
 			return
 		}
-		t.progress()
-		if t.world.Now-t.lastMovedAt >= t.request.StallTimeout {
+		t.updateProgress()
+		if t.world.Now-t.lastProgressAt >= t.request.StallTimeout {
 			t.end(distribution.FaultSlow)
 			return
 		}
@@ -94,41 +96,43 @@
 	})
 }
 
-// progress accounts for what was transferred since the last time.
-func (t *transfer) progress() {
+// updateProgress adds the bytes that were transferred since the last update.
+func (t *transfer) updateProgress() {
 	if t.bytesPerSecond > 0 {
-		t.doneBytes = min(float64(len(t.content)), t.doneBytes+t.bytesPerSecond*(t.world.Now-t.progressAt).Seconds())
-		t.lastMovedAt = t.world.Now
+		t.transferredBytes = min(float64(len(t.content)), t.transferredBytes+t.bytesPerSecond*(t.world.Now-t.progressUpdatedAt).Seconds())
+		t.lastProgressAt = t.world.Now
 	}
-	t.progressAt = t.world.Now
+	t.progressUpdatedAt = t.world.Now
 }
 
-// reshare divides the links of endpoints among their transfers anew.
-func reshare(ends ...*endpoint) {
+// reallocateBandwidth updates the rates of all transfers of the given endpoints.
+func reallocateBandwidth(ends ...*endpoint) {
 	for _, end := range ends {
 		for _, t := range end.uploads {
-			t.replan()
+			t.updateRate()
 		}
 		for _, t := range end.downloads {
-			t.replan()
+			t.updateRate()
 		}
 	}
 }
 
-// replan sets the rate by the share that both endpoints have for the transfer, and plans its end.
-func (t *transfer) replan() {
-	t.progress()
+// updateRate sets the rate to the smaller of the bandwidth shares that the source and the receiver
+// have for the transfer, and sets a timer for the end of the transfer. The rate is 0 while one of
+// them hangs or a partition separates them.
+func (t *transfer) updateRate() {
+	t.updateProgress()
 	to := &t.to.endpoint
 	t.bytesPerSecond = min(t.from.bytesPerSecond/float64(len(t.from.uploads)), to.bytesPerSecond/float64(len(to.downloads)))
 	if t.from.hanging || to.hanging || t.world.arePartitioned(t.zone(), t.to.zone) {
 		t.bytesPerSecond = 0
 		return
 	}
-	t.planID++
-	planID := t.planID
-	remaining := float64(len(t.content)) - t.doneBytes
+	t.endTimerID++
+	planID := t.endTimerID
+	remaining := float64(len(t.content)) - t.transferredBytes
 	t.world.After(time.Duration(remaining/t.bytesPerSecond*float64(time.Second))+time.Microsecond, func() {
-		if !t.ended && t.planID == planID {
+		if !t.ended && t.endTimerID == planID {
 			t.end("")
 		}
 	})
@@ -141,43 +145,46 @@
 	return t.source.zone
 }
 
-// storeZone is the zone of the store, which is never partitioned itself.
+// storeZone is the zone of the store. This zone itself is never partitioned.
 const storeZone = "store"
 
-// end ends the transfer. Without a fault everything has arrived.
+// end ends the transfer. An empty fault means that all bytes have been received.
 func (t *transfer) end(fault distribution.Fault) {
 	if t.ended {
 		return
 	}
-	t.progress()
+	t.updateProgress()
 	t.ended = true
-	t.from.uploads = removeTransfer(t.from.uploads, t)
-	t.to.downloads = removeTransfer(t.to.downloads, t)
-	reshare(t.from, &t.to.endpoint)
-	arrived := t.content
+	t.from.uploads = withoutTransfer(t.from.uploads, t)
+	t.to.downloads = withoutTransfer(t.to.downloads, t)
+	reallocateBandwidth(t.from, &t.to.endpoint)
+	received := t.content
 	if fault != "" {
-		arrived = t.content[:int(t.doneBytes)]
+		received = t.content[:int(t.transferredBytes)]
 	}
 	if t.source == nil {
-		t.world.Store.SentBytes[t.request.Chunk.Digest] += int64(len(arrived))
+		t.world.Store.SentBytes[t.request.Chunk.Digest] += int64(len(received))
 	}
-	result := t.to.storeArrived(t.request, arrived, fault) // what a killed process had written stays on its disk
+	// A killed process gets no result, but the received bytes stay on its disk.
+	result := t.to.storeReceived(t.request, received, fault)
 	if t.to.Up {
 		t.onEnd(result)
 	}
 }
 
-// removeTransfer returns a list without a transfer. The given one stays: it may be iterated.
-func removeTransfer(transfers []*transfer, removed *transfer) []*transfer {
+// withoutTransfer returns a copy of a list without one transfer. The list itself doesn't change,
+// because callers may be iterating over it.
+func withoutTransfer(transfers []*transfer, removed *transfer) []*transfer {
 	return slices.DeleteFunc(slices.Clone(transfers), func(t *transfer) bool { return t == removed })
 }
 
-// storeArrived writes what has arrived to disk, as the real agent does.
-func (a *Agent) storeArrived(fetch agent.GetChunk, arrived []byte, fault distribution.Fault) agent.ChunkResult {
+// storeReceived writes the received bytes to disk as the real agent does, and returns the result
+// of the fetch.
+func (a *Agent) storeReceived(fetch agent.GetChunk, received []byte, fault distribution.Fault) agent.ChunkResult {
 	result := agent.ChunkResult{ID: fetch.ID}
-	a.ReceivedBytes[fetch.Chunk.Digest] += int64(len(arrived))
+	a.ReceivedBytes[fetch.Chunk.Digest] += int64(len(received))
 	var err error
-	result.ReceivedBytes, result.PartialBytes, err = a.store.Write(fetch.Chunk, fetch.Offset, bytes.NewReader(arrived))
+	result.ReceivedBytes, result.PartialBytes, err = a.store.Write(fetch.Chunk, fetch.Offset, bytes.NewReader(received))
 	result.Fault = agent.ClassifyFetch(err, result.ReceivedBytes, fault)
 	return result
 }
--- a/internal/distribution/simulation/versions_test.go
+++ b/internal/distribution/simulation/versions_test.go
@@ -12,43 +12,44 @@
 	"oakpick/internal/fake"
 )
 
-// weightsCalls are the calls to the state service of a tracker, as fake.World names them.
-const weightsCalls = "weights"
+// trackerCallKind is the kind that fake.World gives to a tracker's calls to the state service.
+const trackerCallKind = "weights"
 
-// loseEveryOtherAnswer loses every other answer of the state service to a tracker.
-func loseEveryOtherAnswer(*World) func(kind, from, to string) fake.Delivery {
+// loseEveryOtherResponse loses every other response of the state service to a tracker.
+func loseEveryOtherResponse(*World) func(kind, from, to string) fake.Delivery {
 	calls := 0
 	return func(kind, _, _ string) fake.Delivery {
-		fate := fake.Reliable()
-		if kind == weightsCalls {
+		delivery := fake.Reliable()
+		if kind == trackerCallKind {
 			calls++
-			fate.LoseResponse = calls%2 == 1
+			delivery.LoseResponse = calls%2 == 1
 		}
-		return fate
+		return delivery
 	}
 }
 
-// delayCopies loses some calls of a tracker to the state service, and carries all out again
-// later.
-func delayCopies(w *World) func(kind, from, to string) fake.Delivery {
+// loseAndDuplicateCalls loses half of the trackers' calls to the state service at random. A second
+// copy of every call, lost or not, arrives four seconds later.
+func loseAndDuplicateCalls(w *World) func(kind, from, to string) fake.Delivery {
 	return func(kind, _, _ string) fake.Delivery {
-		fate := fake.Reliable()
-		if kind == weightsCalls {
-			fate.LoseRequest, fate.DuplicateAfter = w.rng.IntN(2) == 0, 4*time.Second
+		delivery := fake.Reliable()
+		if kind == trackerCallKind {
+			delivery.LoseRequest, delivery.DuplicateAfter = w.rng.IntN(2) == 0, 4*time.Second
 		}
-		return fate
+		return delivery
 	}
 }
 
-// versionChange is a change of the version of weightsName during a fetch.
+// versionChange describes how the version of weightsName changes during a fetch.
 type versionChange struct {
 	name    string
-	network func(w *World) func(kind, from, to string) fake.Delivery // nil: undisturbed
-	// change makes the changes, starting from the first of three versions, and returns the last.
+	network func(w *World) func(kind, from, to string) fake.Delivery // nil: reliable
+	// change changes the version, starting from the first of three versions, and returns the last
+	// version that it sets.
 	change func(w *World, versions []*distribution.Manifest) *distribution.Manifest
 }
 
-// useInTurn has weightsName refer to versions one after the other, and returns the last.
+// useInTurn points weightsName to one version after another, with pauses, and returns the last.
 func useInTurn(w *World, pause time.Duration, versions ...*distribution.Manifest) *distribution.Manifest {
 	for i, version := range versions {
 		if i > 0 {
@@ -69,26 +70,27 @@
 	{name: "back to the first", change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
 		return useInTurn(w, 4*time.Second, v[1], v[0])
 	}},
-	{name: "while the leader ends", change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
+	{name: "leader crashes during the change", change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
 		w.Use(weightsName, v[1].Digest)
-		w.Run(2 * time.Millisecond) // the write may be under way
+		w.Run(2 * time.Millisecond) // the write may be in progress
 		leader := w.Leader()
 		leader.Crash()
 		w.Run(10 * time.Second)
 		leader.Start()
 		return v[1]
 	}},
-	{name: "the write's answer is lost", network: loseEveryOtherAnswer, change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
+	{name: "response to the write is lost", network: loseEveryOtherResponse, change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
 		return useInTurn(w, 3*time.Second, v[1], v[2])
 	}},
-	{name: "a write is carried out late", network: delayCopies, change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
+	{name: "duplicate write arrives late", network: loseAndDuplicateCalls, change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
 		return useInTurn(w, 3*time.Second, v[1], v[2], v[0])
 	}},
 }
 
-// The version changes during the fetch, also while the leader ends, with a write whose answer is
-// lost, and with one that is carried out late. No agent ever serves bytes of two versions, and
-// all serve the last one in the end. Chunks that versions share are fetched once.
+// The version changes during the fetch, also while the leader crashes, with a write whose response
+// is lost, and with a duplicate write that arrives late. No agent ever serves bytes of two
+// versions, and all agents serve the last version in the end. Chunks that versions share are
+// fetched once.
 func TestVersionChangesDuringFetch(t *testing.T) {
 	for _, test := range versionChanges {
 		t.Run(test.name, func(t *testing.T) {
@@ -101,15 +103,15 @@
 			}
 			last := test.change(w, []*distribution.Manifest{first, second, third})
 			requireReady(t, w, last)
-			w.Run(10 * time.Second) // delayed copies are carried out now
+			w.Run(10 * time.Second) // the duplicate writes arrive during this time
 			requireReady(t, w, last)
 			requireFetchedOnce(t, w)
 		})
 	}
 }
 
-// The active version is replaced while a reader reads it: the reader gets the bytes of the old
-// one to its end.
+// The active version is replaced while a reader reads it. The reader gets all bytes of the old
+// version.
 func TestReaderKeepsItsVersion(t *testing.T) {
 	o := Defaults()
 	o.Agents, o.DiskBytes = 4, 2*chunks*chunkBytes
@@ -120,14 +122,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 3 { // each needs the room of the last but one
+	for range 3 { // each version needs the disk space of the last but one
 		next := w.Store.Publish(chunks, chunkBytes, nil, 0)
 		w.Use(weightsName, next.Digest)
 		w.Run(maxWait / 5)
 	}
 	content, err := afero.ReadAll(reader)
 	if err != nil || !bytes.Equal(content, w.versions[first.Digest]) {
-		t.Errorf("%d bytes of the old version: %v", len(content), err)
+		t.Errorf("read %d bytes, which aren't the old version: %v", len(content), err)
 	}
 	if err := reader.Close(); err != nil {
 		t.Error(err)
@@ -135,10 +137,10 @@
 	w.Run(maxWait)
 	requireNoViolations(t, w)
 	if a.DiskUsedBytes() > o.DiskBytes {
-		t.Errorf("%d bytes on disk, and %d allowed", a.DiskUsedBytes(), o.DiskBytes)
+		t.Errorf("%d bytes on disk exceed the limit of %d", a.DiskUsedBytes(), o.DiskBytes)
 	}
 	if a.Counts().EvictedChunks == 0 {
-		t.Error("nothing was evicted")
+		t.Error("no chunk was evicted")
 	}
 }
 
@@ -156,7 +158,7 @@
 	}
 	w.StartAll()
 	for _, name := range o.Names {
-		if _, ready := w.UntilReady(maxWait, name, manifests[name]); !ready {
+		if _, ready := w.RunUntilReady(maxWait, name, manifests[name]); !ready {
 			t.Errorf("%s is not ready", name)
 		}
 	}
--- a/internal/distribution/simulation/world.go
+++ b/internal/distribution/simulation/world.go
@@ -1,7 +1,8 @@
-// Package simulation runs agents, links and a store of weights in simulated time beside the
-// controllers of package fake: with the real tracker, the real core and chunk store of agents,
-// and real bytes in memory. It checks by reading every byte that no agent serves a mixed
-// version, and records how many uploads each source has at a time.
+// Package simulation runs agents, network links and a store of weights in simulated time, together
+// with the simulated controllers of package fake. Trackers, agent cores and chunk stores are the
+// real ones, and chunks are real bytes in memory. The simulation reads every byte that agents
+// serve, to check that no agent serves a mixed version, and records the highest number of
+// concurrent uploads of each source.
 package simulation
 
 import (
@@ -17,16 +18,16 @@
 	"oakpick/internal/fake"
 )
 
-// Options configure a world.
+// Options configure a World.
 type Options struct {
 	Settings       config.Settings
 	Agents         int
-	BytesPerSecond float64 // of each agent's link and of the store's, in each direction
-	StoreSlots     int
+	BytesPerSecond float64 // of the link of each agent and of the store, in each direction
+	StoreSlots     int     // concurrent uploads of the store that the tracker may grant
 	Names          []string
-	DiskBytes      int64
+	DiskBytes      int64 // limit for the chunks of each agent; 0: no limit
 	Seed           uint64
-	TicksPerReport int // of an agent
+	TicksPerReport int // ticks of an agent in each report interval
 }
 
 // Defaults returns the options of a small test: three controllers, two zones, twelve agents.
@@ -43,22 +44,26 @@
 	Options Options
 	Store   *Store
 	Agents  []*Agent
-	// PartitionedZones reach neither other zones nor the store nor the controllers.
+	// PartitionedZones can't reach other zones, the store or the controllers.
 	PartitionedZones map[string]bool
-	// Violations lists what happened and must not.
+	// Violations lists violated invariants of the distribution of weights. The embedded
+	// fake.World lists those of the scheduler.
 	Violations []string
-	// Bytes counts the messages between agents and controllers, as JSON.
-	Bytes struct{ Up, Down, Inventories int64 }
-	// MeasureStep runs each step of a tracker; nil: the step runs by itself.
+	// Traffic counts the JSON bytes of the messages between agents and controllers, and the
+	// number of inventories.
+	Traffic struct{ UpBytes, DownBytes, Inventories int64 }
+	// MeasureStep is called with each step of a tracker and has to run it. If MeasureStep is nil,
+	// the step runs directly.
 	MeasureStep func(step func())
 
-	rng      *rand.Rand
-	trackers []*trackerHost
-	versions map[digest.Digest][]byte // the bytes of each published version, by manifest
-	lastUse  uint64
+	rng       *rand.Rand
+	trackers  []*trackerHost
+	versions  map[digest.Digest][]byte // the bytes of each published version, by manifest digest
+	lastUseID uint64                   // of the latest call of Use
 }
 
-// New returns a world in which a controller leads and no agent has started.
+// New returns a World in which a leader has been elected and no agent has been started. It waits
+// for the election for up to 20 s of simulated time.
 func New(o Options) *World {
 	w := &World{
 		World: fake.NewWorld(o.Settings), Options: o, PartitionedZones: map[string]bool{}, rng: rand.New(rand.NewPCG(o.Seed, 1)),
@@ -76,12 +81,12 @@
 			host.step(tracker.Tick{})
 		}
 	})
-	w.every(time.Second, w.checkServed)
+	w.every(time.Second, w.verifyServedContent)
 	w.RunUntil(20*time.Second, func() bool { return w.Leader() != nil })
 	return w
 }
 
-// every repeats an action at an interval.
+// every runs an action repeatedly, once per interval.
 func (w *World) every(interval time.Duration, action func()) {
 	w.After(interval, func() {
 		action()
@@ -89,7 +94,7 @@
 	})
 }
 
-// recordViolation records what happened and must not, with the time.
+// recordViolation records a violated invariant, with the simulated time.
 func (w *World) recordViolation(format string, args ...any) {
 	w.Violations = append(w.Violations, fmt.Sprintf("%.2f s: ", w.Now.Seconds())+fmt.Sprintf(format, args...))
 }
@@ -101,33 +106,34 @@
 	}
 }
 
-// reportInterval is the interval of an agent's inventories.
+// reportInterval returns the interval at which agents send inventories.
 func (w *World) reportInterval() time.Duration {
 	return config.Seconds(w.Options.Settings.Workers.HeartbeatIntervalS / 2)
 }
 
-// checkServed reads every byte that agents serve.
-func (w *World) checkServed() {
+// verifyServedContent verifies every byte that running agents serve.
+func (w *World) verifyServedContent() {
 	for _, a := range w.Agents {
 		if a.Up {
-			a.checkServed()
+			a.verifyServedContent()
 		}
 	}
 }
 
-// Ready reports whether every running agent serves a version of a name.
+// Ready reports whether every running agent serves the given version of a name.
 func (w *World) Ready(name string, manifest digest.Digest) bool {
 	return !slices.ContainsFunc(w.Agents, func(a *Agent) bool { return a.Up && a.core.Active(name) != manifest })
 }
 
-// UntilReady runs until every running agent serves a version, and returns how long that took.
-func (w *World) UntilReady(timeout time.Duration, name string, manifest digest.Digest) (time.Duration, bool) {
+// RunUntilReady runs until every running agent serves a version of a name, or until the timeout.
+// It returns the elapsed time, and whether all of them serve the version.
+func (w *World) RunUntilReady(timeout time.Duration, name string, manifest digest.Digest) (time.Duration, bool) {
 	startedAt := w.Now
 	ready := w.RunUntil(timeout, func() bool { return w.Ready(name, manifest) })
 	return w.Now - startedAt, ready
 }
 
-// arePartitioned reports whether the network separates two zones, or a zone and the store.
+// arePartitioned reports whether a partition separates two zones, or a zone and the store.
 func (w *World) arePartitioned(a, b string) bool {
 	return a != b && (w.PartitionedZones[a] || w.PartitionedZones[b])
 }
