--- a/internal/distribution/registry/errors.go
+++ b/internal/distribution/registry/errors.go
@@ -18,7 +18,7 @@
 	codeUnsupported     = "UNSUPPORTED"
 )
 
-// ErrNotFound means that a manifest or blob doesn't exist.
+// ErrNotFound means that the content has no such manifest or blob.
 var ErrNotFound = errors.New("not found")
 
 // errorEntry is one error in the body of an error response.
--- a/internal/distribution/registry/handler.go
+++ b/internal/distribution/registry/handler.go
@@ -31,7 +31,7 @@
 
 // Content provides the manifests and blobs that a Handler serves.
 type Content interface {
-	// Manifest returns the manifest that has a tag or digest, with its digest.
+	// Manifest returns the manifest with the given tag or digest, and the manifest's digest.
 	Manifest(name, reference string) ([]byte, digest.Digest, error)
 	// Blob opens a blob.
 	Blob(name string, d digest.Digest) (Blob, error)
--- a/internal/distribution/registry/memory.go
+++ b/internal/distribution/registry/memory.go
@@ -49,7 +49,7 @@
 	return m.blobs[d]
 }
 
-// Manifest returns the manifest that has a tag or digest, with its digest.
+// Manifest returns the manifest with the given tag or digest, and the manifest's digest.
 func (m *MemoryContent) Manifest(_, reference string) ([]byte, digest.Digest, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/distribution/simulation/agent.go
+++ b/internal/distribution/simulation/agent.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// minRateDivisor sets the minimum rate of a source, which is the link's rate divided by it. A source
-// below this rate counts as slow.
+// minRateDivisor divides the rate of a link to give the minimum rate of a source. Sources below the
+// minimum rate count as slow.
 const minRateDivisor = 64
 
 // Kill kills the process. Its connections break at once.
--- a/internal/distribution/simulation/agent_effects.go
+++ b/internal/distribution/simulation/agent_effects.go
@@ -73,7 +73,7 @@
 	})
 }
 
-// findPeer returns the running agent with a name, or nil.
+// findPeer returns the running agent with the given name, or nil if there is none.
 func (a *Agent) findPeer(name string) *Agent {
 	for _, peer := range a.world.Agents {
 		if peer.Name == name && peer.Up {
--- a/internal/distribution/simulation/sources_test.go
+++ b/internal/distribution/simulation/sources_test.go
@@ -82,8 +82,8 @@
 }
 
 // A source sends wrong bytes, has truncated files, or claims chunks that it doesn't have. The
-// downloading agents detect this and never pass on a damaged chunk. If all agents are such sources,
-// the chunks are fetched from the store.
+// downloading agents detect this and never pass on a damaged chunk. If all agents are faulty, the
+// chunks are fetched from the store.
 func TestFaultySourcesAreDetected(t *testing.T) {
 	for _, test := range []struct {
 		name    string
