--- a/internal/distribution/simulation/transfer.go
+++ b/internal/distribution/simulation/transfer.go
@@ -129,10 +129,10 @@
 		return
 	}
 	t.endTimerID++
-	planID := t.endTimerID
+	timerID := t.endTimerID
 	remaining := float64(len(t.content)) - t.transferredBytes
 	t.world.After(time.Duration(remaining/t.bytesPerSecond*float64(time.Second))+time.Microsecond, func() {
-		if !t.ended && t.endTimerID == planID {
+		if !t.ended && t.endTimerID == timerID {
 			t.end("")
 		}
 	})
