--- a/cmd/oakpick-scale/main.go
+++ b/cmd/oakpick-scale/main.go
@@ -59,13 +59,13 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	report, err := scale.Run(ctx, s.Parameters, controller, os.Stderr)
 	if err != nil {
 		return err
 	}
-	return errors.Join(report.WriteTable(os.Stdout), writeFile(s.JSON, report.WriteJSON), verdict(report.Sound()))
+	return errors.Join(report.WriteTable(os.Stdout), writeFile(s.JSON, report.WriteJSON), soundnessError(report.Sound()))
 }
 
 // Run runs the experiment of the distribution of weights. A run that failed is reported as far
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	commands := distributionrun.Commands{Controller: controller, Agent: []string{d.Agent}}
 	report, runErr := distributionrun.Run(ctx, d.Parameters, commands, os.Stderr)
@@ -86,15 +86,15 @@
 		return runErr
 	}
 	return errors.Join(runErr, report.WriteTable(os.Stdout),
-		writeFile(d.JSON, report.WriteJSON), writeFile(d.HTML, report.WriteHTML), verdict(report.Sound()))
+		writeFile(d.JSON, report.WriteJSON), writeFile(d.HTML, report.WriteHTML), soundnessError(report.Sound()))
 }
 
-// interruptible returns a context that ends when the program is asked to.
-func interruptible() (ctx context.Context, stop context.CancelFunc) {
+// signalContext returns a context that ends when the program is asked to.
+func signalContext() (ctx context.Context, stop context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-func verdict(sound bool) error {
+func soundnessError(sound bool) error {
 	if sound {
 		return nil
 	}
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -12,43 +12,43 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// fault is something that is injected, and undone after a while.
+// fault is a fault that an experiment injects and, after its duration, reverts.
 type fault struct {
 	inject   func(context.Context, *experiment) error
 	duration time.Duration
-	leases   float64                 // how much longer it lasts, in workers' leases
-	heal     func(*experiment) error // nil: nothing is to be undone
+	leases   float64                 // additional duration, in worker leases
+	heal     func(*experiment) error // reverts the fault; nil if there is nothing to revert
 }
 
-// How long and how far faults go.
+// Durations and extent of the faults.
 const (
-	restartDelay        = 5 * time.Second // of killed controllers
-	outageDuration      = 20 * time.Second
-	partitionDivisor    = 10 // one worker of so many
-	partitionLeases     = 1.5
-	rackMachines        = 40
-	restartsPerDay      = 210
-	restartsInjectedIn  = time.Minute
-	rejectFromKeys      = 4 // more than the lowest write_share lets through at once, in small runs
-	rejectionWithin     = 20 * time.Second
-	shareChangeInterval = 75 * time.Millisecond
-	shareDuration       = 20 * time.Second
-	shareDurableWithin  = 20 * time.Second // after which a change of settings counts as failed
+	controllerRestartDelay   = 5 * time.Second // of killed controllers
+	outageDuration           = 20 * time.Second
+	partitionDivisor         = 10 // one worker in this many is partitioned
+	partitionLeases          = 1.5
+	rackMachines             = 40
+	machineRestartsPerDay    = 210
+	machineRestartsDuration  = time.Minute
+	minRejectedKeys          = 4 // the lowest write_share admits fewer keys at once in small runs
+	rejectionTimeout         = 20 * time.Second
+	writeShareChangeInterval = 75 * time.Millisecond
+	writeShareDuration       = 20 * time.Second
+	writeShareTimeout        = 20 * time.Second // for the settings change that confirms the end of the fault
 )
 
-// faults by their names on the command line.
+// faults maps the names on the command line to the faults.
 var faults = map[string]fault{
-	"leader":          {inject: killLeader, duration: restartDelay, heal: restartLeader},
-	"all-controllers": {inject: killControllers, duration: restartDelay, heal: restartControllers},
+	"leader":          {inject: killLeader, duration: controllerRestartDelay, heal: restartLeader},
+	"all-controllers": {inject: killControllers, duration: controllerRestartDelay, heal: restartControllers},
 	"state":           {inject: beginOutage, duration: outageDuration, heal: endOutage},
 	"cut":             {inject: partitionWorkers, leases: partitionLeases, heal: healPartition},
 	"rack":            {inject: failRack},
-	"write-share":     {inject: changeWriteShare, duration: shareDuration, heal: confirmWriteShare},
-	"restarts":        {inject: restartMachines, duration: restartsInjectedIn},
+	"write-share":     {inject: changeWriteShare, duration: writeShareDuration, heal: confirmWriteShare},
+	"restarts":        {inject: restartMachines, duration: machineRestartsDuration},
 }
 
-// errNoLeader says that there is no leader that could be killed.
-var errNoLeader = errors.New("nobody leads")
+// errNoLeader means that the fault needs a leader and no controller is the leader.
+var errNoLeader = errors.New("no controller is the leader")
 
 func killLeader(ctx context.Context, e *experiment) error {
 	e.killedLeader = e.testbed.Controllers.Leader(ctx)
@@ -96,21 +96,21 @@
 	return nil
 }
 
-// The lowest and the highest share of the state service's writes that operators may set.
+// Settings patches with the lowest and the highest write_share that operators may set.
 const lowestWriteShare, highestWriteShare = `{"write_share": 0.05}`, `{"write_share": 0.95}`
 
-// errNoLargeWrite says that no transaction could be refused.
-var errNoLargeWrite = errors.New("the leader sent no transaction of several keys")
+// errNoLargeWrite means that no transaction was large enough to be rejected.
+var errNoLargeWrite = errors.New("the leader sent no transaction with enough keys to be rejected")
 
-// changeWriteShare has an operator lower write_share and raise it again while the state service
-// refuses large transactions, so that one of the leader waits for its retry. Both changes are in
-// force at once. Until the fault ends, the operator does nothing more.
+// changeWriteShare lowers write_share and raises it again while the state service rejects large
+// transactions, so that a write of the leader is waiting for its retry. Both changes take effect
+// at once, before they are durable. The settings are not changed again until the fault ends.
 func changeWriteShare(ctx context.Context, e *experiment) error {
 	leader := e.testbed.Controllers.Leader(ctx)
 	if leader == testbed.NoLeader {
 		return errNoLeader
 	}
-	e.rejectLargeWrites(rejectFromKeys)
+	e.rejectLargeWrites(minRejectedKeys)
 	defer e.rejectLargeWrites(0)
 	if err := e.waitForRejection(ctx); err != nil {
 		return err
@@ -118,10 +118,10 @@
 	var changes errgroup.Group
 	for _, patch := range []string{lowestWriteShare, highestWriteShare} {
 		changes.Go(func() error {
-			_ = e.testbed.Controllers.ChangeSettings(ctx, leader, patch) // durable too late to be answered
+			_ = e.testbed.Controllers.ChangeSettings(ctx, leader, patch) // times out: the change becomes durable too late
 			return nil
 		})
-		if err := e.sleep(ctx, "write_share", shareChangeInterval); err != nil {
+		if err := e.sleep(ctx, "write_share", writeShareChangeInterval); err != nil {
 			return err
 		}
 	}
@@ -129,32 +129,34 @@
 	return changes.Wait()
 }
 
-// rejectLargeWrites has the state service refuse transactions of at least so many keys; 0: none.
+// rejectLargeWrites makes the state service reject transactions of at least this many keys; 0
+// turns that off.
 func (e *experiment) rejectLargeWrites(keys int) {
 	e.testbed.DoAndWait(func() { e.testbed.World.State.RejectFromKeys = keys })
 }
 
-// waitForRejection waits until the state service has refused another large transaction.
+// waitForRejection waits until the state service has rejected another large transaction.
 func (e *experiment) waitForRejection(ctx context.Context) error {
 	rejected := func() (count int) {
 		e.testbed.DoAndWait(func() { count = e.testbed.World.State.RejectedForKeys })
 		return count
 	}
 	before := rejected()
-	for end := time.Now().Add(rejectionWithin); time.Now().Before(end); {
+	for end := time.Now().Add(rejectionTimeout); time.Now().Before(end); {
 		if rejected() > before {
 			return nil
 		}
-		if err := e.sleep(ctx, "no large write yet", shareChangeInterval); err != nil {
+		if err := e.sleep(ctx, "no large write yet", writeShareChangeInterval); err != nil {
 			return err
 		}
 	}
 	return errNoLargeWrite
 }
 
-// confirmWriteShare has write_share changed once more, and waits until that is durable.
+// confirmWriteShare changes write_share once more, with retries, and waits until the change is
+// durable.
 func confirmWriteShare(e *experiment) error {
-	ctx, cancel := context.WithTimeout(context.Background(), shareDurableWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), writeShareTimeout)
 	defer cancel()
 	for {
 		err := errNoLeader
@@ -164,11 +166,11 @@
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		time.Sleep(shareChangeInterval)
+		time.Sleep(writeShareChangeInterval)
 	}
 }
 
-// failRack ends many machines at once, but no more than half of them.
+// failRack makes rackMachines machines fail at once, but at most half of all machines.
 func failRack(_ context.Context, e *experiment) error {
 	e.testbed.DoAndWait(func() {
 		names := e.testbed.World.MachineNames()
@@ -179,26 +181,26 @@
 	return nil
 }
 
-// restartMachines ends as many machines in a minute as a bad hour has if it has all that a day
-// has.
+// restartMachines makes random machines fail for a minute, at the rate of an hour in which all of a
+// day's restarts happen.
 func restartMachines(_ context.Context, e *experiment) error {
-	const interval = time.Hour / restartsPerDay
+	const interval = time.Hour / machineRestartsPerDay
 	e.testbed.DoAndWait(func() {
-		for at := interval / 2; at < restartsInjectedIn; at += interval {
+		for at := interval / 2; at < machineRestartsDuration; at += interval {
 			e.testbed.World.After(at, e.failRandomMachine)
 		}
 	})
 	return nil
 }
 
-// failRandomMachine ends a machine. The testbed's loop calls it.
+// failRandomMachine makes a random machine fail. The testbed's loop calls it.
 func (e *experiment) failRandomMachine() {
 	if names := e.testbed.World.MachineNames(); len(names) > 0 {
 		e.testbed.World.Cloud.Fail(names[e.workload.random.IntN(len(names))])
 	}
 }
 
-// runFaults injects the faults one after the other.
+// runFaults injects the faults one after the other and adds their reports.
 func (e *experiment) runFaults(ctx context.Context) error {
 	for _, name := range e.parameters.Faults {
 		r, err := e.runFault(ctx, name)
@@ -207,13 +209,13 @@
 		}
 		e.report.Faults = append(e.report.Faults, *r)
 		e.progress.Logf("fault %s: %.1f s without answers, %.1f s without starts, %d tasks killed by lease, %d died, %d rules broken",
-			name, r.WithoutAnswersS, r.WithoutStartsS, r.KilledByLease, r.TasksDied, r.Violations)
+			name, r.LongestAnswerGapS, r.LongestStartGapS, r.KilledByLease, r.TasksDied, r.Violations)
 	}
 	return nil
 }
 
-// runFault injects a fault, undoes it, and reports what came of it until the system has had the
-// time to recover.
+// runFault injects a fault and reverts it. The report covers the effects until the end of the
+// recovery time.
 func (e *experiment) runFault(ctx context.Context, name string) (*FaultReport, error) {
 	fault := faults[name]
 	var before faultCounts
@@ -238,10 +240,10 @@
 	return e.reportFault(name, before), nil
 }
 
-// faultCounts are what the simulated world has counted since the start of the step.
+// faultCounts are counts of the simulated world since the start of the step.
 type faultCounts struct{ killedByLease, tasksDied, violations int }
 
-// countFaultEffects is called by the testbed's loop.
+// countFaultEffects reads the counts from the simulated world. The testbed's loop calls it.
 func (e *experiment) countFaultEffects() faultCounts {
 	world := e.testbed.World
 	return faultCounts{killedByLease: world.TasksLostToLeaseExpiry, tasksDied: world.TasksLostWithMachine, violations: len(world.Violations)}
@@ -251,8 +253,8 @@
 	r := &FaultReport{Fault: name, Urgent: e.testbed.Meter.Latencies.Summaries()[urgentStartReceived]}
 	e.testbed.DoAndWait(func() {
 		now, after := e.testbed.World.Now, e.countFaultEffects()
-		r.WithoutAnswersS = e.gaps.answers.until(now).Seconds()
-		r.WithoutStartsS = e.gaps.starts.until(now).Seconds()
+		r.LongestAnswerGapS = e.gaps.answers.longestUntil(now).Seconds()
+		r.LongestStartGapS = e.gaps.starts.longestUntil(now).Seconds()
 		r.KilledByLease = after.killedByLease - before.killedByLease
 		r.TasksDied = after.tasksDied - before.tasksDied
 		r.Violations = after.violations - before.violations
--- a/internal/scale/main_test.go
+++ b/internal/scale/main_test.go
@@ -11,12 +11,12 @@
 	"oakpick/internal/daemon"
 )
 
-// asProcess has the test's own program run as a controller, so that no other has to be built
+// runAsControllerEnv has the test's own program run as a controller, so that no other has to be built
 // first.
-const asProcess = "OAKPICK_TEST_AS_PROCESS"
+const runAsControllerEnv = "OAKPICK_TEST_AS_PROCESS"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProcess) == "" {
+	if os.Getenv(runAsControllerEnv) == "" {
 		os.Exit(m.Run())
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
--- a/internal/scale/measurement.go
+++ b/internal/scale/measurement.go
@@ -7,13 +7,13 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// sample is what has been taken and counted until a moment.
+// sample holds the resource usage and the cumulative counts at one point in time.
 type sample struct {
 	at      time.Time
 	usage   []testbed.Usage // by controller
 	traffic map[testbed.TrafficKind]testbed.Traffic
-	leader  int
-	handled map[string]int64 // messages by kind, by the leader
+	leader  int              // number of the controller, or testbed.NoLeader
+	handled map[string]int64 // messages handled by the leader, by kind
 	starts  int64
 	puts    int // keys written to the state service
 	workers int
@@ -35,16 +35,17 @@
 	return s
 }
 
-// resetMeasurement empties what is measured. The testbed's loop calls it.
+// resetMeasurement clears the latencies, the answer counts and the service gaps. The testbed's loop
+// calls it.
 func (e *experiment) resetMeasurement() {
 	e.testbed.Meter.Reset()
 	e.gaps.reset(e.testbed.World.Now)
 }
 
-// measureStep measures the step in windows.
+// measureStep measures the step in consecutive windows.
 func (e *experiment) measureStep(ctx context.Context) (*StepReport, error) {
 	e.testbed.DoAndWait(e.resetMeasurement)
-	r := &StepReport{Part: e.part}
+	r := &StepReport{Fraction: e.fraction}
 	first := e.takeSample(ctx)
 	previous := first
 	for range e.parameters.Windows {
@@ -53,7 +54,7 @@
 		}
 		next := e.takeSample(ctx)
 		if err := ctx.Err(); err != nil {
-			return nil, err // the sample may lack what controllers weren't asked
+			return nil, err // the sample is incomplete: some requests to controllers were cancelled
 		}
 		r.windows = append(r.windows, newWindow(previous, next))
 		previous = next
@@ -67,7 +68,7 @@
 	return r, nil
 }
 
-// setMeans fills in the means of the whole measurement.
+// setMeans sets the means over the whole measurement, and the memory and sockets at its end.
 func (r *StepReport) setMeans(w window) {
 	r.Workers, r.Running, r.Starts = w.workers, w.running, w.starts
 	r.LeaderChanged = !w.sameLeader
--- a/internal/scale/parameters.go
+++ b/internal/scale/parameters.go
@@ -1,6 +1,7 @@
-// Package scale runs real controllers on one machine beside simulated workers, users, state
-// service and cloud. It measures what each role costs at several sizes, fits lines through
-// that, injects faults, and checks the protocol's rules by the simulated world's record.
+// Package scale runs real controllers on one machine against simulated workers, users, state
+// service and cloud. It measures the resource usage of each role at several load sizes, fits
+// regression lines to the measurements, injects faults, and checks the protocol's rules against
+// the record that the simulated world keeps.
 package scale
 
 import (
@@ -11,16 +12,16 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// Parameters are the size of a run at its full step, how the experiment goes, and what its
-// controllers are given. The tags hold the flags, their ranges and their meaning; reports have
-// the fields by the names that the json tags keep.
+// Parameters configure a run: the load at full size, the procedure of the experiment, and the
+// limits given to the controllers. The struct tags define the flags with their ranges and help
+// texts. JSON reports use the field names unless a json tag gives another name.
 type Parameters struct {
 	Load
 	Procedure
 	Limits
 }
 
-// Load is the size of the simulated world at the full step.
+// Load is the load of the simulated world at full size.
 type Load struct {
 	Workers      int     `name:"workers" default:"2400" validate:"gte=2,lte=60000" help:"Machines that can be rented."`
 	Accelerators int     `name:"accelerators" default:"4000" validate:"gte=0,lte=480000" help:"Accelerators among them, eight to a machine."`
@@ -37,7 +38,7 @@
 	Controllers  int     `name:"controllers" default:"3" validate:"oneof=1 3 5" help:"Controllers: 1, 3 or 5."`
 }
 
-// Procedure is how an experiment goes.
+// Procedure configures the steps, measurements and faults of an experiment.
 type Procedure struct {
 	Steps     []float64     `name:"steps" default:"0.25,0.5,1" validate:"min=1,max=8,dive,gt=0,lte=1" help:"Parts of the full size, one after the other."`
 	Vary      string        `name:"vary" default:"all" validate:"oneof=all workers running starts ended" help:"What the steps are parts of; the rest is at its full size."`
@@ -50,7 +51,7 @@
 	Seed      uint64        `name:"seed" default:"1" help:"What is drawn."`
 }
 
-// Limits are those of the protocol, the state service and the controllers.
+// Limits are the limits of the protocol, the state service and the controllers.
 type Limits struct {
 	HeartbeatIntervalS float64 `json:"ReportS" name:"report-s" default:"5" validate:"gte=0.5,lte=60" help:"Seconds between a worker's reports."`
 	LeaseS             float64 `name:"lease-s" default:"26.5" validate:"gte=2,lte=600" help:"A worker's lease."`
@@ -63,7 +64,7 @@
 	Sockets            int     `name:"sockets" default:"0" validate:"omitempty,gte=64,lte=1000000" help:"Sockets in the controllers' settings; 0: by --workers."`
 }
 
-// Values of Procedure.Vary.
+// Values of Procedure.Vary: the dimension of the load that the steps scale.
 const (
 	varyAll     = "all"
 	varyWorkers = "workers"
@@ -72,8 +73,8 @@
 	varyEnded   = "ended"
 )
 
-// Check derives what is not given, and names every parameter at fault and what of the machine
-// is too small for the rest.
+// Check sets the limits that are not given. It returns an error that lists every invalid parameter
+// or, if all are valid, every resource of the machine that is too small for the run.
 func (p *Parameters) Check() error {
 	p.deriveLimits()
 	problems := testbed.CheckFlags(p)
@@ -86,7 +87,7 @@
 	return errors.Join(problems...)
 }
 
-// The controllers' limits for each worker, where none are given, and the least of them.
+// Default limits of a controller: an amount for each worker, and a minimum.
 const (
 	socketsPerWorker  = 2.5
 	memoryMBPerWorker = 0.22125
@@ -94,7 +95,7 @@
 	minMemoryMB       = 128
 )
 
-// deriveLimits sets the controllers' limits that are not given, by the number of workers.
+// deriveLimits sets the socket and memory limits that are not given from the number of workers.
 func (p *Parameters) deriveLimits() {
 	if p.Sockets == 0 {
 		p.Sockets = max(minSockets, int(socketsPerWorker*float64(p.Workers)))
@@ -104,13 +105,13 @@
 	}
 }
 
-// minCount is the least number of workers and of running tasks in a step.
+// minCount is the minimum number of workers and of running tasks in a step.
 const minCount = 2
 
-// step returns the parameters of a run at a part of the full size.
-func (p *Parameters) step(part float64) Parameters {
+// step returns the parameters of a step that runs at a fraction of the full size.
+func (p *Parameters) step(fraction float64) Parameters {
 	step := *p
-	scaled := func(count int) int { return int(float64(count) * part) }
+	scaled := func(count int) int { return int(float64(count) * fraction) }
 	varies := func(dimension string) bool { return p.Vary == varyAll || p.Vary == dimension }
 	if varies(varyWorkers) {
 		step.Workers = max(minCount, scaled(p.Workers))
@@ -120,7 +121,7 @@
 		step.Running = max(minCount, scaled(p.Running))
 	}
 	if varies(varyStarts) {
-		step.Starts, step.Jobs = p.Starts*part, p.Jobs*part
+		step.Starts, step.Jobs = p.Starts*fraction, p.Jobs*fraction
 	}
 	if varies(varyEnded) {
 		step.Ended, step.Archived = scaled(p.Ended), scaled(p.Archived)
@@ -128,8 +129,8 @@
 	return step
 }
 
-// testbed returns the testbed that the parameters ask for.
-func (p *Parameters) testbed() testbed.Spec {
+// testbedSpec returns the specification of the testbed for these parameters.
+func (p *Parameters) testbedSpec() testbed.Spec {
 	return testbed.Spec{
 		Workers: p.Workers, Accelerators: p.Accelerators, Running: p.Running, Teams: p.Teams, LargestGang: p.LargestGang, Controllers: p.Controllers,
 		HeartbeatIntervalS: p.HeartbeatIntervalS, LeaseS: p.LeaseS, CancelWithinS: p.CancelWithinS,
--- a/internal/scale/pipelines.go
+++ b/internal/scale/pipelines.go
@@ -13,14 +13,14 @@
 
 // How pipelines are drawn.
 const (
-	maxRecentJobs      = 64  // that a pipeline may name
-	maxRecentNamed     = 4   // of these
-	archivedNamedShare = 0.5 // of the pipelines name a job in the archive, too
-	pipelineRunTime    = 3 * time.Second
+	maxRecentJobs             = 64  // that a pipeline may name
+	maxRecentPrerequisites    = 4   // of these
+	archivedPrerequisiteShare = 0.5 // of the pipelines name a job in the archive, too
+	pipelineRunTime           = 3 * time.Second
 )
 
-// noteRecent keeps a job for pipelines to name, whatever becomes of it.
-func (w *workload) noteRecent(job *fake.Job) {
+// addRecent keeps a job for pipelines to name, whatever becomes of it.
+func (w *workload) addRecent(job *fake.Job) {
 	if w.parameters.Pipelines == 0 || job.Submission.Kind == protocol.Service {
 		return
 	}
@@ -34,12 +34,12 @@
 // and may need others themselves, and half of the time one in the archive.
 func (w *workload) submitPipeline() {
 	job := w.newJob(pipelineClass, protocol.Array, protocol.Normal, 1)
-	for range 1 + w.random.IntN(maxRecentNamed) {
-		if id := w.recentAccepted(); id != "" && !slices.Contains(job.Prerequisites, id) {
+	for range 1 + w.random.IntN(maxRecentPrerequisites) {
+		if id := w.randomRecentAccepted(); id != "" && !slices.Contains(job.Prerequisites, id) {
 			job.Prerequisites = append(job.Prerequisites, id)
 		}
 	}
-	if w.parameters.Archived > 0 && w.random.Float64() < archivedNamedShare {
+	if w.parameters.Archived > 0 && w.random.Float64() < archivedPrerequisiteShare {
 		record := archivedRecord(w.random.IntN(w.parameters.Archived))
 		w.world.AddEndedBefore(record.ID, record.Cancelled)
 		job.Prerequisites = append(job.Prerequisites, record.ID)
@@ -47,8 +47,8 @@
 	w.submit(job, pipelineRunTime)
 }
 
-// recentAccepted draws a recent job that is accepted; empty: the drawn one isn't.
-func (w *workload) recentAccepted() string {
+// randomRecentAccepted draws a recent job that is accepted; empty: the drawn one isn't.
+func (w *workload) randomRecentAccepted() string {
 	if len(w.recent) == 0 {
 		return ""
 	}
--- a/internal/scale/progress.go
+++ b/internal/scale/progress.go
@@ -21,13 +21,13 @@
 		case <-time.After(min(left, progressInterval)):
 		}
 		if left > progressInterval {
-			e.logState(phase)
+			e.logProgress(phase)
 		}
 	}
 }
 
-// logState writes how many workers and tasks there are.
-func (e *experiment) logState(phase string) {
+// logProgress writes how many workers and tasks there are.
+func (e *experiment) logProgress(phase string) {
 	var workers, tasks, violations int
 	e.testbed.DoAndWait(func() {
 		world := e.testbed.World
--- a/internal/scale/regression.go
+++ b/internal/scale/regression.go
@@ -10,10 +10,10 @@
 
 // Line is a straight line through measured points.
 type Line struct {
-	Of        string  `json:"of"`
-	Against   string  `json:"against"`
-	Intercept float64 `json:"intercept"`
-	Slope     float64 `json:"slope"`
+	Dependent   string  `json:"of"`
+	Independent string  `json:"against"`
+	Intercept   float64 `json:"intercept"`
+	Slope       float64 `json:"slope"`
 	// Error is the slope's standard error.
 	Error  float64 `json:"error"`
 	Points int     `json:"points"`
@@ -34,7 +34,7 @@
 	if len(xs) < minPoints || spread == 0 {
 		return Line{}, false
 	}
-	line := Line{Of: of, Against: against, Points: len(xs)}
+	line := Line{Dependent: of, Independent: against, Points: len(xs)}
 	line.Intercept, line.Slope = stat.LinearRegression(xs, ys, nil, false)
 	line.R2 = stat.RSquared(xs, ys, nil, line.Intercept, line.Slope)
 	if math.IsNaN(line.R2) {
@@ -95,9 +95,9 @@
 	}
 	var lines []Line
 	for _, size := range sizes() {
-		xs := valuesOf(size, windows)
+		xs := valuesIn(size, windows)
 		for _, cost := range costs() {
-			if line, ok := fitLine(cost.name, size.name, xs, valuesOf(cost, windows)); ok {
+			if line, ok := fitLine(cost.name, size.name, xs, valuesIn(cost, windows)); ok {
 				lines = append(lines, line)
 			}
 		}
@@ -105,7 +105,7 @@
 	return lines
 }
 
-func valuesOf(v variable, windows []window) []float64 {
+func valuesIn(v variable, windows []window) []float64 {
 	values := make([]float64, len(windows))
 	for i, w := range windows {
 		values[i] = v.value(w)
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -8,38 +8,39 @@
 	"oakpick/internal/latency"
 )
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
 	Parameters Parameters    `json:"parameters"`
 	Steps      []StepReport  `json:"steps"`
 	Lines      []Line        `json:"lines"`
 	Faults     []FaultReport `json:"faults"`
-	// Violations are the broken rules of the protocol, by the simulated world's record.
+	// Violations are the violations of the protocol's rules that the simulated world recorded.
 	Violations []string `json:"broken"`
-	// Crashed lists the controllers that ended by themselves.
+	// Crashed lists the controllers that exited without being killed by the experiment.
 	Crashed []string `json:"ended_by_themselves"`
-	// Partial says why the run ended early, if it did.
+	// Partial is the reason why the run ended early, or empty if the run is complete.
 	Partial string `json:"partial,omitempty"`
 }
 
-// StepReport is what one size took. Figures are means over the measurement.
+// StepReport holds the figures of one step. Rates and the numbers of workers and tasks are means
+// over the measurement.
 type StepReport struct {
-	Part    float64 `json:"part"` // of the full size
-	Workers float64 `json:"workers_up"`
-	Running float64 `json:"tasks_on_machines"`
-	Starts  float64 `json:"starts_per_s"`
+	Fraction float64 `json:"part"` // of the full size
+	Workers  float64 `json:"workers_up"`
+	Running  float64 `json:"tasks_on_machines"`
+	Starts   float64 `json:"starts_per_s"`
 
 	Leader    RoleUsage   `json:"leader"`
 	Followers []RoleUsage `json:"followers"`
-	// LeaderChanged tells that another controller led at the end than at the beginning.
+	// LeaderChanged is true if different controllers led at the beginning and at the end.
 	LeaderChanged bool `json:"leader_changed"`
 
-	MessagesPerS map[string]float64 `json:"messages_per_s"`       // by kind, as the simulated side counts
-	BytesPerS    map[string]float64 `json:"bytes_per_s"`          // by kind, both ways
-	HandledPerS  map[string]float64 `json:"leader_handled_per_s"` // by kind, as the leader counts
+	MessagesPerS map[string]float64 `json:"messages_per_s"`       // by kind, counted by the simulated side
+	BytesPerS    map[string]float64 `json:"bytes_per_s"`          // by kind, both directions
+	HandledPerS  map[string]float64 `json:"leader_handled_per_s"` // by kind, counted by the leader
 
-	WorkerMessagesPerS float64 `json:"worker_messages_per_s"` // of each worker: heartbeats and commands
-	WorkerBytesPerS    float64 `json:"worker_bytes_per_s"`    // of each worker, both ways, with headers
+	WorkerMessagesPerS float64 `json:"worker_messages_per_s"` // per worker: heartbeats and commands
+	WorkerBytesPerS    float64 `json:"worker_bytes_per_s"`    // per worker, both directions, with headers
 
 	StateKeys       int     `json:"state_keys"`
 	StateBytes      int     `json:"state_bytes"`
@@ -52,7 +53,8 @@
 	windows []window
 }
 
-// RoleUsage is what a controller took while it was measured.
+// RoleUsage is the resource usage of a controller: the mean processor usage during the measurement,
+// and memory and sockets at its end.
 type RoleUsage struct {
 	Name     string  `json:"name"`
 	Cores    float64 `json:"cores"`     // processor seconds a second
@@ -60,34 +62,34 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// FaultReport is what a fault did.
+// FaultReport holds the effects of a fault.
 type FaultReport struct {
 	Fault string `json:"fault"`
-	// WithoutAnswersS and WithoutStartsS are the longest times in seconds for which no user was
-	// answered and no start was executed, from the fault until the end of the watch.
-	WithoutAnswersS float64         `json:"longest_without_answers_s"`
-	WithoutStartsS  float64         `json:"longest_without_starts_s"`
-	KilledByLease   int             `json:"tasks_killed_by_lease"`
-	TasksDied       int             `json:"tasks_on_machines_that_died"`
-	Violations      int             `json:"rules_broken"`
-	Urgent          latency.Summary `json:"urgent_start_received"`
+	// LongestAnswerGapS and LongestStartGapS are the longest periods, in seconds, without an
+	// answer to a user and without an executed start, from the injection of the fault until the end
+	// of the recovery time.
+	LongestAnswerGapS float64         `json:"longest_without_answers_s"`
+	LongestStartGapS  float64         `json:"longest_without_starts_s"`
+	KilledByLease     int             `json:"tasks_killed_by_lease"`
+	TasksDied         int             `json:"tasks_on_machines_that_died"`
+	Violations        int             `json:"rules_broken"`
+	Urgent            latency.Summary `json:"urgent_start_received"`
 }
 
-// WriteJSON writes the report for programs.
+// WriteJSON writes the report as indented JSON.
 func (r *Report) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(r)
 }
 
-// Sound tells whether no rule was broken, no controller ended by itself and nothing was left
-// out.
+// Sound reports whether the run is complete, no rule was violated and no controller crashed.
 func (r *Report) Sound() bool {
 	return len(r.Violations) == 0 && len(r.Crashed) == 0 && r.Partial == ""
 }
 
-// Summary is the step in one line of progress.
+// Summary returns a one-line summary of the step for the progress log.
 func (r *StepReport) Summary() string {
 	return fmt.Sprintf("%.2f: %.0f workers, %.0f tasks, %.0f starts/s; leader %.3f cores, %.0f MB; submit p99 %.0f ms, urgent start p99 %.0f ms",
-		r.Part, r.Workers, r.Running, r.Starts, r.Leader.Cores, r.Leader.MemoryMB, r.Times["submit"].P99, r.Times[urgentStartReceived].P99)
+		r.Fraction, r.Workers, r.Running, r.Starts, r.Leader.Cores, r.Leader.MemoryMB, r.Times["submit"].P99, r.Times[urgentStartReceived].P99)
 }
--- a/internal/scale/report_table.go
+++ b/internal/scale/report_table.go
@@ -35,7 +35,7 @@
 		if len(s.Followers) > 0 {
 			follower = s.Followers[0]
 		}
-		t.row("%.2f\t%.0f\t%.0f\t%.0f\t%.3f\t%.0f\t%d\t%.3f\t%.0f\t%.0f\t%.1f\t%d\t%.0f\t%.2f", s.Part, s.Workers, s.Running, s.Starts,
+		t.row("%.2f\t%.0f\t%.0f\t%.0f\t%.3f\t%.0f\t%d\t%.3f\t%.0f\t%.0f\t%.1f\t%d\t%.0f\t%.2f", s.Fraction, s.Workers, s.Running, s.Starts,
 			s.Leader.Cores, s.Leader.MemoryMB, s.Leader.Sockets, follower.Cores, follower.MemoryMB,
 			s.MessagesPerS[string(testbed.StateTraffic)], s.StateWritesPerS, s.StateKeys, s.WorkerBytesPerS, s.WorkerMessagesPerS)
 	}
@@ -47,9 +47,9 @@
 	for _, s := range steps {
 		for _, operation := range slices.Sorted(maps.Keys(s.Times)) {
 			times := s.Times[operation]
-			t.row("%.2f\t%s\t%d\t%.1f\t%.1f\t%.1f", s.Part, operation, times.Count, times.P50, times.P99, times.Max)
+			t.row("%.2f\t%s\t%d\t%.1f\t%.1f\t%.1f", s.Fraction, operation, times.Count, times.P50, times.P99, times.Max)
 		}
-		t.row("%.2f\tanswers\t%v", s.Part, s.Answers)
+		t.row("%.2f\tanswers\t%v", s.Fraction, s.Answers)
 	}
 }
 
@@ -60,7 +60,7 @@
 	t.row("")
 	t.row("line\tagainst\tintercept\tslope\terror\tR2\tpoints")
 	for _, l := range lines {
-		t.row("%s\t%s\t%.4g\t%.4g\t%.2g\t%.3f\t%d", l.Of, l.Against, l.Intercept, l.Slope, l.Error, l.R2, l.Points)
+		t.row("%s\t%s\t%.4g\t%.4g\t%.2g\t%.3f\t%d", l.Dependent, l.Independent, l.Intercept, l.Slope, l.Error, l.R2, l.Points)
 	}
 }
 
@@ -71,7 +71,7 @@
 	t.row("")
 	t.row("fault\twithout answers s\twithout starts s\tkilled by lease\tdied\trules broken\turgent p99 ms")
 	for _, f := range faults {
-		t.row("%s\t%.1f\t%.1f\t%d\t%d\t%d\t%.0f", f.Fault, f.WithoutAnswersS, f.WithoutStartsS, f.KilledByLease, f.TasksDied, f.Violations, f.Urgent.P99)
+		t.row("%s\t%.1f\t%.1f\t%d\t%d\t%d\t%.0f", f.Fault, f.LongestAnswerGapS, f.LongestStartGapS, f.KilledByLease, f.TasksDied, f.Violations, f.Urgent.P99)
 	}
 }
 
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -11,22 +11,22 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// Run runs the steps one after the other and the faults after the last. It writes its progress,
-// a line at a time. The command starts a controller. Run ends every process that it has started,
-// also when the context ends; then the report is partial.
+// Run executes the steps in order and injects the faults after the last step. The command starts a
+// controller. Run writes progress as lines of text. It stops every process that it started, also
+// when the context is cancelled; the report is then marked as partial.
 func Run(ctx context.Context, p Parameters, command []string, progress io.Writer) (*Report, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
 	report := &Report{Parameters: p, Violations: []string{}, Crashed: []string{}}
-	for i, part := range p.Steps {
+	for i, fraction := range p.Steps {
 		e := experiment{
-			parameters: p.step(part), part: part, injectFaults: i == len(p.Steps)-1,
+			parameters: p.step(fraction), fraction: fraction, injectFaults: i == len(p.Steps)-1,
 			command: command, report: report, progress: testbed.NewProgressLog(progress),
 		}
 		err := e.run(ctx)
 		if testbed.Interrupted(err) {
-			report.Partial = fmt.Sprintf("interrupted in step %g", part)
+			report.Partial = fmt.Sprintf("interrupted in step %g", fraction)
 			break
 		}
 		if err != nil {
@@ -37,10 +37,10 @@
 	return report, nil
 }
 
-// experiment is one step of a run.
+// experiment executes one step of a run.
 type experiment struct {
 	parameters   Parameters // at this step's size
-	part         float64    // of the full size
+	fraction     float64    // of the full size
 	command      []string   // starts a controller
 	injectFaults bool
 	report       *Report
@@ -48,17 +48,17 @@
 
 	testbed      *testbed.Testbed
 	workload     *workload
-	gaps         *serviceGaps // the testbed's loop owns it
-	killedLeader int          // by the fault that kills the leader
+	gaps         *serviceGaps // owned by the testbed's loop
+	killedLeader int          // the controller that the "leader" fault killed
 }
 
-// run builds the testbed, measures and removes it.
+// run builds the testbed, runs the workload, measures the step and removes the testbed.
 func (e *experiment) run(ctx context.Context) error {
 	directory, err := os.MkdirTemp("", "oakpick-scale-")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(directory) }() // a temporary directory left behind does no harm
+	defer func() { _ = os.RemoveAll(directory) }() // leaving a temporary directory behind is harmless
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	e.build(directory)
@@ -79,32 +79,31 @@
 	return err
 }
 
-// build makes the testbed, with the ended jobs on record, and its workload.
+// build creates the workload and a testbed whose state service already stores the ended jobs.
 func (e *experiment) build(directory string) {
 	p := e.parameters
 	e.gaps = &serviceGaps{}
-	e.testbed = testbed.New(p.testbed(), e.command, directory)
+	e.testbed = testbed.New(p.testbedSpec(), e.command, directory)
 	e.testbed.OnUserAnswer(e.gaps.answered)
 	e.testbed.World.State.Restore(endedPages(p.Ended, p.StateValueKB))
 	e.testbed.World.State.Restore(archivedPages(p.Archived, p.StateValueKB))
 	e.workload = newWorkload(p, e.testbed.World, e.testbed.Meter, e.gaps)
 }
 
-// settle waits until the step is about to be measured, and has a rule broken if that is asked
-// for.
+// settle waits for the settling time of the step. If BreakRule is set, it then starts a task twice.
 func (e *experiment) settle(ctx context.Context) error {
 	p := e.parameters
-	e.progress.Logf("step %g: %d workers, %d tasks, %.0f starts/s, %d ended jobs, %d controllers", e.part, p.Workers, p.Running, p.Starts, p.Ended, p.Controllers)
+	e.progress.Logf("step %g: %d workers, %d tasks, %.0f starts/s, %d ended jobs, %d controllers", e.fraction, p.Workers, p.Running, p.Starts, p.Ended, p.Controllers)
 	if err := e.sleep(ctx, "settles", p.Settle); err != nil {
 		return err
 	}
 	if p.BreakRule {
-		return e.duplicateStart(ctx)
+		return e.injectDuplicateStart(ctx)
 	}
 	return nil
 }
 
-// measure measures the step and injects the faults.
+// measure measures the step. In the last step it then injects the faults.
 func (e *experiment) measure(ctx context.Context) error {
 	step, err := e.measureStep(ctx)
 	if err != nil {
@@ -118,10 +117,11 @@
 	return e.runFaults(ctx)
 }
 
-// unansweredTimeout is for how long questions about an accepted job may go unanswered.
+// unansweredTimeout is how long status requests for an accepted job may go without an answer.
 const unansweredTimeout = 75 * time.Second
 
-// collectViolations adds to the report what was against the rules in this step.
+// collectViolations adds the step's rule violations, unanswered jobs and crashed controllers to the
+// report.
 func (e *experiment) collectViolations() {
 	e.testbed.DoAndWait(func() {
 		e.report.Violations = append(e.report.Violations, e.testbed.World.Violations...)
@@ -132,11 +132,12 @@
 	e.report.Crashed = append(e.report.Crashed, e.testbed.Controllers.Crashed()...)
 }
 
-// errNothingToDuplicate says that no task ran while a rule was to be broken.
-var errNothingToDuplicate = errors.New("no task runs that could be started twice")
+// errNothingToDuplicate means that no task was running that could be started a second time.
+var errNothingToDuplicate = errors.New("no running task to start a second time")
 
-// duplicateStart has a task started twice, as soon as one runs.
-func (e *experiment) duplicateStart(ctx context.Context) error {
+// injectDuplicateStart starts a running task a second time, on another machine. It waits until a
+// task is running.
+func (e *experiment) injectDuplicateStart(ctx context.Context) error {
 	const attempts, interval = 60, 500 * time.Millisecond
 	for range attempts {
 		started := false
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -16,7 +16,7 @@
 // starts a controller.
 func smallParameters(t *testing.T) (p Parameters, command []string) {
 	t.Helper()
-	t.Setenv(asProcess, "1")
+	t.Setenv(runAsControllerEnv, "1")
 	return Parameters{
 		Load: Load{
 			Workers: 30, Accelerators: 48, Running: 150, Starts: 15, Jobs: 2, Teams: 5, LargestGang: 8, Urgent: 1, Cancelled: 0.1, Ended: 500, Archived: 2000,
@@ -70,7 +70,7 @@
 	if !report.Sound() {
 		t.Errorf("rules broken %v, ended %v, partial %q", report.Violations, report.Crashed, report.Partial)
 	}
-	if len(report.Faults) != 1 || report.Faults[0].WithoutStartsS > shareDuration.Seconds()/2 {
+	if len(report.Faults) != 1 || report.Faults[0].LongestStartGapS > writeShareDuration.Seconds()/2 {
 		t.Errorf("no task started for long: %+v", report.Faults)
 	}
 }
--- a/internal/scale/service_gaps.go
+++ b/internal/scale/service_gaps.go
@@ -12,19 +12,19 @@
 // gap is the longest time between two events since it was reset.
 type gap struct{ last, longest time.Duration }
 
-func (g *gap) event(now time.Duration) {
-	g.longest = g.until(now)
+func (g *gap) record(now time.Duration) {
+	g.longest = g.longestUntil(now)
 	g.last = now
 }
 
-// until is the longest time without an event, if that lasts until now.
-func (g *gap) until(now time.Duration) time.Duration { return max(g.longest, now-g.last) }
+// longestUntil is the longest time without an event, if that lasts longestUntil now.
+func (g *gap) longestUntil(now time.Duration) time.Duration { return max(g.longest, now-g.last) }
 
-func (s *serviceGaps) answered(now time.Duration) { s.answers.event(now) }
+func (s *serviceGaps) answered(now time.Duration) { s.answers.record(now) }
 
 func (s *serviceGaps) started(now time.Duration) {
 	s.totalStarts++
-	s.starts.event(now)
+	s.starts.record(now)
 }
 
 // reset begins a measurement.
--- a/internal/scale/service_gaps_test.go
+++ b/internal/scale/service_gaps_test.go
@@ -23,13 +23,13 @@
 		{"another kind of event", gaps.starts, 13 * time.Second, 2 * time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := test.gap.until(test.now); got != test.want {
+			if got := test.gap.longestUntil(test.now); got != test.want {
 				t.Errorf("%v, not %v", got, test.want)
 			}
 		})
 	}
 	gaps.reset(20 * time.Second)
-	if got := gaps.answers.until(21 * time.Second); got != time.Second || gaps.totalStarts != 1 {
+	if got := gaps.answers.longestUntil(21 * time.Second); got != time.Second || gaps.totalStarts != 1 {
 		t.Errorf("after a reset %v, %d starts in all", got, gaps.totalStarts)
 	}
 }
--- a/internal/scale/window.go
+++ b/internal/scale/window.go
@@ -2,7 +2,7 @@
 
 import "oakpick/internal/scale/testbed"
 
-// window is what happened between two samples. Rates are per second.
+// window holds the figures of the period between two samples. Rates are per second.
 type window struct {
 	workers, running float64 // means
 	starts           float64 // rate
@@ -10,12 +10,12 @@
 	cores            []float64
 	usage            []testbed.Usage // at the end
 	traffic          map[testbed.TrafficKind]trafficRates
-	handled          map[string]float64 // rates by kind of message; none if another leads
+	handled          map[string]float64 // rates by kind of message; empty if the leader changed
 	leader           int                // at the end
 	sameLeader       bool
 }
 
-// trafficRates are per second.
+// trafficRates are rates per second.
 type trafficRates struct{ messages, bytes float64 }
 
 func newWindow(from, to sample) window {
@@ -44,17 +44,17 @@
 	return w
 }
 
-// workerMessages is the rate of heartbeats and commands of all workers.
+// workerMessages returns the total rate of heartbeats and commands of all workers.
 func (w window) workerMessages() float64 {
 	return w.traffic[testbed.HeartbeatTraffic].messages + w.traffic[testbed.CommandTraffic].messages
 }
 
-// workerBytes is the rate of the bytes of heartbeats and commands of all workers.
+// workerBytes returns the total byte rate of heartbeats and commands of all workers.
 func (w window) workerBytes() float64 {
 	return w.traffic[testbed.HeartbeatTraffic].bytes + w.traffic[testbed.CommandTraffic].bytes
 }
 
-// follower returns the number of one of the followers; false: there is none.
+// follower returns the number of one of the followers, and false if there are no followers.
 func (w window) follower() (int, bool) {
 	if len(w.cores) < 2 {
 		return 0, false
--- a/internal/scale/workload.go
+++ b/internal/scale/workload.go
@@ -11,8 +11,9 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// workload is what the simulated users submit: replicas that stay, arrays that make up the
-// starts, gangs, and urgent jobs. The testbed's loop owns it.
+// workload generates the jobs that the simulated users submit: services that run until the end,
+// arrays that produce the configured rate of task starts, gangs, urgent jobs and pipelines. The
+// testbed's loop owns it.
 type workload struct {
 	parameters Parameters
 	world      *fake.World
@@ -20,55 +21,55 @@
 	meter      *testbed.Meter
 	gaps       *serviceGaps
 
-	submitted     int         // jobs so far
-	recent        []*fake.Job // that a pipeline may name, the latest last
+	submitted     int         // number of submitted jobs
+	recent        []*fake.Job // candidates for the prerequisites of pipeline jobs, oldest first
 	jobs          map[string]*fake.Job
-	urgentStarted map[taskID]bool // tasks of urgent jobs whose start has been executed
+	urgentStarted map[taskID]bool // tasks of urgent jobs whose start command was executed
 }
 
-// taskID names a task of a job.
+// taskID identifies a task of a job.
 type taskID struct {
 	job  string
 	task int
 }
 
-// Names of the latencies of urgent starts in reports.
+// Names of the start latencies of urgent jobs in reports.
 const (
 	urgentStartReceived = "urgent start received"
 	urgentStartExecuted = "urgent start executed"
 )
 
-// The classes of jobs, next to testbed.UrgentClass.
+// Classes of jobs, in addition to testbed.UrgentClass and pipelineClass.
 const (
 	serviceClass = "replicas"
 	arrayClass   = "short-array"
 	gangClass    = "large-gang"
 )
 
-// How the running tasks are shared out, and how often users submit and ask.
+// The mix of jobs, and how often users submit jobs and poll their status.
 const (
-	servicesShare       = 0.25 // of the running tasks are replicas
+	servicesShare       = 0.25 // share of the running tasks that are replicas of services
 	replicasPerService  = 8
 	gpusPerReplica      = 2
 	pollInterval        = 5 * time.Second
-	otherPollInterval   = time.Second // about unknown and long ended jobs
+	unknownPollInterval = time.Second // for unknown and archived jobs
 	gangInterval        = 20 * time.Second
 	gangRunTime         = 30 * time.Second
-	gangSizes           = 4 // halvings of the largest
+	gangSizes           = 4 // number of different sizes, each half of the next larger one
 	minGangTasks        = 2
 	checkpointIntervalS = 15
 	checkpointDurationS = 2
 	urgentRunTime       = 5 * time.Second
 	maxUrgentTasks      = 4
-	repeatedShare       = 0.02             // of the jobs are submitted again
-	changeWithin        = 20 * time.Second // after a submission it is repeated or cancelled, if at all
+	resubmittedShare    = 0.02             // share of the jobs that are submitted a second time
+	maxChangeDelay      = 20 * time.Second // until a submitted job is resubmitted or cancelled
 	imageGB             = 0.1
 	images              = 6
-	rampUp              = 10 * time.Second
-	submissionTimeout   = 5 * time.Second // a submission that isn't accepted by then counts as such
+	rampUp              = 10 * time.Second // during which the services are submitted, before the other jobs
+	submissionTimeout   = 5 * time.Second  // after which an unaccepted submission is overdue
 )
 
-// workloadStream is the stream of random numbers; the network draws from another.
+// workloadStream selects a random number stream that differs from the simulated network's.
 const workloadStream = 1
 
 func newWorkload(p Parameters, world *fake.World, meter *testbed.Meter, gaps *serviceGaps) *workload {
@@ -81,9 +82,9 @@
 	return w
 }
 
-// begin submits the replicas over a while, and the rest from then on.
+// begin submits the services during the ramp-up and starts the other arrivals after it.
 func (w *workload) begin() {
-	accelerated := w.parameters.testbed().AcceleratedMachines() * testbed.AcceleratorsPerMachine / gpusPerReplica
+	accelerated := w.parameters.testbedSpec().AcceleratedMachines() * testbed.AcceleratorsPerMachine / gpusPerReplica
 	plain := max(0, int(float64(w.parameters.Running)*servicesShare)-accelerated)
 	services := (accelerated + plain + replicasPerService - 1) / replicasPerService
 	for i := range services {
@@ -92,7 +93,7 @@
 	w.world.After(rampUp, w.beginArrivals)
 }
 
-// beginArrivals begins what goes on until the end.
+// beginArrivals starts the job arrivals and status polls that continue until the run ends.
 func (w *workload) beginArrivals() {
 	p := w.parameters
 	w.repeat(func() time.Duration { return w.interarrivalTime(p.Jobs) }, w.submitArray)
@@ -105,10 +106,11 @@
 	if p.Pipelines > 0 {
 		w.repeat(func() time.Duration { return w.interarrivalTime(p.Pipelines) }, w.submitPipeline)
 	}
-	w.repeat(func() time.Duration { return otherPollInterval }, w.pollUnknownAndEnded)
+	w.repeat(func() time.Duration { return unknownPollInterval }, w.pollUnknownAndArchived)
 }
 
-// interarrivalTime draws the time between two arrivals at a rate per second.
+// interarrivalTime draws the time until the next arrival of a Poisson process with a rate per
+// second.
 func (w *workload) interarrivalTime(rate float64) time.Duration {
 	return time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
 }
@@ -120,8 +122,9 @@
 	})
 }
 
-// pollUnknownAndEnded asks about a job that nobody submitted, and about one that ended long ago.
-func (w *workload) pollUnknownAndEnded() {
+// pollUnknownAndArchived polls a job that was never submitted and a random archived job, unless the
+// latter was cancelled.
+func (w *workload) pollUnknownAndArchived() {
 	w.world.PollUnknown()
 	if w.parameters.Archived == 0 {
 		return
@@ -139,18 +142,18 @@
 	}
 }
 
-// submit submits a job and asks about it until it has ended. Some jobs are cancelled, and some
-// submitted again.
+// submit submits a job and polls it until it has ended. Random shares of the jobs are cancelled
+// and submitted a second time.
 func (w *workload) submit(submission protocol.Submission, runTime time.Duration) {
 	submission.EstimatedRunS = runTime.Seconds()
 	job := w.world.Submit(submission, runTime)
 	w.jobs[submission.ID] = job
-	w.noteRecent(job)
+	w.addRecent(job)
 	w.poll(job)
 	if submission.Class != serviceClass && w.random.Float64() < w.parameters.Cancelled {
 		w.world.After(w.changeDelay(), func() { w.world.CancelJob(job) })
 	}
-	if w.random.Float64() < repeatedShare {
+	if w.random.Float64() < resubmittedShare {
 		w.world.After(w.changeDelay(), func() {
 			if job.Accepted {
 				w.world.Resubmit(job)
@@ -159,9 +162,9 @@
 	}
 }
 
-// changeDelay draws the time from a submission until it is repeated or cancelled.
+// changeDelay draws the delay after which a submitted job is resubmitted or cancelled.
 func (w *workload) changeDelay() time.Duration {
-	return time.Duration(w.random.Float64() * float64(changeWithin))
+	return time.Duration(w.random.Float64() * float64(maxChangeDelay))
 }
 
 func (w *workload) poll(job *fake.Job) {
@@ -188,8 +191,9 @@
 	w.submit(service, 0)
 }
 
-// submitArray submits an array with the tasks that make up the starts, on average, each of which
-// runs for so long that as many run as there should, on average.
+// submitArray submits an array with a random number of tasks and a random run time. The mean number
+// of tasks yields the configured rate of starts; the mean run time keeps, together with the services,
+// the configured number of tasks running.
 func (w *workload) submitArray() {
 	p := w.parameters
 	meanTasks := p.Starts / p.Jobs
@@ -209,7 +213,8 @@
 	w.submit(w.newJob(testbed.UrgentClass, protocol.Array, protocol.High, 1+w.random.IntN(maxUrgentTasks)), urgentRunTime)
 }
 
-// taskStarted records that a worker has executed a start.
+// taskStarted is called when a worker has executed a start command. It records the start and, for
+// the first start of an urgent task, the latency.
 func (w *workload) taskStarted(job *fake.Job, task int) {
 	w.gaps.started(w.world.Now)
 	id := taskID{job.Submission.ID, task}
@@ -219,15 +224,16 @@
 	}
 }
 
-// taskPresent records that a task has its image.
+// taskPresent is called when a task's image is present on its machine. It records the latency of
+// urgent tasks.
 func (w *workload) taskPresent(job *fake.Job, task int) {
 	if job.Submission.Class == testbed.UrgentClass && w.urgentStarted[taskID{job.Submission.ID, task}] {
 		w.meter.Latencies.Add(urgentStartExecuted, w.world.Now-job.SubmittedAt)
 	}
 }
 
-// unansweredJobs returns the ids of accepted jobs that haven't ended and about which nobody has
-// been told anything for so long.
+// unansweredJobs returns the ids of the accepted jobs that haven't ended and whose last successful
+// status poll, or else their acceptance, is longer ago than the timeout.
 func (w *workload) unansweredJobs(timeout time.Duration) []string {
 	var ids []string
 	for id, job := range w.jobs {
@@ -238,7 +244,7 @@
 	return ids
 }
 
-// overdueSubmissions is how many jobs should have been accepted and aren't.
+// overdueSubmissions counts the jobs that haven't been accepted within submissionTimeout.
 func (w *workload) overdueSubmissions() int {
 	overdue := 0
 	for _, job := range w.jobs {
