--- a/internal/scale/ended_jobs.go
+++ b/internal/scale/ended_jobs.go
@@ -7,26 +7,26 @@
 	"oakpick/internal/storage"
 )
 
-// The ids of the jobs that ended before a run begin with these.
+// Prefixes of the ids of jobs that ended before the run.
 const archivedPrefix, endedPrefix = "wk-8", "wk-9"
 
-// archivedCancelledEvery is which of the jobs in the archive were cancelled: the first, and every
-// so many from there on.
+// archivedCancelledEvery is the interval at which the archive contains cancelled jobs, beginning with
+// the first job.
 const archivedCancelledEvery = 10
 
-// endedJobTasks is how many tasks such a job had.
+// endedJobTasks is the number of tasks of each job that ended before the run.
 const endedJobTasks = 3
 
-// endedJobBytes is what an ended job takes in JSON, which is what the limit on values counts.
+// endedJobBytes is the size of an ended job in JSON. The limit on values counts the JSON form.
 const endedJobBytes = 40
 
-// pageFillRatio leaves room in a page for what isn't an ended job.
+// pageFillRatio is the share of a page that ended jobs may use; the rest is for its other content.
 const pageFillRatio = 0.9
 
-// writeIDBeforeRun is the id of writes that no controller of the run has made.
+// writeIDBeforeRun is the id of writes made before the run.
 const writeIDBeforeRun = "0-0"
 
-// endedJobsPerPage is how many ended jobs a value of so many KiB holds.
+// endedJobsPerPage returns how many ended jobs fit into a value of valueKB KiB.
 func endedJobsPerPage(valueKB float64) int {
 	return max(1, int(valueKB*1024*pageFillRatio/endedJobBytes))
 }
@@ -35,14 +35,14 @@
 	return storage.TerminalRecord{ID: fmt.Sprintf("%s%010d", prefix, number), Tasks: endedJobTasks}
 }
 
-// archivedRecord is the record of a job in the archive.
+// archivedRecord returns the record of an archived job.
 func archivedRecord(number int) storage.TerminalRecord {
 	record := newTerminalRecord(archivedPrefix, number)
 	record.Cancelled = number%archivedCancelledEvery == 0
 	return record
 }
 
-// archivedPages returns the pages, by key, of an archive of so many ended jobs.
+// archivedPages returns the archive's pages, by key, with count ended jobs.
 func archivedPages(count int, valueKB float64) map[string][]byte {
 	pages := map[string][]byte{}
 	forEachEndedPage(archivedRecord, count, valueKB, func(next int, records []storage.TerminalRecord) {
@@ -55,7 +55,7 @@
 	return pages
 }
 
-// endedPages returns the pages, by key, of a state service that has so many ended jobs on record.
+// endedPages returns the state service's pages, by key, with count ended jobs.
 func endedPages(count int, valueKB float64) map[string][]byte {
 	pages := map[string][]byte{}
 	endedRecord := func(number int) storage.TerminalRecord { return newTerminalRecord(endedPrefix, number) }
@@ -66,8 +66,8 @@
 	return pages
 }
 
-// forEachEndedPage divides so many ended jobs into pages; next is the number of the job after a
-// page's last.
+// forEachEndedPage divides count ended jobs into pages and calls emit for each page. The argument
+// next is the number of the first job after the page.
 func forEachEndedPage(record func(number int) storage.TerminalRecord, count int, valueKB float64, emit func(next int, records []storage.TerminalRecord)) {
 	perPage := endedJobsPerPage(valueKB)
 	for first := 0; first < count; first += perPage {
--- a/internal/scale/ended_jobs_test.go
+++ b/internal/scale/ended_jobs_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The pages of ended jobs are several, each within the limit on values.
+// Ended jobs are divided into several pages, none of which exceeds the limit on values.
 func TestEndedPagesFitIntoValues(t *testing.T) {
 	pages := endedPages(1000, 4)
 	for key, value := range pages {
@@ -11,6 +11,6 @@
 		}
 	}
 	if len(pages) < 5 {
-		t.Errorf("%d pages", len(pages))
+		t.Errorf("%d pages, want at least 5", len(pages))
 	}
 }
--- a/internal/scale/machine_limits.go
+++ b/internal/scale/machine_limits.go
@@ -8,19 +8,20 @@
 	"github.com/prometheus/procfs"
 )
 
-// What the simulated side takes, roughly and rather too much, for the check before a run.
+// Conservative estimates of the simulated side's resource usage, for the check before a run.
 const (
-	openFilesPerWorker = 4 // its listener, its heartbeat, a command and one being replaced
+	openFilesPerWorker = 4 // listener, heartbeat, command, and a connection that is being replaced
 	otherOpenFiles     = 2000
 	bytesPerWorker     = 160 << 10
 	bytesPerTask       = 3 << 10
 	bytesPerEndedJob   = 200
 )
 
-// errNoMemoryTotal says that the kernel doesn't tell how much memory there is.
+// errNoMemoryTotal means that the kernel doesn't report the total memory.
 var errNoMemoryTotal = errors.New("/proc/meminfo has no MemTotal")
 
-// checkMachine says what the machine can't bear, and what would have to change.
+// checkMachine returns an error, with possible remedies, for every limit of the machine that the
+// run would exceed.
 func (p *Parameters) checkMachine() []error {
 	var problems []error
 	for _, check := range []func() error{p.checkOpenFiles, p.checkMemory} {
@@ -57,7 +58,7 @@
 		needed>>20, half>>20)
 }
 
-// machineMemory is the machine's memory in bytes.
+// machineMemory returns the machine's total memory in bytes.
 func machineMemory() (int, error) {
 	proc, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -73,7 +74,7 @@
 	return int(*info.MemTotalBytes), nil
 }
 
-// memoryBytes is what a run takes at most.
+// memoryBytes returns the estimated maximum memory usage of a run in bytes.
 func (p *Parameters) memoryBytes() int {
 	simulated := p.Workers*bytesPerWorker + p.Running*bytesPerTask + (p.Ended+p.Archived)*bytesPerEndedJob
 	return simulated + p.Controllers*int(p.MemoryMB*(1<<20))
--- a/internal/scale/main_test.go
+++ b/internal/scale/main_test.go
@@ -11,8 +11,8 @@
 	"oakpick/internal/daemon"
 )
 
-// runAsControllerEnv has the test's own program run as a controller, so that no other has to be built
-// first.
+// runAsControllerEnv is the environment variable that makes the test binary run as a controller, so
+// that no controller has to be built before the tests.
 const runAsControllerEnv = "OAKPICK_TEST_AS_PROCESS"
 
 func TestMain(m *testing.M) {
--- a/internal/scale/parameters_test.go
+++ b/internal/scale/parameters_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Every bad parameter is named, and what the machine can't bear is refused with what would
-// have to change. Nothing is started.
+// An invalid parameter is rejected with an error that names its flag. A run that exceeds the
+// machine's limits is rejected with an error that says how to change it. No process is started.
 func TestRunRefusesBadParametersByName(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -19,10 +19,10 @@
 		{"no workers", func(p *Parameters) { p.Workers = 0 }, "--workers"},
 		{"negative tasks", func(p *Parameters) { p.Running = -1 }, "--running"},
 		{"no starts", func(p *Parameters) { p.Starts = 0 }, "--starts"},
-		{"endless jobs", func(p *Parameters) { p.Jobs = math.Inf(1) }, "--jobs"},
+		{"infinite rate of jobs", func(p *Parameters) { p.Jobs = math.Inf(1) }, "--jobs"},
 		{"no teams", func(p *Parameters) { p.Teams = 0 }, "--teams"},
-		{"controllers without a majority", func(p *Parameters) { p.Controllers = 4 }, "--controllers"},
-		{"step beyond the full size", func(p *Parameters) { p.Steps = []float64{0.5, 2} }, "--steps"},
+		{"even number of controllers", func(p *Parameters) { p.Controllers = 4 }, "--controllers"},
+		{"step above the full size", func(p *Parameters) { p.Steps = []float64{0.5, 2} }, "--steps"},
 		{"no steps", func(p *Parameters) { p.Steps = nil }, "--steps"},
 		{"unknown dimension", func(p *Parameters) { p.Vary = "luck" }, "--vary"},
 		{"unknown fault", func(p *Parameters) { p.Faults = []string{"leader", "flood"} }, "--faults"},
@@ -36,10 +36,10 @@
 			test.change(&p)
 			report, err := Run(t.Context(), p, []string{"/nothing/that/could/start"}, &bytes.Buffer{})
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%q isn't in %v", test.want, err)
+				t.Errorf("error %v, want it to contain %q", err, test.want)
 			}
 			if report != nil {
-				t.Errorf("something was run: %+v", report)
+				t.Errorf("run was not rejected: %+v", report)
 			}
 		})
 	}
@@ -49,11 +49,11 @@
 	p, _ := smallParameters(t)
 	p.Workers, p.Teams, p.Vary = 0, 0, "luck"
 	if err := p.Check(); err == nil || strings.Count(err.Error(), "--") < 3 {
-		t.Errorf("not every problem is named: %v", err)
+		t.Errorf("error doesn't name every invalid parameter: %v", err)
 	}
 }
 
-// Steps are parts of what varies; the rest is at its full size.
+// A step scales the dimension that Vary selects; the other dimensions keep their full size.
 func TestStepScalesWhatVaries(t *testing.T) {
 	type size struct {
 		workers, running int
@@ -72,13 +72,13 @@
 			p.Vary = vary
 			step := p.step(0.5)
 			if got := (size{step.Workers, step.Running, step.Starts, step.Ended}); got != want {
-				t.Errorf("%+v, not %+v", got, want)
+				t.Errorf("got %+v, want %+v", got, want)
 			}
 		})
 	}
 }
 
-// Programs read the parameters in reports by these names.
+// Programs that read JSON reports depend on these names.
 func TestReportKeepsNamesOfParameters(t *testing.T) {
 	p, _ := smallParameters(t)
 	text, err := json.Marshal(p)
@@ -89,6 +89,6 @@
 		`"Controllers":3,"Steps":[0.5,1],"Vary":"all","Settle":9000000000,"Measure":3000000000,"Windows":3,"Faults":null,"Recover":6000000000,` +
 		`"Provoke":false,"Seed":1,"ReportS":2,"LeaseS":10,"CancelS":25,"RPS":200,"WriteRPS":40,"ValueKB":4,"CPU":0.5,"MemMB":128,"Sockets":400}`
 	if string(text) != want {
-		t.Errorf("%s, not %s", text, want)
+		t.Errorf("got %s, want %s", text, want)
 	}
 }
--- a/internal/scale/pipelines.go
+++ b/internal/scale/pipelines.go
@@ -8,18 +8,19 @@
 	"oakpick/internal/protocol"
 )
 
-// pipelineClass is the class of jobs that need others.
+// pipelineClass is the class of jobs with prerequisites.
 const pipelineClass = "pipeline"
 
-// How pipelines are drawn.
+// Parameters of the random pipeline jobs.
 const (
-	maxRecentJobs             = 64  // that a pipeline may name
-	maxRecentPrerequisites    = 4   // of these
-	archivedPrerequisiteShare = 0.5 // of the pipelines name a job in the archive, too
+	maxRecentJobs             = 64  // candidates for prerequisites
+	maxRecentPrerequisites    = 4   // of a pipeline job, among the candidates
+	archivedPrerequisiteShare = 0.5 // share of the pipeline jobs that also need an archived job
 	pipelineRunTime           = 3 * time.Second
 )
 
-// addRecent keeps a job for pipelines to name, whatever becomes of it.
+// addRecent makes a job a candidate for the prerequisites of pipeline jobs, also if it is cancelled
+// later.
 func (w *workload) addRecent(job *fake.Job) {
 	if w.parameters.Pipelines == 0 || job.Submission.Kind == protocol.Service {
 		return
@@ -30,8 +31,9 @@
 	}
 }
 
-// submitPipeline submits a job that needs recent ones, which may be done, cancelled or under way,
-// and may need others themselves, and half of the time one in the archive.
+// submitPipeline submits a job that needs up to maxRecentPrerequisites recent jobs and, with the
+// probability archivedPrerequisiteShare, an archived job. The recent jobs may be done, cancelled or
+// unfinished, and may have prerequisites themselves.
 func (w *workload) submitPipeline() {
 	job := w.newJob(pipelineClass, protocol.Array, protocol.Normal, 1)
 	for range 1 + w.random.IntN(maxRecentPrerequisites) {
@@ -47,7 +49,7 @@
 	w.submit(job, pipelineRunTime)
 }
 
-// randomRecentAccepted draws a recent job that is accepted; empty: the drawn one isn't.
+// randomRecentAccepted returns the id of a random recent job, or "" if that job isn't accepted.
 func (w *workload) randomRecentAccepted() string {
 	if len(w.recent) == 0 {
 		return ""
--- a/internal/scale/progress.go
+++ b/internal/scale/progress.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// progressInterval is the time between lines of progress while nothing else happens.
+// progressInterval is the time between progress lines while an experiment waits.
 const progressInterval = 10 * time.Second
 
-// sleep waits, and writes progress now and then. The phase names what is waited for.
+// sleep waits and logs the progress at every interval. The phase labels the log lines.
 func (e *experiment) sleep(ctx context.Context, phase string, duration time.Duration) error {
 	for end := time.Now().Add(duration); ; {
 		left := time.Until(end)
@@ -26,7 +26,7 @@
 	}
 }
 
-// logProgress writes how many workers and tasks there are.
+// logProgress logs the numbers of workers, tasks and rule violations.
 func (e *experiment) logProgress(phase string) {
 	var workers, tasks, violations int
 	e.testbed.DoAndWait(func() {
--- a/internal/scale/regression.go
+++ b/internal/scale/regression.go
@@ -8,33 +8,34 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// Line is a straight line through measured points.
+// Line is a regression line of a dependent variable against an independent one.
 type Line struct {
 	Dependent   string  `json:"of"`
 	Independent string  `json:"against"`
 	Intercept   float64 `json:"intercept"`
 	Slope       float64 `json:"slope"`
-	// Error is the slope's standard error.
+	// Error is the standard error of the slope.
 	Error  float64 `json:"error"`
 	Points int     `json:"points"`
-	// R2 is the share of the variance that the line explains.
+	// R2 is the share of the dependent variable's variance that the line explains.
 	R2 float64 `json:"r2"`
 }
 
-// at is the line's value at a size.
+// at returns the line's value at x.
 func (l Line) at(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// minPoints is how many points a line needs for a standard error.
+// minPoints is the minimum number of points for which a line has a standard error.
 const minPoints = 3
 
-// fitLine fits a line by least squares; false: there are too few points, or all have the same x.
-func fitLine(of, against string, xs, ys []float64) (Line, bool) {
+// fitLine fits a line by least squares. It returns false if there are fewer than minPoints points or
+// if all have the same x.
+func fitLine(dependent, independent string, xs, ys []float64) (Line, bool) {
 	points := float64(len(xs))
 	spread := stat.Variance(xs, nil) * (points - 1)
 	if len(xs) < minPoints || spread == 0 {
 		return Line{}, false
 	}
-	line := Line{Dependent: of, Independent: against, Points: len(xs)}
+	line := Line{Dependent: dependent, Independent: independent, Points: len(xs)}
 	line.Intercept, line.Slope = stat.LinearRegression(xs, ys, nil, false)
 	line.R2 = stat.RSquared(xs, ys, nil, line.Intercept, line.Slope)
 	if math.IsNaN(line.R2) {
@@ -49,13 +50,13 @@
 	return line, true
 }
 
-// variable is a figure of a window.
+// variable is a named figure of a window.
 type variable struct {
 	name  string
 	value func(window) float64
 }
 
-// sizes are what figures may grow with.
+// sizes returns the independent variables: the dimensions of the load.
 func sizes() []variable {
 	return []variable{
 		{"workers", func(w window) float64 { return w.workers }},
@@ -64,7 +65,7 @@
 	}
 }
 
-// costs are the figures that may grow with a size.
+// costs returns the dependent variables, which may grow with the load.
 func costs() []variable {
 	return []variable{
 		{"leader cores", func(w window) float64 { return w.cores[w.leader] }},
@@ -82,8 +83,8 @@
 	}
 }
 
-// fitLines fits every cost against every size, over the windows of all steps in which the same
-// controller led throughout.
+// fitLines fits every cost against every size. It uses the windows of all steps in which the
+// leader didn't change.
 func fitLines(steps []StepReport) []Line {
 	var windows []window
 	for _, step := range steps {
--- a/internal/scale/regression_test.go
+++ b/internal/scale/regression_test.go
@@ -7,7 +7,7 @@
 
 const tolerance = 1e-9
 
-// A line through points that lie on one is that line, and its error is nothing.
+// Points on a line yield that line with a standard error of zero.
 func TestFitLineThroughPointsOnALine(t *testing.T) {
 	line, ok := fitLine("y", "x", []float64{1, 2, 4}, []float64{5, 7, 11})
 	if !ok || math.Abs(line.Slope-2) > tolerance || math.Abs(line.Intercept-3) > tolerance || line.Error > tolerance {
@@ -17,13 +17,13 @@
 
 func TestFitLineNeedsPointsOfSeveralSizes(t *testing.T) {
 	if _, ok := fitLine("y", "x", []float64{2, 2, 2}, []float64{1, 2, 3}); ok {
-		t.Error("a line through points of one size")
+		t.Error("line fitted through points with the same x")
 	}
 }
 
 func TestFitLineGivesStandardErrorOfSlope(t *testing.T) {
 	line, _ := fitLine("y", "x", []float64{0, 1, 2, 3}, []float64{0, 1.2, 1.8, 3})
-	if math.Abs(line.Error-math.Sqrt(0.072/2/5)) > tolerance { // worked out by hand
-		t.Errorf("the error is %v", line.Error)
+	if math.Abs(line.Error-math.Sqrt(0.072/2/5)) > tolerance { // calculated by hand
+		t.Errorf("unexpected standard error %v", line.Error)
 	}
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -65,8 +65,8 @@
 // FaultReport holds the effects of a fault.
 type FaultReport struct {
 	Fault string `json:"fault"`
-	// LongestAnswerGapS and LongestStartGapS are the longest periods, in seconds, without an
-	// answer to a user and without an executed start, from the injection of the fault until the end
+	// LongestAnswerGapS is the longest period without an answer to a user, and LongestStartGapS the
+	// longest without an executed start, in seconds, from the injection of the fault until the end
 	// of the recovery time.
 	LongestAnswerGapS float64         `json:"longest_without_answers_s"`
 	LongestStartGapS  float64         `json:"longest_without_starts_s"`
--- a/internal/scale/report_table.go
+++ b/internal/scale/report_table.go
@@ -10,7 +10,7 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as plain-text tables.
 func (r *Report) WriteTable(out io.Writer) error {
 	t := table{tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
 	t.writeSteps(r.Steps)
@@ -21,7 +21,7 @@
 	return t.writer.Flush()
 }
 
-// table writes rows whose cells are separated by tabs. Errors show when it is flushed.
+// table writes rows whose cells are separated by tabs. Write errors are returned by Flush.
 type table struct{ writer *tabwriter.Writer }
 
 func (t table) row(format string, cells ...any) {
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -12,8 +12,8 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// smallParameters are those of a run of some tens of workers and a few seconds. The command
-// starts a controller.
+// smallParameters returns the parameters of a short run with 30 workers, and the command that starts
+// a controller.
 func smallParameters(t *testing.T) (p Parameters, command []string) {
 	t.Helper()
 	t.Setenv(runAsControllerEnv, "1")
@@ -32,7 +32,7 @@
 	}, []string{os.Args[0]}
 }
 
-// runSmall runs, and fails the test if that is refused.
+// runSmall runs the experiment and fails the test if that returns an error.
 func runSmall(ctx context.Context, t *testing.T, p Parameters, command []string) *Report {
 	t.Helper()
 	var progress bytes.Buffer
@@ -43,53 +43,53 @@
 	return report
 }
 
-// checkControllersGone fails if a controller still listens.
+// checkControllersGone fails the test if a controller still listens on its address.
 func checkControllersGone(t *testing.T, p Parameters) {
 	t.Helper()
 	for controller := range p.Controllers {
 		var config net.ListenConfig
 		listener, err := config.Listen(t.Context(), "tcp4", testbed.NewAddresses().API(controller))
 		if err != nil {
-			t.Errorf("%s was left behind: %v", testbed.ControllerName(controller), err)
+			t.Errorf("address of %s is still in use: %v", testbed.ControllerName(controller), err)
 			continue
 		}
-		_ = listener.Close() // that it could listen is enough
+		_ = listener.Close() // the address is free: Listen succeeded
 	}
 }
 
-// Real controllers, jobs that need archived, ended, cancelled and unfinished ones, and an operator
-// who lowers write_share and raises it again while the state service refuses a large transaction:
-// the rules are kept, no controller ends by itself, and tasks start again long before the fault is
-// over. Before the mend of docs/incidents/2026-12-03-write-budget-never-fills.md none started for
-// as long as nobody changed a setting again.
+// An operator lowers write_share and raises it again while the state service rejects a large
+// transaction. The jobs need archived, ended, cancelled and unfinished jobs. The rules must hold, no
+// controller may crash, and tasks must start again well before the fault ends. This is a regression
+// test for docs/incidents/2026-12-03-write-budget-never-fills.md: no task started until somebody
+// changed a setting again.
 func TestRunKeepsRulesWhenWriteShareChanges(t *testing.T) {
 	p, command := smallParameters(t)
 	p.Steps, p.Pipelines, p.Jobs, p.Starts, p.Running = []float64{1}, 3, 1, 40, 300
 	p.Faults = []string{"write-share"}
 	report := runSmall(t.Context(), t, p, command)
 	if !report.Sound() {
-		t.Errorf("rules broken %v, ended %v, partial %q", report.Violations, report.Crashed, report.Partial)
+		t.Errorf("violations %v, crashed %v, partial %q", report.Violations, report.Crashed, report.Partial)
 	}
 	if len(report.Faults) != 1 || report.Faults[0].LongestStartGapS > writeShareDuration.Seconds()/2 {
-		t.Errorf("no task started for long: %+v", report.Faults)
+		t.Errorf("no task started for too long: %+v", report.Faults)
 	}
 }
 
-// Real controllers start tasks on simulated workers, keep the rules while the leader is killed,
-// and are gone afterwards. Times have no part in the verdict.
+// Controllers start tasks on simulated workers, keep the rules while the leader is killed, and
+// leave no process behind. The test checks no measured times.
 func TestRunKeepsRulesWhenLeaderIsKilled(t *testing.T) {
 	p, command := smallParameters(t)
 	p.Faults = []string{"leader"}
 	report := runSmall(t.Context(), t, p, command)
 	if !report.Sound() {
-		t.Errorf("rules broken %v, ended %v, partial %q", report.Violations, report.Crashed, report.Partial)
+		t.Errorf("violations %v, crashed %v, partial %q", report.Violations, report.Crashed, report.Partial)
 	}
 	if len(report.Steps) != 2 || len(report.Faults) != 1 {
-		t.Fatalf("%d steps and %d faults", len(report.Steps), len(report.Faults))
+		t.Fatalf("%d steps and %d faults, want 2 and 1", len(report.Steps), len(report.Faults))
 	}
 	for _, s := range report.Steps {
 		if s.Starts == 0 || s.Workers == 0 || s.Times["submit"].Count == 0 || s.MessagesPerS["report"] == 0 || s.WorkerBytesPerS == 0 || s.Leader.MemoryMB == 0 || s.StateKeys == 0 {
-			t.Errorf("nothing was measured: %+v", s)
+			t.Errorf("figures are missing: %+v", s)
 		}
 	}
 	if len(report.Lines) == 0 {
@@ -103,7 +103,7 @@
 	p.Steps, p.BreakRule = []float64{1}, true
 	report := runSmall(t.Context(), t, p, command)
 	if report.Sound() || !strings.Contains(strings.Join(report.Violations, "\n"), "ran_twice") {
-		t.Errorf("rules broken: %v", report.Violations)
+		t.Errorf("the duplicate start is not among the violations: %v", report.Violations)
 	}
 }
 
@@ -113,7 +113,7 @@
 	defer cancel()
 	report := runSmall(ctx, t, p, command)
 	if report.Partial == "" || report.Sound() {
-		t.Error("an interrupted run is called whole")
+		t.Error("an interrupted run is not reported as partial")
 	}
 	checkControllersGone(t, p)
 }
--- a/internal/scale/service_gaps.go
+++ b/internal/scale/service_gaps.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// serviceGaps measures for how long users get no answer, and workers start no task. The
-// testbed's loop owns it; moments are the simulated world's.
+// serviceGaps measures the longest period without an answer to a user and the longest period without
+// a task start. The testbed's loop owns it. Times are on the simulated world's clock.
 type serviceGaps struct {
 	answers, starts gap
 	totalStarts     int64 // never reset
 }
 
-// gap is the longest time between two events since it was reset.
+// gap measures the longest period between two consecutive events since the last reset.
 type gap struct{ last, longest time.Duration }
 
 func (g *gap) record(now time.Duration) {
@@ -17,7 +17,8 @@
 	g.last = now
 }
 
-// longestUntil is the longest time without an event, if that lasts longestUntil now.
+// longestUntil returns the longest period without an event, including the one from the last event
+// until now.
 func (g *gap) longestUntil(now time.Duration) time.Duration { return max(g.longest, now-g.last) }
 
 func (s *serviceGaps) answered(now time.Duration) { s.answers.record(now) }
@@ -27,7 +28,7 @@
 	s.starts.record(now)
 }
 
-// reset begins a measurement.
+// reset starts a new measurement.
 func (s *serviceGaps) reset(now time.Duration) {
 	s.answers, s.starts = gap{last: now}, gap{last: now}
 }
--- a/internal/scale/service_gaps_test.go
+++ b/internal/scale/service_gaps_test.go
@@ -24,12 +24,12 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.gap.longestUntil(test.now); got != test.want {
-				t.Errorf("%v, not %v", got, test.want)
+				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
 	}
 	gaps.reset(20 * time.Second)
 	if got := gaps.answers.longestUntil(21 * time.Second); got != time.Second || gaps.totalStarts != 1 {
-		t.Errorf("after a reset %v, %d starts in all", got, gaps.totalStarts)
+		t.Errorf("after a reset: gap %v, %d starts in total", got, gaps.totalStarts)
 	}
 }
--- a/internal/scale/window_test.go
+++ b/internal/scale/window_test.go
@@ -7,7 +7,7 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// sampleAt is a sample of a controller that handled some reports until a second.
+// sampleAt returns a sample at a second, up to which a controller has handled some heartbeats.
 func sampleAt(second, leader int, reports int64) sample {
 	return sample{
 		at: time.Unix(int64(second), 0), leader: leader, workers: second, starts: reports, handled: map[string]int64{"report": reports},
@@ -22,11 +22,11 @@
 		t.Errorf("%+v", w)
 	}
 	if w.workerMessages() != 2 || w.workerBytes() != 200 {
-		t.Errorf("workers' traffic: %+v", w.traffic)
+		t.Errorf("unexpected traffic of workers: %+v", w.traffic)
 	}
 }
 
-// What another leader handled can't be compared.
+// Counts of handled messages of different leaders can't be compared.
 func TestWindowWithAnotherLeaderHasNoHandledRates(t *testing.T) {
 	for _, leader := range []int{1, testbed.NoLeader} {
 		w := newWindow(sampleAt(10, 0, 100), sampleAt(14, leader, 108))
