--- a/cmd/oakpick-agent/main.go
+++ b/cmd/oakpick-agent/main.go
@@ -1,5 +1,5 @@
-// Command oakpick-agent fetches, verifies, stores and serves weights on one machine, and
-// passes them on to others.
+// Command oakpick-agent fetches, verifies, stores and serves weights on one machine, and uploads
+// them to other agents.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"oakpick/internal/logging"
 )
 
-// commandLine is the command's flags.
+// commandLine defines the flags of the command.
 type commandLine struct {
 	Config string `help:"Settings file (TOML) of this agent." placeholder:"FILE" required:"" type:"existingfile"`
 	Check  bool   `help:"Only check the settings file, and name every problem."`
@@ -31,7 +31,8 @@
 	}
 }
 
-// run checks the settings, or serves until the process is asked to end.
+// run checks the settings file with --check. Otherwise it runs the agent until the process receives
+// SIGINT or SIGTERM.
 func run(cli *commandLine) error {
 	settings, err := agent.LoadSettings(cli.Config)
 	if err != nil {
--- a/cmd/oakpick-scale/main.go
+++ b/cmd/oakpick-scale/main.go
@@ -1,5 +1,5 @@
-// Command oakpick-scale runs real controllers beside a simulation of everything else on one
-// machine, at several sizes and through faults, and reports what each role takes.
+// Command oakpick-scale runs real controllers on one machine and simulates everything else. It
+// increases the load in steps, injects faults, and reports the resource usage of each role.
 package main
 
 import (
@@ -37,7 +37,7 @@
 	Distribution distributionCommand `cmd:"" help:"Real controllers and real agents that fetch weights, beside a stand-in for the store."`
 }
 
-// errNotSound says that the report shows a broken rule, a crash or a part that is missing.
+// errNotSound means that the report is incomplete or contains a rule violation or a crash.
 var errNotSound = errors.New("the report is not sound: see above")
 
 func main() {
@@ -68,8 +68,8 @@
 	return errors.Join(report.WriteTable(os.Stdout), writeFile(s.JSON, report.WriteJSON), soundnessError(report.Sound()))
 }
 
-// Run runs the experiment of the distribution of weights. A run that failed is reported as far
-// as it came.
+// Run runs the weight distribution experiment. If a run fails, Run still writes the report of the
+// part that was completed.
 func (d *distributionCommand) Run() error {
 	if err := d.Check(); err != nil {
 		return err
@@ -89,7 +89,7 @@
 		writeFile(d.JSON, report.WriteJSON), writeFile(d.HTML, report.WriteHTML), soundnessError(report.Sound()))
 }
 
-// signalContext returns a context that ends when the program is asked to.
+// signalContext returns a context that is cancelled when the process receives SIGINT or SIGTERM.
 func signalContext() (ctx context.Context, stop context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
@@ -101,7 +101,7 @@
 	return errNotSound
 }
 
-// writeFile writes a file, if one is named.
+// writeFile creates the file and calls write for it. It does nothing if the path is empty.
 func writeFile(path string, write func(io.Writer) error) error {
 	if path == "" {
 		return nil
--- a/cmd/oakpick/main.go
+++ b/cmd/oakpick/main.go
@@ -15,10 +15,11 @@
 	"oakpick/internal/logging"
 )
 
-// errNoConfig is what every command says that needs the settings.
+// errNoConfig is returned by every command that needs the settings if --config is missing.
 var errNoConfig = errors.New("--config FILE is missing")
 
-// commandLine is read by kong; each command is a field whose Run does it.
+// commandLine defines the flags and commands for kong. Kong calls the Run method of the field of
+// the given command.
 type commandLine struct {
 	Config     string `help:"Settings file (JSON) of this node." placeholder:"FILE"`
 	Extensions string `help:"File (TOML) of what is to be switched on beyond the scheduler." placeholder:"FILE"`
@@ -29,7 +30,7 @@
 	Weights     weights            `cmd:"" help:"Ask and steer the distribution of weights, through any controller."`
 }
 
-// load reads and checks the settings and, if their file is given, the extensions.
+// load reads and validates the settings and, if --extensions is given, the extensions.
 func (c *commandLine) load() (*config.Config, config.Extensions, error) {
 	if c.Config == "" {
 		return nil, config.Extensions{}, errNoConfig
@@ -42,7 +43,8 @@
 	return cfg, extensions, err
 }
 
-// serveCommand serves until the process is killed: it has no orderly end, and needs none.
+// serveCommand runs a controller until the process is killed. There is no graceful shutdown, and
+// none is needed.
 type serveCommand struct{}
 
 func (serveCommand) Run(cli *commandLine) error {
--- a/cmd/oakpick/weights.go
+++ b/cmd/oakpick/weights.go
@@ -15,7 +15,7 @@
 	"oakpick/internal/distribution/registry"
 )
 
-// weights are the commands about the distribution of weights.
+// weights groups the commands for the distribution of weights.
 type weights struct {
 	Controller []string      `help:"Trackers' addresses (HOST:PORT) of one or more controllers; the first that answers is used." placeholder:"ADDRESS"`
 	Timeout    time.Duration `help:"Give up after this time." default:"10s"`
@@ -28,22 +28,23 @@
 	Serve  weightsServe  `cmd:"" help:"Serve an OCI image layout to agents, as a small store. No controller is asked."`
 }
 
-// withClient runs a command with a client of the controllers, within the timeout.
+// withClient calls run with a client for the controllers and a context that expires after the
+// timeout.
 func (w *weights) withClient(run func(ctx context.Context, client *operator.Client) error) error {
 	if len(w.Controller) == 0 {
 		return errors.New("--controller ADDRESS is missing")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), w.Timeout)
 	defer cancel()
-	// Each controller has its part of the time, so that one that hangs doesn't take it all.
+	// Each controller gets a share of the timeout, so that one that hangs doesn't use up all of it.
 	timeoutEach := w.Timeout / time.Duration(len(w.Controller)+1)
 	return run(ctx, &operator.Client{Controllers: w.Controller, HTTP: http.Client{Timeout: timeoutEach}})
 }
 
-// weightsList lists all names.
+// weightsList lists all names of weights.
 type weightsList struct{}
 
-// Run writes a table of names.
+// Run prints a table of names.
 func (weightsList) Run(cli *commandLine) error {
 	return cli.Weights.withClient(func(ctx context.Context, client *operator.Client) error {
 		names, err := client.Names(ctx)
@@ -54,12 +55,12 @@
 	})
 }
 
-// weightsStatus shows the distribution of a name's weights.
+// weightsStatus shows how a name's weights are distributed.
 type weightsStatus struct {
 	Name string `arg:"" help:"Name of the weights."`
 }
 
-// Run writes a table of agents.
+// Run prints a table of agents.
 func (s weightsStatus) Run(cli *commandLine) error {
 	if err := distribution.CheckName(s.Name); err != nil {
 		return err
@@ -73,7 +74,7 @@
 	})
 }
 
-// weightsUse has a name refer to a manifest.
+// weightsUse makes a name refer to a manifest.
 type weightsUse struct {
 	Name     string `arg:"" help:"Name of the weights."`
 	Manifest string `help:"Digest of the manifest." placeholder:"DIGEST" xor:"version" required:""`
@@ -81,7 +82,7 @@
 	Store    string `help:"The store's address, for --tag." placeholder:"ADDRESS"`
 }
 
-// Run makes the change and writes the new record.
+// Run changes the name's manifest and prints the new record.
 func (u weightsUse) Run(cli *commandLine) error {
 	if err := distribution.CheckName(u.Name); err != nil {
 		return err
@@ -100,7 +101,7 @@
 	})
 }
 
-// resolve returns the digest that was given, or the one that the store has for the tag.
+// resolve returns the digest given by --manifest, or the digest that the store returns for --tag.
 func (u weightsUse) resolve(ctx context.Context, timeout time.Duration) (digest.Digest, error) {
 	if u.Tag == "" {
 		d := digest.Digest(u.Manifest)
--- a/cmd/oakpick/weights_store.go
+++ b/cmd/oakpick/weights_store.go
@@ -20,7 +20,7 @@
 	"oakpick/internal/logging"
 )
 
-// weightsPack splits files into the chunks of a version.
+// weightsPack splits files into the chunks of a version and stores them in an OCI image layout.
 type weightsPack struct {
 	Files   []string `arg:"" type:"existingfile" help:"Files whose bytes, one after the other, are the version."`
 	Out     string   `help:"Directory of the OCI image layout; made if it isn't there." required:"" type:"path"`
@@ -30,7 +30,7 @@
 
 const bytesPerMebibyte = 1 << 20
 
-// Run packs the files and writes the digest of the manifest.
+// Run packs the files and prints the manifest's digest.
 func (p weightsPack) Run() error {
 	store, err := layout.Create(afero.NewOsFs(), p.Out)
 	if err != nil {
@@ -42,7 +42,7 @@
 		if err != nil {
 			return err
 		}
-		defer file.Close() //nolint:errcheck // it was only read
+		defer file.Close() //nolint:errcheck // the file is only read
 		sources = append(sources, file)
 	}
 	m, err := store.Pack(io.MultiReader(sources...), int64(p.ChunkMB*bytesPerMebibyte), p.Tag)
@@ -58,7 +58,7 @@
 	Directory string `arg:"" type:"existingdir" help:"Directory of the OCI image layout."`
 }
 
-// Run verifies the layout and writes its tags.
+// Run verifies the layout and prints its tags.
 func (c weightsCheck) Run() error {
 	store, err := layout.Open(afero.NewOsFs(), c.Directory)
 	if err != nil {
@@ -74,17 +74,17 @@
 	return nil
 }
 
-// weightsServe serves an OCI image layout to agents, as a small store.
+// weightsServe serves an OCI image layout to agents as a small store.
 type weightsServe struct {
 	Directory string `arg:"" type:"existingdir" help:"Directory of the OCI image layout."`
 	Listen    string `help:"Address to listen on." default:"127.0.0.1:5000"`
 	Slots     int    `help:"Uploads at a time; others are told when to come back." default:"64"`
 }
 
-// storeTimeout bounds how long a request's header may take, and idle connections.
+// storeTimeout limits the time for reading a request's header, and how long a connection may be idle.
 const storeTimeout = 30 * time.Second
 
-// Run serves until the process is asked to end.
+// Run serves the layout until the process receives SIGINT or SIGTERM.
 func (s weightsServe) Run() error {
 	store, err := layout.Open(afero.NewOsFs(), s.Directory)
 	if err != nil {
@@ -99,7 +99,7 @@
 		Addr: s.Listen, ReadHeaderTimeout: storeTimeout, IdleTimeout: storeTimeout, MaxHeaderBytes: 8 << 10,
 		Handler: &registry.Handler{Content: store, Slots: registry.NewSlots(s.Slots), RetryAfter: time.Second},
 	}
-	context.AfterFunc(ctx, func() { _ = server.Close() }) // the process ends, whatever it says
+	context.AfterFunc(ctx, func() { _ = server.Close() }) // the process exits whether or not Close fails
 	logging.New(os.Stderr).Info("store serves", "listen", s.Listen, "directory", s.Directory)
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 		return err
