--- a/tools/metrics/main.go
+++ b/tools/metrics/main.go
@@ -1,12 +1,14 @@
-// Command metrics prints the sizes of the packages of a Go tree, a line each, tests left out:
+// Command metrics prints the sizes of the packages of a Go tree, one line for each package, without
+// tests:
 //
 //	go -C tools run ./metrics ..
 //
-// Lines of files and fields of structs are counted as written; an embedded field is one. Lines of a
-// function are those between its first and last, without comments, as funlen counts them. Exported
-// identifiers are functions, types, constants, variables and methods of exported types; a comment on
-// a group of constants or variables holds for each of the group. Linters ask no comment of a few
-// methods that everyone knows, such as String; here they count.
+// Lines of files include comments and blank lines. An embedded field of a struct counts as one field.
+// The length of a function is the number of lines between its first and last line without comments,
+// as funlen counts them. Exported identifiers are functions, types, constants, variables and methods
+// of exported types; a comment on a group of constants or variables documents every name in it.
+// Linters don't require comments on a few well-known methods, such as String; here such methods
+// without a comment count as undocumented.
 package main
 
 import (
@@ -24,16 +26,16 @@
 	"text/tabwriter"
 )
 
-// longFunction is how many lines a function may have.
+// longFunction is the maximum number of lines of a function that isn't counted as long.
 const longFunction = 40
 
-// largest is the greatest of some sizes, and whose it is.
+// largest is the maximum of some sizes and the name of the item that has it.
 type largest struct {
 	size int
 	name string
 }
 
-func (l *largest) see(size int, name string) {
+func (l *largest) update(size int, name string) {
 	if size > l.size {
 		*l = largest{size, name}
 	}
@@ -41,8 +43,8 @@
 
 func (l *largest) String() string { return fmt.Sprintf("%d %s", l.size, l.name) }
 
-// sizes is what is counted of a package.
-type sizes struct {
+// packageSizes are the figures of a package.
+type packageSizes struct {
 	lines, files, longFunctions, exported, undocumented int
 	file, function, fields                              largest
 }
@@ -54,7 +56,7 @@
 	}
 	packages, err := measure(os.Args[1])
 	if err == nil {
-		err = report(packages)
+		err = printTable(packages)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -62,15 +64,15 @@
 	}
 }
 
-// measure reads every Go file under root that is no test, and gives the sizes by directory.
-// Directories that the go command passes over are left out, and so are other modules.
-func measure(root string) (map[string]*sizes, error) {
-	packages := map[string]*sizes{}
+// measure parses every Go file under root that is not a test, and returns the sizes by directory. It
+// skips directories that the go command ignores, and other modules.
+func measure(root string) (map[string]*packageSizes, error) {
+	packages := map[string]*packageSizes{}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
 			return err
-		case entry.IsDir() && path != root && passedOver(path):
+		case entry.IsDir() && path != root && isSkipped(path):
 			return filepath.SkipDir
 		case entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 			return nil
@@ -80,38 +82,38 @@
 			return err
 		}
 		if packages[name] == nil {
-			packages[name] = &sizes{}
+			packages[name] = &packageSizes{}
 		}
 		return packages[name].addFile(path)
 	})
 	return packages, err
 }
 
-func passedOver(directory string) bool {
+func isSkipped(directory string) bool {
 	name := filepath.Base(directory)
 	_, err := os.Stat(filepath.Join(directory, "go.mod"))
 	return err == nil || name == "testdata" || strings.HasPrefix(name, ".") || strings.HasPrefix(name, "_")
 }
 
-// addFile counts a file.
-func (s *sizes) addFile(path string) error {
+// addFile adds a file to the figures.
+func (s *packageSizes) addFile(path string) error {
 	source, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	set := token.NewFileSet()
-	file, err := parser.ParseFile(set, path, source, parser.ParseComments)
+	files := token.NewFileSet()
+	file, err := parser.ParseFile(files, path, source, parser.ParseComments)
 	if err != nil {
 		return err
 	}
 	lines := bytes.Count(source, []byte("\n"))
 	s.files++
 	s.lines += lines
-	s.file.see(lines, filepath.Base(path))
+	s.file.update(lines, filepath.Base(path))
 	for _, declaration := range file.Decls {
 		switch d := declaration.(type) {
 		case *ast.FuncDecl:
-			s.addFunction(d, functionLines(set, file, d))
+			s.addFunction(d, functionLines(files, file, d))
 		case *ast.GenDecl:
 			s.addGroup(d)
 		}
@@ -119,9 +121,10 @@
 	return nil
 }
 
-// functionLines counts the lines between a function's first and last that are no comments.
-func functionLines(set *token.FileSet, file *ast.File, f *ast.FuncDecl) int {
-	line := func(p token.Pos) int { return set.Position(p).Line }
+// functionLines returns the number of lines between a function's first and last line, without
+// comments.
+func functionLines(files *token.FileSet, file *ast.File, f *ast.FuncDecl) int {
+	line := func(p token.Pos) int { return files.Position(p).Line }
 	lines := line(f.End()) - line(f.Pos()) - 1
 	for _, group := range file.Comments {
 		if line(group.Pos()) > line(f.Pos()) && line(group.End()) < line(f.End()) {
@@ -131,40 +134,40 @@
 	return max(lines, 0)
 }
 
-func (s *sizes) addFunction(f *ast.FuncDecl, lines int) {
-	s.function.see(lines, f.Name.Name)
+func (s *packageSizes) addFunction(f *ast.FuncDecl, lines int) {
+	s.function.update(lines, f.Name.Name)
 	if lines > longFunction {
 		s.longFunctions++
 	}
-	if f.Recv == nil || ast.IsExported(receiver(f.Recv.List[0].Type)) {
+	if f.Recv == nil || ast.IsExported(receiverType(f.Recv.List[0].Type)) {
 		s.addName(f.Name, f.Doc != nil)
 	}
 }
 
-// receiver gives the name of a method's type, whether pointer or generic.
-func receiver(e ast.Expr) string {
+// receiverType returns the name of a method's receiver type, without pointer and type parameters.
+func receiverType(e ast.Expr) string {
 	switch e := e.(type) {
 	case *ast.StarExpr:
-		return receiver(e.X)
+		return receiverType(e.X)
 	case *ast.IndexExpr:
-		return receiver(e.X)
+		return receiverType(e.X)
 	case *ast.IndexListExpr:
-		return receiver(e.X)
+		return receiverType(e.X)
 	case *ast.Ident:
 		return e.Name
 	}
 	return ""
 }
 
-// addGroup counts types, constants or variables that are declared together.
-func (s *sizes) addGroup(group *ast.GenDecl) {
+// addGroup adds types, constants or variables from one declaration.
+func (s *packageSizes) addGroup(group *ast.GenDecl) {
 	for _, spec := range group.Specs {
 		switch spec := spec.(type) {
 		case *ast.TypeSpec:
 			alone := !group.Lparen.IsValid()
 			s.addName(spec.Name, spec.Doc != nil || alone && group.Doc != nil)
 			if t, ok := spec.Type.(*ast.StructType); ok {
-				s.fields.see(t.Fields.NumFields(), spec.Name.Name)
+				s.fields.update(t.Fields.NumFields(), spec.Name.Name)
 			}
 		case *ast.ValueSpec:
 			for _, name := range spec.Names {
@@ -174,7 +177,7 @@
 	}
 }
 
-func (s *sizes) addName(name *ast.Ident, documented bool) {
+func (s *packageSizes) addName(name *ast.Ident, documented bool) {
 	if !name.IsExported() {
 		return
 	}
@@ -184,32 +187,32 @@
 	}
 }
 
-// add counts a package in with others.
-func (s *sizes) add(o *sizes, name string) {
+// add adds the figures of a package to a total.
+func (s *packageSizes) add(o *packageSizes, name string) {
 	s.lines += o.lines
 	s.files += o.files
 	s.longFunctions += o.longFunctions
 	s.exported += o.exported
 	s.undocumented += o.undocumented
-	s.file.see(o.file.size, name+"/"+o.file.name)
-	s.function.see(o.function.size, name+"."+o.function.name)
-	s.fields.see(o.fields.size, name+"."+o.fields.name)
+	s.file.update(o.file.size, name+"/"+o.file.name)
+	s.function.update(o.function.size, name+"."+o.function.name)
+	s.fields.update(o.fields.size, name+"."+o.fields.name)
 }
 
-// report prints the packages by name, and what they come to together.
-func report(packages map[string]*sizes) error {
+// printTable prints the packages sorted by name, and their total.
+func printTable(packages map[string]*packageSizes) error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	row := func(name string, s *sizes) {
+	row := func(name string, s *packageSizes) {
 		row := []any{name, s.lines, s.files, &s.file, &s.function, s.longFunctions, &s.fields, s.exported, s.undocumented}
-		// The table keeps its first error for Flush.
+		// The table keeps its first error and returns it from Flush.
 		_, _ = fmt.Fprintln(table, strings.TrimSuffix(fmt.Sprintf(strings.Repeat("%v\t", len(row)), row...), "\t"))
 	}
 	_, _ = fmt.Fprintf(table, "package\tlines\tfiles\tlongest file\tlongest function\tover %d\tmost fields\texported\tundocumented\n", longFunction)
-	var all sizes
+	var total packageSizes
 	for _, name := range slices.Sorted(maps.Keys(packages)) {
 		row(name, packages[name])
-		all.add(packages[name], name)
+		total.add(packages[name], name)
 	}
-	row("all", &all)
+	row("all", &total)
 	return table.Flush()
 }
