--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -12,7 +12,7 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// fault is a fault that an experiment injects and, after its duration, reverts.
+// fault describes how an experiment injects a fault and how it reverts the fault after its duration.
 type fault struct {
 	inject   func(context.Context, *experiment) error
 	duration time.Duration
@@ -33,7 +33,7 @@
 	rejectionTimeout         = 20 * time.Second
 	writeShareChangeInterval = 75 * time.Millisecond
 	writeShareDuration       = 20 * time.Second
-	writeShareTimeout        = 20 * time.Second // for the settings change that confirms the end of the fault
+	writeShareTimeout        = 20 * time.Second // limit for confirmWriteShare
 )
 
 // faults maps the names on the command line to the faults.
@@ -200,7 +200,7 @@
 	}
 }
 
-// runFaults injects the faults one after the other and adds their reports.
+// runFaults injects the faults one after the other and adds their results to the report.
 func (e *experiment) runFaults(ctx context.Context) error {
 	for _, name := range e.parameters.Faults {
 		r, err := e.runFault(ctx, name)
@@ -231,7 +231,7 @@
 	}
 	if fault.heal != nil {
 		if err := fault.heal(e); err != nil {
-			return nil, fmt.Errorf("the end of fault %s: %w", name, err)
+			return nil, fmt.Errorf("revert fault %s: %w", name, err)
 		}
 	}
 	if err := e.sleep(ctx, "after fault "+name, e.parameters.Recover); err != nil {
@@ -240,7 +240,8 @@
 	return e.reportFault(name, before), nil
 }
 
-// faultCounts are counts of the simulated world since the start of the step.
+// faultCounts are the simulated world's counts of lost tasks and violations since the start of the
+// step.
 type faultCounts struct{ killedByLease, tasksDied, violations int }
 
 // countFaultEffects reads the counts from the simulated world. The testbed's loop calls it.
--- a/internal/scale/parameters.go
+++ b/internal/scale/parameters.go
@@ -95,7 +95,8 @@
 	minMemoryMB       = 128
 )
 
-// deriveLimits sets the socket and memory limits that are not given from the number of workers.
+// deriveLimits sets the socket and memory limits that are not given. It derives them from the number
+// of workers.
 func (p *Parameters) deriveLimits() {
 	if p.Sockets == 0 {
 		p.Sockets = max(minSockets, int(socketsPerWorker*float64(p.Workers)))
--- a/internal/scale/pipelines.go
+++ b/internal/scale/pipelines.go
@@ -19,8 +19,7 @@
 	pipelineRunTime           = 3 * time.Second
 )
 
-// addRecent makes a job a candidate for the prerequisites of pipeline jobs, also if it is cancelled
-// later.
+// addRecent makes a job a candidate for the prerequisites of pipeline jobs, whatever its later status.
 func (w *workload) addRecent(job *fake.Job) {
 	if w.parameters.Pipelines == 0 || job.Submission.Kind == protocol.Service {
 		return
--- a/internal/scale/regression.go
+++ b/internal/scale/regression.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// fitLines fits every cost against every size. It uses the windows of all steps in which the
-// leader didn't change.
+// fitLines fits every cost against every size. It uses the windows of all steps, except windows with
+// different leaders at the beginning and at the end.
 func fitLines(steps []StepReport) []Line {
 	var windows []window
 	for _, step := range steps {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -32,7 +32,7 @@
 
 	Leader    RoleUsage   `json:"leader"`
 	Followers []RoleUsage `json:"followers"`
-	// LeaderChanged is true if different controllers led at the beginning and at the end.
+	// LeaderChanged is true unless the same controller led at the beginning and at the end.
 	LeaderChanged bool `json:"leader_changed"`
 
 	MessagesPerS map[string]float64 `json:"messages_per_s"`       // by kind, counted by the simulated side
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -58,10 +58,10 @@
 }
 
 // An operator lowers write_share and raises it again while the state service rejects a large
-// transaction. The jobs need archived, ended, cancelled and unfinished jobs. The rules must hold, no
-// controller may crash, and tasks must start again well before the fault ends. This is a regression
-// test for docs/incidents/2026-12-03-write-budget-never-fills.md: no task started until somebody
-// changed a setting again.
+// transaction. Pipeline jobs have archived, ended, cancelled and unfinished prerequisites. The rules
+// must hold, no controller may crash, and tasks must start again well before the fault ends. Guards
+// against docs/incidents/2026-12-03-write-budget-never-fills.md, where no task started until another
+// change of the settings.
 func TestRunKeepsRulesWhenWriteShareChanges(t *testing.T) {
 	p, command := smallParameters(t)
 	p.Steps, p.Pipelines, p.Jobs, p.Starts, p.Running = []float64{1}, 3, 1, 40, 300
--- a/internal/scale/window.go
+++ b/internal/scale/window.go
@@ -10,9 +10,9 @@
 	cores            []float64
 	usage            []testbed.Usage // at the end
 	traffic          map[testbed.TrafficKind]trafficRates
-	handled          map[string]float64 // rates by kind of message; empty if the leader changed
+	handled          map[string]float64 // rates by kind of message; empty unless sameLeader
 	leader           int                // at the end
-	sameLeader       bool
+	sameLeader       bool               // one controller led at the beginning and at the end
 }
 
 // trafficRates are rates per second.
--- a/internal/scale/workload.go
+++ b/internal/scale/workload.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// submit submits a job and polls it until it has ended. Random shares of the jobs are cancelled
-// and submitted a second time.
+// submit submits a job and polls it until it has ended. Some random jobs are cancelled, and some are
+// submitted a second time.
 func (w *workload) submit(submission protocol.Submission, runTime time.Duration) {
 	submission.EstimatedRunS = runTime.Seconds()
 	job := w.world.Submit(submission, runTime)
@@ -214,7 +214,7 @@
 }
 
 // taskStarted is called when a worker has executed a start command. It records the start and, for
-// the first start of an urgent task, the latency.
+// the first start of an urgent task, the latency since the submission.
 func (w *workload) taskStarted(job *fake.Job, task int) {
 	w.gaps.started(w.world.Now)
 	id := taskID{job.Submission.ID, task}
@@ -224,8 +224,8 @@
 	}
 }
 
-// taskPresent is called when a task's image is present on its machine. It records the latency of
-// urgent tasks.
+// taskPresent is called when a task's image is present on its machine. For urgent tasks it records
+// the latency since the submission.
 func (w *workload) taskPresent(job *fake.Job, task int) {
 	if job.Submission.Class == testbed.UrgentClass && w.urgentStarted[taskID{job.Submission.ID, task}] {
 		w.meter.Latencies.Add(urgentStartExecuted, w.world.Now-job.SubmittedAt)
