--- a/cmd/oakpick/main.go
+++ b/cmd/oakpick/main.go
@@ -18,8 +18,8 @@
 // errNoConfig is returned by every command that needs the settings if --config is missing.
 var errNoConfig = errors.New("--config FILE is missing")
 
-// commandLine defines the flags and commands for kong. Kong calls the Run method of the field of
-// the given command.
+// commandLine defines the flags and commands for kong. Each command is a field, whose Run method
+// executes it.
 type commandLine struct {
 	Config     string `help:"Settings file (JSON) of this node." placeholder:"FILE"`
 	Extensions string `help:"File (TOML) of what is to be switched on beyond the scheduler." placeholder:"FILE"`
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -129,8 +129,8 @@
 	return changes.Wait()
 }
 
-// rejectLargeWrites makes the state service reject transactions of at least this many keys; 0
-// turns that off.
+// rejectLargeWrites makes the state service reject transactions with at least the given number of
+// keys; 0 disables the rejection.
 func (e *experiment) rejectLargeWrites(keys int) {
 	e.testbed.DoAndWait(func() { e.testbed.World.State.RejectFromKeys = keys })
 }
--- a/internal/scale/parameters_test.go
+++ b/internal/scale/parameters_test.go
@@ -36,7 +36,7 @@
 			test.change(&p)
 			report, err := Run(t.Context(), p, []string{"/nothing/that/could/start"}, &bytes.Buffer{})
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%q is missing in error %v", err, test.want)
+				t.Errorf("%q is missing in error %v", test.want, err)
 			}
 			if report != nil {
 				t.Errorf("run was not rejected: %+v", report)
