--- a/internal/scale/distributionrun/parameters.go
+++ b/internal/scale/distributionrun/parameters.go
@@ -72,7 +72,7 @@
 // testbed returns the testbed of the controllers, which have next to no machines and tasks.
 func (p *Parameters) testbed() testbed.Spec {
 	return testbed.Spec{
-		Workers: 2, Running: 2, Teams: 1, Controllers: p.Controllers,
+		Workers: 2, RunningTasks: 2, Teams: 1, Controllers: p.Controllers,
 		HeartbeatIntervalS: heartbeatIntervals * p.InventoryIntervalS, LeaseS: leaseIntervals * p.InventoryIntervalS,
 		CancelWithinS: cancelIntervals * p.InventoryIntervalS,
 		StateRPS:      200, StateWriteRPS: 40, StateValueKB: 8,
--- a/internal/scale/parameters.go
+++ b/internal/scale/parameters.go
@@ -131,7 +131,7 @@
 // testbed returns the testbed that the parameters ask for.
 func (p *Parameters) testbed() testbed.Spec {
 	return testbed.Spec{
-		Workers: p.Workers, Accelerators: p.Accelerators, Running: p.Running, Teams: p.Teams, LargestGang: p.LargestGang, Controllers: p.Controllers,
+		Workers: p.Workers, Accelerators: p.Accelerators, RunningTasks: p.Running, Teams: p.Teams, LargestGang: p.LargestGang, Controllers: p.Controllers,
 		HeartbeatIntervalS: p.HeartbeatIntervalS, LeaseS: p.LeaseS, CancelWithinS: p.CancelWithinS,
 		StateRPS: p.StateRPS, StateWriteRPS: p.StateWriteRPS, StateValueKB: p.StateValueKB,
 		CPU: p.CPU, MemoryMB: p.MemoryMB, MaxConnections: p.Sockets, Seed: p.Seed,
--- a/internal/scale/testbed/spec.go
+++ b/internal/scale/testbed/spec.go
@@ -11,7 +11,7 @@
 type Spec struct {
 	Workers      int // machines that can be provisioned
 	Accelerators int // among them, AcceleratorsPerMachine to a machine
-	Running      int // tasks at a time
+	RunningTasks      int // tasks at a time
 	Teams        int // each with a quota
 	LargestGang  int // tasks
 	Controllers  int
@@ -66,7 +66,7 @@
 // tasksPerMachine leaves a tenth more room than the running tasks need, for those that come and
 // go.
 func (s Spec) tasksPerMachine() float64 {
-	return float64(int(1.1*float64(s.Running)/float64(s.Workers)) + 1)
+	return float64(int(1.1*float64(s.RunningTasks)/float64(s.Workers)) + 1)
 }
 
 // machineTypes are what the simulated cloud offers. A task needs one CPU and one GB.
@@ -102,7 +102,7 @@
 
 // teams share out the running tasks; each may use twice its share and a gang.
 func (s Spec) teams() []config.Team {
-	share := float64(s.Running) / float64(s.Teams)
+	share := float64(s.RunningTasks) / float64(s.Teams)
 	teams := make([]config.Team, s.Teams)
 	for i := range teams {
 		teams[i] = config.Team{
