--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -84,7 +84,7 @@
 	p := e.parameters
 	e.gaps = &serviceGaps{}
 	e.testbed = testbed.New(p.testbed(), e.command, directory)
-	e.testbed.OnUserAnswer(e.gaps.answered)
+	e.testbed.OnUserResponse(e.gaps.answered)
 	e.testbed.World.State.Restore(endedPages(p.Ended, p.StateValueKB))
 	e.testbed.World.State.Restore(archivedPages(p.Archived, p.StateValueKB))
 	e.workload = newWorkload(p, e.testbed.World, e.testbed.Meter, e.gaps)
--- a/internal/scale/testbed/testbed.go
+++ b/internal/scale/testbed/testbed.go
@@ -60,9 +60,9 @@
 	return t
 }
 
-// OnUserAnswer has the loop call a function whenever a user's request succeeds. Set it before
+// OnUserResponse has the loop call a function whenever a user's request succeeds. Set it before
 // Start.
-func (t *Testbed) OnUserAnswer(notify func(now time.Duration)) { t.sender.onUserAnswer = notify }
+func (t *Testbed) OnUserResponse(notify func(now time.Duration)) { t.sender.onUserAnswer = notify }
 
 // Start opens the simulated servers and lets the world's time pass. The controllers are to be
 // started after it, and Close is to be called also if Start fails.
