--- a/internal/scale/testbed/meter.go
+++ b/internal/scale/testbed/meter.go
@@ -63,8 +63,8 @@
 	return traffic
 }
 
-// Answers returns how often each operation got each status since the last Reset.
-func (m *Meter) Answers() map[string]int64 {
+// ResponseCounts returns how often each operation got each status since the last Reset.
+func (m *Meter) ResponseCounts() map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return maps.Clone(m.answers)
