--- a/internal/scale/distributionrun/faults.go
+++ b/internal/scale/distributionrun/faults.go
@@ -83,7 +83,7 @@
 	})
 	a.failed.Store(kind != restartAgentFault)
 	if kind == hangAgentFault {
-		a.process.Hang()
+		a.process.Suspend()
 		return nil
 	}
 	a.kill()
--- a/internal/scale/testbed/process.go
+++ b/internal/scale/testbed/process.go
@@ -49,8 +49,8 @@
 	<-p.exited
 }
 
-// Hang stops the process without ending it.
-func (p *Process) Hang() { _ = p.command.Process.Signal(syscall.SIGSTOP) } // it may have ended
+// Suspend stops the process without ending it.
+func (p *Process) Suspend() { _ = p.command.Process.Signal(syscall.SIGSTOP) } // it may have ended
 
 // crashed tells whether the process ended without having been killed.
 func (p *Process) crashed() bool {
--- a/internal/scale/testbed/process_test.go
+++ b/internal/scale/testbed/process_test.go
@@ -34,7 +34,7 @@
 
 func TestKilledProcessHasNotCrashed(t *testing.T) {
 	process, _ := startShell(t, "exec sleep 600")
-	process.Hang()
+	process.Suspend()
 	process.Kill()
 	if process.crashed() {
 		t.Error("it is called crashed")
