--- a/internal/scale/distributionrun/fault_schedule.go
+++ b/internal/scale/distributionrun/fault_schedule.go
@@ -18,15 +18,15 @@
 	hangAgentFault     faultKind = "hang"    // the same stops without ending, for good
 	killLeaderFault    faultKind = "leader"  // the leader is killed, and starts again
 	storeOutageFault   faultKind = "store"   // the store answers nobody for as long as one alone took
-	wrongBytesFault    faultKind = "wrong"   // the store's next answers have wrong bytes
-	brokenAnswersFault faultKind = "cut"     // the store's next answers break off
+	corruptResponsesFault    faultKind = "wrong"   // the store's next answers have wrong bytes
+	truncatedResponsesFault faultKind = "cut"     // the store's next answers break off
 	newVersionFault    faultKind = "version" // another version is to be used, with half of the chunks the same
 )
 
 func faultKinds() []string {
 	var names []string
 	for _, kind := range []faultKind{
-		killAgentFault, restartAgentFault, hangAgentFault, killLeaderFault, storeOutageFault, wrongBytesFault, brokenAnswersFault, newVersionFault,
+		killAgentFault, restartAgentFault, hangAgentFault, killLeaderFault, storeOutageFault, corruptResponsesFault, truncatedResponsesFault, newVersionFault,
 	} {
 		names = append(names, string(kind))
 	}
@@ -42,9 +42,9 @@
 // String is the fault as it is written on the command line.
 func (f scheduledFault) String() string { return fmt.Sprintf("%s@%g", f.kind, f.part) }
 
-// after is the time from the start of the fleet's fetch until the fault.
-func (f scheduledFault) after(alone time.Duration) time.Duration {
-	return time.Duration(f.part * float64(alone))
+// delay is the time from the start of the fleet's fetch until the fault.
+func (f scheduledFault) delay(aloneTime time.Duration) time.Duration {
+	return time.Duration(f.part * float64(aloneTime))
 }
 
 // maxFaultPart is the latest time of a fault, in times that one agent alone took.
--- a/internal/scale/distributionrun/fault_schedule_test.go
+++ b/internal/scale/distributionrun/fault_schedule_test.go
@@ -12,7 +12,7 @@
 		want       scheduledFault
 	}{
 		{"whole part", "kill@1", scheduledFault{killAgentFault, 1}},
-		{"fraction", "cut@0.25", scheduledFault{brokenAnswersFault, 0.25}},
+		{"fraction", "cut@0.25", scheduledFault{truncatedResponsesFault, 0.25}},
 		{"at once", "version@0", scheduledFault{newVersionFault, 0}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -35,8 +35,8 @@
 	}
 }
 
-func TestFaultIsAfterPartOfTimeAlone(t *testing.T) {
-	if got := (scheduledFault{killLeaderFault, 0.5}).after(3 * time.Second); got != 1500*time.Millisecond {
+func TestFaultDelayIsMultipleOfAloneTime(t *testing.T) {
+	if got := (scheduledFault{killLeaderFault, 0.5}).delay(3 * time.Second); got != 1500*time.Millisecond {
 		t.Errorf("%v", got)
 	}
 }
--- a/internal/scale/distributionrun/faults.go
+++ b/internal/scale/distributionrun/faults.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// faultyAnswers is how many of the store's answers have wrong bytes or break off in a fault.
-	faultyAnswers = 5
+	// faultyResponses is how many of the store's answers have wrong bytes or break off in a fault.
+	faultyResponses = 5
 	// leaderRestartDelay is the time until a killed leader is started again.
 	leaderRestartDelay = time.Second
 )
@@ -22,19 +22,19 @@
 var errAllComplete = errors.New("every agent holds all already")
 
 // injectFault injects a fault at its time, unless the context ends before.
-func (e *experiment) injectFault(ctx context.Context, fault scheduledFault, alone time.Duration) error {
-	if sleep(ctx, fault.after(alone)) != nil {
+func (e *experiment) injectFault(ctx context.Context, fault scheduledFault, aloneTime time.Duration) error {
+	if sleep(ctx, fault.delay(aloneTime)) != nil {
 		return nil // all agents are ready
 	}
 	e.progress.Logf("fault: %s", fault.kind)
-	if err := e.applyFault(ctx, fault.kind, alone); err != nil {
+	if err := e.applyFault(ctx, fault.kind, aloneTime); err != nil {
 		return fmt.Errorf("fault %s: %w", fault.kind, err)
 	}
 	e.record(func(report *RunReport) { report.FaultsApplied = append(report.FaultsApplied, fault.String()) })
 	return nil
 }
 
-func (e *experiment) applyFault(ctx context.Context, kind faultKind, alone time.Duration) error {
+func (e *experiment) applyFault(ctx context.Context, kind faultKind, aloneTime time.Duration) error {
 	switch kind {
 	case killAgentFault, hangAgentFault, restartAgentFault:
 		return e.failAgent(ctx, kind)
@@ -43,11 +43,11 @@
 	case storeOutageFault:
 		e.store.unavailable.Store(true)
 		defer e.store.unavailable.Store(false)
-		_ = sleep(ctx, alone) // the outage may end early, when all agents are ready
-	case wrongBytesFault:
-		e.store.wrongAnswers.Store(faultyAnswers)
-	case brokenAnswersFault:
-		e.store.brokenAnswers.Store(faultyAnswers)
+		_ = sleep(ctx, aloneTime) // the outage may end early, when all agents are ready
+	case corruptResponsesFault:
+		e.store.corruptResponses.Store(faultyResponses)
+	case truncatedResponsesFault:
+		e.store.truncatedResponses.Store(faultyResponses)
 	case newVersionFault:
 		return e.changeVersion(ctx)
 	}
--- a/internal/scale/distributionrun/fleet.go
+++ b/internal/scale/distributionrun/fleet.go
@@ -101,7 +101,7 @@
 }
 
 // runFleet times all agents, with faults at their times, and verifies what they serve.
-func (e *experiment) runFleet(ctx context.Context, alone time.Duration) error {
+func (e *experiment) runFleet(ctx context.Context, aloneTime time.Duration) error {
 	faults, err := parseFaults(e.parameters.Faults)
 	if err != nil {
 		return err
@@ -119,10 +119,10 @@
 		return errors.Join(err, background.Wait())
 	}
 	for _, fault := range faults {
-		background.Go(func() error { return e.injectFault(fetching, fault, alone) })
+		background.Go(func() error { return e.injectFault(fetching, fault, aloneTime) })
 	}
-	err = waitUntil(ctx, minFetchTimeout+fetchTimeoutFactor*alone, "not all are ready", func() bool { return e.fleetReady(ctx, fetch) })
-	e.reportFetch(fetch, alone)
+	err = waitUntil(ctx, minFetchTimeout+fetchTimeoutFactor*aloneTime, "not all are ready", func() bool { return e.fleetReady(ctx, fetch) })
+	e.reportFetch(fetch, aloneTime)
 	stop()
 	return errors.Join(err, background.Wait(), e.verify(ctx), e.measure(ctx, fetch.version))
 }
@@ -168,10 +168,10 @@
 	return !notReady.Load() && wanted == e.wantedVersion()
 }
 
-func (e *experiment) reportFetch(fetch fleetFetch, alone time.Duration) {
+func (e *experiment) reportFetch(fetch fleetFetch, aloneTime time.Duration) {
 	e.record(func(report *RunReport) {
 		report.FleetS = time.Since(fetch.startedAt).Seconds()
-		report.Ratio = report.FleetS / alone.Seconds()
+		report.Ratio = report.FleetS / aloneTime.Seconds()
 		report.StoreCopies = float64(e.store.sentBytes.Load()-fetch.sentBefore) / float64(fetch.version.Size)
 	})
 }
--- a/internal/scale/distributionrun/main_test.go
+++ b/internal/scale/distributionrun/main_test.go
@@ -12,12 +12,12 @@
 	"oakpick/internal/distribution/agent"
 )
 
-// asProcess has the test's own program run as a controller or an agent, so that no other has
+// asProcessEnv has the test's own program run as a controller or an agent, so that no other has
 // to be built first.
-const asProcess = "OAKPICK_TEST_AS_PROCESS"
+const asProcessEnv = "OAKPICK_TEST_AS_PROCESS"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProcess) == "" {
+	if os.Getenv(asProcessEnv) == "" {
 		os.Exit(m.Run())
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
--- a/internal/scale/distributionrun/measurement.go
+++ b/internal/scale/distributionrun/measurement.go
@@ -94,7 +94,7 @@
 	var group errgroup.Group
 	for range e.parameters.Agents {
 		group.Go(func() error {
-			limit := rate.NewLimiter(rate.Limit(e.parameters.linkBytesPerS()), pacedBytes)
+			limit := rate.NewLimiter(rate.Limit(e.parameters.linkBytesPerS()), rateLimitBurstBytes)
 			client := registry.NewClient(clientResponseTimeout, limit, nil)
 			defer client.Close()
 			return fetchFromStore(ctx, client, e.testbed.Addresses.WeightStore(), version)
--- a/internal/scale/distributionrun/report_plots.go
+++ b/internal/scale/distributionrun/report_plots.go
@@ -17,14 +17,14 @@
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
-	barsShare  = 0.8  // of the width; the rest is between the bars
-	legendRoom = 1.25 // of the height that the bars take
+	barWidthFraction  = 0.8  // of the width; the rest is between the bars
+	legendHeadroomFactor = 1.25 // of the height that the bars take
 )
 
 var (
 	blue   = color.RGBA{R: 30, G: 90, B: 180, A: 255}
 	orange = color.RGBA{R: 230, G: 120, B: 20, A: 255}
-	faint  = color.NRGBA{R: 30, G: 90, B: 180, A: 90}
+	translucentBlue  = color.NRGBA{R: 30, G: 90, B: 180, A: 90}
 )
 
 // drawSVG returns a plot for a page.
@@ -64,7 +64,7 @@
 		if err != nil {
 			return nil, err
 		}
-		line.Color = faint
+		line.Color = translucentBlue
 		p.Add(line)
 	}
 	return p, nil
@@ -81,7 +81,7 @@
 	if len(peers) == 0 {
 		return p, nil
 	}
-	width := vg.Length(float64(plotWidth) * barsShare / float64(len(peers)))
+	width := vg.Length(float64(plotWidth) * barWidthFraction / float64(len(peers)))
 	peerBars, err := plotter.NewBarChart(peers, width)
 	if err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 	p.Add(peerBars, storeBars)
 	p.Legend.Add("from peers", peerBars)
 	p.Legend.Add("from the store", storeBars)
-	p.Y.Max *= legendRoom
+	p.Y.Max *= legendHeadroomFactor
 	p.Legend.Top, p.Legend.XOffs = true, -plotWidth/40
 	return p, nil
 }
--- a/internal/scale/distributionrun/run.go
+++ b/internal/scale/distributionrun/run.go
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	defer e.testbed.Close()
-	if err := e.open(ctx); err != nil {
+	if err := e.start(ctx); err != nil {
 		return nil, err
 	}
 	err = e.run(ctx)
@@ -130,8 +130,8 @@
 	return errors.Join(toml.NewEncoder(file).Encode(extensions), file.Close())
 }
 
-// open starts the simulated store and the controllers, and returns once they serve the tracker.
-func (e *experiment) open(ctx context.Context) error {
+// start starts the simulated store and the controllers, and returns once they serve the tracker.
+func (e *experiment) start(ctx context.Context) error {
 	if err := e.testbed.Start(ctx); err != nil {
 		return err
 	}
@@ -149,13 +149,13 @@
 
 // run times one agent alone, then the fleet, then clients that use the store only.
 func (e *experiment) run(ctx context.Context) error {
-	alone, err := e.runAlone(ctx)
+	aloneTime, err := e.runAlone(ctx)
 	if err != nil {
 		return fmt.Errorf("one agent alone: %w", err)
 	}
-	e.report.AloneS = alone.Seconds()
-	e.progress.Logf("one alone: %.2f s", alone.Seconds())
-	if err := e.runFleet(ctx, alone); err != nil {
+	e.report.AloneS = aloneTime.Seconds()
+	e.progress.Logf("one alone: %.2f s", aloneTime.Seconds())
+	if err := e.runFleet(ctx, aloneTime); err != nil {
 		return fmt.Errorf("the fleet: %w", err)
 	}
 	e.progress.Logf("%d agents: %.2f s, %.2f times as long; the store sent %.2f copies", e.parameters.Agents, e.report.FleetS, e.report.Ratio, e.report.StoreCopies)
--- a/internal/scale/distributionrun/run_test.go
+++ b/internal/scale/distributionrun/run_test.go
@@ -10,7 +10,7 @@
 // smallParameters are those of a run of a few agents and some megabytes.
 func smallParameters(t *testing.T) Parameters {
 	t.Helper()
-	t.Setenv(asProcess, "1")
+	t.Setenv(asProcessEnv, "1")
 	return Parameters{
 		Agents: 6, Zones: 2, Controllers: 3, SizeMB: 8, ChunkMB: 0.25, RateMB: 8, StoreSlots: 3, UploadSlots: 3, SlowZone: 1, InventoryIntervalS: 0.3, Runs: 1, Seed: 1,
 	}
@@ -31,7 +31,7 @@
 // Real agents and controllers, with a killed source, a killed leader, another version and wrong
 // bytes from the store: every agent that is left serves every byte of the last version, and the
 // report tells where the bytes came from. Times have no part in the verdict.
-func TestRunWithFaultsVerifiesEveryAgentLeft(t *testing.T) {
+func TestRunWithFaultsVerifiesEveryRemainingAgent(t *testing.T) {
 	p := smallParameters(t)
 	p.Faults = []string{"wrong@0.1", "cut@0.2", "kill@0.4", "leader@0.5", "version@0.6"}
 	p.FromStore = true
--- a/internal/scale/distributionrun/store.go
+++ b/internal/scale/distributionrun/store.go
@@ -24,8 +24,8 @@
 
 	uplink        *rate.Limiter
 	unavailable   atomic.Bool
-	wrongAnswers  atomic.Int64 // answers to come that have wrong bytes
-	brokenAnswers atomic.Int64 // answers to come that break off
+	corruptResponses  atomic.Int64 // answers to come that have wrong bytes
+	truncatedResponses atomic.Int64 // answers to come that break off
 	sentBytes     atomic.Int64 // of blobs
 
 	server *http.Server // nil before serve
@@ -35,13 +35,13 @@
 // contentStream is the stream of random numbers that contents are drawn from.
 const contentStream = 3
 
-// pacedBytes are sent at a time over a paced link.
-const pacedBytes = 64 << 10
+// rateLimitBurstBytes are sent at a time over a paced link.
+const rateLimitBurstBytes = 64 << 10
 
 func newSimulatedStore(p Parameters) *simulatedStore {
 	return &simulatedStore{
 		Memory: registry.NewMemory(),
-		uplink: rate.NewLimiter(rate.Limit(p.StoreRateMB*mebibyte), pacedBytes), random: rand.New(rand.NewPCG(p.Seed, contentStream)),
+		uplink: rate.NewLimiter(rate.Limit(p.StoreRateMB*mebibyte), rateLimitBurstBytes), random: rand.New(rand.NewPCG(p.Seed, contentStream)),
 	}
 }
 
@@ -83,7 +83,7 @@
 
 // Blob opens a chunk, with wrong bytes if some are to be sent.
 func (s *simulatedStore) Blob(name string, d digest.Digest) (registry.Blob, error) {
-	if content := s.Bytes(d); content != nil && takeOne(&s.wrongAnswers) {
+	if content := s.Bytes(d); content != nil && decrementIfPositive(&s.corruptResponses) {
 		content = bytes.Clone(content)
 		content[len(content)/2] ^= 1
 		return registry.NewBlob(content), nil
@@ -91,8 +91,8 @@
 	return s.Memory.Blob(name, d)
 }
 
-// takeOne counts down; false: nothing is left.
-func takeOne(left *atomic.Int64) bool {
+// decrementIfPositive counts down; false: nothing is left.
+func decrementIfPositive(left *atomic.Int64) bool {
 	for n := left.Load(); n > 0; n = left.Load() {
 		if left.CompareAndSwap(n, n-1) {
 			return true
@@ -116,7 +116,7 @@
 		WrapBody: func(w http.ResponseWriter) http.ResponseWriter {
 			// Answers end with their connections, so that pacing needs no context of a request.
 			paced := registry.RateLimitedWriter{ResponseWriter: w, Context: context.Background(), Limit: s.uplink}
-			return &storeWriter{RateLimitedWriter: paced, store: s, breaksOff: takeOne(&s.brokenAnswers)}
+			return &storeWriter{RateLimitedWriter: paced, store: s, truncate: decrementIfPositive(&s.truncatedResponses)}
 		},
 	}
 	s.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -140,23 +140,23 @@
 type storeWriter struct {
 	registry.RateLimitedWriter
 	store     *simulatedStore
-	breaksOff bool
+	truncate bool
 }
 
-// errBrokenOff ends an answer whose connection was closed on purpose.
-var errBrokenOff = errors.New("the answer breaks off")
+// errConnectionDropped ends an answer whose connection was closed on purpose.
+var errConnectionDropped = errors.New("the answer breaks off")
 
 // Write writes at the uplink's pace.
 func (w *storeWriter) Write(b []byte) (int, error) {
 	if w.store.unavailable.Load() {
 		dropConnection(w.ResponseWriter)
-		return 0, errBrokenOff
+		return 0, errConnectionDropped
 	}
 	n, err := w.RateLimitedWriter.Write(b)
 	w.store.sentBytes.Add(int64(n))
-	if w.breaksOff {
+	if w.truncate {
 		dropConnection(w.ResponseWriter)
-		return n, errBrokenOff
+		return n, errConnectionDropped
 	}
 	return n, err
 }
--- a/internal/scale/testbed/health_probe.go
+++ b/internal/scale/testbed/health_probe.go
@@ -7,9 +7,9 @@
 
 const (
 	healthCheckInterval = time.Second
-	// unhealthyFailures is how many more failures than successes take a controller out of the
+	// unhealthyThreshold is how many more failures than successes take a controller out of the
 	// load balancer.
-	unhealthyFailures = 2
+	unhealthyThreshold = 2
 )
 
 // probeHealth makes the load balancer's health checks until the context ends or the loop stops.
@@ -29,7 +29,7 @@
 			if t.Controllers.Healthy(ctx, controller) {
 				failures[controller] = max(0, failures[controller]-1)
 			} else {
-				failures[controller] = min(unhealthyFailures, failures[controller]+1)
+				failures[controller] = min(unhealthyThreshold, failures[controller]+1)
 			}
 			t.setHealth(controller, failures[controller])
 		}
@@ -38,10 +38,10 @@
 
 // setHealth tells the load balancer about a controller whose failures are decisive.
 func (t *Testbed) setHealth(controller, failures int) {
-	if failures != 0 && failures != unhealthyFailures {
+	if failures != 0 && failures != unhealthyThreshold {
 		return
 	}
-	unhealthy := failures == unhealthyFailures
+	unhealthy := failures == unhealthyThreshold
 	simulated := t.World.Controllers[controller]
 	t.Do(func() { simulated.Unhealthy = unhealthy })
 }
--- a/internal/scale/testbed/meter.go
+++ b/internal/scale/testbed/meter.go
@@ -43,11 +43,11 @@
 	counters map[TrafficKind]*trafficCounter
 
 	mu      sync.Mutex
-	answers map[string]int64
+	responseCounts map[string]int64
 }
 
 func newMeter() *Meter {
-	m := &Meter{Latencies: latency.NewRecorder(), counters: map[TrafficKind]*trafficCounter{}, answers: map[string]int64{}}
+	m := &Meter{Latencies: latency.NewRecorder(), counters: map[TrafficKind]*trafficCounter{}, responseCounts: map[string]int64{}}
 	for _, kind := range TrafficKinds() {
 		m.counters[kind] = &trafficCounter{}
 	}
@@ -67,7 +67,7 @@
 func (m *Meter) ResponseCounts() map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return maps.Clone(m.answers)
+	return maps.Clone(m.responseCounts)
 }
 
 // Reset empties the latencies and the counts of answers, when a measurement begins. Traffic
@@ -76,16 +76,16 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.Latencies.Reset()
-	clear(m.answers)
+	clear(m.responseCounts)
 }
 
 func (m *Meter) countMessage(kind TrafficKind) { m.counters[kind].messages.Add(1) }
 
-// countAnswer counts an answer by its operation and status.
-func (m *Meter) countAnswer(operationAndStatus string) {
+// countResponse counts an answer by its operation and status.
+func (m *Meter) countResponse(operationAndStatus string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.answers[operationAndStatus]++
+	m.responseCounts[operationAndStatus]++
 }
 
 // countingConn counts the bytes of a connection, both ways.
--- a/internal/scale/testbed/request_sender.go
+++ b/internal/scale/testbed/request_sender.go
@@ -22,7 +22,7 @@
 	apiAddresses []string                     // by controller
 	workers      map[string]*workerConnection // by machine
 	users        []*fasthttp.HostClient       // by controller
-	onUserAnswer func(now time.Duration)      // the loop calls it
+	onUserResponse func(now time.Duration)      // the loop calls it
 }
 
 // workerConnection is a worker's connection to the controller that it sends heartbeats to.
@@ -48,7 +48,7 @@
 
 func newRequestSender(loop *worldLoop, meter *Meter, apiAddresses []string, userConnections int) *requestSender {
 	s := &requestSender{
-		loop: loop, meter: meter, apiAddresses: apiAddresses, workers: map[string]*workerConnection{}, onUserAnswer: func(time.Duration) {},
+		loop: loop, meter: meter, apiAddresses: apiAddresses, workers: map[string]*workerConnection{}, onUserResponse: func(time.Duration) {},
 	}
 	for _, address := range apiAddresses {
 		s.users = append(s.users, s.newClient(address, nil, UserTraffic, userConnections))
@@ -126,10 +126,10 @@
 		answer := send(s.users[controller], request)
 		took := time.Since(startedAt)
 		s.loop.do(func() {
-			s.meter.countAnswer(operation + " " + strconv.Itoa(answer.Status))
+			s.meter.countResponse(operation + " " + strconv.Itoa(answer.Status))
 			if answer.Status == http.StatusOK || answer.Status == http.StatusCreated {
 				s.meter.Latencies.Add(operation, took)
-				s.onUserAnswer(s.loop.world.Now)
+				s.onUserResponse(s.loop.world.Now)
 			}
 			reply(answer)
 		})
--- a/internal/scale/testbed/servers.go
+++ b/internal/scale/testbed/servers.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// openWorker opens the command listener of a machine that has booted. The loop calls it.
-func (s *simulatedServers) openWorker(machine protocol.Machine) {
+// openWorkerListener opens the command listener of a machine that has booted. The loop calls it.
+func (s *simulatedServers) openWorkerListener(machine protocol.Machine) {
 	s.machineNames.Store(machine.Addr, machine.Name)
 	if err := s.workers.listen(machine.Addr); err != nil {
 		s.loop.world.Violation("scale", "%s can't listen: %v", machine.Name, err)
--- a/internal/scale/testbed/state_server.go
+++ b/internal/scale/testbed/state_server.go
@@ -16,7 +16,7 @@
 func (s *simulatedServers) handleState(ctx *fasthttp.RequestCtx) {
 	s.meter.countMessage(StateTraffic)
 	if !s.stateRate.Allow() {
-		s.meter.countAnswer("state 429 for the rate")
+		s.meter.countResponse("state 429 for the rate")
 		respond(ctx, http.StatusTooManyRequests, nil)
 		return
 	}
--- a/internal/scale/testbed/testbed.go
+++ b/internal/scale/testbed/testbed.go
@@ -54,7 +54,7 @@
 	t.World.State.MaxListed = maxListedKeys
 	t.World.Cloud.Address = addresses.Worker
 	t.World.Cloud.CapacityOf = spec.capacity(len(settings.Zones))
-	t.World.OnBoot = t.servers.openWorker
+	t.World.OnBoot = t.servers.openWorkerListener
 	t.World.Network = t.network(spec.Seed)
 	t.loop.world = t.World
 	return t
@@ -62,7 +62,7 @@
 
 // OnUserResponse has the loop call a function whenever a user's request succeeds. Set it before
 // Start.
-func (t *Testbed) OnUserResponse(notify func(now time.Duration)) { t.sender.onUserAnswer = notify }
+func (t *Testbed) OnUserResponse(notify func(now time.Duration)) { t.sender.onUserResponse = notify }
 
 // Start opens the simulated servers and lets the world's time pass. The controllers are to be
 // started after it, and Close is to be called also if Start fails.
@@ -111,7 +111,7 @@
 // Latencies of the components outside, on top of the machine's own.
 const (
 	stateLatency    = 6 * time.Millisecond
-	slowStateAnswer = 200 * time.Millisecond
+	slowStateLatency = 200 * time.Millisecond
 	slowStateShare  = 0.002 // of the state service's answers
 	cloudLatency    = 200 * time.Millisecond
 )
@@ -128,7 +128,7 @@
 		case fake.KindState:
 			delivery.RequestDelay, delivery.ResponseDelay = stateLatency/2, stateLatency/2
 			if random.Float64() < slowStateShare {
-				delivery.ResponseDelay = slowStateAnswer
+				delivery.ResponseDelay = slowStateLatency
 			}
 		case fake.KindCloud:
 			delivery.RequestDelay, delivery.ResponseDelay = cloudLatency/2, cloudLatency/2
--- a/internal/scale/testbed/world_loop_test.go
+++ b/internal/scale/testbed/world_loop_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestStoppedLoopLetsCallersGo(t *testing.T) {
+func TestStoppedLoopReleasesCallers(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	loop := startLoop(ctx)
 	called := false
