--- a/internal/scale/distributionrun/fault_schedule.go
+++ b/internal/scale/distributionrun/fault_schedule.go
@@ -13,14 +13,14 @@
 type faultKind string
 
 const (
-	killAgentFault     faultKind = "kill"    // the agent that holds most is killed for good
-	restartAgentFault  faultKind = "restart" // the same, and starts again
-	hangAgentFault     faultKind = "hang"    // the same stops without ending, for good
-	killLeaderFault    faultKind = "leader"  // the leader is killed, and starts again
-	storeOutageFault   faultKind = "store"   // the store answers nobody for as long as one alone took
-	corruptResponsesFault    faultKind = "wrong"   // the store's next answers have wrong bytes
+	killAgentFault          faultKind = "kill"    // the agent that holds most is killed for good
+	restartAgentFault       faultKind = "restart" // the same, and starts again
+	hangAgentFault          faultKind = "hang"    // the same stops without ending, for good
+	killLeaderFault         faultKind = "leader"  // the leader is killed, and starts again
+	storeOutageFault        faultKind = "store"   // the store answers nobody for as long as one alone took
+	corruptResponsesFault   faultKind = "wrong"   // the store's next answers have wrong bytes
 	truncatedResponsesFault faultKind = "cut"     // the store's next answers break off
-	newVersionFault    faultKind = "version" // another version is to be used, with half of the chunks the same
+	newVersionFault         faultKind = "version" // another version is to be used, with half of the chunks the same
 )
 
 func faultKinds() []string {
--- a/internal/scale/distributionrun/report_plots.go
+++ b/internal/scale/distributionrun/report_plots.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	plotWidth  = 16 * vg.Centimeter
-	plotHeight = 8 * vg.Centimeter
-	barWidthFraction  = 0.8  // of the width; the rest is between the bars
+	plotWidth            = 16 * vg.Centimeter
+	plotHeight           = 8 * vg.Centimeter
+	barWidthFraction     = 0.8  // of the width; the rest is between the bars
 	legendHeadroomFactor = 1.25 // of the height that the bars take
 )
 
 var (
-	blue   = color.RGBA{R: 30, G: 90, B: 180, A: 255}
-	orange = color.RGBA{R: 230, G: 120, B: 20, A: 255}
-	translucentBlue  = color.NRGBA{R: 30, G: 90, B: 180, A: 90}
+	blue            = color.RGBA{R: 30, G: 90, B: 180, A: 255}
+	orange          = color.RGBA{R: 230, G: 120, B: 20, A: 255}
+	translucentBlue = color.NRGBA{R: 30, G: 90, B: 180, A: 90}
 )
 
 // drawSVG returns a plot for a page.
--- a/internal/scale/distributionrun/store.go
+++ b/internal/scale/distributionrun/store.go
@@ -22,11 +22,11 @@
 type simulatedStore struct {
 	*registry.Memory
 
-	uplink        *rate.Limiter
-	unavailable   atomic.Bool
-	corruptResponses  atomic.Int64 // answers to come that have wrong bytes
+	uplink             *rate.Limiter
+	unavailable        atomic.Bool
+	corruptResponses   atomic.Int64 // answers to come that have wrong bytes
 	truncatedResponses atomic.Int64 // answers to come that break off
-	sentBytes     atomic.Int64 // of blobs
+	sentBytes          atomic.Int64 // of blobs
 
 	server *http.Server // nil before serve
 	random *rand.Rand
@@ -139,7 +139,7 @@
 // storeWriter counts what is sent, and breaks off if it is to.
 type storeWriter struct {
 	registry.RateLimitedWriter
-	store     *simulatedStore
+	store    *simulatedStore
 	truncate bool
 }
 
--- a/internal/scale/testbed/meter.go
+++ b/internal/scale/testbed/meter.go
@@ -42,7 +42,7 @@
 
 	counters map[TrafficKind]*trafficCounter
 
-	mu      sync.Mutex
+	mu             sync.Mutex
 	responseCounts map[string]int64
 }
 
--- a/internal/scale/testbed/request_sender.go
+++ b/internal/scale/testbed/request_sender.go
@@ -17,11 +17,11 @@
 // requestSender sends the requests of simulated workers and users to the real controllers. Each
 // worker has a connection of its own, from its own address.
 type requestSender struct {
-	loop         *worldLoop
-	meter        *Meter
-	apiAddresses []string                     // by controller
-	workers      map[string]*workerConnection // by machine
-	users        []*fasthttp.HostClient       // by controller
+	loop           *worldLoop
+	meter          *Meter
+	apiAddresses   []string                     // by controller
+	workers        map[string]*workerConnection // by machine
+	users          []*fasthttp.HostClient       // by controller
 	onUserResponse func(now time.Duration)      // the loop calls it
 }
 
--- a/internal/scale/testbed/spec.go
+++ b/internal/scale/testbed/spec.go
@@ -11,7 +11,7 @@
 type Spec struct {
 	Workers      int // machines that can be provisioned
 	Accelerators int // among them, AcceleratorsPerMachine to a machine
-	RunningTasks      int // tasks at a time
+	RunningTasks int // tasks at a time
 	Teams        int // each with a quota
 	LargestGang  int // tasks
 	Controllers  int
--- a/internal/scale/testbed/testbed.go
+++ b/internal/scale/testbed/testbed.go
@@ -110,10 +110,10 @@
 
 // Latencies of the components outside, on top of the machine's own.
 const (
-	stateLatency    = 6 * time.Millisecond
+	stateLatency     = 6 * time.Millisecond
 	slowStateLatency = 200 * time.Millisecond
-	slowStateShare  = 0.002 // of the state service's answers
-	cloudLatency    = 200 * time.Millisecond
+	slowStateShare   = 0.002 // of the state service's answers
+	cloudLatency     = 200 * time.Millisecond
 )
 
 // networkStream is the stream of random numbers; the workload draws from another.
