--- a/internal/scale/testbed/addresses.go
+++ b/internal/scale/testbed/addresses.go
@@ -5,17 +5,17 @@
 	"os"
 )
 
-// Addresses are the loopback addresses of one run. Every component has an address of its own;
-// the second octet follows from the process id, so that two runs at a time don't collide.
+// Addresses generates the loopback addresses of one run, one for each component. The second octet
+// is derived from the process ID, so that concurrent runs are unlikely to collide.
 type Addresses struct{ secondOctet int }
 
-// NewAddresses returns the addresses of this process's run.
+// NewAddresses returns the addresses for a run of this process.
 func NewAddresses() Addresses {
 	const first, count = 20, 200
 	return Addresses{first + os.Getpid()%count}
 }
 
-// TrackerPort is where controllers serve the tracker of weights, if an extension switches it on.
+// TrackerPort is the port of a controller's weights tracker, which an extension enables.
 const TrackerPort = 8082
 
 const (
@@ -27,7 +27,7 @@
 	storePort  = 5000
 )
 
-// Last octets in the subnet of the components that aren't workers.
+// Last octets of the components other than workers. Their third octet is 0.
 const (
 	stateOctet           = 2
 	cloudOctet           = 3
@@ -35,39 +35,40 @@
 	firstControllerOctet = 10
 )
 
-// workersPerSubnet is how many workers share the third octet; there are as many subnets.
+// workersPerSubnet is both the number of workers that share a third octet and the number of such
+// subnets.
 const workersPerSubnet = 250
 
 func (a Addresses) address(third, fourth, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", a.secondOctet, third, fourth, port)
 }
 
-// StateService is the address of the simulated state service.
+// StateService returns the address of the simulated state service.
 func (a Addresses) StateService() string { return a.address(0, stateOctet, statePort) }
 
-// Cloud is the address of the simulated cloud.
+// Cloud returns the address of the simulated cloud.
 func (a Addresses) Cloud() string { return a.address(0, cloudOctet, cloudPort) }
 
-// WeightStore is the address of the simulated store of weights.
+// WeightStore returns the address of the simulated weight store.
 func (a Addresses) WeightStore() string { return a.address(0, storeOctet, storePort) }
 
-// API is the address at which a controller serves workers and users.
+// API returns the address at which a controller serves workers and users.
 func (a Addresses) API(controller int) string { return a.controller(controller, apiPort) }
 
-// Peer is the address at which a controller serves its peers and the administration API.
+// Peer returns the address at which a controller serves its peers and the administration API.
 func (a Addresses) Peer(controller int) string { return a.controller(controller, peerPort) }
 
-// Tracker is the address at which a controller serves the tracker of weights.
+// Tracker returns the address at which a controller serves the weights tracker.
 func (a Addresses) Tracker(controller int) string { return a.controller(controller, TrackerPort) }
 
 func (a Addresses) controller(controller, port int) string {
 	return a.address(0, firstControllerOctet+controller, port)
 }
 
-// Worker is the address of the n-th machine that is provisioned in a run, from 0.
+// Worker returns the address of the n-th machine provisioned in a run, counted from 0.
 func (a Addresses) Worker(n int) string {
 	return a.address(1+n/workersPerSubnet%workersPerSubnet, 1+n%workersPerSubnet, workerPort)
 }
 
-// ControllerName is the node name of a controller.
+// ControllerName returns the node name of a controller.
 func ControllerName(controller int) string { return fmt.Sprintf("ctl-%d", controller) }
--- a/internal/scale/testbed/addresses_test.go
+++ b/internal/scale/testbed/addresses_test.go
@@ -18,11 +18,11 @@
 	seen := map[string]bool{}
 	for _, address := range all {
 		if seen[address] {
-			t.Errorf("%s is given twice", address)
+			t.Errorf("%s is assigned twice", address)
 		}
 		seen[address] = true
 		if parsed, err := netip.ParseAddrPort(address); err != nil || !parsed.Addr().IsLoopback() {
-			t.Errorf("%s is no loopback address: %v", address, err)
+			t.Errorf("%s is not a loopback address: %v", address, err)
 		}
 	}
 }
--- a/internal/scale/testbed/cloud_server_test.go
+++ b/internal/scale/testbed/cloud_server_test.go
@@ -29,7 +29,7 @@
 				names = append(names, machine.Name)
 			}
 			if !slices.Equal(names, test.want) || page.More != test.more {
-				t.Errorf("%v, more: %v", names, page.More)
+				t.Errorf("got %v, more: %v", names, page.More)
 			}
 		})
 	}
--- a/internal/scale/testbed/controllers.go
+++ b/internal/scale/testbed/controllers.go
@@ -18,23 +18,24 @@
 	"oakpick/internal/config"
 )
 
-// Controllers are the real controllers of a run, a process each, numbered from 0.
+// Controllers manages the controllers of a run, one process each, numbered from 0.
 type Controllers struct {
 	command   []string
 	addresses Addresses
 	settings  config.Settings
-	directory string // of settings files and logs
+	directory string // for settings files and logs
 	client    *http.Client
 
 	mu                sync.Mutex
-	processes         []*Process // nil before the first start
-	earlierCPUSeconds []float64  // of the controllers' killed processes
+	processes         []*Process // by controller; nil before the first start
+	earlierCPUSeconds []float64  // by controller: CPU time of its killed processes
 }
 
-// ErrNoRunCommand says that a deploy file doesn't tell how a controller is started.
+// ErrNoRunCommand is returned for a deploy file that has no command to start a controller.
 var ErrNoRunCommand = errors.New("no run command")
 
-// ControllerCommand returns the command with which the deploy file starts a controller.
+// ControllerCommand returns the command that starts a controller according to the deploy file. It
+// returns an error if the program doesn't exist.
 func ControllerCommand(deployFile string) ([]string, error) {
 	var deploy struct {
 		Run string `toml:"run"`
@@ -47,13 +48,12 @@
 		return nil, fmt.Errorf("%s: %w", deployFile, ErrNoRunCommand)
 	}
 	if _, err := exec.LookPath(command[0]); err != nil {
-		return nil, fmt.Errorf("the controllers' program, which has to be built first: %w", err)
+		return nil, fmt.Errorf("controller program (build it first): %w", err)
 	}
 	return command, nil
 }
 
-// adminTimeout is for how long a controller may take to answer a health check or a question of
-// its administration API.
+// adminTimeout is the timeout of a health check or a request to a controller's administration API.
 const adminTimeout = time.Second
 
 func newControllers(command []string, addresses Addresses, settings config.Settings, directory string) *Controllers {
@@ -63,16 +63,16 @@
 	}
 }
 
-// Start starts a controller's process.
+// Start writes a controller's settings file and starts its process.
 func (c *Controllers) Start(controller int) error {
 	settingsFile, err := c.writeSettings(controller)
 	if err != nil {
-		return fmt.Errorf("settings of %s: %w", ControllerName(controller), err)
+		return fmt.Errorf("write settings of %s: %w", ControllerName(controller), err)
 	}
 	command := slices.Concat(c.command, []string{settingsFile})
 	process, err := StartProcess(command, c.logFile(controller))
 	if err != nil {
-		return fmt.Errorf("start of %s: %w", ControllerName(controller), err)
+		return fmt.Errorf("start %s: %w", ControllerName(controller), err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// writeSettings writes a controller's settings file, as the platform hands it over.
+// writeSettings writes a controller's settings file in the platform's format and returns its path.
 func (c *Controllers) writeSettings(controller int) (string, error) {
 	settings := config.Config{
 		Node: ControllerName(controller), Zone: c.zone(controller),
@@ -124,8 +124,8 @@
 	return c.processes[controller]
 }
 
-// Kill ends a controller's process with a signal that it can't handle. It does nothing if the
-// controller was never started.
+// Kill kills a controller's process with a signal that it can't handle, and waits until the
+// process has exited. It does nothing if the controller was never started.
 func (c *Controllers) Kill(controller int) {
 	process := c.process(controller)
 	if process == nil {
@@ -139,26 +139,27 @@
 	process.Kill()
 }
 
-// KillAll ends every controller's process.
+// KillAll kills every controller's process.
 func (c *Controllers) KillAll() {
 	for controller := range c.processes {
 		c.Kill(controller)
 	}
 }
 
-// Crashed describes the controllers that ended without having been killed, with the last line
-// of their logs.
+// Crashed describes each controller that exited without having been killed, with the last line of
+// its log.
 func (c *Controllers) Crashed() []string {
 	var crashed []string
 	for controller := range c.processes {
 		if process := c.process(controller); process != nil && process.crashed() {
-			crashed = append(crashed, ControllerName(controller)+" ended by itself: "+lastLine(c.logFile(controller)))
+			crashed = append(crashed, ControllerName(controller)+" exited unexpectedly: "+lastLine(c.logFile(controller)))
 		}
 	}
 	return crashed
 }
 
-// Usage returns what each controller has taken; nothing for one that doesn't run.
+// Usage returns the resource usage of each controller. The CPU time includes the controller's
+// killed processes. A controller that isn't running has zero usage.
 func (c *Controllers) Usage() []Usage {
 	usages := make([]Usage, len(c.processes))
 	for controller := range c.processes {
--- a/internal/scale/testbed/controllers_admin.go
+++ b/internal/scale/testbed/controllers_admin.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// NoLeader is what Leader returns if no controller leads.
+// NoLeader is the result of Leader if no controller is the leader.
 const NoLeader = -1
 
-// Leader returns the number of the controller that says it leads, or NoLeader.
+// Leader returns the number of the first controller that reports the leader role, or NoLeader.
 func (c *Controllers) Leader(ctx context.Context) int {
 	for controller := range c.processes {
 		var status struct {
@@ -25,8 +25,8 @@
 	return NoLeader
 }
 
-// HandledMessages returns how many messages of each kind a controller's process has handled
-// since it started; none if it doesn't answer.
+// HandledMessages returns the number of messages that a controller's process has handled since it
+// started, by kind. The map is empty if the controller doesn't respond.
 func (c *Controllers) HandledMessages(ctx context.Context, controller int) map[string]int64 {
 	var metrics struct {
 		Latency map[string]struct {
@@ -42,7 +42,7 @@
 	return handled
 }
 
-// SettingsError is an answer to a change of settings other than 200.
+// SettingsError is a response other than 200 to a settings change.
 type SettingsError struct {
 	Status int
 	Body   string
@@ -50,8 +50,8 @@
 
 func (e *SettingsError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
 
-// ChangeSettings has a controller change what operators may change; a follower asks the leader.
-// It returns once the change is durable, an error otherwise.
+// ChangeSettings sends a patch of the operator settings to a controller; a follower forwards it to
+// the leader. It returns nil only if the change is durable.
 func (c *Controllers) ChangeSettings(ctx context.Context, controller int, patch string) error {
 	url := "http://" + c.addresses.Peer(controller) + "/admin/settings"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPatch, url, strings.NewReader(patch))
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // all of it has been read
+	defer func() { _ = response.Body.Close() }() // the whole body has been read
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
@@ -73,20 +73,21 @@
 	return nil
 }
 
-// Healthy tells whether a controller passes the load balancer's health check.
+// Healthy reports whether a controller passes the load balancer's health check.
 func (c *Controllers) Healthy(ctx context.Context, controller int) bool {
 	_, ok := c.get(ctx, "http://"+c.addresses.API(controller)+"/healthz")
 	return ok
 }
 
-// queryAdmin decodes an answer of a controller's administration API; false: there was none.
+// queryAdmin sends a GET request to a controller's administration API and decodes the response
+// into answer. It returns false if there was no valid response.
 func (c *Controllers) queryAdmin(ctx context.Context, controller int, path string, answer any) bool {
 	body, ok := c.get(ctx, "http://"+c.addresses.Peer(controller)+path)
 	return ok && json.Unmarshal(body, answer) == nil
 }
 
-// get returns the body of an answer with status 200; false: there was none. Why doesn't matter
-// here: controllers are killed on purpose.
+// get returns the body of a response with status 200, or false if there was none. The cause is not
+// returned: controllers are killed on purpose, so failures are expected.
 func (c *Controllers) get(ctx context.Context, url string) ([]byte, bool) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
@@ -96,7 +97,7 @@
 	if err != nil {
 		return nil, false
 	}
-	defer func() { _ = response.Body.Close() }() // all of it has been read
+	defer func() { _ = response.Body.Close() }() // the whole body has been read
 	body, err := io.ReadAll(response.Body)
 	return body, err == nil && response.StatusCode == http.StatusOK
 }
--- a/internal/scale/testbed/controllers_test.go
+++ b/internal/scale/testbed/controllers_test.go
@@ -28,7 +28,7 @@
 			}
 			command, err := ControllerCommand(file)
 			if !errors.Is(err, test.wantErr) || !slices.Equal(command, test.want) {
-				t.Errorf("%q and %v, not %q and %v", command, err, test.want, test.wantErr)
+				t.Errorf("got %q and error %v, want %q and error %v", command, err, test.want, test.wantErr)
 			}
 		})
 	}
@@ -36,6 +36,6 @@
 
 func TestControllerCommandWithoutDeployFile(t *testing.T) {
 	if _, err := ControllerCommand(filepath.Join(t.TempDir(), "missing.toml")); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("%v", err)
+		t.Errorf("error is %v, want fs.ErrNotExist", err)
 	}
 }
--- a/internal/scale/testbed/flags.go
+++ b/internal/scale/testbed/flags.go
@@ -9,20 +9,20 @@
 	"oakpick/internal/config"
 )
 
-// FlagError says that the value of a command line flag is out of the range that its tag gives.
+// FlagError reports a command line flag whose value breaks a rule of its validate tag.
 type FlagError struct {
-	Flag       string // without dashes, with the index of an element: "steps[1]"
-	Rule       string // of package validator: "gte", "oneof"
-	RuleValues string // "2"
+	Flag       string // without dashes; an element of a list has its index: "steps[1]"
+	Rule       string // name of a rule of package validator: "gte", "oneof"
+	RuleValues string // parameter of the rule: "2"
 }
 
-// Error names the flag and the range.
+// Error names the flag and the rule.
 func (e *FlagError) Error() string {
 	return fmt.Sprintf("--%s: out of range (%s %s)", e.Flag, e.Rule, e.RuleValues)
 }
 
-// CheckFlags returns an error, mostly a *FlagError, for every field whose validate tag doesn't
-// hold. The fields' name tags are the flags.
+// CheckFlags validates the fields of a struct by their validate tags and returns an error, usually
+// a *FlagError, for each violation. A field's name tag is the name of its flag.
 func CheckFlags(parameters any) []error {
 	err := config.NewValidator("name").Struct(parameters)
 	if err == nil {
--- a/internal/scale/testbed/flags_test.go
+++ b/internal/scale/testbed/flags_test.go
@@ -26,12 +26,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			problems := CheckFlags(&test.flags)
 			if len(problems) != len(test.want) {
-				t.Fatalf("%v, not %v", problems, test.want)
+				t.Fatalf("got %v, want %v", problems, test.want)
 			}
 			for i, problem := range problems {
 				var got *FlagError
 				if !errors.As(problem, &got) || *got != test.want[i] {
-					t.Errorf("%v, not %+v", problem, test.want[i])
+					t.Errorf("got %v, want %+v", problem, test.want[i])
 				}
 			}
 		})
--- a/internal/scale/testbed/health_probe.go
+++ b/internal/scale/testbed/health_probe.go
@@ -7,12 +7,12 @@
 
 const (
 	healthCheckInterval = time.Second
-	// unhealthyThreshold is how many more failures than successes take a controller out of the
-	// load balancer.
+	// unhealthyThreshold is the failure count at which the load balancer removes a controller. A
+	// failed check adds one to the count, a successful check subtracts one.
 	unhealthyThreshold = 2
 )
 
-// probeHealth makes the load balancer's health checks until the context ends or the loop stops.
+// probeHealth runs the load balancer's health checks until the context ends or the loop stops.
 func (t *Testbed) probeHealth(ctx context.Context) {
 	failures := make([]int, len(t.World.Controllers))
 	ticker := time.NewTicker(healthCheckInterval)
@@ -36,7 +36,8 @@
 	}
 }
 
-// setHealth tells the load balancer about a controller whose failures are decisive.
+// setHealth marks a controller as unhealthy in the load balancer if its failure count has reached
+// the threshold, and as healthy if the count is 0. In between, the state doesn't change.
 func (t *Testbed) setHealth(controller, failures int) {
 	if failures != 0 && failures != unhealthyThreshold {
 		return
--- a/internal/scale/testbed/interrupted.go
+++ b/internal/scale/testbed/interrupted.go
@@ -5,8 +5,8 @@
 	"errors"
 )
 
-// Interrupted tells whether a run ended because its context did, so that its report is partial
-// but in order.
+// Interrupted reports whether a run ended because its context was cancelled or timed out. The
+// report of such a run is partial but valid.
 func Interrupted(err error) bool {
 	return errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
 }
--- a/internal/scale/testbed/meter.go
+++ b/internal/scale/testbed/meter.go
@@ -9,7 +9,7 @@
 	"oakpick/internal/latency"
 )
 
-// TrafficKind tells apart what connections are for. Its text is the key in reports.
+// TrafficKind is the purpose of a connection. Its text is the key in reports.
 type TrafficKind string
 
 // The kinds of traffic.
@@ -21,29 +21,29 @@
 	CloudTraffic     TrafficKind = "cloud"
 )
 
-// TrafficKinds returns all kinds, in the order of reports.
+// TrafficKinds returns all kinds in the order in which reports list them.
 func TrafficKinds() []TrafficKind {
 	return []TrafficKind{HeartbeatTraffic, CommandTraffic, UserTraffic, StateTraffic, CloudTraffic}
 }
 
-// Traffic is what went over the connections of one kind since the start.
+// Traffic is the traffic of one kind since the start of the run.
 type Traffic struct {
 	Messages int64
-	Bytes    int64 // both ways, with headers
+	Bytes    int64 // in both directions, with headers
 }
 
 // trafficCounter counts one kind of traffic.
 type trafficCounter struct{ messages, bytes atomic.Int64 }
 
-// Meter counts messages, bytes and answers, and records latencies.
+// Meter counts messages, bytes and responses, and records latencies.
 type Meter struct {
-	// Latencies are recorded by operation.
+	// Latencies holds the latencies of successful requests by operation.
 	Latencies *latency.Recorder
 
 	counters map[TrafficKind]*trafficCounter
 
 	mu             sync.Mutex
-	responseCounts map[string]int64
+	responseCounts map[string]int64 // by operation and status
 }
 
 func newMeter() *Meter {
@@ -54,7 +54,7 @@
 	return m
 }
 
-// Traffic returns what has gone over the connections so far.
+// Traffic returns the traffic of each kind so far.
 func (m *Meter) Traffic() map[TrafficKind]Traffic {
 	traffic := make(map[TrafficKind]Traffic, len(m.counters))
 	for kind, counter := range m.counters {
@@ -63,15 +63,15 @@
 	return traffic
 }
 
-// ResponseCounts returns how often each operation got each status since the last Reset.
+// ResponseCounts returns the number of responses by operation and status since the last Reset.
 func (m *Meter) ResponseCounts() map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return maps.Clone(m.responseCounts)
 }
 
-// Reset empties the latencies and the counts of answers, when a measurement begins. Traffic
-// goes on being counted.
+// Reset clears the latencies and the response counts when a measurement begins. It doesn't reset
+// the traffic counters.
 func (m *Meter) Reset() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,40 +81,40 @@
 
 func (m *Meter) countMessage(kind TrafficKind) { m.counters[kind].messages.Add(1) }
 
-// countResponse counts an answer by its operation and status.
+// countResponse counts a response under a key that names its operation and status.
 func (m *Meter) countResponse(operationAndStatus string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.responseCounts[operationAndStatus]++
 }
 
-// countingConn counts the bytes of a connection, both ways.
+// countingConn is a connection that counts the bytes it reads and writes.
 type countingConn struct {
 	net.Conn
 	counter *trafficCounter
 }
 
-// Read reads and counts.
+// Read reads from the connection and counts the bytes.
 func (c countingConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	c.counter.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes to the connection and counts the bytes.
 func (c countingConn) Write(buffer []byte) (int, error) {
 	n, err := c.Conn.Write(buffer)
 	c.counter.bytes.Add(int64(n))
 	return n, err
 }
 
-// countingListener counts the bytes of the connections that it accepts.
+// countingListener is a listener that counts the bytes of the connections it accepts.
 type countingListener struct {
 	net.Listener
 	counter *trafficCounter
 }
 
-// Accept waits for a connection.
+// Accept waits for a connection and returns it as a countingConn.
 func (l countingListener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/scale/testbed/multi_listener.go
+++ b/internal/scale/testbed/multi_listener.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// multiListener is one net.Listener for many addresses, so that thousands of simulated workers
-// share a server.
+// multiListener is one net.Listener for many addresses. It lets one server serve thousands of
+// simulated workers.
 type multiListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
@@ -20,7 +20,7 @@
 	return &multiListener{connections: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// listen accepts connections to one more address, until Close.
+// listen starts to accept connections to an additional address. Close ends it.
 func (m *multiListener) listen(address string) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -37,12 +37,12 @@
 	for {
 		connection, err := listener.Accept()
 		if err != nil {
-			return // it was closed
+			return // the listener was closed
 		}
 		select {
 		case m.connections <- connection:
 		case <-m.closed:
-			_ = connection.Close() // the run is over
+			_ = connection.Close() // multiListener was closed
 			return
 		}
 	}
@@ -58,17 +58,17 @@
 	}
 }
 
-// Close closes every listener.
+// Close closes the listeners of all addresses. It always returns nil.
 func (m *multiListener) Close() error {
 	m.closeOnce.Do(func() { close(m.closed) })
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, listener := range m.listeners {
-		_ = listener.Close() // nothing is left to be done if it was closed already
+		_ = listener.Close() // it may have been closed already
 	}
 	m.listeners = nil
 	return nil
 }
 
-// Addr is the loopback network: the listener has no single address.
+// Addr returns the loopback network, because the listener has no single address.
 func (*multiListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 0)} }
--- a/internal/scale/testbed/multi_listener_test.go
+++ b/internal/scale/testbed/multi_listener_test.go
@@ -9,7 +9,7 @@
 func TestMultiListenerAcceptsFromEveryAddressUntilClosed(t *testing.T) {
 	addresses := NewAddresses()
 	listener := newMultiListener()
-	t.Cleanup(func() { _ = listener.Close() }) // it never fails
+	t.Cleanup(func() { _ = listener.Close() }) // always nil
 	for worker := range 2 {
 		address := addresses.Worker(worker)
 		if err := listener.listen(address); err != nil {
@@ -27,13 +27,13 @@
 		}
 		t.Cleanup(func() { _ = connection.Close() }) // nothing was written
 		if got := connection.LocalAddr().String(); got != address {
-			t.Errorf("a connection to %s came as one to %s", address, got)
+			t.Errorf("connection to %s has the local address %s", address, got)
 		}
 	}
 	if err := listener.Close(); err != nil {
 		t.Error(err)
 	}
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("after Close: %v", err)
+		t.Errorf("Accept after Close returned %v, want net.ErrClosed", err)
 	}
 }
--- a/internal/scale/testbed/process.go
+++ b/internal/scale/testbed/process.go
@@ -10,22 +10,22 @@
 	"github.com/prometheus/procfs"
 )
 
-// Process is a program that this one has started.
+// Process is a child process of this program.
 type Process struct {
 	command *exec.Cmd
 	exited  chan struct{}
-	killed  atomic.Bool // by this run
+	killed  atomic.Bool // by Kill
 }
 
-// StartProcess starts a program whose output is appended to a file. The kernel kills it if this
-// process ends, however that happens.
+// StartProcess starts a program and appends its output to a log file. The kernel kills the program
+// when this process ends, even if this process crashes or is killed.
 func StartProcess(command []string, logFile string) (*Process, error) {
 	log, err := os.OpenFile(logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = log.Close() }()              // the program has a descriptor of its own
-	cmd := exec.Command(command[0], command[1:]...) //nolint:noctx // it is ended by Kill, which waits for it
+	defer func() { _ = log.Close() }()              // the child process has its own descriptor
+	cmd := exec.Command(command[0], command[1:]...) //nolint:noctx // Kill ends the process and waits for it
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
@@ -33,26 +33,26 @@
 	}
 	p := &Process{command: cmd, exited: make(chan struct{})}
 	go func() {
-		_ = cmd.Wait() // how it ended shows in killed, and in its log
+		_ = cmd.Wait() // the killed field and the log tell how the process ended
 		close(p.exited)
 	}()
 	return p, nil
 }
 
-// Exited is closed once the process has ended.
+// Exited returns a channel that is closed when the process has exited.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-// Kill ends the process with a signal that it can't handle, and waits until it has ended.
+// Kill kills the process with a signal that it can't handle, and waits until it has exited.
 func (p *Process) Kill() {
 	p.killed.Store(true)
-	_ = p.command.Process.Kill() // it may have ended already
+	_ = p.command.Process.Kill() // the process may have exited already
 	<-p.exited
 }
 
-// Suspend stops the process without ending it.
-func (p *Process) Suspend() { _ = p.command.Process.Signal(syscall.SIGSTOP) } // it may have ended
+// Suspend stops the process without killing it, so that it hangs.
+func (p *Process) Suspend() { _ = p.command.Process.Signal(syscall.SIGSTOP) } // the process may have exited already
 
-// crashed tells whether the process ended without having been killed.
+// crashed reports whether the process exited without having been killed.
 func (p *Process) crashed() bool {
 	select {
 	case <-p.exited:
@@ -62,14 +62,14 @@
 	}
 }
 
-// Usage is the resources that a controller has taken since the run began.
+// Usage is the resource usage of a controller.
 type Usage struct {
-	CPUSeconds float64 `json:"cpu_s"`
+	CPUSeconds float64 `json:"cpu_s"`     // since the run began
 	MemoryMB   float64 `json:"memory_mb"` // resident
-	Sockets    int     `json:"sockets"`
+	Sockets    int     `json:"sockets"`   // open
 }
 
-// usage reads what the process takes; false: it has ended.
+// usage reads the resource usage of the process. It returns false if the process has exited.
 func (p *Process) usage() (Usage, bool) {
 	proc, err := procfs.NewProc(p.command.Process.Pid)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return usage, true
 }
 
-// lastLine is the end of a log, or why it can't be read.
+// lastLine returns the last line of a log, or the error message if the log can't be read.
 func lastLine(logFile string) string {
 	text, err := os.ReadFile(logFile)
 	if err != nil {
--- a/internal/scale/testbed/process_test.go
+++ b/internal/scale/testbed/process_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// startShell starts a shell script, which is killed at the end of the test.
+// startShell starts a shell script. The process is killed at the end of the test.
 func startShell(t *testing.T, script string) (process *Process, logFile string) {
 	t.Helper()
 	logFile = filepath.Join(t.TempDir(), "log")
@@ -22,13 +22,13 @@
 	process, logFile := startShell(t, "echo first; echo last >&2")
 	<-process.Exited()
 	if !process.crashed() {
-		t.Error("it isn't called crashed")
+		t.Error("a process that exited by itself is not reported as crashed")
 	}
 	if last := lastLine(logFile); last != "last" {
-		t.Errorf("the last line is %q", last)
+		t.Errorf("last log line is %q", last)
 	}
 	if _, running := process.usage(); running {
-		t.Error("it takes something still")
+		t.Error("an exited process still has a resource usage")
 	}
 }
 
@@ -37,30 +37,30 @@
 	process.Suspend()
 	process.Kill()
 	if process.crashed() {
-		t.Error("it is called crashed")
+		t.Error("a killed process is reported as crashed")
 	}
 }
 
-// A process that has only just started has no resident memory yet.
+// A process that has just started has no resident memory yet, so the test polls.
 func TestUsageHasResidentMemoryOnceProcessRuns(t *testing.T) {
 	const wait, interval = 10 * time.Second, time.Millisecond
 	process, _ := startShell(t, "exec sleep 600")
 	for deadline := time.Now().Add(wait); ; time.Sleep(interval) {
 		usage, running := process.usage()
 		if !running {
-			t.Fatal("it has ended")
+			t.Fatal("the process exited")
 		}
 		if usage.MemoryMB > 0 {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("after %v it takes nothing: %+v", wait, usage)
+			t.Fatalf("no resident memory after %v: %+v", wait, usage)
 		}
 	}
 }
 
 func TestStartProcessThatDoesNotExist(t *testing.T) {
 	if _, err := StartProcess([]string{"/nothing/that/could/start"}, filepath.Join(t.TempDir(), "log")); err == nil {
-		t.Error("it started")
+		t.Error("a program that doesn't exist was started")
 	}
 }
--- a/internal/scale/testbed/progress_log.go
+++ b/internal/scale/testbed/progress_log.go
@@ -6,18 +6,18 @@
 	"sync"
 )
 
-// ProgressLog writes what a run is at, a line at a time, for any goroutine.
+// ProgressLog writes progress lines of a run. Several goroutines may use it at the same time.
 type ProgressLog struct {
 	mu     sync.Mutex
 	writer io.Writer
 }
 
-// NewProgressLog returns a log that writes to a writer.
+// NewProgressLog returns a ProgressLog that writes to the writer.
 func NewProgressLog(writer io.Writer) *ProgressLog { return &ProgressLog{writer: writer} }
 
-// Logf writes a line. A run goes on if that fails.
+// Logf writes a line. It ignores write errors, because a run doesn't depend on its progress log.
 func (p *ProgressLog) Logf(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, _ = fmt.Fprintf(p.writer, format+"\n", args...) // the run doesn't depend on its progress
+	_, _ = fmt.Fprintf(p.writer, format+"\n", args...)
 }
--- a/internal/scale/testbed/request_sender.go
+++ b/internal/scale/testbed/request_sender.go
@@ -15,14 +15,14 @@
 )
 
 // requestSender sends the requests of simulated workers and users to the real controllers. Each
-// worker has a connection of its own, from its own address.
+// worker has its own connection, from its own address.
 type requestSender struct {
 	loop           *worldLoop
 	meter          *Meter
 	apiAddresses   []string                     // by controller
-	workers        map[string]*workerConnection // by machine
+	workers        map[string]*workerConnection // by machine name
 	users          []*fasthttp.HostClient       // by controller
-	onUserResponse func(now time.Duration)      // the loop calls it
+	onUserResponse func(now time.Duration)      // called by the loop when a user's request succeeds
 }
 
 // workerConnection is a worker's connection to the controller that it sends heartbeats to.
@@ -31,16 +31,16 @@
 	client     *fasthttp.HostClient
 }
 
-// Timeouts of workers, by the protocol.
+// Timeouts of workers as specified by the protocol.
 const (
 	heartbeatTimeout = 4 * time.Second
 	connectTimeout   = 500 * time.Millisecond
 )
 
-// idleTimeout is for how long unused connections are kept: longer than a run.
+// idleTimeout is the time until an unused connection is closed. It is longer than a run.
 const idleTimeout = time.Hour
 
-// Buffers of a connection, in bytes; thousands of them are open.
+// Buffer sizes of a connection. They are small because thousands of connections are open.
 const (
 	readBufferBytes  = 4096
 	writeBufferBytes = 1024
@@ -56,14 +56,15 @@
 	return s
 }
 
-// newClient makes a client of one controller; from is the address to connect from, nil: any.
+// newClient returns a client of one controller. The client connects from the given local address,
+// or from any if it is nil.
 func (s *requestSender) newClient(to string, from net.Addr, kind TrafficKind, connections int) *fasthttp.HostClient {
 	dialer := net.Dialer{Timeout: connectTimeout, LocalAddr: from}
 	return &fasthttp.HostClient{
 		Addr: to, MaxConns: connections, MaxIdemponentCallAttempts: 1, RetryIfErr: rpc.NeverRetry, NoDefaultUserAgentHeader: true,
 		MaxIdleConnDuration: idleTimeout, ReadBufferSize: readBufferBytes, WriteBufferSize: writeBufferBytes,
 		Dial: func(address string) (net.Conn, error) {
-			connection, err := dialer.Dial("tcp4", address) // fasthttp gives no context; the dialer has a timeout
+			connection, err := dialer.Dial("tcp4", address) // fasthttp provides no context; the dialer has a timeout
 			if err != nil {
 				return nil, err
 			}
@@ -72,8 +73,8 @@
 	}
 }
 
-// sendTo returns how the simulated world sends requests to a controller. The loop calls it, and
-// the replies come back through the loop.
+// sendTo returns the function by which the simulated world sends requests to a controller. The
+// loop calls that function and the reply callbacks.
 func (s *requestSender) sendTo(controller int) fake.RemoteSend {
 	return func(request message.Request, reply func(message.Reply)) {
 		switch r := request.(type) {
@@ -88,14 +89,15 @@
 func (s *requestSender) sendHeartbeat(controller int, heartbeat *protocol.Heartbeat, reply func(message.Reply)) {
 	client := s.workerClient(controller, heartbeat)
 	s.meter.countMessage(HeartbeatTraffic)
-	go func() { // ends with the timeout
+	go func() { // ends with the request's timeout at the latest
 		body := protocol.EncodeHeartbeat(heartbeat)
 		answer := send(client, httpRequest{http.MethodPost, protocol.PathHeartbeat, body, heartbeatTimeout})
 		s.loop.do(func() { reply(answer) })
 	}()
 }
 
-// workerClient returns a worker's connection to a controller. A worker has one at a time.
+// workerClient returns the client of a worker's connection to a controller. A worker has one
+// connection at a time: the function closes its connection to any other controller.
 func (s *requestSender) workerClient(controller int, heartbeat *protocol.Heartbeat) *fasthttp.HostClient {
 	connection := s.workers[heartbeat.Machine]
 	if connection != nil && connection.controller == controller {
@@ -109,7 +111,8 @@
 	return client
 }
 
-// workerAddress is what a worker connects from: its own IP address, with any port.
+// workerAddress returns the local address of a worker's connections: its own IP address, with any
+// port. It returns nil if the heartbeat's address can't be parsed.
 func workerAddress(heartbeat *protocol.Heartbeat) net.Addr {
 	host, _, err := net.SplitHostPort(heartbeat.Addr)
 	if err != nil {
@@ -121,7 +124,7 @@
 func (s *requestSender) sendUserRequest(controller int, user message.UserRequest, reply func(message.Reply)) {
 	operation, request := userRequest(user)
 	s.meter.countMessage(UserTraffic)
-	go func() { // ends with the timeout
+	go func() { // ends with the request's timeout at the latest
 		startedAt := time.Now()
 		answer := send(s.users[controller], request)
 		took := time.Since(startedAt)
@@ -136,14 +139,14 @@
 	}()
 }
 
-// httpRequest is a request to a controller.
+// httpRequest is an HTTP request to a controller.
 type httpRequest struct {
 	method, path string
-	body         []byte // nil: none
+	body         []byte // nil if there is none
 	timeout      time.Duration
 }
 
-// userRequest returns the name in reports and the HTTP form of a user's request.
+// userRequest returns a user's request as an HTTP request, with its operation name for reports.
 func userRequest(user message.UserRequest) (operation string, request httpRequest) {
 	const submitTimeout, pollTimeout = protocol.SubmitTimeoutS * time.Second, protocol.PollTimeoutS * time.Second
 	switch user.Kind {
@@ -157,7 +160,7 @@
 	}
 }
 
-// send sends a request; a reply with status 0 says that there was no answer.
+// send sends a request. It returns a reply with status 0 if there was no response.
 func send(client *fasthttp.HostClient, request httpRequest) message.Reply {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -176,11 +179,12 @@
 	}
 }
 
-// retryAfterSeconds reads the header that asks a user to wait; 0: there is none.
+// retryAfterSeconds returns the value of the Retry-After header, or 0 if it is missing or not a
+// number of seconds.
 func retryAfterSeconds(res *fasthttp.Response) int {
 	seconds, err := strconv.Atoi(string(res.Header.Peek("Retry-After")))
 	if err != nil {
-		return 0 // none was given
+		return 0
 	}
 	return seconds
 }
--- a/internal/scale/testbed/servers.go
+++ b/internal/scale/testbed/servers.go
@@ -12,12 +12,13 @@
 	"oakpick/internal/transport"
 )
 
-// simulatedServers serve, over real sockets, what controllers connect to: the state service, the
-// cloud and the workers' command listeners. All of them hand requests to the simulated world.
+// simulatedServers serves the components that controllers connect to over real sockets: the state
+// service, the cloud and the workers' command listeners. It forwards requests to the simulated
+// world.
 type simulatedServers struct {
 	loop         *worldLoop
 	meter        *Meter
-	machineNames sync.Map // string by the address on which the worker listens
+	machineNames sync.Map // machine name by the worker's listen address
 
 	stateRate *rate.Limiter
 
@@ -26,7 +27,7 @@
 	workers   *multiListener
 }
 
-// maxConcurrentRequests is more than all connections of a run.
+// maxConcurrentRequests is larger than the number of connections of a run.
 const maxConcurrentRequests = 1 << 20
 
 func newSimulatedServers(loop *worldLoop, meter *Meter, stateRPS float64) *simulatedServers {
@@ -35,7 +36,8 @@
 	}
 }
 
-// open listens for the state service, the cloud and the workers.
+// open starts the servers of the state service, the cloud and the workers. Workers get their
+// listen addresses by openWorkerListener.
 func (s *simulatedServers) open(addresses Addresses) error {
 	for _, server := range []struct {
 		address string
@@ -63,17 +65,17 @@
 	}
 	s.servers = append(s.servers, server)
 	counted := countingListener{listener, s.meter.counters[kind]}
-	go func() { _ = server.Serve(counted) }() // it ends when close closes the listener
+	go func() { _ = server.Serve(counted) }() // returns when close closes the listener
 }
 
-// close stops listening, and has open connections closed.
+// close closes all listeners and starts the shutdown of the servers, which closes open connections.
 func (s *simulatedServers) close() {
 	for _, listener := range s.listeners {
-		_ = listener.Close() // nothing can be done about it at the end
+		_ = listener.Close() // an error at the end of a run is ignored
 	}
-	_ = s.workers.Close() // it never fails
+	_ = s.workers.Close() // always nil
 	for _, server := range s.servers {
-		// Not waited for: controllers that were killed may have left connections half closed.
+		// Shutdown is not waited for: killed controllers may have left connections half closed.
 		go func() { _ = server.Shutdown() }()
 	}
 }
@@ -86,7 +88,8 @@
 	}
 }
 
-// respond answers with a body that is encoded already, or is to be; nil: none.
+// respond sends a response. A body of type []byte is sent as it is, any other body is encoded, and
+// nil stands for no body.
 func respond(ctx *fasthttp.RequestCtx, status int, body any) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType(protocol.ContentType)
@@ -97,10 +100,10 @@
 	}
 }
 
-// respondInvalid refuses a request that can't be read.
+// respondInvalid rejects a request that can't be decoded.
 func respondInvalid(ctx *fasthttp.RequestCtx) { respond(ctx, http.StatusBadRequest, nil) }
 
-// dropConnection closes a connection without an answer.
+// dropConnection closes a connection without a response.
 func dropConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(net.Conn) {})
--- a/internal/scale/testbed/spec.go
+++ b/internal/scale/testbed/spec.go
@@ -7,31 +7,31 @@
 	"oakpick/internal/protocol"
 )
 
-// Spec is the size of a testbed and the settings of its controllers.
+// Spec defines the size of a testbed and the settings of its controllers.
 type Spec struct {
 	Workers      int // machines that can be provisioned
-	Accelerators int // among them, AcceleratorsPerMachine to a machine
-	RunningTasks int // tasks at a time
-	Teams        int // each with a quota
-	LargestGang  int // tasks
+	Accelerators int // total, with AcceleratorsPerMachine on each machine that has any
+	RunningTasks int // running at the same time
+	Teams        int // each has a quota
+	LargestGang  int // tasks in the largest gang
 	Controllers  int
 
-	HeartbeatIntervalS float64 // seconds
-	LeaseS             float64 // of a worker, seconds
-	CancelWithinS      float64 // seconds until a cancelled job's tasks are gone
+	HeartbeatIntervalS float64
+	LeaseS             float64 // of a worker
+	CancelWithinS      float64 // time within which the tasks of a cancelled job end
 
-	StateRPS      float64 // requests a second that the state service takes
-	StateWriteRPS float64 // keys a second that may be written there
-	StateValueKB  float64 // largest value there, KiB
+	StateRPS      float64 // request limit of the state service
+	StateWriteRPS float64 // written keys per second, limit of the state service
+	StateValueKB  float64 // largest value in the state service, KiB
 
-	CPU            float64 // cores; not enforced
-	MemoryMB       float64 // MiB; not enforced
+	CPU            float64 // cores of a controller; not enforced
+	MemoryMB       float64 // MiB of a controller; not enforced
 	MaxConnections int     // of a controller
 
 	Seed uint64
 }
 
-// AcceleratorsPerMachine is how many accelerators a machine has that has any.
+// AcceleratorsPerMachine is the number of accelerators on a machine of the accelerated type.
 const AcceleratorsPerMachine = 8
 
 // Names of the simulated machine types.
@@ -43,18 +43,17 @@
 // UrgentClass is the class of jobs for which the controllers have a service-level objective.
 const UrgentClass = "urgent"
 
-// userConnectionDivisor is the part of a controller's connections that users may take: one of
-// so many.
+// userConnectionDivisor is the ratio of a controller's connections to those that users may take.
 const userConnectionDivisor = 15
 
-// userConnections is how many connections the users keep to a controller.
+// userConnections returns how many connections users may have to each controller.
 func (s Spec) userConnections() int { return max(1, s.MaxConnections/userConnectionDivisor) }
 
-// AcceleratedMachines is how many machines have accelerators.
+// AcceleratedMachines returns the number of machines with accelerators.
 func (s Spec) AcceleratedMachines() int { return s.Accelerators / AcceleratorsPerMachine }
 
-// capacity is how many machines of each type a zone has, so that the zones together have at
-// least as many as there are workers.
+// capacity returns the number of machines of each type in a zone. It is rounded up, so that all
+// zones together have at least as many machines as there are workers.
 func (s Spec) capacity(zones int) map[string]int {
 	perZone := func(machines int) int { return (machines + zones - 1) / zones }
 	return map[string]int{
@@ -63,13 +62,13 @@
 	}
 }
 
-// tasksPerMachine leaves a tenth more room than the running tasks need, for those that come and
-// go.
+// tasksPerMachine returns the number of tasks that fit on a machine. It exceeds the running tasks
+// by a tenth, because tasks start and end all the time.
 func (s Spec) tasksPerMachine() float64 {
 	return float64(int(1.1*float64(s.RunningTasks)/float64(s.Workers)) + 1)
 }
 
-// machineTypes are what the simulated cloud offers. A task needs one CPU and one GB.
+// machineTypes returns the machine types of the simulated cloud. A task needs one CPU and one GB.
 func (s Spec) machineTypes(zones []string) []protocol.MachineType {
 	tasks := s.tasksPerMachine()
 	plain := protocol.MachineType{
@@ -80,7 +79,7 @@
 	return []protocol.MachineType{plain, accelerated}
 }
 
-// settings are what every controller gets.
+// settings returns the settings that all controllers share.
 func (s Spec) settings() config.Settings {
 	return config.Settings{
 		Size: s.Controllers, Zones: []string{"z1", "z2", "z3", "z4"},
@@ -97,10 +96,11 @@
 	}
 }
 
-// spareQuotaCPUs is what a team's quota has beyond twice its share and a gang.
+// spareQuotaCPUs is added to a team's quota, on top of twice its share and the largest gang.
 const spareQuotaCPUs = 8
 
-// teams share out the running tasks; each may use twice its share and a gang.
+// teams divides the running tasks equally among the teams. Each team is guaranteed its share; its
+// limit is twice the share plus the largest gang plus spareQuotaCPUs.
 func (s Spec) teams() []config.Team {
 	share := float64(s.RunningTasks) / float64(s.Teams)
 	teams := make([]config.Team, s.Teams)
@@ -112,5 +112,5 @@
 	return teams
 }
 
-// TeamName is the name of a team.
+// TeamName returns the name of a team.
 func TeamName(team int) string { return fmt.Sprintf("team-%02d", team) }
--- a/internal/scale/testbed/state_server.go
+++ b/internal/scale/testbed/state_server.go
@@ -12,7 +12,7 @@
 	"oakpick/internal/storage"
 )
 
-// handleState serves the state service's API, without watches, which no controller uses.
+// handleState serves the state service's API except watches, which controllers don't use.
 func (s *simulatedServers) handleState(ctx *fasthttp.RequestCtx) {
 	s.meter.countMessage(StateTraffic)
 	if !s.stateRate.Allow() {
--- a/internal/scale/testbed/testbed.go
+++ b/internal/scale/testbed/testbed.go
@@ -1,6 +1,7 @@
-// Package testbed runs real controllers, a process each, on one machine beside a simulated
-// world: the workers, users, state service and cloud of package fake behind real sockets, in
-// real time. The scale experiments drive it and measure through it.
+// Package testbed runs real controllers, one process each, and a simulated world on one machine.
+// Package fake simulates the workers, users, state service and cloud; the testbed serves them over
+// real sockets and in real time. The scale experiments use it to apply load and faults and to take
+// measurements.
 package testbed
 
 import (
@@ -13,30 +14,30 @@
 	"oakpick/internal/fake"
 )
 
-// Testbed is the controllers and the simulated world of one experiment.
+// Testbed consists of the controllers and the simulated world of one experiment.
 type Testbed struct {
-	// World belongs to the testbed's loop: read and change it only in functions given to Do and
-	// DoAndWait, and before Start.
+	// World is owned by the testbed's loop. After Start, read and change it only in functions
+	// passed to Do or DoAndWait.
 	World       *fake.World
 	Meter       *Meter
 	Controllers *Controllers
 	Addresses   Addresses
-	Settings    config.Settings // the controllers'
+	Settings    config.Settings // of the controllers
 
 	loop        *worldLoop
 	servers     *simulatedServers
 	sender      *requestSender
-	partitioned map[string]bool // machines that controllers can't reach; the loop owns it
+	partitioned map[string]bool // names of the machines that controllers can't reach; owned by the loop
 
 	stopLoop context.CancelFunc // nil before Start
 	probing  sync.WaitGroup
 }
 
-// maxListedKeys is how many entries the state service lists at a time.
+// maxListedKeys is the largest number of entries in a list response of the state service.
 const maxListedKeys = 1000
 
-// New makes a testbed that is not started yet. The command starts a controller if a settings
-// file is added; settings and logs go to the directory.
+// New returns a testbed that is not yet started. The command starts a controller when the path of
+// a settings file is appended. Settings files and logs are written to the directory.
 func New(spec Spec, command []string, directory string) *Testbed {
 	settings, addresses := spec.settings(), NewAddresses()
 	t := &Testbed{
@@ -60,12 +61,12 @@
 	return t
 }
 
-// OnUserResponse has the loop call a function whenever a user's request succeeds. Set it before
-// Start.
+// OnUserResponse sets a function that the loop calls whenever a user's request succeeds. It must
+// be called before Start.
 func (t *Testbed) OnUserResponse(notify func(now time.Duration)) { t.sender.onUserResponse = notify }
 
-// Start opens the simulated servers and lets the world's time pass. The controllers are to be
-// started after it, and Close is to be called also if Start fails.
+// Start opens the simulated servers and starts the world's clock. Start the controllers after it,
+// and call Close even if Start fails.
 func (t *Testbed) Start(ctx context.Context) error {
 	if err := t.servers.open(t.Addresses); err != nil {
 		return err
@@ -75,13 +76,14 @@
 	return nil
 }
 
-// ProbeHealth makes the load balancer's health checks until the context ends or Close.
+// ProbeHealth starts the load balancer's health checks, which run until the context ends or Close
+// is called.
 func (t *Testbed) ProbeHealth(ctx context.Context) {
 	t.probing.Go(func() { t.probeHealth(ctx) })
 }
 
-// Close ends the controllers and the simulated world, in that order: the controllers speak to
-// the world.
+// Close kills the controllers and then stops the simulated world. This order is needed because the
+// controllers send requests to the world.
 func (t *Testbed) Close() {
 	t.Controllers.KillAll()
 	if t.stopLoop != nil {
@@ -92,34 +94,37 @@
 	t.servers.close()
 }
 
-// Do has the loop call a function, and doesn't wait for it.
+// Do queues a function for the loop and returns without waiting for the call.
 func (t *Testbed) Do(call func()) { t.loop.do(call) }
 
-// DoAndWait has the loop call a function. It returns without the call once the loop has stopped.
+// DoAndWait queues a function for the loop and waits for the call. If the loop has stopped, it
+// returns without the call.
 func (t *Testbed) DoAndWait(call func()) { t.loop.doAndWait(call) }
 
-// Partition keeps controllers and these machines from reaching each other. The loop calls it.
+// Partition blocks the network between the controllers and the given machines. Call it only on the
+// loop.
 func (t *Testbed) Partition(machines []string) {
 	for _, machine := range machines {
 		t.partitioned[machine] = true
 	}
 }
 
-// HealPartition undoes Partition. The loop calls it.
+// HealPartition ends all partitions. Call it only on the loop.
 func (t *Testbed) HealPartition() { clear(t.partitioned) }
 
-// Latencies of the components outside, on top of the machine's own.
+// Simulated latencies of external components, in addition to those of the machine itself.
 const (
-	stateLatency     = 6 * time.Millisecond
-	slowStateLatency = 200 * time.Millisecond
-	slowStateShare   = 0.002 // of the state service's answers
-	cloudLatency     = 200 * time.Millisecond
+	stateLatency           = 6 * time.Millisecond
+	slowStateResponseDelay = 200 * time.Millisecond
+	slowStateShare         = 0.002 // fraction of the state service's responses
+	cloudLatency           = 200 * time.Millisecond
 )
 
-// networkStream is the stream of random numbers; the workload draws from another.
+// networkStream selects the network's random number stream; the workload uses another stream.
 const networkStream = 2
 
-// network returns the simulated network: latencies and partitioned machines.
+// network returns the simulated network: it delays messages and drops those of partitioned
+// machines.
 func (t *Testbed) network(seed uint64) func(kind, from, to string) fake.Delivery {
 	random := rand.New(rand.NewPCG(seed, networkStream))
 	return func(kind, from, to string) fake.Delivery {
@@ -128,7 +133,7 @@
 		case fake.KindState:
 			delivery.RequestDelay, delivery.ResponseDelay = stateLatency/2, stateLatency/2
 			if random.Float64() < slowStateShare {
-				delivery.ResponseDelay = slowStateLatency
+				delivery.ResponseDelay = slowStateResponseDelay
 			}
 		case fake.KindCloud:
 			delivery.RequestDelay, delivery.ResponseDelay = cloudLatency/2, cloudLatency/2
--- a/internal/scale/testbed/worker_server.go
+++ b/internal/scale/testbed/worker_server.go
@@ -10,7 +10,8 @@
 	"oakpick/internal/rpc"
 )
 
-// handleCommands has the worker whose address was connected to execute a leader's commands.
+// handleCommands passes a leader's commands to the simulated worker that listens on the
+// connection's local address.
 func (s *simulatedServers) handleCommands(ctx *fasthttp.RequestCtx) {
 	s.meter.countMessage(CommandTraffic)
 	machine, ok := s.machineNames.Load(ctx.LocalAddr().String())
--- a/internal/scale/testbed/world_loop.go
+++ b/internal/scale/testbed/world_loop.go
@@ -7,22 +7,22 @@
 	"oakpick/internal/fake"
 )
 
-// worldLoop is the goroutine that owns the simulated world: everything that reads or changes
-// it is a function that the loop calls.
+// worldLoop is the goroutine that owns the simulated world. Code that reads or changes the world
+// runs in functions that the loop calls.
 type worldLoop struct {
 	world   *fake.World
 	calls   chan func()
 	stopped chan struct{}
 }
 
-// maxQueuedCalls is how many calls wait for the loop before the callers do.
+// maxQueuedCalls is the number of calls that can be queued for the loop before callers block.
 const maxQueuedCalls = 4096
 
 func newWorldLoop() *worldLoop {
 	return &worldLoop{calls: make(chan func(), maxQueuedCalls), stopped: make(chan struct{})}
 }
 
-// run advances the world's clock with the real one until the context ends.
+// run advances the world's clock in real time until the context ends.
 func (l *worldLoop) run(ctx context.Context) {
 	defer close(l.stopped)
 	startedAt := time.Now()
@@ -42,7 +42,7 @@
 	}
 }
 
-// do queues a function for the loop; it is dropped once the loop has stopped.
+// do queues a function for the loop. The function is dropped if the loop has stopped.
 func (l *worldLoop) do(call func()) {
 	select {
 	case l.calls <- call:
@@ -50,7 +50,7 @@
 	}
 }
 
-// doAndWait queues a function, and returns once it has been called or the loop has stopped.
+// doAndWait queues a function and waits until it has been called or the loop has stopped.
 func (l *worldLoop) doAndWait(call func()) {
 	called := make(chan struct{})
 	l.do(func() {
@@ -63,8 +63,8 @@
 	}
 }
 
-// callWorld hands a request to the world and waits for its answer; false: there was none within
-// worldCallTimeout.
+// callWorld passes a request to the world and waits for the result. It returns false if there was
+// none within worldCallTimeout or the loop has stopped.
 func callWorld[Result any](l *worldLoop, serve func(answer func(Result))) (Result, bool) {
 	answers := make(chan Result, 1)
 	l.do(func() { serve(func(result Result) { answers <- result }) })
@@ -80,6 +80,6 @@
 	return none, false
 }
 
-// worldCallTimeout is for how long a connection is held that gets no answer. Its client has given
-// up long before.
+// worldCallTimeout limits how long a connection is held for a request without a result. Its client
+// times out long before.
 const worldCallTimeout = 30 * time.Second
--- a/internal/scale/testbed/world_loop_test.go
+++ b/internal/scale/testbed/world_loop_test.go
@@ -8,7 +8,7 @@
 	"oakpick/internal/fake"
 )
 
-// startLoop runs a loop over a world without controllers until the context ends.
+// startLoop starts a loop for a world without controllers. The loop runs until the context ends.
 func startLoop(ctx context.Context) *worldLoop {
 	loop := newWorldLoop()
 	loop.world = fake.NewLive(config.Settings{}, nil, nil, nil)
@@ -19,7 +19,7 @@
 func TestCallWorldReturnsAnswer(t *testing.T) {
 	loop := startLoop(t.Context())
 	if got, ok := callWorld(loop, func(answer func(int)) { answer(3) }); !ok || got != 3 {
-		t.Errorf("%d, answered: %v", got, ok)
+		t.Errorf("got %d, ok: %v", got, ok)
 	}
 }
 
@@ -33,8 +33,8 @@
 	}
 	stop()
 	<-loop.stopped
-	loop.doAndWait(func() { t.Error("a stopped loop called") })
+	loop.doAndWait(func() { t.Error("a stopped loop called a function") })
 	if _, ok := callWorld(loop, func(func(int)) {}); ok {
-		t.Error("a stopped loop answered")
+		t.Error("callWorld returned a result from a stopped loop")
 	}
 }
