--- a/internal/scale/distributionrun/agent_client.go
+++ b/internal/scale/distributionrun/agent_client.go
@@ -14,10 +14,10 @@
 	"oakpick/internal/distribution/agent"
 )
 
-// agentMetrics are an agent's metrics, by the name and labels of each line.
+// agentMetrics holds the values of an agent's metrics by name and labels.
 type agentMetrics map[string]float64
 
-// The metrics that reports are made of.
+// Metrics that reports use.
 const (
 	metricFromPeers    = `oakpick_agent_downloaded_bytes{from="peers"}`
 	metricFromStore    = `oakpick_agent_downloaded_bytes{from="store"}`
@@ -26,7 +26,7 @@
 	metricCPUSeconds   = `process_cpu_seconds_total`
 )
 
-// AgentStatusError says that an agent answered with another status than 200.
+// AgentStatusError reports that an agent responded with a status other than 200.
 type AgentStatusError struct {
 	Agent  string
 	Status string // with its text: "404 Not Found"
@@ -35,10 +35,10 @@
 // Error names the agent and the status.
 func (e *AgentStatusError) Error() string { return e.Agent + ": " + e.Status }
 
-// activeTimeout is for how long an agent may take to tell what it serves.
+// activeTimeout is the timeout of a request for an agent's active manifest.
 const activeTimeout = time.Second
 
-// do sends a request without a body. The caller closes the answer's body.
+// do sends a request without a body. The caller closes the response's body.
 func (a *agentProcess) do(ctx context.Context, method, path string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+a.settings.Listen+path, http.NoBody)
 	if err != nil {
@@ -47,18 +47,18 @@
 	return a.client.Do(request)
 }
 
-// serves tells whether the agent answers at all.
+// serves reports whether the agent responds to HTTP requests.
 func (a *agentProcess) serves(ctx context.Context) bool {
 	response, err := a.do(ctx, http.MethodGet, "/healthz")
 	if err != nil {
 		return false
 	}
-	_ = response.Body.Close() // that there was an answer is enough
+	_ = response.Body.Close() // a response of any kind is sufficient
 	return true
 }
 
-// activeManifest returns the manifest that the agent serves a name from; none if it doesn't
-// tell.
+// activeManifest returns the digest of the manifest that the agent serves under a name, or "" if
+// the agent doesn't report one.
 func (a *agentProcess) activeManifest(ctx context.Context, name string) digest.Digest {
 	ctx, cancel := context.WithTimeout(ctx, activeTimeout)
 	defer cancel()
@@ -66,17 +66,17 @@
 	if err != nil {
 		return ""
 	}
-	defer func() { _ = response.Body.Close() }() // it has none
+	defer func() { _ = response.Body.Close() }() // a response to HEAD has no body
 	return digest.Digest(response.Header.Get(agent.HeaderManifest))
 }
 
-// contentDigest reads all bytes that the agent serves for a name.
+// contentDigest reads the content that the agent serves under a name and returns its digest.
 func (a *agentProcess) contentDigest(ctx context.Context, name string) (digest.Digest, error) {
 	response, err := a.do(ctx, http.MethodGet, agent.PathActive+name)
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = response.Body.Close() }() // all of it has been read, or that failed
+	defer func() { _ = response.Body.Close() }() // no more is read, so an error doesn't matter
 	if response.StatusCode != http.StatusOK {
 		return "", &AgentStatusError{Agent: a.settings.Agent, Status: response.Status}
 	}
@@ -89,17 +89,17 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // all of it has been read, or that failed
+	defer func() { _ = response.Body.Close() }() // no more is read, so an error doesn't matter
 	metrics := agentMetrics{}
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
 		name, value, found := strings.Cut(lines.Text(), " ")
 		if number, err := strconv.ParseFloat(value, 64); found && err == nil {
-			metrics[name] = number // other lines are comments
+			metrics[name] = number // lines without a number are comments
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return metrics, fmt.Errorf("metrics of %s: %w", a.settings.Agent, err)
+		return metrics, fmt.Errorf("read metrics of %s: %w", a.settings.Agent, err)
 	}
 	return metrics, nil
 }
--- a/internal/scale/distributionrun/agent_process.go
+++ b/internal/scale/distributionrun/agent_process.go
@@ -18,7 +18,7 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// agentProcess is a real agent, and a client of what it serves.
+// agentProcess is the process of a real agent, with a client of the agent's HTTP API.
 type agentProcess struct {
 	settings     agent.Settings
 	settingsFile string
@@ -26,11 +26,11 @@
 	command      []string
 	client       *http.Client
 	process      *testbed.Process // nil before the first start
-	failed       atomic.Bool      // killed or hanging for good: it need not become ready
+	failed       atomic.Bool      // killed or suspended permanently by a fault; the run continues without the agent
 }
 
-// newAgentProcess writes an agent's settings to the directory. The command starts an agent if
-// its arguments are added.
+// newAgentProcess writes an agent's settings to the directory. It doesn't start the process. The
+// command starts an agent when --config and the path of the settings file are appended.
 func newAgentProcess(command []string, directory string, settings agent.Settings) (*agentProcess, error) {
 	a := &agentProcess{
 		settings: settings, command: command, client: &http.Client{},
@@ -38,26 +38,26 @@
 	}
 	var text bytes.Buffer
 	if err := toml.NewEncoder(&text).Encode(settings); err != nil {
-		return nil, fmt.Errorf("settings of %s: %w", settings.Agent, err)
+		return nil, fmt.Errorf("encode settings of %s: %w", settings.Agent, err)
 	}
 	return a, os.WriteFile(a.settingsFile, text.Bytes(), 0o600)
 }
 
-// startPollInterval is the time between questions whether an agent serves.
+// startPollInterval is the interval between checks whether a started agent responds.
 const startPollInterval = 20 * time.Millisecond
 
-// AgentExitError says that an agent ended by itself while it started.
+// AgentExitError reports that an agent exited while it was starting.
 type AgentExitError struct{ Agent string }
 
 // Error names the agent.
-func (e *AgentExitError) Error() string { return e.Agent + " ended by itself, see its log" }
+func (e *AgentExitError) Error() string { return e.Agent + " exited unexpectedly; see its log" }
 
-// start starts the process, and returns once it serves.
+// start starts the process and waits until the agent responds to HTTP requests.
 func (a *agentProcess) start(ctx context.Context) error {
 	command := slices.Concat(a.command, []string{"--config", a.settingsFile})
 	process, err := testbed.StartProcess(command, a.logFile)
 	if err != nil {
-		return fmt.Errorf("start of %s: %w", a.settings.Agent, err)
+		return fmt.Errorf("start %s: %w", a.settings.Agent, err)
 	}
 	a.process = process
 	for !a.serves(ctx) {
@@ -72,14 +72,15 @@
 	return nil
 }
 
-// kill ends the process, if it was started, with a signal that it can't handle.
+// kill kills the process, if it was started, with a signal that it can't handle.
 func (a *agentProcess) kill() {
 	if a.process != nil {
 		a.process.Kill()
 	}
 }
 
-// forEachWorking calls a function for all agents that haven't failed for good, at once.
+// forEachWorking calls a function concurrently for each agent that hasn't failed permanently. It
+// returns the first error.
 func forEachWorking(agents []*agentProcess, do func(a *agentProcess) error) error {
 	var group errgroup.Group
 	for _, a := range agents {
--- a/internal/scale/distributionrun/fault_schedule.go
+++ b/internal/scale/distributionrun/fault_schedule.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// faultKind is a kind of fault, by its name on the command line.
+// faultKind is a kind of fault. Its text is the name on the command line.
 type faultKind string
 
 const (
-	killAgentFault          faultKind = "kill"    // the agent that holds most is killed for good
-	restartAgentFault       faultKind = "restart" // the same, and starts again
-	hangAgentFault          faultKind = "hang"    // the same stops without ending, for good
-	killLeaderFault         faultKind = "leader"  // the leader is killed, and starts again
-	storeOutageFault        faultKind = "store"   // the store answers nobody for as long as one alone took
-	corruptResponsesFault   faultKind = "wrong"   // the store's next answers have wrong bytes
-	truncatedResponsesFault faultKind = "cut"     // the store's next answers break off
-	newVersionFault         faultKind = "version" // another version is to be used, with half of the chunks the same
+	killAgentFault          faultKind = "kill"    // kills the incomplete agent with the most chunks
+	restartAgentFault       faultKind = "restart" // kills the incomplete agent with the most chunks and restarts it
+	hangAgentFault          faultKind = "hang"    // suspends the incomplete agent with the most chunks permanently
+	killLeaderFault         faultKind = "leader"  // kills the leader and restarts it
+	storeOutageFault        faultKind = "store"   // makes the store unavailable for as long as the single agent's fetch took
+	corruptResponsesFault   faultKind = "wrong"   // corrupts the next responses of the store
+	truncatedResponsesFault faultKind = "cut"     // truncates the next responses of the store
+	newVersionFault         faultKind = "version" // switches the fleet to another version that has half of its chunks in common
 )
 
 func faultKinds() []string {
@@ -33,27 +33,27 @@
 	return names
 }
 
-// scheduledFault is a fault and when it is injected.
+// scheduledFault is a fault with its time of injection.
 type scheduledFault struct {
 	kind faultKind
-	part float64 // of the time that one agent alone took
+	part float64 // time after the start of the fleet's fetch, as a multiple of the single agent's time
 }
 
-// String is the fault as it is written on the command line.
+// String returns the fault in the syntax of the command line.
 func (f scheduledFault) String() string { return fmt.Sprintf("%s@%g", f.kind, f.part) }
 
-// delay is the time from the start of the fleet's fetch until the fault.
+// delay returns the time from the start of the fleet's fetch until the fault is injected.
 func (f scheduledFault) delay(aloneTime time.Duration) time.Duration {
 	return time.Duration(f.part * float64(aloneTime))
 }
 
-// maxFaultPart is the latest time of a fault, in times that one agent alone took.
+// maxFaultPart is the largest multiple of the single agent's time at which a fault can be injected.
 const maxFaultPart = 10
 
-// FaultSyntaxError says that a fault on the command line can't be read.
+// FaultSyntaxError reports a fault on the command line that can't be parsed.
 type FaultSyntaxError struct{ Text string }
 
-// Error names the fault and what is allowed.
+// Error names the fault and the accepted syntax.
 func (e *FaultSyntaxError) Error() string {
 	return fmt.Sprintf("--faults: %q is not KIND@PART with a kind of %s and a part up to %d", e.Text, strings.Join(faultKinds(), ", "), maxFaultPart)
 }
@@ -67,7 +67,7 @@
 	return scheduledFault{faultKind(kind), number}, nil
 }
 
-// parseFaults returns the faults, or every one that can't be read as an error.
+// parseFaults parses faults from the command line. Its error names every fault that can't be parsed.
 func parseFaults(texts []string) ([]scheduledFault, error) {
 	var faults []scheduledFault
 	var problems []error
--- a/internal/scale/distributionrun/fault_schedule_test.go
+++ b/internal/scale/distributionrun/fault_schedule_test.go
@@ -18,10 +18,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			got, err := parseFault(test.text)
 			if err != nil || got != test.want {
-				t.Errorf("%v and %v, not %v", got, err, test.want)
+				t.Errorf("got %v and error %v, want %v", got, err, test.want)
 			}
 			if got.String() != test.text {
-				t.Errorf("it is written as %s", got)
+				t.Errorf("String returned %s", got)
 			}
 		})
 	}
@@ -29,7 +29,7 @@
 		t.Run("refused "+text, func(t *testing.T) {
 			var syntax *FaultSyntaxError
 			if _, err := parseFault(text); !errors.As(err, &syntax) || syntax.Text != text {
-				t.Errorf("%v", err)
+				t.Errorf("error is %v, want a FaultSyntaxError with the text", err)
 			}
 		})
 	}
@@ -37,6 +37,6 @@
 
 func TestFaultDelayIsMultipleOfAloneTime(t *testing.T) {
 	if got := (scheduledFault{killLeaderFault, 0.5}).delay(3 * time.Second); got != 1500*time.Millisecond {
-		t.Errorf("%v", got)
+		t.Errorf("delay is %v", got)
 	}
 }
--- a/internal/scale/distributionrun/faults.go
+++ b/internal/scale/distributionrun/faults.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// faultyResponses is how many of the store's answers have wrong bytes or break off in a fault.
+	// faultyResponses is the number of the store's responses that one fault corrupts or truncates.
 	faultyResponses = 5
-	// leaderRestartDelay is the time until a killed leader is started again.
+	// leaderRestartDelay is the time from the kill of a leader to its restart.
 	leaderRestartDelay = time.Second
 )
 
-// errAllComplete says that there is no agent that could fail before it holds all.
-var errAllComplete = errors.New("every agent holds all already")
+// errAllComplete is returned if an agent is to fail but none is incomplete.
+var errAllComplete = errors.New("every agent already holds all chunks")
 
-// injectFault injects a fault at its time, unless the context ends before.
+// injectFault waits for the time of a fault and injects it, unless the context ends earlier.
 func (e *experiment) injectFault(ctx context.Context, fault scheduledFault, aloneTime time.Duration) error {
 	if sleep(ctx, fault.delay(aloneTime)) != nil {
-		return nil // all agents are ready
+		return nil // the fleet's fetch has ended
 	}
-	e.progress.Logf("fault: %s", fault.kind)
+	e.progress.Logf("injecting fault: %s", fault.kind)
 	if err := e.applyFault(ctx, fault.kind, aloneTime); err != nil {
-		return fmt.Errorf("fault %s: %w", fault.kind, err)
+		return fmt.Errorf("inject fault %s: %w", fault.kind, err)
 	}
 	e.record(func(report *RunReport) { report.FaultsApplied = append(report.FaultsApplied, fault.String()) })
 	return nil
@@ -43,7 +43,7 @@
 	case storeOutageFault:
 		e.store.unavailable.Store(true)
 		defer e.store.unavailable.Store(false)
-		_ = sleep(ctx, aloneTime) // the outage may end early, when all agents are ready
+		_ = sleep(ctx, aloneTime) // the outage ends early if all agents are ready
 	case corruptResponsesFault:
 		e.store.corruptResponses.Store(faultyResponses)
 	case truncatedResponsesFault:
@@ -54,11 +54,11 @@
 	return nil
 }
 
-// restartLeader kills the leader, and starts it again after a delay.
+// restartLeader kills the leader and restarts it after a delay.
 func (e *experiment) restartLeader(ctx context.Context) error {
 	leader := testbed.NoLeader
-	err := waitUntil(ctx, controlTimeout, "nobody leads", func() bool {
-		// A fault that has begun is carried out, also if all agents get ready meanwhile.
+	err := waitUntil(ctx, controlTimeout, "no controller is the leader", func() bool {
+		// A fault that has begun is completed even if all agents become ready in the meantime.
 		leader = e.testbed.Controllers.Leader(context.WithoutCancel(ctx))
 		return leader != testbed.NoLeader
 	})
@@ -66,11 +66,11 @@
 		return err
 	}
 	e.testbed.Controllers.Kill(leader)
-	time.Sleep(leaderRestartDelay) // not cut short, for the same reason
+	time.Sleep(leaderRestartDelay) // ignores the end of the context: the fault has to be completed
 	return e.testbed.Controllers.Start(leader)
 }
 
-// failAgent fails the agent that holds most without holding all.
+// failAgent kills, restarts or suspends the incomplete agent that holds the most chunks.
 func (e *experiment) failAgent(ctx context.Context, kind faultKind) error {
 	most, err := e.mostCompleteAgent(ctx)
 	if err != nil {
@@ -93,11 +93,11 @@
 	return nil
 }
 
-// mostCompleteAgent returns the agent that holds most without holding all, as the leader knows
-// it.
+// mostCompleteAgent returns the incomplete agent that holds the most chunks, according to the
+// leader.
 func (e *experiment) mostCompleteAgent(ctx context.Context) (tracker.AgentStatus, error) {
 	var status tracker.Status
-	err := waitUntil(ctx, controlTimeout, "no controller tells who holds what", func() bool {
+	err := waitUntil(ctx, controlTimeout, "no controller reports the agents' chunks", func() bool {
 		var err error
 		status, err = e.operator.Status(ctx, fleetName)
 		return err == nil && len(status.Members) > 0
@@ -114,7 +114,7 @@
 	return slices.MaxFunc(incomplete, func(a, b tracker.AgentStatus) int { return a.Chunks - b.Chunks }), nil
 }
 
-// changeVersion has the fleet use another version, with half of the chunks the same.
+// changeVersion switches the fleet to another version that has half of its chunks in common.
 func (e *experiment) changeVersion(ctx context.Context) error {
 	count, size := e.parameters.chunks()
 	version, err := e.store.publishNext(count, size, e.wantedVersion().Chunks[:count/2])
--- a/internal/scale/distributionrun/fleet.go
+++ b/internal/scale/distributionrun/fleet.go
@@ -14,25 +14,26 @@
 	"oakpick/internal/distribution/agent"
 )
 
-// Names of the weights of a run: one agent alone fetches the first, the fleet the second.
+// Names of the weights of a run. A single agent fetches aloneName, then the fleet fetches fleetName.
 const (
 	aloneName = "models/alone"
 	fleetName = "models/fleet"
 )
 
-// A run is given up after minFetchTimeout and so many times what one agent alone took.
+// The timeout of a fetch is minFetchTimeout plus fetchTimeoutFactor times the single agent's time.
+// For the single agent itself, that time is estimated from the version's size and the link's rate.
 const (
 	fetchTimeoutFactor = 20
 	minFetchTimeout    = time.Minute
 )
 
-// Settings of agents.
+// Relations between the settings of agents.
 const (
-	minimumRateDivisor = 64 // the least rate of a source is this part of the link's
-	stallIntervals     = 3  // between inventories, until a fetch has stalled
+	minimumRateDivisor = 64 // the lowest rate accepted from a source is the link's rate divided by it
+	stallIntervals     = 3  // inventory intervals after which a fetch has stalled
 )
 
-// newAgent writes the settings of the i-th agent that fetches a name.
+// newAgent writes the settings of the i-th agent of those that fetch a name.
 func (e *experiment) newAgent(i int, name string) (*agentProcess, error) {
 	p, addresses := e.parameters, e.testbed.Addresses
 	zones := e.testbed.Settings.Zones[:p.Zones]
@@ -60,15 +61,15 @@
 	}
 }
 
-// useVersion has a name refer to a version, however often that has to be asked.
+// useVersion makes a name refer to a version. It repeats the request until a controller accepts it.
 func (e *experiment) useVersion(ctx context.Context, name string, version *distribution.Manifest) error {
-	return waitUntil(ctx, controlTimeout, "the name can't be changed", func() bool {
+	return waitUntil(ctx, controlTimeout, "no controller accepted the version of the name", func() bool {
 		_, err := e.operator.Use(ctx, name, version.Digest)
 		return err == nil
 	})
 }
 
-// runAlone times one agent that fetches everything from the store.
+// runAlone measures how long a single agent takes to fetch a version from the store.
 func (e *experiment) runAlone(ctx context.Context) (time.Duration, error) {
 	count, size := e.parameters.chunks()
 	version, err := e.store.publish(count, size)
@@ -89,18 +90,19 @@
 	}
 	expected := e.parameters.SizeMB / e.parameters.RateMB
 	timeout := minFetchTimeout + time.Duration(fetchTimeoutFactor*expected*float64(time.Second))
-	err = waitUntil(ctx, timeout, "it is not ready", func() bool { return a.activeManifest(ctx, aloneName) == version.Digest })
+	err = waitUntil(ctx, timeout, "the agent does not serve the version", func() bool { return a.activeManifest(ctx, aloneName) == version.Digest })
 	return time.Since(startedAt), err
 }
 
-// fleetFetch is the fleet's fetch of a version while it lasts.
+// fleetFetch describes the fleet's fetch of a version.
 type fleetFetch struct {
-	version    *distribution.Manifest // the first; a fault may change it
+	version    *distribution.Manifest // at the start; newVersionFault doesn't change it
 	startedAt  time.Time
-	sentBefore int64 // bytes that the store sent before
+	sentBefore int64 // bytes that the store had sent at the start
 }
 
-// runFleet times all agents, with faults at their times, and verifies what they serve.
+// runFleet measures how long the fleet takes to fetch a version while faults are injected. Then it
+// verifies the content that the agents serve and reads their metrics.
 func (e *experiment) runFleet(ctx context.Context, aloneTime time.Duration) error {
 	faults, err := parseFaults(e.parameters.Faults)
 	if err != nil {
@@ -121,7 +123,7 @@
 	for _, fault := range faults {
 		background.Go(func() error { return e.injectFault(fetching, fault, aloneTime) })
 	}
-	err = waitUntil(ctx, minFetchTimeout+fetchTimeoutFactor*aloneTime, "not all are ready", func() bool { return e.fleetReady(ctx, fetch) })
+	err = waitUntil(ctx, minFetchTimeout+fetchTimeoutFactor*aloneTime, "not all agents serve the version", func() bool { return e.fleetReady(ctx, fetch) })
 	e.reportFetch(fetch, aloneTime)
 	stop()
 	return errors.Join(err, background.Wait(), e.verify(ctx), e.measure(ctx, fetch.version))
@@ -145,19 +147,19 @@
 	return forEachWorking(e.agents, func(a *agentProcess) error { return a.start(ctx) })
 }
 
-// wantedVersion is what the fleet is to serve.
+// wantedVersion returns the version that the fleet is to serve.
 func (e *experiment) wantedVersion() *distribution.Manifest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.version
 }
 
-// fleetReady tells whether every agent that can serves the wanted version, and records when each
-// did first.
+// fleetReady reports whether every agent that hasn't failed permanently serves the wanted version.
+// It records the time at which each agent first did.
 func (e *experiment) fleetReady(ctx context.Context, fetch fleetFetch) bool {
 	wanted := e.wantedVersion()
 	var notReady atomic.Bool
-	_ = forEachWorking(e.agents, func(a *agentProcess) error { // the function returns no error
+	_ = forEachWorking(e.agents, func(a *agentProcess) error { // always nil
 		if a.activeManifest(ctx, fleetName) != wanted.Digest {
 			notReady.Store(true)
 			return nil
@@ -176,11 +178,11 @@
 	})
 }
 
-// progressInterval is the time between records of how far the agents are.
+// progressInterval is the interval between progress records.
 const progressInterval = 200 * time.Millisecond
 
-// recordProgress records how far the agents are and what the store has sent, until the context
-// ends.
+// recordProgress records the number of chunks of each agent and the bytes that the store has sent,
+// until the context ends.
 func (e *experiment) recordProgress(ctx context.Context, fetch fleetFetch) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
--- a/internal/scale/distributionrun/main_test.go
+++ b/internal/scale/distributionrun/main_test.go
@@ -12,8 +12,8 @@
 	"oakpick/internal/distribution/agent"
 )
 
-// asProcessEnv has the test's own program run as a controller or an agent, so that no other has
-// to be built first.
+// asProcessEnv makes the test binary run as a controller or an agent, so that no other program has to
+// be built for the tests.
 const asProcessEnv = "OAKPICK_TEST_AS_PROCESS"
 
 func TestMain(m *testing.M) {
@@ -25,7 +25,7 @@
 	os.Exit(1)
 }
 
-// runProcess runs an agent or a controller with extensions, as the first argument says.
+// runProcess runs an agent or a controller with extensions, depending on the first argument.
 func runProcess(arguments []string, log *slog.Logger) error {
 	settingsFile := arguments[len(arguments)-1]
 	switch arguments[0] {
--- a/internal/scale/distributionrun/measurement.go
+++ b/internal/scale/distributionrun/measurement.go
@@ -15,10 +15,10 @@
 	"oakpick/internal/distribution/registry"
 )
 
-// errWrongContent says that an agent serves other bytes than those of the version.
-var errWrongContent = errors.New("serves other bytes than the version's")
+// errWrongContent is returned if an agent serves content that differs from the version's.
+var errWrongContent = errors.New("serves content that differs from the version's")
 
-// verify reads every byte that agents serve.
+// verify reads all content that the agents serve and compares its digest with the version's.
 func (e *experiment) verify(ctx context.Context) error {
 	wanted := e.store.contentDigest(e.wantedVersion())
 	return forEachWorking(e.agents, func(a *agentProcess) error {
@@ -34,7 +34,8 @@
 	})
 }
 
-// measure reports what each agent has fetched from where, and what it takes while idle.
+// measure reports how much each agent has fetched from each source, and the resource usage of idle
+// agents.
 func (e *experiment) measure(ctx context.Context, version *distribution.Manifest) error {
 	fetched, err := e.readMetrics(ctx)
 	if err != nil {
@@ -56,11 +57,11 @@
 	return nil
 }
 
-// metricsTimeout is for how long agents may take to tell their metrics.
+// metricsTimeout is the time within which all agents have to return their metrics.
 const metricsTimeout = 30 * time.Second
 
-// readMetrics reads the metrics of all agents that haven't failed for good, by agent. It does so
-// for interrupted runs, too, whose report tells what was fetched until then.
+// readMetrics returns the metrics of all agents that haven't failed permanently, by agent. It ignores
+// the end of the context, so that the report of an interrupted run has the bytes fetched until then.
 func (e *experiment) readMetrics(ctx context.Context) (map[string]agentMetrics, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), metricsTimeout)
 	defer cancel()
@@ -73,21 +74,22 @@
 		byAgent[a.settings.Agent] = metrics
 		return err
 	})
-	if errors.Is(err, context.DeadlineExceeded) { // which is not an interrupted run
+	if errors.Is(err, context.DeadlineExceeded) { // must not pass for the end of the run's context
 		return byAgent, &TimeoutError{After: metricsTimeout, Problem: "an agent doesn't tell its metrics"}
 	}
 	return byAgent, err
 }
 
-// Timeouts of the clients that fetch from the store only. It serves all of them at once, slowly.
+// Timeouts of the clients that fetch only from the store. They are long because the store serves all
+// clients at once, each of them slowly.
 const (
 	clientResponseTimeout = time.Minute
 	clientStallTimeout    = 20 * time.Second
 	clientFetchTimeout    = time.Hour
 )
 
-// runFromStore times as many clients as there are agents, each of which fetches everything from
-// the store, whose uplink they share.
+// runFromStore measures how long as many clients as there are agents take to fetch the version from
+// the store only. The clients share the store's uplink.
 func (e *experiment) runFromStore(ctx context.Context) (time.Duration, error) {
 	version := e.wantedVersion()
 	startedAt := time.Now()
@@ -104,24 +106,24 @@
 	return time.Since(startedAt), err
 }
 
-// StoreFetchError says that a client could not fetch a chunk from the store.
+// StoreFetchError reports that a client could not fetch a chunk from the store.
 type StoreFetchError struct {
 	Chunk distribution.Chunk
-	Fault distribution.Fault // empty: the bytes are wrong
+	Fault distribution.Fault // empty if the content is wrong
 }
 
 // Error names the chunk and the fault.
 func (e *StoreFetchError) Error() string {
-	return fmt.Sprintf("a client that fetches from the store: %s: %q", e.Chunk.Digest, e.Fault)
+	return fmt.Sprintf("fetch from the store: chunk %s: %q", e.Chunk.Digest, e.Fault)
 }
 
-// fetchFromStore fetches and verifies every chunk of a version.
+// fetchFromStore fetches every chunk of a version from the store and verifies its digest.
 func fetchFromStore(ctx context.Context, client *registry.Client, store string, version *distribution.Manifest) error {
 	for _, chunk := range version.Chunks {
 		hash := chunk.Digest.Algorithm().Digester()
 		fetched := client.Blob(ctx, registry.BlobRequest{
 			Address: store, Name: fleetName, Manifest: version.Digest, Chunk: chunk, StallTimeout: clientStallTimeout, Timeout: clientFetchTimeout,
-		}, func(body io.Reader) { _, _ = io.Copy(hash.Hash(), body) }) // the digest tells whether all came
+		}, func(body io.Reader) { _, _ = io.Copy(hash.Hash(), body) }) // the digest shows whether the content is complete
 		if fetched.Fault != "" || hash.Digest() != chunk.Digest {
 			return &StoreFetchError{Chunk: chunk, Fault: fetched.Fault}
 		}
--- a/internal/scale/distributionrun/parameters.go
+++ b/internal/scale/distributionrun/parameters.go
@@ -1,6 +1,7 @@
-// Package distributionrun runs real controllers and real agents that fetch weights, a process
-// each, beside a simulated store on one machine. It times the fleet against one agent alone,
-// injects faults, verifies what agents serve, and reports where the bytes came from.
+// Package distributionrun measures the distribution of weights by real controllers and real agents,
+// one process each, with a simulated store on one machine. It compares the time of a fleet of agents
+// with that of a single agent, injects faults, verifies the content that agents serve, and reports
+// the sources of the bytes.
 package distributionrun
 
 import (
@@ -10,8 +11,8 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// Parameters are the size of the runs and how they go. The tags hold the flags, their ranges and
-// their meaning; reports have the fields by the names that the json tags keep.
+// Parameters define the size and the course of the runs. The tags contain the flags, their ranges and
+// their help. Reports contain the fields under their Go names unless a json tag gives another.
 type Parameters struct {
 	Agents             int      `name:"agents" default:"40" validate:"gte=1,lte=200" help:"Agents, a process each."`
 	Zones              int      `name:"zones" default:"3" validate:"gte=1,lte=4" help:"Zones that they are in."`
@@ -33,7 +34,8 @@
 
 const mebibyte = 1 << 20
 
-// Check derives what is not given, and names every parameter at fault.
+// Check sets defaults that depend on other parameters, and returns an error that names every invalid
+// parameter.
 func (p *Parameters) Check() error {
 	if p.StoreRateMB == 0 {
 		p.StoreRateMB = p.RateMB
@@ -48,16 +50,16 @@
 	return errors.Join(problems...)
 }
 
-// chunks returns how many chunks a version has, and the size of each in bytes.
+// chunks returns the number of chunks of a version and the size of each in bytes.
 func (p *Parameters) chunks() (count int, bytes int64) {
 	return max(1, int(p.SizeMB/p.ChunkMB)), int64(p.ChunkMB * mebibyte)
 }
 
-// linkBytesPerS is the rate of an agent's link, each way.
+// linkBytesPerS returns the rate of an agent's link in each direction.
 func (p *Parameters) linkBytesPerS() float64 { return p.RateMB * mebibyte }
 
-// Settings of the controllers by the interval between inventories, and what they are given at
-// least.
+// Settings of the controllers. Those named Intervals are multiples of the interval between
+// inventories. Connection limits are proportional to the number of agents, but have a minimum.
 const (
 	heartbeatIntervals         = 2
 	leaseIntervals             = 10
@@ -66,10 +68,10 @@
 	minSockets                 = 1000
 	trackerConnectionsPerAgent = 4
 	minTrackerConnections      = 64
-	idleIntervals              = 4 // between the inventories of an agent that has all
+	idleIntervals              = 4 // between the inventories of an agent that holds all chunks
 )
 
-// testbed returns the testbed of the controllers, which have next to no machines and tasks.
+// testbed returns the specification of the testbed, which has few machines and tasks.
 func (p *Parameters) testbed() testbed.Spec {
 	return testbed.Spec{
 		Workers: 2, RunningTasks: 2, Teams: 1, Controllers: p.Controllers,
--- a/internal/scale/distributionrun/report.go
+++ b/internal/scale/distributionrun/report.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Report is what the runs found.
+// Report is the result of all runs.
 type Report struct {
 	Parameters Parameters  `json:"parameters"`
 	Runs       []RunReport `json:"runs"`
@@ -21,35 +21,35 @@
 	Partial string `json:"partial,omitempty"`
 }
 
-// RunReport is what one run found. Sizes are in MiB, times in seconds.
+// RunReport is the result of one run. Sizes are in MiB, times in seconds.
 type RunReport struct {
-	AloneS      float64 `json:"alone_s"`
-	FleetS      float64 `json:"fleet_s"`                // until the last agent served the version, its bytes to be verified after
-	Ratio       float64 `json:"ratio"`                  // of FleetS and AloneS
-	StoreCopies float64 `json:"store_copies"`           // bytes that the store sent, by the version's size
-	FromStoreS  float64 `json:"from_store_s,omitempty"` // until as many clients had everything from the store
-	Verified    int     `json:"verified"`               // agents that serve every byte of the version
+	AloneS      float64 `json:"alone_s"`                // time in which a single agent fetched a version
+	FleetS      float64 `json:"fleet_s"`                // time until the last agent served the version, without the verification
+	Ratio       float64 `json:"ratio"`                  // FleetS divided by AloneS
+	StoreCopies float64 `json:"store_copies"`           // bytes that the store sent, divided by the version's size
+	FromStoreS  float64 `json:"from_store_s,omitempty"` // time until as many clients had fetched the version from the store only
+	Verified    int     `json:"verified"`               // number of agents that serve the complete, correct content
 
 	ReadyS        map[string]float64 `json:"ready_s"` // by agent
 	FromPeersMB   map[string]float64 `json:"from_peers_mb"`
 	FromStoreMB   map[string]float64 `json:"from_store_mb"`
-	FetchedMB     float64            `json:"fetched_mb"` // by all agents
+	FetchedMB     float64            `json:"fetched_mb"` // total of all agents
 	Progress      []Progress         `json:"progress"`
-	FaultsApplied []string           `json:"faults_applied,omitempty"` // in the order in which they were over
+	FaultsApplied []string           `json:"faults_applied,omitempty"` // in the order in which they were completed
 	FailedAgents  []string           `json:"failed,omitempty"`
-	Crashed       []string           `json:"ended_by_themselves,omitempty"` // controllers
+	Crashed       []string           `json:"ended_by_themselves,omitempty"` // controllers that exited unexpectedly
 
-	MemoryMB             float64 `json:"agent_memory_mb"`           // the largest agent's, after the fetch
-	ControlBytesPerS     float64 `json:"agent_control_bytes_per_s"` // of an agent, while it fetched
-	IdleCores            float64 `json:"agent_idle_cores"`
+	MemoryMB             float64 `json:"agent_memory_mb"`           // maximum over the agents, after the fetch
+	ControlBytesPerS     float64 `json:"agent_control_bytes_per_s"` // mean of the agents during the fetch
+	IdleCores            float64 `json:"agent_idle_cores"`          // mean of the idle agents
 	IdleControlBytesPerS float64 `json:"agent_idle_control_bytes_per_s"`
 }
 
-// Progress is how far the agents were at a moment, as the leader knew it.
+// Progress is the progress of the agents at one time, according to the leader.
 type Progress struct {
 	AtS     float64        `json:"at_s"` // since the start of the fetch
 	StoreMB float64        `json:"store_sent_mb"`
-	Chunks  map[string]int `json:"chunks"` // by agent
+	Chunks  map[string]int `json:"chunks"` // number of chunks held, by agent
 }
 
 func (r *Report) setMedianRatio() {
@@ -65,12 +65,13 @@
 	}
 }
 
-// Sound tells whether nothing was left out and no controller ended by itself.
+// Sound reports whether the runs are complete and no controller exited unexpectedly.
 func (r *Report) Sound() bool {
 	return r.Partial == "" && !slices.ContainsFunc(r.Runs, func(run RunReport) bool { return len(run.Crashed) > 0 })
 }
 
-// setReady sets when an agent first served the wanted version.
+// setReady records the time after which an agent served the wanted version. Only the first call for
+// an agent has an effect.
 func (r *RunReport) setReady(agent string, after time.Duration) {
 	if r.ReadyS == nil {
 		r.ReadyS = map[string]float64{}
@@ -80,7 +81,7 @@
 	}
 }
 
-// setFetched sets what agents fetched, by their metrics after the fetch of a version.
+// setFetched records how much the agents have fetched, based on their metrics after the fetch.
 func (r *RunReport) setFetched(byAgent map[string]agentMetrics, versionBytes int64) {
 	r.FromPeersMB, r.FromStoreMB = map[string]float64{}, map[string]float64{}
 	controlBytes := 0.0
@@ -95,7 +96,8 @@
 	r.FetchedMB = float64(versionBytes) / mebibyte * agents
 }
 
-// setIdle sets what an idle agent takes, by the metrics before and after some seconds.
+// setIdle records the mean resource usage of idle agents, based on their metrics before and after an
+// idle period.
 func (r *RunReport) setIdle(before, after map[string]agentMetrics, seconds float64) {
 	agents := float64(len(before))
 	for agent, metrics := range before {
@@ -105,14 +107,14 @@
 	}
 }
 
-// WriteJSON writes everything.
+// WriteJSON writes the complete report as JSON.
 func (r *Report) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", " ")
 	return encoder.Encode(r)
 }
 
-// WriteTable writes a line a run.
+// WriteTable writes the report as a table with one row per run.
 func (r *Report) WriteTable(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	row := func(format string, cells ...any) {
--- a/internal/scale/distributionrun/report_html.go
+++ b/internal/scale/distributionrun/report_html.go
@@ -1,7 +1,7 @@
 package distributionrun
 
 import (
-	_ "embed" // the page's template
+	_ "embed" // for pageTemplate
 	"fmt"
 	"html/template"
 	"io"
@@ -12,20 +12,20 @@
 //go:embed report.html
 var pageTemplate string
 
-// page is what the template is filled with.
+// page is the data of the HTML template.
 type page struct {
 	*Report
 	Plots []runPlots
 }
 
-// runPlots is a run and its plots, as SVG.
+// runPlots is a run with its plots as SVG.
 type runPlots struct {
 	Number                   int
 	Run                      RunReport
 	Progress, Sources, Store template.HTML
 }
 
-// WriteHTML writes a page with plots: progress by agent, bytes by source, load on the store.
+// WriteHTML writes an HTML page with plots: progress by agent, bytes by source, load on the store.
 func (r *Report) WriteHTML(w io.Writer) error {
 	parsed, err := template.New("weights").Parse(pageTemplate)
 	if err != nil {
--- a/internal/scale/distributionrun/report_plots.go
+++ b/internal/scale/distributionrun/report_plots.go
@@ -17,8 +17,8 @@
 const (
 	plotWidth            = 16 * vg.Centimeter
 	plotHeight           = 8 * vg.Centimeter
-	barWidthFraction     = 0.8  // of the width; the rest is between the bars
-	legendHeadroomFactor = 1.25 // of the height that the bars take
+	barWidthFraction     = 0.8  // of the space of a bar; the rest is the gap between bars
+	legendHeadroomFactor = 1.25 // height of the y axis relative to the bars, which leaves room for the legend
 )
 
 var (
@@ -27,7 +27,7 @@
 	translucentBlue = color.NRGBA{R: 30, G: 90, B: 180, A: 90}
 )
 
-// drawSVG returns a plot for a page.
+// drawSVG returns a plot as SVG for an HTML page.
 func drawSVG(p *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
@@ -35,11 +35,11 @@
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
 	}
-	// Nothing in it comes from outside: numbers, and the texts here.
+	// The SVG needs no escaping: it contains only numbers and the texts of this file.
 	return template.HTML(out.String()), nil
 }
 
-// newPlot makes a plot whose axes begin at 0.
+// newPlot returns a plot whose axes begin at 0.
 func newPlot(title, x, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -47,7 +47,7 @@
 	return p
 }
 
-// plotProgress draws a line an agent: the chunks that it holds.
+// plotProgress draws one line per agent: the number of chunks that it holds over time.
 func plotProgress(run RunReport) (*plot.Plot, error) {
 	p := newPlot("Progress by agent, as the leader knew it", "seconds", "chunks")
 	for _, name := range slices.Sorted(maps.Keys(run.ReadyS)) {
@@ -70,7 +70,7 @@
 	return p, nil
 }
 
-// plotSources draws a bar an agent: what came from peers, and from the store on top.
+// plotSources draws one bar per agent: bytes from peers, with bytes from the store stacked on top.
 func plotSources(run RunReport) (*plot.Plot, error) {
 	p := newPlot("Bytes by source", "agents, in the order of their names", "MiB")
 	var peers, store plotter.Values
@@ -100,7 +100,7 @@
 	return p, nil
 }
 
-// plotStore draws what the store sent each second.
+// plotStore draws the rate at which the store sent bytes over time.
 func plotStore(run RunReport) (*plot.Plot, error) {
 	p := newPlot("Load on the store", "seconds", "MiB a second")
 	var points plotter.XYs
--- a/internal/scale/distributionrun/run.go
+++ b/internal/scale/distributionrun/run.go
@@ -19,15 +19,15 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// Commands start the real processes of a run.
+// Commands are the commands that start the processes of a run.
 type Commands struct {
-	Controller []string // the path of a settings file is added
-	Agent      []string // --config and the path of a settings file are added
+	Controller []string // --extensions with its file follows the program; the path of a settings file is appended
+	Agent      []string // --config and the path of a settings file are appended
 }
 
-// Run runs the experiment as often as the parameters say. It writes its progress, a line at a
-// time. It ends every process that it has started, also when the context ends; then the report
-// is partial.
+// Run repeats the experiment as often as the parameters specify and writes progress lines. Before it
+// returns, it kills every process that it has started. If the context ends early, the report is
+// partial.
 func Run(ctx context.Context, p Parameters, commands Commands, progress io.Writer) (*Report, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	return report, nil
 }
 
-// experiment is one run while it lasts.
+// experiment is the state of one run.
 type experiment struct {
 	parameters Parameters
 	commands   Commands
@@ -67,17 +67,17 @@
 
 	mu      sync.Mutex
 	report  *RunReport
-	version *distribution.Manifest // that the fleet is to serve
+	version *distribution.Manifest // version that the fleet is to serve
 }
 
-// runOnce builds the testbed, runs the experiment and removes it. There is no report if the
-// testbed could not be built.
+// runOnce builds the testbed, runs the experiment and closes the testbed. It returns no report if
+// the testbed could not be built and started.
 func runOnce(ctx context.Context, p Parameters, commands Commands, progress *testbed.ProgressLog) (*RunReport, error) {
 	directory, err := os.MkdirTemp("", "oakpick-weights-")
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(directory) }() // a temporary directory left behind does no harm
+	defer func() { _ = os.RemoveAll(directory) }() // a leftover temporary directory does no harm
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	e := &experiment{
@@ -97,7 +97,7 @@
 	return e.report, err
 }
 
-// build makes the testbed, whose controllers have the tracker switched on, and its operator.
+// build creates the testbed, whose controllers serve the weights tracker, and the operator's client.
 func (e *experiment) build() error {
 	extensions := filepath.Join(e.directory, "extensions.toml")
 	if err := writeExtensions(extensions, e.parameters); err != nil {
@@ -113,10 +113,10 @@
 	return nil
 }
 
-// operatorTimeout is for how long a controller may take to answer the operator.
+// operatorTimeout is the timeout of the operator's requests to a controller.
 const operatorTimeout = time.Second
 
-// writeExtensions writes the file that switches the tracker on.
+// writeExtensions writes the extensions file that enables the weights tracker.
 func writeExtensions(path string, p Parameters) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -130,7 +130,8 @@
 	return errors.Join(toml.NewEncoder(file).Encode(extensions), file.Close())
 }
 
-// start starts the simulated store and the controllers, and returns once they serve the tracker.
+// start starts the simulated store and the controllers, and waits until a controller serves the
+// tracker.
 func (e *experiment) start(ctx context.Context) error {
 	if err := e.testbed.Start(ctx); err != nil {
 		return err
@@ -147,28 +148,28 @@
 	})
 }
 
-// run times one agent alone, then the fleet, then clients that use the store only.
+// run measures a single agent, then the fleet, then, if requested, clients that use only the store.
 func (e *experiment) run(ctx context.Context) error {
 	aloneTime, err := e.runAlone(ctx)
 	if err != nil {
-		return fmt.Errorf("one agent alone: %w", err)
+		return fmt.Errorf("single agent: %w", err)
 	}
 	e.report.AloneS = aloneTime.Seconds()
-	e.progress.Logf("one alone: %.2f s", aloneTime.Seconds())
+	e.progress.Logf("single agent: %.2f s", aloneTime.Seconds())
 	if err := e.runFleet(ctx, aloneTime); err != nil {
-		return fmt.Errorf("the fleet: %w", err)
+		return fmt.Errorf("fleet: %w", err)
 	}
-	e.progress.Logf("%d agents: %.2f s, %.2f times as long; the store sent %.2f copies", e.parameters.Agents, e.report.FleetS, e.report.Ratio, e.report.StoreCopies)
+	e.progress.Logf("fleet of %d agents: %.2f s, %.2f times the single agent's time; the store sent %.2f copies", e.parameters.Agents, e.report.FleetS, e.report.Ratio, e.report.StoreCopies)
 	if !e.parameters.FromStore {
 		return nil
 	}
 	took, err := e.runFromStore(ctx)
 	e.report.FromStoreS = took.Seconds()
-	e.progress.Logf("%d clients from the store: %.2f s", e.parameters.Agents, took.Seconds())
+	e.progress.Logf("%d clients that use only the store: %.2f s", e.parameters.Agents, took.Seconds())
 	return err
 }
 
-// record changes the report while several goroutines do.
+// record changes the report under the lock, because several goroutines change it at the same time.
 func (e *experiment) record(change func(report *RunReport)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/scale/distributionrun/run_test.go
+++ b/internal/scale/distributionrun/run_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// smallParameters are those of a run of a few agents and some megabytes.
+// smallParameters returns the parameters of a run with few agents and a few megabytes.
 func smallParameters(t *testing.T) Parameters {
 	t.Helper()
 	t.Setenv(asProcessEnv, "1")
@@ -16,7 +16,7 @@
 	}
 }
 
-// runSmall runs, and fails the test if that fails.
+// runSmall runs the experiment and fails the test on an error.
 func runSmall(t *testing.T, p Parameters) *Report {
 	t.Helper()
 	var progress bytes.Buffer
@@ -28,9 +28,10 @@
 	return report
 }
 
-// Real agents and controllers, with a killed source, a killed leader, another version and wrong
-// bytes from the store: every agent that is left serves every byte of the last version, and the
-// report tells where the bytes came from. Times have no part in the verdict.
+// The test runs real agents and controllers while an agent and the leader are killed, the store sends
+// corrupt and truncated responses, and the version changes. Every remaining agent has to serve every
+// byte of the last version, and the report has to contain the sources of the bytes. The test sets no
+// limits on times.
 func TestRunWithFaultsVerifiesEveryRemainingAgent(t *testing.T) {
 	p := smallParameters(t)
 	p.Faults = []string{"wrong@0.1", "cut@0.2", "kill@0.4", "leader@0.5", "version@0.6"}
@@ -41,18 +42,18 @@
 	}
 	run := report.Runs[0]
 	if len(run.FaultsApplied) != len(p.Faults) {
-		t.Errorf("of the faults %v these were applied: %v", p.Faults, run.FaultsApplied)
+		t.Errorf("want the faults %v, applied: %v", p.Faults, run.FaultsApplied)
 	}
 	if run.Verified != p.Agents-len(run.FailedAgents) || len(run.FailedAgents) != 1 || run.AloneS <= 0 || run.FromStoreS <= 0 || run.StoreCopies <= 0 {
 		t.Errorf("%+v", run)
 	}
 	if len(run.Progress) == 0 || len(run.FromPeersMB) != run.Verified || run.ControlBytesPerS <= 0 || run.MemoryMB <= 0 {
-		t.Errorf("nothing was measured: %+v", run)
+		t.Errorf("measurements are missing: %+v", run)
 	}
 	checkFormats(t, report)
 }
 
-// checkFormats checks what is written for people and programs.
+// checkFormats checks the table, the HTML page and the JSON of a report.
 func checkFormats(t *testing.T, report *Report) {
 	t.Helper()
 	var table, page, text bytes.Buffer
@@ -67,7 +68,7 @@
 	}
 }
 
-// Every bad parameter is named, and nothing is started.
+// The error has to name the bad parameter, and Run must not start anything.
 func TestRunRefusesBadParametersByName(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -87,7 +88,7 @@
 			test.change(&p)
 			report, err := Run(t.Context(), p, Commands{Controller: []string{"/nothing/that/could/start"}}, &bytes.Buffer{})
 			if err == nil || !strings.Contains(err.Error(), test.want) || report != nil {
-				t.Errorf("%q isn't in %v, or something was run: %v", test.want, err, report)
+				t.Errorf("want %q in the error and no report, got error %v and report %v", test.want, err, report)
 			}
 		})
 	}
--- a/internal/scale/distributionrun/store.go
+++ b/internal/scale/distributionrun/store.go
@@ -17,25 +17,26 @@
 	"oakpick/internal/distribution/registry"
 )
 
-// simulatedStore is the read side of the OCI distribution specification from memory, with an
-// uplink that all answers share, slots, outages, and answers that are wrong or break off.
+// simulatedStore serves the read side of the OCI distribution specification from memory. All
+// responses share one uplink, and the number of concurrent uploads is limited by slots. The store
+// can simulate outages, corrupt responses and truncated responses.
 type simulatedStore struct {
 	*registry.Memory
 
 	uplink             *rate.Limiter
 	unavailable        atomic.Bool
-	corruptResponses   atomic.Int64 // answers to come that have wrong bytes
-	truncatedResponses atomic.Int64 // answers to come that break off
-	sentBytes          atomic.Int64 // of blobs
+	corruptResponses   atomic.Int64 // number of blob responses still to be corrupted
+	truncatedResponses atomic.Int64 // number of blob responses still to be truncated
+	sentBytes          atomic.Int64 // sent in bodies of blob responses
 
 	server *http.Server // nil before serve
 	random *rand.Rand
 }
 
-// contentStream is the stream of random numbers that contents are drawn from.
+// contentStream selects the random number stream of the chunks' content.
 const contentStream = 3
 
-// rateLimitBurstBytes are sent at a time over a paced link.
+// rateLimitBurstBytes is the largest number of bytes sent at once over a rate-limited link.
 const rateLimitBurstBytes = 64 << 10
 
 func newSimulatedStore(p Parameters) *simulatedStore {
@@ -45,12 +46,13 @@
 	}
 }
 
-// publish makes a version of random chunks of so many bytes each.
+// publish publishes a version of random chunks of the given size.
 func (s *simulatedStore) publish(chunks int, chunkBytes int64) (*distribution.Manifest, error) {
 	return s.publishNext(chunks, chunkBytes, nil)
 }
 
-// publishNext makes a version that begins with chunks of another.
+// publishNext publishes a version that begins with chunks of another version, followed by random
+// chunks.
 func (s *simulatedStore) publishNext(chunks int, chunkBytes int64, kept []distribution.Chunk) (*distribution.Manifest, error) {
 	var contents [][]byte
 	for _, chunk := range kept {
@@ -72,7 +74,7 @@
 	return content
 }
 
-// contentDigest is the digest of all bytes of a version in their order.
+// contentDigest returns the digest of a version's content, which is its chunks in order.
 func (s *simulatedStore) contentDigest(version *distribution.Manifest) digest.Digest {
 	hash := digest.SHA256.Digester()
 	for _, chunk := range version.Chunks {
@@ -81,7 +83,7 @@
 	return hash.Digest()
 }
 
-// Blob opens a chunk, with wrong bytes if some are to be sent.
+// Blob returns the content of a chunk, with one bit flipped if a response is to be corrupted.
 func (s *simulatedStore) Blob(name string, d digest.Digest) (registry.Blob, error) {
 	if content := s.Bytes(d); content != nil && decrementIfPositive(&s.corruptResponses) {
 		content = bytes.Clone(content)
@@ -91,7 +93,7 @@
 	return s.Memory.Blob(name, d)
 }
 
-// decrementIfPositive counts down; false: nothing is left.
+// decrementIfPositive decrements a counter. It returns false if the counter was not positive.
 func decrementIfPositive(left *atomic.Int64) bool {
 	for n := left.Load(); n > 0; n = left.Load() {
 		if left.CompareAndSwap(n, n-1) {
@@ -101,10 +103,10 @@
 	return false
 }
 
-// retryAfter is what the store tells clients to wait if all slots are taken.
+// retryAfter is the time after which the store lets clients retry if all slots are taken.
 const retryAfter = time.Second
 
-// serve listens until close.
+// serve starts to serve requests at an address, until close.
 func (s *simulatedStore) serve(ctx context.Context, address string, slots int) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp4", address)
@@ -114,7 +116,7 @@
 	blobs := &registry.Handler{
 		Content: s, Slots: registry.NewSlots(slots), RetryAfter: retryAfter,
 		WrapBody: func(w http.ResponseWriter) http.ResponseWriter {
-			// Answers end with their connections, so that pacing needs no context of a request.
+			// Closing a connection ends its responses, so the rate limiter doesn't need the request's context.
 			paced := registry.RateLimitedWriter{ResponseWriter: w, Context: context.Background(), Limit: s.uplink}
 			return &storeWriter{RateLimitedWriter: paced, store: s, truncate: decrementIfPositive(&s.truncatedResponses)}
 		},
@@ -126,27 +128,28 @@
 		}
 		blobs.ServeHTTP(w, r)
 	})}
-	go func() { _ = s.server.Serve(listener) }() // it ends when close closes the server
+	go func() { _ = s.server.Serve(listener) }() // returns when close closes the server
 	return nil
 }
 
 func (s *simulatedStore) close() {
 	if s.server != nil {
-		_ = s.server.Close() // nothing can be done about it at the end
+		_ = s.server.Close() // an error at the end of a run is ignored
 	}
 }
 
-// storeWriter counts what is sent, and breaks off if it is to.
+// storeWriter counts the sent bytes and truncates a response if requested.
 type storeWriter struct {
 	registry.RateLimitedWriter
 	store    *simulatedStore
 	truncate bool
 }
 
-// errConnectionDropped ends an answer whose connection was closed on purpose.
-var errConnectionDropped = errors.New("the answer breaks off")
+// errConnectionDropped is returned by Write after it has closed the connection on purpose.
+var errConnectionDropped = errors.New("connection dropped on purpose")
 
-// Write writes at the uplink's pace.
+// Write writes at the uplink's rate. It drops the connection during an outage, and after the first
+// write of a response that is to be truncated.
 func (w *storeWriter) Write(b []byte) (int, error) {
 	if w.store.unavailable.Load() {
 		dropConnection(w.ResponseWriter)
@@ -161,9 +164,9 @@
 	return n, err
 }
 
-// dropConnection closes a connection without an answer or in the middle of one.
+// dropConnection closes a connection before or during a response.
 func dropConnection(w http.ResponseWriter) {
 	if connection, _, err := http.NewResponseController(w).Hijack(); err == nil {
-		_ = connection.Close() // nothing else is to happen to it
+		_ = connection.Close() // the connection isn't used any more
 	}
 }
--- a/internal/scale/distributionrun/wait.go
+++ b/internal/scale/distributionrun/wait.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// controlTimeout is for how long the controllers may take to do what is asked of them, also
-// while the leader changes.
+// controlTimeout is the time within which the controllers have to complete a request, including a
+// change of leader.
 const controlTimeout = time.Minute
 
-// waitPollInterval is the time between looks whether something is so.
+// waitPollInterval is the interval between checks of a condition.
 const waitPollInterval = 50 * time.Millisecond
 
-// TimeoutError says that something didn't become so in time.
+// TimeoutError reports that a condition didn't hold in time.
 type TimeoutError struct {
 	After   time.Duration
 	Problem string
@@ -22,7 +22,8 @@
 // Error names the problem and the time.
 func (e *TimeoutError) Error() string { return fmt.Sprintf("after %v: %s", e.After, e.Problem) }
 
-// waitUntil polls until a condition holds. The problem is what a timeout is reported as.
+// waitUntil polls until a condition holds. After the timeout it returns a TimeoutError with the
+// given problem.
 func waitUntil(ctx context.Context, timeout time.Duration, problem string, condition func() bool) error {
 	deadline := time.Now().Add(timeout)
 	for !condition() {
@@ -36,7 +37,7 @@
 	return nil
 }
 
-// sleep waits, and returns the context's error if that ends before.
+// sleep waits for a duration. It returns the context's error if the context ends earlier.
 func sleep(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/internal/scale/distributionrun/wait_test.go
+++ b/internal/scale/distributionrun/wait_test.go
@@ -18,14 +18,14 @@
 	t.Run("timeout", func(t *testing.T) {
 		var timeout *TimeoutError
 		if err := waitUntil(t.Context(), short, "it doesn't hold", never); !errors.As(err, &timeout) || err.Error() != "after 10ms: it doesn't hold" {
-			t.Errorf("%v", err)
+			t.Errorf("error is %v, want a TimeoutError", err)
 		}
 	})
 	t.Run("context ends", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		if err := waitUntil(ctx, time.Hour, "it doesn't hold", never); !errors.Is(err, context.Canceled) {
-			t.Errorf("%v", err)
+			t.Errorf("error is %v, want context.Canceled", err)
 		}
 	})
 }
