--- a/internal/scale/distributionrun/agent_client.go
+++ b/internal/scale/distributionrun/agent_client.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = response.Body.Close() }() // no more is read, so an error doesn't matter
+	defer func() { _ = response.Body.Close() }() // nothing more is read, so an error of Close doesn't matter
 	if response.StatusCode != http.StatusOK {
 		return "", &AgentStatusError{Agent: a.settings.Agent, Status: response.Status}
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // no more is read, so an error doesn't matter
+	defer func() { _ = response.Body.Close() }() // nothing more is read, so an error of Close doesn't matter
 	metrics := agentMetrics{}
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
--- a/internal/scale/distributionrun/fault_schedule.go
+++ b/internal/scale/distributionrun/fault_schedule.go
@@ -20,7 +20,7 @@
 	storeOutageFault        faultKind = "store"   // makes the store unavailable for as long as the single agent's fetch took
 	corruptResponsesFault   faultKind = "wrong"   // corrupts the next responses of the store
 	truncatedResponsesFault faultKind = "cut"     // truncates the next responses of the store
-	newVersionFault         faultKind = "version" // switches the fleet to another version that has half of its chunks in common
+	newVersionFault         faultKind = "version" // switches the fleet to a new version that shares half of its chunks with the current one
 )
 
 func faultKinds() []string {
--- a/internal/scale/distributionrun/faults.go
+++ b/internal/scale/distributionrun/faults.go
@@ -14,11 +14,11 @@
 const (
 	// faultyResponses is the number of the store's responses that one fault corrupts or truncates.
 	faultyResponses = 5
-	// leaderRestartDelay is the time from the kill of a leader to its restart.
+	// leaderRestartDelay is the delay between killing a leader and restarting it.
 	leaderRestartDelay = time.Second
 )
 
-// errAllComplete is returned if an agent is to fail but none is incomplete.
+// errAllComplete is returned if a fault needs an incomplete agent and there is none.
 var errAllComplete = errors.New("every agent already holds all chunks")
 
 // injectFault waits for the time of a fault and injects it, unless the context ends earlier.
@@ -114,7 +114,7 @@
 	return slices.MaxFunc(incomplete, func(a, b tracker.AgentStatus) int { return a.Chunks - b.Chunks }), nil
 }
 
-// changeVersion switches the fleet to another version that has half of its chunks in common.
+// changeVersion switches the fleet to a new version that shares half of its chunks with the current one.
 func (e *experiment) changeVersion(ctx context.Context) error {
 	count, size := e.parameters.chunks()
 	version, err := e.store.publishNext(count, size, e.wantedVersion().Chunks[:count/2])
--- a/internal/scale/distributionrun/fleet.go
+++ b/internal/scale/distributionrun/fleet.go
@@ -27,13 +27,13 @@
 	minFetchTimeout    = time.Minute
 )
 
-// Relations between the settings of agents.
+// Agent settings, relative to the link's rate and the inventory interval.
 const (
-	minimumRateDivisor = 64 // the lowest rate accepted from a source is the link's rate divided by it
-	stallIntervals     = 3  // inventory intervals after which a fetch has stalled
+	minimumRateDivisor = 64 // link's rate divided by the minimum rate of a source
+	stallIntervals     = 3  // stall timeout of a fetch, in inventory intervals
 )
 
-// newAgent writes the settings of the i-th agent of those that fetch a name.
+// newAgent writes the settings of the i-th agent that fetches the given name.
 func (e *experiment) newAgent(i int, name string) (*agentProcess, error) {
 	p, addresses := e.parameters, e.testbed.Addresses
 	zones := e.testbed.Settings.Zones[:p.Zones]
@@ -96,7 +96,7 @@
 
 // fleetFetch describes the fleet's fetch of a version.
 type fleetFetch struct {
-	version    *distribution.Manifest // at the start; newVersionFault doesn't change it
+	version    *distribution.Manifest // initial version; newVersionFault switches the fleet to another
 	startedAt  time.Time
 	sentBefore int64 // bytes that the store had sent at the start
 }
@@ -155,7 +155,7 @@
 }
 
 // fleetReady reports whether every agent that hasn't failed permanently serves the wanted version.
-// It records the time at which each agent first did.
+// It records when each agent first served it.
 func (e *experiment) fleetReady(ctx context.Context, fetch fleetFetch) bool {
 	wanted := e.wantedVersion()
 	var notReady atomic.Bool
--- a/internal/scale/distributionrun/measurement.go
+++ b/internal/scale/distributionrun/measurement.go
@@ -61,7 +61,7 @@
 const metricsTimeout = 30 * time.Second
 
 // readMetrics returns the metrics of all agents that haven't failed permanently, by agent. It ignores
-// the end of the context, so that the report of an interrupted run has the bytes fetched until then.
+// the end of the context, so that the report of an interrupted run contains what was fetched.
 func (e *experiment) readMetrics(ctx context.Context) (map[string]agentMetrics, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), metricsTimeout)
 	defer cancel()
@@ -74,22 +74,22 @@
 		byAgent[a.settings.Agent] = metrics
 		return err
 	})
-	if errors.Is(err, context.DeadlineExceeded) { // must not pass for the end of the run's context
+	if errors.Is(err, context.DeadlineExceeded) { // Interrupted would take it for an interrupted run
 		return byAgent, &TimeoutError{After: metricsTimeout, Problem: "an agent doesn't tell its metrics"}
 	}
 	return byAgent, err
 }
 
 // Timeouts of the clients that fetch only from the store. They are long because the store serves all
-// clients at once, each of them slowly.
+// clients at the same time, which makes each of them slow.
 const (
 	clientResponseTimeout = time.Minute
 	clientStallTimeout    = 20 * time.Second
 	clientFetchTimeout    = time.Hour
 )
 
-// runFromStore measures how long as many clients as there are agents take to fetch the version from
-// the store only. The clients share the store's uplink.
+// runFromStore starts one client per agent that fetches the version only from the store, and measures
+// the time until all clients have finished. The clients share the store's uplink.
 func (e *experiment) runFromStore(ctx context.Context) (time.Duration, error) {
 	version := e.wantedVersion()
 	startedAt := time.Now()
--- a/internal/scale/distributionrun/parameters.go
+++ b/internal/scale/distributionrun/parameters.go
@@ -1,5 +1,5 @@
-// Package distributionrun measures the distribution of weights by real controllers and real agents,
-// one process each, with a simulated store on one machine. It compares the time of a fleet of agents
+// Package distributionrun measures how real controllers and real agents, one process each, distribute
+// weights from a simulated store on one machine. It compares the time of a fleet of agents
 // with that of a single agent, injects faults, verifies the content that agents serve, and reports
 // the sources of the bytes.
 package distributionrun
--- a/internal/scale/distributionrun/report.go
+++ b/internal/scale/distributionrun/report.go
@@ -15,7 +15,7 @@
 type Report struct {
 	Parameters Parameters  `json:"parameters"`
 	Runs       []RunReport `json:"runs"`
-	// MedianRatio is the median over the runs of RunReport.Ratio.
+	// MedianRatio is the median of RunReport.Ratio over the runs that have a ratio.
 	MedianRatio float64 `json:"median_ratio"`
 	// Partial says why the runs ended early, if they did.
 	Partial string `json:"partial,omitempty"`
@@ -27,7 +27,7 @@
 	FleetS      float64 `json:"fleet_s"`                // time until the last agent served the version, without the verification
 	Ratio       float64 `json:"ratio"`                  // FleetS divided by AloneS
 	StoreCopies float64 `json:"store_copies"`           // bytes that the store sent, divided by the version's size
-	FromStoreS  float64 `json:"from_store_s,omitempty"` // time until as many clients had fetched the version from the store only
+	FromStoreS  float64 `json:"from_store_s,omitempty"` // time until as many clients as agents had fetched the version, using only the store
 	Verified    int     `json:"verified"`               // number of agents that serve the complete, correct content
 
 	ReadyS        map[string]float64 `json:"ready_s"` // by agent
@@ -70,8 +70,8 @@
 	return r.Partial == "" && !slices.ContainsFunc(r.Runs, func(run RunReport) bool { return len(run.Crashed) > 0 })
 }
 
-// setReady records the time after which an agent served the wanted version. Only the first call for
-// an agent has an effect.
+// setReady records when an agent first served the wanted version. Later calls for the same agent
+// have no effect.
 func (r *RunReport) setReady(agent string, after time.Duration) {
 	if r.ReadyS == nil {
 		r.ReadyS = map[string]float64{}
--- a/internal/scale/distributionrun/report_plots.go
+++ b/internal/scale/distributionrun/report_plots.go
@@ -17,7 +17,7 @@
 const (
 	plotWidth            = 16 * vg.Centimeter
 	plotHeight           = 8 * vg.Centimeter
-	barWidthFraction     = 0.8  // of the space of a bar; the rest is the gap between bars
+	barWidthFraction     = 0.8  // of the space per bar; the rest is the gap between bars
 	legendHeadroomFactor = 1.25 // height of the y axis relative to the bars, which leaves room for the legend
 )
 
--- a/internal/scale/distributionrun/run.go
+++ b/internal/scale/distributionrun/run.go
@@ -21,7 +21,7 @@
 
 // Commands are the commands that start the processes of a run.
 type Commands struct {
-	Controller []string // --extensions with its file follows the program; the path of a settings file is appended
+	Controller []string // --extensions FILE is inserted after the program, and the path of a settings file is appended
 	Agent      []string // --config and the path of a settings file are appended
 }
 
--- a/internal/scale/distributionrun/store.go
+++ b/internal/scale/distributionrun/store.go
@@ -74,7 +74,7 @@
 	return content
 }
 
-// contentDigest returns the digest of a version's content, which is its chunks in order.
+// contentDigest returns the digest of a version's content: all its chunks in order.
 func (s *simulatedStore) contentDigest(version *distribution.Manifest) digest.Digest {
 	hash := digest.SHA256.Digester()
 	for _, chunk := range version.Chunks {
@@ -106,7 +106,7 @@
 // retryAfter is the time after which the store lets clients retry if all slots are taken.
 const retryAfter = time.Second
 
-// serve starts to serve requests at an address, until close.
+// serve starts the store's server at an address. close stops the server.
 func (s *simulatedStore) serve(ctx context.Context, address string, slots int) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp4", address)
--- a/internal/scale/testbed/controllers.go
+++ b/internal/scale/testbed/controllers.go
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// writeSettings writes a controller's settings file in the platform's format and returns its path.
+// writeSettings writes a controller's settings file in the format that the platform uses and returns its path.
 func (c *Controllers) writeSettings(controller int) (string, error) {
 	settings := config.Config{
 		Node: ControllerName(controller), Zone: c.zone(controller),
@@ -158,8 +158,8 @@
 	return crashed
 }
 
-// Usage returns the resource usage of each controller. The CPU time includes the controller's
-// killed processes. A controller that isn't running has zero usage.
+// Usage returns the resource usage of each controller. The CPU time includes that of the
+// controller's killed processes. A controller that isn't running has zero usage.
 func (c *Controllers) Usage() []Usage {
 	usages := make([]Usage, len(c.processes))
 	for controller := range c.processes {
--- a/internal/scale/testbed/controllers_admin.go
+++ b/internal/scale/testbed/controllers_admin.go
@@ -50,8 +50,8 @@
 
 func (e *SettingsError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
 
-// ChangeSettings sends a patch of the operator settings to a controller; a follower forwards it to
-// the leader. It returns nil only if the change is durable.
+// ChangeSettings sends a controller a patch of the settings that operators may change; a follower
+// forwards it to the leader. ChangeSettings returns nil only if the change is durable.
 func (c *Controllers) ChangeSettings(ctx context.Context, controller int, patch string) error {
 	url := "http://" + c.addresses.Peer(controller) + "/admin/settings"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPatch, url, strings.NewReader(patch))
--- a/internal/scale/testbed/meter.go
+++ b/internal/scale/testbed/meter.go
@@ -37,7 +37,7 @@
 
 // Meter counts messages, bytes and responses, and records latencies.
 type Meter struct {
-	// Latencies holds the latencies of successful requests by operation.
+	// Latencies records latencies by operation.
 	Latencies *latency.Recorder
 
 	counters map[TrafficKind]*trafficCounter
--- a/internal/scale/testbed/multi_listener.go
+++ b/internal/scale/testbed/multi_listener.go
@@ -20,7 +20,7 @@
 	return &multiListener{connections: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// listen starts to accept connections to an additional address. Close ends it.
+// listen starts to accept connections to an additional address, until Close is called.
 func (m *multiListener) listen(address string) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -42,7 +42,7 @@
 		select {
 		case m.connections <- connection:
 		case <-m.closed:
-			_ = connection.Close() // multiListener was closed
+			_ = connection.Close() // the multiListener was closed
 			return
 		}
 	}
--- a/internal/scale/testbed/process.go
+++ b/internal/scale/testbed/process.go
@@ -14,7 +14,7 @@
 type Process struct {
 	command *exec.Cmd
 	exited  chan struct{}
-	killed  atomic.Bool // by Kill
+	killed  atomic.Bool // set by Kill
 }
 
 // StartProcess starts a program and appends its output to a log file. The kernel kills the program
@@ -65,7 +65,7 @@
 // Usage is the resource usage of a controller.
 type Usage struct {
 	CPUSeconds float64 `json:"cpu_s"`     // since the run began
-	MemoryMB   float64 `json:"memory_mb"` // resident
+	MemoryMB   float64 `json:"memory_mb"` // resident, MiB
 	Sockets    int     `json:"sockets"`   // open
 }
 
--- a/internal/scale/testbed/servers.go
+++ b/internal/scale/testbed/servers.go
@@ -12,8 +12,8 @@
 	"oakpick/internal/transport"
 )
 
-// simulatedServers serves the components that controllers connect to over real sockets: the state
-// service, the cloud and the workers' command listeners. It forwards requests to the simulated
+// simulatedServers serves, over real sockets, the components that controllers connect to: the state
+// service, the cloud and the workers' command listeners. It forwards all requests to the simulated
 // world.
 type simulatedServers struct {
 	loop         *worldLoop
@@ -36,8 +36,8 @@
 	}
 }
 
-// open starts the servers of the state service, the cloud and the workers. Workers get their
-// listen addresses by openWorkerListener.
+// open starts the servers of the state service, the cloud and the workers.
+// openWorkerListener adds the workers' addresses later.
 func (s *simulatedServers) open(addresses Addresses) error {
 	for _, server := range []struct {
 		address string
--- a/internal/scale/testbed/spec.go
+++ b/internal/scale/testbed/spec.go
@@ -11,7 +11,7 @@
 type Spec struct {
 	Workers      int // machines that can be provisioned
 	Accelerators int // total, with AcceleratorsPerMachine on each machine that has any
-	RunningTasks int // running at the same time
+	RunningTasks int // tasks that run at the same time
 	Teams        int // each has a quota
 	LargestGang  int // tasks in the largest gang
 	Controllers  int
@@ -20,8 +20,8 @@
 	LeaseS             float64 // of a worker
 	CancelWithinS      float64 // time within which the tasks of a cancelled job end
 
-	StateRPS      float64 // request limit of the state service
-	StateWriteRPS float64 // written keys per second, limit of the state service
+	StateRPS      float64 // requests per second that the state service accepts
+	StateWriteRPS float64 // keys per second that may be written to the state service
 	StateValueKB  float64 // largest value in the state service, KiB
 
 	CPU            float64 // cores of a controller; not enforced
@@ -62,8 +62,8 @@
 	}
 }
 
-// tasksPerMachine returns the number of tasks that fit on a machine. It exceeds the running tasks
-// by a tenth, because tasks start and end all the time.
+// tasksPerMachine returns the number of tasks that fit on a machine. All machines together
+// have room for a tenth more than the running tasks, because tasks start and end all the time.
 func (s Spec) tasksPerMachine() float64 {
 	return float64(int(1.1*float64(s.RunningTasks)/float64(s.Workers)) + 1)
 }
--- a/internal/scale/testbed/world_loop.go
+++ b/internal/scale/testbed/world_loop.go
@@ -80,6 +80,6 @@
 	return none, false
 }
 
-// worldCallTimeout limits how long a connection is held for a request without a result. Its client
-// times out long before.
+// worldCallTimeout limits how long a connection is held for a request without a result. The
+// client times out long before.
 const worldCallTimeout = 30 * time.Second
