--- a/internal/scale/distributionrun/faults.go
+++ b/internal/scale/distributionrun/faults.go
@@ -117,7 +117,7 @@
 // changeVersion switches the fleet to a new version that shares half of its chunks with the current one.
 func (e *experiment) changeVersion(ctx context.Context) error {
 	count, size := e.parameters.chunks()
-	version, err := e.store.publishNext(count, size, e.wantedVersion().Chunks[:count/2])
+	version, err := e.store.publishWithSharedChunks(count, size, e.wantedVersion().Chunks[:count/2])
 	if err != nil {
 		return err
 	}
--- a/internal/scale/distributionrun/report.go
+++ b/internal/scale/distributionrun/report.go
@@ -17,7 +17,7 @@
 	Runs       []RunReport `json:"runs"`
 	// MedianRatio is the median of RunReport.Ratio over the runs that have a ratio.
 	MedianRatio float64 `json:"median_ratio"`
-	// Partial says why the runs ended early, if they did.
+	// Partial is the reason why the runs ended early, or empty if they didn't.
 	Partial string `json:"partial,omitempty"`
 }
 
--- a/internal/scale/distributionrun/run.go
+++ b/internal/scale/distributionrun/run.go
@@ -34,10 +34,10 @@
 	}
 	report := &Report{Parameters: p}
 	for n := range p.Runs {
-		one := p
-		one.Seed += uint64(n)
-		one.FromStore = p.FromStore && n == 0
-		run, err := runOnce(ctx, one, commands, testbed.NewProgressLog(progress))
+		runParameters := p
+		runParameters.Seed += uint64(n)
+		runParameters.FromStore = p.FromStore && n == 0
+		run, err := runOnce(ctx, runParameters, commands, testbed.NewProgressLog(progress))
 		if run != nil {
 			report.Runs = append(report.Runs, *run)
 		}
--- a/internal/scale/distributionrun/run_test.go
+++ b/internal/scale/distributionrun/run_test.go
@@ -28,10 +28,10 @@
 	return report
 }
 
-// The test runs real agents and controllers while an agent and the leader are killed, the store sends
-// corrupt and truncated responses, and the version changes. Every remaining agent has to serve every
-// byte of the last version, and the report has to contain the sources of the bytes. The test sets no
-// limits on times.
+// The test runs real agents and controllers. Faults kill the leader and an agent that others fetch
+// from, corrupt and truncate responses of the store, and change the version. Every remaining agent has
+// to serve every byte of the last version, and the report has to contain the sources of the bytes. The
+// test sets no limits on durations.
 func TestRunWithFaultsVerifiesEveryRemainingAgent(t *testing.T) {
 	p := smallParameters(t)
 	p.Faults = []string{"wrong@0.1", "cut@0.2", "kill@0.4", "leader@0.5", "version@0.6"}
--- a/internal/scale/distributionrun/store.go
+++ b/internal/scale/distributionrun/store.go
@@ -48,12 +48,12 @@
 
 // publish publishes a version of random chunks of the given size.
 func (s *simulatedStore) publish(chunks int, chunkBytes int64) (*distribution.Manifest, error) {
-	return s.publishNext(chunks, chunkBytes, nil)
+	return s.publishWithSharedChunks(chunks, chunkBytes, nil)
 }
 
-// publishNext publishes a version that begins with chunks of another version, followed by random
-// chunks.
-func (s *simulatedStore) publishNext(chunks int, chunkBytes int64, kept []distribution.Chunk) (*distribution.Manifest, error) {
+// publishWithSharedChunks publishes a version that begins with chunks of another
+// version, followed by random chunks.
+func (s *simulatedStore) publishWithSharedChunks(chunks int, chunkBytes int64, kept []distribution.Chunk) (*distribution.Manifest, error) {
 	var contents [][]byte
 	for _, chunk := range kept {
 		contents = append(contents, s.Bytes(chunk.Digest))
