--- a/internal/scale/distributionrun/agent_process.go
+++ b/internal/scale/distributionrun/agent_process.go
@@ -30,7 +30,7 @@
 }
 
 // newAgentProcess writes an agent's settings to the directory. It doesn't start the process. The
-// command starts an agent when --config and the path of the settings file are appended.
+// command, followed by --config and the path of the settings file, starts the agent.
 func newAgentProcess(command []string, directory string, settings agent.Settings) (*agentProcess, error) {
 	a := &agentProcess{
 		settings: settings, command: command, client: &http.Client{},
--- a/internal/scale/distributionrun/measurement.go
+++ b/internal/scale/distributionrun/measurement.go
@@ -74,7 +74,7 @@
 		byAgent[a.settings.Agent] = metrics
 		return err
 	})
-	if errors.Is(err, context.DeadlineExceeded) { // Interrupted would take it for an interrupted run
+	if errors.Is(err, context.DeadlineExceeded) { // testbed.Interrupted would treat this error as an interruption
 		return byAgent, &TimeoutError{After: metricsTimeout, Problem: "an agent doesn't tell its metrics"}
 	}
 	return byAgent, err
--- a/internal/scale/testbed/request_sender.go
+++ b/internal/scale/testbed/request_sender.go
@@ -97,7 +97,7 @@
 }
 
 // workerClient returns the client of a worker's connection to a controller. A worker has one
-// connection at a time: the function closes its connection to any other controller.
+// connection at a time: workerClient closes the worker's connection to any other controller.
 func (s *requestSender) workerClient(controller int, heartbeat *protocol.Heartbeat) *fasthttp.HostClient {
 	connection := s.workers[heartbeat.Machine]
 	if connection != nil && connection.controller == controller {
--- a/internal/scale/testbed/testbed.go
+++ b/internal/scale/testbed/testbed.go
@@ -36,8 +36,8 @@
 // maxListedKeys is the largest number of entries in a list response of the state service.
 const maxListedKeys = 1000
 
-// New returns a testbed that is not yet started. The command starts a controller when the path of
-// a settings file is appended. Settings files and logs are written to the directory.
+// New returns a testbed that is not yet started. The command, followed by the path of a settings
+// file, starts a controller. Settings files and logs are written to the directory.
 func New(spec Spec, command []string, directory string) *Testbed {
 	settings, addresses := spec.settings(), NewAddresses()
 	t := &Testbed{
@@ -65,8 +65,8 @@
 // be called before Start.
 func (t *Testbed) OnUserResponse(notify func(now time.Duration)) { t.sender.onUserResponse = notify }
 
-// Start opens the simulated servers and starts the world's clock. Start the controllers after it,
-// and call Close even if Start fails.
+// Start opens the simulated servers and starts the world's clock. Start the controllers
+// afterwards. Call Close even if Start fails.
 func (t *Testbed) Start(ctx context.Context) error {
 	if err := t.servers.open(t.Addresses); err != nil {
 		return err
