--- a/cmd/oakpick-scale/main.go
+++ b/cmd/oakpick-scale/main.go
@@ -1,5 +1,5 @@
-// Command oakpick-scale runs real controllers beside a simulation of everything else on one
-// machine, at several sizes and through faults, and reports what each role takes.
+// Command oakpick-scale runs real controllers on one machine and simulates everything else. It
+// increases the load in steps, injects faults, and reports the resource usage of each role.
 package main
 
 import (
@@ -37,7 +37,7 @@
 	Distribution distributionCommand `cmd:"" help:"Real controllers and real agents that fetch weights, beside a stand-in for the store."`
 }
 
-// errNotSound says that the report shows a broken rule, a crash or a part that is missing.
+// errNotSound means that the report is incomplete or contains a rule violation or a crash.
 var errNotSound = errors.New("the report is not sound: see above")
 
 func main() {
@@ -59,17 +59,17 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	report, err := scale.Run(ctx, s.Parameters, controller, os.Stderr)
 	if err != nil {
 		return err
 	}
-	return errors.Join(report.WriteTable(os.Stdout), writeFile(s.JSON, report.WriteJSON), verdict(report.Sound()))
+	return errors.Join(report.WriteTable(os.Stdout), writeFile(s.JSON, report.WriteJSON), soundnessError(report.Sound()))
 }
 
-// Run runs the experiment of the distribution of weights. A run that failed is reported as far
-// as it came.
+// Run runs the weight distribution experiment. If a run fails, Run still writes the report of the
+// part that was completed.
 func (d *distributionCommand) Run() error {
 	if err := d.Check(); err != nil {
 		return err
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	commands := distributionrun.Commands{Controller: controller, Agent: []string{d.Agent}}
 	report, runErr := distributionrun.Run(ctx, d.Parameters, commands, os.Stderr)
@@ -86,22 +86,22 @@
 		return runErr
 	}
 	return errors.Join(runErr, report.WriteTable(os.Stdout),
-		writeFile(d.JSON, report.WriteJSON), writeFile(d.HTML, report.WriteHTML), verdict(report.Sound()))
+		writeFile(d.JSON, report.WriteJSON), writeFile(d.HTML, report.WriteHTML), soundnessError(report.Sound()))
 }
 
-// interruptible returns a context that ends when the program is asked to.
-func interruptible() (ctx context.Context, stop context.CancelFunc) {
+// signalContext returns a context that is cancelled when the process receives SIGINT or SIGTERM.
+func signalContext() (ctx context.Context, stop context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-func verdict(sound bool) error {
+func soundnessError(sound bool) error {
 	if sound {
 		return nil
 	}
 	return errNotSound
 }
 
-// writeFile writes a file, if one is named.
+// writeFile creates the file and calls write for it. It does nothing if the path is empty.
 func writeFile(path string, write func(io.Writer) error) error {
 	if path == "" {
 		return nil
--- a/internal/daemon/agents_test.go
+++ b/internal/daemon/agents_test.go
@@ -21,7 +21,7 @@
 
 // publishVersion publishes a version in the store. It returns the manifest and the SHA-256 sum of
 // the content.
-func publishVersion(t *testing.T, store *registry.Memory, version string) (*distribution.Manifest, [sha256.Size]byte) {
+func publishVersion(t *testing.T, store *registry.MemoryContent, version string) (*distribution.Manifest, [sha256.Size]byte) {
 	t.Helper()
 	var chunks [][]byte
 	for i := range 12 {
@@ -36,7 +36,7 @@
 
 // agentFleet runs four real agents in two zones, with a store and the trackers of controllers.
 type agentFleet struct {
-	store    *registry.Memory
+	store    *registry.MemoryContent
 	operator *operator.Client
 	settings []agent.Settings
 	cancels  []context.CancelFunc
@@ -46,7 +46,7 @@
 func startAgentFleet(t *testing.T, trackers []string) *agentFleet {
 	t.Helper()
 	directory := t.TempDir() // created first, so that it is removed only after the agents have stopped
-	f := &agentFleet{store: registry.NewMemory(), operator: &operator.Client{Controllers: trackers}}
+	f := &agentFleet{store: registry.NewMemoryContent(), operator: &operator.Client{Controllers: trackers}}
 	t.Cleanup(f.running.Wait)
 	storeAddress := startHTTPServer(t, &registry.Handler{Content: f.store, Slots: registry.NewSlots(2)})
 	for i := range 4 {
@@ -80,7 +80,7 @@
 func (f *agentFleet) useVersion(t *testing.T, version *distribution.Manifest) {
 	t.Helper()
 	eventually(t, func() (string, bool) {
-		_, err := f.operator.Use(t.Context(), "models/a", version.Digest)
+		_, err := f.operator.SetManifest(t.Context(), "models/a", version.Digest)
 		return fmt.Sprint(err), err == nil
 	})
 }
--- a/internal/distribution/registry/memory.go
+++ b/internal/distribution/registry/memory.go
@@ -9,20 +9,21 @@
 	"oakpick/internal/distribution"
 )
 
-// Memory is content in memory, for simulated stores. It is safe for concurrent use.
-type Memory struct {
+// MemoryContent holds manifests and blobs in memory. Simulated stores serve it as their Content.
+// It is safe for concurrent use.
+type MemoryContent struct {
 	mu        sync.Mutex
 	manifests map[string]*distribution.Manifest // by digest and by tag
 	blobs     map[digest.Digest][]byte
 }
 
-// NewMemory returns a Memory without content.
-func NewMemory() *Memory {
-	return &Memory{manifests: map[string]*distribution.Manifest{}, blobs: map[digest.Digest][]byte{}}
+// NewMemoryContent returns an empty MemoryContent.
+func NewMemoryContent() *MemoryContent {
+	return &MemoryContent{manifests: map[string]*distribution.Manifest{}, blobs: map[digest.Digest][]byte{}}
 }
 
-// Publish adds a version of some chunks, and has tags refer to it.
-func (m *Memory) Publish(chunks [][]byte, tags ...string) (*distribution.Manifest, error) {
+// Publish adds the chunks and their manifest, and points the tags to that manifest.
+func (m *MemoryContent) Publish(chunks [][]byte, tags ...string) (*distribution.Manifest, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var list []distribution.Chunk
@@ -41,15 +42,15 @@
 	return manifest, nil
 }
 
-// Bytes returns the content of a blob, or nil if there is none.
-func (m *Memory) Bytes(d digest.Digest) []byte {
+// Bytes returns the content of a blob, or nil if the blob is unknown.
+func (m *MemoryContent) Bytes(d digest.Digest) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.blobs[d]
 }
 
-// Manifest returns a manifest by tag or digest.
-func (m *Memory) Manifest(_, reference string) ([]byte, digest.Digest, error) {
+// Manifest returns the manifest with the given tag or digest, and the manifest's digest.
+func (m *MemoryContent) Manifest(_, reference string) ([]byte, digest.Digest, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	manifest := m.manifests[reference]
@@ -60,7 +61,7 @@
 }
 
 // Blob opens a blob.
-func (m *Memory) Blob(_ string, d digest.Digest) (Blob, error) {
+func (m *MemoryContent) Blob(_ string, d digest.Digest) (Blob, error) {
 	content := m.Bytes(d)
 	if content == nil {
 		return nil, ErrNotFound
@@ -68,14 +69,14 @@
 	return NewBlob(content), nil
 }
 
-// Chunks returns nil: content in memory is complete.
-func (*Memory) Chunks(digest.Digest) distribution.ChunkSet { return nil }
+// Chunks returns nil, so that no chunks header is sent: content in memory is always complete.
+func (*MemoryContent) Chunks(digest.Digest) distribution.ChunkSet { return nil }
 
-// memoryBlob is a blob of bytes in memory.
+// memoryBlob is a Blob that reads from a byte slice.
 type memoryBlob struct{ *bytes.Reader }
 
 // Close does nothing.
 func (memoryBlob) Close() error { return nil }
 
-// NewBlob returns a blob of some bytes.
+// NewBlob returns a Blob that reads from content.
 func NewBlob(content []byte) Blob { return memoryBlob{bytes.NewReader(content)} }
--- a/internal/scale/distributionrun/fault_schedule_test.go
+++ b/internal/scale/distributionrun/fault_schedule_test.go
@@ -12,16 +12,16 @@
 		want       scheduledFault
 	}{
 		{"whole part", "kill@1", scheduledFault{killAgentFault, 1}},
-		{"fraction", "cut@0.25", scheduledFault{brokenAnswersFault, 0.25}},
+		{"fraction", "cut@0.25", scheduledFault{truncatedResponsesFault, 0.25}},
 		{"at once", "version@0", scheduledFault{newVersionFault, 0}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got, err := parseFault(test.text)
 			if err != nil || got != test.want {
-				t.Errorf("%v and %v, not %v", got, err, test.want)
+				t.Errorf("got %v and error %v, want %v", got, err, test.want)
 			}
 			if got.String() != test.text {
-				t.Errorf("it is written as %s", got)
+				t.Errorf("String returned %s", got)
 			}
 		})
 	}
@@ -29,14 +29,14 @@
 		t.Run("refused "+text, func(t *testing.T) {
 			var syntax *FaultSyntaxError
 			if _, err := parseFault(text); !errors.As(err, &syntax) || syntax.Text != text {
-				t.Errorf("%v", err)
+				t.Errorf("error is %v, want a FaultSyntaxError with the text", err)
 			}
 		})
 	}
 }
 
-func TestFaultIsAfterPartOfTimeAlone(t *testing.T) {
-	if got := (scheduledFault{killLeaderFault, 0.5}).after(3 * time.Second); got != 1500*time.Millisecond {
-		t.Errorf("%v", got)
+func TestFaultDelayIsMultipleOfAloneTime(t *testing.T) {
+	if got := (scheduledFault{killLeaderFault, 0.5}).delay(3 * time.Second); got != 1500*time.Millisecond {
+		t.Errorf("delay is %v", got)
 	}
 }
--- a/internal/scale/pipelines.go
+++ b/internal/scale/pipelines.go
@@ -8,19 +8,19 @@
 	"oakpick/internal/protocol"
 )
 
-// pipelineClass is the class of jobs that need others.
+// pipelineClass is the class of jobs with prerequisites.
 const pipelineClass = "pipeline"
 
-// How pipelines are drawn.
+// Parameters of the random pipeline jobs.
 const (
-	maxRecentJobs      = 64  // that a pipeline may name
-	maxRecentNamed     = 4   // of these
-	archivedNamedShare = 0.5 // of the pipelines name a job in the archive, too
-	pipelineRunTime    = 3 * time.Second
+	maxRecentJobs             = 64  // candidates for prerequisites
+	maxRecentPrerequisites    = 4   // of a pipeline job, among the candidates
+	archivedPrerequisiteShare = 0.5 // share of the pipeline jobs that also need an archived job
+	pipelineRunTime           = 3 * time.Second
 )
 
-// noteRecent keeps a job for pipelines to name, whatever becomes of it.
-func (w *workload) noteRecent(job *fake.Job) {
+// addRecent makes a job a candidate for the prerequisites of pipeline jobs, whatever its later status.
+func (w *workload) addRecent(job *fake.Job) {
 	if w.parameters.Pipelines == 0 || job.Submission.Kind == protocol.Service {
 		return
 	}
@@ -30,16 +30,17 @@
 	}
 }
 
-// submitPipeline submits a job that needs recent ones, which may be done, cancelled or under way,
-// and may need others themselves, and half of the time one in the archive.
+// submitPipeline submits a job that needs up to maxRecentPrerequisites recent jobs and, with the
+// probability archivedPrerequisiteShare, an archived job. The recent jobs may be done, cancelled or
+// unfinished, and may have prerequisites themselves.
 func (w *workload) submitPipeline() {
 	job := w.newJob(pipelineClass, protocol.Array, protocol.Normal, 1)
-	for range 1 + w.random.IntN(maxRecentNamed) {
-		if id := w.recentAccepted(); id != "" && !slices.Contains(job.Prerequisites, id) {
+	for range 1 + w.random.IntN(maxRecentPrerequisites) {
+		if id := w.randomRecentAccepted(); id != "" && !slices.Contains(job.Prerequisites, id) {
 			job.Prerequisites = append(job.Prerequisites, id)
 		}
 	}
-	if w.parameters.Archived > 0 && w.random.Float64() < archivedNamedShare {
+	if w.parameters.Archived > 0 && w.random.Float64() < archivedPrerequisiteShare {
 		record := archivedRecord(w.random.IntN(w.parameters.Archived))
 		w.world.AddEndedBefore(record.ID, record.Cancelled)
 		job.Prerequisites = append(job.Prerequisites, record.ID)
@@ -47,8 +48,8 @@
 	w.submit(job, pipelineRunTime)
 }
 
-// recentAccepted draws a recent job that is accepted; empty: the drawn one isn't.
-func (w *workload) recentAccepted() string {
+// randomRecentAccepted returns the id of a random recent job, or "" if that job isn't accepted.
+func (w *workload) randomRecentAccepted() string {
 	if len(w.recent) == 0 {
 		return ""
 	}
--- a/internal/scale/testbed/state_server.go
+++ b/internal/scale/testbed/state_server.go
@@ -12,11 +12,11 @@
 	"oakpick/internal/storage"
 )
 
-// handleState serves the state service's API, without watches, which no controller uses.
+// handleState serves the state service's API except watches, which controllers don't use.
 func (s *simulatedServers) handleState(ctx *fasthttp.RequestCtx) {
 	s.meter.countMessage(StateTraffic)
 	if !s.stateRate.Allow() {
-		s.meter.countAnswer("state 429 for the rate")
+		s.meter.countResponse("state 429 for the rate")
 		respond(ctx, http.StatusTooManyRequests, nil)
 		return
 	}
