--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -9,8 +9,8 @@
 	"oakpick/internal/message"
 )
 
-// Operators' settings are checked, named when wrong, in force from any controller and
-// kept over the end of all processes.
+// Invalid admin settings are rejected, and the response names them. Valid ones take effect
+// whichever controller receives them, and survive a crash of all controllers.
 func TestAdminSettingsAreValidatedAndDurable(t *testing.T) {
 	w := newWorld(t)
 	w.Run(2 * time.Second)
@@ -31,7 +31,7 @@
 		})
 	}
 	if status, answer := adminRequest(w, 1, message.AdminChange, `{"sample": 7, "warm_room": 0.5}`); status != 200 {
-		t.Fatalf("through a follower: %d %s", status, answer)
+		t.Fatalf("change through a follower: %d %s", status, answer)
 	}
 	crashAll(w)
 	startAll(w)
@@ -47,7 +47,8 @@
 	}
 }
 
-// A change is refused whole, with every problem named, and nothing is changed by it.
+// An invalid change is rejected as a whole: the response names every problem, and no setting
+// is changed.
 func TestAdminSettingsNameEveryProblem(t *testing.T) {
 	w := newWorld(t)
 	w.Run(2 * time.Second)
@@ -67,12 +68,12 @@
 			status, answer := adminRequest(w, 0, message.AdminChange, body)
 			for _, name := range wantNamed {
 				if status != 400 || !strings.Contains(answer, name) {
-					t.Errorf("%q is not named: %d %s", name, status, answer)
+					t.Errorf("the response does not name %q: %d %s", name, status, answer)
 				}
 			}
 		})
 	}
 	if _, after := adminRequest(w, 0, message.AdminRead, ""); after != before {
-		t.Errorf("changed from %s to %s", before, after)
+		t.Errorf("rejected changes modified the settings from %s to %s", before, after)
 	}
 }
--- a/internal/controller/archive_moves_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/protocol"
 )
 
-// The leader crashes before, inside and after a move, whose transaction is lost, carried out
-// late, or only not answered.
+// The leader crashes while it moves jobs to the archive. From a certain write on, the requests
+// are lost or executed late, or the responses are lost. Every job must stay on record throughout.
 func TestLeaderCrashDuringArchiveMove(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"none", "request lost", "late", "answer lost"} {
@@ -24,8 +24,8 @@
 	}
 }
 
-// testLeaderCrashDuringArchiveMove lets so many writes of the move pass, has the
-// others meet the fault, and crashes the leader.
+// testLeaderCrashDuringArchiveMove delivers the given number of writes, applies the fault to all
+// later ones, and crashes the leader.
 func testLeaderCrashDuringArchiveMove(t *testing.T, fault string, after int) {
 	t.Helper()
 	w := newWorldWith(t, smallMemorySettings())
@@ -67,7 +67,7 @@
 	requireAllDone(t, w, jobs)
 }
 
-// A repeat of a submission comes to all controllers in the very moments in which its job is moved.
+// Completed jobs are polled and resubmitted at all controllers while they are moved to the archive.
 func TestRepeatedSubmissionDuringArchiveMove(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
@@ -83,13 +83,14 @@
 	requireAllDone(t, w, jobs)
 }
 
-// A page of the archive is read for a job that nobody knows, a move into that page is carried
-// out, and only then does the answer to the read come: it says nothing of what was moved.
+// The leader reads a page of the archive to look up an unknown job, and a move to the same page is
+// executed before the response to the read arrives. That response is outdated and says nothing
+// about the jobs that were moved.
 func TestArchiveReadConcurrentWithMove(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
-	w.Controllers[2].Crash()                 // nothing is moved before it says that it reads the archive
-	jobs := completeJobs(t, w, 100_000, 600) // more pages than a leader keeps
+	w.Controllers[2].Crash()                 // jobs are moved only once all controllers support the archive
+	jobs := completeJobs(t, w, 100_000, 600) // more archive pages than a leader caches
 	delayWrites(w)
 	w.Controllers[2].Start()
 	for n := range 400 {
@@ -109,8 +110,8 @@
 	requireAllDone(t, w, jobs)
 }
 
-// Jobs of several blocks end, the removal of their other blocks is lost again and again, and
-// the leader crashes: no block is left whose job is only in the archive.
+// Jobs of several blocks complete, some of the writes that remove their other blocks are lost, and
+// the leader crashes repeatedly. No block may remain whose job is only in the archive.
 func TestBlocksRemovedBeforeJobIsArchived(t *testing.T) {
 	s := smallMemorySettings()
 	s.State.TxnOps = 3
@@ -152,22 +153,23 @@
 	}
 }
 
-// More ended jobs than are kept, and none of them may be moved since a job that waits names
-// them all: that there is nothing to move doesn't keep users from the archive.
+// There are more terminal jobs than a leader keeps in memory, and none of them may be moved to the
+// archive because a waiting job depends on all of them. Users must still be able to look up jobs
+// in the archive.
 func TestArchiveReadableWhileNothingCanMove(t *testing.T) {
 	w, jobs := newWorldWithArchive(t, 600)
 	long := w.Submit(job(50, protocol.Array, 1), time.Hour)
 	waitRunning(t, w, long.Submission.ID, 1)
-	needs := []*fake.Job{long}
+	prerequisites := []*fake.Job{long}
 	for n := range terminalJobsInMemory + 8 {
 		s := job(700_000+n, protocol.Array, 1)
 		s.CPUs, s.MemoryGB, s.ImageGB = 0.05, 0.05, 0.01
-		needs = append(needs, w.Submit(s, 12*time.Second))
+		prerequisites = append(prerequisites, w.Submit(s, 12*time.Second))
 	}
-	submitAfter(t, w, job(51, protocol.Array, 1), time.Second, needs...)
+	submitAfter(t, w, job(51, protocol.Array, 1), time.Second, prerequisites...)
 	runAndPoll(w, 40*time.Second)
 	if pages, _ := terminalRecords(t, w); len(pages) <= terminalJobsInMemory {
-		t.Fatalf("%d ended jobs are on pages, which may be moved", len(pages))
+		t.Fatalf("only %d terminal jobs are on pages: some were moved to the archive", len(pages))
 	}
 	leader := w.Leader()
 	for n := 0; n < len(jobs); n += 15 {
@@ -175,7 +177,7 @@
 		leader.Request(message.UserRequest{Kind: message.Poll, Job: jobs[n].Submission.ID}, func(r message.Reply) { status = r.Status })
 		w.Run(300 * time.Millisecond)
 		if status != 200 {
-			t.Errorf("%s: %d after 0.3 s", jobs[n].Submission.ID, status)
+			t.Errorf("poll of %s: status %d after 0.3 s", jobs[n].Submission.ID, status)
 		}
 	}
 	requireNoViolations(t, w)
--- a/internal/controller/archive_prerequisites_test.go
+++ b/internal/controller/archive_prerequisites_test.go
@@ -8,8 +8,9 @@
 	"oakpick/internal/protocol"
 )
 
-// Jobs that need archived ones: done ones let them start, cancelled ones cancel them, one
-// that nobody accepted is refused; a successor comes to the same.
+// Jobs depend on archived jobs. Completed prerequisites let a job start, a cancelled one cancels
+// it, and a submission with a prerequisite that was never accepted is rejected. The outcome is the
+// same after the leader crashes.
 func TestArchivedPrerequisites(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
@@ -18,69 +19,68 @@
 	w.CancelJob(cancelled)
 	jobs := completeJobs(t, w, 100_000, 150)
 	waitArchived(t, w, jobs)
-	completeJobs(t, w, 300_000, 40) // so that the cancelled one goes, too
+	completeJobs(t, w, 300_000, 40) // enough for the cancelled job to be moved, too
 	w.Run(10 * time.Second)
 	_, archive := terminalRecords(t, w)
 	if _, ok := archive[cancelled.Submission.ID]; !ok {
 		t.Fatal("the cancelled job is not in the archive")
 	}
-	after := submitAfter(t, w, job(60, protocol.Array, 1), time.Second, jobs[0], jobs[70], jobs[140])
-	with := submitAfter(t, w, job(61, protocol.Array, 1), time.Second, jobs[3], cancelled)
+	afterDone := submitAfter(t, w, job(60, protocol.Array, 1), time.Second, jobs[0], jobs[70], jobs[140])
+	afterCancelled := submitAfter(t, w, job(61, protocol.Array, 1), time.Second, jobs[3], cancelled)
 	s := job(62, protocol.Array, 1)
 	s.Prerequisites = []string{jobs[1].Submission.ID, "wk-777777"}
 	refused := w.Submit(s, time.Second)
 	w.Run(3 * time.Second)
 	w.Leader().Crash()
 	runAndPoll(w, 30*time.Second)
-	if after.Status != protocol.StatusDone || with.Status != protocol.StatusCancelled || refused.RejectedWith != 422 {
-		t.Errorf("after done ones %q, with a cancelled one %q, with an unknown one %d", after.Status, with.Status, refused.RejectedWith)
+	if afterDone.Status != protocol.StatusDone || afterCancelled.Status != protocol.StatusCancelled || refused.RejectedWith != 422 {
+		t.Errorf("after completed jobs: %q; after a cancelled one: %q; after an unknown one: %d", afterDone.Status, afterCancelled.Status, refused.RejectedWith)
 	}
 	requireNoViolations(t, w)
 }
 
-// A job that waits names ended ones while these would be moved: they stay until it is over,
-// so that a successor finds what it names.
+// Terminal jobs that a waiting job depends on are not moved to the archive until it has ended, so
+// that a new leader finds all prerequisites of the waiting job.
 func TestPrerequisitesOfWaitingJobsAreNotArchived(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
 	named := completeJobs(t, w, 500_000, 1)[0]
 	running := w.Submit(job(50, protocol.Array, 1), 100*time.Second)
 	waitRunning(t, w, running.Submission.ID, 1)
-	waits := submitAfter(t, w, job(51, protocol.Array, 1), time.Second, named, running)
+	dependent := submitAfter(t, w, job(51, protocol.Array, 1), time.Second, named, running)
 	jobs := completeJobs(t, w, 100_000, 100)
 	w.Run(10 * time.Second)
 	pages, _ := terminalRecords(t, w)
 	if _, ok := pages[named.Submission.ID]; !ok {
-		t.Error("a job that another names was moved")
+		t.Error("a prerequisite of a waiting job was moved to the archive")
 	}
 	w.Leader().Crash()
 	for range 20 {
 		runAndPoll(w, 8*time.Second)
 	}
-	if waits.Status != protocol.StatusDone {
-		t.Errorf("the job that waits has status %q", waits.Status)
+	if dependent.Status != protocol.StatusDone {
+		t.Errorf("the dependent job has status %q", dependent.Status)
 	}
 	requireRecorded(t, w, jobs)
 	requireNoViolations(t, w)
 }
 
-// A submission may name a cancelled job that is in the archive and another that is not over.
-// It is cancelled, and the end of the other one must not end the controller.
+// A submission depends on a cancelled job in the archive and on an unfinished job. It is cancelled,
+// and the end of the unfinished job must not crash the leader.
 //
-// What happened: the job was cancelled because of the archived one only after it had got its edge
-// to the unfinished one in the dependency graph, and its own end never took that edge away. When
-// the end of the unfinished one was committed, prerequisiteDone was told that the job is ready,
-// found no such job any more and dereferenced nil. The trace that showed it: panic in
-// (*Manager).prerequisiteDone from endCommitted from MarkCommitted, 13.66 s into the story; the
-// next leader led 0.85 s later, with clean records. See docs/incidents/2026-12-03-cancelled-job-in-dependency-graph.md.
+// The fault: the submitted job was linked to the unfinished one in the dependency graph before it
+// was cancelled because of the archived one, and its own end did not remove the edge. When the end
+// of the unfinished job was committed, prerequisiteDone looked up the dependent job, which no longer
+// existed, and dereferenced nil (a panic in (*Manager).prerequisiteDone, called by endCommitted,
+// called by MarkCommitted). See docs/incidents/2026-12-03-cancelled-job-in-dependency-graph.md.
 func TestArchivedCancelledPrerequisiteBesideAnUnfinishedOne(t *testing.T) {
 	defer func() {
 		if err := recover(); err != nil {
-			t.Errorf("the controller ended: %v", err)
+			t.Errorf("the controller panicked: %v", err)
 		}
 	}()
 	s := smallMemorySettings()
-	s.Limits.MemoryMB = 0.02 // one ended job is kept in memory
+	s.Limits.MemoryMB = 0.02 // one terminal job is kept in memory
 	w := newWorldWith(t, s)
 	cancelled := submitAfter(t, w, job(1, protocol.Array, 1), time.Minute)
 	w.Run(2 * time.Second)
@@ -98,27 +98,27 @@
 	dependent := submitAfter(t, w, job(3, protocol.Array, 1), time.Second, cancelled, unfinished)
 	runAndPoll(w, 30*time.Second)
 	if unfinished.Status != protocol.StatusDone || dependent.Status != protocol.StatusCancelled {
-		t.Errorf("users are told that the jobs are %q and %q", unfinished.Status, dependent.Status)
+		t.Errorf("users are told status %q of the unfinished job and %q of the dependent one", unfinished.Status, dependent.Status)
 	}
 	requireNoViolations(t, w)
 }
 
-// Jobs name ended ones while these are on their way to the archive, and the leader crashes: the
-// successor finds nothing that it doesn't know.
+// Jobs are submitted whose prerequisites are being moved to the archive, and the leader crashes
+// repeatedly. Each new leader must find a record of every prerequisite.
 func TestPrerequisitesDuringArchiveMove(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
-	w.Controllers[2].Crash() // nothing is moved before it says that it reads the archive
+	w.Controllers[2].Crash() // jobs are moved only once all controllers support the archive
 	jobs := completeJobs(t, w, 100_000, 120)
 	long := w.Submit(job(50, protocol.Array, 1), 90*time.Second)
 	waitRunning(t, w, long.Submission.ID, 1)
 	delayWrites(w)
 	w.Controllers[2].Start()
-	var after []*fake.Job
+	var dependents []*fake.Job
 	for n := range 60 {
 		s := job(600_000+n, protocol.Array, 1)
 		s.CPUs, s.MemoryGB, s.ImageGB = 0.05, 0.05, 0.01
-		after = append(after, submitAfter(t, w, s, 200*time.Millisecond, jobs[n], jobs[(n+60)%120], long))
+		dependents = append(dependents, submitAfter(t, w, s, 200*time.Millisecond, jobs[n], jobs[(n+60)%120], long))
 		w.Run(100 * time.Millisecond)
 		if n%20 == 19 {
 			crashLeader(w, 2*time.Second)
@@ -129,7 +129,7 @@
 	runAndPoll(w, 120*time.Second)
 	requireNotLogged(t, w, "prerequisite has no record")
 	requireNoViolations(t, w)
-	for _, j := range after {
+	for _, j := range dependents {
 		if j.Status != protocol.StatusDone {
 			t.Errorf("%s has status %q", j.Submission.ID, j.Status)
 		}
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -13,8 +13,8 @@
 	"oakpick/internal/storage"
 )
 
-// Ended jobs are moved to the archive, all that asks after them goes on as before, and a
-// successor reads few of them.
+// Terminal jobs are moved to the archive. Polls, resubmissions and cancellations of them are
+// answered as before, and a new leader loads only a few of them.
 func TestTerminalJobsAreArchived(t *testing.T) {
 	w, jobs := newWorldWithArchive(t, 300)
 	requireAllDone(t, w, jobs[:60])
@@ -27,17 +27,18 @@
 	requireAllDone(t, w, jobs[200:260])
 	pages, archive := terminalRecords(t, w)
 	if len(pages) > terminalJobsInMemory+8 || len(archive) < 250 {
-		t.Errorf("%d ended jobs are on pages, %d in the archive", len(pages), len(archive))
+		t.Errorf("%d terminal jobs are on pages, %d in the archive", len(pages), len(archive))
 	}
 	if keys := len(pagesOf(w)); keys > 6 {
-		t.Errorf("%d pages of records are left: emptied ones are to be dropped or used again", keys)
+		t.Errorf("%d pages of records are left: empty pages should be deleted or reused", keys)
 	}
-	// What comes next is accepted and done, too.
+	// New jobs are still accepted and completed.
 	requireAllDone(t, w, completeJobs(t, w, 900_000, 10))
 }
 
-// Thousands of polls for jobs that nobody submitted, beside real work: they get 404 or are
-// told to come back, never 200, and what others hand in is accepted and done in good time.
+// Thousands of polls for unknown jobs arrive along with regular requests. They get 404, or 503 with
+// a retry delay, but never 200. Other users' submissions are accepted without undue delay, and
+// their jobs complete.
 func TestUnknownJobPollsDoNotStarveOthers(t *testing.T) {
 	w, jobs := newWorldWithArchive(t, 200)
 	statuses := map[int]int{}
@@ -50,7 +51,7 @@
 			w.Controllers[i%3].Request(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply) {
 				statuses[r.Status]++
 				if r.Status == 503 && r.RetryAfterS == 0 {
-					t.Error("refused without a time to come back")
+					t.Error("refused without a retry delay")
 				}
 			})
 		}
@@ -68,17 +69,17 @@
 		w.Run(50 * time.Millisecond)
 	}
 	if took := other.AcceptedAt - began; !other.Accepted || took > time.Second {
-		t.Errorf("another's job was accepted after %v", took)
+		t.Errorf("another user's job was accepted after %v", took)
 	}
 	w.Run(5 * time.Second)
 	if statuses[200] > 0 || statuses[404] == 0 {
-		t.Errorf("answers %v", statuses)
+		t.Errorf("polls by status: %v", statuses)
 	}
 	requireAllDone(t, w, jobs[:20])
 }
 
-// Nothing is moved while a peer has not said that it reads the archive, nor for few ended
-// jobs.
+// No job is moved to the archive until all peers have reported that they support it, nor while
+// there are only few terminal jobs.
 func TestNothingArchivedUntilAllPeersReadArchive(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
@@ -88,7 +89,7 @@
 	completeJobs(t, w, 100_000, 100)
 	w.Run(20 * time.Second)
 	if _, archive := terminalRecords(t, w); len(archive) > 0 {
-		t.Error("moved beside a version that doesn't read the archive")
+		t.Error("jobs were archived while a peer's version does not support the archive")
 	}
 	upgrade(w, w.Controllers[2], time.Second)
 	jobs := completeJobs(t, w, 200_000, 5)
@@ -100,12 +101,12 @@
 	completeJobs(t, few, 100_000, terminalJobsInMemory-4)
 	few.Run(20 * time.Second)
 	if _, archive := terminalRecords(t, few); len(archive) > 0 {
-		t.Error("moved for few ended jobs")
+		t.Error("jobs were archived although few are terminal")
 	}
 }
 
-// A page of the archive is damaged: its jobs get 503, all others are served and the leader
-// leads on.
+// A page of the archive is corrupt. Polls for its jobs get 503, all other jobs are served, and the
+// leader remains in place.
 func TestCorruptArchivePage(t *testing.T) {
 	w, jobs := newWorldWithArchive(t, 300)
 	var damaged string
@@ -128,7 +129,7 @@
 	w.Run(15 * time.Second)
 	leader := w.Leader()
 	if leader == nil {
-		t.Fatal("nobody leads")
+		t.Fatal("no controller leads")
 	}
 	for _, j := range jobs {
 		status := 0
@@ -137,33 +138,33 @@
 			w.Run(50 * time.Millisecond)
 		}
 		if want := 200; lost[j.Submission.ID] && status != 503 || !lost[j.Submission.ID] && status != want {
-			t.Errorf("%s, lost %v: %d", j.Submission.ID, lost[j.Submission.ID], status)
+			t.Errorf("%s (on the corrupt page: %v): status %d", j.Submission.ID, lost[j.Submission.ID], status)
 		}
 	}
 	if w.Leader() != leader {
 		t.Error("the leader has changed")
 	}
 	if text := strings.Join(w.Log, "\n"); !strings.Contains(text, damaged) {
-		t.Error("the log doesn't name the page")
+		t.Error("the log does not name the corrupt page")
 	}
 }
 
-// The state service refuses the leader alone while a lookup is out: nobody is told anything
-// that isn't so, and users come back to the next leader.
+// The state service becomes unreachable for the leader alone while archive lookups are in flight.
+// The leader must not report archived jobs as unknown, and users are served by its successor.
 func TestArchiveLookupWhileLeaderLosesStateService(t *testing.T) {
 	w, jobs := newWorldWithArchive(t, 200)
 	leader := w.Leader()
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		delivery := fake.Reliable()
 		if kind == fake.KindState && from == leader.Name {
-			delivery.ResponseDelay = 800 * time.Millisecond // the lookup's answer comes after the end of the term
+			delivery.ResponseDelay = 800 * time.Millisecond // responses to lookups arrive after the end of the term
 		}
 		return delivery
 	}
 	for _, j := range jobs[:30] {
 		leader.Request(message.UserRequest{Kind: message.Poll, Job: j.Submission.ID}, func(r message.Reply) {
 			if r.Status == 404 {
-				t.Errorf("%s is called unknown", j.Submission.ID)
+				t.Errorf("%s is reported as unknown", j.Submission.ID)
 			}
 		})
 	}
@@ -176,8 +177,8 @@
 	requireAllDone(t, w, jobs[:30])
 }
 
-// The limits are lowered between two moves: pages of the archive that are too large by then
-// are divided when something is added, and every job on them is still found.
+// The limits of the state service are lowered between two moves to the archive. Archive pages that
+// exceed the new limits are split when jobs are added to them, and every job on them is still found.
 func TestArchivePagesSplitForLowerLimits(t *testing.T) {
 	s := smallMemorySettings()
 	s.State.ValueKB = 4
@@ -192,10 +193,10 @@
 		c.Start()
 	}
 	w.Run(15 * time.Second)
-	half := completeJobs(t, w, 400_000, 40)
+	beforeLowering := completeJobs(t, w, 400_000, 40)
 	w.State.LowerLimits()
-	more := completeJobs(t, w, 100_050, 80)
-	jobs = slices.Concat(jobs, half, more)
+	afterLowering := completeJobs(t, w, 100_050, 80)
+	jobs = slices.Concat(jobs, beforeLowering, afterLowering)
 	waitArchived(t, w, jobs)
-	requireAllDone(t, w, append(jobs[:40], more[:40]...))
+	requireAllDone(t, w, append(jobs[:40], afterLowering[:40]...))
 }
