--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/protocol"
 )
 
-// BenchmarkStep times the leader's decisions at several sizes. Where time has to
-// pass, the stand-ins of everything outside are in the figure too.
+// BenchmarkStep measures steps of the leader at several fleet sizes. Results of the cases in which
+// simulated time passes include the cost of the fakes.
 func BenchmarkStep(b *testing.B) {
 	for _, machines := range []int{100, 400, 1600} {
 		_, leader := newFleet(b, machines)
@@ -60,37 +60,37 @@
 	}
 }
 
-// peakLoad is a fleet at the users' next size: so many machines, half of them with replicas,
-// and arrays that make so many starts a second with so many tasks running.
+// peakLoad is a fleet under the peak load of the size that users plan next: a service replica on
+// each machine, and arrays that keep a given number of tasks running and starting per second.
 type peakLoad struct {
 	world           *fake.World
 	leader          *fake.Controller
-	arraysPerSecond float64 // arrays a second
-	tasksEach       int     // each
-	runTime         time.Duration
-	dueArrays       float64
+	arraysPerSecond float64
+	tasksPerArray   int
+	runTime         time.Duration // of each task
+	dueArrays       float64       // not submitted yet; the fraction carries over to the next step
 	lastID          int
 }
 
-// newPeakLoad makes a fleet at its peak, with so many tasks running and so many starts a
-// second.
+// newPeakLoad makes a fleet at peak load, with the given numbers of running tasks and of task
+// starts per second.
 func newPeakLoad(tb testing.TB, machines, running int, starts float64) *peakLoad {
 	tb.Helper()
 	w, leader := newFleet(tb, machines)
 	p := &peakLoad{world: w, leader: leader, arraysPerSecond: 3.2, lastID: 10_000}
-	p.tasksEach = int(starts / p.arraysPerSecond)
+	p.tasksPerArray = int(starts / p.arraysPerSecond)
 	p.runTime = time.Duration(float64(running) / starts * float64(time.Second))
 	p.advance(time.Duration(float64(p.runTime) * 1.2))
 	return p
 }
 
-// advance lets time pass, with arrays submitted as it does.
+// advance lets simulated time pass while arrays are submitted at a constant rate.
 func (p *peakLoad) advance(d time.Duration) {
 	const step = 50 * time.Millisecond
 	for ; d > 0; d -= step {
 		for p.dueArrays += p.arraysPerSecond * step.Seconds(); p.dueArrays >= 1; p.dueArrays-- {
 			p.lastID++
-			s := job(p.lastID, protocol.Array, p.tasksEach)
+			s := job(p.lastID, protocol.Array, p.tasksPerArray)
 			s.Team, s.CPUs, s.MemoryGB, s.ImageGB, s.CheckpointIntervalS = "red", 0.05, 0.1, 0.1, 0
 			p.world.Submit(s, p.runTime)
 		}
@@ -98,8 +98,8 @@
 	}
 }
 
-// BenchmarkPeak times a second at the next size. The stand-ins of everything outside are in
-// the figure; the profile tells them apart.
+// BenchmarkPeak measures a simulated second at peak load. The results include the cost of the
+// fakes; a CPU profile shows the controller's share.
 func BenchmarkPeak(b *testing.B) {
 	for _, size := range []struct {
 		machines, running int
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -8,9 +8,10 @@
 	"oakpick/internal/message"
 )
 
-// What is examined grows with the machines, or with what waits, but not with
-// one times the other, and not at all for what concerns one job or machine.
-func TestCostGrowsWithChange(t *testing.T) {
+// The number of machines and jobs that the leader examines grows with the number of machines or
+// of waiting tasks, but not with their product, and is independent of both for a request that
+// concerns a single job or machine.
+func TestDecisionCostScalesLinearly(t *testing.T) {
 	for _, machines := range []int{100, 400} {
 		t.Run(fmt.Sprint(machines, " machines"), func(t *testing.T) {
 			w, leader := newFleet(t, machines)
@@ -30,10 +31,10 @@
 			}
 			examined, _ = measure(func() { w.Run(time.Second) })
 			if examined > int64(15*machines) {
-				t.Errorf("a quiet second: %d machines examined", examined)
+				t.Errorf("one second without requests: %d machines examined", examined)
 			}
-			// One that finds a place costs a pass, which examines each machine a few
-			// times, whatever else is there.
+			// A submission that can be placed costs one scheduling pass, which examines each
+			// machine a few times, regardless of the other jobs.
 			examined, jobs = measure(func() {
 				for i := range 20 {
 					s := service(500+i, 1)
