--- a/internal/controller/best_effort_test.go
+++ b/internal/controller/best_effort_test.go
@@ -10,7 +10,7 @@
 	"oakpick/internal/protocol"
 )
 
-// newBestEffortWorld is a world with a team that has no guarantee.
+// newBestEffortWorld makes a world with a team, "guests", that has no guaranteed resources.
 func newBestEffortWorld(t *testing.T) *fake.World {
 	t.Helper()
 	s := fake.Settings()
@@ -18,22 +18,22 @@
 	return newWorldWith(t, s)
 }
 
-// bestEffortJob is an array of the team that has no guarantee.
+// bestEffortJob is an array of the team without guaranteed resources.
 func bestEffortJob(id, tasks int) protocol.Submission {
 	s := job(id, protocol.Array, tasks)
 	s.Team, s.Priority, s.Spot = "guests", protocol.Low, true
 	return s
 }
 
-// Best-effort teams bring far more work than the cheap machines hold, and leaders crash in between.
-// No controller provisions a machine for them where a place costs more than twice the cheapest;
-// the work is done all the same.
+// Best-effort teams submit far more work than the cheap machines can hold, and leaders crash in
+// between. No controller provisions a machine for them on which a task costs more than twice as
+// much as on the cheapest one. All of the work is still completed.
 func TestBestEffortScaleOutIsLimitedByCost(t *testing.T) {
 	w := newBestEffortWorld(t)
 	w.Cloud.CapacityOf = map[string]int{"small": 3}
 	expensive := 0
 	w.OnBoot = func(m protocol.Machine) {
-		if !m.Spot { // ordinary ones are 2.5 times the price
+		if !m.Spot { // on-demand machines cost 2.5 times as much
 			expensive++
 		}
 	}
@@ -47,30 +47,30 @@
 	requireNoViolations(t, w)
 	requireAllServed(t, w)
 	if expensive > 0 {
-		t.Errorf("%d machines that cost more were provisioned for best-effort teams", expensive)
+		t.Errorf("%d expensive machines were provisioned for best-effort teams", expensive)
 	}
 }
 
-// All cheap machines are full of a best-effort team's long work. Another best-effort team's job finds room beside
-// a guaranteed team's, on a machine that is expensive for it: it waits for a limited time, also
-// if the leader changes meanwhile.
+// No cheap machine is available to a best-effort job, which fits beside a guaranteed team's job on a
+// machine that is expensive for it. The best-effort job waits before it is placed there, but only
+// for a limited time, even if the leader changes meanwhile.
 func TestBestEffortJobEventuallyUsesAnyMachine(t *testing.T) {
-	for _, ends := range []bool{false, true} {
+	for _, crash := range []bool{false, true} {
 		w := newBestEffortWorld(t)
 		w.Cloud.CapacityOf = map[string]int{"small": 0}
-		paying := service(1, 1)
-		paying.CPUs, paying.GPUs, paying.MemoryGB = 2, 1, 4
-		w.Submit(paying, 0)
-		waitRunning(t, w, paying.ID, 1)
+		guaranteed := service(1, 1)
+		guaranteed.CPUs, guaranteed.GPUs, guaranteed.MemoryGB = 2, 1, 4
+		w.Submit(guaranteed, 0)
+		waitRunning(t, w, guaranteed.ID, 1)
 		s := bestEffortJob(2, 1)
 		s.CPUs, s.Spot = 3, false
 		w.Submit(s, 30*time.Second)
 		began := w.Now
 		w.Run(20 * time.Second)
 		if n := w.Running(s.ID); n != 0 {
-			t.Errorf("%d of the best-effort tasks run on processors that unused GPUs need", n)
+			t.Errorf("%d best-effort tasks run on CPUs that unused GPUs need", n)
 		}
-		if ends {
+		if crash {
 			restartLeader(w, 2*time.Second)
 		}
 		if !w.RunUntil(90*time.Second, func() bool { return w.Running(s.ID) == 1 }) {
@@ -81,38 +81,38 @@
 	}
 }
 
-// A best-effort team's tasks that save are left alone on a machine that is expensive for them, once a
-// guaranteed team's have gone. They are stopped, save, and go on where it is cheap, and the
-// machine is scaled in, also by a successor.
+// Best-effort tasks that write checkpoints remain alone on a machine that is expensive for them
+// after a guaranteed team's tasks have ended. The best-effort tasks save a checkpoint, stop and
+// resume on cheaper machines, and the expensive machine is scaled in, also by a new leader.
 func TestMachineNotKeptForBestEffortAlone(t *testing.T) {
-	for _, ends := range []bool{false, true} {
+	for _, crash := range []bool{false, true} {
 		w := newBestEffortWorld(t)
 		w.Cloud.CapacityOf = map[string]int{"small": 0}
-		paying := service(1, 1)
-		paying.CPUs, paying.GPUs = 2, 2
-		w.Submit(paying, 0)
-		waitRunning(t, w, paying.ID, 1)
-		machine := w.MachinesOf(paying.ID)[0]
+		guaranteed := service(1, 1)
+		guaranteed.CPUs, guaranteed.GPUs = 2, 2
+		w.Submit(guaranteed, 0)
+		waitRunning(t, w, guaranteed.ID, 1)
+		machine := w.MachinesOf(guaranteed.ID)[0]
 		s := bestEffortJob(2, 3)
 		s.CPUs, s.EstimatedRunS = 2, 400
 		j := w.Submit(s, 400*time.Second)
 		if !w.RunUntil(60*time.Second, func() bool { return w.Running(s.ID) > 0 }) {
-			t.Fatal("the best-effort tasks don't run")
+			t.Fatal("the best-effort tasks do not run")
 		}
-		w.CancelEverywhere(w.Jobs[paying.ID])
-		if ends {
+		w.CancelEverywhere(w.Jobs[guaranteed.ID])
+		if crash {
 			w.Leader().Crash()
 		}
 		w.Cloud.CapacityOf["small"] = 4
 		if !w.RunUntil(150*time.Second, func() bool { return !slices.Contains(w.MachineNames(), machine) }) {
-			t.Errorf("%s is kept for %v", machine, w.MachinesOf(s.ID))
+			t.Errorf("%s is not scaled in; the best-effort tasks are on %v", machine, w.MachinesOf(s.ID))
 		}
 		if !w.RunUntil(90*time.Second, func() bool { return w.Running(s.ID) == 3 }) {
-			t.Errorf("%d of 3 of the best-effort tasks go on", w.Running(s.ID))
+			t.Errorf("%d of 3 best-effort tasks resumed", w.Running(s.ID))
 		}
 		for _, h := range w.MachinesOf(s.ID) {
 			if w.TypeOf(h) != "small" {
-				t.Errorf("a best-effort task is on a %s", w.TypeOf(h))
+				t.Errorf("a best-effort task is on a machine of type %s", w.TypeOf(h))
 			}
 		}
 		w.CancelEverywhere(j)
@@ -121,8 +121,8 @@
 	}
 }
 
-// An array of a best-effort team far larger than the fleet keeps the write budget busy, and the leader crashes
-// in the middle of it. What a guaranteed team submits is taken at once, by whoever leads.
+// A best-effort array far larger than the fleet uses up the write budget, and the leader crashes
+// meanwhile. Submissions of guaranteed teams must still be accepted within a second.
 func TestBestEffortWritesDoNotDelayOthers(t *testing.T) {
 	s := fake.Settings()
 	s.Teams = append(s.Teams, config.Team{Name: "guests"})
@@ -146,7 +146,7 @@
 		w.Run(time.Second)
 	}
 	if most := time.Second; worst > most {
-		t.Errorf("a submission took %v behind best-effort teams' writes, at most %v", worst, most)
+		t.Errorf("accepting a submission took %v while best-effort writes were pending, at most %v expected", worst, most)
 	}
 	requireNoViolations(t, w)
 }
--- a/internal/controller/block_length_test.go
+++ b/internal/controller/block_length_test.go
@@ -11,8 +11,8 @@
 	"oakpick/internal/protocol"
 )
 
-// A job's blocks are cut for pages of 8 KiB, and pages of 1 KiB are to come: the starts
-// of a whole block don't fit one. What doesn't has to wait, and its turn comes.
+// A job's blocks are sized for pages of 8 KiB, and pages of 1 KiB are to come. The starts of a
+// whole block do not fit on such a page, so some tasks have to wait until others have ended.
 func TestBlockTooLargeForLoweredPages(t *testing.T) {
 	s := fake.Settings()
 	s.State.ValueKB, s.State.Next = 8, nextLimits(1, 4, 40)
@@ -21,13 +21,13 @@
 	large := job(1, protocol.Array, 60)
 	large.CPUs, large.MemoryGB, large.Team = 0.1, 0.1, "red"
 	j := w.Submit(large, 10*time.Second)
-	most := 0
+	maxRunning := 0
 	for range 40 {
 		w.Run(time.Second)
-		most = max(most, w.Running(large.ID))
+		maxRunning = max(maxRunning, w.Running(large.ID))
 	}
-	if most < 20 || most >= 60 {
-		t.Errorf("%d of 60 tasks ran at a time", most)
+	if maxRunning < 20 || maxRunning >= 60 {
+		t.Errorf("%d of 60 tasks ran at a time", maxRunning)
 	}
 	w.State.LowerLimits()
 	runAndPoll(w, 60*time.Second)
@@ -37,8 +37,8 @@
 	requireNoViolations(t, w)
 }
 
-// The limits were lowered and the settings say so: the same number of a block would mean
-// other tasks now, but for the length that is recorded.
+// The limits are lowered, and the settings change accordingly. By the new settings, a block number
+// would refer to other tasks; the recorded block length prevents this.
 func TestBlockLengthIsReadFromRecords(t *testing.T) {
 	s := fake.Settings()
 	s.State.ValueKB, s.State.Next = 4, nextLimits(1, 4, 40)
@@ -47,8 +47,8 @@
 	large := job(1, protocol.Array, 60)
 	large.CPUs = 0.5
 	j := w.Submit(large, 5*time.Second)
-	// Tasks of the first block are paused, so that later ones end before them, and are
-	// lost with their machines when the controllers restart.
+	// Machines with tasks of the first block hang, so that later tasks end first, and fail
+	// before the controllers restart.
 	var first []string
 	w.RunUntil(60*time.Second, func() bool { return w.Running(large.ID) >= 30 })
 	for _, line := range w.Log {
@@ -81,8 +81,8 @@
 	requireNoViolations(t, w)
 }
 
-// The operators change value_kb itself, without saying before what is to come. A job of
-// several blocks that this version accepted is carried on by the length that it recorded.
+// Operators change value_kb without announcing the new limits beforehand. A job of several blocks
+// that this version accepted continues with its recorded block length.
 func TestMultiBlockJobSurvivesValueSizeChange(t *testing.T) {
 	for _, sizes := range [][2]float64{{4, 1}, {1, 4}} {
 		t.Run(fmt.Sprintf("from %v to %v KiB", sizes[0], sizes[1]), func(t *testing.T) {
@@ -93,11 +93,11 @@
 			large.CPUs, large.Team = 0.5, "red"
 			j := w.Submit(large, 4*time.Second)
 			if !w.RunUntil(60*time.Second, func() bool { return len(j.DoneTasks) >= 26 }) {
-				t.Fatal("no block is done")
+				t.Fatal("no block is completed")
 			}
 			w.Run(500 * time.Millisecond)
 			if n := len(j.DoneTasks); n > 50 {
-				t.Fatalf("%d of 60 tasks are done: this shows nothing", n)
+				t.Fatalf("%d of 60 tasks are done: too many for this test", n)
 			}
 			restartWithValueSize(w, sizes[1])
 			runAndPoll(w, 90*time.Second)
@@ -109,9 +109,9 @@
 	}
 }
 
-// A job of several blocks that the version in production accepted has no such length
-// recorded. If value_kb is changed and its records disagree, nobody leads, and the log
-// says why: no task is taken for another.
+// A job of several blocks that the production version accepted has no recorded block length. If
+// value_kb changes and the job's records contradict the new value, no controller leads and the log
+// states the cause, because tasks would otherwise be confused with each other.
 func TestBlocksInconsistentWithSettingsAreRefused(t *testing.T) {
 	s := fake.Settings()
 	s.State.ValueKB = 4
@@ -132,11 +132,11 @@
 	restartWithValueSize(w, 1)
 	w.Run(10 * time.Second)
 	if w.Leader() != nil {
-		t.Error("a controller leads")
+		t.Error("a controller leads despite inconsistent records")
 	}
-	said := func(line string) bool { return strings.Contains(line, "was value_kb changed?") }
-	if !slices.ContainsFunc(w.Log, said) {
-		t.Error("no log line says why")
+	namesCause := func(line string) bool { return strings.Contains(line, "was value_kb changed?") }
+	if !slices.ContainsFunc(w.Log, namesCause) {
+		t.Error("no log line states the cause")
 	}
 	restartWithValueSize(w, 4)
 	runAndPoll(w, 150*time.Second)
