--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -8,12 +8,13 @@
 	"oakpick/internal/protocol"
 )
 
-// A job is cancelled, and the leader crashes before any worker has heard of it.
+// A job is cancelled, and the leader crashes before any worker has received the cancellation. The
+// next leader must still stop the job's tasks.
 func TestCancellationSurvivesFailover(t *testing.T) {
 	w := newWorld(t)
 	j := w.Submit(service(1, 2), 0)
 	waitRunning(t, w, j.Submission.ID, 2)
-	w.Network = func(kind, _, _ string) fake.Delivery { // no commands arrive from now on
+	w.Network = func(kind, _, _ string) fake.Delivery { // workers receive no commands from now on
 		delivery := fake.Reliable()
 		delivery.LoseResponse = kind == fake.KindHeartbeat
 		delivery.LoseRequest = kind == fake.KindCommands
@@ -30,8 +31,8 @@
 	requireNoViolations(t, w)
 }
 
-// The state service is gone just as a user cancels: nobody is told that the job
-// is cancelled before that is durable.
+// The state service is unavailable when a user cancels a job. The cancellation must not be
+// confirmed before it is durable.
 func TestCancellationConfirmedOnlyWhenDurable(t *testing.T) {
 	w := newWorld(t)
 	j := w.Submit(service(1, 1), 0)
@@ -53,13 +54,13 @@
 	requireNoViolations(t, w)
 }
 
-// A job is cancelled by the successor of a leader that alone still reaches its
-// worker. The user may hear of it only once the predecessor's heartbeat grace period and the
-// worker's lease will have ended the task in time, and is then told.
+// A job is cancelled through the successor of a leader that alone still reaches the job's worker.
+// The cancellation may be confirmed only once the old leader's heartbeat grace period and the
+// worker's lease are certain to end the task in time, and must be confirmed then.
 func TestCancellationConfirmedAfterPartitionedLeaderExpires(t *testing.T) {
 	w, j := partitionLeaderWithOneWorker(t)
 	if !w.RunUntil(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
-		t.Fatal("nobody took over")
+		t.Fatal("no controller took over")
 	}
 	w.CancelJob(j)
 	waitCancelled(t, w, j, 25*time.Second)
@@ -67,12 +68,12 @@
 	requireNoViolations(t, w)
 }
 
-// leaderChanges are ways in which the leader n0 is replaced.
+// leaderChanges are faults after which the leader n0 is replaced.
 var leaderChanges = map[string]func(w *fake.World){
 	"crashes": func(w *fake.World) { w.Controllers[0].Crash() },
 	"refused": func(w *fake.World) { w.State.Unreachable["n0"] = true },
 	"paused":  func(w *fake.World) { w.Controllers[0].PausedUntil = w.Now + 8*time.Second },
-	"hears no worker": func(w *fake.World) {
+	"partitioned from workers": func(w *fake.World) {
 		w.Network = func(kind, from, to string) fake.Delivery {
 			delivery := fake.Reliable()
 			delivery.LoseRequest = kind == fake.KindHeartbeat && to == "n0" || kind == fake.KindCommands && from == "n0"
@@ -81,9 +82,9 @@
 	},
 }
 
-// One job after the other is cancelled in the seconds in which the leadership
-// changes, by a leader that crashes, is refused, resigns or is paused: from its
-// last renewal to its successor's first placements.
+// Jobs are cancelled one after the other during a change of leader, from the old leader's last lease
+// renewal to the new leader's first placements. The old leader crashes, is refused by the state
+// service, resigns because it receives no heartbeats, or is paused.
 func TestCancellationDuringLeaderChange(t *testing.T) {
 	t.Parallel()
 	phases := 3
@@ -101,7 +102,8 @@
 	}
 }
 
-// testCancellationDuringLeaderChange changes the leader at a time within the heartbeat interval.
+// testCancellationDuringLeaderChange replaces the leader at the given offset within the heartbeat
+// interval.
 func testCancellationDuringLeaderChange(t *testing.T, phase time.Duration, change func(*fake.World)) {
 	t.Helper()
 	w := newWorld(t)
@@ -116,7 +118,7 @@
 	}
 	w.Run(3*time.Second + phase)
 	change(w)
-	for i, j := range jobs { // every 150 ms
+	for i, j := range jobs { // one cancellation every 150 ms
 		w.After(time.Duration(i)*150*time.Millisecond, func() {
 			if i%2 == 0 {
 				w.CancelEverywhere(j)
--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -9,58 +9,59 @@
 	"oakpick/internal/fake"
 )
 
-// outageDuration is how long the state service is down for all: longer than a cancellation may
-// take.
+// outageDuration is how long the state service is down for all controllers. It is longer than a
+// cancellation may take.
 const outageDuration = 45 * time.Second
 
-// failoverScenario is one in which the state service refuses the leader alone, jobs are
-// cancelled through the others, and then the state service is down for all. Times count from
-// the refusal; 0: it doesn't happen.
+// failoverScenario is a failover in which the state service refuses the leader alone, jobs are
+// cancelled through the other controllers, and then the state service is down for all of them.
+// Times are relative to the start of the refusal. A fault whose time is 0 does not occur.
 type failoverScenario struct {
-	// phase is by how much the refusal comes after the workers' heartbeats.
+	// phase is the time from the workers' heartbeats to the refusal.
 	phase time.Duration
-	// cancelAt is when the first job is cancelled, outageAt when the outage begins.
+	// cancelAt is when the first job is cancelled, and outageAt when the outage begins.
 	cancelAt, outageAt time.Duration
 
-	// peersPartitioned has the old leader reach no other controller, nor they it, until healAt;
-	// 0: until all is over.
+	// peersPartitioned disconnects the old leader from all other controllers until healAt, or until
+	// the end of the outage if healAt is 0.
 	peersPartitioned bool
 	healAt           time.Duration
-	// oneWay lets the old leader still reach the others, and hear their answers.
+	// oneWay still delivers the old leader's requests to the other controllers, and the responses.
 	oneWay bool
 	// commandsLost drops all direct commands.
 	commandsLost bool
 
-	// slowResponses has answers of the state service take a second from before the refusal.
+	// slowResponses delays the responses of the state service by 900 ms.
 	slowResponses bool
-	// recordsUnreadable loses what the state service says of the records to whoever takes over,
-	// termUnknown its answers to whoever takes the term as well.
+	// recordsUnreadable drops the state service's responses to a successor that loads the records,
+	// termUnknown also the responses to its attempts to acquire the term.
 	recordsUnreadable, termUnknown bool
 
-	// successorCrashAt is when the new leader crashes; it is back after successorDownFor.
+	// successorCrashAt is when the new leader crashes. It restarts after successorDownFor, or at the
+	// end of the test if that is 0.
 	successorCrashAt, successorDownFor time.Duration
-	// successorPauseAt is when the new leader is paused, for 12 s.
+	// successorPauseAt is when the new leader is paused for 12 s.
 	successorPauseAt time.Duration
-	// oldLeaderRestarts has the old leader crash and be back at once in the outage.
+	// oldLeaderRestarts crashes the old leader during the outage and restarts it at once.
 	oldLeaderRestarts bool
 }
 
-// String has the fields in one word.
+// String returns the fields without spaces.
 func (s failoverScenario) String() string {
-	type fields failoverScenario // without this method
+	type fields failoverScenario // has no String method, which would recurse
 	return strings.ReplaceAll(fmt.Sprintf("%+v", fields(s)), " ", ",")
 }
 
-// failover is a world in which a failoverScenario is played.
+// failover is a world that runs a failoverScenario.
 type failover struct {
 	failoverScenario
 	world *fake.World
-	jobs  []*fake.Job // of which all but the last are cancelled
+	jobs  []*fake.Job // all but the last are cancelled
 	start time.Duration
 
-	counted map[*fake.Job]bool
-	// confirmed counts the jobs whose user was told that they are cancelled,
-	// confirmedOnMachine those of them that still had a task on a machine.
+	counted map[*fake.Job]bool // jobs that are included in confirmed
+	// confirmed counts the jobs whose cancellation was confirmed to the user, and confirmedOnMachine
+	// those of them that still had a task on a machine at that time.
 	confirmed, confirmedOnMachine int
 }
 
@@ -81,16 +82,16 @@
 	return r
 }
 
-// toCancel are the jobs that are cancelled.
+// toCancel returns the jobs that are cancelled.
 func (r *failover) toCancel() []*fake.Job { return r.jobs[:3] }
 
-// kept is the job that nobody cancels.
-func (r *failover) kept() *fake.Job { return r.jobs[3] }
+// uncancelled returns the job that is not cancelled.
+func (r *failover) uncancelled() *fake.Job { return r.jobs[3] }
 
-// outageEnd is when the state service serves all again.
+// outageEnd returns when the state service is available to all controllers again.
 func (r *failover) outageEnd() time.Duration { return r.start + r.outageAt + outageDuration }
 
-// deliver is the World's Network.
+// deliver is the scenario's World.Network function.
 func (r *failover) deliver(kind, from, to string) fake.Delivery {
 	delivery := fake.Reliable()
 	if r.world.Now >= r.outageEnd() {
@@ -111,22 +112,24 @@
 	return delivery
 }
 
-// losesStateResponse tells whether the others don't hear from the state service at present.
+// losesStateResponse reports whether the state service's responses to the controllers other than
+// n0 are currently lost.
 func (r *failover) losesStateResponse() bool {
 	since := r.world.Now - r.start
 	return r.termUnknown && since > 500*time.Millisecond ||
 		r.recordsUnreadable && r.world.Leader() == nil && since > 1500*time.Millisecond
 }
 
-// at plans a call, unless the time is 0.
-func (r *failover) at(d time.Duration, call func()) {
+// schedule calls the function after the delay, unless the delay is 0.
+func (r *failover) schedule(d time.Duration, call func()) {
 	if d > 0 {
 		r.world.After(d, call)
 	}
 }
 
-// toSuccessor gives a call for whatever controller is the new leader by then.
-func (r *failover) toSuccessor(call func(*fake.Controller)) func() {
+// onSuccessor returns a function that applies the call to the controller that is the new leader by
+// then.
+func (r *failover) onSuccessor(call func(*fake.Controller)) func() {
 	return func() {
 		for _, c := range r.world.Controllers[1:] {
 			if c.AnswersWorkers() {
@@ -137,13 +140,13 @@
 	}
 }
 
-// plan plans the cancellations and the faults.
-func (r *failover) plan() {
+// scheduleFaults schedules the cancellations and the faults.
+func (r *failover) scheduleFaults() {
 	w := r.world
 	w.Network = r.deliver
 	w.State.Unreachable["n0"] = true
 	for i, j := range r.toCancel() {
-		r.at(r.cancelAt+time.Duration(i)*400*time.Millisecond, func() {
+		r.schedule(r.cancelAt+time.Duration(i)*400*time.Millisecond, func() {
 			if i == 0 {
 				w.CancelEverywhere(j)
 			} else {
@@ -151,26 +154,26 @@
 			}
 		})
 	}
-	r.at(r.outageAt, func() { w.State.SetOutage(true) })
-	r.at(r.outageAt+outageDuration, func() {
+	r.schedule(r.outageAt, func() { w.State.SetOutage(true) })
+	r.schedule(r.outageAt+outageDuration, func() {
 		w.State.SetOutage(false)
 		delete(w.State.Unreachable, "n0")
 	})
-	r.at(r.successorCrashAt, r.toSuccessor(func(c *fake.Controller) {
+	r.schedule(r.successorCrashAt, r.onSuccessor(func(c *fake.Controller) {
 		c.Crash()
-		r.at(r.successorDownFor, c.Start)
+		r.schedule(r.successorDownFor, c.Start)
 	}))
-	r.at(r.successorPauseAt, r.toSuccessor(func(c *fake.Controller) { c.PausedUntil = w.Now + 12*time.Second }))
+	r.schedule(r.successorPauseAt, r.onSuccessor(func(c *fake.Controller) { c.PausedUntil = w.Now + 12*time.Second }))
 	if r.oldLeaderRestarts {
-		r.at(r.outageAt+2*time.Second, func() {
+		r.schedule(r.outageAt+2*time.Second, func() {
 			w.Controllers[0].Crash()
 			w.Controllers[0].Start()
 		})
 	}
 }
 
-// play lets time pass until well after the outage, with queries for all jobs.
-func (r *failover) play() {
+// run lets time pass until well after the outage, while users query all jobs.
+func (r *failover) run() {
 	w := r.world
 	for w.Now < r.outageEnd()+40*time.Second {
 		w.Run(500 * time.Millisecond)
@@ -185,7 +188,7 @@
 	w.Run(30 * time.Second)
 }
 
-// countConfirmed counts a job once its user was told that it is cancelled.
+// countConfirmed counts a job once its cancellation was confirmed to its user.
 func (r *failover) countConfirmed(j *fake.Job) {
 	if !j.Cancelled || r.counted[j] {
 		return
@@ -197,7 +200,7 @@
 	}
 }
 
-// requireOutcome fails unless the cancelled jobs are gone and the other one runs.
+// requireOutcome fails unless the cancelled jobs have no tasks left and the other job runs.
 func (r *failover) requireOutcome(t *testing.T) {
 	t.Helper()
 	w := r.world
@@ -209,13 +212,13 @@
 			t.Fatalf("%s: %s status %q, on %v", r.failoverScenario, j.Submission.ID, j.Status, w.MachinesOf(j.Submission.ID))
 		}
 	}
-	if n := w.Running(r.kept().Submission.ID); n != 2 {
-		t.Fatalf("%s: %d of 2 replicas of the job that was not cancelled run\n%s", r.failoverScenario, n, logTail(w, 60))
+	if n := w.Running(r.uncancelled().Submission.ID); n != 2 {
+		t.Fatalf("%s: %d of 2 replicas of the uncancelled job run\n%s", r.failoverScenario, n, logTail(w, 60))
 	}
 }
 
-// failoverKinds are the scenarios that TestCancellationDuringFailover sweeps.
-var failoverKinds = map[string]failoverScenario{
+// failoverScenarios are the scenarios that TestCancellationDuringFailover sweeps.
+var failoverScenarios = map[string]failoverScenario{
 	"no other fault":                         {},
 	"old leader partitioned":                 {peersPartitioned: true},
 	"slow responses":                         {slowResponses: true},
@@ -236,15 +239,15 @@
 	"old leader restarts, successor crashes": {oldLeaderRestarts: true, successorCrashAt: 4 * time.Second, successorDownFor: time.Second},
 }
 
-// sweep gives the scenario at every offset of cancellation and outage from the refusal, and of
-// the refusal from the workers' heartbeats.
+// sweep returns variants of the scenario that differ in the times of the cancellation and the
+// outage after the refusal, and in the time of the refusal after the workers' heartbeats.
 func (s failoverScenario) sweep(phases, steps int) []failoverScenario {
 	var scenarios []failoverScenario
 	for phase := range phases {
 		for cancel := range steps {
 			for outage := range steps {
 				swept := s
-				swept.phase = 2 * time.Second * time.Duration(phase) / time.Duration(phases) // of the heartbeat interval
+				swept.phase = 2 * time.Second * time.Duration(phase) / time.Duration(phases) // within the heartbeat interval
 				swept.cancelAt = 100*time.Millisecond + 3*time.Second*time.Duration(cancel)/time.Duration(steps)
 				part := float64(outage) / float64(steps-1)
 				if s.outageAt > 0 {
@@ -259,29 +262,30 @@
 	return scenarios
 }
 
-// Cancellations during a failover, swept over the offsets of all that happens: whoever was told
-// that a job is cancelled finds its tasks gone in time, by the world's own record.
+// Jobs are cancelled during a failover, with many combinations of the times of heartbeats, refusal,
+// cancellation and outage. When a user is told that a job is cancelled, its tasks must end within
+// the permitted time. The world checks this against the tasks that actually run.
 func TestCancellationDuringFailover(t *testing.T) {
 	t.Parallel()
 	phases, steps := 2, 5
 	if *fine {
 		phases, steps = 5, 16
 	}
-	for name, kind := range failoverKinds {
+	for name, kind := range failoverScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			confirmed, confirmedOnMachine := 0, 0
 			for _, scenario := range kind.sweep(phases, steps) {
 				r := newFailover(t, scenario)
-				r.plan()
-				r.play()
+				r.scheduleFaults()
+				r.run()
 				r.requireOutcome(t)
 				confirmed += r.confirmed
 				confirmedOnMachine += r.confirmedOnMachine
 			}
 			t.Logf("%d cancellations confirmed, %d while a task was on a machine", confirmed, confirmedOnMachine)
 			if confirmed == 0 {
-				t.Error("no cancellation was confirmed: this scenario shows nothing")
+				t.Error("no cancellation was confirmed: the scenario tests nothing")
 			}
 		})
 	}
