--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -10,11 +10,11 @@
 	"oakpick/internal/protocol"
 )
 
-// The transaction with a job's record is lost, late or refused, those with its other
-// blocks pass, and the leader crashes. The successor knows no such job, its user submits it
-// again, and the machines that could have been told of the first acceptance can't be
-// asked. Nothing of a job starts before its record is durable (seen in an enlarged bench
-// run as "block of an unknown job dropped", with its starts).
+// The transaction with a job's record is lost, delayed or refused, the transactions with the job's
+// other blocks succeed, and the leader crashes. The next leader does not know the job, whose user
+// submits it again, and the machines that may have received starts after the first submission
+// cannot be queried. Nothing of a job may start before its record is durable. A large benchmark run
+// violated this: a new leader logged "block of an unknown job dropped" and lost the block's starts.
 func TestNoStartBeforeJobIsDurable(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []protocol.JobKind{protocol.Array, protocol.Gang, protocol.Service} {
@@ -31,13 +31,13 @@
 	}
 }
 
-// testNoStartBeforeJobIsDurable has the first write of the job and one of its machines meet
-// faults, and crashes the leader in between.
+// testNoStartBeforeJobIsDurable applies faults to the first write of the job and to one of its
+// machines, and crashes the leader in between.
 func testNoStartBeforeJobIsDurable(t *testing.T, kind protocol.JobKind, write, machine string, cancel bool) {
 	t.Helper()
 	w := newWorldWith(t, onePagePerTransaction())
 	machines := provisionIdleMachines(t, w)
-	w.Run(5 * time.Second) // nothing is left to be written
+	w.Run(5 * time.Second) // until no writes are pending
 	disturbFirstWrite(w, write)
 	j := w.Submit(multiBlockJob(1, kind), 20*time.Second)
 	for range 6 {
@@ -46,7 +46,7 @@
 	}
 	if on := w.MachinesOf(j.Submission.ID); len(on) > 0 {
 		if !j.Accepted && write != "refused" {
-			t.Errorf("%d tasks are on machines, and the job is not accepted", len(on))
+			t.Errorf("%d tasks are on machines before the job is accepted", len(on))
 		}
 		machines = on
 	}
@@ -57,7 +57,7 @@
 	}
 	for n := range 80 {
 		if n%10 == 5 {
-			w.QueryEverywhere(j) // the user doesn't wait for an answer of the controller that has ended
+			w.QueryEverywhere(j) // the user does not wait for the crashed controller's response
 		}
 		w.Run(100 * time.Millisecond)
 		requireParentRecords(t, w, nil)
@@ -74,8 +74,9 @@
 	}
 }
 
-// All that a job needs is done, and its prerequisites take records of their own: it could
-// start at once, and must not be durable before they are, whichever write is lost.
+// All prerequisites of a job are completed, so it could start at once, and the list of them is
+// stored in separate records. The job must not become durable before these records, whichever
+// write is lost.
 func TestNoStartBeforePrerequisitesAreDurable(t *testing.T) {
 	t.Parallel()
 	for lost := 1; lost <= 4; lost++ {
@@ -83,24 +84,24 @@
 			t.Parallel()
 			w := newWorldWith(t, onePagePerTransaction())
 			provisionIdleMachines(t, w)
-			var needs []*fake.Job
+			var prerequisites []*fake.Job
 			for n := range 200 {
 				s := job(1000+n, protocol.Array, 1)
 				s.CPUs, s.MemoryGB = 0.1, 0.1
-				needs = append(needs, w.Submit(s, time.Second))
+				prerequisites = append(prerequisites, w.Submit(s, time.Second))
 			}
 			done := func(j *fake.Job) bool { return j.Status == protocol.StatusDone }
-			for tries := 0; tries < 60 && !allMatch(needs, done); tries++ {
+			for tries := 0; tries < 60 && !allMatch(prerequisites, done); tries++ {
 				runAndPoll(w, 2*time.Second)
 			}
-			if !allMatch(needs, done) {
-				t.Fatal("the prerequisites are not done")
+			if !allMatch(prerequisites, done) {
+				t.Fatal("the prerequisites are not completed")
 			}
 			w.Network = loseNthWrite(w, lost)
-			j := submitAfter(t, w, multiBlockJob(1, protocol.Array), time.Second, needs...)
+			j := submitAfter(t, w, multiBlockJob(1, protocol.Array), time.Second, prerequisites...)
 			for range 60 {
 				w.Run(50 * time.Millisecond)
-				requireParentRecords(t, w, map[string]int{j.Submission.ID: len(needs)})
+				requireParentRecords(t, w, map[string]int{j.Submission.ID: len(prerequisites)})
 			}
 			runAndPoll(w, 40*time.Second)
 			requireNoViolations(t, w)
@@ -109,9 +110,9 @@
 	}
 }
 
-// The last block of an array ends, and its removal would be durable while the end of the
-// job is not, when the leader crashes. The successor must not start the tasks again whose
-// ends are forgotten with the block.
+// The last block of an array completes and the leader crashes. If the removal of the block were
+// durable before the end of the job, the next leader would not know which tasks of the block had
+// ended and would start them again.
 func TestBlocksKeptUntilJobEndIsDurable(t *testing.T) {
 	for lost := 1; lost <= 6; lost++ {
 		t.Run(fmt.Sprint("lost from write ", lost), func(t *testing.T) {
@@ -126,7 +127,7 @@
 			w.Network = loseEverySecondWrite(lost)
 			before := w.Now
 			if !w.RunUntil(20*time.Second, func() bool { return len(j.DoneTasks) == j.Submission.Tasks }) {
-				t.Fatal("the tasks don't end")
+				t.Fatal("the tasks do not end")
 			}
 			for w.Now < before+10*time.Second {
 				w.Run(50 * time.Millisecond)
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -7,7 +7,7 @@
 	"oakpick/internal/dependency"
 )
 
-// CheckCounts compares the counts that a leader keeps of each job with its tasks.
+// CheckCounts compares the leader's task counts of each job with the job's tasks.
 func (c *Controller) CheckCounts() error {
 	if c.leader == nil {
 		return nil
@@ -30,9 +30,9 @@
 	return nil
 }
 
-// CheckDependencies compares a leader's dependency graph and its order of jobs with the jobs: only
-// jobs that aren't over are in them, and every job that isn't cancelled waits for exactly those of
-// its prerequisites that aren't over.
+// CheckDependencies compares the leader's dependency graph and job order with its jobs. Both may
+// contain only jobs that have not ended, and every job that is not cancelled must wait for exactly
+// those of its prerequisites that have not ended.
 func (c *Controller) CheckDependencies() error {
 	if c.leader == nil {
 		return nil
@@ -61,15 +61,15 @@
 		return nil
 	}
 	if node := j.Prerequisites.Node; node != state.Dependencies.Node(j.ID) {
-		return fmt.Errorf("%s isn't cancelled, and its node is not in the graph", j.ID)
+		return fmt.Errorf("%s is not cancelled, but its node is not in the dependency graph", j.ID)
 	}
 	for _, id := range j.Prerequisites.IDs {
 		if end := state.EndedJobs[id]; end != nil && end.Cancelled && !j.Cancelled {
-			return fmt.Errorf("%s is not cancelled, and %s, which it needs, is", j.ID, id)
+			return fmt.Errorf("%s is not cancelled, but its prerequisite %s is", j.ID, id)
 		}
-		// A job that is to be born cancelled waits for none.
+		// A job that is cancelled on submission does not wait for its prerequisites.
 		if waits := j.Prerequisites.Node.HasPrerequisite(id); waits != (state.Jobs[id] != nil) && !j.Cancelled {
-			return fmt.Errorf("%s waits for %s: %t, which isn't over: %t", j.ID, id, waits, state.Jobs[id] != nil)
+			return fmt.Errorf("%s waits for %s: %t; that prerequisite is unfinished: %t", j.ID, id, waits, state.Jobs[id] != nil)
 		}
 	}
 	return nil
@@ -79,22 +79,23 @@
 	seen := map[string]bool{}
 	for _, j := range state.JobOrder {
 		if seen[j.ID] || j.Lifecycle.Ended || state.Jobs[j.ID] != j {
-			return fmt.Errorf("%s is over and still in the order of jobs, or twice in it", j.ID)
+			return fmt.Errorf("%s has ended but is still in the job order, or is in it twice", j.ID)
 		}
 		seen[j.ID] = true
 	}
 	return nil
 }
 
-// Kinds of prerequisites, by what their leader holds of them.
+// Kinds of prerequisites, by the information that the leader keeps about them.
 const (
 	PrerequisiteUnfinished = "unfinished"
-	PrerequisiteCancelled  = "cancelled, not over"
+	PrerequisiteCancelled  = "cancelled, not ended"
 	PrerequisiteEnded      = "ended"
 	PrerequisiteArchived   = "archived"
 )
 
-// PrerequisiteKind tells what a leader holds of a job that was accepted; empty: it doesn't lead.
+// PrerequisiteKind returns the kind of an accepted job as a prerequisite, or an empty string if the
+// controller does not lead.
 func (c *Controller) PrerequisiteKind(id string) string {
 	if c.leader == nil {
 		return ""
@@ -111,7 +112,7 @@
 	return PrerequisiteArchived
 }
 
-// HasPrerequisiteParts tells whether a leader keeps a job's prerequisites in records of their own.
+// HasPrerequisiteParts reports whether the leader stores a job's prerequisites in separate records.
 func (c *Controller) HasPrerequisiteParts(id string) bool {
 	return c.leader != nil && c.leader.state.Jobs[id] != nil && len(c.leader.state.Jobs[id].Prerequisites.Parts) > 0
 }
