--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -23,14 +23,14 @@
 	"oakpick/internal/protocol"
 )
 
-// An effect trace is everything that leaves the controllers of a simulated world, in the
-// form of the wire and the store, with its time. A change that is not meant to change
-// behavior leaves the traces of all seeds equal:
+// An effect trace is the sequence of all effects that leave the controllers of a simulated world,
+// with their times, as encoded on the wire or in the state service. A change that is not meant to
+// change behavior must leave the traces of all seeds unchanged:
 //
 //	go test ./internal/controller -run TestEffectTraces -trace.seeds=300 -trace.write=before.json
 //	go test ./internal/controller -run TestEffectTraces -trace.seeds=300 -trace.compare=before.json
 //
-// Log lines are left out.
+// Log lines are not part of a trace.
 var (
 	traceSeeds   = flag.Int("trace.seeds", 3, "how many worlds TestEffectTraces plays")
 	traceWrite   = flag.String("trace.write", "", "file that TestEffectTraces writes the digests to, by seed")
@@ -38,26 +38,26 @@
 	traceDump    = flag.String("trace.dump", "", "directory that TestEffectTraces writes the traces themselves to")
 )
 
-// TestEffectTraces plays worlds with fixed seeds. Without flags it checks that a world
-// played twice gives the same trace, which every comparison of traces relies on.
+// TestEffectTraces runs worlds with fixed seeds. Without flags, it checks that two runs of the same
+// seed give the same trace, a precondition for comparing traces.
 func TestEffectTraces(t *testing.T) {
-	digests := playTraces(t)
+	digests := runTraces(t)
 	switch {
 	case *traceWrite != "":
 		writeDigests(t, *traceWrite, digests)
 	case *traceCompare != "":
 		compareDigests(t, *traceCompare, digests)
 	default:
-		for seed, digest := range playTraces(t) {
+		for seed, digest := range runTraces(t) {
 			if digests[seed] != digest {
-				t.Errorf("seed %s: the same world gave two traces", seed)
+				t.Errorf("seed %s: two runs gave different traces", seed)
 			}
 		}
 	}
 }
 
-// playTraces plays the worlds of all seeds side by side and returns the digests by seed.
-func playTraces(t *testing.T) map[string]string {
+// runTraces runs the worlds of all seeds in parallel and returns their digests by seed.
+func runTraces(t *testing.T) map[string]string {
 	t.Helper()
 	digests := make(map[string]string, *traceSeeds)
 	var mutex sync.Mutex
@@ -65,7 +65,7 @@
 		for seed := range *traceSeeds {
 			t.Run(strconv.Itoa(seed), func(t *testing.T) {
 				t.Parallel()
-				digest := playTrace(t, uint64(seed))
+				digest := runTrace(t, uint64(seed))
 				mutex.Lock()
 				defer mutex.Unlock()
 				digests[strconv.Itoa(seed)] = digest
@@ -75,25 +75,26 @@
 	return digests
 }
 
-// wallClockSeeds is how many worlds are played at two times of day.
+// wallClockSeeds is the number of worlds that are run at two different times of the process clock.
 const wallClockSeeds = 12
 
-// The same world played hours apart by the process's clock gives the same effects: nothing that is
-// decided reads it. In the bubble of synctest that clock is another one, and stands still but for
-// the sleep.
+// Two runs of the same world at process clock times hours apart have the same effects, because no
+// decision depends on the process clock. Within synctest, this clock is simulated and advances only
+// by the sleep.
 //
-// It does not notice the fault of docs/incidents/2026-12-03-write-budget-never-fills.md: a clock that
-// is decades ahead fills the budget, whatever the hour. The linter does (forbidigo).
+// The test does not detect the fault in docs/incidents/2026-12-03-write-budget-never-fills.md,
+// because a clock that is decades ahead fills the budget at any time of day. The linter's forbidigo
+// rule detects it.
 func TestEffectsDoNotDependOnTheProcessClock(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(wallClockSeeds) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			digest := playTrace(t, seed)
+			digest := runTrace(t, seed)
 			synctest.Test(t, func(t *testing.T) {
 				time.Sleep(time.Duration(seed+1) * time.Hour)
-				if playTrace(t, seed) != digest {
-					t.Errorf("%v gave another trace", time.Now())
+				if runTrace(t, seed) != digest {
+					t.Errorf("a run at %v gave a different trace", time.Now())
 				}
 			})
 		})
@@ -122,18 +123,18 @@
 		t.Fatal(err)
 	}
 	if len(before) != len(digests) {
-		t.Errorf("%d seeds were played, %d digests are in %s", len(digests), len(before), file)
+		t.Errorf("%d seeds were run, but there are %d digests in %s", len(digests), len(before), file)
 	}
 	for seed, digest := range digests {
 		if before[seed] != digest {
-			t.Errorf("seed %s: another trace than in %s", seed, file)
+			t.Errorf("seed %s: the trace differs from the one in %s", seed, file)
 		}
 	}
 	t.Logf("%d seeds compared", len(digests))
 }
 
-// playTrace plays the world of a seed and returns the digest of its trace.
-func playTrace(t *testing.T, seed uint64) string {
+// runTrace runs the world of a seed and returns the digest of its trace.
+func runTrace(t *testing.T, seed uint64) string {
 	t.Helper()
 	digest := sha256.New()
 	trace := effectTrace{digest: digest, out: digest}
@@ -151,29 +152,29 @@
 	}
 	tw := newTraceWorld(seed)
 	tw.world.OnEffect = func(node string, effect message.Effect) { trace.add(tw.world.Now, node, effect) }
-	tw.play()
+	tw.run()
 	if trace.effects == 0 {
-		t.Fatalf("seed %d: nothing left the controllers", seed)
+		t.Fatalf("seed %d: the controllers emitted no effects", seed)
 	}
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// effectTrace sums up effects.
+// effectTrace writes effects as lines of text, and counts them.
 type effectTrace struct {
 	digest  hash.Hash
 	out     io.Writer
 	effects int
 }
 
-var machinesLookedAt = regexp.MustCompile(`"machines_looked_at": \d+`)
+var machinesExaminedField = regexp.MustCompile(`"machines_looked_at": \d+`)
 
-// add notes an effect, as the wire or the store sees it.
+// add writes an effect as it appears on the wire or in the state service.
 func (e *effectTrace) add(now time.Duration, node string, effect message.Effect) {
 	line := ""
 	switch x := effect.(type) {
 	case message.Reply:
-		// How many machines were looked at depends on the order of a map in one place.
-		body := machinesLookedAt.ReplaceAll(x.Body, nil)
+		// In one place, the number of examined machines depends on the iteration order of a map.
+		body := machinesExaminedField.ReplaceAll(x.Body, nil)
 		line = fmt.Sprintf("reply %d %d %x %d %v", x.ID, x.Status, body, x.RetryAfterS, x.CloseConnection)
 	case message.Forward:
 		line = fmt.Sprintf("forward %d %s", x.ID, x.Peer)
@@ -188,7 +189,7 @@
 	case message.Log:
 		return
 	default:
-		panic(fmt.Sprintf("an unknown effect %T", x))
+		panic(fmt.Sprintf("unknown effect %T", x))
 	}
 	e.effects++
 	if _, err := fmt.Fprintf(e.out, "%d %s %s\n", now, node, line); err != nil {
@@ -196,19 +197,19 @@
 	}
 }
 
-// traceWorld is a world whose troubles and users are drawn from a seed.
+// traceWorld is a world whose faults and requests are drawn at random from a seed.
 type traceWorld struct {
-	world   *fake.World
-	random  *rand.Rand
-	teams   []string
-	jobs    int
-	blocked map[string]bool // "from>to": nothing arrives
-	loss    int             // of messages, in hundredths
-	copies  int             // of messages, in hundredths
-	latency time.Duration   // of the state service
+	world            *fake.World
+	random           *rand.Rand
+	teams            []string
+	submitted        int
+	blocked          map[string]bool // "from>to", links that lose every request
+	lossPercent      int             // of requests and of responses
+	duplicatePercent int             // of requests
+	stateLatency     time.Duration   // added to the state service's responses
 }
 
-const traceJobs = 40
+const maxTraceJobs = 40
 
 func newTraceWorld(seed uint64) *traceWorld {
 	random := rand.New(rand.NewPCG(seed, 0x747261636573))
@@ -225,85 +226,85 @@
 		s.State.Next = nextLimits(1, 1+random.IntN(3), 25)
 	}
 	if tw.oneIn(3) {
-		s.Limits.MemoryMB = 0.03 // the archive is used after two jobs
+		s.Limits.MemoryMB = 0.03 // jobs are archived once more than two are terminal
 	}
 	if tw.oneIn(2) {
 		s.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 8}}
 	}
 	s.Cloud.RPS = 1 + 4*random.Float64()
 	tw.world = fake.NewWorld(s)
-	tw.world.Network = tw.fate
+	tw.world.Network = tw.deliver
 	return tw
 }
 
 func (tw *traceWorld) oneIn(n int) bool { return tw.random.IntN(n) == 0 }
 
-func (tw *traceWorld) between(least, most int) int { return least + tw.random.IntN(most-least+1) }
+func (tw *traceWorld) randomInt(least, most int) int { return least + tw.random.IntN(most-least+1) }
 
-func (tw *traceWorld) millis(least, most int) time.Duration {
-	return time.Duration(tw.between(least, most)) * time.Millisecond
+func (tw *traceWorld) randomMillis(least, most int) time.Duration {
+	return time.Duration(tw.randomInt(least, most)) * time.Millisecond
 }
 
-// fate delays, loses and copies messages.
-func (tw *traceWorld) fate(kind, from, to string) fake.Delivery {
-	f := fake.Reliable()
-	f.RequestDelay += time.Duration(tw.random.IntN(20)) * time.Millisecond
+// deliver delays, loses and duplicates messages at random.
+func (tw *traceWorld) deliver(kind, from, to string) fake.Delivery {
+	delivery := fake.Reliable()
+	delivery.RequestDelay += time.Duration(tw.random.IntN(20)) * time.Millisecond
 	if tw.blocked[from+">"+to] {
-		f.LoseRequest = true
-		return f
+		delivery.LoseRequest = true
+		return delivery
 	}
 	if kind == fake.KindState {
-		f.ResponseDelay += tw.latency
+		delivery.ResponseDelay += tw.stateLatency
 	}
-	f.LoseRequest = tw.random.IntN(100) < tw.loss
-	f.LoseResponse = tw.random.IntN(100) < tw.loss
-	if tw.random.IntN(100) < tw.copies {
-		f.DuplicateAfter = tw.millis(500, 20_000)
+	delivery.LoseRequest = tw.random.IntN(100) < tw.lossPercent
+	delivery.LoseResponse = tw.random.IntN(100) < tw.lossPercent
+	if tw.random.IntN(100) < tw.duplicatePercent {
+		delivery.DuplicateAfter = tw.randomMillis(500, 20_000)
 	}
-	return f
+	return delivery
 }
 
-// play lets jobs come and troubles happen, and then time pass until most is over.
-func (tw *traceWorld) play() {
-	tw.world.Run(tw.millis(500, 6000))
-	for range tw.between(20, 45) {
+// run submits jobs and injects faults, and then lets time pass until most jobs have ended.
+func (tw *traceWorld) run() {
+	tw.world.Run(tw.randomMillis(500, 6000))
+	for range tw.randomInt(20, 45) {
 		switch tw.random.IntN(5) {
 		case 0, 1:
 			tw.submit()
 			tw.submit()
 		case 2:
-			tw.ask()
+			tw.sendRequest()
 		case 3:
-			tw.trouble()
+			tw.injectFault()
 		case 4:
-			tw.machineTrouble()
+			tw.injectMachineFault()
 		}
-		tw.world.Run(tw.millis(50, 6000))
+		tw.world.Run(tw.randomMillis(50, 6000))
 		tw.world.PollAll()
 	}
-	tw.loss, tw.copies, tw.latency = 0, 0, 0
+	tw.lossPercent, tw.duplicatePercent, tw.stateLatency = 0, 0, 0
 	for range 12 {
 		tw.world.Run(8 * time.Second)
 		tw.world.PollAll()
-		tw.ask()
+		tw.sendRequest()
 	}
 }
 
 func (tw *traceWorld) submit() {
-	if tw.jobs >= traceJobs {
+	if tw.submitted >= maxTraceJobs {
 		return
 	}
-	tw.jobs++
-	s := job(tw.jobs, protocol.JobKind(tw.random.IntN(3)), tw.between(1, 6))
+	tw.submitted++
+	s := job(tw.submitted, protocol.JobKind(tw.random.IntN(3)), tw.randomInt(1, 6))
 	s.Class = fmt.Sprintf("c%d", tw.random.IntN(3))
 	s.Priority = protocol.Priority(tw.random.IntN(4))
 	s.Team = tw.teams[tw.random.IntN(len(tw.teams))]
 	s.Spot = tw.oneIn(2)
-	s.CPUs = float64(tw.between(1, 4))
+	s.CPUs = float64(tw.randomInt(1, 4))
 	s.Image = fmt.Sprintf("image-%d", tw.random.IntN(3))
-	s.ImageGB = float64(tw.between(1, 12))
+	s.ImageGB = float64(tw.randomInt(1, 12))
 	if tw.oneIn(6) {
-		s.GPUs = float64(tw.between(1, 2))
+		s.GPUs = float64(tw.randomInt(1, 2))
 	}
 	switch tw.random.IntN(8) {
 	case 0:
@@ -315,12 +316,12 @@
 	case 3:
 		s.Types = []string{"small"}
 	case 4:
-		s.DeadlineS = float64(tw.between(10, 60))
+		s.DeadlineS = float64(tw.randomInt(10, 60))
 	}
 	if s.Kind == protocol.Array && tw.oneIn(5) {
-		s.Tasks = tw.between(40, 160) // several blocks
+		s.Tasks = tw.randomInt(40, 160) // several blocks
 	}
-	for i := 1; i < tw.jobs; i++ {
+	for i := 1; i < tw.submitted; i++ {
 		if p := tw.job(i); p != nil && p.Accepted && p.Submission.Kind != protocol.Service && tw.oneIn(8) {
 			s.Prerequisites = append(s.Prerequisites, p.Submission.ID)
 		}
@@ -328,7 +329,7 @@
 	if s.Kind == protocol.Service || tw.oneIn(4) {
 		s.CheckpointIntervalS = 0
 	}
-	j := tw.world.Submit(s, tw.millis(1000, 15_000))
+	j := tw.world.Submit(s, tw.randomMillis(1000, 15_000))
 	j.AlwaysFails = tw.oneIn(15)
 }
 
@@ -336,21 +337,21 @@
 	return tw.world.Jobs[fmt.Sprintf("wk-%06d", number)]
 }
 
-func (tw *traceWorld) anyJob() *fake.Job {
-	if tw.jobs == 0 {
+func (tw *traceWorld) randomJob() *fake.Job {
+	if tw.submitted == 0 {
 		return nil
 	}
-	return tw.job(tw.between(1, tw.jobs))
+	return tw.job(tw.randomInt(1, tw.submitted))
 }
 
-func (tw *traceWorld) node() *fake.Controller {
+func (tw *traceWorld) randomController() *fake.Controller {
 	return tw.world.Controllers[tw.random.IntN(len(tw.world.Controllers))]
 }
 
-// ask has users and operators ask for something.
-func (tw *traceWorld) ask() {
+// sendRequest sends a random request of a user or an operator.
+func (tw *traceWorld) sendRequest() {
 	ignore := func(message.Reply) {}
-	j := tw.anyJob()
+	j := tw.randomJob()
 	switch tw.random.IntN(8) {
 	case 0:
 		if j != nil && !j.CancelRequested && j.Accepted {
@@ -372,23 +373,23 @@
 			tw.world.CancelEverywhere(j)
 		}
 	case 5:
-		tw.node().Request(message.AdminRequest{Kind: message.AdminStatus}, ignore)
+		tw.randomController().Request(message.AdminRequest{Kind: message.AdminStatus}, ignore)
 	case 6:
 		change := fmt.Sprintf(`{"sample": %d, "warm_room": %d, "idle_s": %d, "moves_per_min": %d}`,
-			tw.between(1, 64), tw.random.IntN(4), tw.random.IntN(8), tw.random.IntN(300))
-		tw.node().Request(message.AdminRequest{Kind: message.AdminChange, Body: []byte(change)}, ignore)
+			tw.randomInt(1, 64), tw.random.IntN(4), tw.random.IntN(8), tw.random.IntN(300))
+		tw.randomController().Request(message.AdminRequest{Kind: message.AdminChange, Body: []byte(change)}, ignore)
 	case 7:
 		if j != nil {
-			tw.node().Request(message.AdminRequest{Kind: message.AdminJob, Job: j.Submission.ID}, ignore)
+			tw.randomController().Request(message.AdminRequest{Kind: message.AdminJob, Job: j.Submission.ID}, ignore)
 		}
-		tw.node().Request(message.AdminRequest{Kind: message.AdminRead}, ignore)
+		tw.randomController().Request(message.AdminRequest{Kind: message.AdminRead}, ignore)
 	}
 }
 
-// trouble befalls controllers, the state service, the cloud or the network.
-func (tw *traceWorld) trouble() {
+// injectFault causes a random fault of the controllers, the state service, the cloud or the network.
+func (tw *traceWorld) injectFault() {
 	w := tw.world
-	switch n := tw.node(); tw.random.IntN(11) {
+	switch n := tw.randomController(); tw.random.IntN(11) {
 	case 0:
 		tw.crash(n)
 	case 1:
@@ -400,9 +401,9 @@
 			tw.crash(n)
 		}
 	case 3:
-		n.PausedUntil = w.Now + tw.millis(100, 12_000)
+		n.PausedUntil = w.Now + tw.randomMillis(100, 12_000)
 	case 4:
-		left, stall := tw.random.IntN(30), tw.millis(100, 20_000)
+		left, stall := tw.random.IntN(30), tw.randomMillis(100, 20_000)
 		n.StallBefore = func(message.Effect) time.Duration {
 			if left--; left != 0 {
 				return 0
@@ -411,28 +412,28 @@
 		}
 	case 5:
 		w.State.SetOutage(true)
-		w.After(tw.millis(500, 20_000), func() { w.State.SetOutage(false) })
+		w.After(tw.randomMillis(500, 20_000), func() { w.State.SetOutage(false) })
 	case 6:
 		w.State.Unreachable[n.Name] = true
-		w.After(tw.millis(500, 20_000), func() { w.State.Unreachable[n.Name] = false })
+		w.After(tw.randomMillis(500, 20_000), func() { w.State.Unreachable[n.Name] = false })
 	case 7:
-		tw.cut(n.Name, tw.millis(1000, 30_000), "state", "cloud", "n0", "n1", "n2", "n3", "n4")
+		tw.partition(n.Name, tw.randomMillis(1000, 30_000), "state", "cloud", "n0", "n1", "n2", "n3", "n4")
 	case 8:
 		w.Cloud.Down = true
-		w.After(tw.millis(500, 20_000), func() { w.Cloud.Down = false })
+		w.After(tw.randomMillis(500, 20_000), func() { w.Cloud.Down = false })
 	case 9:
-		tw.loss, tw.copies = tw.random.IntN(20), tw.random.IntN(15)
+		tw.lossPercent, tw.duplicatePercent = tw.random.IntN(20), tw.random.IntN(15)
 	case 10:
-		tw.latency = tw.millis(20, 800)
-		w.After(tw.millis(500, 15_000), func() { tw.latency = 0 })
+		tw.stateLatency = tw.randomMillis(20, 800)
+		w.After(tw.randomMillis(500, 15_000), func() { tw.stateLatency = 0 })
 	}
 	if tw.world.Cfg.Settings.State.Next != nil && tw.oneIn(20) {
 		w.State.LowerLimits()
 	}
 }
 
-// machineTrouble befalls a machine.
-func (tw *traceWorld) machineTrouble() {
+// injectMachineFault causes a random fault of a machine.
+func (tw *traceWorld) injectMachineFault() {
 	w := tw.world
 	names := w.MachineNames()
 	if len(names) == 0 {
@@ -441,22 +442,22 @@
 	name := names[tw.random.IntN(len(names))]
 	switch worker := w.Workers[name]; tw.random.IntN(6) {
 	case 0:
-		worker.HangUntil = w.Now + tw.millis(500, 25_000)
+		worker.HangUntil = w.Now + tw.randomMillis(500, 25_000)
 	case 1:
-		w.AnnounceInterruption(name, tw.millis(500, 15_000))
+		w.AnnounceInterruption(name, tw.randomMillis(500, 15_000))
 	case 2:
 		w.Cloud.Fail(name)
 	case 3:
 		worker.FailsTasks = true
-		w.After(tw.millis(1000, 25_000), func() { worker.FailsTasks = false })
+		w.After(tw.randomMillis(1000, 25_000), func() { worker.FailsTasks = false })
 	case 4:
 		controllers := make([]string, len(w.Controllers))
 		for i, n := range w.Controllers {
 			controllers[i] = n.Name
 		}
-		tw.cut(name, tw.millis(1000, 30_000), controllers...)
+		tw.partition(name, tw.randomMillis(1000, 30_000), controllers...)
 	case 5:
-		w.Cloud.FailNextBoots, w.Cloud.BootDelay = 1, tw.millis(0, 5000)
+		w.Cloud.FailNextBoots, w.Cloud.BootDelay = 1, tw.randomMillis(0, 5000)
 	}
 }
 
@@ -465,11 +466,11 @@
 		return
 	}
 	n.Crash()
-	tw.world.After(tw.millis(0, 8000), n.Start)
+	tw.world.After(tw.randomMillis(0, 8000), n.Start)
 }
 
-// cut loses every message between one end and others for a while.
-func (tw *traceWorld) cut(name string, d time.Duration, others ...string) {
+// partition loses all messages between a node and the given other nodes for a limited time.
+func (tw *traceWorld) partition(name string, d time.Duration, others ...string) {
 	set := func(blocked bool) {
 		for _, other := range others {
 			tw.blocked[name+">"+other], tw.blocked[other+">"+name] = blocked, blocked
