--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -12,27 +12,27 @@
 	"oakpick/internal/protocol"
 )
 
-// submitFailing hands in a job that fails on every machine.
+// submitFailing submits a job that fails on every machine.
 func submitFailing(w *fake.World, s protocol.Submission) *fake.Job {
 	j := w.Submit(s, 0)
 	j.AlwaysFails = true
 	return j
 }
 
-// countStarts counts the starts that workers execute of each job from now on.
+// countStarts counts the starts of each job that workers execute from now on.
 func countStarts(w *fake.World) map[string]int {
 	starts := map[string]int{}
 	w.OnStart = func(j *fake.Job, _ int) { starts[j.Submission.ID]++ }
 	return starts
 }
 
-// submitFailingJobs hands in an array, a gang, a service and single jobs that fail everywhere.
+// submitFailingJobs submits arrays, a gang and a service that fail on every machine.
 func submitFailingJobs(w *fake.World) []*fake.Job {
 	array := job(1, protocol.Array, 3000)
 	array.CPUs, array.MemoryGB, array.Team = 0.01, 0.01, "red"
 	gang := job(2, protocol.Gang, 64)
 	gang.CPUs, gang.MemoryGB = 0.05, 0.1
-	alone := job(10, protocol.Array, 3) // on machines that nothing else needs
+	alone := job(10, protocol.Array, 3) // on machines that no other job needs
 	alone.GPUs = 2
 	jobs := []*fake.Job{submitFailing(w, array), submitFailing(w, gang), submitFailing(w, service(3, 2)), submitFailing(w, alone)}
 	for i := range 6 {
@@ -41,16 +41,17 @@
 	return jobs
 }
 
-// Jobs that always fail come from two teams at once. After the first attempts each is retried with
-// a growing backoff, an array one task at a time; nothing is provisioned and no machine cordoned
-// for them, other jobs go on, and to cancel them takes no longer than for any.
+// Two teams submit jobs that always fail. After the first attempts, each job is retried with a
+// growing backoff, and an array only one task at a time. No machine is provisioned or cordoned for
+// these jobs, other jobs proceed, and cancelling the failing ones takes no longer than usual.
 func TestFailingJobsBackOff(t *testing.T) {
 	without, _ := runBesideFailingJobs(t, func(*fake.World) []*fake.Job { return nil })
 	with, starts := runBesideFailingJobs(t, submitFailingJobs)
 	if with > without+2 {
-		t.Errorf("%d machines were provisioned, %d without such jobs", with, without)
+		t.Errorf("%d machines were provisioned, %d without failing jobs", with, without)
 	}
-	// In two minutes a job that waits two leases between tries has six or seven.
+	// A job that waits for two lease durations between attempts starts six or seven times in two
+	// minutes.
 	for id, n := range starts {
 		if most := 8; n > most {
 			t.Errorf("%s was started %d times, at most %d", id, n, most)
@@ -58,24 +59,24 @@
 	}
 }
 
-// runBesideFailingJobs runs other jobs for two minutes beside some that fail everywhere, which have
-// come half a minute before. It gives how many machines were provisioned in that time, and the
-// starts of each failing job, a gang's as one.
-func runBesideFailingJobs(t *testing.T, submit func(*fake.World) []*fake.Job) (rented int64, starts map[string]int) {
+// runBesideFailingJobs submits failing jobs and, half a minute later, runs other jobs for two minutes.
+// It returns the number of machines provisioned in these two minutes and the starts of each failing
+// job. A gang's tasks count as one start.
+func runBesideFailingJobs(t *testing.T, submit func(*fake.World) []*fake.Job) (scaledOut int64, starts map[string]int) {
 	t.Helper()
 	w := newWorld(t)
 	w.Submit(service(50, 2), 0)
 	w.Run(15 * time.Second)
 	jobs := submit(w)
 	w.Run(30 * time.Second)
-	rented = -w.Leader().Stats().MachinesScaledOut
+	scaledOut = -w.Leader().Stats().MachinesScaledOut
 	all := countStarts(w)
 	for i := range 8 {
 		w.Submit(job(60+i, protocol.Array, 2), 2*time.Second)
 		w.Run(15 * time.Second)
 		w.PollAll()
 	}
-	rented += w.Leader().Stats().MachinesScaledOut
+	scaledOut += w.Leader().Stats().MachinesScaledOut
 	starts = map[string]int{}
 	for _, j := range jobs {
 		starts[j.Submission.ID] = all[j.Submission.ID]
@@ -84,7 +85,7 @@
 		}
 	}
 	if len(jobs) > 0 && starts[jobs[0].Submission.ID] == 0 {
-		t.Error("the array isn't tried any more")
+		t.Error("the array is no longer retried")
 	}
 	if logContains(w, "machine cordoned") {
 		t.Error("a machine is cordoned")
@@ -101,12 +102,12 @@
 	runAndPoll(w, 30*time.Second)
 	requireNoViolations(t, w)
 	requireAllServed(t, w)
-	return rented, starts
+	return scaledOut, starts
 }
 
-// The leader changes while failing jobs are retried with a growing backoff. The next one knows
-// nothing of their failures but how often they were started: it doesn't begin with all of
-// their tasks again.
+// The leader changes while failing jobs are retried with a growing backoff. The only record of their
+// failures that the new leader has is how often they were started. It must not start all of their
+// tasks again.
 func TestFailureBackoffSurvivesFailover(t *testing.T) {
 	w := newWorld(t)
 	w.Submit(service(50, 2), 0)
@@ -129,7 +130,7 @@
 	requireNoViolations(t, w)
 }
 
-// One machine really is faulty, among jobs that always fail: it is still found, and only it.
+// A faulty machine is detected even while many jobs always fail, and no other machine is cordoned.
 func TestFaultyMachineCordonedAmongFailingJobs(t *testing.T) {
 	w := newWorld(t)
 	a := w.Submit(service(50, 1), 0)
@@ -154,36 +155,36 @@
 	requireAllServed(t, w)
 }
 
-// A job fails on three faulty machines and is taken for the job's own fault. Its next try
-// completes: the rest of its tasks follow at once.
+// A job fails on three faulty machines, and the failures are attributed to the job. Once its next
+// attempt succeeds, its remaining tasks start without delay.
 func TestWronglyBlamedJobRecovers(t *testing.T) {
 	w := newWorld(t)
 	s := job(1, protocol.Array, 12)
 	s.CPUs = 2
-	j := submitFailing(w, s) // as if every machine that it is tried on were faulty
+	j := submitFailing(w, s) // as if every machine that runs one of its tasks were faulty
 	w.Run(40 * time.Second)
 	if !logContains(w, "job fails on every machine") {
-		t.Fatal("it isn't taken for the job's fault")
+		t.Fatal("the failures are not attributed to the job")
 	}
 	status := adminJobStatus(t, w, s.ID)
 	if status.Failures == nil || status.Failures.Fault != "job" || len(status.Failures.Machines) < 3 || status.Failures.Reason == "" {
-		t.Errorf("operators are told %+v", status.Failures)
+		t.Errorf("the job's admin status has failures %+v", status.Failures)
 	}
 	j.AlwaysFails = false
 	runAndPoll(w, 60*time.Second)
 	if j.Status != protocol.StatusDone {
-		t.Errorf("it is %q, %d of %d tasks done", j.Status, len(j.DoneTasks), s.Tasks)
+		t.Errorf("the job has status %q, %d of %d tasks done", j.Status, len(j.DoneTasks), s.Tasks)
 	}
 	requireNoViolations(t, w)
 }
 
-// A machine fails every task; others don't. It is cordoned and scaled in.
+// A machine fails every task while other machines do not. It is cordoned and scaled in.
 func TestFailingMachineIsCordoned(t *testing.T) {
 	w := newWorld(t)
 	a := w.Submit(service(1, 1), 0)
 	waitRunning(t, w, a.Submission.ID, 1)
-	sick := w.MachinesOf(a.Submission.ID)[0]
-	w.Workers[sick].FailsTasks = true
+	faulty := w.MachinesOf(a.Submission.ID)[0]
+	w.Workers[faulty].FailsTasks = true
 	for i := range 5 {
 		w.Submit(job(i+2, protocol.Array, 2), time.Second)
 	}
@@ -191,14 +192,14 @@
 		w.Run(2 * time.Second)
 		w.PollAll()
 	}
-	if !logContains(w, "machine cordoned [machine "+sick) {
+	if !logContains(w, "machine cordoned [machine "+faulty) {
 		t.Errorf("not cordoned\n%s", strings.Join(w.Log, "\n"))
 	}
 	requireAllServed(t, w)
 	requireNoViolations(t, w)
 }
 
-// A job fails wherever it goes: no machine is cordoned, and it is retried with a backoff.
+// A job that fails on every machine is retried with a backoff, and no machine is cordoned.
 func TestFailingJobCordonsNoMachine(t *testing.T) {
 	w := newWorld(t)
 	for i := range 3 {
@@ -215,7 +216,7 @@
 	requireNoViolations(t, w)
 }
 
-// adminJobStatus is what the leader tells operators of a job.
+// adminJobStatus returns the job status that the leader reports to operators.
 func adminJobStatus(t *testing.T, w *fake.World, id string) controller.JobStatus {
 	t.Helper()
 	var s controller.JobStatus
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/protocol"
 )
 
-// A start is carried out, the task ends, and then a copy of the start arrives:
-// first within the term, then after the job has moved on.
+// A start command is executed and its task ends. A duplicate of the command that arrives later,
+// within the same term, must not run the task again.
 func TestDuplicateStartDoesNotRunAgain(t *testing.T) {
 	w := newWorld(t)
 	w.Network = func(kind, _, _ string) fake.Delivery {
@@ -27,7 +27,7 @@
 		w.PollAll()
 		for _, id := range w.MachinesOf(j.Submission.ID) {
 			if w.Now > 45*time.Second {
-				t.Fatalf("runs again on %s", id)
+				t.Fatalf("the job runs again on %s", id)
 			}
 		}
 	}
@@ -35,11 +35,11 @@
 	requireAllServed(t, w)
 }
 
-// A start gets no answer, and further commands don't arrive either. Heartbeats do,
-// and don't name the task: it must not run elsewhere until the start is void,
-// which a raised token makes it; it may arrive just before, or much later. The
-// job comes at any time between two heartbeats, so that one falls between the
-// commands that are given up and the next try.
+// A start command gets no response, and later commands to the machine are lost. Its heartbeats
+// arrive and do not list the task. The task must not run elsewhere until a higher fencing token has
+// invalidated the start command, which may arrive just before that or much later. The job is
+// submitted at different times within the heartbeat interval, so that a heartbeat also arrives
+// between a command's timeout and its next attempt.
 func TestUnconfirmedStartIsFencedBeforeRetry(t *testing.T) {
 	for at := range 40 {
 		late := []time.Duration{2500, 2900, 3300, 30_000}[at%4]
@@ -70,9 +70,9 @@
 	}
 }
 
-// A start is on its way when the leader crashes. The successor hears from the
-// machine, which has not seen the new token and does not have the task: that
-// proves nothing, since the start may still arrive.
+// A start command is in transit when the leader crashes. The successor receives a heartbeat from
+// the machine, which has not seen the new fencing token and does not list the task. This does not
+// prove that the task is absent, because the start command may still arrive.
 func TestHeartbeatWithoutNewTokenProvesNoAbsence(t *testing.T) {
 	w := newWorld(t)
 	provisionIdleMachines(t, w)
@@ -82,40 +82,41 @@
 		if kind == fake.KindCommands && from == "n0" {
 			delivery.RequestDelay = 8 * time.Second
 		}
-		// The successor's answers are lost at first.
+		// The successor's responses to heartbeats are lost for the first seconds.
 		delivery.LoseResponse = kind == fake.KindHeartbeat && crashed > 0 && w.Now < crashed+9*time.Second
 		return delivery
 	}
 	j := w.Submit(service(1, 1), 0)
 	w.Run(time.Second)
 	if !j.Accepted {
-		t.Fatal("not accepted")
+		t.Fatal("the job is not accepted")
 	}
 	w.Controllers[0].Crash()
 	crashed = w.Now
 	w.Run(7500 * time.Millisecond)
 	if w.Leader() == nil {
-		t.Fatal("nobody took over")
+		t.Fatal("no controller took over")
 	}
 	if log := strings.Join(w.Log, "\n"); strings.Contains(log, "task lost [job wk-000001") {
-		t.Errorf("absence believed\n%s", log)
+		t.Errorf("the task was considered lost\n%s", log)
 	}
 	waitRunning(t, w, j.Submission.ID, 1)
 	w.Run(30 * time.Second)
 	requireNoViolations(t, w)
 }
 
-// A machine is partitioned until its worker's lease has ended, and the leader crashes meanwhile. The
-// next one hears of the new incarnation and starts the machine's tasks there again; it ends when
-// only some of these starts are durable. Its successor finds starts of both incarnations on the
-// machine, and hears of the newer one only: the older ones are gone.
+// A machine is partitioned until its worker's lease has expired, and the leader crashes meanwhile.
+// The next leader receives a heartbeat of the worker's new incarnation, starts the machine's tasks
+// there again, and crashes when only some of these starts are durable. The third leader finds starts
+// of both incarnations on the machine, but receives heartbeats of the newer one only, and must
+// treat the tasks of the older one as lost.
 func TestStartsOfTwoIncarnationsOnOneMachine(t *testing.T) {
 	for durable := range 5 {
 		w := newWorld(t)
 		w.Cloud.CapacityOf = map[string]int{"small": 1, "large": 0}
-		for i := range 80 { // on more pages than a transaction takes
+		for i := range 80 { // on more pages than fit into a transaction
 			s := service(i+1, 1)
-			s.CPUs, s.MemoryGB, s.Zone = 0.05, 0.1, "a" // there is one machine that they may have
+			s.CPUs, s.MemoryGB, s.Zone = 0.05, 0.1, "a" // only one machine is eligible
 			w.Submit(s, 0)
 		}
 		if !w.RunUntil(60*time.Second, func() bool { return len(w.MachineNames()) > 0 && w.Running("wk-000080") == 1 }) {
@@ -126,20 +127,20 @@
 		incarnation := w.Incarnation(machine)
 		w.SeparateWrites = true
 		placed := func() int { return strings.Count(strings.Join(w.Log, "\n"), "task placed [job wk-000001 ") }
-		left := durable
+		remaining := durable
 		w.Network = func(kind, from, to string) fake.Delivery {
 			delivery := fake.Reliable()
 			delivery.LoseRequest = w.Incarnation(machine) == incarnation && (from == machine || to == machine)
 			if kind == fake.KindWrite && placed() > 1 {
-				left--
-				delivery.LoseRequest = left < 0
+				remaining--
+				delivery.LoseRequest = remaining < 0
 			}
 			return delivery
 		}
 		w.Run(3 * time.Second)
 		restartLeader(w, 3*time.Second)
 		if !w.RunUntil(30*time.Second, func() bool { return placed() > 1 }) {
-			t.Fatal("the replicas aren't started again")
+			t.Fatal("the replicas are not started again")
 		}
 		w.Run(400 * time.Millisecond)
 		restartLeader(w, 3*time.Second)
