--- a/internal/controller/five_controllers_test.go
+++ b/internal/controller/five_controllers_test.go
@@ -10,14 +10,14 @@
 	"oakpick/internal/protocol"
 )
 
-// fiveControllerSettings are settings like those of a deployment of five.
+// fiveControllerSettings are the settings of a deployment with five controllers.
 func fiveControllerSettings() config.Settings {
 	s := fake.Settings()
 	s.Size = 5
 	return s
 }
 
-// submitMixedWork submits work of all kinds and a pipeline, and gives the pipeline.
+// submitMixedWork submits a service, a gang, an array and a pipeline, and returns the pipeline's jobs.
 func submitMixedWork(t *testing.T, w *fake.World) []*fake.Job {
 	t.Helper()
 	spread := service(50, 4)
@@ -28,12 +28,12 @@
 	return submitPipeline(t, w, 1)
 }
 
-// Two controllers at a time get the new version, also the leader, while workers move from
-// one controller to the next and a pipeline runs and is cancelled in the middle.
+// Controllers are upgraded two at a time, including the leader, while workers switch between
+// controllers and a pipeline runs, a job of which is cancelled.
 func TestRollingUpgradeTwoOfFiveAtATime(t *testing.T) {
 	t.Parallel()
-	for _, pause := range []time.Duration{200 * time.Millisecond, 1500 * time.Millisecond, 5 * time.Second} {
-		t.Run(pause.String(), func(t *testing.T) {
+	for _, downFor := range []time.Duration{200 * time.Millisecond, 1500 * time.Millisecond, 5 * time.Second} {
+		t.Run(downFor.String(), func(t *testing.T) {
 			t.Parallel()
 			s := fiveControllerSettings()
 			s.State.Next = nextLimits(1, 3, 25)
@@ -45,13 +45,13 @@
 			for _, pair := range [][2]int{{0, 1}, {2, 3}, {4, 0}} {
 				for _, i := range pair {
 					w.Controllers[i].Crash()
-					w.After(pause, w.Controllers[i].Start)
+					w.After(downFor, w.Controllers[i].Start)
 				}
-				w.Run(pause/2 + 300*time.Millisecond)
+				w.Run(downFor/2 + 300*time.Millisecond)
 				if pair[0] == 2 {
 					w.CancelEverywhere(jobs[2])
 				}
-				w.Run(pause + 700*time.Millisecond)
+				w.Run(downFor + 700*time.Millisecond)
 				w.PollAll()
 			}
 			w.State.LowerLimits()
@@ -63,8 +63,8 @@
 	}
 }
 
-// Two zones can't reach each other, and both reach the controllers of the rest, the state
-// service and the cloud. The leader is in one of the two, or in neither, or ends meanwhile.
+// Two zones cannot reach each other, but both reach the controllers elsewhere, the state service and
+// the cloud. The leader is in one of the two zones or in neither, and crashes in some of the cases.
 func TestPartitionBetweenTwoZones(t *testing.T) {
 	t.Parallel()
 	for name, inZone := range map[string]map[string]string{
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/protocol"
 )
 
-// A scale-out request is carried out and its answer lost: it is asked again under its own
-// name, and nothing is provisioned twice.
+// A scale-out request is executed but its response is lost. The request is retried with the same
+// request ID, and no machine is provisioned twice.
 func TestLostScaleOutResponseIsRetriedIdempotently(t *testing.T) {
 	w := newWorld(t)
 	w.Run(4 * time.Second)
@@ -31,35 +31,35 @@
 	w.Run(10 * time.Second)
 	if st := w.Controllers[0].Stats(); lost == 0 || int64(len(w.MachineNames())) != st.MachinesScaledOut-st.MachinesScaledIn {
 		n := st.MachinesScaledOut - st.MachinesScaledIn
-		t.Errorf("%d lost answers, %d machines known of %d", lost, n, len(w.MachineNames()))
+		t.Errorf("%d responses lost; %d machines by the leader's counts, but %d are up", lost, n, len(w.MachineNames()))
 	}
 	requireNoViolations(t, w)
 }
 
-// An empty machine is partitioned while the leader crashes. The successor hears of it
-// only from the cloud's list, where it runs: it is not taken for one that never
-// came up, and is there when the cut is over.
+// An empty machine is partitioned while the leader crashes. The successor knows it only from the
+// cloud's inventory, which lists it as running. The machine must not be treated as one that failed
+// to boot, and must still exist when the partition heals.
 func TestPartitionedMachineIsNotScaledInAfterFailover(t *testing.T) {
 	w := newWorld(t)
 	machines := provisionIdleMachines(t, w)
-	cut := w.Now + 20*time.Second
+	healAt := w.Now + 20*time.Second
 	w.Network = func(_, from, to string) fake.Delivery {
 		delivery := fake.Reliable()
-		delivery.LoseRequest = w.Now < cut && (from == machines[0] || to == machines[0])
+		delivery.LoseRequest = w.Now < healAt && (from == machines[0] || to == machines[0])
 		return delivery
 	}
 	w.Controllers[0].Crash()
 	w.Run(25 * time.Second)
 	if log := strings.Join(w.Log, "\n"); strings.Contains(log, "machine released [machine "+machines[0]) {
-		t.Errorf("scaled in\n%s", log)
+		t.Errorf("the partitioned machine was scaled in\n%s", log)
 	}
 	requireNoViolations(t, w)
 }
 
-// Of a job's two tasks, which may not be in one zone, one runs and the other
-// waits for a machine elsewhere. The leader crashes. The successor hears from an
-// empty machine, and not yet from the one that has the task, nor from the
-// cloud's list: it doesn't know that both are in the same zone.
+// A job has two tasks that must not run in the same zone. One is running, the other waits for a
+// machine in another zone, and the leader crashes. The successor has received a heartbeat from an
+// empty machine in the running task's zone, but none from the task's own machine, and no inventory
+// from the cloud. It does not know the zone of the running task, so it must not place the other.
 func TestSpreadWaitsForUnknownTaskZones(t *testing.T) {
 	w := newWorld(t)
 	if status, answer := adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`); status != 200 {
@@ -77,13 +77,13 @@
 	w.Submit(s, 0)
 	waitRunning(t, w, s.ID, 1)
 	w.Run(3 * time.Second)
-	cut, calls := w.MachinesOf(s.ID)[0], 0
+	partitioned, calls := w.MachinesOf(s.ID)[0], 0
 	w.Controllers[0].Crash()
 	w.Cloud.Down = false
 	w.Network = func(kind, from, to string) fake.Delivery {
 		delivery := fake.Reliable()
-		delivery.LoseRequest = from == cut || to == cut
-		if kind == fake.KindCloud { // the types are had, and nothing more
+		delivery.LoseRequest = from == partitioned || to == partitioned
+		if kind == fake.KindCloud { // only the response with the machine types arrives
 			calls++
 			delivery.LoseRequest = calls > 1
 		}
@@ -92,24 +92,24 @@
 	w.Run(9 * time.Second)
 	requireNoViolations(t, w)
 	if w.Leader() == nil || w.Running(s.ID) != 1 {
-		t.Errorf("%d run", w.Running(s.ID))
+		t.Errorf("there is no leader, or not one task but %d run", w.Running(s.ID))
 	}
-	cut = ""
+	partitioned = ""
 	w.Network = nil
 	waitRunning(t, w, s.ID, 2)
 	requireNoViolations(t, w)
 }
 
-// A replica that needs no GPU is left alone on a machine with GPUs, and there is
-// room on a cheap one: it moves there, and the expensive machine is scaled in. From
-// the cheap one it isn't moved to an expensive one, however little is used.
+// A replica that needs no GPU remains alone on a machine with GPUs, and a cheap machine has room for
+// it. The replica moves to the cheap machine, and the expensive one is scaled in. A replica on a
+// cheap machine is not moved to an expensive one, however low the utilization is.
 func TestReplicasMoveToCheaperMachines(t *testing.T) {
 	w := newWorld(t)
 	w.Run(2 * time.Second)
 	if status, answer := adminRequest(w, 0, message.AdminChange, `{"warm_room": 0, "idle_s": 5}`); status != 200 {
 		t.Fatal(answer)
 	}
-	kind := func(j *fake.Job) string { return w.TypeOf(w.MachinesOf(j.Submission.ID)[0]) }
+	machineType := func(j *fake.Job) string { return w.TypeOf(w.MachinesOf(j.Submission.ID)[0]) }
 	gpu := service(1, 1)
 	gpu.GPUs = 1
 	gpuJob := w.Submit(gpu, 0)
@@ -120,28 +120,28 @@
 	small.Types = []string{"small"}
 	smallJob := w.Submit(small, 0)
 	waitRunning(t, w, small.ID, 1)
-	if kind(moved) != "large" {
-		t.Fatalf("on a %s machine at first", kind(moved))
+	if machineType(moved) != "large" {
+		t.Fatalf("the replica started on a %s machine", machineType(moved))
 	}
 	w.CancelJob(gpuJob)
 	w.Run(60 * time.Second)
-	if kind(moved) != "small" || len(w.MachinesOf(moved.Submission.ID)) != 1 {
-		t.Errorf("still on a %s machine", kind(moved))
+	if machineType(moved) != "small" || len(w.MachinesOf(moved.Submission.ID)) != 1 {
+		t.Errorf("the replica is still on a %s machine", machineType(moved))
 	}
 	w.CancelJob(smallJob)
 	gpu.ID = "wk-000004"
 	w.Submit(gpu, 0)
 	waitRunning(t, w, gpu.ID, 1)
 	w.Run(60 * time.Second)
-	if kind(moved) != "small" {
-		t.Errorf("moved to a %s machine", kind(moved))
+	if machineType(moved) != "small" {
+		t.Errorf("the replica moved to a %s machine", machineType(moved))
 	}
 	requireNoViolations(t, w)
 	requireAllServed(t, w)
 }
 
-// A first leader finds no machines and provisions some; more jobs come at once. Their
-// machines are provisioned then, not when those of the first have had time to report.
+// The first leader of a cluster finds no machines and provisions some. When more jobs arrive, it
+// provisions their machines at once, without waiting until the first machines could have reported.
 func TestFirstLeaderScalesOutWithoutWaiting(t *testing.T) {
 	w := newWorld(t)
 	status, answer := adminRequest(w, 0, message.AdminChange, `{"takeover_wait_s": 60, "warm_room": 0}`)
@@ -160,8 +160,8 @@
 	requireNoViolations(t, w)
 }
 
-// Hundreds of tasks find no place at once, as after a zone is lost: the requests
-// for machines go out together, not one after the other's answer.
+// Hundreds of tasks cannot be placed at the same time, as after the loss of a zone. The scale-out
+// requests are sent concurrently, without waiting for each other's responses.
 func TestConcurrentScaleOutRequests(t *testing.T) {
 	w := newWorld(t)
 	w.Run(2 * time.Second)
@@ -185,12 +185,13 @@
 	requireNoViolations(t, w)
 }
 
-// A expensive machine boots, with room for tasks that a cheap one would serve sooner. The cheap
-// ones are provisioned once, not again with every plan until the expensive one is up.
+// An expensive machine is booting, with room for tasks that cheap machines would run sooner. The
+// cheap machines are provisioned once, not again in each planning cycle until the expensive one is
+// up.
 func TestNoDuplicateScaleOutWhileExpensiveMachineBoots(t *testing.T) {
 	w := newWorld(t)
 	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
-	w.Cloud.BootDelay = 4 * time.Second // booting takes several plans
+	w.Cloud.BootDelay = 4 * time.Second // booting takes several planning cycles
 	expensive := service(1, 1)
 	expensive.GPUs, expensive.CPUs = 1, 1
 	w.Submit(expensive, 0)
@@ -206,8 +207,8 @@
 	requireNoViolations(t, w)
 }
 
-// A machine with a replica dies. Room for two is provisioned, since of two machines one is up
-// sooner than either, and the other one is returned.
+// A machine with a replica fails. Two replacements are provisioned, since the first of two machines
+// is expected to be up sooner than a single one, and the surplus machine is scaled in.
 func TestLostReplicaScalesOutTwoMachines(t *testing.T) {
 	w := newWorld(t)
 	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
@@ -220,12 +221,12 @@
 		t.Fatalf("%d machines are provisioned for one replica", n)
 	}
 	before := w.Leader().Stats().MachinesScaledOut
-	rented := func() int64 { return w.Leader().Stats().MachinesScaledOut - before }
-	w.Cloud.FailNextBoots = 1 // one of the machines never comes up
+	scaledOut := func() int64 { return w.Leader().Stats().MachinesScaledOut - before }
+	w.Cloud.FailNextBoots = 1 // one of the machines never boots
 	w.Cloud.Fail(w.MachinesOf(s.ID)[0])
-	w.RunUntil(40*time.Second, func() bool { return rented() > 0 })
-	w.Run(2 * time.Second) // before either could be late
-	if n := rented(); n != 2 {
+	w.RunUntil(40*time.Second, func() bool { return scaledOut() > 0 })
+	w.Run(2 * time.Second) // before either machine is overdue
+	if n := scaledOut(); n != 2 {
 		t.Errorf("%d machines are provisioned for a lost replica", n)
 	}
 	w.Run(6 * time.Second)
@@ -234,13 +235,13 @@
 	}
 	w.Run(80 * time.Second)
 	if n := len(w.Cloud.MachineNames()); n != 1 {
-		t.Errorf("%d machines are provisioned later", n)
+		t.Errorf("%d machines remain provisioned", n)
 	}
 	requireNoViolations(t, w)
 }
 
-// A replica waits for a machine that should be up and isn't. Another one is provisioned a little
-// later, not only when the first can hardly come any more.
+// A replica waits for a machine that is overdue. Another machine is provisioned shortly after the
+// expected boot time, not only when the first machine is unlikely to boot at all.
 func TestLateMachineIsReplaced(t *testing.T) {
 	w := newWorld(t)
 	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
@@ -249,7 +250,7 @@
 	s := service(1, 1)
 	s.CPUs = 4
 	w.Submit(s, 0)
-	w.Run(5 * time.Second) // a small machine boots for five seconds
+	w.Run(5 * time.Second) // the usual boot time of a small machine
 	before := w.Cloud.CountOfType("small")
 	w.Run(1800 * time.Millisecond)
 	if after := w.Cloud.CountOfType("small"); before != 1 || after != 2 {
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -12,12 +12,12 @@
 	"oakpick/internal/storage"
 )
 
-// What earlier versions wrote is read, and written back to the byte: a renamed field, a
-// changed order or a lost record would show.
+// Values stored by earlier versions are decoded, and encoded to the same bytes again. This detects
+// renamed fields, a changed field order and lost records.
 func TestEarlierFormatsRoundTripByteForByte(t *testing.T) {
 	for _, test := range []struct {
 		file   string
-		has    []string // kinds of records
+		has    []string // kinds of records that must occur
 		hasNot []string
 	}{
 		{productionFile, []string{"jobs", "blocks", "finals", "rentals", "options"}, []string{"extensions"}},
@@ -27,8 +27,8 @@
 		t.Run(test.file, func(t *testing.T) {
 			records := map[string]int{}
 			for key, value := range goldenValues(t, test.file) {
-				if again := roundTripStored(t, key, value); !bytes.Equal(again, value) {
-					t.Errorf("%s: %x was written, %x is written back", key, value, again)
+				if rewritten := roundTripStored(t, key, value); !bytes.Equal(rewritten, value) {
+					t.Errorf("%s: %x was stored and is encoded as %x", key, value, rewritten)
 				}
 				if strings.HasPrefix(key, storage.PagePrefix) {
 					for kind, n := range recordKinds(t, value) {
@@ -38,19 +38,19 @@
 			}
 			for _, kind := range test.has {
 				if records[kind] == 0 {
-					t.Errorf("there are no %s", kind)
+					t.Errorf("there are no records of kind %s", kind)
 				}
 			}
 			for _, kind := range test.hasNot {
 				if records[kind] > 0 {
-					t.Errorf("there are %s", kind)
+					t.Errorf("there are records of kind %s", kind)
 				}
 			}
 		})
 	}
 }
 
-// roundTripStored is what this version writes back of a stored value or a message.
+// roundTripStored decodes a stored value or a message and encodes it again as this version does.
 func roundTripStored(t *testing.T, key string, value []byte) []byte {
 	t.Helper()
 	switch {
@@ -63,27 +63,27 @@
 	case key == election.LeaderKey:
 		return roundTrip[productionLeader](value)
 	}
-	t.Errorf("an unknown key %s", key)
+	t.Errorf("unknown key %s", key)
 	return nil
 }
 
-// A leader of this version takes over the pages of an earlier one, also from the middle
-// of a division. It knows every job, whose end it tells, and keeps all of them when it
-// divides the pages for the limits to come.
+// A leader of this version takes over the pages of an earlier one, also if the earlier one was in
+// the middle of splitting them. The new leader knows every job, reports the status of the ended
+// ones, and loses none when it splits the pages for the lower limits that were announced.
 func TestTakeOverOfEarlierVersionsPages(t *testing.T) {
 	for _, file := range []string{productionFile, pipelinesFile, dividingFile} {
 		t.Run(file, func(t *testing.T) {
 			pages := goldenPages(t, file)
 			unfinished, finished := recordedJobs(t, pages)
 			if len(unfinished) == 0 {
-				t.Fatal("no job is left to go on with")
+				t.Fatal("the file has no unfinished jobs")
 			}
 			w := newWorldFromPages(pages)
 			w.Run(15 * time.Second)
 			for id := range unfinished {
 				status := w.StatusOf(id)
 				if status == "" {
-					t.Errorf("%s is not known", id)
+					t.Errorf("%s is unknown", id)
 				}
 			}
 			for id, want := range finished {
@@ -102,8 +102,8 @@
 	}
 }
 
-// Stored values that are damaged, cut short, of a wrong type or with fields that nobody
-// knows, never end a controller's process: it can read them, or leads no term.
+// Stored values that are corrupt, truncated, of a wrong type or with unknown fields must not crash
+// a controller, which either can decode them or does not become the leader.
 func TestCorruptPagesDoNotCrashControllers(t *testing.T) {
 	for _, file := range []string{productionFile, pipelinesFile} {
 		for key, value := range goldenPages(t, file) {
@@ -117,21 +117,21 @@
 	}
 }
 
-// What the peers say to each other is read by both versions alike.
+// The production version decodes the messages between peers as this version does.
 func TestPeerMessagesMatchProduction(t *testing.T) {
-	ask := protocol.Encode(protocol.StepDownRequest{Term: 1 << 40, Leader: "n1"})
-	if !bytes.Equal(roundTrip[productionStepDown](ask), ask) {
-		t.Error("production reads another step-down request")
+	request := protocol.Encode(protocol.StepDownRequest{Term: 1 << 40, Leader: "n1"})
+	if !bytes.Equal(roundTrip[productionStepDown](request), request) {
+		t.Error("production decodes a step-down request differently")
 	}
 	answer := protocol.Encode(protocol.StepDownResponse{SteppedDown: true, LastLoadedTerm: 1 << 40, UptimeMs: 5})
 	if !bytes.Equal(roundTrip[productionStepDownAnswer](answer), answer) {
-		t.Error("production reads another answer")
+		t.Error("production decodes a step-down response differently")
 	}
 }
 
-// With prerequisites in use, every value that is stored is one that the first version
-// with them could have written: it reads it and writes it back to the byte, so that it
-// may run beside this one.
+// When prerequisites are used, the first version with prerequisites decodes every stored value and
+// encodes it to the same bytes. It could therefore have written the value itself, and can run
+// beside this version.
 func TestPipelineRecordsMatchFirstVersion(t *testing.T) {
 	s := fake.Settings()
 	s.State.Next = nextLimits(1, 3, 25)
@@ -142,7 +142,7 @@
 		w.Run(500 * time.Millisecond)
 		for key, value := range w.State.Values() {
 			if !bytes.Equal(roundTripPipelines(key, value), value) {
-				t.Fatalf("%s holds what the first version with prerequisites would not write: %x", key, value)
+				t.Fatalf("%s holds a value that the first version with prerequisites would not write: %x", key, value)
 			}
 			if strings.HasPrefix(key, storage.PagePrefix) {
 				extensions += recordKinds(t, value)["extensions"]
@@ -150,23 +150,23 @@
 		}
 	}
 	if extensions == 0 {
-		t.Error("no extension was stored")
+		t.Error("no extension record was stored")
 	}
 	runAndPoll(w, 30*time.Second)
 	requireNoViolations(t, w)
 	requirePipelineOutcome(t, w, jobs)
 }
 
-// While nothing new is used, every value that is stored is one that production could
-// have written: it reads it and writes it back to the byte.
+// While no new feature is used, production decodes every stored value and encodes it to the same
+// bytes, so it could have written the value itself.
 func TestProductionFormatUnlessNewFeaturesUsed(t *testing.T) {
 	w := fake.NewWorld(fake.Settings())
 	seen := 0
-	look := func() {
+	checkStored := func() {
 		for key, value := range w.State.Values() {
 			seen++
 			if !bytes.Equal(roundTripProduction(key, value), value) {
-				t.Fatalf("%s holds what production would not write: %x", key, value)
+				t.Fatalf("%s holds a value that production would not write: %x", key, value)
 			}
 		}
 	}
@@ -177,7 +177,7 @@
 		}
 		j := w.Submit(s, 3*time.Second)
 		w.Run(1500 * time.Millisecond)
-		look()
+		checkStored()
 		if i%5 == 4 {
 			w.CancelJob(j)
 		}
@@ -186,9 +186,9 @@
 		}
 	}
 	w.Run(20 * time.Second)
-	look()
+	checkStored()
 	if seen == 0 {
-		t.Error("nothing was stored")
+		t.Error("no value was stored")
 	}
 	requireNoViolations(t, w)
 }
