--- a/internal/controller/archive_moves_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -10,8 +10,9 @@
 	"oakpick/internal/protocol"
 )
 
-// The leader crashes while it moves jobs to the archive. From a certain write on, the requests
-// are lost or executed late, or the responses are lost. Every job must stay on record throughout.
+// The leader crashes before, during or after a move of jobs to the archive. From some write of the
+// move on, requests are lost or executed late, or responses are lost. Every job must have a record
+// at all times.
 func TestLeaderCrashDuringArchiveMove(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"none", "request lost", "late", "answer lost"} {
@@ -84,8 +85,8 @@
 }
 
 // The leader reads a page of the archive to look up an unknown job, and a move to the same page is
-// executed before the response to the read arrives. That response is outdated and says nothing
-// about the jobs that were moved.
+// executed before the response to the read arrives. The response does not include the moved jobs,
+// which must not be reported as unknown.
 func TestArchiveReadConcurrentWithMove(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
@@ -110,8 +111,8 @@
 	requireAllDone(t, w, jobs)
 }
 
-// Jobs of several blocks complete, some of the writes that remove their other blocks are lost, and
-// the leader crashes repeatedly. No block may remain whose job is only in the archive.
+// Jobs of several blocks complete, some writes are lost, among them removals of blocks, and the
+// leader crashes repeatedly. No block may remain whose job's record is only in the archive.
 func TestBlocksRemovedBeforeJobIsArchived(t *testing.T) {
 	s := smallMemorySettings()
 	s.State.TxnOps = 3
--- a/internal/controller/archive_prerequisites_test.go
+++ b/internal/controller/archive_prerequisites_test.go
@@ -8,9 +8,9 @@
 	"oakpick/internal/protocol"
 )
 
-// Jobs depend on archived jobs. Completed prerequisites let a job start, a cancelled one cancels
-// it, and a submission with a prerequisite that was never accepted is rejected. The outcome is the
-// same after the leader crashes.
+// Jobs depend on archived jobs. A job whose prerequisites are completed starts, a job with a
+// cancelled prerequisite is cancelled, and a submission with a prerequisite that was never accepted
+// is rejected. A crash of the leader does not change the outcome.
 func TestArchivedPrerequisites(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
@@ -68,11 +68,12 @@
 // A submission depends on a cancelled job in the archive and on an unfinished job. It is cancelled,
 // and the end of the unfinished job must not crash the leader.
 //
-// The fault: the submitted job was linked to the unfinished one in the dependency graph before it
-// was cancelled because of the archived one, and its own end did not remove the edge. When the end
-// of the unfinished job was committed, prerequisiteDone looked up the dependent job, which no longer
-// existed, and dereferenced nil (a panic in (*Manager).prerequisiteDone, called by endCommitted,
-// called by MarkCommitted). See docs/incidents/2026-12-03-cancelled-job-in-dependency-graph.md.
+// This guards against a crash: the submitted job was linked to the unfinished one in the dependency
+// graph before it was cancelled because of the archived one, and its own end did not remove the
+// edge. When the end of the unfinished job was committed, MarkCommitted called endCommitted, which
+// called (*Manager).prerequisiteDone. That function looked up the dependent job, which no longer
+// existed, and dereferenced nil. See
+// docs/incidents/2026-12-03-cancelled-job-in-dependency-graph.md.
 func TestArchivedCancelledPrerequisiteBesideAnUnfinishedOne(t *testing.T) {
 	defer func() {
 		if err := recover(); err != nil {
@@ -98,7 +99,7 @@
 	dependent := submitAfter(t, w, job(3, protocol.Array, 1), time.Second, cancelled, unfinished)
 	runAndPoll(w, 30*time.Second)
 	if unfinished.Status != protocol.StatusDone || dependent.Status != protocol.StatusCancelled {
-		t.Errorf("users are told status %q of the unfinished job and %q of the dependent one", unfinished.Status, dependent.Status)
+		t.Errorf("users are told that the unfinished job is %q and the dependent one %q", unfinished.Status, dependent.Status)
 	}
 	requireNoViolations(t, w)
 }
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -79,7 +79,7 @@
 }
 
 // No job is moved to the archive until all peers have reported that they support it, nor while
-// there are only few terminal jobs.
+// only few jobs are terminal.
 func TestNothingArchivedUntilAllPeersReadArchive(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
@@ -105,8 +105,8 @@
 	}
 }
 
-// A page of the archive is corrupt. Polls for its jobs get 503, all other jobs are served, and the
-// leader remains in place.
+// A page of the archive is corrupt. Polls for its jobs get 503, polls for all other jobs are
+// answered, and the leader does not change.
 func TestCorruptArchivePage(t *testing.T) {
 	w, jobs := newWorldWithArchive(t, 300)
 	var damaged string
@@ -150,7 +150,7 @@
 }
 
 // The state service becomes unreachable for the leader alone while archive lookups are in flight.
-// The leader must not report archived jobs as unknown, and users are served by its successor.
+// The leader must not report archived jobs as unknown, and its successor answers the users.
 func TestArchiveLookupWhileLeaderLosesStateService(t *testing.T) {
 	w, jobs := newWorldWithArchive(t, 200)
 	leader := w.Leader()
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/protocol"
 )
 
-// BenchmarkStep measures steps of the leader at several fleet sizes. Results of the cases in which
-// simulated time passes include the cost of the fakes.
+// BenchmarkStep measures ticks, requests, a second with waiting tasks, and a takeover at several
+// fleet sizes. The cases in which simulated time passes include the cost of the fakes.
 func BenchmarkStep(b *testing.B) {
 	for _, machines := range []int{100, 400, 1600} {
 		_, leader := newFleet(b, machines)
@@ -60,8 +60,8 @@
 	}
 }
 
-// peakLoad is a fleet under the peak load of the size that users plan next: a service replica on
-// each machine, and arrays that keep a given number of tasks running and starting per second.
+// peakLoad is a fleet at peak load, of the size that users plan to reach next. Each machine runs a
+// service replica, and arrays are submitted at a constant rate.
 type peakLoad struct {
 	world           *fake.World
 	leader          *fake.Controller
@@ -84,7 +84,7 @@
 	return p
 }
 
-// advance lets simulated time pass while arrays are submitted at a constant rate.
+// advance lets simulated time pass and submits the arrays that become due.
 func (p *peakLoad) advance(d time.Duration) {
 	const step = 50 * time.Millisecond
 	for ; d > 0; d -= step {
--- a/internal/controller/best_effort_test.go
+++ b/internal/controller/best_effort_test.go
@@ -25,9 +25,9 @@
 	return s
 }
 
-// Best-effort teams submit far more work than the cheap machines can hold, and leaders crash in
-// between. No controller provisions a machine for them on which a task costs more than twice as
-// much as on the cheapest one. All of the work is still completed.
+// Best-effort teams submit far more work than the cheap machines can run at a time, and leaders
+// crash meanwhile. No controller may provision a machine for them that costs more than twice as much
+// per task as the cheapest one. All of the work must still complete.
 func TestBestEffortScaleOutIsLimitedByCost(t *testing.T) {
 	w := newBestEffortWorld(t)
 	w.Cloud.CapacityOf = map[string]int{"small": 3}
@@ -51,7 +51,7 @@
 	}
 }
 
-// No cheap machine is available to a best-effort job, which fits beside a guaranteed team's job on a
+// Cheap machines are unavailable, and a best-effort job fits beside a guaranteed team's job on a
 // machine that is expensive for it. The best-effort job waits before it is placed there, but only
 // for a limited time, even if the leader changes meanwhile.
 func TestBestEffortJobEventuallyUsesAnyMachine(t *testing.T) {
@@ -83,7 +83,8 @@
 
 // Best-effort tasks that write checkpoints remain alone on a machine that is expensive for them
 // after a guaranteed team's tasks have ended. The best-effort tasks save a checkpoint, stop and
-// resume on cheaper machines, and the expensive machine is scaled in, also by a new leader.
+// resume on cheaper machines, and the expensive machine is scaled in, even if the leader changes
+// meanwhile.
 func TestMachineNotKeptForBestEffortAlone(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		w := newBestEffortWorld(t)
--- a/internal/controller/block_length_test.go
+++ b/internal/controller/block_length_test.go
@@ -11,8 +11,9 @@
 	"oakpick/internal/protocol"
 )
 
-// A job's blocks are sized for pages of 8 KiB, and pages of 1 KiB are to come. The starts of a
-// whole block do not fit on such a page, so some tasks have to wait until others have ended.
+// A job's blocks are sized for pages of 8 KiB, and a lower limit of 1 KiB has been announced. The
+// starts of a whole block do not fit on a page of 1 KiB, so some tasks must wait until others have
+// ended, and all of them run eventually.
 func TestBlockTooLargeForLoweredPages(t *testing.T) {
 	s := fake.Settings()
 	s.State.ValueKB, s.State.Next = 8, nextLimits(1, 4, 40)
@@ -37,8 +38,8 @@
 	requireNoViolations(t, w)
 }
 
-// The limits are lowered, and the settings change accordingly. By the new settings, a block number
-// would refer to other tasks; the recorded block length prevents this.
+// The limits are lowered, and the settings change accordingly. With the block length of the new
+// settings, a block number would refer to other tasks, so the recorded block length must be used.
 func TestBlockLengthIsReadFromRecords(t *testing.T) {
 	s := fake.Settings()
 	s.State.ValueKB, s.State.Next = 4, nextLimits(1, 4, 40)
@@ -110,8 +111,8 @@
 }
 
 // A job of several blocks that the production version accepted has no recorded block length. If
-// value_kb changes and the job's records contradict the new value, no controller leads and the log
-// states the cause, because tasks would otherwise be confused with each other.
+// value_kb changes and the job's records contradict the new value, no controller may lead, because
+// one task could be mistaken for another. The log states the cause.
 func TestBlocksInconsistentWithSettingsAreRefused(t *testing.T) {
 	s := fake.Settings()
 	s.State.ValueKB = 4
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -54,9 +54,9 @@
 	requireNoViolations(t, w)
 }
 
-// A job is cancelled through the successor of a leader that alone still reaches the job's worker.
-// The cancellation may be confirmed only once the old leader's heartbeat grace period and the
-// worker's lease are certain to end the task in time, and must be confirmed then.
+// Only the old leader can still reach a job's worker when the job is cancelled through the new
+// leader. The cancellation may be confirmed only once it is certain that the old leader's heartbeat
+// grace period and the worker's lease will end the task in time, and it must be confirmed then.
 func TestCancellationConfirmedAfterPartitionedLeaderExpires(t *testing.T) {
 	w, j := partitionLeaderWithOneWorker(t)
 	if !w.RunUntil(10*time.Second, func() bool { return w.Controllers[1].Leads() || w.Controllers[2].Leads() }) {
--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -26,15 +26,16 @@
 	// the end of the outage if healAt is 0.
 	peersPartitioned bool
 	healAt           time.Duration
-	// oneWay still delivers the old leader's requests to the other controllers, and the responses.
+	// oneWay exempts the old leader's requests to the other controllers, and the responses to them,
+	// from the partition.
 	oneWay bool
 	// commandsLost drops all direct commands.
 	commandsLost bool
 
 	// slowResponses delays the responses of the state service by 900 ms.
 	slowResponses bool
-	// recordsUnreadable drops the state service's responses to a successor that loads the records,
-	// termUnknown also the responses to its attempts to acquire the term.
+	// recordsUnreadable drops the state service's responses while a successor loads the records.
+	// termUnknown also drops the responses to the successor's attempts to acquire the term.
 	recordsUnreadable, termUnknown bool
 
 	// successorCrashAt is when the new leader crashes. It restarts after successorDownFor, or at the
@@ -48,16 +49,16 @@
 
 // String returns the fields without spaces.
 func (s failoverScenario) String() string {
-	type fields failoverScenario // has no String method, which would recurse
+	type fields failoverScenario // without the String method, which would recurse
 	return strings.ReplaceAll(fmt.Sprintf("%+v", fields(s)), " ", ",")
 }
 
-// failover is a world that runs a failoverScenario.
+// failover runs a failoverScenario in a world.
 type failover struct {
 	failoverScenario
 	world *fake.World
-	jobs  []*fake.Job // all but the last are cancelled
-	start time.Duration
+	jobs  []*fake.Job   // all but the last are cancelled
+	start time.Duration // of the refusal
 
 	counted map[*fake.Job]bool // jobs that are included in confirmed
 	// confirmed counts the jobs whose cancellation was confirmed to the user, and confirmedOnMachine
@@ -127,8 +128,7 @@
 	}
 }
 
-// onSuccessor returns a function that applies the call to the controller that is the new leader by
-// then.
+// onSuccessor returns a function that passes the new leader, if there is one by then, to the call.
 func (r *failover) onSuccessor(call func(*fake.Controller)) func() {
 	return func() {
 		for _, c := range r.world.Controllers[1:] {
@@ -263,8 +263,8 @@
 }
 
 // Jobs are cancelled during a failover, with many combinations of the times of heartbeats, refusal,
-// cancellation and outage. When a user is told that a job is cancelled, its tasks must end within
-// the permitted time. The world checks this against the tasks that actually run.
+// cancellation and outage. Once a user has been told that a job is cancelled, the job's tasks must
+// end within the permitted time, which the world checks against its own record of running tasks.
 func TestCancellationDuringFailover(t *testing.T) {
 	t.Parallel()
 	phases, steps := 2, 5
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -10,11 +10,11 @@
 	"oakpick/internal/protocol"
 )
 
-// The transaction with a job's record is lost, delayed or refused, the transactions with the job's
-// other blocks succeed, and the leader crashes. The next leader does not know the job, whose user
-// submits it again, and the machines that may have received starts after the first submission
-// cannot be queried. Nothing of a job may start before its record is durable. A large benchmark run
-// violated this: a new leader logged "block of an unknown job dropped" and lost the block's starts.
+// No task may start before its job's record is durable. Here, the transaction with the job's record
+// is lost, delayed or refused, those with the job's other blocks succeed, and the leader crashes. The
+// next leader does not know the job, and the user submits it again. The machines that may have
+// received starts after the first submission do not respond. In a large benchmark run, a new leader
+// logged "block of an unknown job dropped" in this situation and dropped the starts in the block.
 func TestNoStartBeforeJobIsDurable(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []protocol.JobKind{protocol.Array, protocol.Gang, protocol.Service} {
@@ -74,9 +74,9 @@
 	}
 }
 
-// All prerequisites of a job are completed, so it could start at once, and the list of them is
-// stored in separate records. The job must not become durable before these records, whichever
-// write is lost.
+// All prerequisites of a job are completed, so the job could start at once. The list of its
+// prerequisites is stored in separate records. The job must not become durable before these
+// records are, whichever write is lost.
 func TestNoStartBeforePrerequisitesAreDurable(t *testing.T) {
 	t.Parallel()
 	for lost := 1; lost <= 4; lost++ {
@@ -110,9 +110,9 @@
 	}
 }
 
-// The last block of an array completes and the leader crashes. If the removal of the block were
-// durable before the end of the job, the next leader would not know which tasks of the block had
-// ended and would start them again.
+// The last block of an array completes, some writes are lost, and the leader crashes. The removal of
+// the block must not become durable before the end of the job. Otherwise, the next leader would not
+// know which tasks of the block had ended and would start them again.
 func TestBlocksKeptUntilJobEndIsDurable(t *testing.T) {
 	for lost := 1; lost <= 6; lost++ {
 		t.Run(fmt.Sprint("lost from write ", lost), func(t *testing.T) {
--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -78,9 +78,9 @@
 // wallClockSeeds is the number of worlds that are run at two different times of the process clock.
 const wallClockSeeds = 12
 
-// Two runs of the same world at process clock times hours apart have the same effects, because no
-// decision depends on the process clock. Within synctest, this clock is simulated and advances only
-// by the sleep.
+// Two runs of the same world have the same effects even if the process clock differs by hours,
+// because no decision depends on that clock. Within synctest, the clock is simulated and advances
+// only by the sleep.
 //
 // The test does not detect the fault in docs/incidents/2026-12-03-write-budget-never-fills.md,
 // because a clock that is decades ahead fills the budget at any time of day. The linter's forbidigo
@@ -159,7 +159,7 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// effectTrace writes effects as lines of text, and counts them.
+// effectTrace writes effects to out as lines of text, and counts them.
 type effectTrace struct {
 	digest  hash.Hash
 	out     io.Writer
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -94,7 +94,7 @@
 	PrerequisiteArchived   = "archived"
 )
 
-// PrerequisiteKind returns the kind of an accepted job as a prerequisite, or an empty string if the
+// PrerequisiteKind returns which of these kinds an accepted job is, or an empty string if the
 // controller does not lead.
 func (c *Controller) PrerequisiteKind(id string) string {
 	if c.leader == nil {
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -19,7 +19,7 @@
 	return j
 }
 
-// countStarts counts the starts of each job that workers execute from now on.
+// countStarts counts, by job, the task starts that workers execute from now on.
 func countStarts(w *fake.World) map[string]int {
 	starts := map[string]int{}
 	w.OnStart = func(j *fake.Job, _ int) { starts[j.Submission.ID]++ }
@@ -54,14 +54,14 @@
 	// minutes.
 	for id, n := range starts {
 		if most := 8; n > most {
-			t.Errorf("%s was started %d times, at most %d", id, n, most)
+			t.Errorf("%s was started %d times, expected at most %d", id, n, most)
 		}
 	}
 }
 
 // runBesideFailingJobs submits failing jobs and, half a minute later, runs other jobs for two minutes.
 // It returns the number of machines provisioned in these two minutes and the starts of each failing
-// job. A gang's tasks count as one start.
+// job. Starts of all tasks of a gang count as one start.
 func runBesideFailingJobs(t *testing.T, submit func(*fake.World) []*fake.Job) (scaledOut int64, starts map[string]int) {
 	t.Helper()
 	w := newWorld(t)
@@ -105,9 +105,9 @@
 	return scaledOut, starts
 }
 
-// The leader changes while failing jobs are retried with a growing backoff. The only record of their
-// failures that the new leader has is how often they were started. It must not start all of their
-// tasks again.
+// The leader changes while failing jobs are retried with a growing backoff. The new leader does not
+// know of their failures, only how often the jobs were started. It must not start all of their tasks
+// again.
 func TestFailureBackoffSurvivesFailover(t *testing.T) {
 	w := newWorld(t)
 	w.Submit(service(50, 2), 0)
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/protocol"
 )
 
-// A start command is executed and its task ends. A duplicate of the command that arrives later,
-// within the same term, must not run the task again.
+// A start command is executed and its task ends. A duplicate of the command that arrives later must
+// not run the task again, neither within the same term nor after the job has progressed.
 func TestDuplicateStartDoesNotRunAgain(t *testing.T) {
 	w := newWorld(t)
 	w.Network = func(kind, _, _ string) fake.Delivery {
@@ -38,8 +38,8 @@
 // A start command gets no response, and later commands to the machine are lost. Its heartbeats
 // arrive and do not list the task. The task must not run elsewhere until a higher fencing token has
 // invalidated the start command, which may arrive just before that or much later. The job is
-// submitted at different times within the heartbeat interval, so that a heartbeat also arrives
-// between a command's timeout and its next attempt.
+// submitted at different times within the heartbeat interval, so that in some cases a heartbeat
+// arrives between the timeout of the commands and the next attempt.
 func TestUnconfirmedStartIsFencedBeforeRetry(t *testing.T) {
 	for at := range 40 {
 		late := []time.Duration{2500, 2900, 3300, 30_000}[at%4]
--- a/internal/controller/five_controllers_test.go
+++ b/internal/controller/five_controllers_test.go
@@ -28,8 +28,8 @@
 	return submitPipeline(t, w, 1)
 }
 
-// Controllers are upgraded two at a time, including the leader, while workers switch between
-// controllers and a pipeline runs, a job of which is cancelled.
+// Controllers are upgraded two at a time, including the leader. Meanwhile, workers switch between
+// controllers, and one job of a running pipeline is cancelled.
 func TestRollingUpgradeTwoOfFiveAtATime(t *testing.T) {
 	t.Parallel()
 	for _, downFor := range []time.Duration{200 * time.Millisecond, 1500 * time.Millisecond, 5 * time.Second} {
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -59,7 +59,7 @@
 // A job has two tasks that must not run in the same zone. One is running, the other waits for a
 // machine in another zone, and the leader crashes. The successor has received a heartbeat from an
 // empty machine in the running task's zone, but none from the task's own machine, and no inventory
-// from the cloud. It does not know the zone of the running task, so it must not place the other.
+// from the cloud. It does not know the running task's zone, so it must not place the other task.
 func TestSpreadWaitsForUnknownTaskZones(t *testing.T) {
 	w := newWorld(t)
 	if status, answer := adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`); status != 200 {
@@ -92,7 +92,7 @@
 	w.Run(9 * time.Second)
 	requireNoViolations(t, w)
 	if w.Leader() == nil || w.Running(s.ID) != 1 {
-		t.Errorf("there is no leader, or not one task but %d run", w.Running(s.ID))
+		t.Errorf("%d tasks run, expected 1, or there is no leader", w.Running(s.ID))
 	}
 	partitioned = ""
 	w.Network = nil
@@ -180,14 +180,14 @@
 	}
 	w.Run(2500 * time.Millisecond)
 	if n := w.Controllers[0].Stats().MachinesScaledOut; n < 120 {
-		t.Errorf("%d machines provisioned 2.5 s after 200 tasks came", n)
+		t.Errorf("%d machines provisioned 2.5 s after 200 tasks were submitted", n)
 	}
 	requireNoViolations(t, w)
 }
 
-// An expensive machine is booting, with room for tasks that cheap machines would run sooner. The
-// cheap machines are provisioned once, not again in each planning cycle until the expensive one is
-// up.
+// An expensive machine is booting that has room for waiting tasks, but cheap machines would run them
+// sooner. The cheap machines are provisioned once, not again in each planning cycle until the
+// expensive one is up.
 func TestNoDuplicateScaleOutWhileExpensiveMachineBoots(t *testing.T) {
 	w := newWorld(t)
 	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -12,8 +12,8 @@
 	"oakpick/internal/storage"
 )
 
-// Values stored by earlier versions are decoded, and encoded to the same bytes again. This detects
-// renamed fields, a changed field order and lost records.
+// Values that earlier versions stored are decoded and encoded to the same bytes. This detects renamed
+// fields, a changed field order and lost records.
 func TestEarlierFormatsRoundTripByteForByte(t *testing.T) {
 	for _, test := range []struct {
 		file   string
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// A leader of this version takes over the pages of an earlier one, also if the earlier one was in
-// the middle of splitting them. The new leader knows every job, reports the status of the ended
-// ones, and loses none when it splits the pages for the lower limits that were announced.
+// A leader of this version takes over the pages of an earlier version, even if the earlier one was
+// still splitting them. The new leader knows every job, reports the status of the ended jobs, and
+// loses no job when it splits the pages for the lower limits that were announced.
 func TestTakeOverOfEarlierVersionsPages(t *testing.T) {
 	for _, file := range []string{productionFile, pipelinesFile, dividingFile} {
 		t.Run(file, func(t *testing.T) {
