--- a/internal/controller/paused_controllers_test.go
+++ b/internal/controller/paused_controllers_test.go
@@ -85,10 +85,10 @@
 }
 
 // The leader and one of the other controllers are paused together for as long as a worker's lease.
-// The third controller leads within a second or two. A worker waits four seconds for the response
-// of each paused controller, and one more second before it tries the next controller. It therefore
-// reaches the third controller after at most ten seconds plus a heartbeat interval. No task may be
-// lost to lease expiry if the lease is longer than that, as it is here.
+// The third controller leads within a second or two. By the protocol, a worker waits four seconds
+// for the response of each paused controller, and one more second before it tries the next one. It
+// therefore reaches the third controller after at most ten seconds plus a heartbeat interval. The
+// lease is longer than that here, so no task may be lost to lease expiry.
 func TestTwoOfThreeControllersPaused(t *testing.T) {
 	for first := range 3 {
 		for second := range 3 {
@@ -117,7 +117,7 @@
 			w.Controllers[first].PausedUntil = w.Now + 14*time.Second
 			w.Controllers[second].PausedUntil = w.Now + 14*time.Second
 			if !w.RunUntil(3*time.Second, third.Leads) {
-				t.Errorf("leader %d and %d: the third controller doesn't lead after 3 s", first, second)
+				t.Errorf("the third controller doesn't lead after 3 s")
 			}
 			runAndPoll(w, 40*time.Second)
 			if n := w.TasksLostToLeaseExpiry - lostBefore; n > 0 {
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -33,7 +33,7 @@
 			return stall
 		}
 		if !w.RunUntil(60*time.Second, func() bool { return stalled != nil }) {
-			t.Fatal("no machine is to be scaled in")
+			t.Fatal("the leader scales in no machine")
 		}
 		s := service(1, idle)
 		s.CPUs = 4 // one machine per replica
@@ -67,7 +67,7 @@
 	s := service(1, 1)
 	w.Submit(s, 0)
 	if !w.RunUntil(20*time.Second, func() bool { return paused }) {
-		t.Fatal("no start was to be sent")
+		t.Fatal("the leader sends no start command")
 	}
 	w.Run(6 * time.Second)
 	if n := len(w.MachinesOf(s.ID)); n > 0 {
@@ -84,9 +84,9 @@
 }
 
 // The leader is paused before it performs an effect: a reply to a user, commands to a worker, a
-// call to the cloud, or a request to the state service. It resumes within its lease, within its
-// heartbeat grace period, or long after another controller began to lead. Jobs are submitted, end
-// and are cancelled meanwhile.
+// call to the cloud, or a request to the state service, such as a renewal or a write. It resumes
+// within its lease, within its heartbeat grace period, or long after another controller has begun to
+// lead. Meanwhile, jobs are submitted, end, or are cancelled.
 func TestLeaderPausedBeforeEffect(t *testing.T) {
 	t.Parallel()
 	kinds := map[string]func(message.Effect) bool{
@@ -107,8 +107,8 @@
 	}
 }
 
-// testLeaderPausedBeforeEffect lets skip matching effects pass and pauses the leader before the
-// next one.
+// testLeaderPausedBeforeEffect pauses the leader before one matching effect. The leader performs the
+// first matching effects without a pause; skip is their number.
 func testLeaderPausedBeforeEffect(t *testing.T, matches func(message.Effect) bool, skip int, stall time.Duration) {
 	t.Helper()
 	w := newWorld(t)
@@ -183,9 +183,9 @@
 }
 
 // The leader is paused during an outage of the state service, in which no other controller can
-// acquire the term, and the pause and the outage end together. The leader must not conclude
-// anything about the machines from messages that it missed during its own pause: it keeps the term
-// and neither provisions nor returns machines, and neither moves nor loses tasks.
+// acquire the term. The pause and the outage end together. The leader must not draw conclusions
+// about machines from heartbeats that it missed during its own pause: it keeps the term, provisions
+// and returns no machines, moves no replicas and loses no tasks.
 func TestNoConclusionsFromOwnPause(t *testing.T) {
 	w := newWorld(t)
 	for i := range 3 {
--- a/internal/controller/pipeline_cancellation_test.go
+++ b/internal/controller/pipeline_cancellation_test.go
@@ -103,11 +103,12 @@
 }
 
 // The write that records the end of a job is delayed, the leader crashes before the write is
-// executed, and the job is cancelled through the next leader. Its dependent must not have started
-// by then.
+// executed, and the job is cancelled through the next leader. The dependent of the job must not have
+// started by the time of the cancellation.
 //
-// In another case, the job is cancelled while the write is delayed, and a dependent is submitted.
-// If the job turns out to be done, the dependent must not have been reported as cancelled.
+// In other steps, the job is cancelled while the write is delayed, so the cancellation is delayed,
+// too, and a dependent is submitted. If the job ends as done after all, the dependent must not have
+// been reported as cancelled.
 func TestDelayedWriteOfPrerequisiteEnd(t *testing.T) {
 	outcomes := map[string]int{}
 	for step := range 36 {
@@ -172,7 +173,7 @@
 }
 
 // A job is cancelled while its machine hangs, so the end of the job can't be recorded yet. A
-// dependent that is submitted now must be accepted and cancelled all the same.
+// dependent that is submitted then must nevertheless be accepted and cancelled.
 func TestSubmissionWhilePrerequisiteIsStopping(t *testing.T) {
 	w := newWorld(t)
 	long := submitAfter(t, w, job(1, protocol.Array, 1), time.Hour)
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -41,9 +41,9 @@
 // continues. Whichever writes are durable by then, no job may start too early and nothing may be
 // lost.
 //
-// The second job is cancelled at various times, from just after its first task has started until
-// its last has ended. The pipeline must then have a consistent outcome: either the second job and
-// all its dependents are cancelled, or none of the jobs is.
+// In some cases, the second job is cancelled, at a time between the start of its first task and the
+// end of its last. The outcome must then be consistent: either the second job and all jobs that
+// depend on it are cancelled, or none of them is.
 func TestLeaderCrashBetweenPipelineWrites(t *testing.T) {
 	t.Parallel()
 	for _, cancelAt := range []time.Duration{0, 4 * time.Second, 6 * time.Second, 7800 * time.Millisecond, 8200 * time.Millisecond, 8600 * time.Millisecond} {
@@ -84,7 +84,7 @@
 	}
 }
 
-// The response to a submission with prerequisites depends on their states.
+// The response to a submission with prerequisites depends on the states of the prerequisites.
 func TestSubmissionsWithPrerequisites(t *testing.T) {
 	w := newWorld(t)
 	done := w.Submit(job(1, protocol.Array, 1), time.Second)
@@ -148,8 +148,8 @@
 	w.Run(5 * time.Second)
 }
 
-// requireRepeatAnswered repeats a submission with an unknown prerequisite. The response must be the
-// state of the existing job, whichever prerequisites the repeat names.
+// requireRepeatAnswered repeats the submission of a job, now with an unknown prerequisite. The response
+// must be the state of the existing job, whichever prerequisites the repeat names.
 func requireRepeatAnswered(t *testing.T, w *fake.World, j *fake.Job) {
 	t.Helper()
 	again := j.Submission
@@ -194,8 +194,8 @@
 }
 
 // An array of low priority is the prerequisite of an urgent job, and work of normal priority uses
-// all remaining capacity. The array must not wait behind the normal work, but it must not preempt
-// production work, either.
+// all remaining capacity. The array inherits the priority of the urgent job, so it must not wait
+// behind the normal work. It must not preempt production work.
 func TestPriorityInheritancePreventsStarvation(t *testing.T) {
 	w := newWorld(t)
 	w.Cloud.Capacity = 1 // one machine of each type in each zone
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -62,7 +62,7 @@
 	more.Team, more.Priority, more.CPUs = "red", protocol.Low, 0.5
 	w.Submit(more, 3*time.Second)
 	w.Run(5 * time.Second)
-	slowMachine := w.MachinesOf(low.ID)[0] // its commands are delayed, so its tasks stop after those of the others
+	slowMachine := w.MachinesOf(low.ID)[0] // commands to it are delayed, so its tasks stop last
 	w.Network = func(kind, _, b string) fake.Delivery {
 		delivery := fake.Reliable()
 		if kind == fake.KindCommands && b == slowMachine {
@@ -127,7 +127,7 @@
 	overGuarantee := service(1, 2)
 	overGuarantee.Priority, overGuarantee.CPUs, overGuarantee.Types, overGuarantee.Zone, overGuarantee.Team = protocol.Production, 2, []string{"small"}, "a", "blue"
 	w.Submit(overGuarantee, 0)
-	more := service(3, 1) // with it, the team exceeds its guarantee of four CPUs
+	more := service(3, 1) // with this service, the team exceeds its guarantee of four CPUs
 	more.Priority, more.CPUs, more.Types, more.Zone, more.Team = protocol.Production, 2, []string{"small"}, "b", "blue"
 	waitRunning(t, w, overGuarantee.ID, 2)
 	w.Submit(more, 0)
@@ -144,7 +144,7 @@
 
 // Every team has reached its limit. Jobs are cancelled whose machines are partitioned, hang, or
 // lose heartbeats or responses, and the leader changes. Tasks that may still run count for the
-// limit. Once they have certainly ended, their part of the limit is used again.
+// limit. Once it is certain that they have ended, their part of the limit is used again.
 func TestQuotaWhileMachinesAreUnreachable(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"partitioned", "hangs", "unanswered", "heartbeats lost"} {
@@ -194,8 +194,8 @@
 	}
 }
 
-// submitUpToQuota submits services that use the limits of both teams completely. Their numbers
-// begin at first.
+// submitUpToQuota submits services, numbered from first, that use the limits of both teams
+// completely.
 func submitUpToQuota(w *fake.World, first int) []*fake.Job {
 	var jobs []*fake.Job
 	for i, team := range []string{"red", "red", "blue"} {
@@ -274,13 +274,13 @@
 	}
 }
 
-// A gang is done because one of its members has reported so, while the machine of another member
-// has been hanging since shortly before. The other member still occupies its machine, and it counts
-// for its team's limit until it has ended.
+// A gang is done because one of its members has reported that, but the machine of another member has
+// begun to hang shortly before. The other member still runs on its machine and counts for its team's
+// limit until it has ended.
 func TestQuotaCountsHungGangMember(t *testing.T) {
 	for step := range 20 {
 		w := newWorld(t)
-		other := service(50, 2) // of another team; frees its machines when the gang is about done
+		other := service(50, 2) // of another team; its machines are free when the gang is done
 		other.CPUs, other.Types = 8, []string{"large"}
 		filler := w.Submit(other, 0)
 		waitRunning(t, w, other.ID, 2)
--- a/internal/controller/repeated_queries_test.go
+++ b/internal/controller/repeated_queries_test.go
@@ -17,8 +17,8 @@
 	return delivery
 }
 
-// queryFaults are faults of the leader n0 or of the state service while users query jobs. Those that
-// don't last from the beginning occur after the given time.
+// queryFaults are faults of the leader n0 or of the state service while users query jobs. Slow
+// writes begin at once; the time of the other faults depends on at.
 var queryFaults = map[string]func(w *fake.World, at time.Duration){
 	"none":           func(*fake.World, time.Duration) {},
 	"leader crashes": func(w *fake.World, at time.Duration) { w.After(at, w.Controllers[0].Crash) },
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// testLimitsLoweredAfterRollingUpgrade waits after the upgrade before it lowers the limits. Requests
-// to the state service are delayed by slow.
+// testLimitsLoweredAfterRollingUpgrade waits for the given time between the upgrade and the lowering
+// of the limits. If slow isn't 0, the state service has this latency and loses some responses.
 func testLimitsLoweredAfterRollingUpgrade(t *testing.T, wait, slow time.Duration) {
 	t.Helper()
 	w := newProductionWorld(t)
@@ -174,8 +174,8 @@
 	}
 }
 
-// upgradeLeaderLast upgrades one controller after another, the leader last. The new version has not
-// led before the last upgrade.
+// upgradeLeaderLast upgrades one controller after another, the leader last. The new version can only
+// lead after that, so a test that continues at once leaves it hardly any time to split pages.
 func upgradeLeaderLast(w *fake.World) {
 	leader := w.Leader()
 	controllers := slices.Clone(w.Controllers)
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -34,7 +34,7 @@
 	w := l.world
 	s, sentAt := job(l.id, protocol.Array, 1), w.Now
 	s.CPUs = 0.1
-	// Users of the fake world would retry; here the job is only made known to the workers.
+	// The submission is not retried, unlike those by World.Submit, but the workers have to know the job.
 	w.Jobs[s.ID] = &fake.Job{Submission: s, RunTime: 100 * time.Millisecond, Saved: map[int]time.Duration{}, DoneTasks: map[int]bool{}}
 	w.Controllers[0].Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) {
 		l.answers++
@@ -84,8 +84,8 @@
 	requireNoViolations(t, w)
 }
 
-// runServices submits services of one replica each and waits until they run. Their numbers begin
-// at first.
+// runServices submits the given number of services of one replica, numbered from first, and waits
+// until they run.
 func runServices(t *testing.T, w *fake.World, first, count int) []*fake.Job {
 	t.Helper()
 	var jobs []*fake.Job
--- a/internal/controller/write_responses_test.go
+++ b/internal/controller/write_responses_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// testSubmissionToSlowStateService submits while the responses of the state service are slow.
+// testSubmissionToSlowStateService submits while the responses of the state service are delayed.
 func testSubmissionToSlowStateService(t *testing.T) {
 	t.Helper()
 	w := newWorld(t)
@@ -133,8 +133,8 @@
 	leaderCrashes  bool          // whether the leader crashes, too
 }
 
-// Writes of every kind get no response. They are executed at once, or only after newer writes, while
-// controllers read the records. Each must be recognized, and none may take effect twice.
+// Writes of every kind get no response. They are executed at once or only after newer writes, while
+// others read the same records. Each must be recognized, and none may take effect twice.
 func TestWritesWithLostResponses(t *testing.T) {
 	t.Parallel()
 	for _, lossy := range []lossyWrites{
@@ -154,8 +154,8 @@
 	}
 }
 
-// testWritesWithLostResponses begins to count requests at requestOffset, which decides which of them
-// get no response.
+// testWritesWithLostResponses counts requests from requestOffset, so that with each offset other
+// requests get no response.
 func testWritesWithLostResponses(t *testing.T, lossy lossyWrites, requestOffset int) {
 	t.Helper()
 	w := newWorld(t)
@@ -198,8 +198,8 @@
 	}
 }
 
-// conflictingStateService refuses every write of a page because its condition fails, and returns
-// pages that another leader has written.
+// conflictingStateService refuses every write of a page as if a condition had failed, and returns
+// pages that appear to be written by another leader.
 type conflictingStateService struct {
 	conflicts int
 	replies   []message.Reply // of the controller to its users
--- a/internal/controller/write_share_test.go
+++ b/internal/controller/write_share_test.go
@@ -53,8 +53,8 @@
 	requireNoViolations(t, w)
 }
 
-// rejectFirstLargeWrite has the state service refuse all writes from the first write of several
-// pages on. It returns a flag that is set from then on.
+// rejectFirstLargeWrite has the state service refuse writes as soon as a write of several pages is
+// sent. It returns a flag that becomes true at that time.
 func rejectFirstLargeWrite(w *fake.World) (rejected *bool) {
 	rejected = new(bool)
 	w.OnEffect = func(_ string, effect message.Effect) {
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -57,8 +57,9 @@
 	requireAllServed(t, w)
 }
 
-// The last task of a job is done, and the leader crashes after each of the writes that record this
-// in turn. The final state may be durable while other pages still have blocks of the job.
+// The last task of a job is done, and the leader crashes after one of the writes that record the end
+// of the job; each iteration selects another one. The final state may be durable while other pages
+// still have blocks of the job.
 func TestLeaderCrashBetweenWritesOfJobEnd(t *testing.T) {
 	for writes := range 6 {
 		settings := fake.Settings()
@@ -74,7 +75,7 @@
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			if leader := w.Leader(); kind == fake.KindState && leader != nil && !crashed && w.State.WriteTransactions >= from+writes {
 				crashed = true
-				w.After(0, leader.Crash) // the leader's next write is lost
+				w.After(0, leader.Crash) // its next request is never sent
 				return fake.Delivery{LoseRequest: true}
 			}
 			return fake.Reliable()
@@ -92,7 +93,7 @@
 	}
 }
 
-// Terminal states of jobs are still known after all controllers have restarted.
+// Terminal states of jobs must still be known after all controllers have restarted.
 func TestTerminalStatesSurviveAllRestarts(t *testing.T) {
 	w := newWorld(t)
 	a := w.Submit(job(1, protocol.Array, 2), time.Second)
