--- a/internal/controller/paused_controllers_test.go
+++ b/internal/controller/paused_controllers_test.go
@@ -8,9 +8,9 @@
 	"oakpick/internal/protocol"
 )
 
-// A follower is paused and receives nothing from its peers meanwhile. Silence during its own pause
-// must not count as a fault of the leader: once the follower resumes, it is healthy at once, so it
-// takes users' requests and forwards them to the leader.
+// A follower is paused and receives nothing from its peers meanwhile. The silence during its own
+// pause must not count as a fault of the leader: the follower must be healthy as soon as it resumes,
+// so that it takes users' requests and forwards them to the leader.
 func TestResumedFollowerIsHealthyImmediately(t *testing.T) {
 	w := newWorld(t)
 	w.Run(5 * time.Second)
@@ -35,7 +35,7 @@
 }
 
 // One controller, the leader at first, is paused every few seconds. Each pause may cost at most one
-// term, and after the first change of leader the other controllers keep the term.
+// term, and after the first change of leader the other controllers must keep the term.
 func TestRepeatedlyPausedController(t *testing.T) {
 	w := newWorld(t)
 	w.Submit(service(1, 3), 0)
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// testLeaderPausedBeforeEffect pauses the leader before one matching effect. The leader performs the
-// first matching effects without a pause; skip is their number.
+// testLeaderPausedBeforeEffect pauses the leader once, before a matching effect. The first matching
+// effects, as many as skip, are performed without a pause.
 func testLeaderPausedBeforeEffect(t *testing.T, matches func(message.Effect) bool, skip int, stall time.Duration) {
 	t.Helper()
 	w := newWorld(t)
@@ -142,9 +142,9 @@
 	}
 }
 
-// The leader crashes, and its successor is paused before one of its first effects other than
-// reading the leader key: while it acquires the term, reads the records or begins to lead. Either
-// the third controller takes over, or the successor resumes and continues.
+// The leader crashes, and its successor is paused before one of its first effects: while it acquires
+// the term, reads the records or begins to lead. Reads of the leader key don't count as effects here.
+// Either the third controller takes over, or the successor resumes and continues.
 func TestSuccessorPausedDuringTakeOver(t *testing.T) {
 	t.Parallel()
 	for _, stall := range []time.Duration{2 * time.Second, 9 * time.Second, 32 * time.Second} {
@@ -229,8 +229,8 @@
 }
 
 // Machines boot while the leader is paused during an outage of the state service. When the leader
-// resumes, they are up but have not sent it a heartbeat yet: they must not count as late, and no
-// machine may be provisioned in their place.
+// resumes, they are up but it has not received a heartbeat from them yet. It must not report them as
+// late, and it must not provision other machines in their place.
 func TestMachinesBootedDuringPauseAreNotReplaced(t *testing.T) {
 	w := newWorld(t)
 	w.Run(20 * time.Second)
@@ -261,9 +261,9 @@
 	requireNoViolations(t, w)
 }
 
-// The leader is paused with requests of users that followers have forwarded to it, and more
-// requests arrive while no controller leads. The next leader must accept all of them within a
-// second and a half of its election, and none may be refused.
+// Followers forward users' requests to the leader while it is paused, and more requests arrive while
+// no controller leads. The next leader must accept all of them within a second and a half of its
+// election, and none may be refused.
 func TestForwardedRequestsSurvivePausedLeader(t *testing.T) {
 	w := newWorld(t)
 	w.Run(5 * time.Second)
--- a/internal/controller/pipeline_cancellation_test.go
+++ b/internal/controller/pipeline_cancellation_test.go
@@ -106,9 +106,9 @@
 // executed, and the job is cancelled through the next leader. The dependent of the job must not have
 // started by the time of the cancellation.
 //
-// In other steps, the job is cancelled while the write is delayed, so the cancellation is delayed,
-// too, and a dependent is submitted. If the job ends as done after all, the dependent must not have
-// been reported as cancelled.
+// In other cases, the job is cancelled while the write is delayed, so the cancellation is delayed,
+// too, and a dependent is submitted. If the job nevertheless ends as done, the dependent must not
+// have been reported as cancelled.
 func TestDelayedWriteOfPrerequisiteEnd(t *testing.T) {
 	outcomes := map[string]int{}
 	for step := range 36 {
--- a/internal/controller/production_formats_test.go
+++ b/internal/controller/production_formats_test.go
@@ -6,9 +6,9 @@
 	"oakpick/internal/election"
 )
 
-// The record types of the version in production, whose commit deploy/service.toml names. They must
-// not change with the current sources: they stand for processes of that version, which run beside
-// current ones, read the records that current processes write, and write them back.
+// The record types of the version in production, as of the commit that deploy/service.toml names.
+// They must not change with the current sources: they stand for processes of that version, which run
+// beside current ones, read the records that current processes write, and write them back.
 type (
 	productionStart struct {
 		//nolint:unused // read by the MessagePack library
@@ -120,8 +120,8 @@
 	return out
 }
 
-// roundTripProduction returns what is left of a stored value after the version in production has
-// read it and written it back.
+// roundTripProduction returns a stored value as it is after the version in production has read it
+// and written it back.
 func roundTripProduction(key string, value []byte) []byte {
 	if key == election.LeaderKey {
 		return roundTrip[productionLeader](value)
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -49,9 +49,9 @@
 }
 
 // A team has reached its limit with batch work when a service of the same team is submitted. More
-// batch work waits, in tasks that are small enough to use any freed part of the limit first. There
-// are enough machines, but batch tasks must be preempted: only as many as the service needs, and
-// after saving checkpoints. The limit holds throughout.
+// batch work waits, in tasks that are small enough to use any freed part of the limit first. Although
+// there are enough machines, batch tasks must be preempted: as many as the service needs, after they
+// have saved checkpoints. The limit must hold throughout.
 func TestPreemptionWithinQuota(t *testing.T) {
 	w := newWorld(t)
 	low := job(1, protocol.Array, 12)
@@ -142,9 +142,9 @@
 	requireNoViolations(t, w)
 }
 
-// Every team has reached its limit. Jobs are cancelled whose machines are partitioned, hang, or
-// lose heartbeats or responses, and the leader changes. Tasks that may still run count for the
-// limit. Once it is certain that they have ended, their part of the limit is used again.
+// Every team has reached its limit. Jobs are cancelled while some of their machines are partitioned,
+// hang, or lose heartbeats or responses, and the leader changes. Tasks that may still run count for
+// the limit. Once it is certain that they have ended, their part of the limit is used again.
 func TestQuotaWhileMachinesAreUnreachable(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"partitioned", "hangs", "unanswered", "heartbeats lost"} {
@@ -274,9 +274,9 @@
 	}
 }
 
-// A gang is done because one of its members has reported that, but the machine of another member has
-// begun to hang shortly before. The other member still runs on its machine and counts for its team's
-// limit until it has ended.
+// A gang is done as soon as one of its members reports that. Shortly before, the machine of another
+// member begins to hang. That member is still on its machine and must count for its team's limit
+// until it has ended.
 func TestQuotaCountsHungGangMember(t *testing.T) {
 	for step := range 20 {
 		w := newWorld(t)
--- a/internal/controller/repeated_queries_test.go
+++ b/internal/controller/repeated_queries_test.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// testRepeatedQueries returns the final status of a job that is cancelled at about its end.
+// testRepeatedQueries returns the final status of a job that is cancelled at about the time at which
+// it ends.
 func testRepeatedQueries(t *testing.T, step int, fault func(*fake.World)) string {
 	t.Helper()
 	w := newWorld(t)
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -28,13 +28,13 @@
 	}
 }
 
-// submit submits the next job.
+// submit submits the next job. Unlike World.Submit, it never retries.
 func (l *submissionLoad) submit() {
 	l.id++
 	w := l.world
 	s, sentAt := job(l.id, protocol.Array, 1), w.Now
 	s.CPUs = 0.1
-	// The submission is not retried, unlike those by World.Submit, but the workers have to know the job.
+	// The workers have to know the job to run it.
 	w.Jobs[s.ID] = &fake.Job{Submission: s, RunTime: 100 * time.Millisecond, Saved: map[int]time.Duration{}, DoneTasks: map[int]bool{}}
 	w.Controllers[0].Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) {
 		l.answers++
--- a/internal/controller/write_responses_test.go
+++ b/internal/controller/write_responses_test.go
@@ -52,7 +52,7 @@
 }
 
 // A submission that can't be made durable is refused as soon as that is known, not only when its
-// request times out. A submission that can be made durable waits, however slow the write is.
+// request times out. A submission that can be made durable waits for its write, however slow that is.
 func TestSubmissionRefusedImmediatelyOrCommitted(t *testing.T) {
 	t.Run("outage", testSubmissionInOutage)
 	t.Run("long queue", testSubmissionBehindLongQueue)
@@ -134,7 +134,7 @@
 }
 
 // Writes of every kind get no response. They are executed at once or only after newer writes, while
-// others read the same records. Each must be recognized, and none may take effect twice.
+// the same records are read. Each must be recognized, and none may take effect twice.
 func TestWritesWithLostResponses(t *testing.T) {
 	t.Parallel()
 	for _, lossy := range []lossyWrites{
@@ -154,8 +154,8 @@
 	}
 }
 
-// testWritesWithLostResponses counts requests from requestOffset, so that with each offset other
-// requests get no response.
+// testWritesWithLostResponses starts its count of requests at requestOffset, so each offset selects
+// other requests that get no response.
 func testWritesWithLostResponses(t *testing.T, lossy lossyWrites, requestOffset int) {
 	t.Helper()
 	w := newWorld(t)
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -29,12 +29,12 @@
 	requireNoViolations(t, w)
 }
 
-// The leader crashes when all tasks of a job's first block are done and other blocks are not
-// finished. The job's own record is stored with the first block and must be kept.
+// The leader crashes when all tasks of a job's first block are done and some tasks of other blocks
+// are not. The job's own record is stored with the first block and must be kept.
 func TestLeaderCrashAfterFirstBlockDone(t *testing.T) {
 	w := newWorld(t)
 	s := job(1, protocol.Array, 30)
-	s.CheckpointIntervalS, s.Team = 0, "red" // the limit of this team lets one block of tasks run at once
+	s.CheckpointIntervalS, s.Team = 0, "red" // the limit of this team lets the tasks of one block run at once
 	j := w.Submit(s, 8*time.Second)
 	firstDone := func() bool {
 		for i := range 12 {
