--- a/internal/controller/archive_moves_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -136,7 +136,7 @@
 		if n%6 == 5 {
 			w.Leader().Crash()
 			w.Run(4 * time.Second)
-			startDown(w)
+			startCrashed(w)
 			w.Run(2 * time.Second)
 		}
 	}
--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -181,7 +181,7 @@
 			r.countConfirmed(j)
 		}
 	}
-	startDown(w)
+	startCrashed(w)
 	w.Run(30 * time.Second)
 }
 
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// startDown starts the controllers that are down.
-func startDown(w *fake.World) {
+// startCrashed starts the controllers that are down.
+func startCrashed(w *fake.World) {
 	for _, c := range w.Controllers {
 		if !c.Up {
 			c.Start()
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -179,7 +179,7 @@
 		w.After(time.Second, func() { w.CancelEverywhere(j) })
 	}
 	w.Run(5 * time.Second)
-	startDown(w)
+	startCrashed(w)
 	for _, j := range next {
 		waitRunning(t, w, j.Submission.ID, 2)
 	}
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -80,7 +80,7 @@
 			return fake.Reliable()
 		}
 		w.Run(10 * time.Second)
-		startDown(w)
+		startCrashed(w)
 		for range 8 {
 			w.Run(3 * time.Second)
 			w.PollAll()
