--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -38,7 +38,7 @@
 	w := newWorldWith(t, onePagePerTransaction())
 	machines := provisionIdleMachines(t, w)
 	w.Run(5 * time.Second) // nothing is left to be written
-	disturbFirstWrite(w, write)
+	injectFirstWriteFault(w, write)
 	j := w.Submit(multiBlockJob(1, kind), 20*time.Second)
 	for range 6 {
 		w.Run(50 * time.Millisecond)
--- a/internal/controller/helpers_durability_test.go
+++ b/internal/controller/helpers_durability_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// disturbFirstWrite has the first transaction of a page meet a fault, and all others pass.
-func disturbFirstWrite(w *fake.World, fault string) {
+// injectFirstWriteFault has the first transaction of a page meet a fault, and all others pass.
+func injectFirstWriteFault(w *fake.World, fault string) {
 	w.SeparateWrites = true
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
