--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -50,7 +50,7 @@
 		}
 		machines = on
 	}
-	disturbMachines(w, machines[:1], machine, 8*time.Second)
+	injectMachineFault(w, machines[:1], machine, 8*time.Second)
 	crashLeader(w, 4*time.Second)
 	if cancel {
 		w.CancelEverywhere(j)
--- a/internal/controller/helpers_durability_test.go
+++ b/internal/controller/helpers_durability_test.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// disturbMachines has machines meet a fault for so long: partitioned, hanging, or with reports
+// injectMachineFault has machines meet a fault for so long: partitioned, hanging, or with reports
 // that arrive late.
-func disturbMachines(w *fake.World, machines []string, fault string, d time.Duration) {
+func injectMachineFault(w *fake.World, machines []string, fault string, d time.Duration) {
 	until := w.Now + d
 	w.Network = func(kind, from, to string) fake.Delivery {
 		delivery := fake.Reliable()
