--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -130,7 +130,7 @@
 			}
 			for w.Now < before+10*time.Second {
 				w.Run(50 * time.Millisecond)
-				requireTaskEndsRecorded(t, w, j)
+				requireTasksRecorded(t, w, j)
 			}
 			w.Leader().Crash()
 			w.Network = nil
--- a/internal/controller/helpers_durability_test.go
+++ b/internal/controller/helpers_durability_test.go
@@ -160,9 +160,9 @@
 	}
 }
 
-// requireTaskEndsRecorded fails if a job is recorded as unfinished, and the ends of tasks that were
+// requireTasksRecorded fails if a job is recorded as unfinished, and the ends of tasks that were
 // recorded are so no longer.
-func requireTaskEndsRecorded(t *testing.T, w *fake.World, j *fake.Job) {
+func requireTasksRecorded(t *testing.T, w *fake.World, j *fake.Job) {
 	t.Helper()
 	unfinished, _ := recordedJobs(t, pagesOf(w))
 	if _, open := unfinished[j.Submission.ID]; !open {
