--- a/internal/controller/helpers_takeover_test.go
+++ b/internal/controller/helpers_takeover_test.go
@@ -38,9 +38,9 @@
 	return entries
 }
 
-// newRecordedState is a state service with so many jobs that aren't over, as many ended ones as
+// newWorldWithRecords is a state service with so many jobs that aren't over, as many ended ones as
 // a leader keeps, and so many in the archive.
-func newRecordedState(unfinished, kept, archived int) (*fake.World, *config.Config) {
+func newWorldWithRecords(unfinished, kept, archived int) (*fake.World, *config.Config) {
 	s := fake.Settings()
 	s.State.ValueKB = 8
 	w := fake.NewWorld(s)
