--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -87,7 +87,7 @@
 func TestCancellationDuringLeaderChange(t *testing.T) {
 	t.Parallel()
 	phases := 3
-	if *fine {
+	if *fineSteps {
 		phases = 20
 	}
 	for name, change := range leaderChanges {
--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -264,7 +264,7 @@
 func TestCancellationDuringFailover(t *testing.T) {
 	t.Parallel()
 	phases, steps := 2, 5
-	if *fine {
+	if *fineSteps {
 		phases, steps = 5, 16
 	}
 	for name, kind := range failoverKinds {
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -16,7 +16,7 @@
 // forgotten, and none is provisioned twice for long.
 func TestMachinesBootWhileWritesLag(t *testing.T) {
 	steps := 16
-	if *fine {
+	if *fineSteps {
 		steps = 120
 	}
 	for step := range steps {
--- a/internal/controller/main_test.go
+++ b/internal/controller/main_test.go
@@ -21,4 +21,4 @@
 	os.Exit(m.Run())
 }
 
-var fine = flag.Bool("fine", false, "sweep compound failures in finer steps")
+var fineSteps = flag.Bool("fine", false, "sweep compound failures in finer steps")
--- a/internal/controller/repeated_queries_test.go
+++ b/internal/controller/repeated_queries_test.go
@@ -49,7 +49,7 @@
 func TestRepeatedQueriesDuringFaults(t *testing.T) {
 	t.Parallel()
 	steps := 12
-	if *fine {
+	if *fineSteps {
 		steps = 60
 	}
 	for name, fault := range queryFaults {
