--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -13,8 +13,8 @@
 	"oakpick/internal/protocol"
 )
 
-// failer is what the checks need of a test: that of testing.TB which drawn tests have, too.
-type failer interface {
+// testingT is what the checks need of a test: that of testing.TB which drawn tests have, too.
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
@@ -181,7 +181,7 @@
 }
 
 // requireNoViolations fails if a rule was broken, or a leader's counts differ from its tasks.
-func requireNoViolations(t failer, w *fake.World) {
+func requireNoViolations(t testingT, w *fake.World) {
 	t.Helper()
 	if len(w.Violations) > 0 {
 		t.Fatalf("rules broken:\n%s\nlog:\n%s", strings.Join(w.Violations, "\n"), logTail(w, 60))
@@ -197,7 +197,7 @@
 
 // requireAllServed fails unless every job that wasn't cancelled is accepted and served: batch
 // work is done, and all replicas of services run.
-func requireAllServed(t failer, w *fake.World) {
+func requireAllServed(t testingT, w *fake.World) {
 	t.Helper()
 	for id, j := range w.Jobs {
 		switch {
--- a/internal/controller/late_page_creation_test.go
+++ b/internal/controller/late_page_creation_test.go
@@ -19,7 +19,7 @@
 // (-rapid.seed=895798): "put page/000002 [wk-000007]" if absent at 22.4 s, again at 23.5 s; the move
 // deletes it at 30.2 s; at 39.2 s "term lost, reason a write met another leader's"; then
 // "went_back: wk-000007: queued after done".
-func TestLateCopyOfAPagesFirstWriteAfterItsMove(t *testing.T) {
+func TestLateDuplicateOfPageCreationAfterArchiving(t *testing.T) {
 	for _, copied := range []time.Duration{4 * time.Second, 8 * time.Second, 12 * time.Second} {
 		s := fake.Settings()
 		s.Limits.MemoryMB = 0.02 // one ended job is kept in memory
--- a/internal/controller/leadership_end_test.go
+++ b/internal/controller/leadership_end_test.go
@@ -15,10 +15,10 @@
 // termLost is the log line with which a node's term ends.
 const termLost = "term lost"
 
-// checkLeadersEffects returns an error if something that only a leader may do leaves a step after
+// checkLeaderEffects returns an error if something that only a leader may do leaves a step after
 // the node's term has ended in it, or if machines are to be provisioned or released without a
 // bound in time.
-func checkLeadersEffects(c *fake.Controller, effects []message.Effect) error {
+func checkLeaderEffects(c *fake.Controller, effects []message.Effect) error {
 	ended := false
 	for _, effect := range effects {
 		if line, isLog := effect.(message.Log); isLog && line.Message == termLost {
@@ -92,7 +92,7 @@
 	w.Submit(standing, 0)
 	waitRunning(t, w, standing.ID, 5)
 	w.OnStep = func(c *fake.Controller, effects []message.Effect) {
-		if err := checkLeadersEffects(c, effects); err != nil {
+		if err := checkLeaderEffects(c, effects); err != nil {
 			t.Fatalf("%v: %s: %v\n%s", w.Now, c.Name, err, logTail(w, 10))
 		}
 	}
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -27,16 +27,16 @@
 	requireNoViolations(t, w)
 }
 
-// heldStateService answers at once, but for reads of pages and renewals of leases, whose last
+// stateServiceStub answers at once, but for reads of pages and renewals of leases, whose last
 // calls it holds.
-type heldStateService struct {
+type stateServiceStub struct {
 	read, renewal message.StateCall
 	term          int64 // of the last write of the leader's key
 	pageWrites    int   // each of which is refused for a condition
 }
 
 // respond answers the calls that it doesn't hold.
-func (s *heldStateService) respond(effect message.Effect) message.Event {
+func (s *stateServiceStub) respond(effect message.Effect) message.Event {
 	call, ok := effect.(message.StateCall)
 	if !ok {
 		return nil
@@ -67,7 +67,7 @@
 // before the answer, and leads again. The answer, which was about the earlier
 // term's write, comes then: it says nothing about the new term.
 func TestResponseFromEarlierTermIsIgnored(t *testing.T) {
-	state := &heldStateService{}
+	state := &stateServiceStub{}
 	c := newSteppedController(&config.Config{Node: "n0", Settings: fake.Settings()}, state.respond)
 	c.tick(500 * time.Millisecond)
 	if !c.leads() {
--- a/internal/controller/model_actions_test.go
+++ b/internal/controller/model_actions_test.go
@@ -14,7 +14,7 @@
 // action is something that users, operators or faults do in a drawn world.
 type action struct {
 	name string
-	run  func(*drawnWorld)
+	run  func(*randomWorld)
 }
 
 // String is the name, under which a failing draw is printed.
@@ -23,35 +23,35 @@
 // actions are drawn with equal chance. What is there twice is drawn twice as often. Their
 // order and number decide which worlds a seed gives.
 var actions = []action{
-	{"submit", (*drawnWorld).submit},
-	{"submit", (*drawnWorld).submit},
-	{"cancel", (*drawnWorld).cancel},
-	{"crash", (*drawnWorld).crashOne},
-	{"crash all", (*drawnWorld).crashAll},
-	{"state service outage", (*drawnWorld).stateOutage},
-	{"state service unreachable", (*drawnWorld).stateUnreachable},
-	{"controller partitioned from all but workers", (*drawnWorld).partitionController},
-	{"machine partitioned", (*drawnWorld).partitionMachine},
-	{"machine unanswered", (*drawnWorld).loseResponsesToMachine},
-	{"worker hangs", (*drawnWorld).hangWorker},
-	{"controller paused", (*drawnWorld).pauseController},
-	{"controller paused before an effect", (*drawnWorld).stallController},
-	{"interruption notice", (*drawnWorld).interruptMachine},
-	{"machine fails", (*drawnWorld).failMachine},
-	{"cloud outage", (*drawnWorld).cloudOutage},
-	{"unreliable network", (*drawnWorld).disturbNetwork},
-	{"machine fails tasks", (*drawnWorld).failTasks},
-	{"resubmit", (*drawnWorld).resubmit},
-	{"zone partitioned", (*drawnWorld).partitionZone},
-	{"heartbeats lost", (*drawnWorld).loseHeartbeats},
-	{"record heartbeats", (*drawnWorld).recordHeartbeats},
-	{"query rapidly", (*drawnWorld).queryRapidly},
-	{"cancel at the end", (*drawnWorld).cancelAtEnd},
-	{"invalid requests", func(d *drawnWorld) { d.world.InvalidRequests() }},
-	{"slow state service", (*drawnWorld).slowState},
-	{"upgrade", (*drawnWorld).upgradeNext},
-	{"upgrade", (*drawnWorld).upgradeNext},
-	{"lower limits", (*drawnWorld).lowerLimits},
+	{"submit", (*randomWorld).submit},
+	{"submit", (*randomWorld).submit},
+	{"cancel", (*randomWorld).cancel},
+	{"crash", (*randomWorld).crashOne},
+	{"crash all", (*randomWorld).crashAll},
+	{"state service outage", (*randomWorld).startStateOutage},
+	{"state service unreachable", (*randomWorld).makeStateUnreachable},
+	{"controller partitioned from all but workers", (*randomWorld).partitionController},
+	{"machine partitioned", (*randomWorld).partitionMachine},
+	{"machine unanswered", (*randomWorld).loseResponsesToMachine},
+	{"worker hangs", (*randomWorld).hangWorker},
+	{"controller paused", (*randomWorld).pauseController},
+	{"controller paused before an effect", (*randomWorld).stallController},
+	{"interruption notice", (*randomWorld).interruptMachine},
+	{"machine fails", (*randomWorld).failMachine},
+	{"cloud outage", (*randomWorld).startCloudOutage},
+	{"unreliable network", (*randomWorld).makeNetworkUnreliable},
+	{"machine fails tasks", (*randomWorld).failTasks},
+	{"resubmit", (*randomWorld).resubmit},
+	{"zone partitioned", (*randomWorld).partitionZone},
+	{"heartbeats lost", (*randomWorld).loseHeartbeats},
+	{"record heartbeats", (*randomWorld).recordHeartbeats},
+	{"query rapidly", (*randomWorld).queryRapidly},
+	{"cancel at the end", (*randomWorld).cancelAtEnd},
+	{"invalid requests", func(d *randomWorld) { d.world.InvalidRequests() }},
+	{"slow state service", (*randomWorld).slowStateService},
+	{"upgrade", (*randomWorld).upgradeNext},
+	{"upgrade", (*randomWorld).upgradeNext},
+	{"lower limits", (*randomWorld).lowerLimits},
 }
 
 // drawAction draws the next action.
@@ -60,32 +60,32 @@
 // What users do.
 
 // cancel has a job cancelled by its user.
-func (d *drawnWorld) cancel() {
-	if j := d.job(); j != nil && !j.CancelRequested && j.Accepted {
+func (d *randomWorld) cancel() {
+	if j := d.drawJob(); j != nil && !j.CancelRequested && j.Accepted {
 		d.world.CancelJob(j)
 	}
 }
 
 // resubmit has an accepted job submitted once more.
-func (d *drawnWorld) resubmit() {
-	if j := d.job(); j != nil && j.Accepted {
+func (d *randomWorld) resubmit() {
+	if j := d.drawJob(); j != nil && j.Accepted {
 		d.world.Resubmit(j)
 	}
 }
 
 // queryRapidly has every job queried at every controller, milliseconds apart.
-func (d *drawnWorld) queryRapidly() {
+func (d *randomWorld) queryRapidly() {
 	for range 5 {
 		for i := range d.jobs {
-			d.world.QueryEverywhere(d.numbered(i + 1))
+			d.world.QueryEverywhere(d.jobByNumber(i + 1))
 		}
 		d.world.Run(30 * time.Millisecond)
 	}
 }
 
 // cancelAtEnd cancels a job just as its last task ends.
-func (d *drawnWorld) cancelAtEnd() {
-	j := d.job()
+func (d *randomWorld) cancelAtEnd() {
+	j := d.drawJob()
 	if !j.CancelRequested && j.Accepted && j.Submission.Kind != protocol.Service {
 		d.world.RunUntil(20*time.Second, func() bool { return len(j.DoneTasks) == j.Submission.Tasks })
 		d.world.CancelEverywhere(j)
@@ -95,17 +95,17 @@
 // What operators do.
 
 // upgradeNext gives the next controller the new version.
-func (d *drawnWorld) upgradeNext() {
+func (d *randomWorld) upgradeNext() {
 	for _, c := range d.world.Controllers {
 		if c.RunsProduction {
-			upgrade(d.world, c, d.millis("for", 100, 6000))
+			upgrade(d.world, c, d.drawMillis("for", 100, 6000))
 			return
 		}
 	}
 }
 
 // lowerLimits lowers the limits of the state service once every controller has the new version.
-func (d *drawnWorld) lowerLimits() {
+func (d *randomWorld) lowerLimits() {
 	if d.upgraded() {
 		d.world.State.LowerLimits()
 	}
@@ -114,33 +114,33 @@
 // Faults of controllers.
 
 // crash crashes a controller for a time.
-func (d *drawnWorld) crash(c *fake.Controller) {
+func (d *randomWorld) crash(c *fake.Controller) {
 	if c.Up {
-		crashFor(d.world, c, d.millis("for", 0, 8000))
+		crashFor(d.world, c, d.drawMillis("for", 0, 8000))
 	}
 }
 
 // crashOne crashes some controller.
-func (d *drawnWorld) crashOne() { d.crash(d.controller()) }
+func (d *randomWorld) crashOne() { d.crash(d.drawController()) }
 
 // crashAll crashes every controller.
-func (d *drawnWorld) crashAll() {
+func (d *randomWorld) crashAll() {
 	for _, c := range d.world.Controllers {
 		d.crash(c)
 	}
 }
 
 // pauseController leaves a controller without processor time.
-func (d *drawnWorld) pauseController() {
-	c := d.controller()
-	c.PausedUntil = d.world.Now + d.millis("for", 100, 6000)
+func (d *randomWorld) pauseController() {
+	c := d.drawController()
+	c.PausedUntil = d.world.Now + d.drawMillis("for", 100, 6000)
 }
 
 // stallController pauses a controller before it performs one of its next effects.
-func (d *drawnWorld) stallController() {
-	c := d.controller()
-	left := d.between("effects", 0, 30)
-	stall := d.millis("for", 100, 30_000)
+func (d *randomWorld) stallController() {
+	c := d.drawController()
+	left := d.drawInt("effects", 0, 30)
+	stall := d.drawMillis("for", 100, 30_000)
 	c.StallBefore = func(message.Effect) time.Duration {
 		left--
 		if left != 0 {
@@ -151,121 +151,121 @@
 }
 
 // partitionController leaves a controller nothing but the workers.
-func (d *drawnWorld) partitionController() {
-	c := d.controller()
+func (d *randomWorld) partitionController() {
+	c := d.drawController()
 	others := []string{"state", "cloud", "n0", "n1", "n2"}
 	d.network.partition(c.Name, others...)
-	d.world.After(d.seconds("for", 60), func() { d.network.heal(c.Name, others...) })
+	d.world.After(d.drawSeconds("for", 60), func() { d.network.heal(c.Name, others...) })
 }
 
 // partitionZone leaves a controller and a machine to themselves.
-func (d *drawnWorld) partitionZone() {
-	c := d.controller()
-	_, machine := d.worker()
+func (d *randomWorld) partitionZone() {
+	c := d.drawController()
+	_, machine := d.drawWorker()
 	for _, other := range d.world.Controllers {
 		if other != c {
 			d.network.partition(other.Name, machine, c.Name)
 		}
 	}
 	d.network.blocked[link{c.Name, "state"}], d.network.blocked[link{c.Name, "cloud"}] = true, true
-	d.world.After(d.seconds("for", 60), func() { clear(d.network.blocked) })
+	d.world.After(d.drawSeconds("for", 60), func() { clear(d.network.blocked) })
 }
 
 // Faults of the services.
 
-// stateOutage has the state service refuse everybody.
-func (d *drawnWorld) stateOutage() {
+// startStateOutage has the state service refuse everybody.
+func (d *randomWorld) startStateOutage() {
 	d.world.State.SetOutage(true)
-	d.world.After(d.seconds("for", 40), func() { d.world.State.SetOutage(false) })
+	d.world.After(d.drawSeconds("for", 40), func() { d.world.State.SetOutage(false) })
 }
 
-// stateUnreachable has the state service refuse one controller.
-func (d *drawnWorld) stateUnreachable() {
-	c := d.controller()
+// makeStateUnreachable has the state service refuse one controller.
+func (d *randomWorld) makeStateUnreachable() {
+	c := d.drawController()
 	d.world.State.Unreachable[c.Name] = true
-	d.world.After(d.seconds("for", 40), func() { d.world.State.Unreachable[c.Name] = false })
+	d.world.After(d.drawSeconds("for", 40), func() { d.world.State.Unreachable[c.Name] = false })
 }
 
-// slowState delays the responses of the state service.
-func (d *drawnWorld) slowState() {
-	d.network.stateLatency = d.millis("by", 50, 900)
-	d.world.After(d.seconds("for", 20), func() { d.network.stateLatency = 0 })
+// slowStateService delays the responses of the state service.
+func (d *randomWorld) slowStateService() {
+	d.network.stateLatency = d.drawMillis("by", 50, 900)
+	d.world.After(d.drawSeconds("for", 20), func() { d.network.stateLatency = 0 })
 }
 
-// cloudOutage has the cloud refuse everything.
-func (d *drawnWorld) cloudOutage() {
+// startCloudOutage has the cloud refuse everything.
+func (d *randomWorld) startCloudOutage() {
 	d.world.Cloud.Down = true
-	d.world.After(d.seconds("for", 30), func() { d.world.Cloud.Down = false })
+	d.world.After(d.drawSeconds("for", 30), func() { d.world.Cloud.Down = false })
 }
 
-// disturbNetwork draws how many messages are lost, late and duplicated from now on.
-func (d *drawnWorld) disturbNetwork() {
-	d.network.loss = d.between("loss", 0, 20)
-	d.network.late = d.between("late", 0, 10)
-	d.network.duplicates = d.between("duplicates", 0, 20)
+// makeNetworkUnreliable draws how many messages are lost, late and duplicated from now on.
+func (d *randomWorld) makeNetworkUnreliable() {
+	d.network.lossPercent = d.drawInt("loss", 0, 20)
+	d.network.latePercent = d.drawInt("late", 0, 10)
+	d.network.duplicatePercent = d.drawInt("duplicates", 0, 20)
 }
 
 // Faults of machines.
 
 // partitionMachine cuts a machine off from every controller.
-func (d *drawnWorld) partitionMachine() {
-	_, machine := d.worker()
+func (d *randomWorld) partitionMachine() {
+	_, machine := d.drawWorker()
 	var controllers []string
 	for _, c := range d.world.Controllers {
 		controllers = append(controllers, c.Name)
 	}
 	d.network.partition(machine, controllers...)
-	d.world.After(d.seconds("for", 40), func() { d.network.heal(machine, controllers...) })
+	d.world.After(d.drawSeconds("for", 40), func() { d.network.heal(machine, controllers...) })
 }
 
 // loseResponsesToMachine keeps responses and commands from a machine.
-func (d *drawnWorld) loseResponsesToMachine() {
-	_, machine := d.worker()
-	d.network.unanswered[machine] = true
-	d.world.After(d.seconds("for", 40), func() { delete(d.network.unanswered, machine) })
+func (d *randomWorld) loseResponsesToMachine() {
+	_, machine := d.drawWorker()
+	d.network.responsesLost[machine] = true
+	d.world.After(d.drawSeconds("for", 40), func() { delete(d.network.responsesLost, machine) })
 }
 
 // loseHeartbeats loses the heartbeats of a machine.
-func (d *drawnWorld) loseHeartbeats() {
-	_, machine := d.worker()
-	d.network.noHeartbeats[machine] = true
-	d.world.After(d.seconds("for", 40), func() { delete(d.network.noHeartbeats, machine) })
+func (d *randomWorld) loseHeartbeats() {
+	_, machine := d.drawWorker()
+	d.network.heartbeatsLost[machine] = true
+	d.world.After(d.drawSeconds("for", 40), func() { delete(d.network.heartbeatsLost, machine) })
 }
 
 // recordHeartbeats keeps copies of heartbeats, see drawnWorld.replayHeartbeats.
-func (d *drawnWorld) recordHeartbeats() {
+func (d *randomWorld) recordHeartbeats() {
 	const most = 300
 	d.world.OnHeartbeat = func(heartbeat protocol.Heartbeat) {
-		if len(d.recorded) < most {
+		if len(d.recordedHeartbeats) < most {
 			heartbeat.Tasks = slices.Clone(heartbeat.Tasks)
-			d.recorded = append(d.recorded, heartbeat)
+			d.recordedHeartbeats = append(d.recordedHeartbeats, heartbeat)
 		}
 	}
 }
 
 // hangWorker has a worker hang, while its lease goes on.
-func (d *drawnWorld) hangWorker() {
-	if worker, _ := d.worker(); worker != nil {
-		worker.HangUntil = d.world.Now + d.seconds("for", 30)
+func (d *randomWorld) hangWorker() {
+	if worker, _ := d.drawWorker(); worker != nil {
+		worker.HangUntil = d.world.Now + d.drawSeconds("for", 30)
 	}
 }
 
 // interruptMachine has the cloud announce that it takes a machine.
-func (d *drawnWorld) interruptMachine() {
-	_, machine := d.worker()
-	d.world.AnnounceInterruption(machine, d.seconds("in", 15))
+func (d *randomWorld) interruptMachine() {
+	_, machine := d.drawWorker()
+	d.world.AnnounceInterruption(machine, d.drawSeconds("in", 15))
 }
 
 // failMachine ends a machine.
-func (d *drawnWorld) failMachine() {
-	if _, machine := d.worker(); machine != "" {
+func (d *randomWorld) failMachine() {
+	if _, machine := d.drawWorker(); machine != "" {
 		d.world.Cloud.Fail(machine)
 	}
 }
 
 // failTasks has a machine fail every task for a time.
-func (d *drawnWorld) failTasks() {
-	if worker, _ := d.worker(); worker != nil {
+func (d *randomWorld) failTasks() {
+	if worker, _ := d.drawWorker(); worker != nil {
 		worker.FailsTasks = true
 		d.world.After(30*time.Second, func() { worker.FailsTasks = false })
 	}
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -19,10 +19,10 @@
 // rules hold throughout, and once the faults are over everything is served.
 func TestInvariantsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDrawnWorld(t)
+		d := newRandomWorld(t)
 		d.submit()
 		d.submit()
-		for range d.between("actions", 4, 14) {
+		for range d.drawInt("actions", 4, 14) {
 			drawAction(t).run(d)
 			d.runAndPoll()
 			requireNoViolations(t, d.world)
@@ -35,27 +35,27 @@
 	})
 }
 
-// maxDrawnJobs is how many jobs a drawn world has at most.
-const maxDrawnJobs = 8
+// maxRandomJobs is how many jobs a drawn world has at most.
+const maxRandomJobs = 8
 
-// drawnWorld is a world whose jobs and faults are drawn.
-type drawnWorld struct {
+// randomWorld is a world whose jobs and faults are drawn.
+type randomWorld struct {
 	t       *rapid.T
 	world   *fake.World
-	network *drawnNetwork
+	network *randomNetwork
 	teams   []string
 	jobs    int // submitted so far
 	maxJobs int
 	leader  string
 	// onSubmit is called with every job that may need others; only worlds of pipelines have it.
 	onSubmit func(*fake.Job)
-	// recorded are copies of heartbeats, for the next leader.
-	recorded []protocol.Heartbeat
+	// recordedHeartbeats are copies of heartbeats, for the next leader.
+	recordedHeartbeats []protocol.Heartbeat
 }
 
-// newDrawnWorld draws the settings, and whether the world begins with the version in
+// newRandomWorld draws the settings, and whether the world begins with the version in
 // production.
-func newDrawnWorld(t *rapid.T) *drawnWorld {
+func newRandomWorld(t *rapid.T) *randomWorld {
 	settings := fake.Settings()
 	if rapid.Bool().Draw(t, "limits to come") {
 		settings.State.Next = nextLimits(1, rapid.IntRange(1, 3).Draw(t, "changes to come"), 25)
@@ -65,19 +65,19 @@
 		settings.Teams = append(settings.Teams, config.Team{Name: "guests"})
 		teams = append(teams, "guests")
 	}
-	return startDrawnWorld(t, settings, teams, maxDrawnJobs)
+	return startRandomWorld(t, settings, teams, maxRandomJobs)
 }
 
-// startDrawnWorld draws whether a world begins with the version in production, and has every
+// startRandomWorld draws whether a world begins with the version in production, and has every
 // leader's dependency graph and effects checked after each of its steps.
-func startDrawnWorld(t *rapid.T, settings config.Settings, teams []string, maxJobs int) *drawnWorld {
+func startRandomWorld(t *rapid.T, settings config.Settings, teams []string, maxJobs int) *randomWorld {
 	w := fake.NewWorld(settings)
 	w.RewriteAsProduction = roundTripProduction
 	w.OnStep = func(c *fake.Controller, effects []message.Effect) {
 		if err := c.Controller().CheckDependencies(); err != nil {
 			t.Fatalf("%v: %s: %v", w.Now, c.Name, err)
 		}
-		if err := checkLeadersEffects(c, effects); err != nil {
+		if err := checkLeaderEffects(c, effects); err != nil {
 			t.Fatalf("%v: %s: %v", w.Now, c.Name, err)
 		}
 	}
@@ -89,33 +89,33 @@
 			c.Start()
 		}
 	}
-	d := &drawnWorld{t: t, world: w, teams: teams, maxJobs: maxJobs, network: newDrawnNetwork(t)}
+	d := &randomWorld{t: t, world: w, teams: teams, maxJobs: maxJobs, network: newRandomNetwork(t)}
 	w.Network = d.network.deliver
 	return d
 }
 
-// between draws a number.
-func (d *drawnWorld) between(label string, least, most int) int {
+// drawInt draws a number.
+func (d *randomWorld) drawInt(label string, least, most int) int {
 	return rapid.IntRange(least, most).Draw(d.t, label)
 }
 
-// seconds draws a duration of whole seconds, one at least.
-func (d *drawnWorld) seconds(label string, most int) time.Duration {
-	return time.Duration(d.between(label, 1, most)) * time.Second
+// drawSeconds draws a duration of whole drawSeconds, one at least.
+func (d *randomWorld) drawSeconds(label string, most int) time.Duration {
+	return time.Duration(d.drawInt(label, 1, most)) * time.Second
 }
 
-// millis draws a duration of whole milliseconds.
-func (d *drawnWorld) millis(label string, least, most int) time.Duration {
-	return time.Duration(d.between(label, least, most)) * time.Millisecond
+// drawMillis draws a duration of whole milliseconds.
+func (d *randomWorld) drawMillis(label string, least, most int) time.Duration {
+	return time.Duration(d.drawInt(label, least, most)) * time.Millisecond
 }
 
-// controller draws a controller.
-func (d *drawnWorld) controller() *fake.Controller {
-	return d.world.Controllers[d.between("controller", 0, 2)]
+// drawController draws a drawController.
+func (d *randomWorld) drawController() *fake.Controller {
+	return d.world.Controllers[d.drawInt("controller", 0, 2)]
 }
 
-// worker draws a machine that is up; nil and "": there is none.
-func (d *drawnWorld) worker() (*fake.Worker, string) {
+// drawWorker draws a machine that is up; nil and "": there is none.
+func (d *randomWorld) drawWorker() (*fake.Worker, string) {
 	names := d.world.MachineNames()
 	if len(names) == 0 {
 		return nil, ""
@@ -124,42 +124,42 @@
 	return d.world.Workers[name], name
 }
 
-// numbered is the job with a number.
-func (d *drawnWorld) numbered(number int) *fake.Job {
+// jobByNumber is the job with a number.
+func (d *randomWorld) jobByNumber(number int) *fake.Job {
 	return d.world.Jobs[fmt.Sprintf("wk-%06d", number)]
 }
 
-// job draws a job that was submitted.
-func (d *drawnWorld) job() *fake.Job { return d.numbered(d.between("job", 1, d.jobs)) }
+// drawJob draws a drawJob that was submitted.
+func (d *randomWorld) drawJob() *fake.Job { return d.jobByNumber(d.drawInt("job", 1, d.jobs)) }
 
 // upgraded tells whether every controller has the new version.
-func (d *drawnWorld) upgraded() bool {
+func (d *randomWorld) upgraded() bool {
 	return !slices.ContainsFunc(d.world.Controllers, func(c *fake.Controller) bool { return c.RunsProduction })
 }
 
 // submit draws a job and submits it, unless there are enough.
-func (d *drawnWorld) submit() {
+func (d *randomWorld) submit() {
 	if d.jobs >= d.maxJobs {
 		return
 	}
 	d.jobs++
-	s := d.submission()
+	s := d.drawSubmission()
 	if s.Kind == protocol.Service {
 		s.CheckpointIntervalS = 0
 	}
-	j := d.world.Submit(s, d.seconds("run", 15))
-	j.AlwaysFails = d.between("always fails", 0, 19) == 0
+	j := d.world.Submit(s, d.drawSeconds("run", 15))
+	j.AlwaysFails = d.drawInt("always fails", 0, 19) == 0
 }
 
-// submission draws a submission.
-func (d *drawnWorld) submission() protocol.Submission {
-	kind := protocol.JobKind(d.between("kind", 0, 2))
-	s := job(d.jobs, kind, d.between("tasks", 1, 4))
-	s.Priority = protocol.Priority(d.between("priority", 0, 3))
+// drawSubmission draws a drawSubmission.
+func (d *randomWorld) drawSubmission() protocol.Submission {
+	kind := protocol.JobKind(d.drawInt("kind", 0, 2))
+	s := job(d.jobs, kind, d.drawInt("tasks", 1, 4))
+	s.Priority = protocol.Priority(d.drawInt("priority", 0, 3))
 	s.Team = rapid.SampledFrom(d.teams).Draw(d.t, "team")
 	s.Spot = rapid.Bool().Draw(d.t, "spot")
-	s.CPUs = float64(d.between("cpus", 1, 3))
-	switch d.between("zones", 0, 5) {
+	s.CPUs = float64(d.drawInt("cpus", 1, 3))
+	switch d.drawInt("zones", 0, 5) {
 	case 0:
 		s.OneZone = true
 	case 1:
@@ -169,8 +169,8 @@
 	}
 	s.Image = rapid.SampledFrom([]string{"x", "y"}).Draw(d.t, "image")
 	for i := 1; i < d.jobs && d.upgraded(); i++ { // production knows of no prerequisites
-		p := d.numbered(i)
-		if p.Accepted && p.Submission.Kind != protocol.Service && d.between("needs", 0, 3) == 0 {
+		p := d.jobByNumber(i)
+		if p.Accepted && p.Submission.Kind != protocol.Service && d.drawInt("needs", 0, 3) == 0 {
 			s.Prerequisites = append(s.Prerequisites, p.Submission.ID)
 		}
 	}
@@ -178,9 +178,9 @@
 }
 
 // runAndPoll lets time pass, and has every job asked about as it does.
-func (d *drawnWorld) runAndPoll() {
-	for range d.between("polls", 1, 6) {
-		d.world.Run(d.millis("run", 100, 4000))
+func (d *randomWorld) runAndPoll() {
+	for range d.drawInt("polls", 1, 6) {
+		d.world.Run(d.drawMillis("run", 100, 4000))
 		d.world.PollAll()
 		if leader := d.world.Leader(); leader != nil && leader.Name != d.leader {
 			d.leader = leader.Name
@@ -190,17 +190,17 @@
 }
 
 // replayHeartbeats sends the recorded heartbeats to every controller, just as another leads.
-func (d *drawnWorld) replayHeartbeats() {
-	for _, heartbeat := range d.recorded {
+func (d *randomWorld) replayHeartbeats() {
+	for _, heartbeat := range d.recordedHeartbeats {
 		for _, c := range d.world.Controllers {
 			c.Request(message.HeartbeatRequest{Heartbeat: &heartbeat}, func(message.Reply) {})
 		}
 	}
-	d.recorded, d.world.OnHeartbeat = nil, nil
+	d.recordedHeartbeats, d.world.OnHeartbeat = nil, nil
 }
 
 // endFaults lets no more faults begin, waits until the longest is over and gives that time.
-func (d *drawnWorld) endFaults() time.Duration {
+func (d *randomWorld) endFaults() time.Duration {
 	d.network.recover()
 	for _, c := range d.world.Controllers {
 		if c.RunsProduction {
@@ -216,9 +216,9 @@
 
 // serveAll cancels what never ends where it can keep others from running (jobs that always
 // fail, and services of the team with a limit), and waits until the rest is served.
-func (d *drawnWorld) serveAll() {
+func (d *randomWorld) serveAll() {
 	for i := range d.jobs {
-		j := d.numbered(i + 1)
+		j := d.jobByNumber(i + 1)
 		neverEnds := j.AlwaysFails || j.Submission.Team == "red" && j.Submission.Kind == protocol.Service
 		if !j.CancelRequested && j.Accepted && !d.world.CancelledByAncestor(j) && neverEnds {
 			d.world.CancelJob(j)
@@ -232,7 +232,7 @@
 }
 
 // requireRecentAnswers fails unless questions about every accepted job were answered lately.
-func (d *drawnWorld) requireRecentAnswers(since time.Duration) {
+func (d *randomWorld) requireRecentAnswers(since time.Duration) {
 	for id, j := range d.world.Jobs {
 		if j.Accepted && j.AnsweredAt < max(since, d.world.Now-75*time.Second) {
 			d.t.Fatalf("%s: no question was answered since %v", id, j.AnsweredAt)
