--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -8,7 +8,8 @@
 	"oakpick/internal/protocol"
 )
 
-// A member of a gang is lost: the rest end, and the next attempt starts as one.
+// A machine that runs a member of a gang fails: the other members are stopped, and all members
+// start again together in the next attempt.
 func TestGangRestartsTogether(t *testing.T) {
 	w := newWorld(t)
 	s := job(1, protocol.Gang, 3)
@@ -28,9 +29,9 @@
 	requireNoViolations(t, w)
 }
 
-// A gang is accepted, and of its first attempt the starts of some blocks are durable, and
-// the record with the attempt's number is not, when the leader crashes. The successor starts
-// what is missing with the number that the others have: members of two attempts would wait
+// The leader accepts a gang and crashes after the starts of some blocks of its first attempt are
+// durable, but before the record with the attempt's number is. The new leader starts the missing
+// members with the attempt number that the others have. Members of different attempts would wait
 // for each other until they time out.
 func TestGangMembersShareOneAttemptNumber(t *testing.T) {
 	for lost := 2; lost <= 5; lost++ {
@@ -38,11 +39,11 @@
 			w := newWorldWith(t, onePagePerTransaction())
 			provisionIdleMachines(t, w)
 			w.Run(5 * time.Second)
-			tries := map[int64]bool{}
+			attempts := map[int64]bool{}
 			w.OnHeartbeat = func(r protocol.Heartbeat) {
 				for _, task := range r.Tasks {
 					if task.Job == "wk-000001" {
-						tries[task.Number] = true
+						attempts[task.Number] = true
 					}
 				}
 			}
@@ -53,8 +54,8 @@
 			w.Network = nil
 			runAndPoll(w, 60*time.Second)
 			requireNoViolations(t, w)
-			if len(tries) != 1 {
-				t.Errorf("members of %d attempts were started", len(tries))
+			if len(attempts) != 1 {
+				t.Errorf("members of %d attempts were started", len(attempts))
 			}
 			if j.Status != protocol.StatusDone {
 				t.Errorf("the gang has status %q", j.Status)
--- a/internal/controller/grace_period_test.go
+++ b/internal/controller/grace_period_test.go
@@ -12,11 +12,11 @@
 	"oakpick/internal/protocol"
 )
 
-// The state service is down, and one peer can't say whether it has led. For less
-// than what the heartbeat grace period and a worker's lease allow: no replica is lost. For longer:
-// all are, and none runs twice. While all peers say that they haven't led, none
-// is lost however long it takes; but a peer whose process has begun since then
-// can't know.
+// During an outage of the state service, one peer can't say whether it has led. If the outage ends
+// before the heartbeat grace period and the workers' leases have expired, no replica is lost. If it
+// lasts longer, all replicas are lost, but none runs twice. While all peers answer that they
+// haven't led, no replica is lost, however long the outage lasts. A peer that restarted during the
+// outage doesn't know whether its earlier process led.
 func TestStateOutageAroundHeartbeatGracePeriod(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -59,10 +59,10 @@
 	}
 }
 
-// The state service refuses the leader alone; another takes the term, and before it
-// has read the records the service is down for all, for much longer than a lease. It
-// asks nobody to step down for that, and nobody has confirmed or started anything: what
-// runs is kept, and when the outage is over a job can be cancelled.
+// The state service is unreachable for the leader alone. Another controller takes the term, and
+// before it has read the records, the state service fails for all, for much longer than a lease.
+// The new leader asks no peer to step down, and nobody has confirmed or started anything in the
+// meantime: running replicas are kept, and after the outage a job can be cancelled.
 func TestSuccessorCannotLoadRecords(t *testing.T) {
 	w := newWorld(t)
 	j := w.Submit(service(1, 2), 0)
@@ -77,13 +77,13 @@
 		return delivery
 	}
 	if !w.RunUntil(5*time.Second, taken) {
-		t.Fatal("nobody took the term")
+		t.Fatal("no other controller took the term")
 	}
 	w.Run(100 * time.Millisecond)
 	w.State.SetOutage(true)
 	w.Run(40 * time.Second)
 	if w.Incarnation(machines[0]) != 1 || !slices.Equal(w.MachinesOf(j.Submission.ID), machines) {
-		t.Errorf("what ran was lost in the outage\n%s", logTail(w, 20))
+		t.Errorf("replicas were lost in the outage\n%s", logTail(w, 20))
 	}
 	w.Network = nil
 	delete(w.State.Unreachable, "n0")
@@ -92,13 +92,13 @@
 	w.CancelEverywhere(j)
 	w.Run(20 * time.Second)
 	if !j.Cancelled || len(w.MachinesOf(j.Submission.ID)) != 0 {
-		t.Errorf("status %q, on %v", j.Status, w.MachinesOf(j.Submission.ID))
+		t.Errorf("status %q, tasks on machines %v", j.Status, w.MachinesOf(j.Submission.ID))
 	}
 	requireNoViolations(t, w)
 }
 
-// partitionLeaderWithOneWorker makes a world in which the leader, n0, reaches nothing any more but
-// the worker that runs a job's replica, which nobody else reaches.
+// partitionLeaderWithOneWorker makes a world in which the leader, n0, can reach only the worker
+// that runs the single replica of a job, and that worker can reach only n0.
 func partitionLeaderWithOneWorker(t *testing.T) (*fake.World, *fake.Job) {
 	t.Helper()
 	w := newWorld(t)
@@ -115,14 +115,15 @@
 	return w, j
 }
 
-// The leader keeps nothing but one worker. It goes on answering that one for
-// its heartbeat grace period; the successor, which hears nothing of either, waits that long.
+// The leader is partitioned together with one worker. It answers that worker until its heartbeat
+// grace period ends. The successor, which reaches neither of them, waits that long before it
+// replaces the replica.
 func TestPartitionedLeaderWithOneWorker(t *testing.T) {
 	w, j := partitionLeaderWithOneWorker(t)
 	w.Run(80 * time.Second)
 	requireNoViolations(t, w)
 	if w.Leader() == nil || w.Leader().Name == "n0" {
-		t.Fatal("nobody took over")
+		t.Fatal("no other controller leads")
 	}
 	if w.Running(j.Submission.ID) != 1 {
 		t.Error("the replica was not replaced")
@@ -132,7 +133,8 @@
 	requireNoViolations(t, w)
 }
 
-// The predecessor has ended and its next process says so: the wait is shorter.
+// The leader's process has ended, and its next process says so to the successor: the successor
+// needn't wait for the heartbeat grace period.
 func TestSteppedDownPeerShortensFailover(t *testing.T) {
 	w := newWorld(t)
 	j := w.Submit(service(1, 1), 0)
@@ -142,13 +144,14 @@
 	w.After(3*time.Second, w.Controllers[0].Start)
 	w.Cloud.Fail(machine)
 	if !w.RunUntil(22*time.Second, func() bool { return w.Running(j.Submission.ID) == 1 }) {
-		t.Errorf("not replaced in 22 s\n%s", strings.Join(w.Log, "\n"))
+		t.Errorf("not replaced within 22 s\n%s", strings.Join(w.Log, "\n"))
 	}
 	requireNoViolations(t, w)
 }
 
-// A process is paused for longer than its heartbeat grace period and then finds workers'
-// heartbeats waiting: a successor counts on it not to answer them any more.
+// A leader is paused for longer than its heartbeat grace period and then finds heartbeats of
+// workers in its queue. It must refuse them, because a successor relies on that when it replaces
+// the workers' tasks.
 func TestHeartbeatAfterGracePeriodIsRefused(t *testing.T) {
 	w := newWorld(t)
 	j := w.Submit(service(1, 1), 0)
@@ -157,12 +160,12 @@
 	n0 := w.Controllers[0]
 	n0.PausedUntil = w.Now + 60*time.Second
 	got := -1
-	w.After(0, func() { // the first thing that it finds
+	w.After(0, func() { // the first request that it handles
 		r := protocol.Heartbeat{Machine: machine, Type: "small", Zone: "a", Incarnation: 9, Sequence: 1}
 		n0.Request(message.HeartbeatRequest{Heartbeat: &r}, func(a message.Reply) { got = a.Status })
 	})
 	w.Run(61 * time.Second)
 	if got == 200 || got == -1 {
-		t.Errorf("the report was answered %d", got)
+		t.Errorf("the heartbeat was answered with status %d", got)
 	}
 }
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -11,9 +11,9 @@
 	"oakpick/internal/protocol"
 )
 
-// Machines are up at once and get work while writes lag, and the leader crashes at
-// any moment of that: every start that a worker has is recorded, no machine is
-// forgotten, and none is provisioned twice for long.
+// Machines boot quickly and get work while writes to the state service are slow, and the leader
+// crashes at any moment of that. Every start that a worker has is recorded, no machine is
+// forgotten, and no surplus machine stays provisioned.
 func TestMachinesBootWhileWritesLag(t *testing.T) {
 	steps := 16
 	if *fineSteps {
@@ -44,7 +44,7 @@
 		for _, j := range jobs {
 			waitRunning(t, w, j.Submission.ID, 2)
 		}
-		w.Run(150 * time.Second) // every machine that isn't needed has been scaled in
+		w.Run(150 * time.Second) // until every machine that isn't needed has been scaled in
 		requireNoViolations(t, w)
 		used := map[string]bool{}
 		for _, j := range jobs {
@@ -52,15 +52,15 @@
 				used[h] = true
 			}
 		}
-		if have := len(w.Cloud.MachineNames()); have > len(used)+8 { // and what is kept free for the next
+		if have := len(w.Cloud.MachineNames()); have > len(used)+8 { // 8 are allowed as warm capacity
 			t.Errorf("step %d: %d machines are provisioned, %d used", step, have, len(used))
 		}
 	}
 }
 
-// Heartbeats of a worker are kept, from its earlier incarnation too, and handed to every
-// controller just as another leads: they prove neither that a task is absent nor
-// that it is there, nor that the machine lives, nor that its lease has ended.
+// Copies of a worker's heartbeats, also of an earlier incarnation, reach every controller as soon
+// as a new leader is elected. They must not prove that a task is absent or present, that the
+// machine is alive, or that its lease has expired.
 func TestStaleHeartbeatsReachNewLeader(t *testing.T) {
 	for _, died := range []bool{false, true} {
 		t.Run(fmt.Sprint("machine has died ", died), func(t *testing.T) {
@@ -71,8 +71,9 @@
 	}
 }
 
-// testStaleHeartbeatsReachNewLeader varies with the step: an earlier incarnation, a machine that
-// is partitioned at first, heartbeats replayed once or again and again, and which of them.
+// testStaleHeartbeatsReachNewLeader derives from the step: whether the worker has an earlier
+// incarnation, whether a machine is partitioned at first, whether the heartbeats are replayed once
+// or repeatedly, and which of them are replayed.
 func testStaleHeartbeatsReachNewLeader(t *testing.T, step int, died bool) {
 	t.Helper()
 	w := newWorld(t)
@@ -84,7 +85,7 @@
 	before := w.Submit(service(1, 2), 0)
 	waitRunning(t, w, before.Submission.ID, 2)
 	machine := w.MachinesOf(before.Submission.ID)[0]
-	if step%2 == 1 { // an earlier incarnation: it hangs past its lease and comes back
+	if step%2 == 1 { // the worker hangs past its lease and registers with a new incarnation
 		w.Workers[machine].HangUntil = w.Now + 12*time.Second
 		w.Run(14 * time.Second)
 		waitRunning(t, w, before.Submission.ID, 2)
@@ -92,7 +93,7 @@
 	after := w.Submit(service(2, 2), 0)
 	waitRunning(t, w, after.Submission.ID, 2)
 	w.Run(3 * time.Second)
-	// The machine itself is partitioned at first, so that only copies speak for it.
+	// Of a machine that is partitioned at first, only stale heartbeats reach the controllers.
 	partitioned, healAt := w.MachinesOf(after.Submission.ID)[0], w.Now+6*time.Second
 	if died {
 		w.Cloud.Fail(partitioned)
@@ -105,7 +106,7 @@
 	w.Controllers[0].Crash()
 	stale := slices.Clone(recorded)
 	taken := false
-	for range 400 { // as soon as it leads, and then for a while
+	for range 400 { // replays as soon as another controller leads, and in some steps repeatedly
 		w.Run(50 * time.Millisecond)
 		if w.Leader() != nil && (!taken || step%4 == 0 && int(w.Now/time.Millisecond)%500 == 0) {
 			taken = true
@@ -113,7 +114,7 @@
 		}
 	}
 	if !taken {
-		t.Fatal("nobody took over")
+		t.Fatal("no controller took over")
 	}
 	waitRunning(t, w, before.Submission.ID, 2)
 	waitRunning(t, w, after.Submission.ID, 2)
@@ -122,7 +123,7 @@
 	requireAllServed(t, w)
 }
 
-// replayEveryFifth sends every fifth heartbeat to every controller.
+// replayEveryFifth sends every fifth heartbeat, from index first on, to every controller.
 func replayEveryFifth(w *fake.World, heartbeats []protocol.Heartbeat, first int) {
 	for i, heartbeat := range heartbeats {
 		if i%5 != first {
--- a/internal/controller/helpers_archive_test.go
+++ b/internal/controller/helpers_archive_test.go
@@ -11,8 +11,8 @@
 	"oakpick/internal/storage"
 )
 
-// smallMemorySettings are settings with which a leader keeps 32 ended jobs in memory, and four pages
-// of the archive.
+// smallMemorySettings returns settings with which a leader keeps terminalJobsInMemory ended jobs
+// and four archive pages in memory.
 func smallMemorySettings() config.Settings {
 	s := fake.Settings()
 	s.Limits.MemoryMB = 0.5
@@ -20,10 +20,12 @@
 	return s
 }
 
+// terminalJobsInMemory is the number of ended jobs that a leader keeps in memory with
+// smallMemorySettings.
 const terminalJobsInMemory = 32
 
-// terminalRecords tells for each ended job whether it is on a page that a take-over reads, and
-// whether it is in the archive.
+// terminalRecords returns the records of ended jobs by job ID: those on record pages, which a new
+// leader reads, and those in the archive.
 func terminalRecords(t *testing.T, w *fake.World) (pages, archive map[string]storage.TerminalRecord) {
 	t.Helper()
 	pages, archive = map[string]storage.TerminalRecord{}, map[string]storage.TerminalRecord{}
@@ -44,7 +46,7 @@
 			}
 			for _, r := range page.Terminal {
 				if _, twice := archive[r.ID]; twice {
-					t.Fatalf("%s is on two pages of the archive", r.ID)
+					t.Fatalf("%s is on two archive pages", r.ID)
 				}
 				archive[r.ID] = r
 			}
@@ -53,7 +55,7 @@
 	return pages, archive
 }
 
-// requireRecorded fails if a job that was called done or cancelled is nowhere on record as such.
+// requireRecorded fails if the records lack a job whose user was told that it is done.
 func requireRecorded(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
 	pages, archive := terminalRecords(t, w)
@@ -65,17 +67,17 @@
 		_, onPage := pages[j.Submission.ID]
 		_, inArchive := archive[j.Submission.ID]
 		if _, open := unfinished[j.Submission.ID]; !onPage && !inArchive && !open {
-			t.Fatalf("%v: %s is nowhere on record", w.Now, j.Submission.ID)
+			t.Fatalf("%v: there is no record of %s", w.Now, j.Submission.ID)
 		}
 	}
 }
 
-// completeJobs has so many small jobs come to their end.
+// completeJobs submits count small jobs, numbered from first on, and waits until they are done.
 func completeJobs(t *testing.T, w *fake.World, first, count int) []*fake.Job {
 	t.Helper()
 	var jobs []*fake.Job
 	for n := range count {
-		s := job(first+n*7919%100_000, protocol.Array, 1) // in no order
+		s := job(first+n*7919%100_000, protocol.Array, 1) // IDs in no order
 		s.CPUs, s.MemoryGB, s.ImageGB = 0.05, 0.05, 0.01
 		jobs = append(jobs, w.Submit(s, 500*time.Millisecond))
 	}
@@ -89,7 +91,7 @@
 	return jobs
 }
 
-// waitArchived lets time pass until no more ended jobs are to be moved.
+// waitArchived waits until no more ended jobs have to be moved to the archive.
 func waitArchived(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
 	for range 600 {
@@ -100,10 +102,10 @@
 		}
 	}
 	pages, archive := terminalRecords(t, w)
-	t.Fatalf("%d ended jobs are on pages, %d in the archive\n%s", len(pages), len(archive), logTail(w, 20))
+	t.Fatalf("%d ended jobs are on record pages, %d in the archive\n%s", len(pages), len(archive), logTail(w, 20))
 }
 
-// newWorldWithArchive makes a world in which most of so many ended jobs are in the archive.
+// newWorldWithArchive makes a world with count ended jobs, most of which are in the archive.
 func newWorldWithArchive(t *testing.T, count int) (*fake.World, []*fake.Job) {
 	t.Helper()
 	w := newWorldWith(t, smallMemorySettings())
@@ -113,8 +115,8 @@
 	return w, jobs
 }
 
-// requireAllDone fails unless every job is called done by every controller, when it is asked about, handed
-// in again or cancelled.
+// requireAllDone fails unless every controller reports every job as done when it is queried or
+// submitted again, also after requests to cancel some of the jobs.
 func requireAllDone(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
 	for _, j := range jobs {
@@ -124,7 +126,7 @@
 			w.Run(100 * time.Millisecond)
 		}
 		if j.AnsweredAt == before {
-			t.Fatalf("nobody is told about %s", j.Submission.ID)
+			t.Fatalf("no status was returned for %s", j.Submission.ID)
 		}
 	}
 	for _, j := range jobs[:min(5, len(jobs))] {
@@ -139,8 +141,8 @@
 	requireNoViolations(t, w)
 }
 
-// delayWrites has writes of pages carried out late, and answers to reads come later still, so
-// that much happens while a move or a read is under way.
+// delayWrites delays writes of pages, and responses to reads even more, so that other events
+// happen while a move or a read is in progress.
 func delayWrites(w *fake.World) {
 	w.SeparateWrites = true
 	w.Network = func(kind, _, _ string) fake.Delivery {
@@ -155,7 +157,7 @@
 	}
 }
 
-// requireNotLogged fails if a line of the log has a text.
+// requireNotLogged fails if a log line contains the text.
 func requireNotLogged(t *testing.T, w *fake.World, text string) {
 	t.Helper()
 	for _, line := range w.Log {
