--- a/internal/controller/helpers_durability_test.go
+++ b/internal/controller/helpers_durability_test.go
@@ -11,16 +11,15 @@
 	"oakpick/internal/storage"
 )
 
-// onePagePerTransaction are settings with which such a job has three blocks, and
-// each page a transaction of its own.
+// onePagePerTransaction returns settings with which a multiBlockJob has three blocks, and each page
+// is written by a transaction of its own.
 func onePagePerTransaction() config.Settings {
 	s := fake.Settings()
 	s.State.TxnOps = 1
 	return s
 }
 
-// multiBlockJob is a job whose tasks all find room on one small machine, and take more
-// than one block.
+// multiBlockJob returns a job whose tasks all fit on one small machine but need more than one block.
 func multiBlockJob(id int, kind protocol.JobKind) protocol.Submission {
 	s := job(id, kind, 36)
 	s.CPUs, s.MemoryGB, s.ImageGB = 0.1, 0.1, 0.1
@@ -30,8 +29,9 @@
 	return s
 }
 
-// requireParentRecords fails if a record is durable before the one that it belongs to: a block
-// without its job, a job without some of its prerequisites.
+// requireParentRecords fails if a record is durable before the record that it belongs to: a block
+// without its job, or a job without some of its prerequisites. prerequisites has the number of
+// prerequisites by job ID.
 func requireParentRecords(t *testing.T, w *fake.World, prerequisites map[string]int) {
 	t.Helper()
 	jobs, blocks, named := map[string]bool{}, map[string]bool{}, map[string]int{}
@@ -68,7 +68,8 @@
 	}
 }
 
-// injectFirstWriteFault has the first transaction of a page meet a fault, and all others pass.
+// injectFirstWriteFault makes the first transaction that writes pages lost, late or refused, as
+// given by fault. All others succeed.
 func injectFirstWriteFault(w *fake.World, fault string) {
 	w.SeparateWrites = true
 	writes := 0
@@ -92,8 +93,8 @@
 	}
 }
 
-// injectMachineFault has machines meet a fault for so long: partitioned, hanging, or with reports
-// that arrive late.
+// injectMachineFault partitions machines, hangs their workers or delays their heartbeats, as given
+// by fault, for the duration d.
 func injectMachineFault(w *fake.World, machines []string, fault string, d time.Duration) {
 	until := w.Now + d
 	w.Network = func(kind, from, to string) fake.Delivery {
@@ -118,7 +119,8 @@
 	}
 }
 
-// loseNthWrite loses one write of a page, counted from now on; the others pass.
+// loseNthWrite returns a network that loses the given write of a page, counted from now on, and
+// delivers all others.
 func loseNthWrite(w *fake.World, number int) func(kind, from, to string) fake.Delivery {
 	w.SeparateWrites = true
 	writes := 0
@@ -132,7 +134,8 @@
 	}
 }
 
-// loseWritesAfter lets so many writes of pages pass, and loses the others.
+// loseWritesAfter returns a network that delivers the first count writes of pages and loses all
+// others.
 func loseWritesAfter(w *fake.World, count int) func(kind, from, to string) fake.Delivery {
 	w.SeparateWrites = true
 	writes := 0
@@ -146,8 +149,8 @@
 	}
 }
 
-// loseEverySecondWrite loses every second write of a page, from such a one on (the first is 1);
-// the others pass.
+// loseEverySecondWrite returns a network that loses every second write of a page, beginning with
+// number from (the first write has number 1), and delivers the others.
 func loseEverySecondWrite(from int) func(kind, from, to string) fake.Delivery {
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
@@ -160,8 +163,8 @@
 	}
 }
 
-// requireTasksRecorded fails if a job is recorded as unfinished, and the ends of tasks that were
-// recorded are so no longer.
+// requireTasksRecorded fails if a job is unfinished and the records don't hold each of its tasks as
+// started or done. All tasks must have been started before.
 func requireTasksRecorded(t *testing.T, w *fake.World, j *fake.Job) {
 	t.Helper()
 	unfinished, _ := recordedJobs(t, pagesOf(w))
@@ -173,11 +176,11 @@
 		tasks += countRecordedTasks(t, value, j.Submission.ID)
 	}
 	if tasks < j.Submission.Tasks {
-		t.Fatalf("%v: of %d tasks that were started %d are recorded as started or done", w.Now, j.Submission.Tasks, tasks)
+		t.Fatalf("%v: of %d started tasks, %d are recorded as started or done", w.Now, j.Submission.Tasks, tasks)
 	}
 }
 
-// countRecordedTasks counts a job's tasks that a page names as started or done.
+// countRecordedTasks counts the tasks of a job that a page records as started or done.
 func countRecordedTasks(t *testing.T, value []byte, id string) int {
 	t.Helper()
 	var page storage.PageValue
--- a/internal/controller/helpers_fleet_test.go
+++ b/internal/controller/helpers_fleet_test.go
@@ -7,8 +7,8 @@
 	"oakpick/internal/fake"
 )
 
-// newFleet makes a world with so many machines up, each with a replica of a job of
-// fifty, and the leader among its controllers.
+// newFleet makes a world with the given number of machines up and one replica for each of them, in
+// jobs of 50 replicas. It also returns the leader.
 func newFleet(tb testing.TB, machines int) (*fake.World, *fake.Controller) {
 	tb.Helper()
 	s := fake.Settings()
@@ -18,24 +18,24 @@
 	s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 400, 8, 8
 	s.Cloud.RPS = 12
 	w := fake.NewWorld(s)
-	w.Cloud.Capacity = machines / 2 // in each of two zones
+	w.Cloud.Capacity = machines / 2 // in each of the two zones
 	for i := range machines / 50 {
 		j := service(i+1, 50)
 		j.Team, j.CPUs, j.Types = "red", 3, []string{"small"}
 		w.Submit(j, 0)
 	}
 	if !w.RunUntil(60*time.Second, func() bool { return len(w.MachineNames()) >= machines }) {
-		tb.Fatalf("%d machines are up", len(w.MachineNames()))
+		tb.Fatalf("only %d machines are up", len(w.MachineNames()))
 	}
 	w.Run(10 * time.Second)
 	leader := w.Leader()
 	if leader == nil {
-		tb.Fatal("nobody leads")
+		tb.Fatal("no controller leads")
 	}
 	return w, leader
 }
 
-// submitUnplaceable hands in jobs for which there is no room and will be none.
+// submitUnplaceable submits jobs for which the fleet has no free capacity and never will.
 func submitUnplaceable(w *fake.World, jobs int) {
 	for i := range jobs {
 		j := service(1000+i, 4)
--- a/internal/controller/helpers_formats_test.go
+++ b/internal/controller/helpers_formats_test.go
@@ -22,7 +22,8 @@
 	Value string `json:"value"` // base64
 }
 
-// goldenValues reads a file of testdata: see the README beside it.
+// goldenValues reads a file of testdata, whose README describes the files. It returns the values by
+// key.
 func goldenValues(t *testing.T, file string) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile("../../testdata/" + file)
@@ -42,16 +43,16 @@
 	return out
 }
 
-// goldenPages are the pages among the values of a file.
+// goldenPages returns the pages among the values of a testdata file.
 func goldenPages(t *testing.T, file string) map[string][]byte {
 	t.Helper()
 	return onlyPages(goldenValues(t, file))
 }
 
-// pagesOf are the pages that a world's state service holds.
+// pagesOf returns the pages in the state service of a world.
 func pagesOf(w *fake.World) map[string][]byte { return onlyPages(w.State.Values()) }
 
-// onlyPages removes what is not a page.
+// onlyPages removes all values but pages.
 func onlyPages(values map[string][]byte) map[string][]byte {
 	maps.DeleteFunc(values, func(key string, _ []byte) bool { return !strings.HasPrefix(key, storage.PagePrefix) })
 	return values
@@ -63,7 +64,7 @@
 	dividingFile   = "pipelines/dividing.json"
 )
 
-// recordKinds counts the records of a page by their kind.
+// recordKinds counts the records of a page by kind.
 func recordKinds(t *testing.T, value []byte) map[string]int {
 	t.Helper()
 	var page storage.PageValue
@@ -77,8 +78,8 @@
 	}
 }
 
-// unfinished are the jobs that the pages of an earlier version call neither done nor
-// cancelled, as a user's submission; finished maps the others to what they are called.
+// recordedJobs returns the jobs on pages: the unfinished ones as submissions with only an ID, a kind
+// and a number of tasks, and the statuses of the done and cancelled ones, both by job ID.
 func recordedJobs(t *testing.T, pages map[string][]byte) (unfinished map[string]protocol.Submission, finished map[string]string) {
 	t.Helper()
 	unfinished, finished = map[string]protocol.Submission{}, map[string]string{}
@@ -103,7 +104,7 @@
 	return unfinished, finished
 }
 
-// newWorldFromPages makes a world whose controllers find the pages of an earlier version.
+// newWorldFromPages makes a world whose state service holds the pages of an earlier version.
 func newWorldFromPages(pages map[string][]byte) *fake.World {
 	s := fake.Settings()
 	s.State.ValueKB, s.State.TxnOps = 8, 8
@@ -113,8 +114,8 @@
 	return w
 }
 
-// corruptedCopies gives copies of a page's value that are cut, have a byte replaced, or hold
-// something else under one of its fields.
+// corruptedCopies returns copies of a page's value that are truncated, have a byte inverted, or have
+// an invalid value in one of their fields.
 func corruptedCopies(t *testing.T, value []byte) [][]byte {
 	t.Helper()
 	const cuts = 12
--- a/internal/controller/helpers_pipeline_test.go
+++ b/internal/controller/helpers_pipeline_test.go
@@ -10,14 +10,14 @@
 	"oakpick/internal/protocol"
 )
 
-// smallestStateLimits are the limits of a state service that has lowered them.
+// smallestStateLimits returns settings with lowered limits of the state service.
 func smallestStateLimits() config.Settings {
 	s := fake.Settings()
 	s.State = config.State{RPS: 120, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
 	return s
 }
 
-// waitAllAccepted lets users submit until every job is accepted.
+// waitAllAccepted waits until every job is accepted.
 func waitAllAccepted(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
 	waits := func(j *fake.Job) bool { return !j.Accepted }
@@ -26,7 +26,7 @@
 	}
 }
 
-// submitAfter submits a job that needs others, as users do: once these are accepted.
+// submitAfter submits a job with prerequisites, as users do: only once these are accepted.
 func submitAfter(t *testing.T, w *fake.World, s protocol.Submission, run time.Duration, needs ...*fake.Job) *fake.Job {
 	t.Helper()
 	for _, p := range needs {
@@ -38,20 +38,21 @@
 	return w.Submit(s, run)
 }
 
-// submitPipeline submits four jobs, each after the one before: arrays, a gang, and an urgent
-// end with a deadline.
+// submitPipeline submits a pipeline of four jobs, each of which needs the one before: two arrays, a
+// gang, and an array with high priority and a deadline.
 func submitPipeline(t *testing.T, w *fake.World, first int) []*fake.Job {
 	t.Helper()
-	scrub, split, grade, push := job(first, protocol.Array, 2), job(first+1, protocol.Array, 4), job(first+2, protocol.Gang, 2), job(first+3, protocol.Array, 1)
-	scrub.Priority, split.Priority, push.Priority, push.DeadlineS = protocol.Low, protocol.Low, protocol.High, 90
-	a := submitAfter(t, w, scrub, 2*time.Second)
+	clean, split, evaluate, publish := job(first, protocol.Array, 2), job(first+1, protocol.Array, 4), job(first+2, protocol.Gang, 2), job(first+3, protocol.Array, 1)
+	clean.Priority, split.Priority, publish.Priority, publish.DeadlineS = protocol.Low, protocol.Low, protocol.High, 90
+	a := submitAfter(t, w, clean, 2*time.Second)
 	b := submitAfter(t, w, split, 3*time.Second, a)
-	c := submitAfter(t, w, grade, 2*time.Second, b)
-	d := submitAfter(t, w, push, time.Second, c)
+	c := submitAfter(t, w, evaluate, 2*time.Second, b)
+	d := submitAfter(t, w, publish, time.Second, c)
 	return []*fake.Job{a, b, c, d}
 }
 
-// requirePipelineOutcome fails unless every job of a pipeline is done, or cancelled from one on.
+// requirePipelineOutcome fails unless every job of a pipeline is done, or all jobs from the first
+// cancelled one on are cancelled and those before it are done.
 func requirePipelineOutcome(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
 	cancelled := false
--- a/internal/controller/helpers_stepped_test.go
+++ b/internal/controller/helpers_stepped_test.go
@@ -8,11 +8,11 @@
 	"oakpick/internal/message"
 )
 
-// steppedController is a controller without a world: a test answers its effects itself.
+// steppedController is a controller without a world: the test itself responds to its effects.
 type steppedController struct {
 	*controller.Controller
 	now message.Now
-	// respond gives the response to an effect, which is delivered at once; nil: none comes.
+	// respond returns the response to an effect, which is delivered immediately, or nil for no response.
 	respond func(effect message.Effect) message.Event
 }
 
@@ -21,7 +21,7 @@
 	return &steppedController{Controller: controller.New(cfg, "boot", 1), respond: respond}
 }
 
-// deliver has the controller handle an event, and the responses to its effects.
+// deliver lets the controller handle an event and then the responses to its effects.
 func (s *steppedController) deliver(event message.Event) {
 	s.now.Monotonic += time.Millisecond
 	for _, effect := range s.Step(s.now, []message.Event{event}) {
@@ -31,11 +31,11 @@
 	}
 }
 
-// tick has the controller handle what has become due after a time.
+// tick lets the controller handle everything that is due after the given time.
 func (s *steppedController) tick(after time.Duration) {
 	s.now.Monotonic += after
 	s.deliver(message.Tick{})
 }
 
-// leads tells whether the controller believes that it leads.
+// leads reports whether the controller believes that it is the leader.
 func (s *steppedController) leads() bool { return s.Role() == "leader" }
--- a/internal/controller/helpers_takeover_test.go
+++ b/internal/controller/helpers_takeover_test.go
@@ -12,8 +12,8 @@
 	"oakpick/internal/storage"
 )
 
-// takeOver has a new controller take the term, with each request to the state service
-// answered at once, and gives how many entries it was given.
+// takeOver lets a new controller become the leader, with immediate responses of the state service,
+// and returns the number of entries that it read.
 func takeOver(tb testing.TB, w *fake.World, cfg *config.Config) (entries int) {
 	tb.Helper()
 	var c *steppedController
@@ -33,13 +33,14 @@
 		}
 	}
 	if !c.leads() {
-		tb.Fatalf("is %s", c.Role())
+		tb.Fatalf("the controller's role is %s", c.Role())
 	}
 	return entries
 }
 
-// newWorldWithRecords is a state service with so many jobs that aren't over, as many ended ones as
-// a leader keeps, and so many in the archive.
+// newWorldWithRecords makes a world whose state service holds records of unfinished jobs, of ended
+// jobs that a leader keeps in memory, and of archived jobs, in the given numbers. All its
+// controllers are down; the configuration is for a new one.
 func newWorldWithRecords(unfinished, kept, archived int) (*fake.World, *config.Config) {
 	s := fake.Settings()
 	s.State.ValueKB = 8
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -13,19 +13,19 @@
 	"oakpick/internal/protocol"
 )
 
-// testingT is what the checks need of a test: that of testing.TB which drawn tests have, too.
+// testingT is the part of testing.TB that the checks need. *testing.T and *rapid.T implement it.
 type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// newWorld makes a world in which n0 leads.
+// newWorld makes a world with the default test settings in which n0 leads.
 func newWorld(t *testing.T) *fake.World {
 	t.Helper()
 	return newWorldWith(t, fake.Settings())
 }
 
-// newWorldWith makes a world with such settings in which n0 leads.
+// newWorldWith makes a world with the given settings in which n0 leads.
 func newWorldWith(t *testing.T, s config.Settings) *fake.World {
 	t.Helper()
 	w := fake.NewWorld(s)
@@ -33,7 +33,7 @@
 		c.Crash()
 	}
 	if !w.RunUntil(5*time.Second, w.Controllers[0].Leads) {
-		t.Fatal("nobody leads")
+		t.Fatal("no controller leads")
 	}
 	for _, c := range w.Controllers[1:] {
 		c.Start()
@@ -41,7 +41,7 @@
 	return w
 }
 
-// job is a submission of small tasks.
+// job returns a submission of small tasks.
 func job(id int, kind protocol.JobKind, tasks int) protocol.Submission {
 	return protocol.Submission{
 		ID: fmt.Sprintf("wk-%06d", id), Class: "c", Team: "blue", Kind: kind, Priority: protocol.Normal, Tasks: tasks,
@@ -49,14 +49,14 @@
 	}
 }
 
-// service is a submission of replicas that run until they are cancelled.
+// service returns a submission of replicas that run until they are cancelled.
 func service(id, replicas int) protocol.Submission {
 	s := job(id, protocol.Service, replicas)
 	s.CheckpointIntervalS = 0
 	return s
 }
 
-// provisionIdleMachines makes two empty machines that are up, and gives their names.
+// provisionIdleMachines provisions two machines without tasks and returns their names.
 func provisionIdleMachines(t *testing.T, w *fake.World) []string {
 	t.Helper()
 	s := service(90, 2)
@@ -69,23 +69,23 @@
 	return machines
 }
 
-// waitRunning lets time pass until so many of a job's tasks run.
+// waitRunning waits until the given number of a job's tasks are running.
 func waitRunning(t *testing.T, w *fake.World, id string, tasks int) {
 	t.Helper()
 	if !w.RunUntil(90*time.Second, func() bool { return w.Running(id) == tasks }) {
-		t.Fatalf("%s: %d of %d run\n%s", id, w.Running(id), tasks, strings.Join(w.Log, "\n"))
+		t.Fatalf("%s: %d of %d tasks run\n%s", id, w.Running(id), tasks, strings.Join(w.Log, "\n"))
 	}
 }
 
-// waitLeader lets time pass until a controller leads.
+// waitLeader waits until a controller leads.
 func waitLeader(tb testing.TB, w *fake.World, timeout time.Duration) {
 	tb.Helper()
 	if !w.RunUntil(timeout, func() bool { return w.Leader() != nil }) {
-		tb.Fatal("nobody leads")
+		tb.Fatal("no controller leads")
 	}
 }
 
-// waitAccepted lets time pass until a job is accepted.
+// waitAccepted waits until a job is accepted.
 func waitAccepted(t *testing.T, w *fake.World, j *fake.Job, timeout time.Duration) {
 	t.Helper()
 	if !w.RunUntil(timeout, func() bool { return j.Accepted }) {
@@ -93,24 +93,24 @@
 	}
 }
 
-// waitCancelled lets time pass until a job's user was told that it is cancelled.
+// waitCancelled waits until the user of a job has been told that it is cancelled.
 func waitCancelled(t *testing.T, w *fake.World, j *fake.Job, timeout time.Duration) {
 	t.Helper()
 	if !w.RunUntil(timeout, func() bool { return j.Cancelled }) {
-		t.Fatalf("%s: not told that it is cancelled", j.Submission.ID)
+		t.Fatalf("%s: its user was not told that it is cancelled", j.Submission.ID)
 	}
 }
 
-// crashFor crashes a controller, whose next process starts after the time.
+// crashFor crashes a controller and restarts it after a time.
 func crashFor(w *fake.World, c *fake.Controller, downFor time.Duration) {
 	c.Crash()
 	w.After(downFor, c.Start)
 }
 
-// restartLeader crashes the leader for a time; there has to be one.
+// restartLeader crashes the leader and restarts it after a time. There must be a leader.
 func restartLeader(w *fake.World, downFor time.Duration) { crashFor(w, w.Leader(), downFor) }
 
-// crashLeader crashes the leader for a time, if there is one.
+// crashLeader crashes the leader, if there is one, and restarts it after a time.
 func crashLeader(w *fake.World, downFor time.Duration) {
 	if leader := w.Leader(); leader != nil {
 		crashFor(w, leader, downFor)
@@ -140,7 +140,7 @@
 	}
 }
 
-// runAndPoll lets time pass, and has every job asked about as it does.
+// runAndPoll lets time pass and polls every job meanwhile.
 func runAndPoll(w *fake.World, d time.Duration) {
 	for end := w.Now + d; w.Now < end; {
 		w.Run(2 * time.Second)
@@ -149,7 +149,7 @@
 	w.Run(time.Second)
 }
 
-// queryRapidly plans queries for jobs at every controller, milliseconds apart, for so long.
+// queryRapidly schedules queries about jobs at every controller, every 7 ms for the duration d.
 func queryRapidly(w *fake.World, jobs []*fake.Job, d time.Duration) {
 	for at := time.Duration(0); at < d; at += 7 * time.Millisecond {
 		w.After(at, func() {
@@ -160,8 +160,8 @@
 	}
 }
 
-// queryRepeatedly asks about jobs at every controller, and hands them in again there, so many
-// times, each time after an interval.
+// queryRepeatedly queries jobs at every controller and submits them again there, the given number of
+// times and each time after an interval.
 func queryRepeatedly(w *fake.World, jobs []*fake.Job, times int, interval time.Duration) {
 	for range times {
 		w.Run(interval)
@@ -171,7 +171,7 @@
 	}
 }
 
-// adminRequest sends an operator's request to a controller.
+// adminRequest sends an operator's request to a controller and returns the response.
 func adminRequest(w *fake.World, controller int, kind message.AdminRequestKind, body string) (status int, answer string) {
 	w.Controllers[controller].Request(message.AdminRequest{Kind: kind, Body: []byte(body)}, func(r message.Reply) {
 		status, answer = r.Status, string(r.Body)
@@ -180,11 +180,11 @@
 	return status, answer
 }
 
-// requireNoViolations fails if a rule was broken, or a leader's counts differ from its tasks.
+// requireNoViolations fails if an invariant was violated, or if a leader's task counts are wrong.
 func requireNoViolations(t testingT, w *fake.World) {
 	t.Helper()
 	if len(w.Violations) > 0 {
-		t.Fatalf("rules broken:\n%s\nlog:\n%s", strings.Join(w.Violations, "\n"), logTail(w, 60))
+		t.Fatalf("invariants violated:\n%s\nlog:\n%s", strings.Join(w.Violations, "\n"), logTail(w, 60))
 	}
 	for _, c := range w.Controllers {
 		if impl := c.Controller(); impl != nil {
@@ -195,8 +195,9 @@
 	}
 }
 
-// requireAllServed fails unless every job that wasn't cancelled is accepted and served: batch
-// work is done, and all replicas of services run.
+// requireAllServed fails unless every job that wasn't cancelled is accepted and either done or, if
+// it is a service, running with all its replicas. Jobs that depend on a cancelled job must be
+// cancelled. Jobs whose tasks always fail are ignored.
 func requireAllServed(t testingT, w *fake.World) {
 	t.Helper()
 	for id, j := range w.Jobs {
@@ -206,29 +207,29 @@
 			t.Fatalf("%s was never accepted", id)
 		case w.CancelledByAncestor(j):
 			if j.Status != protocol.StatusCancelled {
-				t.Fatalf("%s has status %q, and a job that it needs is cancelled", id, j.Status)
+				t.Fatalf("%s has status %q, although a job that it depends on is cancelled", id, j.Status)
 			}
 		case j.Submission.Kind == protocol.Service:
 			if n := w.Running(id); n != j.Submission.Tasks {
 				t.Fatalf("%s: %d of %d replicas run\n%s", id, n, j.Submission.Tasks, logTail(w, 60))
 			}
 		case j.Status != protocol.StatusDone:
-			t.Fatalf("%s is not done but %q, %d of %d tasks: %+v\n%s", id, j.Status, len(j.DoneTasks), j.Submission.Tasks, j.Submission, logTail(w, 60))
+			t.Fatalf("%s has status %q, not done; %d of %d tasks are done: %+v\n%s", id, j.Status, len(j.DoneTasks), j.Submission.Tasks, j.Submission, logTail(w, 60))
 		}
 	}
 }
 
-// logTail is the last lines of the world's log.
+// logTail returns the last lines of the world's log.
 func logTail(w *fake.World, lines int) string {
 	return strings.Join(w.Log[max(0, len(w.Log)-lines):], "\n")
 }
 
-// logContains tells whether a text is in the world's log.
+// logContains reports whether the world's log contains a text.
 func logContains(w *fake.World, text string) bool {
 	return strings.Contains(strings.Join(w.Log, "\n"), text)
 }
 
-// allMatch tells whether a condition holds for every item.
+// allMatch reports whether a condition holds for every item.
 func allMatch[T any](items []T, condition func(T) bool) bool {
 	return !slices.ContainsFunc(items, func(item T) bool { return !condition(item) })
 }
--- a/internal/controller/helpers_upgrade_test.go
+++ b/internal/controller/helpers_upgrade_test.go
@@ -8,8 +8,8 @@
 	"oakpick/internal/fake"
 )
 
-// newProductionWorld makes a world in which all controllers run as the version in production, with
-// lower limits to come.
+// newProductionWorld makes a world in which all controllers run the version in production and lower
+// limits are announced.
 func newProductionWorld(t *testing.T) *fake.World {
 	t.Helper()
 	s := fake.Settings()
@@ -26,19 +26,19 @@
 	return w
 }
 
-// nextLimits are limits of the state service that are to come.
+// nextLimits returns announced limits of the state service.
 func nextLimits(valueKB float64, txnOps int, writeRPS float64) *config.StateNext {
 	return &config.StateNext{ValueKB: &valueKB, TxnOps: &txnOps, WriteRPS: &writeRPS}
 }
 
-// upgrade replaces a controller's process by one of the new version.
+// upgrade replaces a controller's process by one of the new version, which starts after a time.
 func upgrade(w *fake.World, c *fake.Controller, after time.Duration) {
 	c.Crash()
 	c.RunsProduction = false
 	w.After(after, c.Start)
 }
 
-// restartWithValueSize restarts every controller with another value_kb.
+// restartWithValueSize restarts every controller with another value_kb setting.
 func restartWithValueSize(w *fake.World, kilobytes float64) {
 	crashAll(w)
 	w.Cfg.Settings.State.ValueKB = kilobytes
