--- a/internal/controller/model_actions_test.go
+++ b/internal/controller/model_actions_test.go
@@ -11,17 +11,17 @@
 	"oakpick/internal/protocol"
 )
 
-// action is something that users, operators or faults do in a drawn world.
+// action is a random action of users or operators, or a fault.
 type action struct {
 	name string
 	run  func(*randomWorld)
 }
 
-// String is the name, under which a failing draw is printed.
+// String returns the name, under which a failing draw is printed.
 func (a action) String() string { return a.name }
 
-// actions are drawn with equal chance. What is there twice is drawn twice as often. Their
-// order and number decide which worlds a seed gives.
+// actions are drawn with equal probability. An action that is listed twice is drawn twice as often.
+// Their order and number decide which worlds a seed generates.
 var actions = []action{
 	{"submit", (*randomWorld).submit},
 	{"submit", (*randomWorld).submit},
@@ -57,23 +57,23 @@
 // drawAction draws the next action.
 func drawAction(t *rapid.T) action { return rapid.SampledFrom(actions).Draw(t, "action") }
 
-// What users do.
+// Actions of users.
 
-// cancel has a job cancelled by its user.
+// cancel lets its user cancel a job.
 func (d *randomWorld) cancel() {
 	if j := d.drawJob(); j != nil && !j.CancelRequested && j.Accepted {
 		d.world.CancelJob(j)
 	}
 }
 
-// resubmit has an accepted job submitted once more.
+// resubmit submits an accepted job again.
 func (d *randomWorld) resubmit() {
 	if j := d.drawJob(); j != nil && j.Accepted {
 		d.world.Resubmit(j)
 	}
 }
 
-// queryRapidly has every job queried at every controller, milliseconds apart.
+// queryRapidly queries every job at every controller five times, 30 ms apart.
 func (d *randomWorld) queryRapidly() {
 	for range 5 {
 		for i := range d.jobs {
@@ -92,9 +92,9 @@
 	}
 }
 
-// What operators do.
+// Actions of operators.
 
-// upgradeNext gives the next controller the new version.
+// upgradeNext upgrades the next controller to the new version.
 func (d *randomWorld) upgradeNext() {
 	for _, c := range d.world.Controllers {
 		if c.RunsProduction {
@@ -104,7 +104,8 @@
 	}
 }
 
-// lowerLimits lowers the limits of the state service once every controller has the new version.
+// lowerLimits applies the announced limits of the state service if every controller runs the new
+// version.
 func (d *randomWorld) lowerLimits() {
 	if d.upgraded() {
 		d.world.State.LowerLimits()
@@ -113,14 +114,14 @@
 
 // Faults of controllers.
 
-// crash crashes a controller for a time.
+// crash crashes a controller and restarts it after a time.
 func (d *randomWorld) crash(c *fake.Controller) {
 	if c.Up {
 		crashFor(d.world, c, d.drawMillis("for", 0, 8000))
 	}
 }
 
-// crashOne crashes some controller.
+// crashOne crashes one controller.
 func (d *randomWorld) crashOne() { d.crash(d.drawController()) }
 
 // crashAll crashes every controller.
@@ -130,13 +131,13 @@
 	}
 }
 
-// pauseController leaves a controller without processor time.
+// pauseController pauses the process of a controller.
 func (d *randomWorld) pauseController() {
 	c := d.drawController()
 	c.PausedUntil = d.world.Now + d.drawMillis("for", 100, 6000)
 }
 
-// stallController pauses a controller before it performs one of its next effects.
+// stallController pauses a controller before it executes one of its next effects.
 func (d *randomWorld) stallController() {
 	c := d.drawController()
 	left := d.drawInt("effects", 0, 30)
@@ -150,7 +151,7 @@
 	}
 }
 
-// partitionController leaves a controller nothing but the workers.
+// partitionController partitions a controller from everything but the workers.
 func (d *randomWorld) partitionController() {
 	c := d.drawController()
 	others := []string{"state", "cloud", "n0", "n1", "n2"}
@@ -158,7 +159,8 @@
 	d.world.After(d.drawSeconds("for", 60), func() { d.network.heal(c.Name, others...) })
 }
 
-// partitionZone leaves a controller and a machine to themselves.
+// partitionZone partitions a controller and a machine from the other controllers, and the controller
+// from the state service and the cloud.
 func (d *randomWorld) partitionZone() {
 	c := d.drawController()
 	_, machine := d.drawWorker()
@@ -173,13 +175,13 @@
 
 // Faults of the services.
 
-// startStateOutage has the state service refuse everybody.
+// startStateOutage makes the state service fail for all controllers.
 func (d *randomWorld) startStateOutage() {
 	d.world.State.SetOutage(true)
 	d.world.After(d.drawSeconds("for", 40), func() { d.world.State.SetOutage(false) })
 }
 
-// makeStateUnreachable has the state service refuse one controller.
+// makeStateUnreachable makes the state service unreachable for one controller.
 func (d *randomWorld) makeStateUnreachable() {
 	c := d.drawController()
 	d.world.State.Unreachable[c.Name] = true
@@ -192,13 +194,14 @@
 	d.world.After(d.drawSeconds("for", 20), func() { d.network.stateLatency = 0 })
 }
 
-// startCloudOutage has the cloud refuse everything.
+// startCloudOutage makes all requests to the cloud fail.
 func (d *randomWorld) startCloudOutage() {
 	d.world.Cloud.Down = true
 	d.world.After(d.drawSeconds("for", 30), func() { d.world.Cloud.Down = false })
 }
 
-// makeNetworkUnreliable draws how many messages are lost, late and duplicated from now on.
+// makeNetworkUnreliable draws the percentages of messages that are lost, delayed and duplicated from
+// now on.
 func (d *randomWorld) makeNetworkUnreliable() {
 	d.network.lossPercent = d.drawInt("loss", 0, 20)
 	d.network.latePercent = d.drawInt("late", 0, 10)
@@ -207,7 +210,7 @@
 
 // Faults of machines.
 
-// partitionMachine cuts a machine off from every controller.
+// partitionMachine partitions a machine from all controllers.
 func (d *randomWorld) partitionMachine() {
 	_, machine := d.drawWorker()
 	var controllers []string
@@ -218,7 +221,7 @@
 	d.world.After(d.drawSeconds("for", 40), func() { d.network.heal(machine, controllers...) })
 }
 
-// loseResponsesToMachine keeps responses and commands from a machine.
+// loseResponsesToMachine loses the responses and commands to a machine.
 func (d *randomWorld) loseResponsesToMachine() {
 	_, machine := d.drawWorker()
 	d.network.responsesLost[machine] = true
@@ -232,7 +235,7 @@
 	d.world.After(d.drawSeconds("for", 40), func() { delete(d.network.heartbeatsLost, machine) })
 }
 
-// recordHeartbeats keeps copies of heartbeats, see drawnWorld.replayHeartbeats.
+// recordHeartbeats records heartbeats, which replayHeartbeats sends again.
 func (d *randomWorld) recordHeartbeats() {
 	const most = 300
 	d.world.OnHeartbeat = func(heartbeat protocol.Heartbeat) {
@@ -243,27 +246,27 @@
 	}
 }
 
-// hangWorker has a worker hang, while its lease goes on.
+// hangWorker makes a worker hang. Its lease keeps running.
 func (d *randomWorld) hangWorker() {
 	if worker, _ := d.drawWorker(); worker != nil {
 		worker.HangUntil = d.world.Now + d.drawSeconds("for", 30)
 	}
 }
 
-// interruptMachine has the cloud announce that it takes a machine.
+// interruptMachine lets the cloud announce the interruption of a machine.
 func (d *randomWorld) interruptMachine() {
 	_, machine := d.drawWorker()
 	d.world.AnnounceInterruption(machine, d.drawSeconds("in", 15))
 }
 
-// failMachine ends a machine.
+// failMachine makes a machine fail.
 func (d *randomWorld) failMachine() {
 	if _, machine := d.drawWorker(); machine != "" {
 		d.world.Cloud.Fail(machine)
 	}
 }
 
-// failTasks has a machine fail every task for a time.
+// failTasks makes every task on a machine fail for a time.
 func (d *randomWorld) failTasks() {
 	if worker, _ := d.drawWorker(); worker != nil {
 		worker.FailsTasks = true
--- a/internal/controller/model_network_test.go
+++ b/internal/controller/model_network_test.go
@@ -8,18 +8,18 @@
 	"oakpick/internal/fake"
 )
 
-// link is the way from one process to another.
+// link is the connection from one process to another.
 type link struct{ from, to string }
 
-// randomNetwork is a network with partitions, and with losses, delays and duplicates that are
-// drawn for each message.
+// randomNetwork is a network with partitions, and with random losses, delays and duplicates of
+// messages.
 type randomNetwork struct {
 	t              *rapid.T
-	blocked        map[link]bool   // nothing arrives
+	blocked        map[link]bool   // links on which all messages are lost
 	responsesLost  map[string]bool // machines that get no responses and no commands
-	heartbeatsLost map[string]bool // machines whose heartbeats reach nobody
+	heartbeatsLost map[string]bool // machines whose heartbeats are lost
 
-	// Of messages, in hundredths.
+	// Probabilities of faults for each message.
 	lossPercent, latePercent, duplicatePercent int
 	stateLatency                               time.Duration // of responses of the state service
 }
@@ -31,7 +31,7 @@
 	}
 }
 
-// partition blocks the links between a process and others, both ways.
+// partition blocks the links between a process and others in both directions.
 func (n *randomNetwork) partition(name string, others ...string) {
 	for _, other := range others {
 		n.blocked[link{name, other}], n.blocked[link{other, name}] = true, true
@@ -46,17 +46,17 @@
 	}
 }
 
-// recover ends losses, delays and duplicates.
+// recover ends random losses, delays and duplicates of messages and the latency of the state service.
 func (n *randomNetwork) recover() {
 	n.lossPercent, n.latePercent, n.duplicatePercent, n.stateLatency = 0, 0, 0, 0
 }
 
-// deliver is the World's Network.
+// deliver decides what happens to an exchange. It is the Network of a World.
 func (n *randomNetwork) deliver(kind, from, to string) fake.Delivery {
 	delivery := fake.Reliable()
 	if n.blocked[link{from, to}] {
 		delivery.LoseRequest = true
-		if n.latePercent > 50 { // held, and delivered when the partition ends
+		if n.latePercent > 50 { // the message is held until the partition has ended
 			delivery.LoseRequest, delivery.RequestDelay = false, 20*time.Second
 		}
 		return delivery
@@ -77,7 +77,7 @@
 	return delivery
 }
 
-// injectFaults draws what happens to a message that isn't blocked.
+// injectFaults draws the faults of a message on a link that isn't blocked.
 func (n *randomNetwork) injectFaults(delivery *fake.Delivery) {
 	delivery.LoseRequest = n.drawBool("lose request", n.lossPercent)
 	delivery.LoseResponse = n.drawBool("lose response", n.lossPercent)
@@ -89,12 +89,12 @@
 	}
 }
 
-// drawBool draws whether something drawBool that does so in a share of cases, in hundredths.
-func (n *randomNetwork) drawBool(label string, share int) bool {
-	return share > 0 && rapid.IntRange(0, 99).Draw(n.t, label) < share
+// drawBool draws true with the given probability in percent.
+func (n *randomNetwork) drawBool(label string, percent int) bool {
+	return percent > 0 && rapid.IntRange(0, 99).Draw(n.t, label) < percent
 }
 
-// drawSeconds draws a delay.
+// drawSeconds draws a delay of 1 to 40 seconds.
 func (n *randomNetwork) drawSeconds(label string) time.Duration {
 	return time.Duration(rapid.IntRange(1, 40).Draw(n.t, label)) * time.Second
 }
--- a/internal/controller/model_prerequisites_test.go
+++ b/internal/controller/model_prerequisites_test.go
@@ -15,15 +15,15 @@
 	"oakpick/internal/protocol"
 )
 
-// Drawn pipelines: jobs that name archived, ended, cancelled and unfinished ones in any mixture,
-// several levels deep, also with prerequisites in records of their own, while controllers end and
-// are upgraded and answers of the state service are late or lost. After every step of every
-// controller the dependency graph holds only jobs that aren't over, and in the end everybody is
-// told the same.
+// TestPrerequisiteInvariantsUnderRandomFaults runs random pipelines. Jobs name archived, ended,
+// cancelled and unfinished jobs in any combination, several levels deep, also with prerequisites in
+// records of their own, while controllers crash and are upgraded and responses of the state service
+// are late or lost. After every step of a controller, the dependency graph contains only unfinished
+// jobs, and at the end all controllers report the same.
 //
-// It was written for the fault of TestArchivedCancelledPrerequisiteBesideAnUnfinishedOne: a job
-// that is cancelled as it is submitted got an edge to an unfinished prerequisite. On that code its
-// second world fails with "wk-000004 is in the graph, and its job is over or refers to another
+// It guards against a job that is cancelled on submission and still gets an edge to an unfinished
+// prerequisite (docs/incidents/2026-12-03-cancelled-job-in-dependency-graph.md). Before the fix, its
+// second world failed with "wk-000004 is in the graph, and its job is over or refers to another
 // node".
 func TestPrerequisiteInvariantsUnderRandomFaults(t *testing.T) {
 	coverage := &pipelineCoverage{byPrerequisiteKinds: map[string]int{}, jobsWithParts: map[string]bool{}}
@@ -45,10 +45,11 @@
 	coverage.requireCovered(t)
 }
 
-// maxPipelineJobs is how many jobs a drawn world of pipelines has at most.
+// maxPipelineJobs is the maximum number of jobs in a random world of pipelines.
 const maxPipelineJobs = 16
 
-// pipelineActions are drawn with equal chance; what is there twice is drawn twice as often.
+// pipelineActions are drawn with equal probability. An action that is listed twice is drawn twice as
+// often.
 var pipelineActions = []action{
 	{"submit a job that needs others", (*randomWorld).submitDependent},
 	{"submit a job that needs others", (*randomWorld).submitDependent},
@@ -74,7 +75,8 @@
 	{"upgrade all", (*randomWorld).upgradeAll},
 }
 
-// newPipelineWorld draws a world whose leader keeps few ended jobs out of the archive.
+// newPipelineWorld draws a world whose leader keeps few ended jobs in memory and the others in the
+// archive.
 func newPipelineWorld(t *rapid.T) *randomWorld {
 	settings := fake.Settings()
 	settings.State.TxnOps = rapid.IntRange(2, 4).Draw(t, "keys in a transaction")
@@ -83,10 +85,10 @@
 	return startRandomWorld(t, settings, []string{"blue"}, maxPipelineJobs)
 }
 
-// longClass is the class of a job whose record leaves no space for prerequisites on its page.
+// longClass is a class so long that the job's record leaves no space for prerequisites on its page.
 var longClass = strings.Repeat("c", 1560)
 
-// submitDependent submits a job that names several of the accepted ones, or just the last.
+// submitDependent submits a job that names a random share of the accepted jobs.
 func (d *randomWorld) submitDependent() {
 	if d.jobs >= d.maxJobs {
 		return
@@ -101,7 +103,7 @@
 	if d.drawInt("long record", 0, 3) == 0 {
 		s.Class = longClass
 	}
-	share := d.drawInt("share named", 1, 3) // of four
+	share := d.drawInt("share named", 1, 3) // in quarters
 	for i := 1; i < d.jobs && d.upgraded(); i++ {
 		if p := d.jobByNumber(i); p.Accepted && d.drawInt("needs", 0, 3) < share {
 			s.Prerequisites = append(s.Prerequisites, p.Submission.ID)
@@ -110,8 +112,7 @@
 	d.onSubmit(d.world.Submit(s, d.drawSeconds("run", 40)))
 }
 
-// submitShortJobs submits a few jobs that are over soon, of which most go to the archive, and may
-// cancel one of them.
+// submitShortJobs submits a few short jobs, most of which are archived, and may cancel some of them.
 func (d *randomWorld) submitShortJobs() {
 	for range d.drawInt("short jobs", 1, 3) {
 		if d.jobs >= d.maxJobs {
@@ -128,7 +129,8 @@
 	}
 }
 
-// cancelOnHungWorker cancels a job whose end can't be recorded before its machine goes on.
+// cancelOnHungWorker makes a worker hang and cancels a job that runs on it. The end of the job can't
+// be recorded until the worker resumes.
 func (d *randomWorld) cancelOnHungWorker() {
 	for i := range d.jobs {
 		j := d.jobByNumber(i + 1)
@@ -140,7 +142,7 @@
 	}
 }
 
-// upgradeAll gives every controller the new version, one after the other.
+// upgradeAll upgrades all controllers to the new version, one after the other.
 func (d *randomWorld) upgradeAll() {
 	for !d.upgraded() {
 		d.upgradeNext()
@@ -148,16 +150,16 @@
 	}
 }
 
-// pipelineCoverage counts what the drawn submissions reached.
+// pipelineCoverage counts the cases that the random submissions have covered.
 type pipelineCoverage struct {
 	worlds, submissions int
-	byPrerequisiteKinds map[string]int // submissions by the kinds of their prerequisites
-	maxDepth            int            // how many jobs are on the longest way from one to its first ancestor
-	jobsWithParts       map[string]bool
-	afterUpgrade        int // submissions with prerequisites in a world that began with production
+	byPrerequisiteKinds map[string]int  // submissions by the kinds of their prerequisites
+	maxDepth            int             // number of edges on the longest path from a job to a job without prerequisites
+	jobsWithParts       map[string]bool // jobs with prerequisites in records of their own
+	afterUpgrade        int             // submissions with prerequisites in worlds that started with the version in production
 }
 
-// observe counts a world's submissions.
+// observe adds the submissions of a world to the counts.
 func (c *pipelineCoverage) observe(d *randomWorld) {
 	c.worlds++
 	production := !d.upgraded()
@@ -187,7 +189,7 @@
 	}
 }
 
-// prerequisiteKinds names the kinds of a submission's prerequisites.
+// prerequisiteKinds returns the kinds of a submission's prerequisites as one sorted text.
 func prerequisiteKinds(w *fake.World, leader *fake.Controller, j *fake.Job) string {
 	var kinds []string
 	for _, id := range j.Submission.Prerequisites {
@@ -203,7 +205,8 @@
 	return strings.Join(kinds, " + ")
 }
 
-// requireCovered fails unless the mixtures that matter came, and logs how often each did.
+// requireCovered fails unless the important cases were covered, and logs how often each combination
+// of kinds was drawn.
 func (c *pipelineCoverage) requireCovered(t *testing.T) {
 	t.Helper()
 	archivedCancelledAndUnfinished := 0
@@ -213,10 +216,10 @@
 			archivedCancelledAndUnfinished += count
 		}
 	}
-	t.Logf("%d worlds, %d submissions of pipelines, %d levels deep at most, %d with prerequisites in parts, %d after production has led",
+	t.Logf("%d worlds, %d submissions of pipelines, %d levels deep at most, %d with prerequisites in parts, %d after the version in production has led",
 		c.worlds, c.submissions, c.maxDepth, len(c.jobsWithParts), c.afterUpgrade)
 	if archivedCancelledAndUnfinished == 0 || c.maxDepth < 3 || len(c.jobsWithParts) == 0 || c.afterUpgrade == 0 {
-		t.Errorf("%d submissions name an archived cancelled job and an unfinished one: not all that is to be drawn was",
+		t.Errorf("%d submissions name an archived cancelled job and an unfinished one; not all required cases were covered",
 			archivedCancelledAndUnfinished)
 	}
 }
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -14,9 +14,9 @@
 	"oakpick/internal/protocol"
 )
 
-// TestInvariantsUnderRandomFaults draws worlds: jobs of all kinds, and crashes,
-// partitions, outages, hangs, losses, late and repeated messages in any order. The
-// rules hold throughout, and once the faults are over everything is served.
+// TestInvariantsUnderRandomFaults runs random worlds: jobs of all kinds, with crashes, partitions,
+// outages, hangs, and lost, late and duplicated messages in any order. The invariants hold
+// throughout, and once the faults have ended, every job is served.
 func TestInvariantsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newRandomWorld(t)
@@ -35,10 +35,10 @@
 	})
 }
 
-// maxRandomJobs is how many jobs a drawn world has at most.
+// maxRandomJobs is the maximum number of jobs in a random world.
 const maxRandomJobs = 8
 
-// randomWorld is a world whose jobs and faults are drawn.
+// randomWorld is a world with random jobs and faults.
 type randomWorld struct {
 	t       *rapid.T
 	world   *fake.World
@@ -46,14 +46,14 @@
 	teams   []string
 	jobs    int // submitted so far
 	maxJobs int
-	leader  string
-	// onSubmit is called with every job that may need others; only worlds of pipelines have it.
+	leader  string // name of the last known leader
+	// onSubmit is called with every job from submitDependent. Only pipeline worlds set it.
 	onSubmit func(*fake.Job)
-	// recordedHeartbeats are copies of heartbeats, for the next leader.
+	// recordedHeartbeats holds copies of heartbeats to replay when another controller leads.
 	recordedHeartbeats []protocol.Heartbeat
 }
 
-// newRandomWorld draws the settings, and whether the world begins with the version in
+// newRandomWorld draws the settings, and whether the controllers start with the version in
 // production.
 func newRandomWorld(t *rapid.T) *randomWorld {
 	settings := fake.Settings()
@@ -68,8 +68,9 @@
 	return startRandomWorld(t, settings, teams, maxRandomJobs)
 }
 
-// startRandomWorld draws whether a world begins with the version in production, and has every
-// leader's dependency graph and effects checked after each of its steps.
+// startRandomWorld makes a world whose controllers start with either the version in production or
+// the new one, as drawn. The dependency graph and the effects of a controller are checked after each
+// of its steps.
 func startRandomWorld(t *rapid.T, settings config.Settings, teams []string, maxJobs int) *randomWorld {
 	w := fake.NewWorld(settings)
 	w.RewriteAsProduction = roundTripProduction
@@ -94,27 +95,27 @@
 	return d
 }
 
-// drawInt draws a number.
+// drawInt draws a number from least to most.
 func (d *randomWorld) drawInt(label string, least, most int) int {
 	return rapid.IntRange(least, most).Draw(d.t, label)
 }
 
-// drawSeconds draws a duration of whole drawSeconds, one at least.
+// drawSeconds draws a duration of 1 to most seconds.
 func (d *randomWorld) drawSeconds(label string, most int) time.Duration {
 	return time.Duration(d.drawInt(label, 1, most)) * time.Second
 }
 
-// drawMillis draws a duration of whole milliseconds.
+// drawMillis draws a duration of least to most milliseconds.
 func (d *randomWorld) drawMillis(label string, least, most int) time.Duration {
 	return time.Duration(d.drawInt(label, least, most)) * time.Millisecond
 }
 
-// drawController draws a drawController.
+// drawController draws one of the controllers.
 func (d *randomWorld) drawController() *fake.Controller {
 	return d.world.Controllers[d.drawInt("controller", 0, 2)]
 }
 
-// drawWorker draws a machine that is up; nil and "": there is none.
+// drawWorker draws a machine that is up. It returns nil and "" if there is none.
 func (d *randomWorld) drawWorker() (*fake.Worker, string) {
 	names := d.world.MachineNames()
 	if len(names) == 0 {
@@ -124,20 +125,20 @@
 	return d.world.Workers[name], name
 }
 
-// jobByNumber is the job with a number.
+// jobByNumber returns the job with a number.
 func (d *randomWorld) jobByNumber(number int) *fake.Job {
 	return d.world.Jobs[fmt.Sprintf("wk-%06d", number)]
 }
 
-// drawJob draws a drawJob that was submitted.
+// drawJob draws one of the submitted jobs.
 func (d *randomWorld) drawJob() *fake.Job { return d.jobByNumber(d.drawInt("job", 1, d.jobs)) }
 
-// upgraded tells whether every controller has the new version.
+// upgraded reports whether every controller runs the new version.
 func (d *randomWorld) upgraded() bool {
 	return !slices.ContainsFunc(d.world.Controllers, func(c *fake.Controller) bool { return c.RunsProduction })
 }
 
-// submit draws a job and submits it, unless there are enough.
+// submit draws a job and submits it, unless the maximum number of jobs is reached.
 func (d *randomWorld) submit() {
 	if d.jobs >= d.maxJobs {
 		return
@@ -151,7 +152,7 @@
 	j.AlwaysFails = d.drawInt("always fails", 0, 19) == 0
 }
 
-// drawSubmission draws a drawSubmission.
+// drawSubmission draws the submission of a job.
 func (d *randomWorld) drawSubmission() protocol.Submission {
 	kind := protocol.JobKind(d.drawInt("kind", 0, 2))
 	s := job(d.jobs, kind, d.drawInt("tasks", 1, 4))
@@ -168,7 +169,7 @@
 		s.Zone = "a"
 	}
 	s.Image = rapid.SampledFrom([]string{"x", "y"}).Draw(d.t, "image")
-	for i := 1; i < d.jobs && d.upgraded(); i++ { // production knows of no prerequisites
+	for i := 1; i < d.jobs && d.upgraded(); i++ { // the version in production has no prerequisites
 		p := d.jobByNumber(i)
 		if p.Accepted && p.Submission.Kind != protocol.Service && d.drawInt("needs", 0, 3) == 0 {
 			s.Prerequisites = append(s.Prerequisites, p.Submission.ID)
@@ -177,7 +178,7 @@
 	return s
 }
 
-// runAndPoll lets time pass, and has every job asked about as it does.
+// runAndPoll lets time pass and polls every job meanwhile.
 func (d *randomWorld) runAndPoll() {
 	for range d.drawInt("polls", 1, 6) {
 		d.world.Run(d.drawMillis("run", 100, 4000))
@@ -189,7 +190,7 @@
 	}
 }
 
-// replayHeartbeats sends the recorded heartbeats to every controller, just as another leads.
+// replayHeartbeats sends the recorded heartbeats to every controller and stops recording.
 func (d *randomWorld) replayHeartbeats() {
 	for _, heartbeat := range d.recordedHeartbeats {
 		for _, c := range d.world.Controllers {
@@ -199,7 +200,8 @@
 	d.recordedHeartbeats, d.world.OnHeartbeat = nil, nil
 }
 
-// endFaults lets no more faults begin, waits until the longest is over and gives that time.
+// endFaults stops injecting faults into messages and effects, upgrades all controllers, waits until
+// the other faults have ended, and returns the time at that point.
 func (d *randomWorld) endFaults() time.Duration {
 	d.network.recover()
 	for _, c := range d.world.Controllers {
@@ -210,12 +212,12 @@
 	for _, c := range d.world.Controllers {
 		c.StallBefore = nil
 	}
-	d.world.Run(65 * time.Second) // the longest fault is over
+	d.world.Run(65 * time.Second) // longer than any fault
 	return d.world.Now
 }
 
-// serveAll cancels what never ends where it can keep others from running (jobs that always
-// fail, and services of the team with a limit), and waits until the rest is served.
+// serveAll cancels jobs that never end and may keep others from running (jobs that always fail, and
+// services of the team with a limit), and gives the other jobs time to be served.
 func (d *randomWorld) serveAll() {
 	for i := range d.jobs {
 		j := d.jobByNumber(i + 1)
@@ -231,11 +233,11 @@
 	d.world.Run(time.Second)
 }
 
-// requireRecentAnswers fails unless questions about every accepted job were answered lately.
+// requireRecentAnswers fails unless a query about every accepted job was answered recently.
 func (d *randomWorld) requireRecentAnswers(since time.Duration) {
 	for id, j := range d.world.Jobs {
 		if j.Accepted && j.AnsweredAt < max(since, d.world.Now-75*time.Second) {
-			d.t.Fatalf("%s: no question was answered since %v", id, j.AnsweredAt)
+			d.t.Fatalf("%s: no query was answered since %v", id, j.AnsweredAt)
 		}
 	}
 }
