--- a/internal/controller/grace_period_test.go
+++ b/internal/controller/grace_period_test.go
@@ -12,11 +12,11 @@
 	"oakpick/internal/protocol"
 )
 
-// During an outage of the state service, one peer can't say whether it has led. If the outage ends
-// before the heartbeat grace period and the workers' leases have expired, no replica is lost. If it
-// lasts longer, all replicas are lost, but none runs twice. While all peers answer that they
-// haven't led, no replica is lost, however long the outage lasts. A peer that restarted during the
-// outage doesn't know whether its earlier process led.
+// The state service fails, and one peer is partitioned or restarts, so that the leader can't learn
+// whether that peer has led in the meantime. If the outage ends before the heartbeat grace period and
+// the workers' leases have expired, no replica is lost. If it lasts longer, all replicas are lost,
+// but none runs twice. While all peers answer that they haven't led, no replica is lost, however long
+// the outage lasts. A restarted peer doesn't know whether its earlier process led.
 func TestStateOutageAroundHeartbeatGracePeriod(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -59,10 +59,10 @@
 	}
 }
 
-// The state service is unreachable for the leader alone. Another controller takes the term, and
-// before it has read the records, the state service fails for all, for much longer than a lease.
-// The new leader asks no peer to step down, and nobody has confirmed or started anything in the
-// meantime: running replicas are kept, and after the outage a job can be cancelled.
+// The state service becomes unreachable for the leader only. Another controller takes the term, and
+// before it has read the records, the state service fails for all controllers, for much longer than
+// a lease. The new leader asks no peer to step down, and no controller confirms or starts anything in
+// the meantime, so running replicas are kept. After the outage, a job can be cancelled.
 func TestSuccessorCannotLoadRecords(t *testing.T) {
 	w := newWorld(t)
 	j := w.Submit(service(1, 2), 0)
@@ -133,8 +133,8 @@
 	requireNoViolations(t, w)
 }
 
-// The leader's process has ended, and its next process says so to the successor: the successor
-// needn't wait for the heartbeat grace period.
+// The leader crashes and restarts. Its new process tells the successor that it isn't leading, so the
+// successor waits for a shorter time before it replaces a lost replica.
 func TestSteppedDownPeerShortensFailover(t *testing.T) {
 	w := newWorld(t)
 	j := w.Submit(service(1, 1), 0)
@@ -150,8 +150,8 @@
 }
 
 // A leader is paused for longer than its heartbeat grace period and then finds heartbeats of
-// workers in its queue. It must refuse them, because a successor relies on that when it replaces
-// the workers' tasks.
+// workers in its queue. It must refuse them, because its successor assumes that it no longer answers
+// workers.
 func TestHeartbeatAfterGracePeriodIsRefused(t *testing.T) {
 	w := newWorld(t)
 	j := w.Submit(service(1, 1), 0)
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -12,8 +12,8 @@
 )
 
 // Machines boot quickly and get work while writes to the state service are slow, and the leader
-// crashes at any moment of that. Every start that a worker has is recorded, no machine is
-// forgotten, and no surplus machine stays provisioned.
+// crashes at any point meanwhile. Every start that a worker has is recorded, no machine is forgotten,
+// and no surplus machine stays provisioned.
 func TestMachinesBootWhileWritesLag(t *testing.T) {
 	steps := 16
 	if *fineSteps {
@@ -58,8 +58,8 @@
 	}
 }
 
-// Copies of a worker's heartbeats, also of an earlier incarnation, reach every controller as soon
-// as a new leader is elected. They must not prove that a task is absent or present, that the
+// Copies of a worker's heartbeats, also of an earlier incarnation, are sent to every controller as
+// soon as a new leader is elected. They must not prove that a task is absent or present, that the
 // machine is alive, or that its lease has expired.
 func TestStaleHeartbeatsReachNewLeader(t *testing.T) {
 	for _, died := range []bool{false, true} {
@@ -71,7 +71,7 @@
 	}
 }
 
-// testStaleHeartbeatsReachNewLeader derives from the step: whether the worker has an earlier
+// testStaleHeartbeatsReachNewLeader varies with the step whether the worker has an earlier
 // incarnation, whether a machine is partitioned at first, whether the heartbeats are replayed once
 // or repeatedly, and which of them are replayed.
 func testStaleHeartbeatsReachNewLeader(t *testing.T, step int, died bool) {
@@ -93,7 +93,7 @@
 	after := w.Submit(service(2, 2), 0)
 	waitRunning(t, w, after.Submission.ID, 2)
 	w.Run(3 * time.Second)
-	// Of a machine that is partitioned at first, only stale heartbeats reach the controllers.
+	// In some steps this machine is partitioned at first, so that only copies of its heartbeats arrive.
 	partitioned, healAt := w.MachinesOf(after.Submission.ID)[0], w.Now+6*time.Second
 	if died {
 		w.Cloud.Fail(partitioned)
--- a/internal/controller/hung_leader_test.go
+++ b/internal/controller/hung_leader_test.go
@@ -10,10 +10,10 @@
 	"oakpick/internal/protocol"
 )
 
-// The leader runs the version in production and hangs during the whole rolling upgrade, with
-// requests and writes in flight, or resumes shortly before the end of the upgrade. Its process is
-// replaced last. Its writes and responses arrive late, after the other controllers were upgraded,
-// the limits lowered, pages split and a pipeline cancelled.
+// The leader runs the version in production and hangs during a rolling upgrade, with requests and
+// writes in flight. It hangs until its process is replaced, after those of the other controllers, or
+// resumes before that. Its writes and responses arrive late, after the other controllers were
+// upgraded, the limits lowered, pages split and a pipeline cancelled.
 func TestHungLeaderDuringRollingUpgrade(t *testing.T) {
 	t.Parallel()
 	for _, hang := range []time.Duration{2 * time.Second, 9 * time.Second, 25 * time.Second} {
@@ -30,7 +30,7 @@
 
 // testHungLeaderDuringRollingUpgrade upgrades the controllers at a pace set by hang and delays the
 // leader's writes and responses by late. The leader hangs until its process is replaced or, with
-// resumes, until 0.5 s before hang has passed.
+// resumes, for 0.5 s less than hang.
 func testHungLeaderDuringRollingUpgrade(t *testing.T, hang, late time.Duration, resumes bool) {
 	t.Helper()
 	w := newProductionWorld(t)
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -16,13 +16,13 @@
 	largeFleet = 4000
 	// rackMachines is the number of machines that fail together.
 	rackMachines = 40
-	replicasEach = 50 // of each job that newFleet submits
+	replicasPerJob = 50 // of each job that newFleet submits
 )
 
 // allReplicasRun reports whether all replicas of newFleet's jobs are running.
 func allReplicasRun(w *fake.World) bool {
-	for i := range largeFleet / replicasEach {
-		if w.Running(service(i+1, replicasEach).ID) != replicasEach {
+	for i := range largeFleet / replicasPerJob {
+		if w.Running(service(i+1, replicasPerJob).ID) != replicasPerJob {
 			return false
 		}
 	}
@@ -43,9 +43,9 @@
 	return up
 }
 
-// The largest fleet that users run meets a failover, the loss of a rack and the cancellation of all
-// jobs. The new leader knows all machines, the lost replicas run again on other machines, and
-// at the end no machine stays provisioned. A fixed limit below the size of the fleet would leave
+// At the size of the largest fleet that users run, the leader crashes, a rack is lost and all jobs
+// are cancelled. The new leader knows all machines, the lost replicas run again on other machines,
+// and at the end no machine stays provisioned. A fixed limit below the size of the fleet would leave
 // some machines or replicas out.
 func TestLargeFleetFailoverRackLossAndScaleIn(t *testing.T) {
 	w, leader := newFleet(t, largeFleet)
@@ -84,10 +84,9 @@
 	requireNoViolations(t, w)
 }
 
-// The options of a large fleet are within their ranges: a leader may examine all machines for each
-// task, and options can be changed with any defaults that the settings give. With a write_rps of
-// 1,001, the default of moves_per_min used to exceed its own maximum, so that every change of an
-// option was refused.
+// With the settings of a large fleet, an operator can let the leader examine all machines for each
+// task, and the default options are within their ranges. With a write_rps of 1,001, the default of
+// moves_per_min used to exceed its maximum, so that every change of an option was refused.
 func TestLargeFleetSettingsAreInRange(t *testing.T) {
 	s := fake.Settings()
 	s.State.WriteRPS = largeFleet
--- a/internal/controller/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -30,7 +30,7 @@
 // The root of a long, a wide or a diamond-shaped pipeline is cancelled under the lowest limits of
 // the state service, and the leader crashes while the terminal records of the dependents are
 // written. From the first moment on, all controllers report every job as cancelled. The terminal
-// records are written within cancel_s, and other users' submissions are still accepted in time.
+// records are written within cancel_s, and other users' submissions are accepted without long delays.
 func TestCancelRootOfLargePipeline(t *testing.T) {
 	t.Parallel()
 	for name, needs := range pipelineShapes {
@@ -43,8 +43,8 @@
 	}
 }
 
-// testCancelRootOfLargePipeline crashes the leader crashAfter after the cancellation was confirmed,
-// or not at all if crashAfter is negative.
+// testCancelRootOfLargePipeline crashes the leader when crashAfter has passed since the cancellation
+// was confirmed, or not at all if crashAfter is negative.
 func testCancelRootOfLargePipeline(t *testing.T, needs func(int, []*fake.Job) []*fake.Job, crashAfter time.Duration) {
 	t.Helper()
 	w := newWorldWith(t, smallestStateLimits())
@@ -154,8 +154,8 @@
 }
 
 // Jobs with the same prerequisite are submitted in the same millisecond at all controllers, some of
-// them twice. The prerequisite is done, and since all processes have been replaced, its terminal
-// record is all that is known of it.
+// them twice. The prerequisite is done, and after a restart of all processes only its terminal record
+// is left.
 func TestPrerequisiteEndedBeforeAllRestarts(t *testing.T) {
 	w := newWorld(t)
 	done := w.Submit(job(1, protocol.Gang, 2), time.Second)
--- a/internal/controller/leadership_end_test.go
+++ b/internal/controller/leadership_end_test.go
@@ -44,7 +44,7 @@
 	case message.CloudCall, message.CommandsCall:
 		return true
 	case message.PeerCall:
-		return effect.Term > 0 // a follower's probe names no term
+		return effect.Term > 0 // a follower's probe has no term
 	case message.StateCall:
 		return writesPages(effect.Txn)
 	case message.Reply:
@@ -69,7 +69,7 @@
 // and resigns. From then on, also in the same step, none of its effects may require leadership. By
 // the time such a request is sent, another leader may have placed tasks that the former leader
 // doesn't know of, and the request could release a machine that has tasks again.
-func TestResignedLeaderDecidesNothingMore(t *testing.T) {
+func TestNoLeaderEffectsAfterResignation(t *testing.T) {
 	t.Parallel()
 	resigned := 0
 	for step := range 40 {
@@ -82,7 +82,7 @@
 	}
 }
 
-// testResignation disconnects the leader from the workers after a delay and reports whether it
+// testResignation partitions the leader from the workers after a delay and reports whether it
 // resigned.
 func testResignation(t *testing.T, delay time.Duration) (resigned bool) {
 	t.Helper()
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -122,9 +122,9 @@
 	requireNoViolations(t, w)
 }
 
-// The state service is unreachable for the leader alone. Another controller takes the term and tells
-// the former leader, which forwards its users' requests at once and stays healthy, although it can't
-// read the leader's key.
+// The state service becomes unreachable for the leader only. Another controller takes the term and
+// tells the former leader, which forwards its users' requests at once and stays healthy, although it
+// can't read the leader's key.
 func TestFormerLeaderWithoutStateServiceFollows(t *testing.T) {
 	w := newWorld(t)
 	a := w.Submit(service(1, 1), 0)
@@ -146,8 +146,8 @@
 }
 
 // The leader reaches the state service and its peers, but receives no heartbeats. The other
-// controllers would redirect every worker to it until the worker's lease expires. It resigns at
-// once, so that no running task is lost.
+// controllers would redirect every worker to it until the worker's lease expires. The leader resigns
+// at once, so that no running task is lost.
 func TestLeaderWithoutHeartbeatsResigns(t *testing.T) {
 	s := fake.Settings()
 	s.Workers.HeartbeatIntervalS, s.Workers.LeaseS, s.Workers.CancelWithinS = 3, 14, 34
@@ -215,8 +215,8 @@
 	}
 }
 
-// The leader changes ten times in two minutes, because it crashes, is paused or can't reach the
-// state service, in part during outages, while jobs are submitted, end and are cancelled.
+// Ten leader changes in two minutes are caused by crashes, pauses and an unreachable state service,
+// some of them during outages, while jobs are submitted, end and are cancelled.
 func TestTenLeaderChanges(t *testing.T) {
 	for seed := range 6 {
 		w := newWorld(t)
--- a/internal/controller/many_prerequisites_test.go
+++ b/internal/controller/many_prerequisites_test.go
@@ -87,8 +87,8 @@
 }
 
 // testManyPrerequisites loses two writes of the acceptance after the given number of writes and
-// crashes the leader. It cancels a prerequisite during the acceptance ("at once") or afterwards
-// ("later"), or "never".
+// crashes the leader. The parameter cancelled says when a prerequisite is cancelled: "at once" (during
+// the acceptance), "later" (after it) or "never".
 func testManyPrerequisites(t *testing.T, writes int, cancelled string) {
 	t.Helper()
 	w, dependent, running := newWorldWithManyPrerequisites(t)
--- a/internal/controller/mixed_prerequisites_test.go
+++ b/internal/controller/mixed_prerequisites_test.go
@@ -59,10 +59,11 @@
 	"carried out late": func(_ *fake.World, delivery *fake.Delivery) { delivery.RequestDelay = 4 * time.Second },
 }
 
-// Jobs name an archived cancelled job beside an unfinished one, and other jobs name these. The leader
-// crashes at any of its writes, or the responses of the state service are late or lost. The users of
-// the dependents are told that these are cancelled within cancel_s, and no node reports an older
-// status afterwards. The unfinished job, and a job that needs only that one, are done.
+// A job depends on an archived cancelled job and on an unfinished one, and further jobs depend on
+// these. The leader crashes at any of its writes, or the responses of the state service are late or
+// lost. The users of the jobs that depend on the cancelled one are told within cancel_s that their
+// jobs are cancelled, and no node reports an older status afterwards. The unfinished job, and a job
+// that needs only that one, are done.
 //
 // Before the fix of docs/incidents/2026-12-03-cancelled-job-in-dependency-graph.md, 39 of the 40
 // cases failed with "wk-000003 is in the graph, and its job is over or refers to another node".
--- a/internal/controller/model_actions_test.go
+++ b/internal/controller/model_actions_test.go
@@ -59,7 +59,7 @@
 
 // Actions of users.
 
-// cancel lets its user cancel a job.
+// cancel lets a user cancel a job.
 func (d *randomWorld) cancel() {
 	if j := d.drawJob(); j != nil && !j.CancelRequested && j.Accepted {
 		d.world.CancelJob(j)
@@ -114,7 +114,7 @@
 
 // Faults of controllers.
 
-// crash crashes a controller and restarts it after a time.
+// crash crashes a controller and restarts it after a random time.
 func (d *randomWorld) crash(c *fake.Controller) {
 	if c.Up {
 		crashFor(d.world, c, d.drawMillis("for", 0, 8000))
@@ -131,7 +131,7 @@
 	}
 }
 
-// pauseController pauses the process of a controller.
+// pauseController pauses the process of a controller for a random time.
 func (d *randomWorld) pauseController() {
 	c := d.drawController()
 	c.PausedUntil = d.world.Now + d.drawMillis("for", 100, 6000)
@@ -151,7 +151,7 @@
 	}
 }
 
-// partitionController partitions a controller from everything but the workers.
+// partitionController leaves a controller connected to the workers only.
 func (d *randomWorld) partitionController() {
 	c := d.drawController()
 	others := []string{"state", "cloud", "n0", "n1", "n2"}
