--- a/internal/controller/grace_period_test.go
+++ b/internal/controller/grace_period_test.go
@@ -69,14 +69,14 @@
 	waitRunning(t, w, j.Submission.ID, 2)
 	w.Run(5 * time.Second)
 	machines := w.MachinesOf(j.Submission.ID)
-	taken := func() bool { h := w.State.WriterOf(election.LeaderKey); return h != "n0" && h != "" }
+	termTaken := func() bool { h := w.State.WriterOf(election.LeaderKey); return h != "n0" && h != "" }
 	w.State.Unreachable["n0"] = true
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		delivery.LoseResponse = kind == fake.KindState && from != "n0" && taken()
+		delivery.LoseResponse = kind == fake.KindState && from != "n0" && termTaken()
 		return delivery
 	}
-	if !w.RunUntil(5*time.Second, taken) {
+	if !w.RunUntil(5*time.Second, termTaken) {
 		t.Fatal("no other controller took the term")
 	}
 	w.Run(100 * time.Millisecond)
@@ -108,8 +108,8 @@
 	machine := w.MachinesOf(j.Submission.ID)[0]
 	w.Network = func(_, from, to string) fake.Delivery {
 		delivery := fake.Reliable()
-		alone := func(x string) bool { return x == "n0" || x == machine }
-		delivery.LoseRequest = alone(from) != alone(to)
+		isolated := func(x string) bool { return x == "n0" || x == machine }
+		delivery.LoseRequest = isolated(from) != isolated(to)
 		return delivery
 	}
 	return w, j
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -105,15 +105,15 @@
 	}
 	w.Controllers[0].Crash()
 	stale := slices.Clone(recorded)
-	taken := false
+	tookOver := false
 	for range 400 { // replays as soon as another controller leads, and in some steps repeatedly
 		w.Run(50 * time.Millisecond)
-		if w.Leader() != nil && (!taken || step%4 == 0 && int(w.Now/time.Millisecond)%500 == 0) {
-			taken = true
+		if w.Leader() != nil && (!tookOver || step%4 == 0 && int(w.Now/time.Millisecond)%500 == 0) {
+			tookOver = true
 			replayEveryFifth(w, stale, step%5)
 		}
 	}
-	if !taken {
+	if !tookOver {
 		t.Fatal("no controller took over")
 	}
 	waitRunning(t, w, before.Submission.ID, 2)
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -15,7 +15,7 @@
 	// be lower.
 	largeFleet = 4000
 	// rackMachines is the number of machines that fail together.
-	rackMachines = 40
+	rackMachines   = 40
 	replicasPerJob = 50 // of each job that newFleet submits
 )
 
