--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -89,7 +89,7 @@
 // scaleOut executes a provisioning request. A repeated one gets the machines of the first.
 func (c *Cloud) scaleOut(request protocol.ProvisioningRequest) ([]string, rpc.Outcome) {
 	if request.Count < 1 || request.Count > maxScaleOut {
-		c.world.Violation(ruleCloud, "%d machines requested at once", request.Count)
+		c.world.RecordViolation(ruleCloud, "%d machines requested at once", request.Count)
 	}
 	if names, ok := c.provisioned[request.RequestID]; ok {
 		return names, rpc.OK
@@ -125,7 +125,7 @@
 
 func (c *Cloud) scaleIn(names []string) {
 	if len(names) > maxScaleIn {
-		c.world.Violation(ruleCloud, "%d machines returned at once", len(names))
+		c.world.RecordViolation(ruleCloud, "%d machines returned at once", len(names))
 	}
 	for _, name := range names {
 		c.Reclaim(name)
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -20,7 +20,7 @@
 		worker.observeToken(call.FencingToken)
 		decoded, err := protocol.DecodeCommands(protocol.EncodeCommands(call.FencingToken, call.Incarnation, call.Commands))
 		if err != nil {
-			worker.world.Violation(ruleWorker, "commands that can't be read: %v", err)
+			worker.world.RecordViolation(ruleWorker, "commands that can't be read: %v", err)
 			return result
 		}
 		worker.runCommands(decoded.Commands)
--- a/internal/fake/effects.go
+++ b/internal/fake/effects.go
@@ -93,7 +93,7 @@
 	w := c.world
 	for _, command := range e.Commands {
 		if j := w.Jobs[command.Attempt.Job]; command.Verb == protocol.Start && j != nil && j.Cancelled {
-			w.Violation(ruleStartedCancelled, "%s sends a start of %s, which its user was told is cancelled", c.Name, command.Attempt.Job)
+			w.RecordViolation(ruleStartedCancelled, "%s sends a start of %s, which its user was told is cancelled", c.Name, command.Attempt.Job)
 		}
 	}
 	c.call(KindCommands, e.Machine, w.heartbeatInterval()*3/4,
--- a/internal/fake/heartbeats.go
+++ b/internal/fake/heartbeats.go
@@ -134,7 +134,7 @@
 func (worker *Worker) handleResponse(body []byte, sentAt time.Duration) {
 	response, err := protocol.DecodeCommands(body)
 	if err != nil {
-		worker.world.Violation(ruleWorker, "an answer that can't be read: %v", err)
+		worker.world.RecordViolation(ruleWorker, "an answer that can't be read: %v", err)
 		return
 	}
 	if response.FencingToken < worker.fencingToken {
--- a/internal/fake/peers.go
+++ b/internal/fake/peers.go
@@ -28,7 +28,7 @@
 	w := c.world
 	pending, ok := c.pending[e.ID]
 	if !ok {
-		w.Violation(ruleForward, "%s hands on what is no request", c.Name)
+		w.RecordViolation(ruleForward, "%s hands on what is no request", c.Name)
 		return
 	}
 	delete(c.pending, e.ID)
--- a/internal/fake/pipelines.go
+++ b/internal/fake/pipelines.go
@@ -75,11 +75,11 @@
 func (w *World) checkAncestors(j *Job, status string, askedAt time.Duration) {
 	for ancestor := range w.ancestors(j) {
 		if ancestor.Cancelled && askedAt > ancestor.CancelledAt+w.cancelWithin() {
-			w.Violation(ruleOrphaned, "%s is called %s, and %s is cancelled", j.Submission.ID, status, ancestor.Submission.ID)
+			w.RecordViolation(ruleOrphaned, "%s is called %s, and %s is cancelled", j.Submission.ID, status, ancestor.Submission.ID)
 		}
 		// Stricter than the rule: a job that waits has nothing to be stopped.
 		if ancestor.Cancelled && askedAt > ancestor.CancelledAt {
-			w.Violation(ruleOrphaned, "%s is called %s after its user was told that %s is cancelled", j.Submission.ID, status, ancestor.Submission.ID)
+			w.RecordViolation(ruleOrphaned, "%s is called %s after its user was told that %s is cancelled", j.Submission.ID, status, ancestor.Submission.ID)
 		}
 	}
 }
@@ -88,11 +88,11 @@
 func (w *World) checkDescendant(j, descendant *Job, status string) {
 	id := descendant.Submission.ID
 	if status == protocol.StatusCancelled && descendant.Started {
-		w.Violation(ruleWentBack, "%s is called cancelled, and %s, which needs it, has begun", j.Submission.ID, id)
+		w.RecordViolation(ruleWentBack, "%s is called cancelled, and %s, which needs it, has begun", j.Submission.ID, id)
 	}
 	otherCancelled := descendant.CancelRequested ||
 		anyJob(w.ancestors(descendant), func(p *Job) bool { return p != j && p.CancelRequested })
 	if status == protocol.StatusDone && descendant.Status == protocol.StatusCancelled && !otherCancelled {
-		w.Violation(ruleWentBack, "%s is done, and %s was called cancelled with it", j.Submission.ID, id)
+		w.RecordViolation(ruleWentBack, "%s is done, and %s was called cancelled with it", j.Submission.ID, id)
 	}
 }
--- a/internal/fake/state_requests.go
+++ b/internal/fake/state_requests.go
@@ -51,7 +51,7 @@
 
 func (s *State) grantLease(ttl time.Duration) (id int64) {
 	if ttl < minLeaseTTL {
-		s.world.Violation(ruleState, "a lease of %v", ttl)
+		s.world.RecordViolation(ruleState, "a lease of %v", ttl)
 	}
 	s.nextID++
 	s.leases[s.nextID] = lease{ttl, s.world.Now + ttl}
--- a/internal/fake/state_txn.go
+++ b/internal/fake/state_txn.go
@@ -52,16 +52,16 @@
 func (s *State) admit(txn protocol.Txn) rpc.Outcome {
 	if excess := s.excess(txn); excess != "" {
 		if !s.limitsLowered {
-			s.world.Violation(ruleState, "%s", excess)
+			s.world.RecordViolation(ruleState, "%s", excess)
 		}
 		s.RejectedForSize++
 		return rpc.Invalid
 	}
 	if len(txn.Then) > s.limits.TxnOps || len(txn.If) > conditionsPerChange*s.limits.TxnOps {
-		s.world.Violation(ruleState, "a transaction of %d changes and %d conditions", len(txn.Then), len(txn.If))
+		s.world.RecordViolation(ruleState, "a transaction of %d changes and %d conditions", len(txn.Then), len(txn.If))
 	}
 	if size := sizeInJSON(txn); size > protocol.MaxBody {
-		s.world.Violation(ruleState, "a transaction of %d bytes", size)
+		s.world.RecordViolation(ruleState, "a transaction of %d bytes", size)
 		return rpc.Unknown // an answer that the protocol doesn't list
 	}
 	if s.RejectWrites && len(txn.Then) > 0 && txn.Then[0].Put != election.LeaderKey {
@@ -123,11 +123,11 @@
 	for _, change := range txn.Then {
 		size := sizeInJSON(change.Value)
 		if change.Delete == "" && size > bytesIn(next.ValueKB) && size > s.storedSize(change.Put) {
-			s.world.Violation(ruleState, "%s writes a value of %d bytes, above the limits to come", from, size)
+			s.world.RecordViolation(ruleState, "%s writes a value of %d bytes, above the limits to come", from, size)
 		}
 	}
 	if len(txn.Then) > next.TxnOps {
-		s.world.Violation(ruleState, "%s makes %d changes at once, above the limits to come", from, len(txn.Then))
+		s.world.RecordViolation(ruleState, "%s makes %d changes at once, above the limits to come", from, len(txn.Then))
 	}
 }
 
--- a/internal/fake/statuses.go
+++ b/internal/fake/statuses.go
@@ -12,7 +12,7 @@
 func (w *World) checkStatus(j *Job, reply message.Reply, askedAt time.Duration) {
 	var response protocol.JobResponse
 	if err := protocol.Decode(reply.Body, &response); err != nil || response.ID != j.Submission.ID {
-		w.Violation(ruleAnswer, "%s: %v", j.Submission.ID, err)
+		w.RecordViolation(ruleAnswer, "%s: %v", j.Submission.ID, err)
 		return
 	}
 	j.AnsweredAt = w.Now
@@ -36,13 +36,13 @@
 func (w *World) checkProgress(j *Job, status string) {
 	id := j.Submission.ID
 	if status == protocol.StatusDone && len(j.DoneTasks) < j.Submission.Tasks {
-		w.Violation(ruleNotDone, "%s: %d of %d", id, len(j.DoneTasks), j.Submission.Tasks)
+		w.RecordViolation(ruleNotDone, "%s: %d of %d", id, len(j.DoneTasks), j.Submission.Tasks)
 	}
 	if status == protocol.StatusCancelled && !j.CancelRequested && !w.ancestorCancelRequested(j) {
-		w.Violation(ruleWentBack, "%s: cancelled, and nobody asked", id)
+		w.RecordViolation(ruleWentBack, "%s: cancelled, and nobody asked", id)
 	}
 	if isFinal(j.Status) && status != j.Status {
-		w.Violation(ruleWentBack, "%s: %s after %s", id, status, j.Status)
+		w.RecordViolation(ruleWentBack, "%s: %s after %s", id, status, j.Status)
 	}
 }
 
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -26,7 +26,7 @@
 			w.checkStatus(j, r, askedAt)
 		case answered && rejects(r.Status):
 			if j.Accepted {
-				w.Violation(ruleForgotten, "%s: a repeat got %d", s.ID, r.Status)
+				w.RecordViolation(ruleForgotten, "%s: a repeat got %d", s.ID, r.Status)
 			}
 			j.RejectedWith = r.Status
 		default:
@@ -113,7 +113,7 @@
 		notDone := r.Status == http.StatusOK &&
 			(protocol.Decode(r.Body, &response) != nil || response.Status != protocol.StatusDone)
 		if answered && (r.Status == http.StatusNotFound || notDone) {
-			w.Violation(ruleForgotten, "%s, which is done: %d %s", id, r.Status, response.Status)
+			w.RecordViolation(ruleForgotten, "%s, which is done: %d %s", id, r.Status, response.Status)
 		}
 	})
 }
@@ -122,7 +122,7 @@
 func (w *World) PollUnknown() {
 	w.request(message.UserRequest{Kind: message.Poll, Job: "wk-999999"}, func(r message.Reply, answered bool) {
 		if answered && r.Status == http.StatusOK {
-			w.Violation(ruleInvented, "a job that nobody submitted")
+			w.RecordViolation(ruleInvented, "a job that nobody submitted")
 		}
 	})
 }
@@ -131,7 +131,7 @@
 	known, askedAt := j.known(), w.Now
 	w.requestAt(c, message.UserRequest{Kind: message.Poll, Job: j.Submission.ID}, func(r message.Reply, answered bool) {
 		if answered && r.Status == http.StatusNotFound && known {
-			w.Violation(ruleForgotten, "%s", j.Submission.ID)
+			w.RecordViolation(ruleForgotten, "%s", j.Submission.ID)
 		}
 		if answered && r.Status == http.StatusOK {
 			w.checkStatus(j, r, askedAt)
@@ -154,9 +154,9 @@
 	w.requestAt(c, message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, answered bool) {
 		switch {
 		case answered && rejects(r.Status):
-			w.Violation(ruleForgotten, "%s: a repeat got %d", s.ID, r.Status)
+			w.RecordViolation(ruleForgotten, "%s: a repeat got %d", s.ID, r.Status)
 		case answered && r.Status == http.StatusCreated && known:
-			w.Violation(ruleForgotten, "%s: a repeat was accepted as new", s.ID)
+			w.RecordViolation(ruleForgotten, "%s: a repeat was accepted as new", s.ID)
 		case answered && accepts(r.Status):
 			j.Accepted = true
 			w.checkStatus(j, r, askedAt)
@@ -180,7 +180,7 @@
 		change(&s)
 		w.request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, answered bool) {
 			if answered && r.Status != http.StatusUnprocessableEntity && r.Status != http.StatusServiceUnavailable {
-				w.Violation(ruleAccepted, "%s, which can't run: %d", s.ID, r.Status)
+				w.RecordViolation(ruleAccepted, "%s, which can't run: %d", s.ID, r.Status)
 			}
 		})
 	}
@@ -208,7 +208,7 @@
 			return
 		}
 		if answered && r.Status == http.StatusNotFound && j.Accepted {
-			w.Violation(ruleForgotten, "%s: cancelling it got 404", j.Submission.ID)
+			w.RecordViolation(ruleForgotten, "%s: cancelling it got 404", j.Submission.ID)
 		}
 		w.After(userRetryDelay, func() { w.CancelJob(j) })
 	})
--- a/internal/fake/violations.go
+++ b/internal/fake/violations.go
@@ -30,8 +30,8 @@
 // maxViolations is how many violations are kept.
 const maxViolations = 20
 
-// Violation notes that a rule was broken.
-func (w *World) Violation(rule, format string, args ...any) {
+// RecordViolation notes that a rule was broken.
+func (w *World) RecordViolation(rule, format string, args ...any) {
 	if len(w.Violations) < maxViolations {
 		w.Violations = append(w.Violations, fmt.Sprintf("%8.2f %s: %s", w.Now.Seconds(), rule, fmt.Sprintf(format, args...)))
 	}
@@ -54,17 +54,17 @@
 	job := a.job
 	for other := range job.attemptsOnMachines {
 		if other != a && other.Task == a.Task {
-			w.Violation(ruleRanTwice, "%s/%d on %s while on %s", a.Job, a.Task, worker.machine.Name, other.worker.machine.Name)
+			w.RecordViolation(ruleRanTwice, "%s/%d on %s while on %s", a.Job, a.Task, worker.machine.Name, other.worker.machine.Name)
 		}
 	}
 	w.checkPlacement(worker, a)
 	if job.Cancelled && w.Now > job.CancelledAt+w.cancelWithin() {
-		w.Violation(ruleRanCancelled, "%s/%d started", a.Job, a.Task)
+		w.RecordViolation(ruleRanCancelled, "%s/%d started", a.Job, a.Task)
 	}
 	job.Started = true
 	for _, p := range w.prerequisites(job) {
 		if len(p.DoneTasks) < p.Submission.Tasks {
-			w.Violation(ruleTooEarly, "%s/%d started, and %s is not done", a.Job, a.Task, p.Submission.ID)
+			w.RecordViolation(ruleTooEarly, "%s/%d started, and %s is not done", a.Job, a.Task, p.Submission.ID)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 		s.OneZone && len(tasksByZone) > 1 ||
 		s.Spread && tasksByZone[m.Zone] > (s.Tasks+1)/2
 	if wrongType || wrongZone {
-		w.Violation(ruleWrongPlace, "%s/%d on %s (%s, %s, spot %v), zones %v", a.Job, a.Task, m.Name, m.Type, m.Zone, m.Spot, tasksByZone)
+		w.RecordViolation(ruleWrongPlace, "%s/%d on %s (%s, %s, spot %v), zones %v", a.Job, a.Task, m.Name, m.Type, m.Zone, m.Spot, tasksByZone)
 	}
 }
 
@@ -98,7 +98,7 @@
 		}
 	}
 	if leaders > 1 {
-		w.Violation(ruleTerm, "%d controllers are certain to lead", leaders)
+		w.RecordViolation(ruleTerm, "%d controllers are certain to lead", leaders)
 	}
 }
 
@@ -106,7 +106,7 @@
 	for _, team := range w.Cfg.Settings.Teams {
 		used := w.usageByTeam[team.Name]
 		if team.CPULimit > 0 && used.cpus > team.CPULimit+tolerance || team.GPULimit > 0 && used.gpus > team.GPULimit+tolerance {
-			w.Violation(ruleQuota, "%s uses %v", team.Name, used)
+			w.RecordViolation(ruleQuota, "%s uses %v", team.Name, used)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 			return false
 		}
 		for a := range j.attemptsOnMachines {
-			w.Violation(ruleRanCancelled, "%s/%d is still on a machine", a.Job, a.Task)
+			w.RecordViolation(ruleRanCancelled, "%s/%d is still on a machine", a.Job, a.Task)
 		}
 		return len(j.attemptsOnMachines) == 0 // what starts from now on is found by checkStart
 	})
--- a/internal/scale/testbed/servers.go
+++ b/internal/scale/testbed/servers.go
@@ -82,7 +82,7 @@
 func (s *simulatedServers) openWorker(machine protocol.Machine) {
 	s.machineNames.Store(machine.Addr, machine.Name)
 	if err := s.workers.listen(machine.Addr); err != nil {
-		s.loop.world.Violation("scale", "%s can't listen: %v", machine.Name, err)
+		s.loop.world.RecordViolation("scale", "%s can't listen: %v", machine.Name, err)
 	}
 }
 
