--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -361,7 +361,7 @@
 			tw.world.Resubmit(j)
 		}
 	case 2:
-		tw.world.InvalidRequests()
+		tw.world.SubmitInvalidJobs()
 	case 3:
 		if j != nil && j.Accepted {
 			tw.world.QueryEverywhere(j)
--- a/internal/controller/model_actions_test.go
+++ b/internal/controller/model_actions_test.go
@@ -47,7 +47,7 @@
 	{"record heartbeats", (*drawnWorld).recordHeartbeats},
 	{"query rapidly", (*drawnWorld).queryRapidly},
 	{"cancel at the end", (*drawnWorld).cancelAtEnd},
-	{"invalid requests", func(d *drawnWorld) { d.world.InvalidRequests() }},
+	{"invalid requests", func(d *drawnWorld) { d.world.SubmitInvalidJobs() }},
 	{"slow state service", (*drawnWorld).slowState},
 	{"upgrade", (*drawnWorld).upgradeNext},
 	{"upgrade", (*drawnWorld).upgradeNext},
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -164,10 +164,10 @@
 	})
 }
 
-// InvalidRequests sends what users send at times: jobs that can't run, of a team that
+// SubmitInvalidJobs sends what users send at times: jobs that can't run, of a team that
 // nobody knows, too large for any machine or for their team's limit. Each is
 // refused for good, or for now, and never accepted.
-func (w *World) InvalidRequests() {
+func (w *World) SubmitInvalidJobs() {
 	for i, change := range []func(*protocol.Submission){
 		func(s *protocol.Submission) { s.Team = "nobody" },
 		func(s *protocol.Submission) { s.CPUs = 1e6 },
