--- a/internal/fake/job.go
+++ b/internal/fake/job.go
@@ -54,9 +54,9 @@
 	return j
 }
 
-// AddEndedBefore notes a job that ended before the world began, so that others may name it.
+// AddEndedJob notes a job that ended before the world began, so that others may name it.
 // Nobody asks about it.
-func (w *World) AddEndedBefore(id string, cancelled bool) {
+func (w *World) AddEndedJob(id string, cancelled bool) {
 	if w.Jobs[id] != nil {
 		return
 	}
--- a/internal/scale/pipelines.go
+++ b/internal/scale/pipelines.go
@@ -41,7 +41,7 @@
 	}
 	if w.parameters.Archived > 0 && w.random.Float64() < archivedNamedShare {
 		record := archivedRecord(w.random.IntN(w.parameters.Archived))
-		w.world.AddEndedBefore(record.ID, record.Cancelled)
+		w.world.AddEndedJob(record.ID, record.Cancelled)
 		job.Prerequisites = append(job.Prerequisites, record.ID)
 	}
 	w.submit(job, pipelineRunTime)
