--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -40,7 +40,7 @@
 	if !w.RunUntil(6*time.Second, func() bool { return w.Running(high.ID) == 1 }) {
 		t.Error("not started in 6 s")
 	}
-	if len(j.Saved) == 0 {
+	if len(j.CheckpointedRunTime) == 0 {
 		t.Error("what yielded saved nothing")
 	}
 	requireNoViolations(t, w)
@@ -75,8 +75,8 @@
 		t.Errorf("%d of 2 run after 6 s", w.Running(high.ID))
 	}
 	w.Run(2 * time.Second)
-	if n := w.Running(low.ID); n != 6 || len(batch.Saved) != 6 {
-		t.Errorf("%d of the batch's tasks run on, %d have saved", n, len(batch.Saved))
+	if n := w.Running(low.ID); n != 6 || len(batch.CheckpointedRunTime) != 6 {
+		t.Errorf("%d of the batch's tasks run on, %d have saved", n, len(batch.CheckpointedRunTime))
 	}
 	w.CancelJob(s)
 	for range 30 {
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -35,7 +35,7 @@
 	s, sentAt := job(l.id, protocol.Array, 1), w.Now
 	s.CPUs = 0.1
 	// Its user asks only once, but its tasks are known to the workers.
-	w.Jobs[s.ID] = &fake.Job{Submission: s, RunTime: 100 * time.Millisecond, Saved: map[int]time.Duration{}, DoneTasks: map[int]bool{}}
+	w.Jobs[s.ID] = &fake.Job{Submission: s, RunTime: 100 * time.Millisecond, CheckpointedRunTime: map[int]time.Duration{}, DoneTasks: map[int]bool{}}
 	w.Controllers[0].Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) {
 		l.answers++
 		l.slowest = max(l.slowest, w.Now-sentAt)
--- a/internal/fake/attempt.go
+++ b/internal/fake/attempt.go
@@ -98,7 +98,7 @@
 		return
 	}
 	ranFor := worker.world.Now - a.startedAt
-	if job.Submission.Kind == protocol.Service || ranFor < job.RunTime-job.Saved[a.Task] {
+	if job.Submission.Kind == protocol.Service || ranFor < job.RunTime-job.CheckpointedRunTime[a.Task] {
 		return
 	}
 	job.DoneTasks[a.Task] = true
@@ -113,7 +113,7 @@
 func (worker *Worker) endCheckpoint(a *attempt) {
 	job := a.job
 	a.Checkpointed = true
-	job.Saved[a.Task] = min(job.RunTime, job.Saved[a.Task]+a.checkpointDoneAt-a.startedAt)
+	job.CheckpointedRunTime[a.Task] = min(job.RunTime, job.CheckpointedRunTime[a.Task]+a.checkpointDoneAt-a.startedAt)
 	worker.exit(a, protocol.ExitStopped)
 }
 
--- a/internal/fake/job.go
+++ b/internal/fake/job.go
@@ -13,8 +13,8 @@
 	RunTime    time.Duration
 	// AlwaysFails makes every task exit with a failure as soon as it has its image.
 	AlwaysFails bool
-	// Saved is how much of its run time each task has saved in checkpoints.
-	Saved map[int]time.Duration
+	// CheckpointedRunTime is how much of its run time each task has saved in checkpoints.
+	CheckpointedRunTime map[int]time.Duration
 	// DoneTasks has the tasks that ran to their end.
 	DoneTasks map[int]bool
 	// Started tells whether a task was ever on a machine.
@@ -46,7 +46,7 @@
 
 // Submit hands a job in, and again until it is accepted, as users do.
 func (w *World) Submit(s protocol.Submission, run time.Duration) *Job {
-	j := &Job{Submission: s, RunTime: run, Saved: map[int]time.Duration{}, DoneTasks: map[int]bool{}, SubmittedAt: w.Now}
+	j := &Job{Submission: s, RunTime: run, CheckpointedRunTime: map[int]time.Duration{}, DoneTasks: map[int]bool{}, SubmittedAt: w.Now}
 	w.pipelines = w.pipelines || len(s.Prerequisites) > 0
 	w.Jobs[s.ID] = j
 	w.jobNames = append(w.jobNames, s.ID)
