--- a/internal/controller/helpers_durability_test.go
+++ b/internal/controller/helpers_durability_test.go
@@ -84,9 +84,9 @@
 		case fault == "late" && writes == 1:
 			delivery.LoseRequest, delivery.DuplicateAfter = true, 4*time.Second
 		case fault == "refused" && writes == 1:
-			w.After(delivery.RequestDelay, func() { w.State.RejectWrites = true })
+			w.After(delivery.RequestDelay, func() { w.State.RejectPageWrites = true })
 		case fault == "refused" && writes == 2:
-			w.After(delivery.RequestDelay, func() { w.State.RejectWrites = false })
+			w.After(delivery.RequestDelay, func() { w.State.RejectPageWrites = false })
 		}
 		return delivery
 	}
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -105,7 +105,7 @@
 	t.Helper()
 	w := load.world
 	from := w.Now
-	w.State.RejectWrites = true
+	w.State.RejectPageWrites = true
 	for second := range 25 {
 		load.run()
 		if second == 3 {
@@ -114,7 +114,7 @@
 			}
 		}
 		if w.Now-from > 12*time.Second { // longer than a worker's lease
-			w.State.RejectWrites = false
+			w.State.RejectPageWrites = false
 		}
 		if second == 14 {
 			for _, j := range toCancel {
--- a/internal/controller/write_share_test.go
+++ b/internal/controller/write_share_test.go
@@ -38,7 +38,7 @@
 	changeWriteShare(w, 0.05)
 	changeWriteShare(w, 0.95)
 	w.Run(100 * time.Millisecond)
-	w.State.RejectWrites = false
+	w.State.RejectPageWrites = false
 	later := w.Submit(job(200, protocol.Array, 1), time.Second)
 	if !w.RunUntil(3*time.Second, func() bool { return later.Accepted }) {
 		t.Error("a submission is not accepted, though writes are taken again")
@@ -58,7 +58,7 @@
 	w.OnEffect = func(_ string, effect message.Effect) {
 		call, isCall := effect.(message.StateCall)
 		if isCall && len(call.Txn.Then) > 2 && !*rejected {
-			*rejected, w.State.RejectWrites = true, true
+			*rejected, w.State.RejectPageWrites = true, true
 		}
 	}
 	return rejected
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -37,8 +37,8 @@
 	// RejectedForSize counts transactions that were over the limits after these were
 	// lowered.
 	RejectedForSize int
-	// RejectWrites has every write of a page refused for the rate (429).
-	RejectWrites bool
+	// RejectPageWrites has every write of a page refused for the rate (429).
+	RejectPageWrites bool
 	// RejectFromKeys has every transaction refused for the rate (429) that changes at least so many
 	// keys; 0: none.
 	RejectFromKeys int
--- a/internal/fake/state_txn.go
+++ b/internal/fake/state_txn.go
@@ -64,7 +64,7 @@
 		s.world.RecordViolation(ruleState, "a transaction of %d bytes", size)
 		return rpc.Unknown // an answer that the protocol doesn't list
 	}
-	if s.RejectWrites && len(txn.Then) > 0 && txn.Then[0].Put != election.LeaderKey {
+	if s.RejectPageWrites && len(txn.Then) > 0 && txn.Then[0].Put != election.LeaderKey {
 		return rpc.Refused
 	}
 	if s.RejectFromKeys > 0 && len(txn.Then) >= s.RejectFromKeys {
