--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -39,9 +39,9 @@
 	RejectedForSize int
 	// RejectPageWrites has every write of a page refused for the rate (429).
 	RejectPageWrites bool
-	// RejectFromKeys has every transaction refused for the rate (429) that changes at least so many
+	// MinRejectedChanges has every transaction refused for the rate (429) that changes at least so many
 	// keys; 0: none.
-	RejectFromKeys int
+	MinRejectedChanges int
 	// RejectedForKeys counts these.
 	RejectedForKeys int
 
--- a/internal/fake/state_txn.go
+++ b/internal/fake/state_txn.go
@@ -67,7 +67,7 @@
 	if s.RejectPageWrites && len(txn.Then) > 0 && txn.Then[0].Put != election.LeaderKey {
 		return rpc.Refused
 	}
-	if s.RejectFromKeys > 0 && len(txn.Then) >= s.RejectFromKeys {
+	if s.MinRejectedChanges > 0 && len(txn.Then) >= s.MinRejectedChanges {
 		s.RejectedForKeys++
 		return rpc.Refused
 	}
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -131,7 +131,7 @@
 
 // rejectLargeWrites has the state service refuse transactions of at least so many keys; 0: none.
 func (e *experiment) rejectLargeWrites(keys int) {
-	e.testbed.DoAndWait(func() { e.testbed.World.State.RejectFromKeys = keys })
+	e.testbed.DoAndWait(func() { e.testbed.World.State.MinRejectedChanges = keys })
 }
 
 // waitForRejection waits until the state service has refused another large transaction.
