--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -42,8 +42,8 @@
 	// MinRejectedChanges has every transaction refused for the rate (429) that changes at least so many
 	// keys; 0: none.
 	MinRejectedChanges int
-	// RejectedForKeys counts these.
-	RejectedForKeys int
+	// RejectedForChanges counts these.
+	RejectedForChanges int
 
 	world         *World
 	limits        config.State
--- a/internal/fake/state_txn.go
+++ b/internal/fake/state_txn.go
@@ -68,7 +68,7 @@
 		return rpc.Refused
 	}
 	if s.MinRejectedChanges > 0 && len(txn.Then) >= s.MinRejectedChanges {
-		s.RejectedForKeys++
+		s.RejectedForChanges++
 		return rpc.Refused
 	}
 	if !s.withinWriteRate(len(txn.Then)) {
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -137,7 +137,7 @@
 // waitForRejection waits until the state service has refused another large transaction.
 func (e *experiment) waitForRejection(ctx context.Context) error {
 	rejected := func() (count int) {
-		e.testbed.DoAndWait(func() { count = e.testbed.World.State.RejectedForKeys })
+		e.testbed.DoAndWait(func() { count = e.testbed.World.State.RejectedForChanges })
 		return count
 	}
 	before := rejected()
