--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -83,7 +83,7 @@
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
 	w.Controllers[2].Crash()
-	w.Controllers[2].RunsProduction = true
+	w.Controllers[2].RunsProductionVersion = true
 	w.Controllers[2].Start()
 	completeJobs(t, w, 100_000, 100)
 	w.Run(20 * time.Second)
--- a/internal/controller/block_length_test.go
+++ b/internal/controller/block_length_test.go
@@ -119,7 +119,7 @@
 	w.RewriteAsProduction = roundTripProduction
 	for _, c := range w.Controllers {
 		c.Crash()
-		c.RunsProduction = true
+		c.RunsProductionVersion = true
 		c.Start()
 	}
 	large := job(1, protocol.Array, 60)
@@ -127,7 +127,7 @@
 	w.Submit(large, 30*time.Second)
 	waitRunning(t, w, large.ID, 24)
 	for _, c := range w.Controllers {
-		c.RunsProduction = false
+		c.RunsProductionVersion = false
 	}
 	restartWithValueSize(w, 1)
 	w.Run(10 * time.Second)
--- a/internal/controller/helpers_upgrade_test.go
+++ b/internal/controller/helpers_upgrade_test.go
@@ -19,7 +19,7 @@
 	w.RewriteAsProduction = roundTripProduction
 	for _, c := range w.Controllers {
 		c.Crash()
-		c.RunsProduction = true
+		c.RunsProductionVersion = true
 	}
 	startAll(w)
 	waitLeader(t, w, 10*time.Second)
@@ -34,7 +34,7 @@
 // upgrade replaces a controller's process by one of the new version.
 func upgrade(w *fake.World, c *fake.Controller, after time.Duration) {
 	c.Crash()
-	c.RunsProduction = false
+	c.RunsProductionVersion = false
 	w.After(after, c.Start)
 }
 
--- a/internal/controller/hung_leader_test.go
+++ b/internal/controller/hung_leader_test.go
@@ -82,7 +82,7 @@
 	return func(kind, from, to string) fake.Delivery {
 		delivery := fake.Reliable()
 		delayed := kind == fake.KindWrite || kind == fake.KindCommands || kind == fake.KindForward
-		if from == old.Name && old.RunsProduction && delayed {
+		if from == old.Name && old.RunsProductionVersion && delayed {
 			delivery.RequestDelay = late
 		}
 		if to == old.Name && kind == fake.KindForward {
--- a/internal/controller/model_actions_test.go
+++ b/internal/controller/model_actions_test.go
@@ -97,7 +97,7 @@
 // upgradeNext gives the next controller the new version.
 func (d *drawnWorld) upgradeNext() {
 	for _, c := range d.world.Controllers {
-		if c.RunsProduction {
+		if c.RunsProductionVersion {
 			upgrade(d.world, c, d.millis("for", 100, 6000))
 			return
 		}
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -83,7 +83,7 @@
 	}
 	production := rapid.Bool().Draw(t, "begins with production")
 	for _, c := range w.Controllers {
-		c.RunsProduction = production
+		c.RunsProductionVersion = production
 		if production {
 			c.Crash()
 			c.Start()
@@ -134,7 +134,7 @@
 
 // upgraded tells whether every controller has the new version.
 func (d *drawnWorld) upgraded() bool {
-	return !slices.ContainsFunc(d.world.Controllers, func(c *fake.Controller) bool { return c.RunsProduction })
+	return !slices.ContainsFunc(d.world.Controllers, func(c *fake.Controller) bool { return c.RunsProductionVersion })
 }
 
 // submit draws a job and submits it, unless there are enough.
@@ -203,7 +203,7 @@
 func (d *drawnWorld) endFaults() time.Duration {
 	d.network.recover()
 	for _, c := range d.world.Controllers {
-		if c.RunsProduction {
+		if c.RunsProductionVersion {
 			upgrade(d.world, c, time.Second)
 		}
 	}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -40,7 +40,7 @@
 					}
 					// It crashes and restarts as the old version, is upgraded, or is rolled back.
 					leader.Crash()
-					leader.RunsProduction = round%2 == 1
+					leader.RunsProductionVersion = round%2 == 1
 					w.After(pause, leader.Start)
 					w.Submit(job(10+round, protocol.JobKind(round%2), 2), 2*time.Second)
 					if round == 5 {
@@ -51,7 +51,7 @@
 				}
 				for _, c := range w.Controllers {
 					c.Crash()
-					c.RunsProduction = false
+					c.RunsProductionVersion = false
 					c.Start()
 				}
 				runAndPoll(w, 90*time.Second)
--- a/internal/fake/controller.go
+++ b/internal/fake/controller.go
@@ -20,9 +20,9 @@
 	PausedUntil time.Duration
 	// ClockOffset is how far its time of day is ahead.
 	ClockOffset time.Duration
-	// RunsProduction makes it run as the version in production would, as far as that shows in
+	// RunsProductionVersion makes it run as the version in production would, as far as that shows in
 	// what it stores: see World.RewriteAsProduction. It counts from the next start.
-	RunsProduction bool
+	RunsProductionVersion bool
 	// Unhealthy keeps the load balancer from it.
 	Unhealthy bool
 	// StallBefore tells for how long the process is paused before it performs an effect;
@@ -55,7 +55,7 @@
 	c.world.seeds++
 	cfg := *c.world.Cfg
 	cfg.Node, cfg.Peers = c.Name, nil
-	c.asProduction = c.RunsProduction
+	c.asProduction = c.RunsProductionVersion
 	if c.asProduction {
 		cfg.Settings.State.Next = nil
 	}
