--- a/internal/fake/live.go
+++ b/internal/fake/live.go
@@ -11,9 +11,9 @@
 // Both are called by the world's owner.
 type RemoteSend func(request message.Request, reply func(message.Reply))
 
-// NewLive makes a world whose controllers run outside it, as real processes. Its time is
+// NewWithRemoteControllers makes a world whose controllers run outside it, as real processes. Its time is
 // what Advance is told. It has one owner: nothing of it may be used by two goroutines.
-func NewLive(s config.Settings, types []protocol.MachineType, controllers []string, send func(controller int) RemoteSend) *World {
+func NewWithRemoteControllers(s config.Settings, types []protocol.MachineType, controllers []string, send func(controller int) RemoteSend) *World {
 	w := newWorld(s, types)
 	for i, name := range controllers {
 		w.Controllers = append(w.Controllers, &Controller{world: w, Name: name, Index: i, remote: send(i)})
--- a/internal/scale/testbed/testbed.go
+++ b/internal/scale/testbed/testbed.go
@@ -50,7 +50,7 @@
 	}
 	t.servers = newSimulatedServers(t.loop, t.Meter, spec.StateRPS)
 	t.sender = newRequestSender(t.loop, t.Meter, apiAddresses, spec.userConnections())
-	t.World = fake.NewLive(settings, spec.machineTypes(settings.Zones), names, t.sender.sendTo)
+	t.World = fake.NewWithRemoteControllers(settings, spec.machineTypes(settings.Zones), names, t.sender.sendTo)
 	t.World.State.MaxListed = maxListedKeys
 	t.World.Cloud.Address = addresses.Worker
 	t.World.Cloud.CapacityOf = spec.capacity(len(settings.Zones))
--- a/internal/scale/testbed/world_loop_test.go
+++ b/internal/scale/testbed/world_loop_test.go
@@ -11,7 +11,7 @@
 // startLoop runs a loop over a world without controllers until the context ends.
 func startLoop(ctx context.Context) *worldLoop {
 	loop := newWorldLoop()
-	loop.world = fake.NewLive(config.Settings{}, nil, nil, nil)
+	loop.world = fake.NewWithRemoteControllers(config.Settings{}, nil, nil, nil)
 	go loop.run(ctx)
 	return loop
 }
