--- a/internal/fake/clock.go
+++ b/internal/fake/clock.go
@@ -73,8 +73,8 @@
 	return condition()
 }
 
-// Advance lets time pass until a moment, in steps of any length.
-func (w *World) Advance(to time.Duration) {
+// AdvanceTo lets time pass until a moment, in steps of any length.
+func (w *World) AdvanceTo(to time.Duration) {
 	for w.Now < to {
 		next := min(to, w.lastTick+tickInterval)
 		w.runEvents(next)
--- a/internal/scale/testbed/world_loop.go
+++ b/internal/scale/testbed/world_loop.go
@@ -33,10 +33,10 @@
 		case <-ctx.Done():
 			return
 		case call := <-l.calls:
-			l.world.Advance(time.Since(startedAt))
+			l.world.AdvanceTo(time.Since(startedAt))
 			call()
 		case <-timer.C:
-			l.world.Advance(time.Since(startedAt))
+			l.world.AdvanceTo(time.Since(startedAt))
 		}
 		timer.Reset(max(0, l.world.NextEventAt()-time.Since(startedAt)))
 	}
