--- a/internal/fake/attempt.go
+++ b/internal/fake/attempt.go
@@ -42,7 +42,7 @@
 	switch a.State {
 	case protocol.Fetching:
 		if worker.world.Now >= a.imageReadyAt {
-			worker.begin(a)
+			worker.handleImageReady(a)
 		}
 	case protocol.Waiting:
 		worker.advanceWaiting(a)
@@ -55,8 +55,8 @@
 	}
 }
 
-// begin has a task run that has its image, or wait for the rest of its gang.
-func (worker *Worker) begin(a *attempt) {
+// handleImageReady has a task run that has its image, or wait for the rest of its gang.
+func (worker *Worker) handleImageReady(a *attempt) {
 	w, job := worker.world, a.job
 	worker.images[job.Submission.Image] = a.imageReadyAt
 	worker.addToMachine(a)
@@ -70,14 +70,14 @@
 	case job.DoneTasks[a.Task]:
 		worker.exit(a, protocol.ExitDone)
 	case job.Submission.Kind == protocol.Gang:
-		worker.enter(a, protocol.Waiting)
+		worker.enterState(a, protocol.Waiting)
 	default:
-		worker.enter(a, protocol.Running)
+		worker.enterState(a, protocol.Running)
 	}
 }
 
-// enter has a task wait or run from now on.
-func (worker *Worker) enter(a *attempt, state protocol.TaskState) {
+// enterState has a task wait or run from now on.
+func (worker *Worker) enterState(a *attempt, state protocol.TaskState) {
 	a.State, a.startedAt = state, worker.world.Now
 	worker.heartbeatSoon()
 }
@@ -85,7 +85,7 @@
 func (worker *Worker) advanceWaiting(a *attempt) {
 	timeout := seconds(worker.world.Cfg.Settings.Workers.GangStartTimeoutS)
 	if a.gangComplete() {
-		worker.enter(a, protocol.Running)
+		worker.enterState(a, protocol.Running)
 	} else if worker.world.Now-a.startedAt > timeout {
 		worker.exit(a, protocol.ExitGangIncomplete)
 	}
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -103,7 +103,7 @@
 	}
 	var names []string
 	for range count {
-		names = append(names, c.add(request.Type, request.Zone, request.Spot))
+		names = append(names, c.addMachine(request.Type, request.Zone, request.Spot))
 	}
 	c.provisioned[request.RequestID] = names
 	return names, rpc.OK
@@ -132,8 +132,8 @@
 	}
 }
 
-// add makes a machine, which boots and starts to send heartbeats, and gives its name.
-func (c *Cloud) add(machineType, zone string, spot bool) string {
+// addMachine makes a machine, which boots and starts to send heartbeats, and gives its name.
+func (c *Cloud) addMachine(machineType, zone string, spot bool) string {
 	c.lastNumber++
 	addr := fmt.Sprintf("10.1.0.%d:9000", c.lastNumber)
 	if c.Address != nil {
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -8,8 +8,8 @@
 	"oakpick/internal/rpc"
 )
 
-// tolerance covers the rounding of sums of resources.
-const tolerance = 1e-6
+// resourceTolerance covers the rounding of sums of resources.
+const resourceTolerance = 1e-6
 
 // executeDirect executes direct commands, however late they come.
 func (worker *Worker) executeDirect(call message.CommandsCall) message.CommandsResult {
@@ -25,13 +25,13 @@
 		}
 		worker.runCommands(decoded.Commands)
 	}
-	result.Heartbeat = worker.heartbeat()
+	result.Heartbeat = worker.newHeartbeat()
 	return result
 }
 
 func (worker *Worker) runCommands(commands []protocol.Command) {
 	for _, command := range commands {
-		a := worker.find(command.Attempt)
+		a := worker.findAttempt(command.Attempt)
 		switch command.Verb {
 		case protocol.Start:
 			if a == nil {
@@ -90,7 +90,7 @@
 		memory += other.job.Submission.MemoryGB
 	}
 	has := worker.machineType
-	if cpus > has.CPUs+tolerance || gpus > has.GPUs+tolerance || memory > has.MemoryGB+tolerance {
+	if cpus > has.CPUs+resourceTolerance || gpus > has.GPUs+resourceTolerance || memory > has.MemoryGB+resourceTolerance {
 		return protocol.ExitInsufficientResources, true
 	}
 	return cause, false
--- a/internal/fake/controller.go
+++ b/internal/fake/controller.go
@@ -52,7 +52,7 @@
 
 // Start starts the process.
 func (c *Controller) Start() {
-	c.world.seeds++
+	c.world.lastSeed++
 	cfg := *c.world.Cfg
 	cfg.Node, cfg.Peers = c.Name, nil
 	c.asProduction = c.RunsProductionVersion
@@ -67,7 +67,7 @@
 	c.Up, c.startedAt, c.pending = true, c.world.Now, map[uint64]pendingRequest{}
 	c.forwarded, c.knownLeader = nil, ""
 	c.incarnation++
-	c.impl = controller.New(&cfg, fmt.Sprintf("%s-%d", c.Name, c.incarnation), c.world.seeds)
+	c.impl = controller.New(&cfg, fmt.Sprintf("%s-%d", c.Name, c.incarnation), c.world.lastSeed)
 }
 
 // Crash kills the process.
--- a/internal/fake/effects.go
+++ b/internal/fake/effects.go
@@ -97,7 +97,7 @@
 		}
 	}
 	c.call(KindCommands, e.Machine, w.heartbeatInterval()*3/4,
-		func() (message.Event, bool) { return w.command(e) },
+		func() (message.Event, bool) { return w.executeCommands(e) },
 		message.CommandsResult{ID: e.ID, Machine: e.Machine, Outcome: rpc.Unknown})
 }
 
--- a/internal/fake/heartbeats.go
+++ b/internal/fake/heartbeats.go
@@ -30,8 +30,8 @@
 	worker.nextHeartbeatAt = min(worker.nextHeartbeatAt, worker.world.Now+minHeartbeatDelay)
 }
 
-// heartbeat makes the next heartbeat.
-func (worker *Worker) heartbeat() *protocol.Heartbeat {
+// newHeartbeat makes the next newHeartbeat.
+func (worker *Worker) newHeartbeat() *protocol.Heartbeat {
 	worker.sequence++
 	m := worker.machine
 	heartbeat := &protocol.Heartbeat{
@@ -51,7 +51,7 @@
 // sendHeartbeat sends a heartbeat to the controller that the worker takes for the leader.
 func (worker *Worker) sendHeartbeat() {
 	w := worker.world
-	heartbeat := worker.heartbeat()
+	heartbeat := worker.newHeartbeat()
 	if w.OnHeartbeat != nil {
 		w.OnHeartbeat(*heartbeat)
 	}
@@ -75,7 +75,7 @@
 	}
 	reply := func(r message.Reply) {
 		if !delivery.LoseResponse {
-			w.After(delivery.ResponseDelay, func() { sent.answered(r) })
+			w.After(delivery.ResponseDelay, func() { sent.handleReply(r) })
 		}
 	}
 	w.After(delivery.RequestDelay, func() { receiver.Request(request, reply) })
@@ -100,7 +100,7 @@
 	worker.nextHeartbeatAt = worker.world.Now + heartbeatRetryDelay
 }
 
-func (h *sentHeartbeat) answered(reply message.Reply) {
+func (h *sentHeartbeat) handleReply(reply message.Reply) {
 	worker := h.worker
 	if h.finished() || worker.hangs() {
 		return
--- a/internal/fake/job.go
+++ b/internal/fake/job.go
@@ -41,13 +41,13 @@
 	ancestors          map[*Job]bool     // see World.ancestors
 }
 
-// known tells whether its user was ever told that the job exists.
-func (j *Job) known() bool { return j.Accepted || j.AnsweredAt > 0 }
+// knownToUser tells whether its user was ever told that the job exists.
+func (j *Job) knownToUser() bool { return j.Accepted || j.AnsweredAt > 0 }
 
 // Submit hands a job in, and again until it is accepted, as users do.
 func (w *World) Submit(s protocol.Submission, run time.Duration) *Job {
 	j := &Job{Submission: s, RunTime: run, CheckpointedRunTime: map[int]time.Duration{}, DoneTasks: map[int]bool{}, SubmittedAt: w.Now}
-	w.pipelines = w.pipelines || len(s.Prerequisites) > 0
+	w.hasPipelines = w.hasPipelines || len(s.Prerequisites) > 0
 	w.Jobs[s.ID] = j
 	w.jobNames = append(w.jobNames, s.ID)
 	w.submit(j)
--- a/internal/fake/live.go
+++ b/internal/fake/live.go
@@ -35,7 +35,7 @@
 // ServeCommands has a worker execute direct commands. A machine without power, one that
 // hangs or one that is partitioned answers nothing.
 func (w *World) ServeCommands(call message.CommandsCall, answer func(message.CommandsResult)) {
-	serve(w, KindCommands, call.Machine, func() (message.CommandsResult, bool) { return w.command(call) }, answer)
+	serve(w, KindCommands, call.Machine, func() (message.CommandsResult, bool) { return w.executeCommands(call) }, answer)
 }
 
 // serve has a request from outside executed and answered as the network will.
@@ -51,8 +51,8 @@
 	})
 }
 
-// command has a worker execute direct commands, when it resumes if it hangs.
-func (w *World) command(call message.CommandsCall) (result message.CommandsResult, answered bool) {
+// executeCommands has a worker execute direct commands, when it resumes if it hangs.
+func (w *World) executeCommands(call message.CommandsCall) (result message.CommandsResult, answered bool) {
 	worker := w.Workers[call.Machine]
 	if worker == nil || worker.terminated {
 		return result, false
@@ -89,7 +89,7 @@
 			continue
 		}
 		worker.start(id)
-		if second := worker.find(id); second.State == protocol.Fetching {
+		if second := worker.findAttempt(id); second.State == protocol.Fetching {
 			second.imageReadyAt = w.Now // before the controllers hear of it and have it stopped
 			worker.advance(second)
 			return true
--- a/internal/fake/pipelines.go
+++ b/internal/fake/pipelines.go
@@ -58,7 +58,7 @@
 // checkPipeline checks what a user is told of a job against what was said of the jobs
 // that it needs, and of those that need it.
 func (w *World) checkPipeline(j *Job, status string, askedAt time.Duration) {
-	if !w.pipelines {
+	if !w.hasPipelines {
 		return
 	}
 	if status == protocol.StatusQueued || status == protocol.StatusRunning {
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -53,7 +53,7 @@
 	leases        map[int64]lease
 	revision      int64
 	nextID        int64
-	recentPuts    []time.Duration // when, within the last second
+	recentWrites  []time.Duration // when, within the last second
 }
 
 // defaultMaxListed is MaxListed of a new state service.
--- a/internal/fake/state_txn.go
+++ b/internal/fake/state_txn.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if !asProduction { // a late copy that its conditions refuse does no harm
-		s.checkLimitsToCome(from, txn)
+		s.checkNextLimits(from, txn)
 	}
 	for _, change := range txn.Then {
 		if _, ok := s.leases[change.Lease]; change.Lease != 0 && !ok {
@@ -50,7 +50,7 @@
 
 // admit checks a transaction against the limits on sizes and rates.
 func (s *State) admit(txn protocol.Txn) rpc.Outcome {
-	if excess := s.excess(txn); excess != "" {
+	if excess := s.limitExcess(txn); excess != "" {
 		if !s.limitsLowered {
 			s.world.RecordViolation(ruleState, "%s", excess)
 		}
@@ -79,12 +79,12 @@
 
 // withinWriteRate counts writes if their rate allows them.
 func (s *State) withinWriteRate(writes int) bool {
-	s.recentPuts = slices.DeleteFunc(s.recentPuts, func(at time.Duration) bool { return s.world.Now-at >= time.Second })
-	if len(s.recentPuts)+writes > int(writeBurstSeconds*s.limits.WriteRPS) {
+	s.recentWrites = slices.DeleteFunc(s.recentWrites, func(at time.Duration) bool { return s.world.Now-at >= time.Second })
+	if len(s.recentWrites)+writes > int(writeBurstSeconds*s.limits.WriteRPS) {
 		return false
 	}
 	for range writes {
-		s.recentPuts = append(s.recentPuts, s.world.Now)
+		s.recentWrites = append(s.recentWrites, s.world.Now)
 	}
 	return true
 }
@@ -102,8 +102,8 @@
 	s.keys[change.Put] = entry{protocol.Encode(change.Value), s.revision, change.Lease, from}
 }
 
-// excess says what of a transaction is over the limits; "": nothing.
-func (s *State) excess(txn protocol.Txn) string {
+// limitExcess says what of a transaction is over the limits; "": nothing.
+func (s *State) limitExcess(txn protocol.Txn) string {
 	if len(txn.Then) > s.limits.TxnOps {
 		return fmt.Sprintf("a transaction of %d changes", len(txn.Then))
 	}
@@ -115,10 +115,10 @@
 	return ""
 }
 
-// checkLimitsToCome checks that a controller that knows of lower limits to come keeps to
+// checkNextLimits checks that a controller that knows of lower limits to come keeps to
 // them: only the rest of a value that was stored before may still be larger, and no larger
 // than it was.
-func (s *State) checkLimitsToCome(from string, txn protocol.Txn) {
+func (s *State) checkNextLimits(from string, txn protocol.Txn) {
 	next := s.limits.Smallest()
 	for _, change := range txn.Then {
 		size := sizeInJSON(change.Value)
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -17,7 +17,7 @@
 // submit hands a job in, and again until that is answered for good.
 func (w *World) submit(j *Job) {
 	s, askedAt := j.Submission, w.Now
-	w.request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, answered bool) {
+	w.sendRequest(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, answered bool) {
 		switch {
 		case answered && accepts(r.Status):
 			if !j.Accepted {
@@ -58,14 +58,14 @@
 	return w.Controllers[w.seq%len(w.Controllers)]
 }
 
-// request sends a user's request to some controller.
-func (w *World) request(request message.UserRequest, done func(r message.Reply, answered bool)) {
-	w.requestAt(w.pickController(), request, done)
+// sendRequest sends a user's sendRequest to some controller.
+func (w *World) sendRequest(request message.UserRequest, done func(r message.Reply, answered bool)) {
+	w.sendRequestTo(w.pickController(), request, done)
 }
 
-// requestAt sends a user's request to a controller. After the timeout it counts as not
+// sendRequestTo sends a user's request to a controller. After the timeout it counts as not
 // answered.
-func (w *World) requestAt(c *Controller, request message.UserRequest, done func(r message.Reply, answered bool)) {
+func (w *World) sendRequestTo(c *Controller, request message.UserRequest, done func(r message.Reply, answered bool)) {
 	finished := false
 	finish := func(r message.Reply, answered bool) {
 		if !finished {
@@ -108,7 +108,7 @@
 
 // PollEnded asks about a job that ended before the world began.
 func (w *World) PollEnded(id string) {
-	w.request(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply, answered bool) {
+	w.sendRequest(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply, answered bool) {
 		var response protocol.JobResponse
 		notDone := r.Status == http.StatusOK &&
 			(protocol.Decode(r.Body, &response) != nil || response.Status != protocol.StatusDone)
@@ -120,7 +120,7 @@
 
 // PollUnknown asks about a job that nobody has submitted.
 func (w *World) PollUnknown() {
-	w.request(message.UserRequest{Kind: message.Poll, Job: "wk-999999"}, func(r message.Reply, answered bool) {
+	w.sendRequest(message.UserRequest{Kind: message.Poll, Job: "wk-999999"}, func(r message.Reply, answered bool) {
 		if answered && r.Status == http.StatusOK {
 			w.RecordViolation(ruleInvented, "a job that nobody submitted")
 		}
@@ -128,8 +128,8 @@
 }
 
 func (w *World) poll(c *Controller, j *Job) {
-	known, askedAt := j.known(), w.Now
-	w.requestAt(c, message.UserRequest{Kind: message.Poll, Job: j.Submission.ID}, func(r message.Reply, answered bool) {
+	known, askedAt := j.knownToUser(), w.Now
+	w.sendRequestTo(c, message.UserRequest{Kind: message.Poll, Job: j.Submission.ID}, func(r message.Reply, answered bool) {
 		if answered && r.Status == http.StatusNotFound && known {
 			w.RecordViolation(ruleForgotten, "%s", j.Submission.ID)
 		}
@@ -150,8 +150,8 @@
 // resubmitAt hands a job in at a controller, which the controller has to recognize if its
 // user knows of it.
 func (w *World) resubmitAt(c *Controller, j *Job) {
-	s, askedAt, known := j.Submission, w.Now, j.known()
-	w.requestAt(c, message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, answered bool) {
+	s, askedAt, known := j.Submission, w.Now, j.knownToUser()
+	w.sendRequestTo(c, message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, answered bool) {
 		switch {
 		case answered && rejects(r.Status):
 			w.RecordViolation(ruleForgotten, "%s: a repeat got %d", s.ID, r.Status)
@@ -178,7 +178,7 @@
 			ID: fmt.Sprintf("wk-9%05d", i), Class: "invalid", Team: "blue", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img",
 		}
 		change(&s)
-		w.request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, answered bool) {
+		w.sendRequest(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, answered bool) {
 			if answered && r.Status != http.StatusUnprocessableEntity && r.Status != http.StatusServiceUnavailable {
 				w.RecordViolation(ruleAccepted, "%s, which can't run: %d", s.ID, r.Status)
 			}
@@ -202,7 +202,7 @@
 func (w *World) cancelAt(c *Controller, j *Job) {
 	j.CancelRequested = true
 	askedAt := w.Now
-	w.requestAt(c, message.UserRequest{Kind: message.Cancel, Job: j.Submission.ID}, func(r message.Reply, answered bool) {
+	w.sendRequestTo(c, message.UserRequest{Kind: message.Cancel, Job: j.Submission.ID}, func(r message.Reply, answered bool) {
 		if answered && r.Status == http.StatusOK {
 			w.checkStatus(j, r, askedAt)
 			return
--- a/internal/fake/violations.go
+++ b/internal/fake/violations.go
@@ -105,7 +105,7 @@
 func (w *World) checkQuotas() {
 	for _, team := range w.Cfg.Settings.Teams {
 		used := w.usageByTeam[team.Name]
-		if team.CPULimit > 0 && used.cpus > team.CPULimit+tolerance || team.GPULimit > 0 && used.gpus > team.GPULimit+tolerance {
+		if team.CPULimit > 0 && used.cpus > team.CPULimit+resourceTolerance || team.GPULimit > 0 && used.gpus > team.GPULimit+resourceTolerance {
 			w.RecordViolation(ruleQuota, "%s uses %v", team.Name, used)
 		}
 	}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -114,7 +114,7 @@
 	return count
 }
 
-func (worker *Worker) find(id protocol.Attempt) *attempt {
+func (worker *Worker) findAttempt(id protocol.Attempt) *attempt {
 	for _, a := range worker.attempts {
 		if a.Attempt == id {
 			return a
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -64,16 +64,16 @@
 	// TasksLostWithMachine counts tasks that were on machines that ended.
 	TasksLostWithMachine int
 
-	workerNames []string // in order
-	jobNames    []string // in the order of submission
-	pipelines   bool     // some job names prerequisites
-	usageByTeam map[string]usage
-	cancelled   []*Job // their users were told so, and tasks may still be on machines
+	workerNames  []string // in order
+	jobNames     []string // in the order of submission
+	hasPipelines bool     // some job names prerequisites
+	usageByTeam  map[string]usage
+	cancelled    []*Job // their users were told so, and tasks may still be on machines
 
 	events   eventQueue
 	lastTick time.Duration
 	seq      int    // of the last event or choice of a controller
-	seeds    uint64 // of the controllers' random numbers
+	lastSeed uint64 // of the controllers' random numbers
 }
 
 // NewWorld makes a world with as many controllers as the settings say, which have just
