--- a/internal/fake/attempt.go
+++ b/internal/fake/attempt.go
@@ -6,18 +6,18 @@
 	"oakpick/internal/protocol"
 )
 
-// attempt is an attempt at a task on a worker.
+// attempt is an attempt to run a task on a worker.
 type attempt struct {
 	protocol.TaskStatus
 	job              *Job
 	worker           *Worker
-	onMachine        bool          // it has its image, see addToMachine
-	imageReadyAt     time.Duration // when its image is fetched
-	startedAt        time.Duration // when it began to run, or a gang's to wait for its peers
-	checkpointDoneAt time.Duration
+	onMachine        bool          // the image is fetched and the task occupies the machine
+	imageReadyAt     time.Duration // when the image is fetched
+	startedAt        time.Duration // when the task entered its waiting or running state
+	checkpointDoneAt time.Duration // when the checkpoint that is being saved is complete
 }
 
-// addToMachine notes that a task is on its machine from now on.
+// addToMachine records that a task occupies its machine.
 func (worker *Worker) addToMachine(a *attempt) {
 	a.onMachine = true
 	if a.job.attemptsOnMachines == nil {
@@ -27,7 +27,7 @@
 	worker.world.addUsage(a.job, 1)
 }
 
-// removeFromMachine notes that a task is no longer on its machine.
+// removeFromMachine records that a task no longer occupies its machine.
 func (worker *Worker) removeFromMachine(a *attempt) {
 	if !a.onMachine {
 		return
@@ -37,7 +37,7 @@
 	worker.world.addUsage(a.job, -1)
 }
 
-// advance takes a task on to its next state if it is time.
+// advance moves a task to its next state if that is due.
 func (worker *Worker) advance(a *attempt) {
 	switch a.State {
 	case protocol.Fetching:
@@ -55,7 +55,8 @@
 	}
 }
 
-// handleImageReady has a task run that has its image, or wait for the rest of its gang.
+// handleImageReady starts a task whose image is fetched. A gang task waits for its peers first.
+// A task that is to fail or is already done exits at once.
 func (worker *Worker) handleImageReady(a *attempt) {
 	w, job := worker.world, a.job
 	worker.images[job.Submission.Image] = a.imageReadyAt
@@ -76,7 +77,7 @@
 	}
 }
 
-// enterState has a task wait or run from now on.
+// enterState moves a task to the waiting or running state.
 func (worker *Worker) enterState(a *attempt, state protocol.TaskState) {
 	a.State, a.startedAt = state, worker.world.Now
 	worker.heartbeatSoon()
@@ -123,7 +124,7 @@
 	worker.heartbeatSoon()
 }
 
-// gangComplete tells whether every task of the attempt waits or runs.
+// gangComplete reports whether all tasks of the gang attempt are on machines.
 func (a *attempt) gangComplete() bool {
 	present := 0
 	for member := range a.job.attemptsOnMachines {
@@ -134,10 +135,12 @@
 	return present == a.job.Submission.Tasks
 }
 
-// gangStartSpread is how far apart the tasks of a gang may begin to run.
+// gangStartSpread is the maximum time between the starts of a gang's tasks. Missing peers are
+// ignored for that long after a task starts running.
 const gangStartSpread = time.Second
 
-// gangPeersPresent tells whether no task of a running gang has been lost.
+// gangPeersPresent reports whether a running gang task has all its peers. It also returns true for a
+// task that has just started or is done.
 func (worker *Worker) gangPeersPresent(a *attempt) bool {
 	return worker.world.Now-a.startedAt < gangStartSpread || a.gangComplete() || a.job.DoneTasks[a.Task]
 }
--- a/internal/fake/clock.go
+++ b/internal/fake/clock.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// tickInterval is how often everybody handles what has become due.
+// tickInterval is the simulated time between two ticks of the workers and controllers.
 const tickInterval = 50 * time.Millisecond
 
-// event is something that is planned.
+// event is a call that is scheduled for a simulated time.
 type event struct {
 	at  time.Duration
-	seq int // in the order of planning: events of the same time keep it
+	seq int // scheduling order, which decides between events of the same time
 	run func()
 }
 
-// eventQueue is a heap of events, the earliest first.
+// eventQueue is a heap of events, ordered by time.
 type eventQueue []event
 
-// Len, Less, Swap, Push and Pop are heap.Interface.
+// Len returns the number of events. It is part of heap.Interface, as are Less, Swap, Push and Pop.
 func (q eventQueue) Len() int { return len(q) }
 
-// Less orders events by time, and those of the same time by the order of planning.
+// Less orders events by time, and events of the same time by scheduling order.
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
@@ -32,7 +32,7 @@
 // Push appends an event.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop takes the last event.
+// Pop removes and returns the last event.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -42,16 +42,16 @@
 
 func (q *eventQueue) add(e event) { heap.Push(q, e) }
 
-// next takes the earliest event.
+// next removes and returns the earliest event.
 func (q *eventQueue) next() event { return heap.Pop(q).(event) }
 
-// After plans a call.
+// After schedules a call after a delay in simulated time.
 func (w *World) After(delay time.Duration, call func()) {
 	w.seq++
 	w.events.add(event{w.Now + delay, w.seq, call})
 }
 
-// Run lets time pass.
+// Run advances simulated time by d in whole ticks, rounding d up.
 func (w *World) Run(d time.Duration) {
 	end := w.Now + d
 	for w.Now < end {
@@ -60,8 +60,8 @@
 	}
 }
 
-// RunUntil lets time pass until a condition holds, for so long at most, and tells whether it
-// does.
+// RunUntil advances simulated time until the condition holds, but at most by the given duration.
+// It reports whether the condition holds.
 func (w *World) RunUntil(most time.Duration, condition func() bool) bool {
 	end := w.Now + most
 	for w.Now < end {
@@ -73,7 +73,7 @@
 	return condition()
 }
 
-// AdvanceTo lets time pass until a moment, in steps of any length.
+// AdvanceTo advances simulated time to the given time, which may lie between two ticks.
 func (w *World) AdvanceTo(to time.Duration) {
 	for w.Now < to {
 		next := min(to, w.lastTick+tickInterval)
@@ -84,7 +84,7 @@
 	}
 }
 
-// NextEventAt is when the next event or tick is due.
+// NextEventAt returns when the next event or tick is due.
 func (w *World) NextEventAt() time.Duration {
 	next := w.lastTick + tickInterval
 	if len(w.events) > 0 {
@@ -93,7 +93,7 @@
 	return next
 }
 
-// runEvents runs everything that is planned until a moment.
+// runEvents runs all events that are due up to the given time, and sets the clock to that time.
 func (w *World) runEvents(until time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := w.events.next()
@@ -103,7 +103,7 @@
 	w.Now = until
 }
 
-// tick has everybody handle what has become due, and checks the rules.
+// tick lets the workers and controllers handle whatever is due, and checks the invariants.
 func (w *World) tick() {
 	w.lastTick = w.Now
 	for _, name := range w.workerNames {
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -10,36 +10,37 @@
 	"oakpick/internal/rpc"
 )
 
-// machine is a machine of the cloud.
+// machine is a machine of the simulated cloud.
 type machine struct {
 	protocol.Machine
 	provisionedAt time.Duration
 	terminated    bool
 }
 
-// Cloud rents machines.
+// Cloud simulates the cloud API and its machines.
 type Cloud struct {
-	// Down has every request refused.
+	// Down makes the cloud refuse every request.
 	Down bool
-	// Capacity is how many machines there are of each type, zone and capacity type.
+	// Capacity is the number of machines available per machine type, zone and capacity type.
 	Capacity int
-	// CapacityOf overrides Capacity for a machine type.
+	// CapacityOf overrides Capacity for individual machine types.
 	CapacityOf map[string]int
-	// BootDelay delays boots.
+	// BootDelay is added to the boot time of the machine type.
 	BootDelay time.Duration
-	// FailNextBoots is how many of the next machines never come up.
+	// FailNextBoots is how many of the machines provisioned next never finish booting.
 	FailNextBoots int
-	// Address gives the address of the n-th machine; nil: one that nobody connects to.
+	// Address returns the address of the n-th machine. If it is nil, machines get addresses that
+	// are never dialed.
 	Address func(n int) string
 
 	world       *World
 	types       []protocol.MachineType
 	machines    []*machine
-	provisioned map[string][]string // names of machines by the ID of the request for them
+	provisioned map[string][]string // machine names by ID of the provisioning request
 	lastNumber  int
 }
 
-// defaultCapacity is Capacity of a new cloud.
+// defaultCapacity is the Capacity of a new Cloud.
 const defaultCapacity = 16
 
 func newCloud(w *World, types []protocol.MachineType) *Cloud {
@@ -65,7 +66,7 @@
 	return result
 }
 
-// list is the inventory, which lags: it shows what was so a while ago.
+// list returns the inventory. New machines appear in it only after the configured lag.
 func (c *Cloud) list() []protocol.Machine {
 	lag := seconds(c.world.Cfg.Settings.Cloud.ListLagS)
 	var machines []protocol.Machine
@@ -80,16 +81,17 @@
 	return machines
 }
 
-// The most machines that one request may ask for or return.
+// Maximum number of machines in one provisioning or termination request.
 const (
 	maxScaleOut = 50
 	maxScaleIn  = 100
 )
 
-// scaleOut executes a provisioning request. A repeated one gets the machines of the first.
+// scaleOut executes a provisioning request. A request with a known ID returns the machines that
+// were provisioned for that ID.
 func (c *Cloud) scaleOut(request protocol.ProvisioningRequest) ([]string, rpc.Outcome) {
 	if request.Count < 1 || request.Count > maxScaleOut {
-		c.world.RecordViolation(ruleCloud, "%d machines requested at once", request.Count)
+		c.world.RecordViolation(ruleCloud, "provisioning request for %d machines is outside the limits", request.Count)
 	}
 	if names, ok := c.provisioned[request.RequestID]; ok {
 		return names, rpc.OK
@@ -109,7 +111,7 @@
 	return names, rpc.OK
 }
 
-// available is how many machines are left of what a request asks for.
+// available returns the remaining capacity for the request's type, zone and capacity type.
 func (c *Cloud) available(request protocol.ProvisioningRequest) int {
 	capacity, ok := c.CapacityOf[request.Type]
 	if !ok {
@@ -125,14 +127,14 @@
 
 func (c *Cloud) scaleIn(names []string) {
 	if len(names) > maxScaleIn {
-		c.world.RecordViolation(ruleCloud, "%d machines returned at once", len(names))
+		c.world.RecordViolation(ruleCloud, "termination request for %d machines exceeds the limit", len(names))
 	}
 	for _, name := range names {
 		c.Reclaim(name)
 	}
 }
 
-// addMachine makes a machine, which boots and starts to send heartbeats, and gives its name.
+// addMachine provisions a machine and returns its name. Once booted, it starts sending heartbeats.
 func (c *Cloud) addMachine(machineType, zone string, spot bool) string {
 	c.lastNumber++
 	addr := fmt.Sprintf("10.1.0.%d:9000", c.lastNumber)
@@ -158,7 +160,7 @@
 	return m.Name
 }
 
-// Reclaim takes a machine and all that is on it.
+// Reclaim terminates a machine and the tasks on it.
 func (c *Cloud) Reclaim(name string) {
 	for _, m := range c.machines {
 		if m.Name != name || m.terminated {
@@ -171,10 +173,11 @@
 	}
 }
 
-// failureListedAfter is how long the inventory shows a failed machine as running.
+// failureListedAfter is the time for which the inventory still lists a failed machine as running.
 const failureListedAfter = 30 * time.Second
 
-// Fail stops a machine; the inventory shows it as failed half a minute later.
+// Fail simulates the failure of a machine. Its worker stops at once, but the inventory lists the
+// machine as failed only after failureListedAfter.
 func (c *Cloud) Fail(name string) {
 	if worker := c.world.Workers[name]; worker != nil {
 		worker.terminate()
@@ -186,10 +189,10 @@
 	}
 }
 
-// Types are the machine types that it rents, for a test to change.
+// Types returns the machine types on offer. Tests may modify them in place.
 func (c *Cloud) Types() []protocol.MachineType { return c.types }
 
-// MachineNames lists the machines that are rented.
+// MachineNames returns the names of the provisioned machines that are not terminated.
 func (c *Cloud) MachineNames() []string {
 	var names []string
 	for _, m := range c.machines {
@@ -200,7 +203,7 @@
 	return names
 }
 
-// CountOfType counts the machines of a type that are rented.
+// CountOfType returns the number of provisioned machines of a type that are not terminated.
 func (c *Cloud) CountOfType(machineType string) int {
 	count := 0
 	for _, m := range c.machines {
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -8,10 +8,11 @@
 	"oakpick/internal/rpc"
 )
 
-// resourceTolerance covers the rounding of sums of resources.
+// resourceTolerance covers rounding errors in sums of resources.
 const resourceTolerance = 1e-6
 
-// executeDirect executes direct commands, however late they come.
+// executeDirect executes commands sent directly to the worker, regardless of their delay. A call
+// with an outdated fencing token or for another incarnation is rejected.
 func (worker *Worker) executeDirect(call message.CommandsCall) message.CommandsResult {
 	result := message.CommandsResult{ID: call.ID, Machine: call.Machine}
 	if call.FencingToken < worker.fencingToken || call.Incarnation != worker.incarnation {
@@ -20,7 +21,7 @@
 		worker.observeToken(call.FencingToken)
 		decoded, err := protocol.DecodeCommands(protocol.EncodeCommands(call.FencingToken, call.Incarnation, call.Commands))
 		if err != nil {
-			worker.world.RecordViolation(ruleWorker, "commands that can't be read: %v", err)
+			worker.world.RecordViolation(ruleWorker, "direct commands cannot be decoded: %v", err)
 			return result
 		}
 		worker.runCommands(decoded.Commands)
@@ -50,7 +51,7 @@
 	}
 }
 
-// start begins to fetch a task's image, unless the worker has to refuse the task.
+// start starts fetching a task's image, or makes the task exit if the worker refuses it.
 func (worker *Worker) start(id protocol.Attempt) {
 	w := worker.world
 	a := &attempt{TaskStatus: protocol.TaskStatus{Attempt: id, State: protocol.Fetching}, job: w.Jobs[id.Job], worker: worker}
@@ -74,7 +75,8 @@
 	}
 }
 
-// refusal says why the worker can't run a task beside its others.
+// refusal reports whether the worker must refuse a task, and the exit cause: it already has the
+// task or lacks the resources.
 func (worker *Worker) refusal(a *attempt) (cause protocol.ExitCause, refused bool) {
 	submission := a.job.Submission
 	cpus, gpus, memory := submission.CPUs, submission.GPUs, submission.MemoryGB
@@ -96,7 +98,8 @@
 	return cause, false
 }
 
-// stop has a task save a checkpoint if the grace period allows it, and exit.
+// stop makes a task exit. A running task saves a checkpoint first if the grace period is long
+// enough.
 func (worker *Worker) stop(a *attempt, gracePeriodS float64) {
 	switch {
 	case a.State == protocol.Checkpointing:
--- a/internal/fake/controller.go
+++ b/internal/fake/controller.go
@@ -9,45 +9,46 @@
 	"oakpick/internal/message"
 )
 
-// Controller is a controller and its process.
+// Controller is a controller process of the simulated world.
 type Controller struct {
-	// Name and Index say which of the world's controllers it is.
+	// Name and Index identify the controller among the world's controllers.
 	Name  string
 	Index int
-	// Up tells whether the process runs.
+	// Up reports whether the process is running.
 	Up bool
-	// PausedUntil is when the process gets processor time again.
+	// PausedUntil is the time until which the process gets no CPU time.
 	PausedUntil time.Duration
-	// ClockOffset is how far its time of day is ahead.
+	// ClockOffset is how far the process's wall clock is ahead.
 	ClockOffset time.Duration
-	// RunsProductionVersion makes it run as the version in production would, as far as that shows in
-	// what it stores: see World.RewriteAsProduction. It counts from the next start.
+	// RunsProductionVersion makes the process write stored values as the version in production
+	// does (see World.RewriteAsProduction) and ignore announced limits. It takes effect at the
+	// next start.
 	RunsProductionVersion bool
-	// Unhealthy keeps the load balancer from it.
+	// Unhealthy makes the load balancer avoid the controller.
 	Unhealthy bool
-	// StallBefore tells for how long the process is paused before it performs an effect;
-	// nil: never.
+	// StallBefore returns how long the process pauses before it performs an effect; nil means no
+	// pauses.
 	StallBefore func(effect message.Effect) time.Duration
 
 	world        *World
 	impl         *controller.Controller
 	startedAt    time.Duration
-	drift        float64 // of its monotonic clock, as a part of the time that passes
+	drift        float64 // error of the rate of the monotonic clock, as a fraction
 	incarnation  int
-	asProduction bool // RunsProduction at the last start
+	asProduction bool // value of RunsProductionVersion at the last start
 
 	nextID      uint64
 	pending     map[uint64]pendingRequest
-	forwarded   []*forwardedRequest // the requests that are with other controllers
-	knownLeader string              // as of the last step
-	remote      RemoteSend          // carries requests to a process outside the world; nil: it runs inside
+	forwarded   []*forwardedRequest // requests forwarded to other controllers
+	knownLeader string              // leader known after the last step
+	remote      RemoteSend          // sends requests to a process outside the world; nil: the process runs inside
 }
 
-// pendingRequest is a request that waits for its reply.
+// pendingRequest is a request that has no reply yet.
 type pendingRequest struct {
 	request  message.Request
 	reply    func(message.Reply)
-	fromPeer bool
+	fromPeer bool // forwarded by another controller
 }
 
 // Start starts the process.
@@ -73,45 +74,46 @@
 // Crash kills the process.
 func (c *Controller) Crash() { c.Up, c.impl = false, nil }
 
-// Leads tells whether the controller believes that it leads.
+// Leads reports whether the controller is in the leader role.
 func (c *Controller) Leads() bool { return c.Up && c.impl.Role() == "leader" }
 
-// AnswersWorkers tells whether the controller leads, or its lease is uncertain and it still
-// answers workers.
+// AnswersWorkers reports whether the controller answers workers: it leads, or its lease is
+// uncertain.
 func (c *Controller) AnswersWorkers() bool { return c.Up && c.impl.Leads() }
 
-// Healthy is what the controller tells the load balancer.
+// Healthy reports whether the controller's health check succeeds.
 func (c *Controller) Healthy() bool { return c.Up && c.impl.Healthy() }
 
-// Stats are the process's counts.
+// Stats returns the controller's counters.
 func (c *Controller) Stats() message.Stats { return c.impl.Stats() }
 
-// Controller is the logic that the process runs; nil while it doesn't run.
+// Controller returns the controller logic that the process runs, or nil if the process is down.
 func (c *Controller) Controller() *controller.Controller { return c.impl }
 
-// Incarnation counts the starts of the process.
+// Incarnation returns the number of times the process has started.
 func (c *Controller) Incarnation() int { return c.incarnation }
 
-// MonotonicNow is the reading of the process's monotonic clock.
+// MonotonicNow returns the reading of the process's monotonic clock.
 func (c *Controller) MonotonicNow() time.Duration {
 	return time.Duration(float64(c.world.Now-c.startedAt) * (1 + c.drift))
 }
 
-// paused tells whether the process has no processor time.
+// paused reports whether the process gets no CPU time.
 func (c *Controller) paused() bool { return c.world.Now < c.PausedUntil }
 
-// whenResumed calls a function when the pause is over that the process is in.
+// whenResumed schedules a call for the end of the current pause.
 func (c *Controller) whenResumed(call func()) { c.world.After(c.PausedUntil-c.world.Now, call) }
 
-// Request gives the controller a request, and its reply to a function.
+// Request sends a request to the controller. The reply function is called with the reply.
 func (c *Controller) Request(request message.Request, reply func(message.Reply)) {
 	c.receive(pendingRequest{request: request, reply: reply})
 }
 
-// PendingRequest is a request that waits for its reply; nil: there is none with this ID.
+// PendingRequest returns the request with the given ID that has no reply yet, or nil.
 func (c *Controller) PendingRequest(id uint64) message.Request { return c.pending[id].request }
 
-// receive has a request decided, once the process has processor time.
+// receive lets the controller handle a request, after the pause if the process is paused. A process
+// that is down drops the request.
 func (c *Controller) receive(pending pendingRequest) {
 	if c.remote != nil {
 		c.remote(pending.request, pending.reply)
@@ -134,14 +136,15 @@
 	c.step(pending.request.WithID(c.nextID))
 }
 
-// Tick has the controller handle what has become due.
+// Tick lets the controller handle whatever is due.
 func (c *Controller) Tick() { c.step(message.Tick{}) }
 
-// wallClockStart is what the time of day is at the start of the world, so that it differs
-// from the monotonic clocks.
+// wallClockStart is the wall clock time at the start of the world. It is not zero, so that wall
+// clock and monotonic times differ.
 const wallClockStart = 1000 * time.Second
 
-// step has the controller handle an event, and performs the effects.
+// step lets the controller handle an event, and performs the resulting effects. A process that is
+// down or paused ignores the event.
 func (c *Controller) step(event message.Event) {
 	if !c.Up || c.paused() {
 		return
--- a/internal/fake/effects.go
+++ b/internal/fake/effects.go
@@ -11,8 +11,8 @@
 	"oakpick/internal/storage"
 )
 
-// performAll performs effects, unless the process is paused before one of them: then the
-// rest is late.
+// performAll performs effects in order. If StallBefore pauses the process before one of them,
+// the remaining effects are performed after the pause.
 func (c *Controller) performAll(effects []message.Effect) {
 	incarnation := c.incarnation
 	for i, effect := range effects {
@@ -62,7 +62,7 @@
 	if c.asProduction {
 		e.Txn = w.rewriteAsProduction(e.Txn)
 	}
-	asProduction := c.asProduction // when a late copy arrives, this may be another process
+	asProduction := c.asProduction // saved, because a duplicate may arrive after a restart
 	kind := KindState
 	if len(e.Txn.Then) > 0 && e.Txn.Then[0].Put != election.LeaderKey && w.SeparateWrites {
 		kind = KindWrite
@@ -84,7 +84,7 @@
 		message.CloudResult{ID: e.ID, Outcome: rpc.Unknown})
 }
 
-// sendCommands sends direct commands to a worker.
+// sendCommands sends commands directly to a worker.
 func (c *Controller) sendCommands(e message.CommandsCall) {
 	if c.expired(e.NotAfter) {
 		c.returnResult(message.CommandsResult{ID: e.ID, Machine: e.Machine, Outcome: rpc.NotSent})
@@ -93,7 +93,7 @@
 	w := c.world
 	for _, command := range e.Commands {
 		if j := w.Jobs[command.Attempt.Job]; command.Verb == protocol.Start && j != nil && j.Cancelled {
-			w.RecordViolation(ruleStartedCancelled, "%s sends a start of %s, which its user was told is cancelled", c.Name, command.Attempt.Job)
+			w.RecordViolation(ruleStartedCancelled, "%s sends a start command for %s after its user was told that it is cancelled", c.Name, command.Attempt.Job)
 		}
 	}
 	c.call(KindCommands, e.Machine, w.heartbeatInterval()*3/4,
@@ -101,13 +101,12 @@
 		message.CommandsResult{ID: e.ID, Machine: e.Machine, Outcome: rpc.Unknown})
 }
 
-// expired tells whether the time is over within which an effect may be performed, as the
-// daemon does.
+// expired reports whether the deadline for sending a call has passed. The daemon does the same check.
 func (c *Controller) expired(notAfter time.Duration) bool {
 	return notAfter > 0 && c.MonotonicNow() >= notAfter
 }
 
-// logf adds a line to the world's log.
+// logf appends a line to the world's log.
 func (w *World) logf(format string, args ...any) {
 	w.Log = append(w.Log, fmt.Sprintf("%8.2f ", w.Now.Seconds())+fmt.Sprintf(format, args...))
 }
--- a/internal/fake/exchange.go
+++ b/internal/fake/exchange.go
@@ -8,39 +8,39 @@
 	"oakpick/internal/storage"
 )
 
-// Kinds of exchange that World.Network tells apart.
+// Kinds of exchange that World.Network distinguishes.
 const (
-	KindState     = "state"     // with the state service
-	KindWrite     = "write"     // a write of pages, see World.SeparateWrites
-	KindCloud     = "cloud"     // with the cloud
-	KindCommands  = "commands"  // direct commands to a worker
-	KindHeartbeat = "heartbeat" // a worker's heartbeat to a controller
-	KindPeer      = "peer"      // between controllers
-	KindForward   = "forward"   // a user's request that a controller hands to another
+	KindState     = "state"     // request to the state service
+	KindWrite     = "write"     // page write to the state service, see World.SeparateWrites
+	KindCloud     = "cloud"     // request to the cloud API
+	KindCommands  = "commands"  // commands sent directly to a worker
+	KindHeartbeat = "heartbeat" // heartbeat of a worker to a controller
+	KindPeer      = "peer"      // step-down request between controllers
+	KindForward   = "forward"   // user request forwarded to another controller
 )
 
-// The names under which World.Network hears of the services.
+// Names of the services in calls to World.Network.
 const (
 	stateService = "state"
 	cloudService = "cloud"
 )
 
-// Delivery is what the network does to one exchange.
+// Delivery describes how the network delivers one exchange.
 type Delivery struct {
-	// RequestDelay and ResponseDelay are the latencies there and back.
+	// RequestDelay and ResponseDelay are the latencies of the request and the response.
 	RequestDelay, ResponseDelay time.Duration
-	// LoseRequest and LoseResponse drop a message.
+	// LoseRequest and LoseResponse drop the message.
 	LoseRequest, LoseResponse bool
-	// DuplicateAfter is when a second copy of the request arrives; 0: none does.
+	// DuplicateAfter is the delay after which a duplicate of the request arrives; 0 means none.
 	DuplicateAfter time.Duration
 }
 
-// Reliable is a network without faults.
+// Reliable returns the delivery of a network without faults.
 func Reliable() Delivery {
 	return Delivery{RequestDelay: 2 * time.Millisecond, ResponseDelay: 2 * time.Millisecond}
 }
 
-// deliveryOf is what the network does to an exchange.
+// deliveryOf returns how the network delivers an exchange.
 func (w *World) deliveryOf(kind, from, to string) Delivery {
 	if w.Network != nil {
 		return w.Network(kind, from, to)
@@ -48,22 +48,23 @@
 	return Reliable()
 }
 
-// call has a request executed and its result delivered to the process, as the network will.
+// call executes a request and delivers its result to the process, subject to network faults.
 func (c *Controller) call(kind, to string, timeout time.Duration, execute func() (message.Event, bool), lost message.Event) {
 	incarnation := c.incarnation
 	exchange(c, kind, to, timeout, execute, lost, func(result message.Event) { c.deliverResult(result, incarnation) })
 }
 
-// CallState carries a request to the state service of a part of the process that isn't the
-// Controller itself; kind tells it apart to the network.
+// CallState sends a request to the state service on behalf of a component of the process other than
+// the controller logic. The kind is passed to World.Network.
 func (c *Controller) CallState(kind string, call storage.StateCall, done func(storage.StateResult)) {
 	exchange(c, kind, stateService, c.world.heartbeatInterval()/2,
 		func() (storage.StateResult, bool) { return c.world.State.execute(c.Name, c.asProduction, call), true },
 		storage.StateResult{ID: call.ID, Outcome: rpc.Unknown}, done)
 }
 
-// exchange has a request executed and hands its result to done, as the network will; after
-// the timeout done gets lost. The result of an earlier process is dropped.
+// exchange executes a request and passes its result to done, subject to network faults. After the
+// timeout, done gets lost instead. Nothing is passed on if the process has crashed or restarted
+// since.
 func exchange[R any](c *Controller, kind, to string, timeout time.Duration, execute func() (R, bool), lost R, done func(R)) {
 	w, incarnation := c.world, c.incarnation
 	delivery := w.deliveryOf(kind, c.Name, to)
@@ -89,14 +90,14 @@
 	})
 }
 
-// returnResult delivers a result to the process at once.
+// returnResult schedules the delivery of a result to the process without network delay.
 func (c *Controller) returnResult(result message.Event) {
 	incarnation := c.incarnation
 	c.world.After(0, func() { c.deliverResult(result, incarnation) })
 }
 
-// deliverResult delivers a result to the process that asked for it, once it has processor
-// time.
+// deliverResult delivers a result to the process that sent the request, after the pause if the
+// process is paused.
 func (c *Controller) deliverResult(result message.Event, incarnation int) {
 	if !c.Up || c.incarnation != incarnation {
 		return
--- a/internal/fake/heartbeats.go
+++ b/internal/fake/heartbeats.go
@@ -8,15 +8,15 @@
 	"oakpick/internal/protocol"
 )
 
-// The pace of heartbeats beside their interval.
+// Delays and timeouts of heartbeats, apart from the regular interval.
 const (
 	minHeartbeatDelay   = 500 * time.Millisecond // between a change and the heartbeat that reports it
 	heartbeatTimeout    = 4 * time.Second
 	heartbeatRetryDelay = time.Second
-	redirectDelay       = 100 * time.Millisecond // before the heartbeat to the controller that one was redirected to
+	redirectDelay       = 100 * time.Millisecond // before the heartbeat that follows a redirect
 )
 
-// sentHeartbeat is a heartbeat whose answer is awaited.
+// sentHeartbeat is a heartbeat that was sent and may still get a reply.
 type sentHeartbeat struct {
 	worker          *Worker
 	id              int64
@@ -25,12 +25,13 @@
 	controllerIndex int
 }
 
-// heartbeatSoon has a change reported, though not more often than every half second.
+// heartbeatSoon schedules a heartbeat after minHeartbeatDelay to report a change, unless one is due
+// earlier.
 func (worker *Worker) heartbeatSoon() {
 	worker.nextHeartbeatAt = min(worker.nextHeartbeatAt, worker.world.Now+minHeartbeatDelay)
 }
 
-// newHeartbeat makes the next newHeartbeat.
+// newHeartbeat returns the next heartbeat of the worker.
 func (worker *Worker) newHeartbeat() *protocol.Heartbeat {
 	worker.sequence++
 	m := worker.machine
@@ -48,7 +49,7 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends a heartbeat to the controller that the worker takes for the leader.
+// sendHeartbeat sends a heartbeat to the controller that the worker assumes to lead.
 func (worker *Worker) sendHeartbeat() {
 	w := worker.world
 	heartbeat := worker.newHeartbeat()
@@ -67,7 +68,7 @@
 	delivery := w.deliveryOf(KindHeartbeat, worker.machine.Name, receiver.Name)
 	w.After(heartbeatTimeout, sent.fail)
 	if delivery.DuplicateAfter > 0 {
-		// A late copy, whose answer nobody reads.
+		// Replies to duplicates are ignored.
 		w.After(delivery.DuplicateAfter, func() { receiver.Request(request, func(message.Reply) {}) })
 	}
 	if delivery.LoseRequest {
@@ -81,12 +82,12 @@
 	w.After(delivery.RequestDelay, func() { receiver.Request(request, reply) })
 }
 
-// finished tells whether the worker doesn't wait for an answer any more.
+// finished reports whether the worker no longer waits for a reply to this heartbeat.
 func (h *sentHeartbeat) finished() bool {
 	return h.worker.terminated || h.worker.heartbeatID != h.id || !h.worker.heartbeatInFlight
 }
 
-// fail has the next controller tried after a while.
+// fail makes the worker try the next controller after heartbeatRetryDelay.
 func (h *sentHeartbeat) fail() {
 	if !h.finished() {
 		h.worker.heartbeatInFlight = false
@@ -119,7 +120,7 @@
 	}
 }
 
-// followRedirect has the next heartbeat go to the leader that a controller names.
+// followRedirect sends the next heartbeat to the leader that the controller named.
 func (h *sentHeartbeat) followRedirect(leader string) {
 	h.tryNextController()
 	worker := h.worker
@@ -130,11 +131,11 @@
 	}
 }
 
-// handleResponse renews the lease and runs the commands that a heartbeat was answered with.
+// handleResponse renews the lease and executes the commands in a heartbeat response.
 func (worker *Worker) handleResponse(body []byte, sentAt time.Duration) {
 	response, err := protocol.DecodeCommands(body)
 	if err != nil {
-		worker.world.RecordViolation(ruleWorker, "an answer that can't be read: %v", err)
+		worker.world.RecordViolation(ruleWorker, "heartbeat response cannot be decoded: %v", err)
 		return
 	}
 	if response.FencingToken < worker.fencingToken {
@@ -145,8 +146,8 @@
 	worker.runCommands(response.Commands)
 }
 
-// observeToken notes a token. A higher one is a change that is reported, though not more often
-// than once in half a lease.
+// observeToken stores a fencing token if it is higher than the known one. The change is reported
+// by an early heartbeat, but at most once per half lease.
 func (worker *Worker) observeToken(token int64) {
 	if token <= worker.fencingToken {
 		return
