--- a/internal/fake/job.go
+++ b/internal/fake/job.go
@@ -6,45 +6,46 @@
 	"oakpick/internal/protocol"
 )
 
-// Job is a job as its user and its tasks know it.
+// Job is a job: its submission, the progress of its tasks, and the replies that its user got.
 type Job struct {
-	// Submission is what its user hands in, RunTime how long each task runs.
+	// Submission is the user's submission, RunTime the run time of each task.
 	Submission protocol.Submission
 	RunTime    time.Duration
-	// AlwaysFails makes every task exit with a failure as soon as it has its image.
+	// AlwaysFails makes every task exit with a failure as soon as its image is fetched.
 	AlwaysFails bool
-	// CheckpointedRunTime is how much of its run time each task has saved in checkpoints.
+	// CheckpointedRunTime is the run time that checkpoints have saved, by task.
 	CheckpointedRunTime map[int]time.Duration
-	// DoneTasks has the tasks that ran to their end.
+	// DoneTasks is the set of tasks that ran to completion.
 	DoneTasks map[int]bool
-	// Started tells whether a task was ever on a machine.
+	// Started reports whether any task was ever on a machine.
 	Started bool
 
-	// SubmittedAt is when it was first handed in, AcceptedAt when its user was told.
+	// SubmittedAt is when the user first submitted the job, AcceptedAt when the user was told that
+	// it is accepted.
 	SubmittedAt, AcceptedAt time.Duration
-	// Accepted tells whether its user was told that it is accepted.
+	// Accepted reports whether the user was told that the job is accepted.
 	Accepted bool
-	// RejectedWith is the status with which its submission was refused for good; 0: it wasn't.
+	// RejectedWith is the HTTP status of the permanent rejection of the submission; 0 means none.
 	RejectedWith int
-	// CancelRequested tells whether its user asked to cancel it.
+	// CancelRequested reports whether the user asked to cancel the job.
 	CancelRequested bool
-	// Cancelled tells whether its user was told that it is cancelled, CancelledAt when.
+	// Cancelled reports whether the user was told that the job is cancelled, CancelledAt when.
 	Cancelled   bool
 	CancelledAt time.Duration
-	// Status is what its user was told last.
+	// Status is the last status that the user was told.
 	Status string
-	// AnsweredAt is when a question about it was last answered with 200; 0: never.
+	// AnsweredAt is when a user last got a response with the job's status; 0 means never.
 	AnsweredAt time.Duration
 
-	statusReportedAt   time.Duration     // when Status was told
-	attemptsOnMachines map[*attempt]bool // its tasks that are on machines
-	ancestors          map[*Job]bool     // see World.ancestors
+	statusReportedAt   time.Duration     // when the user was told Status
+	attemptsOnMachines map[*attempt]bool // attempts that are on machines
+	ancestors          map[*Job]bool     // cache, see World.ancestors
 }
 
-// knownToUser tells whether its user was ever told that the job exists.
+// knownToUser reports whether the user was ever told that the job exists.
 func (j *Job) knownToUser() bool { return j.Accepted || j.AnsweredAt > 0 }
 
-// Submit hands a job in, and again until it is accepted, as users do.
+// Submit submits a job as a user does: it repeats the request until the job is accepted or rejected.
 func (w *World) Submit(s protocol.Submission, run time.Duration) *Job {
 	j := &Job{Submission: s, RunTime: run, CheckpointedRunTime: map[int]time.Duration{}, DoneTasks: map[int]bool{}, SubmittedAt: w.Now}
 	w.hasPipelines = w.hasPipelines || len(s.Prerequisites) > 0
@@ -54,8 +55,8 @@
 	return j
 }
 
-// AddEndedJob notes a job that ended before the world began, so that others may name it.
-// Nobody asks about it.
+// AddEndedJob adds a job that ended before the simulation started, so that other jobs can name it as
+// a prerequisite. The simulated user does not query it.
 func (w *World) AddEndedJob(id string, cancelled bool) {
 	if w.Jobs[id] != nil {
 		return
--- a/internal/fake/peers.go
+++ b/internal/fake/peers.go
@@ -8,14 +8,14 @@
 	"oakpick/internal/protocol"
 )
 
-// forwardedRequest is a request that is with another controller.
+// forwardedRequest is a request that was forwarded to another controller.
 type forwardedRequest struct {
 	pendingRequest
 	peer     string
 	finished bool
 }
 
-// finish gives the request its reply, unless it has one.
+// finish replies to the request unless that has been done.
 func (f *forwardedRequest) finish(reply message.Reply) {
 	if !f.finished {
 		f.finished = true
@@ -23,12 +23,12 @@
 	}
 }
 
-// forward hands a request to another controller, and its reply back.
+// forward sends a request to another controller and passes the reply back.
 func (c *Controller) forward(e message.Forward) {
 	w := c.world
 	pending, ok := c.pending[e.ID]
 	if !ok {
-		w.RecordViolation(ruleForward, "%s hands on what is no request", c.Name)
+		w.RecordViolation(ruleForward, "%s forwards an unknown or finished request", c.Name)
 		return
 	}
 	delete(c.pending, e.ID)
@@ -36,7 +36,7 @@
 	if peer == nil {
 		return
 	}
-	if pending.fromPeer { // as the daemon does: else it could be forwarded in circles
+	if pending.fromPeer { // rejected as in the daemon: a second hop could start a loop
 		pending.reply(message.Reply{Status: http.StatusServiceUnavailable, RetryAfterS: 1})
 		return
 	}
@@ -57,8 +57,8 @@
 	})
 }
 
-// redirectForwarded has requests that are with a former leader handled again, which forwards
-// them to the present one.
+// redirectForwarded handles forwarded requests again when the known leader has changed, so that they
+// are forwarded to the new leader.
 func (c *Controller) redirectForwarded() {
 	if !c.Up {
 		return
@@ -79,7 +79,7 @@
 	}
 }
 
-// callPeer asks a peer to step down, and delivers its answer to the process.
+// callPeer asks a peer to step down and delivers its response to the process.
 func (c *Controller) callPeer(e message.PeerCall) {
 	w, incarnation := c.world, c.incarnation
 	peer := w.controllerNamed(e.Peer)
--- a/internal/fake/pipelines.go
+++ b/internal/fake/pipelines.go
@@ -7,7 +7,7 @@
 	"oakpick/internal/protocol"
 )
 
-// prerequisites are the jobs that a job names.
+// prerequisites returns the known jobs that a job names as its prerequisites.
 func (w *World) prerequisites(j *Job) []*Job {
 	var prerequisites []*Job
 	for _, id := range j.Submission.Prerequisites {
@@ -18,14 +18,14 @@
 	return prerequisites
 }
 
-// ancestors are all jobs that a job needs, directly or through others. What a job names
-// never changes, so they are found once.
+// ancestors returns the direct and indirect prerequisites of a job. The result is cached, because
+// the prerequisites of a job never change.
 func (w *World) ancestors(j *Job) map[*Job]bool {
 	if j.ancestors != nil {
 		return j.ancestors
 	}
 	ancestors := map[*Job]bool{}
-	j.ancestors = ancestors // a job that names itself, which is refused, comes to an end, too
+	j.ancestors = ancestors // set first: a job that names itself, which is rejected, must not recurse forever
 	for _, p := range w.prerequisites(j) {
 		ancestors[p] = true
 		maps.Copy(ancestors, w.ancestors(p))
@@ -33,7 +33,7 @@
 	return ancestors
 }
 
-// anyJob tells whether a condition holds for any of a set of jobs.
+// anyJob reports whether the condition holds for any job of a set.
 func anyJob(jobs map[*Job]bool, condition func(*Job) bool) bool {
 	for j := range jobs {
 		if condition(j) {
@@ -43,20 +43,19 @@
 	return false
 }
 
-// ancestorCancelRequested tells whether a user has asked to cancel a job that this one
-// needs.
+// ancestorCancelRequested reports whether a user has asked to cancel an ancestor of the job.
 func (w *World) ancestorCancelRequested(j *Job) bool {
 	return anyJob(w.ancestors(j), func(p *Job) bool { return p.CancelRequested })
 }
 
-// CancelledByAncestor tells whether a user was told that a job that this one needs is
-// cancelled, so that this one is cancelled, too.
+// CancelledByAncestor reports whether a user was told that an ancestor of the job is cancelled, which
+// cancels the job, too.
 func (w *World) CancelledByAncestor(j *Job) bool {
 	return anyJob(w.ancestors(j), func(p *Job) bool { return p.Cancelled })
 }
 
-// checkPipeline checks what a user is told of a job against what was said of the jobs
-// that it needs, and of those that need it.
+// checkPipeline checks the status that a user is told of a job against what users were told of its
+// ancestors and descendants.
 func (w *World) checkPipeline(j *Job, status string, askedAt time.Duration) {
 	if !w.hasPipelines {
 		return
@@ -71,28 +70,29 @@
 	}
 }
 
-// checkAncestors checks that no job that an unfinished one needs is cancelled.
+// checkAncestors checks that no ancestor of an unfinished job was reported as cancelled.
 func (w *World) checkAncestors(j *Job, status string, askedAt time.Duration) {
 	for ancestor := range w.ancestors(j) {
 		if ancestor.Cancelled && askedAt > ancestor.CancelledAt+w.cancelWithin() {
-			w.RecordViolation(ruleOrphaned, "%s is called %s, and %s is cancelled", j.Submission.ID, status, ancestor.Submission.ID)
+			w.RecordViolation(ruleOrphaned, "%s is reported %s more than cancel_s after ancestor %s was cancelled", j.Submission.ID, status, ancestor.Submission.ID)
 		}
-		// Stricter than the rule: a job that waits has nothing to be stopped.
+		// Stricter than the rule, which allows cancel_s: a job that waits for its ancestors has no
+		// tasks to stop.
 		if ancestor.Cancelled && askedAt > ancestor.CancelledAt {
-			w.RecordViolation(ruleOrphaned, "%s is called %s after its user was told that %s is cancelled", j.Submission.ID, status, ancestor.Submission.ID)
+			w.RecordViolation(ruleOrphaned, "%s is reported %s after its user was told that ancestor %s is cancelled", j.Submission.ID, status, ancestor.Submission.ID)
 		}
 	}
 }
 
-// checkDescendant checks a job's end against what was so of a job that needs it.
+// checkDescendant checks the final status of a job against the progress and status of a descendant.
 func (w *World) checkDescendant(j, descendant *Job, status string) {
 	id := descendant.Submission.ID
 	if status == protocol.StatusCancelled && descendant.Started {
-		w.RecordViolation(ruleWentBack, "%s is called cancelled, and %s, which needs it, has begun", j.Submission.ID, id)
+		w.RecordViolation(ruleWentBack, "%s is reported cancelled although descendant %s has started", j.Submission.ID, id)
 	}
 	otherCancelled := descendant.CancelRequested ||
 		anyJob(w.ancestors(descendant), func(p *Job) bool { return p != j && p.CancelRequested })
 	if status == protocol.StatusDone && descendant.Status == protocol.StatusCancelled && !otherCancelled {
-		w.RecordViolation(ruleWentBack, "%s is done, and %s was called cancelled with it", j.Submission.ID, id)
+		w.RecordViolation(ruleWentBack, "%s is reported done although descendant %s was reported cancelled because of it", j.Submission.ID, id)
 	}
 }
--- a/internal/fake/queries.go
+++ b/internal/fake/queries.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/protocol"
 )
 
-// KnownMachines is how many machines the leader knows of, as it tells operators; -1: no
-// controller leads.
+// KnownMachines returns how many machines the leader's admin status lists as booting, up or silent,
+// or -1 if there is no leader.
 func (w *World) KnownMachines() int {
 	leader := w.Leader()
 	if leader == nil {
@@ -31,7 +31,7 @@
 	return known
 }
 
-// Running counts a job's tasks that run.
+// Running returns the number of running tasks of a job.
 func (w *World) Running(id string) int {
 	count := 0
 	for a := range w.attemptsOnMachines(id) {
@@ -42,7 +42,7 @@
 	return count
 }
 
-// attemptsOnMachines is the set of a job's tasks that are on machines.
+// attemptsOnMachines returns the attempts of a job that are on machines.
 func (w *World) attemptsOnMachines(id string) map[*attempt]bool {
 	if j := w.Jobs[id]; j != nil {
 		return j.attemptsOnMachines
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// TasksOnMachines counts the tasks that are on machines.
+// TasksOnMachines returns the number of tasks of all jobs that are on machines.
 func (w *World) TasksOnMachines() int {
 	count := 0
 	for _, name := range w.workerNames {
@@ -59,7 +59,7 @@
 	return count
 }
 
-// MachinesOf names the machines on which a job has tasks.
+// MachinesOf returns the sorted names of the machines that have tasks of a job.
 func (w *World) MachinesOf(id string) []string {
 	var names []string
 	for a := range w.attemptsOnMachines(id) {
@@ -69,7 +69,7 @@
 	return names
 }
 
-// MachineNames lists the machines that are up.
+// MachineNames returns the names of the machines that have booted and are not terminated.
 func (w *World) MachineNames() []string {
 	var names []string
 	for _, name := range w.workerNames {
@@ -80,16 +80,16 @@
 	return names
 }
 
-// TypeOf is a machine's type.
+// TypeOf returns a machine's type.
 func (w *World) TypeOf(name string) string { return w.Workers[name].machine.Type }
 
-// ZoneOf is a machine's zone.
+// ZoneOf returns a machine's zone.
 func (w *World) ZoneOf(name string) string { return w.Workers[name].machine.Zone }
 
-// Incarnation is the present incarnation of a machine's worker.
+// Incarnation returns the current incarnation of a machine's worker.
 func (w *World) Incarnation(name string) int64 { return w.Workers[name].incarnation }
 
-// AnnounceInterruption has the cloud take a machine after a time, and the worker know of it.
+// AnnounceInterruption notifies a worker that the cloud reclaims its machine after the given time.
 func (w *World) AnnounceInterruption(name string, in time.Duration) {
 	if worker := w.Workers[name]; worker != nil && !worker.terminated {
 		worker.interruptionAt = w.Now + in
--- a/internal/fake/remote_controllers.go
+++ b/internal/fake/remote_controllers.go
@@ -7,12 +7,12 @@
 	"oakpick/internal/storage"
 )
 
-// RemoteSend carries a request to a controller that runs outside the world, and its reply back.
-// Both are called by the world's owner.
+// RemoteSend sends a request to a controller that runs outside the world. Both the function and its
+// reply callback are called in the goroutine that owns the world.
 type RemoteSend func(request message.Request, reply func(message.Reply))
 
-// NewWithRemoteControllers makes a world whose controllers run outside it, as real processes. Its time is
-// what Advance is told. It has one owner: nothing of it may be used by two goroutines.
+// NewWithRemoteControllers returns a world whose controllers run outside it, as real processes. The
+// caller advances its time with AdvanceTo. A World is not safe for concurrent use.
 func NewWithRemoteControllers(s config.Settings, types []protocol.MachineType, controllers []string, send func(controller int) RemoteSend) *World {
 	w := newWorld(s, types)
 	for i, name := range controllers {
@@ -21,24 +21,24 @@
 	return w
 }
 
-// ServeState executes a request to the state service, and answers it unless the network
-// keeps that from happening.
+// ServeState executes a request to the state service and passes the result to answer, unless the
+// network loses the request or the result.
 func (w *World) ServeState(call storage.StateCall, answer func(storage.StateResult)) {
 	serve(w, KindState, stateService, func() (storage.StateResult, bool) { return w.State.Execute(call), true }, answer)
 }
 
-// ServeCloud executes a request to the cloud.
+// ServeCloud executes a request to the cloud API, subject to the same network faults.
 func (w *World) ServeCloud(call message.CloudCall, answer func(message.CloudResult)) {
 	serve(w, KindCloud, cloudService, func() (message.CloudResult, bool) { return w.Cloud.execute(call), true }, answer)
 }
 
-// ServeCommands has a worker execute direct commands. A machine without power, one that
-// hangs or one that is partitioned answers nothing.
+// ServeCommands lets a worker execute commands that were sent directly to it. There is no answer if
+// the machine is unknown or terminated, if its worker hangs, or if the network loses a message.
 func (w *World) ServeCommands(call message.CommandsCall, answer func(message.CommandsResult)) {
 	serve(w, KindCommands, call.Machine, func() (message.CommandsResult, bool) { return w.executeCommands(call) }, answer)
 }
 
-// serve has a request from outside executed and answered as the network will.
+// serve executes a request from outside the world and answers it, subject to network faults.
 func serve[R any](w *World, kind, to string, execute func() (R, bool), answer func(R)) {
 	delivery := w.deliveryOf(kind, "", to)
 	if delivery.LoseRequest {
@@ -51,7 +51,8 @@
 	})
 }
 
-// executeCommands has a worker execute direct commands, when it resumes if it hangs.
+// executeCommands lets a worker execute commands that were sent directly to it. A hung worker executes
+// them when it resumes, without an answer.
 func (w *World) executeCommands(call message.CommandsCall) (result message.CommandsResult, answered bool) {
 	worker := w.Workers[call.Machine]
 	if worker == nil || worker.terminated {
@@ -68,8 +69,8 @@
 	return worker.executeDirect(call), true
 }
 
-// DuplicateStart has a task that runs on one machine start on another, too, behind the
-// controllers' back: it breaks a rule on purpose, to show that this is found.
+// DuplicateStart starts a running task on a second machine without any controller's command. It
+// breaks the rule ran_twice on purpose, to test that the violation is detected.
 func (w *World) DuplicateStart() bool {
 	for _, name := range w.workerNames {
 		for _, a := range w.Workers[name].attempts {
@@ -81,7 +82,7 @@
 	return false
 }
 
-// startElsewhere has an attempt start on some other machine that has room for it.
+// startElsewhere starts an attempt on another machine that has room for it.
 func (w *World) startElsewhere(machine string, id protocol.Attempt) bool {
 	for _, name := range w.workerNames {
 		worker := w.Workers[name]
@@ -90,7 +91,7 @@
 		}
 		worker.start(id)
 		if second := worker.findAttempt(id); second.State == protocol.Fetching {
-			second.imageReadyAt = w.Now // before the controllers hear of it and have it stopped
+			second.imageReadyAt = w.Now // starts the task before the controllers can stop it
 			worker.advance(second)
 			return true
 		}
--- a/internal/fake/settings.go
+++ b/internal/fake/settings.go
@@ -5,7 +5,7 @@
 	"oakpick/internal/protocol"
 )
 
-// Settings gives small figures for a test.
+// Settings returns settings with small limits for tests.
 func Settings() config.Settings {
 	return config.Settings{
 		Size: 3, Zones: []string{"a", "b"},
@@ -20,7 +20,7 @@
 	}
 }
 
-// Types are the machine types that the cloud rents.
+// Types returns the machine types that the simulated cloud offers.
 func Types() []protocol.MachineType {
 	return []protocol.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 100, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"a", "b"}},
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -8,12 +8,12 @@
 	"oakpick/internal/config"
 )
 
-// entry is what the state service holds under a key.
+// entry is a key's value in the state service.
 type entry struct {
 	value   []byte
 	version int64
-	lease   int64
-	writer  string // the controller that wrote it
+	lease   int64  // lease that the key is attached to; 0: none
+	writer  string // controller that wrote the value
 }
 
 type lease struct {
@@ -21,42 +21,42 @@
 	expiresAt time.Duration
 }
 
-// State is the state service.
+// State simulates the state service.
 type State struct {
-	// Down has every request refused.
+	// Down makes the service refuse every request.
 	Down bool
 	// Unreachable names the controllers whose requests are refused (503).
 	Unreachable map[string]bool
-	// MaxListed is how many entries an answer has at most: few, so that reading on is
-	// exercised.
+	// MaxListed is the maximum number of entries in a list response. It is small so that tests
+	// exercise paging.
 	MaxListed int
-	// WriteTransactions counts transactions that wrote something.
+	// WriteTransactions counts the transactions that changed something.
 	WriteTransactions int
-	// Puts counts the keys that were written.
+	// Puts counts the values that were written.
 	Puts int
-	// RejectedForSize counts transactions that were over the limits after these were
-	// lowered.
+	// RejectedForSize counts the transactions that were rejected because of their number of changes
+	// or the size of a value. Before LowerLimits, such a transaction is also a violation.
 	RejectedForSize int
-	// RejectPageWrites has every write of a page refused for the rate (429).
+	// RejectPageWrites makes the service refuse every page write because of its rate (429).
 	RejectPageWrites bool
-	// MinRejectedChanges has every transaction refused for the rate (429) that changes at least so many
-	// keys; 0: none.
+	// MinRejectedChanges is the number of changes from which a transaction is refused because of
+	// its rate (429); 0 means no such limit.
 	MinRejectedChanges int
-	// RejectedForChanges counts these.
+	// RejectedForChanges counts the transactions refused because of MinRejectedChanges.
 	RejectedForChanges int
 
 	world         *World
 	limits        config.State
 	limitsLowered bool
 	keys          map[string]entry
-	sortedKeys    []string // nil: they have changed
+	sortedKeys    []string // cache; nil: the set of keys has changed
 	leases        map[int64]lease
 	revision      int64
-	nextID        int64
-	recentWrites  []time.Duration // when, within the last second
+	nextID        int64           // ID of the last lease
+	recentWrites  []time.Duration // times of the changes within the last second
 }
 
-// defaultMaxListed is MaxListed of a new state service.
+// defaultMaxListed is the MaxListed of a new State.
 const defaultMaxListed = 3
 
 func newState(w *World, limits config.State) *State {
@@ -66,18 +66,19 @@
 	}
 }
 
-// LowerLimits puts the limits to come in force: what is larger gets 400 from now on.
+// LowerLimits applies the announced limits. Larger transactions and values are rejected (400) from
+// then on.
 func (s *State) LowerLimits() {
 	s.limits, s.limitsLowered = s.limits.Smallest(), true
 }
 
-// SetMaxValueKB sets how large a value may be.
+// SetMaxValueKB sets the maximum size of a value.
 func (s *State) SetMaxValueKB(kilobytes float64) { s.limits.ValueKB = kilobytes }
 
-// noExpiry is when a lease expires that can't in an outage.
+// noExpiry is the expiry time of leases during an outage, when they cannot expire.
 const noExpiry time.Duration = 1 << 60
 
-// SetOutage starts or ends an outage. After it every lease has its full time again.
+// SetOutage starts or ends an outage. When the outage ends, every lease gets its full TTL again.
 func (s *State) SetOutage(down bool) {
 	s.expireLeases()
 	s.Down = down
@@ -90,7 +91,7 @@
 	}
 }
 
-// Values are the stored values by key.
+// Values returns the stored values by key.
 func (s *State) Values() map[string][]byte {
 	values := map[string][]byte{}
 	for key, e := range s.keys {
@@ -99,7 +100,7 @@
 	return values
 }
 
-// Size is how many keys there are, and how many bytes their values take.
+// Size returns the number of keys and the total size of their values.
 func (s *State) Size() (keys, bytes int) {
 	for _, e := range s.keys {
 		bytes += len(e.value)
@@ -107,14 +108,14 @@
 	return len(s.keys), bytes
 }
 
-// WriterOf names the controller whose write made a key; "": there is no such key.
+// WriterOf returns the controller that last wrote a key, or "" if there is no such key.
 func (s *State) WriterOf(key string) string {
 	s.expireLeases()
 	return s.keys[key].writer
 }
 
-// Restore stores values that another service held, as if each had been written after the
-// one before it in the order of the keys. No key is attached to a lease.
+// Restore stores the values of another state service without leases. Each key gets a revision of its
+// own, in the order of the keys.
 func (s *State) Restore(values map[string][]byte) {
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		s.revision++
@@ -131,7 +132,7 @@
 	}
 }
 
-// endLease removes a lease and the keys that are attached to it.
+// endLease removes a lease and the keys attached to it.
 func (s *State) endLease(id int64) {
 	delete(s.leases, id)
 	for key, e := range s.keys {
--- a/internal/fake/state_requests.go
+++ b/internal/fake/state_requests.go
@@ -11,16 +11,16 @@
 	"oakpick/internal/storage"
 )
 
-// minLeaseTTL is the shortest lease that the service is expected to be asked for.
+// minLeaseTTL is the shortest TTL that a controller should request; a shorter one is a violation.
 const minLeaseTTL = 100 * time.Millisecond
 
-// Execute executes a request at once, whoever sends it.
+// Execute executes a request of an unspecified sender at once.
 func (s *State) Execute(call storage.StateCall) storage.StateResult {
 	return s.execute("", false, call)
 }
 
-// execute executes a controller's request; asProduction says that the controller runs as the
-// version in production would.
+// execute executes a request of a controller. asProduction means that the controller runs as the
+// version in production.
 func (s *State) execute(from string, asProduction bool, call storage.StateCall) storage.StateResult {
 	result := storage.StateResult{ID: call.ID}
 	if s.Down || s.Unreachable[from] {
@@ -51,7 +51,7 @@
 
 func (s *State) grantLease(ttl time.Duration) (id int64) {
 	if ttl < minLeaseTTL {
-		s.world.RecordViolation(ruleState, "a lease of %v", ttl)
+		s.world.RecordViolation(ruleState, "lease TTL of %v is too short", ttl)
 	}
 	s.nextID++
 	s.leases[s.nextID] = lease{ttl, s.world.Now + ttl}
@@ -84,10 +84,11 @@
 	return protocol.Entry{Key: key, Value: e.value, Version: e.version, Lease: e.lease}, rpc.OK
 }
 
-// maxListBytes is what the entries of an answer take at most.
+// maxListBytes is the maximum size of the keys and values in a list response. A single larger entry
+// is still returned.
 const maxListBytes = 512 << 10
 
-// list gives the entries after a key that have a prefix, and tells whether there are more.
+// list returns the entries after startAfter whose keys have the prefix, and whether there are more.
 func (s *State) list(prefix, startAfter string, limit int) (entries []protocol.Entry, more bool) {
 	if s.sortedKeys == nil {
 		s.sortedKeys = slices.Sorted(maps.Keys(s.keys))
--- a/internal/fake/state_txn.go
+++ b/internal/fake/state_txn.go
@@ -13,14 +13,14 @@
 	"oakpick/internal/rpc"
 )
 
-// A transaction may have so many times as many conditions as changes, and the service takes a
-// burst of so many seconds' writes.
+// Limits that are multiples of configured ones: conditions per allowed change, and the burst of
+// writes in seconds of the write rate.
 const (
 	conditionsPerChange = 4
 	writeBurstSeconds   = 2
 )
 
-// commit executes a transaction if the limits and its conditions allow it.
+// commit executes a transaction if it is within the limits and its conditions hold.
 func (s *State) commit(from string, asProduction bool, txn protocol.Txn) rpc.Outcome {
 	if outcome := s.admit(txn); outcome != rpc.OK {
 		return outcome
@@ -30,7 +30,7 @@
 			return rpc.Conflict
 		}
 	}
-	if !asProduction { // a late copy that its conditions refuse does no harm
+	if !asProduction { // checked after the conditions: a late duplicate that fails them does no harm
 		s.checkNextLimits(from, txn)
 	}
 	for _, change := range txn.Then {
@@ -48,7 +48,8 @@
 	return rpc.OK
 }
 
-// admit checks a transaction against the limits on sizes and rates.
+// admit checks a transaction against the limits on sizes and rates, and applies the rejections that
+// a test has configured.
 func (s *State) admit(txn protocol.Txn) rpc.Outcome {
 	if excess := s.limitExcess(txn); excess != "" {
 		if !s.limitsLowered {
@@ -58,11 +59,11 @@
 		return rpc.Invalid
 	}
 	if len(txn.Then) > s.limits.TxnOps || len(txn.If) > conditionsPerChange*s.limits.TxnOps {
-		s.world.RecordViolation(ruleState, "a transaction of %d changes and %d conditions", len(txn.Then), len(txn.If))
+		s.world.RecordViolation(ruleState, "transaction of %d changes and %d conditions exceeds the limit", len(txn.Then), len(txn.If))
 	}
 	if size := sizeInJSON(txn); size > protocol.MaxBody {
-		s.world.RecordViolation(ruleState, "a transaction of %d bytes", size)
-		return rpc.Unknown // an answer that the protocol doesn't list
+		s.world.RecordViolation(ruleState, "transaction of %d bytes exceeds the limit", size)
+		return rpc.Unknown // the protocol defines no response for this case
 	}
 	if s.RejectPageWrites && len(txn.Then) > 0 && txn.Then[0].Put != election.LeaderKey {
 		return rpc.Refused
@@ -77,7 +78,7 @@
 	return rpc.OK
 }
 
-// withinWriteRate counts writes if their rate allows them.
+// withinWriteRate reports whether the write rate allows more writes, and counts them if it does.
 func (s *State) withinWriteRate(writes int) bool {
 	s.recentWrites = slices.DeleteFunc(s.recentWrites, func(at time.Duration) bool { return s.world.Now-at >= time.Second })
 	if len(s.recentWrites)+writes > int(writeBurstSeconds*s.limits.WriteRPS) {
@@ -102,36 +103,36 @@
 	s.keys[change.Put] = entry{protocol.Encode(change.Value), s.revision, change.Lease, from}
 }
 
-// limitExcess says what of a transaction is over the limits; "": nothing.
+// limitExcess describes how a transaction exceeds the limits, or returns "" if it does not.
 func (s *State) limitExcess(txn protocol.Txn) string {
 	if len(txn.Then) > s.limits.TxnOps {
-		return fmt.Sprintf("a transaction of %d changes", len(txn.Then))
+		return fmt.Sprintf("transaction of %d changes exceeds the limit", len(txn.Then))
 	}
 	for _, change := range txn.Then {
 		if size := sizeInJSON(change.Value); change.Delete == "" && size > bytesIn(s.limits.ValueKB) {
-			return fmt.Sprintf("a value of %d bytes", size)
+			return fmt.Sprintf("value of %d bytes exceeds the limit", size)
 		}
 	}
 	return ""
 }
 
-// checkNextLimits checks that a controller that knows of lower limits to come keeps to
-// them: only the rest of a value that was stored before may still be larger, and no larger
-// than it was.
+// checkNextLimits checks that a controller respects announced lower limits before they apply. A
+// value may exceed the announced size only if the stored value of its key is at least as large, as
+// when items are removed from a page.
 func (s *State) checkNextLimits(from string, txn protocol.Txn) {
 	next := s.limits.Smallest()
 	for _, change := range txn.Then {
 		size := sizeInJSON(change.Value)
 		if change.Delete == "" && size > bytesIn(next.ValueKB) && size > s.storedSize(change.Put) {
-			s.world.RecordViolation(ruleState, "%s writes a value of %d bytes, above the limits to come", from, size)
+			s.world.RecordViolation(ruleState, "%s writes a value of %d bytes, which exceeds the announced limit", from, size)
 		}
 	}
 	if len(txn.Then) > next.TxnOps {
-		s.world.RecordViolation(ruleState, "%s makes %d changes at once, above the limits to come", from, len(txn.Then))
+		s.world.RecordViolation(ruleState, "%s sends a transaction of %d changes, which exceeds the announced limit", from, len(txn.Then))
 	}
 }
 
-// storedSize is the size of what is stored under a key; 0: nothing.
+// storedSize returns the size of a key's stored value, or 0 if there is none.
 func (s *State) storedSize(key string) int {
 	e, ok := s.keys[key]
 	if !ok {
@@ -142,11 +143,11 @@
 
 func bytesIn(kilobytes float64) int { return int(kilobytes * 1024) }
 
-// sizeInJSON is how limits count: what is on the wire, written as JSON.
+// sizeInJSON returns a value's size as the limits count it: its wire form, encoded as JSON.
 func sizeInJSON(v any) int {
 	var wire any
 	if err := protocol.Decode(protocol.Encode(v), &wire); err != nil {
-		panic(err) // it has just been encoded
+		panic(err) // cannot happen: the value was just encoded
 	}
 	text, err := json.Marshal(wire)
 	if err != nil {
--- a/internal/fake/statuses.go
+++ b/internal/fake/statuses.go
@@ -7,8 +7,7 @@
 	"oakpick/internal/protocol"
 )
 
-// checkStatus checks what a user is answered against what was so and what was answered
-// before.
+// checkStatus checks a response to a user against the state of the job and the earlier responses.
 func (w *World) checkStatus(j *Job, reply message.Reply, askedAt time.Duration) {
 	var response protocol.JobResponse
 	if err := protocol.Decode(reply.Body, &response); err != nil || response.ID != j.Submission.ID {
@@ -19,7 +18,7 @@
 	status := response.Status
 	w.checkPipeline(j, status, askedAt)
 	if askedAt < j.statusReportedAt && !isFinal(status) {
-		return // asked before the last answer was heard: the two may cross
+		return // the request was sent before the last response arrived, so the responses may be out of order
 	}
 	w.checkProgress(j, status)
 	if j.Status != status {
@@ -32,21 +31,21 @@
 	}
 }
 
-// checkProgress checks a status against the job's tasks and against the last status.
+// checkProgress checks a status against the job's tasks and the previous status.
 func (w *World) checkProgress(j *Job, status string) {
 	id := j.Submission.ID
 	if status == protocol.StatusDone && len(j.DoneTasks) < j.Submission.Tasks {
-		w.RecordViolation(ruleNotDone, "%s: %d of %d", id, len(j.DoneTasks), j.Submission.Tasks)
+		w.RecordViolation(ruleNotDone, "%s: reported done with %d of %d tasks done", id, len(j.DoneTasks), j.Submission.Tasks)
 	}
 	if status == protocol.StatusCancelled && !j.CancelRequested && !w.ancestorCancelRequested(j) {
-		w.RecordViolation(ruleWentBack, "%s: cancelled, and nobody asked", id)
+		w.RecordViolation(ruleWentBack, "%s: reported cancelled without a request to cancel it", id)
 	}
 	if isFinal(j.Status) && status != j.Status {
 		w.RecordViolation(ruleWentBack, "%s: %s after %s", id, status, j.Status)
 	}
 }
 
-// isFinal tells whether a job never has another status after this one.
+// isFinal reports whether a job keeps this status once it has it.
 func isFinal(status string) bool {
 	return status == protocol.StatusDone || status == protocol.StatusCancelled
 }
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	userTimeout    = 5 * time.Second // of a user's request
-	userRetryDelay = time.Second     // at least
+	userTimeout    = 5 * time.Second // for the reply to a user's request
+	userRetryDelay = time.Second     // minimum; a reply may ask for more
 )
 
-// submit hands a job in, and again until that is answered for good.
+// submit submits a job and retries until it is accepted or permanently rejected.
 func (w *World) submit(j *Job) {
 	s, askedAt := j.Submission, w.Now
 	w.sendRequest(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, answered bool) {
@@ -26,7 +26,7 @@
 			w.checkStatus(j, r, askedAt)
 		case answered && rejects(r.Status):
 			if j.Accepted {
-				w.RecordViolation(ruleForgotten, "%s: a repeat got %d", s.ID, r.Status)
+				w.RecordViolation(ruleForgotten, "%s: repeated submission got status %d", s.ID, r.Status)
 			}
 			j.RejectedWith = r.Status
 		default:
@@ -36,18 +36,19 @@
 	})
 }
 
-// accepts tells whether a status says that a submission is accepted, now or earlier.
+// accepts reports whether a status means that the submission is accepted, now or earlier.
 func accepts(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
 
-// rejects tells whether a status says that a submission is refused for good.
+// rejects reports whether a status means that the submission is permanently rejected.
 func rejects(status int) bool {
 	return status == http.StatusBadRequest || status == http.StatusUnprocessableEntity
 }
 
-// Resubmit hands an accepted job in once more.
+// Resubmit submits an accepted job again.
 func (w *World) Resubmit(j *Job) { w.submit(j) }
 
-// pickController chooses a controller for a user's request, as the load balancer does.
+// pickController chooses a controller for a user's request as the load balancer does: in turn, and
+// a healthy one if there is any.
 func (w *World) pickController() *Controller {
 	for range w.Controllers {
 		w.seq++
@@ -58,13 +59,13 @@
 	return w.Controllers[w.seq%len(w.Controllers)]
 }
 
-// sendRequest sends a user's sendRequest to some controller.
+// sendRequest sends a user's request through the load balancer.
 func (w *World) sendRequest(request message.UserRequest, done func(r message.Reply, answered bool)) {
 	w.sendRequestTo(w.pickController(), request, done)
 }
 
-// sendRequestTo sends a user's request to a controller. After the timeout it counts as not
-// answered.
+// sendRequestTo sends a user's request to a controller. If there is no reply before the timeout, the
+// request counts as unanswered.
 func (w *World) sendRequestTo(c *Controller, request message.UserRequest, done func(r message.Reply, answered bool)) {
 	finished := false
 	finish := func(r message.Reply, answered bool) {
@@ -77,8 +78,8 @@
 	c.Request(request, func(r message.Reply) { finish(r, true) })
 }
 
-// StatusOf asks a leader about a job and gives its status; "": no answer, or the job is
-// unknown.
+// StatusOf queries the leader for a job's status. It returns "" if the job is unknown or there is no
+// answer before the timeout.
 func (w *World) StatusOf(id string) string {
 	status := ""
 	w.RunUntil(userTimeout, func() bool {
@@ -95,10 +96,10 @@
 	return status
 }
 
-// Poll asks some controller about a job.
+// Poll queries a job's status through the load balancer.
 func (w *World) Poll(j *Job) { w.poll(w.pickController(), j) }
 
-// PollAll asks about every job, and about one that nobody has submitted.
+// PollAll queries every submitted job, and a job that was never submitted.
 func (w *World) PollAll() {
 	for _, id := range w.jobNames {
 		w.Poll(w.Jobs[id])
@@ -106,23 +107,24 @@
 	w.PollUnknown()
 }
 
-// PollEnded asks about a job that ended before the world began.
+// PollEnded queries a job that was done before the simulation started, and checks that it is still
+// known as done.
 func (w *World) PollEnded(id string) {
 	w.sendRequest(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply, answered bool) {
 		var response protocol.JobResponse
 		notDone := r.Status == http.StatusOK &&
 			(protocol.Decode(r.Body, &response) != nil || response.Status != protocol.StatusDone)
 		if answered && (r.Status == http.StatusNotFound || notDone) {
-			w.RecordViolation(ruleForgotten, "%s, which is done: %d %s", id, r.Status, response.Status)
+			w.RecordViolation(ruleForgotten, "%s is done, but the query got %d %s", id, r.Status, response.Status)
 		}
 	})
 }
 
-// PollUnknown asks about a job that nobody has submitted.
+// PollUnknown queries a job that was never submitted, and checks that it is unknown.
 func (w *World) PollUnknown() {
 	w.sendRequest(message.UserRequest{Kind: message.Poll, Job: "wk-999999"}, func(r message.Reply, answered bool) {
 		if answered && r.Status == http.StatusOK {
-			w.RecordViolation(ruleInvented, "a job that nobody submitted")
+			w.RecordViolation(ruleInvented, "query for a job that was never submitted got status 200")
 		}
 	})
 }
@@ -131,7 +133,7 @@
 	known, askedAt := j.knownToUser(), w.Now
 	w.sendRequestTo(c, message.UserRequest{Kind: message.Poll, Job: j.Submission.ID}, func(r message.Reply, answered bool) {
 		if answered && r.Status == http.StatusNotFound && known {
-			w.RecordViolation(ruleForgotten, "%s", j.Submission.ID)
+			w.RecordViolation(ruleForgotten, "%s: query got status 404", j.Submission.ID)
 		}
 		if answered && r.Status == http.StatusOK {
 			w.checkStatus(j, r, askedAt)
@@ -139,7 +141,7 @@
 	})
 }
 
-// QueryEverywhere asks about a job at every controller at once, and hands it in again there.
+// QueryEverywhere queries a job at every controller at once, and resubmits it to each of them.
 func (w *World) QueryEverywhere(j *Job) {
 	for _, c := range w.Controllers {
 		w.poll(c, j)
@@ -147,16 +149,16 @@
 	}
 }
 
-// resubmitAt hands a job in at a controller, which the controller has to recognize if its
-// user knows of it.
+// resubmitAt resubmits a job to a controller. The controller must not reject it, and must not accept
+// it as new if the user was told that it exists.
 func (w *World) resubmitAt(c *Controller, j *Job) {
 	s, askedAt, known := j.Submission, w.Now, j.knownToUser()
 	w.sendRequestTo(c, message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, answered bool) {
 		switch {
 		case answered && rejects(r.Status):
-			w.RecordViolation(ruleForgotten, "%s: a repeat got %d", s.ID, r.Status)
+			w.RecordViolation(ruleForgotten, "%s: repeated submission got status %d", s.ID, r.Status)
 		case answered && r.Status == http.StatusCreated && known:
-			w.RecordViolation(ruleForgotten, "%s: a repeat was accepted as new", s.ID)
+			w.RecordViolation(ruleForgotten, "%s: repeated submission was accepted as new", s.ID)
 		case answered && accepts(r.Status):
 			j.Accepted = true
 			w.checkStatus(j, r, askedAt)
@@ -164,9 +166,9 @@
 	})
 }
 
-// SubmitInvalidJobs sends what users send at times: jobs that can't run, of a team that
-// nobody knows, too large for any machine or for their team's limit. Each is
-// refused for good, or for now, and never accepted.
+// SubmitInvalidJobs submits jobs that cannot run: with an unknown team, too large for any machine,
+// with an unknown machine type, and too large for the team's limit. Each must be rejected, either
+// permanently (422) or for the time being (503).
 func (w *World) SubmitInvalidJobs() {
 	for i, change := range []func(*protocol.Submission){
 		func(s *protocol.Submission) { s.Team = "nobody" },
@@ -180,21 +182,21 @@
 		change(&s)
 		w.sendRequest(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply, answered bool) {
 			if answered && r.Status != http.StatusUnprocessableEntity && r.Status != http.StatusServiceUnavailable {
-				w.RecordViolation(ruleAccepted, "%s, which can't run: %d", s.ID, r.Status)
+				w.RecordViolation(ruleAccepted, "%s: invalid submission got status %d", s.ID, r.Status)
 			}
 		})
 	}
 }
 
-// CancelEverywhere asks every controller at once to cancel a job, and repeats that as
-// users do.
+// CancelEverywhere asks every controller at once to cancel a job. Requests that fail are retried
+// through the load balancer.
 func (w *World) CancelEverywhere(j *Job) {
 	for _, c := range w.Controllers {
 		w.cancelAt(c, j)
 	}
 }
 
-// CancelJob asks to cancel a job, again and again until that is answered.
+// CancelJob asks to cancel a job and retries until a controller confirms it.
 func (w *World) CancelJob(j *Job) {
 	w.cancelAt(w.pickController(), j)
 }
@@ -208,7 +210,7 @@
 			return
 		}
 		if answered && r.Status == http.StatusNotFound && j.Accepted {
-			w.RecordViolation(ruleForgotten, "%s: cancelling it got 404", j.Submission.ID)
+			w.RecordViolation(ruleForgotten, "%s: request to cancel it got status 404", j.Submission.ID)
 		}
 		w.After(userRetryDelay, func() { w.CancelJob(j) })
 	})
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -7,32 +7,33 @@
 	"oakpick/internal/protocol"
 )
 
-// Worker is the worker of a machine.
+// Worker is the worker process of a machine.
 type Worker struct {
-	// HangUntil is when the worker goes on; until then only its lease does.
+	// HangUntil is when the worker resumes. While it hangs, only its lease expiry and the
+	// interruption of its machine take effect.
 	HangUntil time.Duration
-	// FailsTasks makes every task fail that it starts.
+	// FailsTasks makes every task of the worker exit with a failure once its image is fetched.
 	FailsTasks bool
 
 	world          *World
 	machine        *machine
 	machineType    protocol.MachineType
 	terminated     bool
-	interruptionAt time.Duration // when the cloud takes the machine; 0: no notice
+	interruptionAt time.Duration // when the cloud reclaims the machine; 0: not announced
 
 	incarnation     int64
 	sequence        int64 // of the last heartbeat
 	fencingToken    int64
-	tokenReportedAt time.Duration // when a higher token last counted as a change
-	leaseRenewedAt  time.Duration // when the last answered heartbeat was sent
+	tokenReportedAt time.Duration // when a higher token last caused an early heartbeat
+	leaseRenewedAt  time.Duration // when the last heartbeat that renewed the lease was sent
 
 	attempts []*attempt
-	images   map[string]time.Duration // when each image was fetched
+	images   map[string]time.Duration // fetched images and when each was fetched
 
-	controllerIndex   int // of the controller that the next heartbeat goes to
+	controllerIndex   int // controller that gets the next heartbeat
 	nextHeartbeatAt   time.Duration
 	heartbeatInFlight bool
-	heartbeatID       int64 // of the last heartbeat that was sent, counted over all incarnations
+	heartbeatID       int64 // ID of the last heartbeat sent, counted over all incarnations
 }
 
 func (w *World) addWorker(m *machine, machineType protocol.MachineType) {
@@ -47,8 +48,8 @@
 	slices.Sort(w.workerNames)
 }
 
-// tick has the worker handle what has become due: interruption, lease expiry, the steps of
-// its tasks, heartbeats.
+// tick handles whatever is due: the machine's interruption, lease expiry, the progress of tasks and
+// heartbeats.
 func (worker *Worker) tick() {
 	now := worker.world.Now
 	if worker.terminated {
@@ -78,7 +79,7 @@
 
 func (worker *Worker) hangs() bool { return worker.world.Now < worker.HangUntil }
 
-// expireLease ends all tasks and begins a new incarnation.
+// expireLease ends all tasks and starts a new incarnation.
 func (worker *Worker) expireLease() {
 	now := worker.world.Now
 	worker.incarnation++
@@ -88,14 +89,14 @@
 	worker.nextHeartbeatAt = now
 }
 
-// terminate ends the machine with all that is on it.
+// terminate ends the worker and its tasks together with the machine.
 func (worker *Worker) terminate() {
 	worker.terminated = true
 	worker.world.TasksLostWithMachine += worker.attemptsOnMachine()
 	worker.dropAttempts()
 }
 
-// dropAttempts removes every task at once.
+// dropAttempts removes all attempts without reporting them as exited.
 func (worker *Worker) dropAttempts() {
 	for _, a := range worker.attempts {
 		worker.removeFromMachine(a)
@@ -103,7 +104,7 @@
 	worker.attempts = nil
 }
 
-// attemptsOnMachine counts the tasks that are on the machine.
+// attemptsOnMachine returns the number of attempts whose tasks are on the machine.
 func (worker *Worker) attemptsOnMachine() int {
 	count := 0
 	for _, a := range worker.attempts {
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -1,7 +1,7 @@
-// Package fake holds in-memory stand-ins for everything outside a controller:
-// state service, cloud, workers, users and the network between them. They are
-// strict where the protocol is: limits, leases, tokens, incarnations and versions.
-// Time is simulated, so a test names the interleaving that it is about.
+// Package fake simulates everything outside a controller in memory: the state
+// service, the cloud, workers, users and the network between them. The simulation
+// enforces the rules of the protocol on limits, leases, tokens, incarnations and versions.
+// Time is simulated, so that a test controls the order of events exactly.
 package fake
 
 import (
@@ -15,68 +15,67 @@
 	"oakpick/internal/protocol"
 )
 
-// World holds everything, and checks the rules as it goes.
+// World is a simulated environment for controllers. It checks the protocol's rules while it runs.
 type World struct {
-	// Now is how much time has passed.
+	// Now is the simulated time since the start.
 	Now time.Duration
-	// Cfg is what controllers are started with, apart from their names.
+	// Cfg is the configuration of the controllers, apart from their own name and their peers.
 	Cfg *config.Config
-	// State is the state service, Cloud the cloud.
+	// State is the state service, Cloud the cloud API.
 	State *State
 	Cloud *Cloud
-	// Controllers are in the order of their Index.
+	// Controllers are ordered by Index.
 	Controllers []*Controller
-	// Workers has those of every machine that came up, by the machine's name.
+	// Workers has the workers of all machines that have booted, by machine name.
 	Workers map[string]*Worker
-	// Jobs has those that users submitted, by ID.
+	// Jobs has the submitted jobs by ID, and those of AddEndedJob.
 	Jobs map[string]*Job
-	// Violations lists the rules that were broken.
+	// Violations lists the detected violations, see RecordViolation.
 	Violations []string
-	// Log has the controllers' log lines, and what users were answered.
+	// Log has the log lines of the controllers and the statuses that users were told.
 	Log []string
 
-	// Network decides what happens to each exchange, see the Kind constants; nil: there are
-	// no faults.
+	// Network decides how each exchange is delivered. The kind is one of the Kind constants. A nil
+	// Network has no faults.
 	Network func(kind, from, to string) Delivery
-	// SeparateWrites has Network tell writes of pages apart, as KindWrite, from the other
-	// calls to the state service.
+	// SeparateWrites makes page writes appear to Network as KindWrite, apart from the other requests
+	// to the state service.
 	SeparateWrites bool
-	// RewriteAsProduction is what is left of a stored value once the version in production
-	// has read it and written it back.
+	// RewriteAsProduction returns a stored value as the version in production writes it back after
+	// reading it: without the fields that it does not know.
 	RewriteAsProduction func(key string, value []byte) []byte
 
-	// OnHeartbeat is called with every heartbeat that a worker sends, so that a test can
-	// keep copies and hand them in later.
+	// OnHeartbeat is called with every heartbeat that a worker sends, so that a test can save copies
+	// and replay them.
 	OnHeartbeat func(heartbeat protocol.Heartbeat)
-	// OnEffect is called with every effect of a controller, before it is performed.
+	// OnEffect is called with every effect of a controller before the effect is performed.
 	OnEffect func(controller string, effect message.Effect)
-	// OnStep is called after every step of a controller, before its effects are performed.
+	// OnStep is called after every step of a controller, before the step's effects are performed.
 	OnStep func(c *Controller, effects []message.Effect)
-	// OnStart is called with every start that a worker executes, OnTaskPresent of every task
-	// that has its image.
+	// OnStart is called for every start command that a worker executes, OnTaskPresent for every task
+	// whose image is fetched.
 	OnStart, OnTaskPresent func(j *Job, task int)
-	// OnBoot is called with every machine that comes up.
+	// OnBoot is called with every machine that has booted.
 	OnBoot func(m protocol.Machine)
 
-	// TasksLostToLeaseExpiry counts tasks that workers ended because their lease had
-	// expired.
+	// TasksLostToLeaseExpiry counts tasks that workers ended because their lease expired.
 	TasksLostToLeaseExpiry int
-	// TasksLostWithMachine counts tasks that were on machines that ended.
+	// TasksLostWithMachine counts tasks that were on machines when these were terminated.
 	TasksLostWithMachine int
 
-	workerNames  []string // in order
-	jobNames     []string // in the order of submission
-	hasPipelines bool     // some job names prerequisites
+	workerNames  []string // sorted
+	jobNames     []string // in order of submission
+	hasPipelines bool     // whether any job names prerequisites
 	usageByTeam  map[string]usage
-	cancelled    []*Job // their users were told so, and tasks may still be on machines
+	cancelled    []*Job // jobs that were reported cancelled and may still have tasks on machines
 
 	events   eventQueue
 	lastTick time.Duration
-	seq      int    // of the last event or choice of a controller
-	lastSeed uint64 // of the controllers' random numbers
+	seq      int    // counter of scheduled events and controller picks
+	lastSeed uint64 // last seed of a controller's random numbers
 }
 
-// NewWorld makes a world with as many controllers as the settings say, which have just
+// NewWorld returns a world with the number of controllers that the settings ask for, all just
 // started.
 func NewWorld(s config.Settings) *World {
 	w := newWorld(s, Types())
@@ -91,7 +90,7 @@
 	return w
 }
 
-// newWorld makes a world without controllers.
+// newWorld returns a world without controllers.
 func newWorld(s config.Settings, types []protocol.MachineType) *World {
 	w := &World{
 		Cfg: &config.Config{Settings: s}, Workers: map[string]*Worker{}, Jobs: map[string]*Job{},
@@ -108,12 +107,12 @@
 	return seconds(w.Cfg.Settings.Workers.HeartbeatIntervalS)
 }
 
-// cancelWithin is how long after its user was told that a job is cancelled its last task has
-// to be off its machine.
+// cancelWithin is the time within which the tasks of a cancelled job must end, counted from when its
+// user was told.
 func (w *World) cancelWithin() time.Duration { return seconds(w.Cfg.Settings.Workers.CancelWithinS) }
 
-// rewriteAsProduction is a transaction as the version in production would have written it:
-// of each value, only what that version knows.
+// rewriteAsProduction returns a transaction as the version in production would write it, with only
+// the parts of each value that this version knows.
 func (w *World) rewriteAsProduction(txn protocol.Txn) protocol.Txn {
 	if w.RewriteAsProduction == nil {
 		return txn
@@ -127,7 +126,7 @@
 	return txn
 }
 
-// controllerNamed finds a controller by its name; nil: there is none.
+// controllerNamed returns the controller with the given name, or nil.
 func (w *World) controllerNamed(name string) *Controller {
 	for _, c := range w.Controllers {
 		if c.Name == name {
@@ -137,7 +136,7 @@
 	return nil
 }
 
-// Leader is the controller that leads; nil: none does.
+// Leader returns the first controller in the leader role, or nil.
 func (w *World) Leader() *Controller {
 	for _, c := range w.Controllers {
 		if c.Leads() {
