--- a/internal/fake/attempt.go
+++ b/internal/fake/attempt.go
@@ -11,8 +11,8 @@
 	protocol.TaskStatus
 	job              *Job
 	worker           *Worker
-	onMachine        bool          // the image is fetched and the task occupies the machine
-	imageReadyAt     time.Duration // when the image is fetched
+	onMachine        bool          // the task occupies the machine, from the end of its image fetch until it exits
+	imageReadyAt     time.Duration // when the image fetch ends
 	startedAt        time.Duration // when the task entered its waiting or running state
 	checkpointDoneAt time.Duration // when the checkpoint that is being saved is complete
 }
@@ -56,7 +56,7 @@
 }
 
 // handleImageReady starts a task whose image is fetched. A gang task waits for its peers first.
-// A task that is to fail or is already done exits at once.
+// A task that is set to fail or is already done exits at once.
 func (worker *Worker) handleImageReady(a *attempt) {
 	w, job := worker.world, a.job
 	worker.images[job.Submission.Image] = a.imageReadyAt
--- a/internal/fake/controller.go
+++ b/internal/fake/controller.go
@@ -18,7 +18,7 @@
 	Up bool
 	// PausedUntil is the time until which the process gets no CPU time.
 	PausedUntil time.Duration
-	// ClockOffset is how far the process's wall clock is ahead.
+	// ClockOffset is added to the readings of the process's wall clock.
 	ClockOffset time.Duration
 	// RunsProductionVersion makes the process write stored values as the version in production
 	// does (see World.RewriteAsProduction) and ignore announced limits. It takes effect at the
--- a/internal/fake/effects.go
+++ b/internal/fake/effects.go
@@ -72,7 +72,7 @@
 	}, message.StateResult{StateResult: storage.StateResult{ID: e.ID, Outcome: rpc.Unknown}})
 }
 
-// callCloud sends a request to the cloud.
+// callCloud sends a request to the cloud API.
 func (c *Controller) callCloud(e message.CloudCall) {
 	if c.expired(e.NotAfter) {
 		c.returnResult(message.CloudResult{ID: e.ID, Outcome: rpc.NotSent})
--- a/internal/fake/exchange.go
+++ b/internal/fake/exchange.go
@@ -62,9 +62,9 @@
 		storage.StateResult{ID: call.ID, Outcome: rpc.Unknown}, done)
 }
 
-// exchange executes a request and passes its result to done, subject to network faults. After the
-// timeout, done gets lost instead. Nothing is passed on if the process has crashed or restarted
-// since.
+// exchange executes a request and calls done with its result, subject to network faults. If there is
+// no result within the timeout, done is called with the value of lost. It is not called if the
+// process crashes or restarts first.
 func exchange[R any](c *Controller, kind, to string, timeout time.Duration, execute func() (R, bool), lost R, done func(R)) {
 	w, incarnation := c.world, c.incarnation
 	delivery := w.deliveryOf(kind, c.Name, to)
--- a/internal/fake/heartbeats.go
+++ b/internal/fake/heartbeats.go
@@ -38,7 +38,7 @@
 	heartbeat := &protocol.Heartbeat{
 		Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 		Incarnation: worker.incarnation, Sequence: worker.sequence, FencingToken: worker.fencingToken,
-		InterruptionInS: -1, // no notice
+		InterruptionInS: -1, // no interruption announced
 	}
 	if worker.interruptionAt > 0 {
 		heartbeat.InterruptionInS = max(0, (worker.interruptionAt - worker.world.Now).Seconds())
@@ -120,7 +120,8 @@
 	}
 }
 
-// followRedirect sends the next heartbeat to the leader that the controller named.
+// followRedirect directs the next heartbeat to the leader that the controller named, or to the next
+// controller if there is no other controller of that name.
 func (h *sentHeartbeat) followRedirect(leader string) {
 	h.tryNextController()
 	worker := h.worker
@@ -131,7 +132,8 @@
 	}
 }
 
-// handleResponse renews the lease and executes the commands in a heartbeat response.
+// handleResponse renews the lease and executes the commands in a heartbeat response. A response with
+// an outdated fencing token is ignored.
 func (worker *Worker) handleResponse(body []byte, sentAt time.Duration) {
 	response, err := protocol.DecodeCommands(body)
 	if err != nil {
--- a/internal/fake/peers.go
+++ b/internal/fake/peers.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// forward sends a request to another controller and passes the reply back.
+// forward sends a pending request to another controller and passes the reply back.
 func (c *Controller) forward(e message.Forward) {
 	w := c.world
 	pending, ok := c.pending[e.ID]
--- a/internal/fake/queries.go
+++ b/internal/fake/queries.go
@@ -89,7 +89,8 @@
 // Incarnation returns the current incarnation of a machine's worker.
 func (w *World) Incarnation(name string) int64 { return w.Workers[name].incarnation }
 
-// AnnounceInterruption notifies a worker that the cloud reclaims its machine after the given time.
+// AnnounceInterruption makes the cloud reclaim a machine after the given time, and notifies the
+// machine's worker now.
 func (w *World) AnnounceInterruption(name string, in time.Duration) {
 	if worker := w.Workers[name]; worker != nil && !worker.terminated {
 		worker.interruptionAt = w.Now + in
--- a/internal/fake/remote_controllers.go
+++ b/internal/fake/remote_controllers.go
@@ -70,7 +70,8 @@
 }
 
 // DuplicateStart starts a running task on a second machine without any controller's command. It
-// breaks the rule ran_twice on purpose, to test that the violation is detected.
+// breaks the rule ran_twice on purpose, to test that the violation is detected. It reports whether
+// there was such a task and a machine with room for it.
 func (w *World) DuplicateStart() bool {
 	for _, name := range w.workerNames {
 		for _, a := range w.Workers[name].attempts {
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -37,10 +37,10 @@
 	// RejectedForSize counts the transactions that were rejected because of their number of changes
 	// or the size of a value. Before LowerLimits, such a transaction is also a violation.
 	RejectedForSize int
-	// RejectPageWrites makes the service refuse every page write because of its rate (429).
+	// RejectPageWrites makes the service refuse every page write as over the write rate (429).
 	RejectPageWrites bool
-	// MinRejectedChanges is the number of changes from which a transaction is refused because of
-	// its rate (429); 0 means no such limit.
+	// MinRejectedChanges is the number of changes from which on a transaction is refused as over the
+	// write rate (429); 0 disables this.
 	MinRejectedChanges int
 	// RejectedForChanges counts the transactions refused because of MinRejectedChanges.
 	RejectedForChanges int
--- a/internal/fake/state_requests.go
+++ b/internal/fake/state_requests.go
@@ -14,7 +14,7 @@
 // minLeaseTTL is the shortest TTL that a controller should request; a shorter one is a violation.
 const minLeaseTTL = 100 * time.Millisecond
 
-// Execute executes a request of an unspecified sender at once.
+// Execute executes a request at once. Its sender is unknown, so that Unreachable does not apply.
 func (s *State) Execute(call storage.StateCall) storage.StateResult {
 	return s.execute("", false, call)
 }
--- a/internal/fake/state_txn.go
+++ b/internal/fake/state_txn.go
@@ -13,11 +13,10 @@
 	"oakpick/internal/rpc"
 )
 
-// Limits that are multiples of configured ones: conditions per allowed change, and the burst of
-// writes in seconds of the write rate.
+// Limits that are multiples of configured ones.
 const (
-	conditionsPerChange = 4
-	writeBurstSeconds   = 2
+	conditionsPerChange = 4 // maximum number of conditions in a transaction, as a multiple of TxnOps
+	writeBurstSeconds   = 2 // maximum burst of writes, in seconds of WriteRPS
 )
 
 // commit executes a transaction if it is within the limits and its conditions hold.
@@ -78,7 +77,7 @@
 	return rpc.OK
 }
 
-// withinWriteRate reports whether the write rate allows more writes, and counts them if it does.
+// withinWriteRate reports whether the write rate allows more writes, and counts them if so.
 func (s *State) withinWriteRate(writes int) bool {
 	s.recentWrites = slices.DeleteFunc(s.recentWrites, func(at time.Duration) bool { return s.world.Now-at >= time.Second })
 	if len(s.recentWrites)+writes > int(writeBurstSeconds*s.limits.WriteRPS) {
--- a/internal/fake/statuses.go
+++ b/internal/fake/statuses.go
@@ -7,7 +7,8 @@
 	"oakpick/internal/protocol"
 )
 
-// checkStatus checks a response to a user against the state of the job and the earlier responses.
+// checkStatus checks the status in a response to a user against the state of the job and the earlier
+// responses, and records it.
 func (w *World) checkStatus(j *Job, reply message.Reply, askedAt time.Duration) {
 	var response protocol.JobResponse
 	if err := protocol.Decode(reply.Body, &response); err != nil || response.ID != j.Submission.ID {
@@ -45,7 +46,7 @@
 	}
 }
 
-// isFinal reports whether a job keeps this status once it has it.
+// isFinal reports whether a job with this status never gets another one.
 func isFinal(status string) bool {
 	return status == protocol.StatusDone || status == protocol.StatusCancelled
 }
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -11,7 +11,7 @@
 
 const (
 	userTimeout    = 5 * time.Second // for the reply to a user's request
-	userRetryDelay = time.Second     // minimum; a reply may ask for more
+	userRetryDelay = time.Second     // minimum; a reply may ask for a longer delay
 )
 
 // submit submits a job and retries until it is accepted or permanently rejected.
@@ -115,7 +115,7 @@
 		notDone := r.Status == http.StatusOK &&
 			(protocol.Decode(r.Body, &response) != nil || response.Status != protocol.StatusDone)
 		if answered && (r.Status == http.StatusNotFound || notDone) {
-			w.RecordViolation(ruleForgotten, "%s is done, but the query got %d %s", id, r.Status, response.Status)
+			w.RecordViolation(ruleForgotten, "%s is done, but a query for it got status %d %s", id, r.Status, response.Status)
 		}
 	})
 }
--- a/internal/fake/violations.go
+++ b/internal/fake/violations.go
@@ -27,7 +27,7 @@
 	ruleAccepted         = "accepted"          // a job that cannot run is not accepted
 )
 
-// maxViolations is the maximum number of violations that are kept.
+// maxViolations is the maximum number of violations that a World keeps. Later ones are dropped.
 const maxViolations = 20
 
 // RecordViolation records that a rule was broken.
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -22,7 +22,7 @@
 	interruptionAt time.Duration // when the cloud reclaims the machine; 0: not announced
 
 	incarnation     int64
-	sequence        int64 // of the last heartbeat
+	sequence        int64 // sequence number of the last heartbeat
 	fencingToken    int64
 	tokenReportedAt time.Duration // when a higher token last caused an early heartbeat
 	leaseRenewedAt  time.Duration // when the last heartbeat that renewed the lease was sent
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -35,8 +35,8 @@
 	// Log has the log lines of the controllers and the statuses that users were told.
 	Log []string
 
-	// Network decides how each exchange is delivered. The kind is one of the Kind constants. A nil
-	// Network has no faults.
+	// Network decides how each exchange is delivered. The kind is one of the Kind constants. If
+	// Network is nil, there are no faults.
 	Network func(kind, from, to string) Delivery
 	// SeparateWrites makes page writes appear to Network as KindWrite, apart from the other requests
 	// to the state service.
@@ -60,7 +60,7 @@
 
 	// TasksLostToLeaseExpiry counts tasks that workers ended because their lease expired.
 	TasksLostToLeaseExpiry int
-	// TasksLostWithMachine counts tasks that were on machines when these were terminated.
+	// TasksLostWithMachine counts tasks that were on machines when the machines were terminated.
 	TasksLostWithMachine int
 
 	workerNames  []string // sorted
@@ -75,8 +75,7 @@
 	lastSeed uint64 // last seed of a controller's random numbers
 }
 
-// NewWorld returns a world with the number of controllers that the settings ask for, all just
-// started.
+// NewWorld returns a world with as many controllers as the settings specify, and starts them.
 func NewWorld(s config.Settings) *World {
 	w := newWorld(s, Types())
 	drifts := []float64{0, 0.0005, -0.0005}
@@ -107,8 +106,8 @@
 	return seconds(w.Cfg.Settings.Workers.HeartbeatIntervalS)
 }
 
-// cancelWithin is the time within which the tasks of a cancelled job must end, counted from when its
-// user was told.
+// cancelWithin is the time within which the tasks of a cancelled job must end, counted from the time
+// at which its user was told.
 func (w *World) cancelWithin() time.Duration { return seconds(w.Cfg.Settings.Workers.CancelWithinS) }
 
 // rewriteAsProduction returns a transaction as the version in production would write it, with only
