--- a/internal/fake/clock.go
+++ b/internal/fake/clock.go
@@ -60,10 +60,10 @@
 	}
 }
 
-// RunUntil advances simulated time until the condition holds, but at most by the given duration.
+// RunUntil advances simulated time until the condition holds, but at most by the timeout.
 // It reports whether the condition holds.
-func (w *World) RunUntil(most time.Duration, condition func() bool) bool {
-	end := w.Now + most
+func (w *World) RunUntil(timeout time.Duration, condition func() bool) bool {
+	end := w.Now + timeout
 	for w.Now < end {
 		if condition() {
 			return true
--- a/internal/fake/exchange.go
+++ b/internal/fake/exchange.go
@@ -49,9 +49,9 @@
 }
 
 // call executes a request and delivers its result to the process, subject to network faults.
-func (c *Controller) call(kind, to string, timeout time.Duration, execute func() (message.Event, bool), lost message.Event) {
+func (c *Controller) call(kind, to string, timeout time.Duration, execute func() (message.Event, bool), timeoutResult message.Event) {
 	incarnation := c.incarnation
-	exchange(c, kind, to, timeout, execute, lost, func(result message.Event) { c.deliverResult(result, incarnation) })
+	exchange(c, kind, to, timeout, execute, timeoutResult, func(result message.Event) { c.deliverResult(result, incarnation) })
 }
 
 // CallState sends a request to the state service on behalf of a component of the process other than
@@ -63,9 +63,9 @@
 }
 
 // exchange executes a request and calls done with its result, subject to network faults. If there is
-// no result within the timeout, done is called with the value of lost. It is not called if the
+// no result within the timeout, done is called with timeoutResult. It is not called if the
 // process crashes or restarts first.
-func exchange[R any](c *Controller, kind, to string, timeout time.Duration, execute func() (R, bool), lost R, done func(R)) {
+func exchange[R any](c *Controller, kind, to string, timeout time.Duration, execute func() (R, bool), timeoutResult R, done func(R)) {
 	w, incarnation := c.world, c.incarnation
 	delivery := w.deliveryOf(kind, c.Name, to)
 	finished := false
@@ -75,7 +75,7 @@
 			done(result)
 		}
 	}
-	w.After(timeout, func() { finish(lost) })
+	w.After(timeout, func() { finish(timeoutResult) })
 	if delivery.DuplicateAfter > 0 {
 		w.After(delivery.DuplicateAfter, func() { execute() })
 	}
--- a/internal/fake/job.go
+++ b/internal/fake/job.go
@@ -46,8 +46,8 @@
 func (j *Job) knownToUser() bool { return j.Accepted || j.AnsweredAt > 0 }
 
 // Submit submits a job as a user does: it repeats the request until the job is accepted or rejected.
-func (w *World) Submit(s protocol.Submission, run time.Duration) *Job {
-	j := &Job{Submission: s, RunTime: run, CheckpointedRunTime: map[int]time.Duration{}, DoneTasks: map[int]bool{}, SubmittedAt: w.Now}
+func (w *World) Submit(s protocol.Submission, runTime time.Duration) *Job {
+	j := &Job{Submission: s, RunTime: runTime, CheckpointedRunTime: map[int]time.Duration{}, DoneTasks: map[int]bool{}, SubmittedAt: w.Now}
 	w.hasPipelines = w.hasPipelines || len(s.Prerequisites) > 0
 	w.Jobs[s.ID] = j
 	w.jobNames = append(w.jobNames, s.ID)
--- a/internal/fake/statuses.go
+++ b/internal/fake/statuses.go
@@ -12,7 +12,7 @@
 func (w *World) checkStatus(j *Job, reply message.Reply, askedAt time.Duration) {
 	var response protocol.JobResponse
 	if err := protocol.Decode(reply.Body, &response); err != nil || response.ID != j.Submission.ID {
-		w.RecordViolation(ruleAnswer, "%s: %v", j.Submission.ID, err)
+		w.RecordViolation(ruleAnswer, "%s: response cannot be decoded or is for another job: %v", j.Submission.ID, err)
 		return
 	}
 	j.AnsweredAt = w.Now
