--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -184,7 +184,7 @@
 			r.countConfirmed(j)
 		}
 	}
-	startDown(w)
+	startCrashed(w)
 	w.Run(30 * time.Second)
 }
 
@@ -268,7 +268,7 @@
 func TestCancellationDuringFailover(t *testing.T) {
 	t.Parallel()
 	phases, steps := 2, 5
-	if *fine {
+	if *fineSteps {
 		phases, steps = 5, 16
 	}
 	for name, kind := range failoverScenarios {
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -38,7 +38,7 @@
 	w := newWorldWith(t, onePagePerTransaction())
 	machines := provisionIdleMachines(t, w)
 	w.Run(5 * time.Second) // until no writes are pending
-	disturbFirstWrite(w, write)
+	injectFirstWriteFault(w, write)
 	j := w.Submit(multiBlockJob(1, kind), 20*time.Second)
 	for range 6 {
 		w.Run(50 * time.Millisecond)
@@ -50,7 +50,7 @@
 		}
 		machines = on
 	}
-	disturbMachines(w, machines[:1], machine, 8*time.Second)
+	injectMachineFault(w, machines[:1], machine, 8*time.Second)
 	crashLeader(w, 4*time.Second)
 	if cancel {
 		w.CancelEverywhere(j)
@@ -131,7 +131,7 @@
 			}
 			for w.Now < before+10*time.Second {
 				w.Run(50 * time.Millisecond)
-				requireTaskEndsRecorded(t, w, j)
+				requireTasksRecorded(t, w, j)
 			}
 			w.Leader().Crash()
 			w.Network = nil
--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -362,7 +362,7 @@
 			tw.world.Resubmit(j)
 		}
 	case 2:
-		tw.world.InvalidRequests()
+		tw.world.SubmitInvalidJobs()
 	case 3:
 		if j != nil && j.Accepted {
 			tw.world.QueryEverywhere(j)
--- a/internal/controller/leadership_end_test.go
+++ b/internal/controller/leadership_end_test.go
@@ -12,23 +12,22 @@
 	"oakpick/internal/storage"
 )
 
-// termLost is the log line with which a node's term ends.
+// termLost is the message that a node logs when its term ends.
 const termLost = "term lost"
 
-// checkLeadersEffects returns an error if something that only a leader may do leaves a step after
-// the node's term has ended in it, or if machines are to be provisioned or released without a
-// bound in time.
-func checkLeadersEffects(c *fake.Controller, effects []message.Effect) error {
+// checkLeaderEffects returns an error if an effect that requires leadership follows the end of the
+// node's term in the same step, or if a request to provision or release a machine has no time limit.
+func checkLeaderEffects(c *fake.Controller, effects []message.Effect) error {
 	ended := false
 	for _, effect := range effects {
 		if line, isLog := effect.(message.Log); isLog && line.Message == termLost {
 			ended = true
 		}
 		if ended && needsLeadership(c, effect) {
-			return fmt.Errorf("after the end of the term: %T %+v", effect, effect)
+			return fmt.Errorf("effect after the end of the term: %T %+v", effect, effect)
 		}
 		if call, isCall := effect.(message.CloudCall); isCall && changesFleet(call) && call.NotAfter == 0 {
-			return fmt.Errorf("without a bound in time: %+v", call)
+			return fmt.Errorf("request without a time limit: %+v", call)
 		}
 	}
 	return nil
@@ -38,14 +37,14 @@
 	return call.Op == message.CloudScaleOut || call.Op == message.CloudScaleIn
 }
 
-// needsLeadership tells whether only a leader may have an effect. Peers are told that the node has
-// stepped down, and operators how it is, by whoever they ask.
+// needsLeadership reports whether an effect requires leadership. Every node may tell its peers that
+// it has stepped down, and report its status to operators.
 func needsLeadership(c *fake.Controller, effect message.Effect) bool {
 	switch effect := effect.(type) {
 	case message.CloudCall, message.CommandsCall:
 		return true
 	case message.PeerCall:
-		return effect.Term > 0 // a follower's probe names no term
+		return effect.Term > 0 // a follower's probe has no term
 	case message.StateCall:
 		return writesPages(effect.Txn)
 	case message.Reply:
@@ -66,11 +65,11 @@
 	return false
 }
 
-// Every worker loses the leader at a moment, while machines are to be provisioned and released, so
-// that it resigns: nothing that only a leader may do leaves it after that, in the same step either.
-// What another leader has begun by the time such a request is sent would otherwise not be known to
-// it, and the request could release a machine that has tasks again.
-func TestResignedLeaderDecidesNothingMore(t *testing.T) {
+// The leader loses the connection to all workers while machines have to be provisioned and released,
+// and resigns. From then on, also in the same step, none of its effects may require leadership. By
+// the time such a request is sent, another leader may have placed tasks that the former leader
+// doesn't know of, and the request could release a machine that has tasks again.
+func TestNoLeaderEffectsAfterResignation(t *testing.T) {
 	t.Parallel()
 	resigned := 0
 	for step := range 40 {
@@ -83,7 +82,8 @@
 	}
 }
 
-// testResignation cuts the leader off from the workers after a delay, and tells whether it resigned.
+// testResignation partitions the leader from the workers after a delay and reports whether it
+// resigned.
 func testResignation(t *testing.T, delay time.Duration) (resigned bool) {
 	t.Helper()
 	w := newWorld(t)
@@ -92,7 +92,7 @@
 	w.Submit(standing, 0)
 	waitRunning(t, w, standing.ID, 5)
 	w.OnStep = func(c *fake.Controller, effects []message.Effect) {
-		if err := checkLeadersEffects(c, effects); err != nil {
+		if err := checkLeaderEffects(c, effects); err != nil {
 			t.Fatalf("%v: %s: %v\n%s", w.Now, c.Name, err, logTail(w, 10))
 		}
 	}
@@ -104,7 +104,7 @@
 	}
 	number := 10
 	for end := w.Now + 12*time.Second; w.Now < end; w.Run(100 * time.Millisecond) {
-		s := job(number, protocol.Array, 1) // there is always something to be provisioned for
+		s := job(number, protocol.Array, 1) // so that machines always have to be provisioned
 		s.CPUs = 3
 		w.Submit(s, time.Second)
 		number++
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -42,7 +42,7 @@
 	if !w.RunUntil(6*time.Second, func() bool { return w.Running(high.ID) == 1 }) {
 		t.Error("the service has not started after 6 s")
 	}
-	if len(j.Saved) == 0 {
+	if len(j.CheckpointedRunTime) == 0 {
 		t.Error("no preempted task saved a checkpoint")
 	}
 	requireNoViolations(t, w)
@@ -77,8 +77,8 @@
 		t.Errorf("%d of 2 replicas run after 6 s", w.Running(high.ID))
 	}
 	w.Run(2 * time.Second)
-	if n := w.Running(low.ID); n != 6 || len(batch.Saved) != 6 {
-		t.Errorf("%d batch tasks still run and %d have saved a checkpoint, want 6 of each", n, len(batch.Saved))
+	if n := w.Running(low.ID); n != 6 || len(batch.CheckpointedRunTime) != 6 {
+		t.Errorf("%d batch tasks still run and %d have saved a checkpoint, want 6 of each", n, len(batch.CheckpointedRunTime))
 	}
 	w.CancelJob(s)
 	for range 30 {
@@ -181,7 +181,7 @@
 		w.After(time.Second, func() { w.CancelEverywhere(j) })
 	}
 	w.Run(5 * time.Second)
-	startDown(w)
+	startCrashed(w)
 	for _, j := range next {
 		waitRunning(t, w, j.Submission.ID, 2)
 	}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -41,7 +41,7 @@
 					}
 					// The leader crashes and is restarted, upgraded, or rolled back.
 					leader.Crash()
-					leader.RunsProduction = round%2 == 1
+					leader.RunsProductionVersion = round%2 == 1
 					w.After(pause, leader.Start)
 					w.Submit(job(10+round, protocol.JobKind(round%2), 2), 2*time.Second)
 					if round == 5 {
@@ -52,7 +52,7 @@
 				}
 				for _, c := range w.Controllers {
 					c.Crash()
-					c.RunsProduction = false
+					c.RunsProductionVersion = false
 					c.Start()
 				}
 				runAndPoll(w, 90*time.Second)
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -35,7 +35,7 @@
 	s, sentAt := job(l.id, protocol.Array, 1), w.Now
 	s.CPUs = 0.1
 	// The workers have to know the job to run it.
-	w.Jobs[s.ID] = &fake.Job{Submission: s, RunTime: 100 * time.Millisecond, Saved: map[int]time.Duration{}, DoneTasks: map[int]bool{}}
+	w.Jobs[s.ID] = &fake.Job{Submission: s, RunTime: 100 * time.Millisecond, CheckpointedRunTime: map[int]time.Duration{}, DoneTasks: map[int]bool{}}
 	w.Controllers[0].Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) {
 		l.answers++
 		l.slowest = max(l.slowest, w.Now-sentAt)
@@ -106,7 +106,7 @@
 	t.Helper()
 	w := load.world
 	from := w.Now
-	w.State.RejectWrites = true
+	w.State.RejectPageWrites = true
 	for second := range 25 {
 		load.runForSecond()
 		if second == 3 {
@@ -115,7 +115,7 @@
 			}
 		}
 		if w.Now-from > 12*time.Second { // longer than a worker's lease
-			w.State.RejectWrites = false
+			w.State.RejectPageWrites = false
 		}
 		if second == 14 {
 			for _, j := range toCancel {
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -132,13 +132,13 @@
 // rejectLargeWrites makes the state service reject transactions with at least the given number of
 // keys; 0 disables the rejection.
 func (e *experiment) rejectLargeWrites(keys int) {
-	e.testbed.DoAndWait(func() { e.testbed.World.State.RejectFromKeys = keys })
+	e.testbed.DoAndWait(func() { e.testbed.World.State.MinRejectedChanges = keys })
 }
 
 // waitForRejection waits until the state service has rejected another large transaction.
 func (e *experiment) waitForRejection(ctx context.Context) error {
 	rejected := func() (count int) {
-		e.testbed.DoAndWait(func() { count = e.testbed.World.State.RejectedForKeys })
+		e.testbed.DoAndWait(func() { count = e.testbed.World.State.RejectedForChanges })
 		return count
 	}
 	before := rejected()
