--- a/internal/autoscaling/plan.go
+++ b/internal/autoscaling/plan.go
@@ -133,7 +133,7 @@
 	}
 	span := min(window, max(now-a.leadership.LeadingSince(), a.timing.Lease))
 	expected := float64(arrivals) / span.Seconds() * a.longestBootS(c)
-	deviations := a.options.WarmRoom
+	deviations := a.options.HeadroomStdDevs
 	if c.Sample != nil && c.Sample.Kind == protocol.Array {
 		deviations /= 2 // the tasks of an array need not all run at the same time
 	}
