--- a/internal/autoscaling/scale_in.go
+++ b/internal/autoscaling/scale_in.go
@@ -101,7 +101,7 @@
 	if machineType == nil {
 		return ""
 	}
-	if a.context.Monotonic()-provisioning.ProvisionedAt > config.Seconds(machineType.BootS*a.options.GiveUpBoots) {
+	if a.context.Monotonic()-provisioning.ProvisionedAt > config.Seconds(machineType.BootS*a.options.BootTimeoutMultiple) {
 		return "never came up"
 	}
 	return ""
