--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -76,7 +76,7 @@
 	IdleSince           time.Duration // when a task last started to wait
 	HoldUntil           time.Duration // until when the job may wait for a better machine; 0 if it has not waited
 	Nominated           *Machine      // target machine of a replica that is being moved
-	WithinQuota         bool          // the team's guarantee covers the job, as of the last cycle
+	WithinGuarantee         bool          // the team's guarantee covers the job, as of the last cycle
 	WorthwhileOfferings WorthwhileOfferings
 }
 
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -22,7 +22,7 @@
 		return false
 	}
 	return other.EffectivePriority() < j.EffectivePriority() ||
-		j.Placement.WithinQuota && !other.Placement.WithinQuota && other.Team != j.Team
+		j.Placement.WithinGuarantee && !other.Placement.WithinGuarantee && other.Team != j.Team
 }
 
 // preemptionSearch is the search for machines on which the tasks of one job will fit once
@@ -128,7 +128,7 @@
 // task of the job to fit there. It returns none if the cost exceeds MaxPreemptionCostS.
 func (s *Scheduler) chooseVictims(p *preemptionSearch, perZone map[string]int, first bool) (*cluster.Machine, []*cluster.Task) {
 	j := p.job
-	c := preemptionClass{s.RequestClass(j), rank(j), j.Placement.WithinQuota, j.Team}
+	c := preemptionClass{s.RequestClass(j), rank(j), j.Placement.WithinGuarantee, j.Team}
 	// Free resources only shrink within a cycle, so a failed search holds for every job of the
 	// same class. A search whose result depends on the job itself is not cached: one under zone
 	// limits, and one for a task after the first, for which resources are already reserved.
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -30,7 +30,7 @@
 	}
 	for _, j := range s.state.JobOrder {
 		s.context.Stats.JobsExamined++
-		j.Placement.WithinQuota = false
+		j.Placement.WithinGuarantee = false
 		if j.Blocked() {
 			continue
 		}
@@ -40,7 +40,7 @@
 		}
 		total := requested[j.Team].Plus(j.Request.Times(float64(j.Tasks - j.DoneTasks)))
 		requested[j.Team] = total
-		j.Placement.WithinQuota = j.Team.Guarantees(total)
+		j.Placement.WithinGuarantee = j.Team.Guarantees(total)
 		if j.IdleTasks() > 0 {
 			waiting = append(waiting, j)
 		}
@@ -93,7 +93,7 @@
 func rank(j *cluster.Job) int {
 	base := ranksPerPriority * int(j.EffectivePriority())
 	switch {
-	case j.Placement.WithinQuota:
+	case j.Placement.WithinGuarantee:
 		return base + 2
 	case !j.BestEffort():
 		return base + 1
