--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -24,10 +24,10 @@
 	Allocated       resources.Amount // resources requested by its tasks
 	Stopping        resources.Amount // part of Allocated that belongs to stopping tasks
 
-	// ProjectedFree is the capacity that is free or about to be freed, minus what the current
+	// Unassigned is the capacity that is free or about to be freed, minus what the current
 	// scheduling cycle has assigned. LowestRank is the lowest rank of its tasks that can be stopped.
 	// Package scheduling owns both.
-	ProjectedFree resources.Amount
+	Unassigned resources.Amount
 	LowestRank    int
 }
 
--- a/internal/scheduling/cycle.go
+++ b/internal/scheduling/cycle.go
@@ -48,7 +48,7 @@
 	}
 	for _, machine := range s.state.MachinesByName {
 		s.context.Stats.MachinesExamined++
-		machine.ProjectedFree = s.state.Free(machine)
+		machine.Unassigned = s.state.Free(machine)
 		if !machine.Worker.Registered {
 			c.booting = append(c.booting, machine)
 		} else if machine.Stopping != (resources.Amount{}) {
@@ -66,7 +66,7 @@
 	}
 	for _, machine := range s.state.MachinesByName {
 		s.context.Stats.MachinesExamined++
-		if s.Schedulable(machine) && j.AllowedOn(machine.Offering()) && j.Request.FitsIn(s.UsableResources(j, machine, machine.ProjectedFree)) {
+		if s.Schedulable(machine) && j.AllowedOn(machine.Offering()) && j.Request.FitsIn(s.UsableResources(j, machine, machine.Unassigned)) {
 			list = append(list, machine)
 		}
 	}
@@ -80,14 +80,14 @@
 // save records the free resources of a machine unless they are recorded already.
 func (r freeSnapshot) save(machine *cluster.Machine) {
 	if _, ok := r[machine]; !ok {
-		r[machine] = machine.ProjectedFree
+		r[machine] = machine.Unassigned
 	}
 }
 
 // restoreFree resets the machines' free resources to those of the snapshot.
 func (s *Scheduler) restoreFree(r freeSnapshot) {
 	for machine, free := range r {
-		machine.ProjectedFree = free
+		machine.Unassigned = free
 	}
 	if len(r) > 0 {
 		clear(s.cycle.feasible)
--- a/internal/scheduling/placement.go
+++ b/internal/scheduling/placement.go
@@ -30,7 +30,7 @@
 		return nil
 	}
 	j.Placement.Nominated = nil
-	if !s.fits(j, machine, machine.ProjectedFree, perZone) || j.Failures.Machines[machine.Name] {
+	if !s.fits(j, machine, machine.Unassigned, perZone) || j.Failures.Machines[machine.Name] {
 		return nil
 	}
 	return machine
@@ -57,7 +57,7 @@
 		s.context.Stats.MachinesExamined++
 		drawn := i + s.context.Random.IntN(len(list)-i)
 		machine := list[drawn]
-		if !j.Request.FitsIn(s.UsableResources(j, machine, machine.ProjectedFree)) { // no longer feasible in this cycle
+		if !j.Request.FitsIn(s.UsableResources(j, machine, machine.Unassigned)) { // no longer feasible in this cycle
 			list[drawn] = list[len(list)-1]
 			list = list[:len(list)-1]
 			s.cycle.feasible[s.RequestClass(j)] = list
@@ -198,7 +198,7 @@
 // unusedShare returns the share of a machine's scarcest resource that would stay unused with
 // the task placed there, and whether the placement would leave GPUs with too few processors.
 func (s *Scheduler) unusedShare(j *cluster.Job, machine *cluster.Machine) (share float64, strandsGPUs bool) {
-	left := machine.ProjectedFree.Minus(j.Request)
+	left := machine.Unassigned.Minus(j.Request)
 	total := cluster.Capacity(s.state.Catalog.Type(machine.Type))
 	if total.GPUs > 0 && j.Request.GPUs > 0 {
 		return left.GPUs / total.GPUs, false
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -47,7 +47,7 @@
 
 // projectedFree returns a machine's free resources after its stopping tasks and victims end.
 func (p *preemptionSearch) projectedFree(machine *cluster.Machine) resources.Amount {
-	return machine.ProjectedFree.Plus(machine.Stopping).Plus(p.freed[machine])
+	return machine.Unassigned.Plus(machine.Stopping).Plus(p.freed[machine])
 }
 
 // reserveOrPreempt finds machines for tasks of a job that could not be placed. It reserves
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -171,7 +171,7 @@
 
 // assign subtracts a task's request from a machine's free resources for the rest of the cycle.
 func assign(machine *cluster.Machine, j *cluster.Job, perZone map[string]int) {
-	machine.ProjectedFree = machine.ProjectedFree.Minus(j.Request)
+	machine.Unassigned = machine.Unassigned.Minus(j.Request)
 	perZone[machine.Zone]++
 }
 
