--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -182,7 +182,7 @@
 		return // the page may have been read before a move changed it
 	}
 	if result.Outcome != rpc.OK || len(result.List.Entries) == 0 {
-		a.readRetryAt = a.context.Monotonic() + a.timing.StateRetry
+		a.readRetryAt = a.context.Monotonic() + a.timing.StateRetryInterval
 		if result.Outcome == rpc.OK {
 			a.context.Log(message.Error, "last archive page is missing", "job", read.jobID)
 		}
--- a/internal/archive/move.go
+++ b/internal/archive/move.go
@@ -216,7 +216,7 @@
 // postpone skips the current page of the record store until its next turn: its jobs can't be
 // moved now, and need not be examined again in the next step.
 func (a *Archive) postpone() {
-	a.moves.retryAt = a.context.Monotonic() + a.timing.StateRetry
+	a.moves.retryAt = a.context.Monotonic() + a.timing.StateRetryInterval
 	a.skipSourcePage()
 }
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -68,7 +68,7 @@
 	limits := c.config.Settings.State.Smallest()
 	store := storage.NewStore(storage.Limits{
 		PageBytes: storage.PageBytes(limits.ValueKB), ChangesPerTxn: limits.TxnOps, WritesPerS: limits.WriteRPS * writeShare,
-	}, fmt.Sprintf("%d", c.elector.Token()), c.timing.StateRetry)
+	}, fmt.Sprintf("%d", c.elector.Token()), c.timing.StateRetryInterval)
 	if c.limitsLowered {
 		store.SetLimitsLowered()
 	}
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -22,7 +22,7 @@
 	Jobs           Jobs
 	Archive        Archive
 	Requests       Requests
-	StateRetry     time.Duration // delay before a failed or unanswered state service request is retried
+	StateRetryInterval     time.Duration // delay before a failed or unanswered state service request is retried
 	PauseThreshold time.Duration // a longer time between two steps means that the process was paused
 }
 
@@ -137,7 +137,7 @@
 			DeferTimeout: LeaderLease(s.Workers),
 			MaxDeferred:  max(1, s.Limits.MaxConnections/deferredConnectionsDivisor),
 		},
-		StateRetry:     stateRetry,
+		StateRetryInterval:     stateRetry,
 		PauseThreshold: workers.HeartbeatInterval / 2,
 	}
 }
