--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -65,7 +65,7 @@
 
 // GangState is the state of a gang's current attempt.
 type GangState struct {
-	Ran    bool // the attempt has begun to run
+	HasRun    bool // the attempt has begun to run
 	Ending bool // the attempt must end before the next one starts
 }
 
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -121,10 +121,10 @@
 		return
 	}
 	if len(j.ActiveTasks) == 0 {
-		j.Gang.Ran, j.Gang.Ending = false, false
+		j.Gang.HasRun, j.Gang.Ending = false, false
 		return
 	}
-	if j.Gang.Ran {
+	if j.Gang.HasRun {
 		j.Gang.Ending = true
 	}
 }
--- a/internal/scheduling/gang.go
+++ b/internal/scheduling/gang.go
@@ -11,7 +11,7 @@
 		return
 	}
 	idle := j.IdleTasks()
-	if idle < j.Tasks-j.DoneTasks && j.Gang.Ran {
+	if idle < j.Tasks-j.DoneTasks && j.Gang.HasRun {
 		return
 	}
 	if j.TasksAwaitingRecord(idle) > 0 {
@@ -85,7 +85,7 @@
 func (s *Scheduler) startGang(j *cluster.Job, machines []*cluster.Machine) {
 	if len(j.ActiveTasks) == 0 {
 		j.GangAttempt++
-		j.Gang.Ran = false
+		j.Gang.HasRun = false
 		s.store.MarkDirty(s.context.Monotonic(), j.Blocks[0], nil)
 	}
 	var members []*cluster.Task
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -88,7 +88,7 @@
 	j.HasRun = true
 	t.Machine.Images.MarkReady(now, j.Image, j.ImageGB)
 	if j.Kind == protocol.Gang {
-		j.Gang.Ran = true
+		j.Gang.HasRun = true
 	}
 }
 
