--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -94,7 +94,7 @@
 	Machines    map[string]bool // machines on which tasks failed
 	JobAtFault  bool            // the job fails on every machine
 	LongestRun  time.Duration   // longest time that a task ran before it failed
-	NextAttempt time.Duration   // earliest time of the next attempt
+	NextAttemptAt time.Duration   // earliest time of the next attempt
 }
 
 // Prerequisites are the jobs that must complete before a job can start.
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -70,7 +70,7 @@
 	}
 	s := &FailureStatus{
 		Tasks: failures.Tasks, Rounds: failures.Rounds, Machines: slices.Sorted(maps.Keys(failures.Machines)),
-		NextAttemptInS: max(0, failures.NextAttempt-l.controller.context.Monotonic()).Seconds(),
+		NextAttemptInS: max(0, failures.NextAttemptAt-l.controller.context.Monotonic()).Seconds(),
 		Fault:          "machine", Reason: "it has failed on fewer machines than it takes to call it the job's fault",
 	}
 	switch {
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -39,9 +39,9 @@
 	if t.SeenRunning() {
 		failures.LongestRun = max(failures.LongestRun, now-t.RunningSince)
 	}
-	if now >= failures.NextAttempt { // not a further failure of the same round
+	if now >= failures.NextAttemptAt { // not a further failure of the same round
 		failures.Rounds++
-		failures.NextAttempt = now + m.failureBackoff(failures.Rounds)
+		failures.NextAttemptAt = now + m.failureBackoff(failures.Rounds)
 	}
 	if len(failures.Machines) >= MinFailedMachinesForJobFault {
 		m.markJobAtFault(j)
@@ -167,6 +167,6 @@
 		}
 		failures := &j.Failures
 		failures.JobAtFault, failures.Tasks, failures.Rounds = true, int(ended), MinFailedMachinesForJobFault
-		failures.NextAttempt = m.context.Monotonic() + m.failureBackoff(failures.Rounds)
+		failures.NextAttemptAt = m.context.Monotonic() + m.failureBackoff(failures.Rounds)
 	}
 }
--- a/internal/scheduling/failing_jobs.go
+++ b/internal/scheduling/failing_jobs.go
@@ -10,7 +10,7 @@
 func (s *Scheduler) attemptsAllowed(j *cluster.Job, idle int) int {
 	now := s.context.Monotonic()
 	switch {
-	case now < j.Failures.NextAttempt:
+	case now < j.Failures.NextAttemptAt:
 		return 0
 	case !j.Failures.JobAtFault:
 		return idle
