--- a/internal/autoscaling/scale_in.go
+++ b/internal/autoscaling/scale_in.go
@@ -18,8 +18,8 @@
 // idleTimeout returns how long an empty machine of a type is kept. The default is the type's boot
 // time: by then, keeping the machine has cost as much as booting another one.
 func (a *Autoscaler) idleTimeout(machineType *protocol.MachineType) time.Duration {
-	if a.options.IdleS > 0 || machineType == nil {
-		return config.Seconds(a.options.IdleS)
+	if a.options.IdleTimeoutS > 0 || machineType == nil {
+		return config.Seconds(a.options.IdleTimeoutS)
 	}
 	return config.Seconds(machineType.BootS)
 }
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -103,7 +103,7 @@
 
 func (o Options) autoscaling() autoscaling.Options {
 	return autoscaling.Options{
-		IdleS: o.IdleS, HeadroomStdDevs: o.HeadroomStdDevs, BootTimeoutMultiple: o.BootTimeoutMultiple, FailoverWaitS: o.FailoverWaitS, MovesPerMin: o.MovesPerMin,
+		IdleTimeoutS: o.IdleS, HeadroomStdDevs: o.HeadroomStdDevs, BootTimeoutMultiple: o.BootTimeoutMultiple, FailoverWaitS: o.FailoverWaitS, MovesPerMin: o.MovesPerMin,
 	}
 }
 
