--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -23,7 +23,7 @@
 type Options struct {
 	WriteShare          float64 `json:"write_share" validate:"gte=0.05,lte=0.95"`
 	SampleSize          int     `json:"sample" validate:"gte=1,lte=1000000"`
-	IdleS               float64 `json:"idle_s" validate:"gte=0,lte=86400"`
+	IdleTimeoutS               float64 `json:"idle_s" validate:"gte=0,lte=86400"`
 	HeadroomStdDevs     float64 `json:"warm_room" validate:"gte=0,lte=20"`
 	MaxPreemptionCostS  float64 `json:"preempt_most_s" validate:"gte=0,lte=1000000"`
 	BootTimeoutMultiple float64 `json:"give_up_boots" validate:"gte=1.5,lte=1000"`
@@ -35,7 +35,7 @@
 func DefaultOptions(cfg *config.Config) Options {
 	w := cfg.Settings.Workers
 	return Options{
-		WriteShare: 0.95, SampleSize: 64, IdleS: 0, HeadroomStdDevs: 3,
+		WriteShare: 0.95, SampleSize: 64, IdleTimeoutS: 0, HeadroomStdDevs: 3,
 		MaxPreemptionCostS: 50 * w.LeaseS, BootTimeoutMultiple: 4, FailoverWaitS: 1.5 * w.HeartbeatIntervalS, MovesPerMin: 6 * cfg.Settings.State.Smallest().WriteRPS,
 	}
 }
@@ -103,7 +103,7 @@
 
 func (o Options) autoscaling() autoscaling.Options {
 	return autoscaling.Options{
-		IdleTimeoutS: o.IdleS, HeadroomStdDevs: o.HeadroomStdDevs, BootTimeoutMultiple: o.BootTimeoutMultiple, FailoverWaitS: o.FailoverWaitS, MovesPerMin: o.MovesPerMin,
+		IdleTimeoutS: o.IdleTimeoutS, HeadroomStdDevs: o.HeadroomStdDevs, BootTimeoutMultiple: o.BootTimeoutMultiple, FailoverWaitS: o.FailoverWaitS, MovesPerMin: o.MovesPerMin,
 	}
 }
 
