--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -182,7 +182,7 @@
 	case message.CloudCall:
 		line = fmt.Sprintf("cloud %d %d %s %x %v %v", x.ID, x.Op, x.StartAfter, protocol.Encode(x.Provisioning), x.Machines, x.NotAfter)
 	case message.CommandsCall:
-		line = fmt.Sprintf("commands %d %s %s %x %v", x.ID, x.Machine, x.Addr, protocol.EncodeCommands(x.FencingToken, x.Incarnation, x.Commands), x.NotAfter)
+		line = fmt.Sprintf("commands %d %s %s %x %v", x.ID, x.Machine, x.Address, protocol.EncodeCommands(x.FencingToken, x.Incarnation, x.Commands), x.NotAfter)
 	case message.PeerCall:
 		line = fmt.Sprintf("peer %s %d %v %v", x.Peer, x.Term, x.SentAt, x.QueriesArchiveSupport)
 	case message.Log:
--- a/internal/transport/worker_client.go
+++ b/internal/transport/worker_client.go
@@ -37,10 +37,10 @@
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	req.SetRequestURI("http://" + call.Addr + protocol.PathCommands)
+	req.SetRequestURI("http://" + call.Address + protocol.PathCommands)
 	setPostBody(req, protocol.EncodeCommands(call.FencingToken, call.Incarnation, call.Commands))
 	result := message.CommandsResult{ID: call.ID, Machine: call.Machine}
-	connection := c.pool.acquire(call.Addr)
+	connection := c.pool.acquire(call.Address)
 	if connection == nil {
 		result.Outcome = rpc.NotSent
 		return result
--- a/internal/transport/worker_client_test.go
+++ b/internal/transport/worker_client_test.go
@@ -78,7 +78,7 @@
 }
 
 func sendCommands(client *WorkerClient, addr string) rpc.Outcome {
-	return client.Send(message.CommandsCall{Machine: addr, Addr: addr, FencingToken: 1, Incarnation: 1}).Outcome
+	return client.Send(message.CommandsCall{Machine: addr, Address: addr, FencingToken: 1, Incarnation: 1}).Outcome
 }
 
 // Commands go to more machines than there may be connections: the least recently used connections
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -134,7 +134,7 @@
 	pending := &machine.Commands
 	pending.CallID, pending.CallAt, pending.Starting = m.context.NextID(), m.context.Monotonic(), starting
 	call := message.CommandsCall{
-		ID: pending.CallID, Machine: machine.Name, Addr: machine.Address,
+		ID: pending.CallID, Machine: machine.Name, Address: machine.Address,
 		FencingToken: token, Incarnation: machine.Worker.Incarnation, Commands: commands,
 	}
 	if len(starting) > 0 {
