--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -68,7 +68,7 @@
 	queued  bool // the machine is in State.pendingCommands
 
 	CallID   uint64 // call in progress; 0 if there is none
-	CallAt   time.Duration
+	CallSentAt   time.Duration
 	Starting []*Task // tasks that the call starts
 	RetryAt  time.Duration
 	Failures int // consecutive failed calls
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -132,7 +132,7 @@
 		return
 	}
 	pending := &machine.Commands
-	pending.CallID, pending.CallAt, pending.Starting = m.context.NextID(), m.context.Monotonic(), starting
+	pending.CallID, pending.CallSentAt, pending.Starting = m.context.NextID(), m.context.Monotonic(), starting
 	call := message.CommandsCall{
 		ID: pending.CallID, Machine: machine.Name, Address: machine.Address,
 		FencingToken: token, Incarnation: machine.Worker.Incarnation, Commands: commands,
@@ -149,7 +149,7 @@
 	if machine == nil || machine.Commands.CallID != result.ID {
 		return
 	}
-	starting, sentAt := machine.Commands.Starting, machine.Commands.CallAt
+	starting, sentAt := machine.Commands.Starting, machine.Commands.CallSentAt
 	machine.Commands.CallID, machine.Commands.Starting = 0, nil
 	switch result.Outcome {
 	case rpc.OK:
