--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -148,8 +148,8 @@
 	return true
 }
 
-// UnfinishedTasks returns the number of active tasks that are not done.
-func (j *Job) UnfinishedTasks() int { return j.counts.unfinished }
+// UnfinishedActiveTasks returns the number of active tasks that are not done.
+func (j *Job) UnfinishedActiveTasks() int { return j.counts.unfinished }
 
 // StoppingTasks returns the number of active tasks that have been told to stop.
 func (j *Job) StoppingTasks() int { return j.counts.stopping }
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -22,9 +22,9 @@
 				stopping++
 			}
 		}
-		if unfinished != j.UnfinishedTasks() || stopping != j.StoppingTasks() {
+		if unfinished != j.UnfinishedActiveTasks() || stopping != j.StoppingTasks() {
 			return fmt.Errorf("%s: %d unfinished and %d stopping tasks, counted as %d and %d",
-				j.ID, unfinished, stopping, j.UnfinishedTasks(), j.StoppingTasks())
+				j.ID, unfinished, stopping, j.UnfinishedActiveTasks(), j.StoppingTasks())
 		}
 	}
 	return nil
