--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -43,11 +43,11 @@
 
 // Options are the autoscaler's tunable parameters.
 type Options struct {
-	IdleTimeoutS         float64 // seconds that an empty machine is kept; 0 stands for its type's boot time
-	HeadroomStdDevs      float64 // spare capacity kept for arrivals, in standard deviations of their number
-	BootTimeoutMultiple   float64 // multiple of the boot time after which a machine that isn't up is released
-	FailoverWaitS float64 // seconds that a new leader waits for inherited machines to report
-	MovesPerMin   float64 // upper bound on replicas moved per minute
+	IdleTimeoutS        float64 // seconds that an empty machine is kept; 0 stands for its type's boot time
+	HeadroomStdDevs     float64 // spare capacity kept for arrivals, in standard deviations of their number
+	BootTimeoutMultiple float64 // multiple of the boot time after which a machine that isn't up is released
+	FailoverWaitS       float64 // seconds that a new leader waits for inherited machines to report
+	MovesPerMin         float64 // upper bound on replicas moved per minute
 }
 
 // Autoscaler scales the machines of a cluster.
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -32,7 +32,7 @@
 	// searchFrom is, by class, the index of the first bin that may have enough free resources.
 	// These only shrink during packing, so a bin that is too full for one task of a class stays so.
 	searchFrom map[packingClass]int
-	warm       bool // the packed tasks are warm capacity rather than waiting tasks
+	headroom   bool // the packed tasks are warm capacity rather than waiting tasks
 }
 
 // overdueBootFactor is the multiple of its type's boot time after which waiting replicas no
@@ -42,7 +42,7 @@
 // packingClass groups tasks that fit into the same bins.
 type packingClass struct {
 	cluster.RequestClass
-	spotOnly, warm, service bool
+	spotOnly, headroom, service bool
 }
 
 func newPacking(a *Autoscaler, present []*bin) *packing {
@@ -70,7 +70,9 @@
 }
 
 // isWaitingReplica reports whether the packed tasks are replicas that users are waiting for.
-func (p *packing) isWaitingReplica(j *cluster.Job) bool { return !p.warm && j.Kind == protocol.Service }
+func (p *packing) isWaitingReplica(j *cluster.Job) bool {
+	return !p.headroom && j.Kind == protocol.Service
+}
 
 // add packs so many tasks of a job, and adds bins of new machines for those that don't fit into
 // the existing bins.
@@ -134,7 +136,7 @@
 // class returns the packing class of the job's tasks.
 func (c *candidates) class() packingClass {
 	class := c.packing.autoscaler.scheduler.RequestClass(c.job)
-	return packingClass{class, c.spotOnly, c.packing.warm, c.job.Kind == protocol.Service}
+	return packingClass{class, c.spotOnly, c.packing.headroom, c.job.Kind == protocol.Service}
 }
 
 // fits reports whether a bin has enough free resources for a task of the job and is allowed for
--- a/internal/autoscaling/packing_test.go
+++ b/internal/autoscaling/packing_test.go
@@ -42,7 +42,7 @@
 
 func (p *scanPacking) binFor(j *cluster.Job, tasks int, perZone map[string]int, spotOnly bool) *bin {
 	a := p.autoscaler
-	class := packingClass{a.scheduler.RequestClass(j), spotOnly, p.warm, j.Kind == protocol.Service}
+	class := packingClass{a.scheduler.RequestClass(j), spotOnly, p.headroom, j.Kind == protocol.Service}
 	o, ok := a.cheapestOffering(j, perZone, tasks, spotOnly)
 	passOver := func(b *bin) bool { return ok && (p.sooner(j, b, o) || b.overdue && p.isWaitingReplica(j)) }
 	b := p.pack(p.bins[p.searchFrom[class]:], j, perZone, spotOnly, passOver)
@@ -172,8 +172,8 @@
 		for i := range rapid.IntRange(1, 8).Draw(t, "jobs") {
 			j := plannedJob(t, a, zones, i)
 			spotOnly := j.Spot && rapid.IntRange(0, 3).Draw(t, "spot only") == 0
-			p.warm = rapid.IntRange(0, 3).Draw(t, "warm") == 0
-			old.warm = p.warm
+			p.headroom = rapid.IntRange(0, 3).Draw(t, "warm") == 0
+			old.headroom = p.headroom
 			p.add(j, j.Tasks, map[string]int{}, spotOnly)
 			old.add(j, j.Tasks, map[string]int{}, spotOnly)
 		}
--- a/internal/autoscaling/plan.go
+++ b/internal/autoscaling/plan.go
@@ -30,7 +30,7 @@
 		}
 		p.add(j, tasks, j.TasksPerZone(), false)
 	}
-	a.packWarmCapacity(p)
+	a.packHeadroom(p)
 	if !a.provision(p.bins[p.existingBins:]) {
 		a.consolidate(p.bins)
 	}
@@ -39,13 +39,13 @@
 	return needed
 }
 
-// packWarmCapacity packs the capacity that is kept free for expected arrivals. For jobs that
+// packHeadroom packs the capacity that is kept free for expected arrivals. For jobs that
 // may use spot machines it is kept on these only, since it doesn't justify an on-demand machine.
-func (a *Autoscaler) packWarmCapacity(p *packing) {
-	p.warm = true
+func (a *Autoscaler) packHeadroom(p *packing) {
+	p.headroom = true
 	for _, name := range slices.Sorted(maps.Keys(a.state.Classes)) {
 		if c := a.state.Classes[name]; c.Sample != nil && !c.Sample.BestEffort() {
-			p.add(c.Sample, a.warmTasks(c), map[string]int{}, c.Sample.Spot)
+			p.add(c.Sample, a.headroomTasks(c), map[string]int{}, c.Sample.Spot)
 		}
 	}
 }
@@ -120,9 +120,9 @@
 // arrivalWindowLeases is the window over which arrivals are counted, in worker leases.
 const arrivalWindowLeases = 10
 
-// warmTasks returns the number of tasks of a class to keep capacity for: the arrivals in excess
+// headroomTasks returns the number of tasks of a class to keep capacity for: the arrivals in excess
 // of departures that may occur while a machine boots.
-func (a *Autoscaler) warmTasks(c *cluster.WorkloadClass) int {
+func (a *Autoscaler) headroomTasks(c *cluster.WorkloadClass) int {
 	now := a.context.Monotonic()
 	window := a.timing.Lease * arrivalWindowLeases
 	arrivals := 0
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -65,7 +65,7 @@
 
 // GangState is the state of a gang's current attempt.
 type GangState struct {
-	HasRun    bool // the attempt has begun to run
+	HasRun bool // the attempt has begun to run
 	Ending bool // the attempt must end before the next one starts
 }
 
@@ -76,7 +76,7 @@
 	IdleSince           time.Duration // when a task last started to wait
 	HoldUntil           time.Duration // until when the job may wait for a better machine; 0 if it has not waited
 	Nominated           *Machine      // target machine of a replica that is being moved
-	WithinGuarantee         bool          // the team's guarantee covers the job, as of the last cycle
+	WithinGuarantee     bool          // the team's guarantee covers the job, as of the last cycle
 	WorthwhileOfferings WorthwhileOfferings
 }
 
@@ -89,11 +89,11 @@
 
 // FailureHistory summarizes a job's failures. Package jobs owns it.
 type FailureHistory struct {
-	Rounds      int             // consecutive failed attempts, each of one or more tasks
-	Tasks       int             // failed tasks since the last one that completed
-	Machines    map[string]bool // machines on which tasks failed
-	JobAtFault  bool            // the job fails on every machine
-	LongestRun  time.Duration   // longest time that a task ran before it failed
+	Rounds        int             // consecutive failed attempts, each of one or more tasks
+	Tasks         int             // failed tasks since the last one that completed
+	Machines      map[string]bool // machines on which tasks failed
+	JobAtFault    bool            // the job fails on every machine
+	LongestRun    time.Duration   // longest time that a task ran before it failed
 	NextAttemptAt time.Duration   // earliest time of the next attempt
 }
 
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -28,7 +28,7 @@
 	// scheduling cycle has assigned. LowestRank is the lowest rank of its tasks that can be stopped.
 	// Package scheduling owns both.
 	Unassigned resources.Amount
-	LowestRank    int
+	LowestRank int
 }
 
 // WorkerState is the state reported by a machine's worker, and the state of its lease. Package
@@ -67,11 +67,11 @@
 	Pending bool // there are commands to send
 	queued  bool // the machine is in State.pendingCommands
 
-	CallID   uint64 // call in progress; 0 if there is none
-	CallSentAt   time.Duration
-	Starting []*Task // tasks that the call starts
-	RetryAt  time.Duration
-	Failures int // consecutive failed calls
+	CallID     uint64 // call in progress; 0 if there is none
+	CallSentAt time.Duration
+	Starting   []*Task // tasks that the call starts
+	RetryAt    time.Duration
+	Failures   int // consecutive failed calls
 
 	// UnconfirmedToken is the highest fencing token of a start that may still arrive, and
 	// UnconfirmedAt is when the first such start was sent.
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -23,7 +23,7 @@
 type Options struct {
 	WriteShare          float64 `json:"write_share" validate:"gte=0.05,lte=0.95"`
 	SampleSize          int     `json:"sample" validate:"gte=1,lte=1000000"`
-	IdleTimeoutS               float64 `json:"idle_s" validate:"gte=0,lte=86400"`
+	IdleTimeoutS        float64 `json:"idle_s" validate:"gte=0,lte=86400"`
 	HeadroomStdDevs     float64 `json:"warm_room" validate:"gte=0,lte=20"`
 	MaxPreemptionCostS  float64 `json:"preempt_most_s" validate:"gte=0,lte=1000000"`
 	BootTimeoutMultiple float64 `json:"give_up_boots" validate:"gte=1.5,lte=1000"`
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -107,21 +107,21 @@
 }
 
 func (s *LeaderStatus) addJob(j *cluster.Job) {
-	queue, team := s.Classes[j.Class], s.Teams[j.Team.Name]
-	queue.Jobs++
+	class, team := s.Classes[j.Class], s.Teams[j.Team.Name]
+	class.Jobs++
 	if j.Blocked() {
-		queue.BlockedJobs++
+		class.BlockedJobs++
 	} else {
-		queue.Waiting += j.IdleTasks()
+		class.Waiting += j.IdleTasks()
 		team.Waiting += j.IdleTasks()
 	}
 	for _, t := range j.ActiveTasks {
-		queue.Placed++
+		class.Placed++
 		if t.SeenRunning() {
-			queue.Running++
+			class.Running++
 		}
 	}
-	s.Classes[j.Class], s.Teams[j.Team.Name] = queue, team
+	s.Classes[j.Class], s.Teams[j.Team.Name] = class, team
 }
 
 func (l *leader) addMachine(s *LeaderStatus, machine *cluster.Machine) {
--- a/internal/scheduling/cycle.go
+++ b/internal/scheduling/cycle.go
@@ -33,9 +33,9 @@
 // preemptionClass groups jobs that may preempt the same tasks.
 type preemptionClass struct {
 	cluster.RequestClass
-	rank        int
-	withinQuota bool
-	team        *cluster.Team
+	rank            int
+	withinGuarantee bool
+	team            *cluster.Team
 }
 
 func (s *Scheduler) beginCycle() {
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -46,7 +46,7 @@
 		}
 	}
 	slices.SortStableFunc(waiting, func(a, b *cluster.Job) int {
-		return cmp.Or(cmp.Compare(rank(b), rank(a)), cmp.Compare(s.queuedAtMs(a), s.queuedAtMs(b)))
+		return cmp.Or(cmp.Compare(rank(b), rank(a)), cmp.Compare(s.queueOrderMs(a), s.queueOrderMs(b)))
 	})
 	return waiting
 }
@@ -62,7 +62,7 @@
 	j.Team.FiniteWaiting = j.Team.FiniteWaiting.Plus(j.Request.Times(waiting))
 }
 
-// queuedAtMs returns the time by which jobs of equal rank are ordered, earliest first. It is the
+// queueOrderMs returns the time by which jobs of equal rank are ordered, earliest first. It is the
 // time at which the job became ready. A job that has a deadline or belongs to a best-effort team
 // is delayed in proportion to its run time, so that short jobs precede long ones. Without the
 // delay, all jobs of a team with a tight limit would be slightly late. Since age counts as well,
@@ -71,7 +71,7 @@
 // A job in a pipeline is not delayed. It is ordered by the time at which its last prerequisite
 // completed, or by its latest start for a deadline further down the pipeline, if that is
 // earlier.
-func (s *Scheduler) queuedAtMs(j *cluster.Job) int64 {
+func (s *Scheduler) queueOrderMs(j *cluster.Job) int64 {
 	if j.Prerequisites.Node != nil {
 		return min(j.ReadyMs, j.Prerequisites.Node.LatestStartMs())
 	}
--- a/internal/scheduling/queue_test.go
+++ b/internal/scheduling/queue_test.go
@@ -47,7 +47,7 @@
 			if last.Blocked() || last.ReadyMs != doneMs || last.Placement.IdleSince != context.Monotonic() {
 				t.Errorf("blocked: %t; times count from %d ms", last.Blocked(), last.ReadyMs)
 			}
-			if got := s.queuedAtMs(last); got != c.queuedAt {
+			if got := s.queueOrderMs(last); got != c.queuedAt {
 				t.Errorf("queued as of %d ms, not %d", got, c.queuedAt)
 			}
 		})
--- a/internal/scheduling/quota.go
+++ b/internal/scheduling/quota.go
@@ -13,9 +13,9 @@
 // gangs) while any of them wait. Services don't end by themselves and could starve them.
 const finiteShare = 0.4
 
-// reservedQuota returns the part of its team's limit that a job may not use: the amount
+// unavailableLimit returns the part of its team's limit that a job may not use: the amount
 // promised to other jobs and, for services, the amount reserved for finite jobs.
-func reservedQuota(j *cluster.Job) resources.Amount {
+func unavailableLimit(j *cluster.Job) resources.Amount {
 	t := j.Team
 	reserved := t.Reserved
 	if j.Kind == protocol.Service {
@@ -29,7 +29,7 @@
 func tasksWithinLimit(j *cluster.Job, maxTasks int) int {
 	t := j.Team
 	left := resources.Unlimited()
-	reserved := reservedQuota(j)
+	reserved := unavailableLimit(j)
 	if t.CPULimit > 0 {
 		left.CPUs = t.CPULimit - t.Used.CPUs - reserved.CPUs
 	}
@@ -44,14 +44,14 @@
 func limitShortfall(j *cluster.Job, tasks int) resources.Amount {
 	t := j.Team
 	total := t.Used.Plus(t.Reserved).Plus(j.Request.Times(float64(tasks))).Minus(t.Stopping)
-	lack := resources.Amount{}
+	shortfall := resources.Amount{}
 	if t.CPULimit > 0 {
-		lack.CPUs = max(0, total.CPUs-t.CPULimit)
+		shortfall.CPUs = max(0, total.CPUs-t.CPULimit)
 	}
 	if t.GPULimit > 0 {
-		lack.GPUs = max(0, total.GPUs-t.GPULimit)
+		shortfall.GPUs = max(0, total.GPUs-t.GPULimit)
 	}
-	return lack
+	return shortfall
 }
 
 // isZero reports whether an amount is zero, within rounding error.
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -150,7 +150,7 @@
 
 // placeTasks places up to idle tasks of a job and returns the number that it placed.
 func (s *Scheduler) placeTasks(j *cluster.Job, idle int, perZone map[string]int) (placed int) {
-	for placed < idle && j.Team.Allows(j.Request.Plus(reservedQuota(j))) {
+	for placed < idle && j.Team.Allows(j.Request.Plus(unavailableLimit(j))) {
 		machine := s.chooseMachine(j, perZone)
 		if machine == nil {
 			break
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -16,14 +16,14 @@
 
 // Timing holds a controller's durations and limits, grouped by the component that uses them.
 type Timing struct {
-	Election       Election
-	Workers        Workers
-	Scheduling     Scheduling
-	Jobs           Jobs
-	Archive        Archive
-	Requests       Requests
-	StateRetryInterval     time.Duration // delay before a failed or unanswered state service request is retried
-	PauseThreshold time.Duration // a longer time between two steps means that the process was paused
+	Election           Election
+	Workers            Workers
+	Scheduling         Scheduling
+	Jobs               Jobs
+	Archive            Archive
+	Requests           Requests
+	StateRetryInterval time.Duration // delay before a failed or unanswered state service request is retried
+	PauseThreshold     time.Duration // a longer time between two steps means that the process was paused
 }
 
 // Election holds the durations of leader election.
@@ -137,8 +137,8 @@
 			DeferTimeout: LeaderLease(s.Workers),
 			MaxDeferred:  max(1, s.Limits.MaxConnections/deferredConnectionsDivisor),
 		},
-		StateRetryInterval:     stateRetry,
-		PauseThreshold: workers.HeartbeatInterval / 2,
+		StateRetryInterval: stateRetry,
+		PauseThreshold:     workers.HeartbeatInterval / 2,
 	}
 }
 
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -88,20 +88,20 @@
 // sendPending sends a machine its pending commands and reports whether the machine stays queued.
 func (m *Manager) sendPending(machine *cluster.Machine) (keepQueued bool) {
 	m.context.Stats.MachinesExamined++
-	pending, worker := &machine.Commands, &machine.Worker
-	if !pending.Pending {
+	calls, worker := &machine.Commands, &machine.Worker
+	if !calls.Pending {
 		return false
 	}
-	if pending.CallID != 0 || m.context.Monotonic() < pending.RetryAt || !worker.Registered || worker.Expired() {
+	if calls.CallID != 0 || m.context.Monotonic() < calls.RetryAt || !worker.Registered || worker.Expired() {
 		return true
 	}
-	pending.Pending = false
+	calls.Pending = false
 	starting := tasksToStart(machine)
 	if len(starting) > 0 && !m.leadership.HoldsLease() {
 		// The leader's lease may have expired before the write of these starts was confirmed.
 		// The starts are not dropped: they are sent once the lease is held again.
 		starting = nil
-		pending.Pending, keepQueued = true, true
+		calls.Pending, keepQueued = true, true
 	}
 	m.sendCall(machine, m.directCommands(machine), starting)
 	return keepQueued
@@ -131,10 +131,10 @@
 	if len(commands) == 0 {
 		return
 	}
-	pending := &machine.Commands
-	pending.CallID, pending.CallSentAt, pending.Starting = m.context.NextID(), m.context.Monotonic(), starting
+	calls := &machine.Commands
+	calls.CallID, calls.CallSentAt, calls.Starting = m.context.NextID(), m.context.Monotonic(), starting
 	call := message.CommandsCall{
-		ID: pending.CallID, Machine: machine.Name, Address: machine.Address,
+		ID: calls.CallID, Machine: machine.Name, Address: machine.Address,
 		FencingToken: token, Incarnation: machine.Worker.Incarnation, Commands: commands,
 	}
 	if len(starting) > 0 {
@@ -186,11 +186,11 @@
 
 // markStartsUnconfirmed records that starts with the current token may still arrive at a machine.
 func (m *Manager) markStartsUnconfirmed(machine *cluster.Machine, sentAt time.Duration) {
-	pending, token := &machine.Commands, m.leadership.Token()
-	if pending.UnconfirmedToken < token {
-		pending.UnconfirmedAt = sentAt
+	calls, token := &machine.Commands, m.leadership.Token()
+	if calls.UnconfirmedToken < token {
+		calls.UnconfirmedAt = sentAt
 	}
-	pending.UnconfirmedToken = token
+	calls.UnconfirmedToken = token
 }
 
 const (
@@ -203,14 +203,14 @@
 
 // backOff schedules the next command call to a machine after a failed one.
 func (m *Manager) backOff(machine *cluster.Machine) {
-	now, pending := m.context.Monotonic(), &machine.Commands
+	now, calls := m.context.Monotonic(), &machine.Commands
 	m.state.QueueCommands(machine)
-	wait := m.timing.HeartbeatInterval / commandBackoffDivisor << min(pending.Failures, maxBackoffDoublings)
-	pending.RetryAt = now + min(wait, m.timing.Lease/2)
+	wait := m.timing.HeartbeatInterval / commandBackoffDivisor << min(calls.Failures, maxBackoffDoublings)
+	calls.RetryAt = now + min(wait, m.timing.Lease/2)
 	if m.context.SilenceDuration(machine.Worker.LastSeenAt) > m.timing.HeartbeatTimeout {
 		// The worker is not sending heartbeats either. Hundreds of workers may be silent at once, and
 		// each call holds a connection for a while, so they are not called until they report again.
-		pending.RetryAt = now + m.timing.Lease/2
+		calls.RetryAt = now + m.timing.Lease/2
 	}
 	machine.Health.AvoidUntil = max(machine.Health.AvoidUntil, now+m.timing.HeartbeatInterval/2)
 }
