--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -69,8 +69,8 @@
 	requestCount  int
 	outOfCapacity map[cluster.Offering]time.Duration // until when an offering is not requested again
 
-	failoverWaitDone bool // the wait for inherited machines has ended
-	nextPlanAt       time.Duration
+	failoverWaitDone bool          // the wait for inherited machines has ended
+	nextPlanAt       time.Duration // when the next plan is made; 0 means immediately
 	nextSummaryAt    time.Duration // when the next summary of the fleet is logged
 	nextMoveAt       time.Duration // when the next replica may be moved
 }
@@ -125,9 +125,8 @@
 }
 
 // mayScale reports whether enough is known to change the fleet. A new leader first gives the
-// machines that it inherited time to report. It doesn't wait if it inherited none, nor for
-// machines that it provisions itself. After a pause of the process the machines also need time
-// to report.
+// machines that it inherited time to report, but doesn't wait for machines that it provisions
+// itself. After a pause of the process the machines also need time to report.
 func (a *Autoscaler) mayScale() bool {
 	now := a.context.Monotonic()
 	if len(a.state.Catalog.Types) == 0 || a.inventory.listsRead == 0 {
--- a/internal/autoscaling/cloud.go
+++ b/internal/autoscaling/cloud.go
@@ -17,7 +17,7 @@
 type cloudClient struct {
 	limiter      *rate.Limiter
 	inFlight     map[uint64]cloudCall
-	backoffUntil time.Duration // no requests are sent before this time after a failed one
+	backoffUntil time.Duration // no request is sent before this time, because one has failed
 }
 
 // cloudCall is a request that is in flight.
@@ -33,7 +33,7 @@
 	c := &a.cloud
 	changesFleet := call.Op == message.CloudScaleOut || call.Op == message.CloudScaleIn
 	if changesFleet && a.context.Monotonic() >= a.leadership.LeaseUntil() {
-		return false // without a lease, nothing bounds the time at which the request is sent
+		return false // another node may lead
 	}
 	if a.context.Monotonic() < c.backoffUntil || len(c.inFlight) >= config.CloudConnections || !c.limiter.AllowN(a.context.Now.LimiterTime(), 1) {
 		return false
--- a/internal/autoscaling/consolidation.go
+++ b/internal/autoscaling/consolidation.go
@@ -36,8 +36,8 @@
 
 // consolidate moves replicas off machines that are too expensive for their tasks, so that these
 // machines can be released. It moves only replicas, and only to machines that are up, hold the
-// image and have resources free beyond the warm capacity. A replica is then unavailable for no
-// longer than two messages and a write take.
+// image and have resources free beyond the headroom. A replica is then unavailable for no longer
+// than two messages and a write take.
 func (a *Autoscaler) consolidate(bins []*bin) {
 	if a.onDemandCapacityShort() {
 		// Draining is cancelled so that the machines can be given tasks again.
@@ -171,7 +171,8 @@
 	return a.state.Catalog.Price(b.offering) * math.Pow(excess/tasks, priceExcessExponent) / (drainBaseTasks + tasks), true
 }
 
-// lowestPricePerTask returns the lowest price per task of the job on any on-demand machine.
+// lowestPricePerTask returns the lowest price per task of the job on any on-demand machine of a
+// type that the job allows.
 func (a *Autoscaler) lowestPricePerTask(j *cluster.Job) float64 {
 	lowest := math.Inf(1)
 	for i := range a.state.Catalog.Types {
--- a/internal/autoscaling/inventory.go
+++ b/internal/autoscaling/inventory.go
@@ -15,12 +15,12 @@
 type inventory struct {
 	nextReadAt time.Duration
 	reading    bool
-	listsRead  int // number of complete lists read
-	listed     map[string]bool
+	listsRead  int             // number of complete lists read
+	listed     map[string]bool // names of the machines on the pages of the current list read so far
 }
 
-// vanishedLagFactor determines for how long an unreachable machine has to be missing from the
-// list to be removed: this multiple of the list's lag, plus a worker lease.
+// vanishedLagFactor is the multiple of the list's lag that, plus a worker lease, an unreachable
+// machine has to be missing from the list before it is removed.
 const vanishedLagFactor = 4
 
 // readInventory requests the list of machines if a read is due.
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -23,8 +23,8 @@
 	index      int           // position in the plan; breaks ties
 }
 
-// packing is the state of making a plan. It packs the waiting tasks and the warm capacity into
-// the bins of existing, expected and new machines.
+// packing is the state of making a plan. It packs the waiting tasks and the headroom into the bins
+// of existing, expected and new machines.
 type packing struct {
 	autoscaler   *Autoscaler
 	bins         []*bin
@@ -32,7 +32,7 @@
 	// searchFrom is, by class, the index of the first bin that may have enough free resources.
 	// These only shrink during packing, so a bin that is too full for one task of a class stays so.
 	searchFrom map[packingClass]int
-	headroom   bool // the packed tasks are warm capacity rather than waiting tasks
+	headroom   bool // the packed tasks are headroom rather than waiting tasks
 }
 
 // overdueBootFactor is the multiple of its type's boot time after which waiting replicas no
@@ -74,8 +74,8 @@
 	return !p.headroom && j.Kind == protocol.Service
 }
 
-// add packs so many tasks of a job, and adds bins of new machines for those that don't fit into
-// the existing bins.
+// add packs the given number of a job's tasks, and adds bins of new machines for those that don't
+// fit into the existing bins.
 func (p *packing) add(j *cluster.Job, tasks int, perZone map[string]int, spotOnly bool) {
 	if tasks <= 0 {
 		return
@@ -216,8 +216,9 @@
 	return b
 }
 
-// skips reports whether the job's tasks don't use a booting bin because a new machine is expected
-// to be up sooner. The next plan includes the machine that is provisioned instead.
+// skips reports whether the job's tasks don't use the bin of a booting machine because a new
+// machine is expected to be up sooner. The next plan includes the machine that is provisioned
+// instead.
 func (c *candidates) skips(b *bin, o cluster.Offering) bool {
 	return c.newMachineIsSooner(b, o) || b.overdue && c.packing.isWaitingReplica(c.job)
 }
--- a/internal/autoscaling/plan.go
+++ b/internal/autoscaling/plan.go
@@ -15,8 +15,8 @@
 // would be; the surplus is released.
 const lostReplicaFactor = 2
 
-// scaleOut packs the unplaced tasks and the warm capacity into existing, expected and new
-// machines, and requests the new ones. It returns the existing machines that the plan needs.
+// scaleOut packs the unplaced tasks and the headroom into existing, expected and new machines, and
+// requests the new ones. It returns the existing machines that the plan needs.
 func (a *Autoscaler) scaleOut() map[*cluster.Machine]bool {
 	p := newPacking(a, a.presentBins())
 	for _, unplaced := range a.scheduler.Unplaced() {
@@ -39,8 +39,9 @@
 	return needed
 }
 
-// packHeadroom packs the capacity that is kept free for expected arrivals. For jobs that
-// may use spot machines it is kept on these only, since it doesn't justify an on-demand machine.
+// packHeadroom packs the headroom: the capacity that is kept free for expected arrivals. For jobs
+// that may use spot machines it is kept on these only, since it doesn't justify an on-demand
+// machine.
 func (a *Autoscaler) packHeadroom(p *packing) {
 	p.headroom = true
 	for _, name := range slices.Sorted(maps.Keys(a.state.Classes)) {
@@ -78,8 +79,8 @@
 	return bins
 }
 
-// minRemainingBootDivisor sets the least remaining boot time that is assumed for a booting
-// machine, however long it has been booting: its type's boot time divided by this.
+// minRemainingBootDivisor is the divisor of a type's boot time that gives the least remaining boot
+// time assumed for a machine, however long it has been booting.
 const minRemainingBootDivisor = 10
 
 func (a *Autoscaler) bootingBin(machine *cluster.Machine, machineType *protocol.MachineType) *bin {
@@ -92,8 +93,8 @@
 }
 
 // provision requests machines and reports whether the plan needs on-demand ones. It may make
-// several requests for one offering at once: the next plan counts the requested machines, so
-// this provisions no more of them, only sooner. The offerings take turns.
+// several requests for one offering at once. This provisions the machines sooner, but no more of
+// them, since the next plan counts those already requested. The offerings take turns.
 func (a *Autoscaler) provision(bins []*bin) (onDemand bool) {
 	counts := map[machineDemand]int{}
 	var demands []machineDemand
@@ -120,7 +121,7 @@
 // arrivalWindowLeases is the window over which arrivals are counted, in worker leases.
 const arrivalWindowLeases = 10
 
-// headroomTasks returns the number of tasks of a class to keep capacity for: the arrivals in excess
+// headroomTasks returns the number of tasks of a class to keep headroom for: the arrivals in excess
 // of departures that may occur while a machine boots.
 func (a *Autoscaler) headroomTasks(c *cluster.WorkloadClass) int {
 	now := a.context.Monotonic()
@@ -185,9 +186,10 @@
 	return best, !math.IsInf(bestCost, 1)
 }
 
-// usableSlots returns how many tasks of a job are expected to share a machine of a type. Tasks
-// without GPUs count only as far as they wait, and only up to maxCPUTasksPerGPUMachine on a
-// machine with GPUs, because no other job is expected to use its GPUs.
+// usableSlots returns how many tasks of a job are expected to share a machine of a type. For a job
+// without GPUs that is at most the given number of waiting tasks, and at most
+// maxCPUTasksPerGPUMachine on a machine with GPUs, because no other job is expected to use its
+// GPUs.
 func usableSlots(j *cluster.Job, machineType *protocol.MachineType, tasks int) int {
 	slots := cluster.TasksPerMachine(j, machineType)
 	if slots == 0 || j.Request.GPUs > 0 {
--- a/internal/autoscaling/provisioning.go
+++ b/internal/autoscaling/provisioning.go
@@ -40,7 +40,7 @@
 	return r.commitWaiter(storage.OnDeferredCommit, func() {})
 }
 
-// machineDemand is the offering of a machine to be provisioned.
+// machineDemand groups machines to be provisioned that can share a request.
 type machineDemand struct {
 	cluster.Offering
 	bestEffort bool // the machine is for best-effort jobs only
--- a/internal/cluster/catalog.go
+++ b/internal/cluster/catalog.go
@@ -18,7 +18,8 @@
 	Spot       bool
 }
 
-// maxTasksPerMachine caps the count for tasks that request almost no resources.
+// maxTasksPerMachine caps the number of tasks that fit on a machine if they request almost no
+// resources.
 const maxTasksPerMachine = 1 << 20
 
 // Update replaces the list of machine types.
--- a/internal/cluster/class.go
+++ b/internal/cluster/class.go
@@ -20,7 +20,7 @@
 	maxArrivals = 64
 	// maxTasksCounted caps the weight of one large job in the mean number of tasks.
 	maxTasksCounted = 64
-	// meanDivisor is the divisor of the moving means: a new value has a weight of 1/meanDivisor.
+	// meanDivisor is the inverse of a new value's weight in the moving means.
 	meanDivisor = 8
 )
 
--- a/internal/cluster/constraints.go
+++ b/internal/cluster/constraints.go
@@ -11,7 +11,8 @@
 	Request            resources.Amount
 	allowedTypes, zone string
 	spot               bool
-	// AnyCapacity is whether the tasks may also use capacity that best-effort jobs leave to other teams.
+	// AnyCapacity is whether the job is best effort and, because it is starving, may use any free
+	// resources.
 	AnyCapacity bool
 }
 
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -70,11 +70,12 @@
 }
 
 // PlacementState is the state that scheduling cycles keep for a job. Package scheduling owns it,
-// except for NotBefore and IdleSince.
+// except for NotBefore and IdleSince, which packages cluster and jobs set, and for Nominated, which
+// package autoscaling sets.
 type PlacementState struct {
 	NotBefore           time.Duration // no task is placed earlier, for reasons other than failures
 	IdleSince           time.Duration // when a task last started to wait
-	HoldUntil           time.Duration // until when the job may wait for a better machine; 0 if it has not waited
+	HoldUntil           time.Duration // until when the job may wait for a booting machine; 0 if it has not waited
 	Nominated           *Machine      // target machine of a replica that is being moved
 	WithinGuarantee     bool          // the team's guarantee covers the job, as of the last cycle
 	WorthwhileOfferings WorthwhileOfferings
@@ -103,9 +104,9 @@
 	// ArchivedCancelled is whether a prerequisite in the archive was cancelled, which cancels this job,
 	// too. It is not stored; the job's own cancellation is.
 	ArchivedCancelled bool
-	Parts             []*PrerequisitesPart
-	PartsPending      bool             // the parts are not durable yet, so the job must not be recorded
-	Node              *dependency.Node // nil if the job neither has prerequisites nor is one
+	Parts             []*PrerequisitesPart // separate records of the IDs; nil if they fit on the job's page
+	PartsPending      bool                 // the parts are not durable yet, so the job must not be recorded
+	Node              *dependency.Node     // nil if the job neither has prerequisites nor is one
 }
 
 // NewJob returns a job with the given record and without tasks on machines.
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -8,7 +8,7 @@
 )
 
 // Machine is a machine of the fleet: the state last reported by its worker, and the tasks that may
-// be on it. Each part is changed by one package, which is named in its comment.
+// be on it. The comment of each part names the package that owns it.
 type Machine struct {
 	Name, Address, Type, Zone string
 	Spot                      bool
@@ -24,9 +24,10 @@
 	Allocated       resources.Amount // resources requested by its tasks
 	Stopping        resources.Amount // part of Allocated that belongs to stopping tasks
 
-	// Unassigned is the capacity that is free or about to be freed, minus what the current
-	// scheduling cycle has assigned. LowestRank is the lowest rank of its tasks that can be stopped.
-	// Package scheduling owns both.
+	// Unassigned is the free capacity minus the requests of the tasks that the current scheduling
+	// cycle has assigned to the machine. It is negative if these include tasks that wait for the
+	// resources of stopping tasks. LowestRank is the lowest rank of the machine's tasks that are
+	// neither stopping nor cancelled. Package scheduling owns both.
 	Unassigned resources.Amount
 	LowestRank int
 }
@@ -79,13 +80,14 @@
 	UnconfirmedAt    time.Duration
 }
 
-// ProvisioningState is the state of a machine at the cloud provider. Package autoscaling owns it.
+// ProvisioningState is the state of a machine at the cloud provider. Package autoscaling owns it,
+// except for EmptySince.
 type ProvisioningState struct {
 	ProvisionedAt time.Duration // best known time of provisioning
 	ListedAt      time.Duration // when the cloud last listed the machine; 0 if it has not
 	RunningAt     time.Duration // when the cloud first listed the machine as running; 0 if it has not
 	Failed        bool          // the cloud lists it as failed
-	EmptySince    time.Duration
+	EmptySince    time.Duration // when the machine registered or lost its last task; 0 since a task was placed on it
 
 	Draining         bool          // its tasks are being moved to other machines before its release
 	DrainRetryAt     time.Duration // when to check again whether its tasks can be moved
@@ -93,7 +95,8 @@
 	ReleaseRequested bool          // the release request has not been answered yet
 }
 
-// HealthState is a machine's health, derived from failed tasks. Package jobs owns it.
+// HealthState is a machine's health, derived from failed tasks and command calls. Package jobs owns
+// it, except that package workers extends AvoidUntil after a failed call.
 type HealthState struct {
 	AvoidUntil time.Duration   // no task is placed on the machine before this time
 	FailedJobs map[string]bool // jobs that have failed on the machine; true if they run well elsewhere
@@ -117,8 +120,7 @@
 	m.Type, m.Zone, m.Spot = machineType, zone, spot
 }
 
-// Expired reports whether the lease of the worker's current incarnation has certainly
-// expired.
+// Expired reports whether the lease of the worker's current incarnation has certainly expired.
 func (w *WorkerState) Expired() bool { return w.Incarnation <= w.ExpiredIncarnation }
 
 // ForgetTasks discards the tasks that the worker's incarnation has reported.
--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -114,9 +114,9 @@
 }
 
 // TasksAwaitingRecord returns how many of a job's idle tasks must not be placed before the job's
-// own record is durable. The first block is on the page of that record and is written with it. The
-// starts in other blocks, and those of a gang, could become durable and be sent before the job's
-// record. A successor would not know the job then, and its user, who got no answer, would submit it again.
+// own record is durable. The first block is written together with that record. The starts in other
+// blocks, and those of a gang, could become durable and be sent earlier. A successor might then not
+// know the job, and its user, who got no answer, would submit it again.
 func (j *Job) TasksAwaitingRecord(idle int) int {
 	switch {
 	case j.Prerequisites.PartsPending:
--- a/internal/message/messages.go
+++ b/internal/message/messages.go
@@ -148,7 +148,7 @@
 	// CommandsCall sends commands directly to a worker.
 	CommandsCall struct {
 		ID                        uint64
-		Machine, Address             string
+		Machine, Address          string
 		FencingToken, Incarnation int64
 		Commands                  []protocol.Command
 		// NotAfter is the deadline for sending the call, as in CloudCall.
--- a/internal/scheduling/best_effort.go
+++ b/internal/scheduling/best_effort.go
@@ -8,9 +8,9 @@
 	"oakpick/internal/resources"
 )
 
-// Teams without a guarantee run best effort: their jobs use resources that guaranteed teams
-// leave idle. Machines are provisioned for them only from offerings whose price per task is
-// close to the lowest that the job allows, and more expensive machines are not kept for them.
+// Teams without a guarantee are best effort while other teams have one: their jobs use resources
+// that the other teams leave idle. Machines are provisioned and kept for them only from offerings
+// whose price per task is close to the lowest that the job allows.
 
 // maxPriceRatio is the highest price per task at which a machine is provisioned for a
 // best-effort job, as a multiple of the job's lowest price per task. Overdue work is bought
@@ -75,9 +75,9 @@
 }
 
 // UsableResources returns the part of a machine's free resources that a job's tasks may use. On
-// a machine that isn't worth provisioning for it, a best-effort job may only run beside
-// guaranteed tasks, and only on processors that no free GPU needs, so that a task that
-// requests these GPUs can start at once.
+// a machine that isn't worth provisioning for it, a best-effort job may only run beside tasks of
+// guaranteed teams, unless it is starving. If it requests no GPUs, it then leaves each free GPU
+// its share of the processors, so that a task that requests the GPU can start at once.
 func (s *Scheduler) UsableResources(j *cluster.Job, machine *cluster.Machine, free resources.Amount) resources.Amount {
 	if !j.BestEffort() || s.WorthProvisioning(j, machine.Offering()) || s.Starving(j) {
 		return free
--- a/internal/scheduling/cycle.go
+++ b/internal/scheduling/cycle.go
@@ -5,7 +5,7 @@
 	"oakpick/internal/resources"
 )
 
-// cycle caches the results of one scheduling cycle, so that a machine need not be examined
+// cycle caches intermediate results of one scheduling cycle, so that machines need not be examined
 // again for every waiting task.
 type cycle struct {
 	feasible map[cluster.RequestClass][]*cluster.Machine // machines with enough free resources for a task of the class
@@ -74,17 +74,17 @@
 	return list
 }
 
-// freeSnapshot has the projected free resources of machines before tasks were assigned to them.
+// freeSnapshot has the unassigned resources of machines before tasks were assigned to them.
 type freeSnapshot map[*cluster.Machine]resources.Amount
 
-// save records the free resources of a machine unless they are recorded already.
+// save records the unassigned resources of a machine unless they are recorded already.
 func (r freeSnapshot) save(machine *cluster.Machine) {
 	if _, ok := r[machine]; !ok {
 		r[machine] = machine.Unassigned
 	}
 }
 
-// restoreFree resets the machines' free resources to those of the snapshot.
+// restoreFree resets the machines' unassigned resources to those of the snapshot.
 func (s *Scheduler) restoreFree(r freeSnapshot) {
 	for machine, free := range r {
 		machine.Unassigned = free
--- a/internal/scheduling/gang.go
+++ b/internal/scheduling/gang.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// machinesForGang returns a machine for each of the members, or nil if one finds none.
+// machinesForGang returns a machine for each of the members, or nil if any of them fits nowhere.
 func (s *Scheduler) machinesForGang(j *cluster.Job, members int) []*cluster.Machine {
 	if !j.OneZone || len(j.ActiveTasks) > 0 {
 		return s.machinesInZone(j, members, "")
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// machinesInZone is like machinesForGang, limited to a zone unless that is empty.
+// machinesInZone is like machinesForGang, but limited to a zone if one is given.
 func (s *Scheduler) machinesInZone(j *cluster.Job, members int, zone string) []*cluster.Machine {
 	perZone := j.TasksPerZone()
 	var machines []*cluster.Machine
@@ -65,7 +65,7 @@
 	return machines
 }
 
-// chooseInZone is like chooseMachine, limited to a zone unless that is empty.
+// chooseInZone is like chooseMachine, but limited to a zone if one is given.
 func (s *Scheduler) chooseInZone(j *cluster.Job, perZone map[string]int, zone string) *cluster.Machine {
 	if zone == "" {
 		return s.chooseMachine(j, perZone)
--- a/internal/scheduling/placement.go
+++ b/internal/scheduling/placement.go
@@ -89,8 +89,8 @@
 const (
 	// minFetchS is the shortest image fetch, in seconds, that justifies waiting for another machine.
 	minFetchS = 1
-	// queuedFetchFactor is the minimum ratio of the expected fetch time to the time of the same
-	// fetch without competing ones for a task to wait for another machine.
+	// queuedFetchFactor is how many times longer than without competing fetches the image fetch
+	// must be expected to take before the task waits for another machine.
 	queuedFetchFactor = 1.3
 )
 
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -25,8 +25,8 @@
 		j.Placement.WithinGuarantee && !other.Placement.WithinGuarantee && other.Team != j.Team
 }
 
-// preemptionSearch is the search for machines on which the tasks of one job will fit once
-// other tasks have stopped.
+// preemptionSearch is a search for machines on which tasks of a job will fit once other tasks have
+// stopped.
 type preemptionSearch struct {
 	job     *cluster.Job
 	victims []*cluster.Task
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -12,7 +12,7 @@
 const msPerS = 1000
 
 // queueDelayPerRunS is the delay in the queue, in seconds, per second of a job's run time. For a
-// job with a deadline that is the run time with the whole of its team's limit.
+// job with a deadline, the run time is estimated as if the job had its team's limit to itself.
 const queueDelayPerRunS = 30
 
 // ranksPerPriority is the number of ranks within a priority.
@@ -21,7 +21,7 @@
 // maxConcurrentTasks bounds the number of tasks of a job that could run concurrently.
 const maxConcurrentTasks = 1 << 30
 
-// queue returns the waiting jobs in scheduling order: by rank, then by queuedAtMs.
+// queue returns the waiting jobs in scheduling order: by descending rank, then by queueOrderMs.
 func (s *Scheduler) queue() []*cluster.Job {
 	requested := map[*cluster.Team]resources.Amount{}
 	var waiting []*cluster.Job
@@ -68,9 +68,9 @@
 // delay, all jobs of a team with a tight limit would be slightly late. Since age counts as well,
 // long jobs are not starved.
 //
-// A job in a pipeline is not delayed. It is ordered by the time at which its last prerequisite
-// completed, or by its latest start for a deadline further down the pipeline, if that is
-// earlier.
+// A job with prerequisites or dependents is not delayed. It is ordered by the time at which it
+// became ready, or by the latest start that lets it and its dependents meet their deadlines, if
+// that is earlier.
 func (s *Scheduler) queueOrderMs(j *cluster.Job) int64 {
 	if j.Prerequisites.Node != nil {
 		return min(j.ReadyMs, j.Prerequisites.Node.LatestStartMs())
--- a/internal/scheduling/quota.go
+++ b/internal/scheduling/quota.go
@@ -14,7 +14,7 @@
 const finiteShare = 0.4
 
 // unavailableLimit returns the part of its team's limit that a job may not use: the amount
-// promised to other jobs and, for services, the amount reserved for finite jobs.
+// reserved in this cycle and, for a service, the amount reserved for finite jobs.
 func unavailableLimit(j *cluster.Job) resources.Amount {
 	t := j.Team
 	reserved := t.Reserved
@@ -39,8 +39,9 @@
 	return j.Request.CountIn(left, maxTasks)
 }
 
-// limitShortfall returns the amount by which a team would exceed its limit with so many more
-// tasks of a job, counting the amounts promised to jobs but not those of stopping tasks.
+// limitShortfall returns the amount by which a job's team would exceed its limit with the given
+// number of further tasks of the job. Resources of stopping tasks count as freed, unless they are
+// reserved.
 func limitShortfall(j *cluster.Job, tasks int) resources.Amount {
 	t := j.Team
 	total := t.Used.Plus(t.Reserved).Plus(j.Request.Times(float64(tasks))).Minus(t.Stopping)
@@ -59,7 +60,7 @@
 
 // preemptWithinTeam preempts tasks of a team that is at its limit, so that its jobs of higher
 // priority need not wait until those of lower priority end. The freed part of the limit is
-// promised to the job, so that no job later in the queue uses it.
+// reserved for the job, so that no job later in the queue uses it.
 func (s *Scheduler) preemptWithinTeam(j *cluster.Job, tasks int) {
 	t := j.Team
 	highestRank, known := s.cycle.noVictimsUpToRank[t]
@@ -71,9 +72,10 @@
 	}
 }
 
-// preemptTeamTasks preempts tasks of the job's team until its limit allows so many tasks of the
-// job to start. Victims are taken by ascending priority, then those not running yet, then by
-// ascending cost, then the most recently started.
+// preemptTeamTasks preempts tasks of the job's team until its limit allows the given number of
+// tasks of the job to start, but leaves the team's finite jobs finiteShare of the limit. Victims
+// are taken by ascending priority, then those not running yet, then by ascending cost, then the
+// most recently started.
 func (s *Scheduler) preemptTeamTasks(j *cluster.Job, tasks int) {
 	t := j.Team
 	victims := s.preemptableTeamTasks(j)
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -45,7 +45,7 @@
 // Workers holds the durations of heartbeats, worker leases and commands.
 type Workers struct {
 	HeartbeatInterval time.Duration
-	Lease             time.Duration // after this time a worker's lease has certainly expired
+	Lease             time.Duration // time after its last renewal by which a worker's lease has certainly expired
 	HeartbeatTimeout  time.Duration // a machine that has been silent for this long has missed a heartbeat
 	CheckInterval     time.Duration // time between checks of all machines
 	// CancellationConfirmTimeout is the time after a cancellation within which the job's tasks must
@@ -58,8 +58,8 @@
 
 // Scheduling holds the durations of scheduling cycles.
 type Scheduling struct {
-	// StarvationThreshold is how long a job waits before the scheduler does more for it than its
-	// team's quota or its failures would otherwise allow.
+	// StarvationThreshold is how long a best-effort job waits before it may use any free resources,
+	// and how long a job that fails on every machine waits before a machine is provisioned for it.
 	StarvationThreshold time.Duration
 	// FailingJobInterval is the minimum time between attempts of a team's jobs that fail on every
 	// machine.
@@ -93,15 +93,15 @@
 // examinationsPerCheck is the number of machines that one core can examine in a check interval.
 const examinationsPerCheck = 100_000
 
-// Shares of the memory limit for ended jobs and for archive pages, as divisors. A page takes
-// several times its stored size in memory.
 const (
-	endedJobsMemoryDivisor = 64
-	endedJobBytes          = 256
-	archiveMemoryDivisor   = 512
-	minArchivePages        = 4
-	bytesPerMB             = 1 << 20
-	bytesPerKB             = 1024
+	endedJobsMemoryDivisor = 64  // ended jobs may use 1/64 of the memory limit
+	endedJobBytes          = 256 // memory that an ended job uses
+	// archiveMemoryDivisor limits the stored size of the cached archive pages to 1/512 of the
+	// memory limit. A page takes several times its stored size in memory.
+	archiveMemoryDivisor = 512
+	minArchivePages      = 4
+	bytesPerMB           = 1 << 20
+	bytesPerKB           = 1024
 )
 
 // failureJitter is the maximum relative deviation of the delay after a failure.
