--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -125,8 +125,8 @@
 }
 
 // mayScale reports whether enough is known to change the fleet. A new leader first gives the
-// machines that it inherited time to report, but doesn't wait for machines that it provisions
-// itself. After a pause of the process the machines also need time to report.
+// machines that it inherited, if any, time to report. It doesn't wait for machines that it
+// provisions itself. After a pause of the process the machines also need time to report.
 func (a *Autoscaler) mayScale() bool {
 	now := a.context.Monotonic()
 	if len(a.state.Catalog.Types) == 0 || a.inventory.listsRead == 0 {
--- a/internal/autoscaling/cloud.go
+++ b/internal/autoscaling/cloud.go
@@ -33,7 +33,7 @@
 	c := &a.cloud
 	changesFleet := call.Op == message.CloudScaleOut || call.Op == message.CloudScaleIn
 	if changesFleet && a.context.Monotonic() >= a.leadership.LeaseUntil() {
-		return false // another node may lead
+		return false // without a lease, LeaseUntil is 0, and the request would have no deadline
 	}
 	if a.context.Monotonic() < c.backoffUntil || len(c.inFlight) >= config.CloudConnections || !c.limiter.AllowN(a.context.Now.LimiterTime(), 1) {
 		return false
--- a/internal/cluster/team.go
+++ b/internal/cluster/team.go
@@ -18,10 +18,11 @@
 	// Reserved is the part of Stopping that the current scheduling cycle has reserved for jobs that
 	// wait for it.
 	Reserved resources.Amount
-	// FailingJobNotBefore is the earliest time at which a job that fails on every machine is tried.
+	// FailingJobNotBefore is the earliest time of the next attempt of any job that fails on every
+	// machine.
 	FailingJobNotBefore time.Duration
-	// FiniteUsed is the usage of jobs that end by themselves, and FiniteWaiting the amount that
-	// such jobs wait for, as of the last cycle.
+	// FiniteUsed is the usage of finite jobs (arrays and gangs, which end by themselves), and
+	// FiniteWaiting the amount that their idle tasks request, as of the last scheduling cycle.
 	FiniteUsed, FiniteWaiting resources.Amount
 }
 
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -13,7 +13,8 @@
 	Error string `json:"error"`
 }
 
-// handleAdminRequest answers an operator's request. The node's own status is available without a leader.
+// handleAdminRequest answers an operator's request or forwards it to the leader. The node's own
+// status is available without a leader.
 func (c *Controller) handleAdminRequest(request message.AdminRequest) {
 	leader := c.elector.OtherLeader()
 	switch {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -52,8 +52,8 @@
 	c.context.Begin(now)
 	c.recordPause()
 	if c.leader != nil && c.elector.HeartbeatGraceExpired() {
-		// The process was paused. Events that arrived during the pause must not be answered as if
-		// no time had passed, because a new leader may have declared worker leases expired.
+		// The process may have been paused. Events that arrived meanwhile must not be answered,
+		// because a new leader may have declared worker leases expired.
 		c.elector.StepDown("heartbeat grace period has expired")
 	}
 	for _, event := range events {
@@ -197,11 +197,11 @@
 // Stats returns the counts since the start of the process.
 func (c *Controller) Stats() message.Stats { return c.context.Stats }
 
-// recordPause detects at the start of a step whether the process was paused. Missing messages from
-// the time of a pause are no evidence that machines or peers are silent: their silence counts from
-// the end of the pause at the earliest. The fleet is left unchanged until live machines have had
-// time to report. Proofs that a task has stopped don't depend on this, because they count from the
-// last answer that a worker can have received.
+// recordPause records whether the process was paused before the step. Since no message could be
+// received during a pause, the silence of machines and peers counts from its end at the earliest,
+// and the fleet is left unchanged until live machines have had time to report. Proofs that a task
+// has stopped are not affected, because they count from the last answer that a worker can have
+// received.
 func (c *Controller) recordPause() {
 	paused := c.context.Pauses.Step(c.context.Monotonic())
 	if paused == 0 {
--- a/internal/controller/deferred.go
+++ b/internal/controller/deferred.go
@@ -32,8 +32,8 @@
 	c.deferred = append(c.deferred, deferredRequest{request, c.context.Monotonic() + c.timing.Requests.DeferTimeout})
 }
 
-// resumeDeferred handles the deferred requests once a leader is known, and refuses those that have
-// reached their deadline.
+// resumeDeferred handles the deferred requests that can now be handled or forwarded, and refuses
+// those that have reached their deadline.
 func (c *Controller) resumeDeferred() {
 	if len(c.deferred) == 0 {
 		return
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -21,7 +21,7 @@
 	Done    int    `json:"done"`
 	Placed  int    `json:"placed"`
 	Waiting int    `json:"waiting"`
-	// BestEffort is set if the job's team has no guaranteed quota while other teams have one.
+	// BestEffort is set if the job's team has no guarantee while other teams have one.
 	BestEffort bool           `json:"guest"`
 	Failures   *FailureStatus `json:"failures,omitempty"`
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -75,8 +75,8 @@
 	return store
 }
 
-// tick runs the periodic work of the leader and sends what the step's events require. No decisions
-// are made while another node may lead, or after the term has ended within this step.
+// tick runs the periodic work of the leader and sends the writes and commands that are due. No
+// decisions are made while another node may lead, or after the term has ended within this step.
 func (l *leader) tick() {
 	elector := l.controller.elector
 	if elector.HoldsLease() {
--- a/internal/controller/state_restorer.go
+++ b/internal/controller/state_restorer.go
@@ -140,9 +140,9 @@
 	return nil
 }
 
-// dropBlock skips a block whose job is not among the unfinished jobs. The records of a job's end
-// and of its other blocks are on different pages, so a leader may have ended after writing only
-// the former. Any other block without a job is corrupt. A corrupt block must not stop the whole
+// dropBlock skips a block whose job is not among the unfinished jobs. If the job has ended, an
+// earlier leader's term ended before it removed the block, which is on another page than the record
+// of the end. Any other block without a job is corrupt. A corrupt block must not stop the whole
 // service, so its job is lost and the job's tasks on machines are stopped.
 func (l *stateRestorer) dropBlock(record storage.BlockRecord) {
 	if end := l.state.EndedJobs[record.Job]; end != nil {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -27,7 +27,7 @@
 	Classes             map[string]ClassCounts   `json:"classes"`
 	Teams               map[string]TeamUsage     `json:"teams"`
 	Machines            map[string]MachineCounts `json:"machines"`
-	UnconfirmedMachines []string                 `json:"machines_in_doubt"` // unconfirmed start commands may still arrive there
+	UnconfirmedMachines []string                 `json:"machines_in_doubt"` // machines at which unconfirmed start commands may still arrive
 	CordonedMachines    []string                 `json:"machines_set_aside"`
 	FailingJobs         []string                 `json:"jobs_failing_everywhere"`
 	Backlog             int                      `json:"pages_to_write"`
@@ -48,7 +48,7 @@
 	BlockedJobs int `json:"waiting_for_prerequisites"`
 }
 
-// TeamUsage is the resource usage and quota of a team.
+// TeamUsage is the resource usage of a team, with its guarantee and limit.
 type TeamUsage struct {
 	Waiting        int     `json:"waiting"` // tasks
 	CPUs           float64 `json:"cpus"`
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -145,9 +145,9 @@
 	return j.MinRecordSize()
 }
 
-// checkPrerequisites checks the prerequisites of a submission. It returns 200 if they are valid, and
-// otherwise the response status and the reason. It must be called only on a leader that holds its
-// lease and has loaded every page.
+// checkPrerequisites checks the prerequisites of a submission. It returns status 200 if they are
+// valid, and otherwise the response status and the reason. It must be called only on a leader that
+// holds its lease and has loaded every page, because an unknown job counts as never accepted.
 func (h *requestHandler) checkPrerequisites(s *protocol.Submission, archived archive.LookupResults) (status int, reason string) {
 	for _, id := range s.Prerequisites {
 		if id == s.ID {
--- a/internal/controller/writer.go
+++ b/internal/controller/writer.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// logStall logs once per stall that a write has waited for the write budget for longer than the
-// rate of the budget explains.
+// logStall logs, once per stall, that a write has waited longer for the write budget than its rate
+// explains.
 func (w *writer) logStall() {
 	now := w.controller.context.Monotonic()
 	stalled := w.store.WriteBudgetStalled(now)
@@ -83,10 +83,10 @@
 	}
 	c := w.controller
 	if write.Rejected {
-		// The state service has lowered its limits, and the rest of a large page was being written.
-		// An earlier attempt of this write may still be executed late. Only a new term rules that
-		// out, because the write is conditional on the current one. The pages are then read again,
-		// and nothing above the new limits is written.
+		// The state service has lowered its limits, and this write exceeds them. An earlier attempt
+		// of it may still be executed late. Only a new term rules that out, because the write is
+		// conditional on the current term. The new term reads the pages again and writes nothing
+		// above the new limits.
 		c.limitsLowered = true
 		c.elector.Restart("the state service has lowered its limits")
 		return
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -26,7 +26,7 @@
 // close a cycle is counted as an unknown prerequisite.
 type Graph struct {
 	nodes  map[string]*Node
-	visits int // number of nodes examined, for the test that bounds it
+	visits int // number of nodes examined, for a test of its upper bound
 }
 
 // Node is a job in the graph.
@@ -149,8 +149,8 @@
 	}
 }
 
-// Complete removes a job that is done, and returns the jobs for which it was the last
-// prerequisite.
+// Complete removes a job that is done, and returns the jobs whose last unfinished prerequisite it
+// was.
 func (g *Graph) Complete(id string) (ready []string) {
 	n := g.nodes[id]
 	if n == nil {
--- a/internal/dependency/validate.go
+++ b/internal/dependency/validate.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// HasPrerequisite reports whether a job is a prerequisite of this one and has not ended. A nil node has no
-// prerequisites.
+// HasPrerequisite reports whether the node has an unfinished prerequisite with the given ID. A nil
+// node has none.
 func (n *Node) HasPrerequisite(id string) bool {
 	return n != nil && slices.ContainsFunc(n.prerequisites, func(p *Node) bool { return p.job.ID == id })
 }
 
 // Validate checks the invariants of the graph, for tests: every node is the one that its job refers
-// to, edges agree in both directions and end at nodes of the graph, and priorities and deadlines
-// follow from the jobs in it. nodeOf returns the node of a job that has not ended, or nil if the
-// job has ended or is unknown.
+// to, edges are recorded in both directions and end at nodes of the graph, and the priority and
+// latest finish of every node follow from the jobs in the graph. nodeOf returns the node of a job
+// that has not ended, or nil if the job has ended or is unknown.
 func (g *Graph) Validate(nodeOf func(id string) *Node) error {
 	for id, n := range g.nodes {
 		if n.job.ID != id || nodeOf(id) != n {
--- a/internal/election/leader_key.go
+++ b/internal/election/leader_key.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// handleLeaderKeyValue processes a leader key that exists: it completes an acquisition, replaces an earlier
-// process of this node, or follows the leader.
+// handleLeaderKeyValue processes a leader key that exists: it completes an acquisition, replaces an
+// earlier process of this node, or follows the leader.
 func (e *Elector) handleLeaderKeyValue(entry protocol.Entry) {
 	var value leaderValue
 	if protocol.Decode(entry.Value, &value) != nil {
@@ -145,7 +145,8 @@
 	if result.Outcome == rpc.Invalid {
 		e.acquisition = nil
 	}
-	// The transaction was refused, lost to another node or not answered. The next read of the key shows which.
+	// The transaction was refused or not answered, or another node was faster. The next read of the
+	// key shows which.
 	e.scheduleLeaderCheck()
 	e.observed.nextCheckAt = e.context.Monotonic() + e.timing.RetryInterval
 }
--- a/internal/election/token.go
+++ b/internal/election/token.go
@@ -14,7 +14,7 @@
 // carry the old one, so any unanswered command sent with the old token can no longer take effect.
 type tokenAdvance struct {
 	txn            *protocol.Txn // transaction in progress; nil if none
-	sent           bool
+	sent           bool          // the result of an attempt is awaited
 	retryAt        time.Duration
 	count          int64 // number of advances in this term
 	startedAt      time.Duration
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -12,9 +12,11 @@
 // which. A machine is cordoned if several jobs failed on it that run well on others. A job that
 // fails on several machines was most likely submitted with a mistake. Since that is not certain, it
 // is still attempted, but one task (or one gang) at a time and with growing backoff. No machine is
-// provisioned or cordoned and no task preempted for such a job.
+// cordoned and no task preempted for such a job, and a machine is provisioned only after it has
+// waited for a long time.
 
-// MinFailedMachinesForJobFault is the number of machines on which a job must fail to be at fault itself.
+// MinFailedMachinesForJobFault is the number of machines on which a job must fail to be considered
+// at fault itself.
 const MinFailedMachinesForJobFault = 3
 
 // minFailedJobsToCordon is the number of jobs that must fail on a machine, and run well elsewhere,
@@ -25,8 +27,8 @@
 // jobs have failed on it.
 const avoidLeases = 10
 
-// healthyRunFactor is how many times as long as the longest failed run plus a heartbeat interval a
-// task must run for its job to count as healthy.
+// healthyRunFactor determines how long a task must run for its job to count as healthy: this
+// multiple of the sum of the job's longest failed run and a heartbeat interval.
 const healthyRunFactor = 2
 
 // taskFailed records a task's failure.
@@ -54,7 +56,8 @@
 	return m.timing.Jobs.FailureBackoff.Backoff(rounds, m.context.Random)
 }
 
-// markJobAtFault records that a job fails on every machine, and withdraws its failures from the machines' health.
+// markJobAtFault records that a job fails on every machine, and no longer counts its failures
+// against the machines.
 func (m *Manager) markJobAtFault(j *cluster.Job) {
 	if j.Failures.JobAtFault {
 		return
@@ -104,8 +107,8 @@
 	return false
 }
 
-// clearFailures resets a job's failure history: one of its tasks has completed on a machine, or has
-// run there for much longer than any that failed. The job's failures on other machines are then
+// clearFailures resets a job's failure history after one of its tasks has completed on a machine or
+// has run there for much longer than any failed task. The job's failures on other machines are then
 // confirmed as faults of those machines.
 func (m *Manager) clearFailures(j *cluster.Job, healthyMachine *cluster.Machine) {
 	failures := j.Failures
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -1,7 +1,7 @@
 // Package jobs manages the life cycle of jobs and their tasks: it records starts, losses and ends,
 // ends finished jobs, tracks their dependencies, and evaluates failures. Every decision is written
-// to the store first. Actions that must not happen before a commit run in the function that waits
-// for the commit.
+// to the store first. Actions that must not happen before a commit run in the callback of its
+// waiter.
 package jobs
 
 import (
@@ -28,7 +28,7 @@
 	store      *storage.Store
 	timing     timing.Timing
 	leadership Leadership
-	// recordBlockTasks is whether BlockTasks is stored for every job.
+	// recordBlockTasks is whether BlockTasks is stored for every new job, even if it has one block.
 	recordBlockTasks bool
 }
 
@@ -129,7 +129,8 @@
 	}
 }
 
-// MarkLost removes a task that is gone without a reported exit. proof is what shows that it is gone.
+// MarkLost removes a task that is gone without a reported exit. proof names the evidence for this
+// in the log.
 func (m *Manager) MarkLost(t *cluster.Task, proof string) {
 	m.context.Stats.TasksLost++
 	m.context.Log(message.Info, "task lost", "job", t.Job.ID, "task", t.Index, "attempt", t.Attempt, "machine", t.Machine.Name, "proof", proof)
--- a/internal/message/messages.go
+++ b/internal/message/messages.go
@@ -2,7 +2,7 @@
 // that it emits. The state machine does no input or output; the surrounding process converts
 // requests and results into events and executes the effects.
 //
-// Events and effects, and the data that they point to, must not be modified after they are passed on.
+// Events and effects, and the data that they point to, must not be modified after they are sent.
 package message
 
 import (
--- a/internal/scheduling/quota.go
+++ b/internal/scheduling/quota.go
@@ -9,8 +9,8 @@
 	"oakpick/internal/resources"
 )
 
-// finiteShare is the share of a team's limit that is reserved for finite jobs (arrays and
-// gangs) while any of them wait. Services don't end by themselves and could starve them.
+// finiteShare is the share of a team's limit that services may not use while finite jobs (arrays
+// and gangs) wait for it. Services don't end by themselves and could starve finite jobs.
 const finiteShare = 0.4
 
 // unavailableLimit returns the part of its team's limit that a job may not use: the amount
--- a/internal/step/context.go
+++ b/internal/step/context.go
@@ -68,8 +68,9 @@
 	c.Emit(message.Reply{ID: id, Status: statusUnavailable, Body: protocol.EncodeError(reason), RetryAfterS: retryAfterS})
 }
 
-// SilenceDuration returns how long a peer or machine last heard at heardAt has been silent. Time
-// during which this process was paused does not count, because no message could be received then.
+// SilenceDuration returns how long a peer or machine has been silent whose last message arrived at
+// heardAt. Time during which this process was paused does not count, because no message could be
+// received then.
 func (c *Context) SilenceDuration(heardAt time.Duration) time.Duration {
 	return c.Monotonic() - c.Pauses.ClampToResume(heardAt)
 }
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -38,7 +38,7 @@
 	return append(commands, m.forgetCommands(machine)...)
 }
 
-// needsStop reports whether a task has been told to stop and belongs to the worker's current incarnation.
+// needsStop reports whether a task is to stop and belongs to the worker's current incarnation.
 func needsStop(t *cluster.Task, machine *cluster.Machine) bool {
 	return t.Stopping && t.Incarnation == machine.Worker.Incarnation
 }
@@ -98,8 +98,8 @@
 	calls.Pending = false
 	starting := tasksToStart(machine)
 	if len(starting) > 0 && !m.leadership.HoldsLease() {
-		// The leader's lease may have expired before the write of these starts was confirmed.
-		// The starts are not dropped: they are sent once the lease is held again.
+		// The leader's lease may have expired since the write of these starts was sent. They are
+		// sent once the lease is held again.
 		starting = nil
 		calls.Pending, keepQueued = true, true
 	}
@@ -107,7 +107,8 @@
 	return keepQueued
 }
 
-// tasksToStart returns the tasks of a machine whose start is durable and not yet confirmed.
+// tasksToStart returns the tasks of a machine whose start is durable and not yet confirmed, except
+// those that are to stop.
 func tasksToStart(machine *cluster.Machine) []*cluster.Task {
 	var starting []*cluster.Task
 	for _, t := range machine.Tasks {
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -11,8 +11,8 @@
 
 const statusOK = 200
 
-// HandleHeartbeat answers a worker's heartbeat. The node leads, or has stopped leading but may still
-// answer within its grace period.
+// HandleHeartbeat answers a worker's heartbeat. The node still answers within the grace period after
+// its lease may have expired.
 func (m *Manager) HandleHeartbeat(request message.HeartbeatRequest) {
 	heartbeat := request.Heartbeat
 	m.context.Stats.Heartbeats++
@@ -40,8 +40,8 @@
 }
 
 // isStale reports whether a heartbeat comes from a released machine or an ended incarnation, or is
-// a copy of an older one. No worker waits for its answer, and recording the answer would only delay
-// the proof that the worker's lease has expired.
+// not newer than the last one. No worker waits for the answer to such a heartbeat, and recording an
+// answer would only delay the proof that the worker's lease has expired.
 func (m *Manager) isStale(heartbeat *protocol.Heartbeat) bool {
 	if m.state.ReleasedMachines[heartbeat.Machine] {
 		return true
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -12,17 +12,17 @@
 	// minSilentMachines is the smallest number of silent machines for which the leader assumes
 	// that its own connection has failed.
 	minSilentMachines = 3
-	// More than this share of the live machines must be silent, too.
+	// The leader assumes this only if the share of silent machines among the live ones also exceeds
+	// silentShareNumerator/silentShareDenominator.
 	silentShareDenominator, silentShareNumerator = 8, 7
-	// stopGraceHeartbeats is the number of heartbeat intervals that a task may take to stop in
-	// addition to its grace period.
-	stopGraceHeartbeats = 2
-	// stopGraceCheckpoints is the number of checkpoint durations that a task may take in addition.
+	// stopGraceHeartbeats and stopGraceCheckpoints are the numbers of heartbeat intervals and of
+	// checkpoint durations that a task may take to stop in addition to its grace period.
+	stopGraceHeartbeats  = 2
 	stopGraceCheckpoints = 2
 )
 
-// CheckMachines looks for expired worker leases and overdue stops, and advances the fencing token
-// if starts that may still arrive have to be voided.
+// CheckMachines handles expired worker leases and overdue stops of all machines, advances the
+// fencing token if necessary, and resigns if nearly all workers are silent.
 func (m *Manager) CheckMachines() {
 	now := m.context.Monotonic()
 	if now < m.checkAt {
@@ -97,8 +97,8 @@
 	return max(renewedBy, worker.IncarnationSeenAt) + m.timing.Lease
 }
 
-// resendOverdueStops queues stop commands again for tasks that have not stopped, and drops their
-// grace period once it has passed.
+// resendOverdueStops queues stop commands again for tasks that have not stopped, and sets a task's
+// grace period to 0 once it has passed.
 func (m *Manager) resendOverdueStops(machine *cluster.Machine) {
 	now := m.context.Monotonic()
 	for _, t := range machine.Tasks {
--- a/internal/workers/manager.go
+++ b/internal/workers/manager.go
@@ -18,10 +18,11 @@
 	HoldsLease() bool
 	// LeaseUntil returns the time until which the leader's lease certainly lasts.
 	LeaseUntil() time.Duration
-	// Token returns the current fencing token, FirstToken the one with which the term began.
+	// Token returns the current fencing token, and FirstToken the one with which the term began.
 	Token() int64
 	FirstToken() int64
-	// EarlierLeadersSilentAt returns when every earlier leader had stopped answering workers.
+	// EarlierLeadersSilentAt returns the time by which every earlier leader has certainly stopped
+	// answering workers.
 	EarlierLeadersSilentAt() time.Duration
 	// AdvanceToken advances the token if needed, or continues an advance in progress.
 	AdvanceToken(needed bool, writesInFlight func() bool)
