--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -25,10 +25,10 @@
 // fencing token if necessary, and resigns if nearly all workers are silent.
 func (m *Manager) CheckMachines() {
 	now := m.context.Monotonic()
-	if now < m.checkAt {
+	if now < m.nextCheckAt {
 		return
 	}
-	m.checkAt = now + m.timing.CheckInterval
+	m.nextCheckAt = now + m.timing.CheckInterval
 	earlierSilentAt := m.leadership.EarlierLeadersSilentAt()
 	needsAdvance := false
 	live, silent := 0, 0
--- a/internal/workers/manager.go
+++ b/internal/workers/manager.go
@@ -39,7 +39,7 @@
 	timing         timing.Workers
 	leadership     Leadership
 	writesInFlight func() bool
-	checkAt        time.Duration // when all machines are checked next
+	nextCheckAt    time.Duration // when all machines are checked next
 }
 
 // NewManager returns a manager of a cluster's workers. writesInFlight reports whether writes that
