--- a/internal/autoscaling/provisioning.go
+++ b/internal/autoscaling/provisioning.go
@@ -154,7 +154,7 @@
 func (a *Autoscaler) recordProvisioned(request *provisioningRequest, names []string) {
 	now := a.context.Monotonic()
 	request.Answered, request.Machines = true, names
-	a.context.Stats.MachinesScaledOut += int64(len(names))
+	a.context.Stats.MachinesProvisioned += int64(len(names))
 	a.context.Log(message.Info, "machines provisioned", "request", request.RequestID, "type", request.Type, "zone", request.Zone,
 		"spot", request.Spot, "requested", request.Count, "provisioned", len(names))
 	for _, name := range names {
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -68,14 +68,14 @@
 	w.Run(15 * time.Second)
 	jobs := submit(w)
 	w.Run(30 * time.Second)
-	rented = -w.Leader().Stats().MachinesScaledOut
+	rented = -w.Leader().Stats().MachinesProvisioned
 	all := countStarts(w)
 	for i := range 8 {
 		w.Submit(job(60+i, protocol.Array, 2), 2*time.Second)
 		w.Run(15 * time.Second)
 		w.PollAll()
 	}
-	rented += w.Leader().Stats().MachinesScaledOut
+	rented += w.Leader().Stats().MachinesProvisioned
 	starts = map[string]int{}
 	for _, j := range jobs {
 		starts[j.Submission.ID] = all[j.Submission.ID]
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -29,8 +29,8 @@
 	w.Submit(s, 0)
 	waitRunning(t, w, s.ID, 1)
 	w.Run(10 * time.Second)
-	if st := w.Controllers[0].Stats(); lost == 0 || int64(len(w.MachineNames())) != st.MachinesScaledOut-st.MachinesScaledIn {
-		n := st.MachinesScaledOut - st.MachinesScaledIn
+	if st := w.Controllers[0].Stats(); lost == 0 || int64(len(w.MachineNames())) != st.MachinesProvisioned-st.MachinesScaledIn {
+		n := st.MachinesProvisioned - st.MachinesScaledIn
 		t.Errorf("%d lost answers, %d machines known of %d", lost, n, len(w.MachineNames()))
 	}
 	requireNoViolations(t, w)
@@ -154,7 +154,7 @@
 		w.Submit(s, 0)
 		w.Run(3 * time.Second)
 	}
-	if n := w.Controllers[0].Stats().MachinesScaledOut; n != 2 {
+	if n := w.Controllers[0].Stats().MachinesProvisioned; n != 2 {
 		t.Errorf("%d machines provisioned", n)
 	}
 	requireNoViolations(t, w)
@@ -179,7 +179,7 @@
 		return delivery
 	}
 	w.Run(2500 * time.Millisecond)
-	if n := w.Controllers[0].Stats().MachinesScaledOut; n < 120 {
+	if n := w.Controllers[0].Stats().MachinesProvisioned; n < 120 {
 		t.Errorf("%d machines provisioned 2.5 s after 200 tasks came", n)
 	}
 	requireNoViolations(t, w)
@@ -219,8 +219,8 @@
 	if n := len(w.Cloud.MachineNames()); n != 1 {
 		t.Fatalf("%d machines are provisioned for one replica", n)
 	}
-	before := w.Leader().Stats().MachinesScaledOut
-	rented := func() int64 { return w.Leader().Stats().MachinesScaledOut - before }
+	before := w.Leader().Stats().MachinesProvisioned
+	rented := func() int64 { return w.Leader().Stats().MachinesProvisioned - before }
 	w.Cloud.FailNextBoots = 1 // one of the machines never comes up
 	w.Cloud.Fail(w.MachinesOf(s.ID)[0])
 	w.RunUntil(40*time.Second, func() bool { return rented() > 0 })
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -219,7 +219,7 @@
 	if after.Pauses != 1 || after.LongestPauseMs < 5000 || !logContains(w, "process was paused [for 5") {
 		t.Errorf("%d pauses, the longest %d ms", after.Pauses, after.LongestPauseMs)
 	}
-	if after.MachinesScaledOut != before.MachinesScaledOut || after.MachinesScaledIn != before.MachinesScaledIn || after.ReplicasMoved != before.ReplicasMoved || after.TasksLost != before.TasksLost {
+	if after.MachinesProvisioned != before.MachinesProvisioned || after.MachinesScaledIn != before.MachinesScaledIn || after.ReplicasMoved != before.ReplicasMoved || after.TasksLost != before.TasksLost {
 		t.Errorf("%+v before, %+v after", before, after)
 	}
 	requireNoViolations(t, w)
@@ -231,15 +231,15 @@
 	w := newWorld(t)
 	w.Run(20 * time.Second)
 	leader := w.Leader()
-	before := leader.Stats().MachinesScaledOut
+	before := leader.Stats().MachinesProvisioned
 	s := service(1, 3)
 	s.CPUs = 4 // a machine each
 	w.Submit(s, 0)
-	if !w.RunUntil(5*time.Second, func() bool { return leader.Stats().MachinesScaledOut > before }) {
+	if !w.RunUntil(5*time.Second, func() bool { return leader.Stats().MachinesProvisioned > before }) {
 		t.Fatal("nothing is provisioned")
 	}
 	w.Run(time.Second)
-	before = leader.Stats().MachinesScaledOut
+	before = leader.Stats().MachinesProvisioned
 	w.State.SetOutage(true)
 	resumesAt := w.Now + 9*time.Second
 	w.Network = func(kind, _, to string) fake.Delivery {
@@ -251,7 +251,7 @@
 	w.Run(9 * time.Second)
 	w.State.SetOutage(false)
 	waitRunning(t, w, s.ID, 3)
-	if rented := leader.Stats().MachinesScaledOut; rented != before || !leader.Leads() {
+	if rented := leader.Stats().MachinesProvisioned; rented != before || !leader.Leads() {
 		t.Errorf("%d machines provisioned before the pause, %d after", before, rented)
 	}
 	requireNoViolations(t, w)
--- a/internal/message/stats.go
+++ b/internal/message/stats.go
@@ -15,7 +15,7 @@
 	TasksFailed       int64 `json:"tasks_failed"`
 	TokensAdvanced    int64 `json:"tokens_raised"`
 	TermsAcquired     int64 `json:"terms_taken"`
-	MachinesScaledOut int64 `json:"machines_rented"`
+	MachinesProvisioned int64 `json:"machines_rented"`
 	MachinesScaledIn  int64 `json:"machines_returned"`
 	Writes            int64 `json:"writes"`
 	WritesRetried     int64 `json:"writes_retried"`
