--- a/internal/autoscaling/scale_in.go
+++ b/internal/autoscaling/scale_in.go
@@ -123,7 +123,7 @@
 		}
 		a.state.RemoveMachine(machine)
 		a.state.ReleasedMachines[name] = true
-		a.context.Stats.MachinesScaledIn++
+		a.context.Stats.MachinesReleased++
 	}
 	if result.Outcome == rpc.OK {
 		a.state.NeedsScheduling = true
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -29,8 +29,8 @@
 	w.Submit(s, 0)
 	waitRunning(t, w, s.ID, 1)
 	w.Run(10 * time.Second)
-	if st := w.Controllers[0].Stats(); lost == 0 || int64(len(w.MachineNames())) != st.MachinesProvisioned-st.MachinesScaledIn {
-		n := st.MachinesProvisioned - st.MachinesScaledIn
+	if st := w.Controllers[0].Stats(); lost == 0 || int64(len(w.MachineNames())) != st.MachinesProvisioned-st.MachinesReleased {
+		n := st.MachinesProvisioned - st.MachinesReleased
 		t.Errorf("%d lost answers, %d machines known of %d", lost, n, len(w.MachineNames()))
 	}
 	requireNoViolations(t, w)
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -191,8 +191,8 @@
 		w.Submit(s, 0)
 	}
 	leader := w.Leader()
-	for returned := int64(-1); returned != leader.Stats().MachinesScaledIn; w.Run(40 * time.Second) {
-		returned = leader.Stats().MachinesScaledIn
+	for returned := int64(-1); returned != leader.Stats().MachinesReleased; w.Run(40 * time.Second) {
+		returned = leader.Stats().MachinesReleased
 	}
 	before, machines := leader.Stats(), len(w.MachineNames())
 	if machines < 3 {
@@ -219,7 +219,7 @@
 	if after.Pauses != 1 || after.LongestPauseMs < 5000 || !logContains(w, "process was paused [for 5") {
 		t.Errorf("%d pauses, the longest %d ms", after.Pauses, after.LongestPauseMs)
 	}
-	if after.MachinesProvisioned != before.MachinesProvisioned || after.MachinesScaledIn != before.MachinesScaledIn || after.ReplicasMoved != before.ReplicasMoved || after.TasksLost != before.TasksLost {
+	if after.MachinesProvisioned != before.MachinesProvisioned || after.MachinesReleased != before.MachinesReleased || after.ReplicasMoved != before.ReplicasMoved || after.TasksLost != before.TasksLost {
 		t.Errorf("%+v before, %+v after", before, after)
 	}
 	requireNoViolations(t, w)
--- a/internal/message/stats.go
+++ b/internal/message/stats.go
@@ -16,7 +16,7 @@
 	TokensAdvanced    int64 `json:"tokens_raised"`
 	TermsAcquired     int64 `json:"terms_taken"`
 	MachinesProvisioned int64 `json:"machines_rented"`
-	MachinesScaledIn  int64 `json:"machines_returned"`
+	MachinesReleased  int64 `json:"machines_returned"`
 	Writes            int64 `json:"writes"`
 	WritesRetried     int64 `json:"writes_retried"`
 	MachinesExamined  int64 `json:"machines_looked_at"`
