--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -179,7 +179,7 @@
 
 func (m *Manager) taskDone(t *cluster.Task) {
 	j := t.Job
-	m.context.Stats.TasksFinished++
+	m.context.Stats.TasksDone++
 	if t.SeenRunning() && !t.Inherited {
 		m.state.ObserveRun(j, m.context.Monotonic()-t.RunningSince)
 	}
--- a/internal/message/stats.go
+++ b/internal/message/stats.go
@@ -9,7 +9,7 @@
 	StaleHeartbeats   int64 `json:"stale_reports"`
 	TasksStarted      int64 `json:"starts"`
 	TasksLost         int64 `json:"tasks_lost"`
-	TasksFinished     int64 `json:"tasks_finished"`
+	TasksDone     int64 `json:"tasks_finished"`
 	TasksPreempted    int64 `json:"tasks_preempted"`
 	ReplicasMoved     int64 `json:"replicas_moved"`
 	TasksFailed       int64 `json:"tasks_failed"`
