--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -51,13 +51,13 @@
 	InterruptionAt time.Duration // when the cloud will interrupt the machine; 0 if no notice was received
 	// UnknownTasks are reported by the worker but are not in the records.
 	UnknownTasks     []protocol.TaskStatus
-	FinishedAttempts map[protocol.Attempt]FinishedAttempt
+	FinishedAttempts map[protocol.Attempt]EndedAttempt
 }
 
-// FinishedAttempt is an ended attempt that its worker still reports. After the worker has forgotten
+// EndedAttempt is an ended attempt that its worker still reports. After the worker has forgotten
 // it, a delayed copy of its start command could start it again. The forget command is therefore
 // sent only with a token higher than that of every start of the attempt.
-type FinishedAttempt struct {
+type EndedAttempt struct {
 	Committed    bool          // the result of the attempt is durable
 	FencingToken int64         // highest token that a start of the attempt may carry
 	EndedAt      time.Duration // when the end was reported
@@ -106,7 +106,7 @@
 func newMachine(name string, now time.Duration) *Machine {
 	return &Machine{
 		Name:         name,
-		Worker:       WorkerState{FinishedAttempts: map[protocol.Attempt]FinishedAttempt{}},
+		Worker:       WorkerState{FinishedAttempts: map[protocol.Attempt]EndedAttempt{}},
 		Provisioning: ProvisioningState{ProvisionedAt: now, EmptySince: now},
 		Health:       HealthState{FailedJobs: map[string]bool{}},
 	}
@@ -126,7 +126,7 @@
 // ForgetTasks discards the tasks that the worker's incarnation has reported.
 func (w *WorkerState) ForgetTasks() {
 	w.UnknownTasks = nil
-	w.FinishedAttempts = map[protocol.Attempt]FinishedAttempt{}
+	w.FinishedAttempts = map[protocol.Attempt]EndedAttempt{}
 }
 
 func hasExited(status protocol.TaskStatus) bool { return status.State == protocol.Exited }
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -142,7 +142,7 @@
 // attempt once the result is durable.
 func (m *Manager) HandleExit(t *cluster.Task, status protocol.TaskStatus) {
 	j, machine, attempt := t.Job, t.Machine, status.Attempt
-	machine.Worker.FinishedAttempts[attempt] = cluster.FinishedAttempt{
+	machine.Worker.FinishedAttempts[attempt] = cluster.EndedAttempt{
 		FencingToken: max(t.SentToken, m.leadership.FirstToken()-1), EndedAt: m.context.Monotonic(),
 	}
 	waiter := j.DeferredWaiter(func() { m.exitCommitted(machine, attempt) })
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -56,7 +56,7 @@
 	}
 	if _, ok := worker.FinishedAttempts[status.Attempt]; !ok {
 		// The attempt was started by an earlier leader, or its end was recorded long ago.
-		worker.FinishedAttempts[status.Attempt] = cluster.FinishedAttempt{
+		worker.FinishedAttempts[status.Attempt] = cluster.EndedAttempt{
 			Committed: true, FencingToken: m.leadership.Token(), EndedAt: m.context.Monotonic(),
 		}
 	}
