--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -51,7 +51,7 @@
 	InterruptionAt time.Duration // when the cloud will interrupt the machine; 0 if no notice was received
 	// UnknownTasks are reported by the worker but are not in the records.
 	UnknownTasks     []protocol.TaskStatus
-	FinishedAttempts map[protocol.Attempt]EndedAttempt
+	EndedAttempts map[protocol.Attempt]EndedAttempt
 }
 
 // EndedAttempt is an ended attempt that its worker still reports. After the worker has forgotten
@@ -106,7 +106,7 @@
 func newMachine(name string, now time.Duration) *Machine {
 	return &Machine{
 		Name:         name,
-		Worker:       WorkerState{FinishedAttempts: map[protocol.Attempt]EndedAttempt{}},
+		Worker:       WorkerState{EndedAttempts: map[protocol.Attempt]EndedAttempt{}},
 		Provisioning: ProvisioningState{ProvisionedAt: now, EmptySince: now},
 		Health:       HealthState{FailedJobs: map[string]bool{}},
 	}
@@ -126,7 +126,7 @@
 // ForgetTasks discards the tasks that the worker's incarnation has reported.
 func (w *WorkerState) ForgetTasks() {
 	w.UnknownTasks = nil
-	w.FinishedAttempts = map[protocol.Attempt]EndedAttempt{}
+	w.EndedAttempts = map[protocol.Attempt]EndedAttempt{}
 }
 
 func hasExited(status protocol.TaskStatus) bool { return status.State == protocol.Exited }
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -142,7 +142,7 @@
 // attempt once the result is durable.
 func (m *Manager) HandleExit(t *cluster.Task, status protocol.TaskStatus) {
 	j, machine, attempt := t.Job, t.Machine, status.Attempt
-	machine.Worker.FinishedAttempts[attempt] = cluster.EndedAttempt{
+	machine.Worker.EndedAttempts[attempt] = cluster.EndedAttempt{
 		FencingToken: max(t.SentToken, m.leadership.FirstToken()-1), EndedAt: m.context.Monotonic(),
 	}
 	waiter := j.DeferredWaiter(func() { m.exitCommitted(machine, attempt) })
@@ -195,9 +195,9 @@
 
 // exitCommitted records that the result of an ended attempt is durable.
 func (m *Manager) exitCommitted(machine *cluster.Machine, attempt protocol.Attempt) {
-	if finished, ok := machine.Worker.FinishedAttempts[attempt]; ok {
+	if finished, ok := machine.Worker.EndedAttempts[attempt]; ok {
 		finished.Committed = true
-		machine.Worker.FinishedAttempts[attempt] = finished
+		machine.Worker.EndedAttempts[attempt] = finished
 		m.state.QueueCommands(machine)
 	}
 }
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -64,7 +64,7 @@
 		return nil
 	}
 	var attempts []protocol.Attempt
-	for attempt, finished := range machine.Worker.FinishedAttempts {
+	for attempt, finished := range machine.Worker.EndedAttempts {
 		if finished.Committed && finished.FencingToken < m.leadership.Token() {
 			attempts = append(attempts, attempt)
 		}
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -108,7 +108,7 @@
 	if isNew {
 		machine.Worker.IncarnationSeenAt = m.context.Monotonic()
 		machine.Commands.UnconfirmedToken = 0
-		machine.Worker.FinishedAttempts = map[protocol.Attempt]cluster.EndedAttempt{}
+		machine.Worker.EndedAttempts = map[protocol.Attempt]cluster.EndedAttempt{}
 		machine.Images.Clear()
 	}
 	for _, t := range slices.Clone(machine.Tasks) {
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -120,7 +120,7 @@
 	if machine.Commands.UnconfirmedToken == token && now-machine.Commands.UnconfirmedAt > m.timing.HeartbeatInterval {
 		return true
 	}
-	for _, finished := range machine.Worker.FinishedAttempts {
+	for _, finished := range machine.Worker.EndedAttempts {
 		if finished.Committed && finished.FencingToken == token && now-finished.EndedAt > m.timing.Lease {
 			return true
 		}
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -20,9 +20,9 @@
 			m.reconcileUnknown(machine, status)
 		}
 	}
-	for attempt := range worker.FinishedAttempts {
+	for attempt := range worker.EndedAttempts {
 		if !reported[attempt] {
-			delete(worker.FinishedAttempts, attempt)
+			delete(worker.EndedAttempts, attempt)
 		}
 	}
 	for _, t := range slices.Clone(machine.Tasks) {
@@ -54,9 +54,9 @@
 		m.state.QueueCommands(machine)
 		return
 	}
-	if _, ok := worker.FinishedAttempts[status.Attempt]; !ok {
+	if _, ok := worker.EndedAttempts[status.Attempt]; !ok {
 		// The attempt was started by an earlier leader, or its end was recorded long ago.
-		worker.FinishedAttempts[status.Attempt] = cluster.EndedAttempt{
+		worker.EndedAttempts[status.Attempt] = cluster.EndedAttempt{
 			Committed: true, FencingToken: m.leadership.Token(), EndedAt: m.context.Monotonic(),
 		}
 	}
