--- a/internal/autoscaling/plan.go
+++ b/internal/autoscaling/plan.go
@@ -45,8 +45,8 @@
 func (a *Autoscaler) packHeadroom(p *packing) {
 	p.headroom = true
 	for _, name := range slices.Sorted(maps.Keys(a.state.Classes)) {
-		if c := a.state.Classes[name]; c.Sample != nil && !c.Sample.BestEffort() {
-			p.add(c.Sample, a.headroomTasks(c), map[string]int{}, c.Sample.Spot)
+		if c := a.state.Classes[name]; c.LatestJob != nil && !c.LatestJob.BestEffort() {
+			p.add(c.LatestJob, a.headroomTasks(c), map[string]int{}, c.LatestJob.Spot)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 	span := min(window, max(now-a.leadership.LeadingSince(), a.timing.Lease))
 	expected := float64(arrivals) / span.Seconds() * a.longestBootS(c)
 	deviations := a.options.HeadroomStdDevs
-	if c.Sample != nil && c.Sample.Kind == protocol.Array {
+	if c.LatestJob != nil && c.LatestJob.Kind == protocol.Array {
 		deviations /= 2 // the tasks of an array need not all run at the same time
 	}
 	return int(math.Round(deviations * math.Sqrt(expected) * c.MeanTasks))
--- a/internal/cluster/class.go
+++ b/internal/cluster/class.go
@@ -12,7 +12,7 @@
 	Request   resources.Amount
 	MeanTasks float64
 	MeanRunS  float64 // mean run time of a task in seconds; 0 if unknown
-	Sample    *Job    // job that arrived last; nil if none has
+	LatestJob    *Job    // job that arrived last; nil if none has
 }
 
 const (
@@ -40,7 +40,7 @@
 	if len(c.Arrivals) > maxArrivals {
 		c.Arrivals = c.Arrivals[1:]
 	}
-	c.Request, c.Sample = j.Request, j
+	c.Request, c.LatestJob = j.Request, j
 	c.MeanTasks += (float64(min(j.Tasks, maxTasksCounted)) - c.MeanTasks) / meanDivisor
 }
 
