--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -30,7 +30,7 @@
 	UnconfirmedMachines []string                 `json:"machines_in_doubt"` // machines at which unconfirmed start commands may still arrive
 	CordonedMachines    []string                 `json:"machines_set_aside"`
 	FailingJobs         []string                 `json:"jobs_failing_everywhere"`
-	Backlog             int                      `json:"pages_to_write"`
+	PagesToWrite             int                      `json:"pages_to_write"`
 	OldestPageWaitS            float64                  `json:"oldest_page_waits_s"`
 	BudgetFill          float64                  `json:"write_budget_fill"` // from 0 to 1
 	BudgetWaitS         float64                  `json:"write_budget_waits_s"`
@@ -88,7 +88,7 @@
 		Jobs: len(l.state.JobOrder), EndedJobs: len(l.state.EndedJobs), Archive: l.archive.Status(),
 		Classes: map[string]ClassCounts{}, Teams: map[string]TeamUsage{}, Machines: map[string]MachineCounts{},
 		UnconfirmedMachines: []string{}, CordonedMachines: []string{}, FailingJobs: l.failingJobs(),
-		Backlog: pages, OldestPageWaitS: oldest.Seconds(), BudgetFill: budget.Fill, BudgetWaitS: budget.WaitingFor.Seconds(), Pages: l.store.PageCount(), OversizedPages: l.store.OversizedPages(),
+		PagesToWrite: pages, OldestPageWaitS: oldest.Seconds(), BudgetFill: budget.Fill, BudgetWaitS: budget.WaitingFor.Seconds(), Pages: l.store.PageCount(), OversizedPages: l.store.OversizedPages(),
 		SteppedDownPeers: elector.SteppedDownPeers(),
 	}
 	for name, t := range l.state.Teams {
