--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -28,7 +28,7 @@
 	MaxPreemptionCostS  float64 `json:"preempt_most_s" validate:"gte=0,lte=1000000"`
 	BootTimeoutMultiple float64 `json:"give_up_boots" validate:"gte=1.5,lte=1000"`
 	FailoverWaitS       float64 `json:"takeover_wait_s" validate:"gte=0,lte=3600"`
-	MovesPerMin         float64 `json:"moves_per_min" validate:"gte=0,lte=60000000"`
+	MaxMovesPerMin         float64 `json:"moves_per_min" validate:"gte=0,lte=60000000"`
 }
 
 // DefaultOptions derives the default options from the configuration.
@@ -36,7 +36,7 @@
 	w := cfg.Settings.Workers
 	return Options{
 		WriteShare: 0.95, SampleSize: 64, IdleTimeoutS: 0, HeadroomStdDevs: 3,
-		MaxPreemptionCostS: 50 * w.LeaseS, BootTimeoutMultiple: 4, FailoverWaitS: 1.5 * w.HeartbeatIntervalS, MovesPerMin: 6 * cfg.Settings.State.Smallest().WriteRPS,
+		MaxPreemptionCostS: 50 * w.LeaseS, BootTimeoutMultiple: 4, FailoverWaitS: 1.5 * w.HeartbeatIntervalS, MaxMovesPerMin: 6 * cfg.Settings.State.Smallest().WriteRPS,
 	}
 }
 
@@ -103,7 +103,7 @@
 
 func (o Options) autoscaling() autoscaling.Options {
 	return autoscaling.Options{
-		IdleTimeoutS: o.IdleTimeoutS, HeadroomStdDevs: o.HeadroomStdDevs, BootTimeoutMultiple: o.BootTimeoutMultiple, FailoverWaitS: o.FailoverWaitS, MovesPerMin: o.MovesPerMin,
+		IdleTimeoutS: o.IdleTimeoutS, HeadroomStdDevs: o.HeadroomStdDevs, BootTimeoutMultiple: o.BootTimeoutMultiple, FailoverWaitS: o.FailoverWaitS, MovesPerMin: o.MaxMovesPerMin,
 	}
 }
 
