--- a/internal/autoscaling/consolidation.go
+++ b/internal/autoscaling/consolidation.go
@@ -47,7 +47,7 @@
 		return
 	}
 	now := a.context.Monotonic()
-	if a.options.MovesPerMin == 0 || now < a.consolidationStart() {
+	if a.options.MaxMovesPerMin == 0 || now < a.consolidationStart() {
 		return
 	}
 	schedulable, draining := a.countDraining()
@@ -55,7 +55,7 @@
 	// Unused moves accumulate for at most a second.
 	a.nextMoveAt = max(a.nextMoveAt, now-time.Second)
 	promised := a.nominatedResources()
-	movesPerMin := min(a.options.MovesPerMin, float64(a.activeReplicas())/moveDivisor)
+	movesPerMin := min(a.options.MaxMovesPerMin, float64(a.activeReplicas())/moveDivisor)
 	for _, machine := range a.state.MachinesByName {
 		if machine.Provisioning.Draining {
 			a.moveReplica(machine, promised, movesPerMin)
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -103,7 +103,7 @@
 
 func (o Options) autoscaling() autoscaling.Options {
 	return autoscaling.Options{
-		IdleTimeoutS: o.IdleTimeoutS, HeadroomStdDevs: o.HeadroomStdDevs, BootTimeoutMultiple: o.BootTimeoutMultiple, FailoverWaitS: o.FailoverWaitS, MovesPerMin: o.MaxMovesPerMin,
+		IdleTimeoutS: o.IdleTimeoutS, HeadroomStdDevs: o.HeadroomStdDevs, BootTimeoutMultiple: o.BootTimeoutMultiple, FailoverWaitS: o.FailoverWaitS, MaxMovesPerMin: o.MaxMovesPerMin,
 	}
 }
 
