--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -47,7 +47,7 @@
 	HeadroomStdDevs     float64 // spare capacity kept for arrivals, in standard deviations of their number
 	BootTimeoutMultiple float64 // multiple of the boot time after which a machine that isn't up is released
 	FailoverWaitS       float64 // seconds that a new leader waits for inherited machines to report
-	MaxMovesPerMin         float64 // upper bound on replicas moved per minute
+	MaxMovesPerMin      float64 // upper bound on replicas moved per minute
 }
 
 // Autoscaler scales the machines of a cluster.
--- a/internal/cluster/class.go
+++ b/internal/cluster/class.go
@@ -12,7 +12,7 @@
 	Request   resources.Amount
 	MeanTasks float64
 	MeanRunS  float64 // mean run time of a task in seconds; 0 if unknown
-	LatestJob    *Job    // job that arrived last; nil if none has
+	LatestJob *Job    // job that arrived last; nil if none has
 }
 
 const (
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -50,7 +50,7 @@
 
 	InterruptionAt time.Duration // when the cloud will interrupt the machine; 0 if no notice was received
 	// UnknownTasks are reported by the worker but are not in the records.
-	UnknownTasks     []protocol.TaskStatus
+	UnknownTasks  []protocol.TaskStatus
 	EndedAttempts map[protocol.Attempt]EndedAttempt
 }
 
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -28,7 +28,7 @@
 	MaxPreemptionCostS  float64 `json:"preempt_most_s" validate:"gte=0,lte=1000000"`
 	BootTimeoutMultiple float64 `json:"give_up_boots" validate:"gte=1.5,lte=1000"`
 	FailoverWaitS       float64 `json:"takeover_wait_s" validate:"gte=0,lte=3600"`
-	MaxMovesPerMin         float64 `json:"moves_per_min" validate:"gte=0,lte=60000000"`
+	MaxMovesPerMin      float64 `json:"moves_per_min" validate:"gte=0,lte=60000000"`
 }
 
 // DefaultOptions derives the default options from the configuration.
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -30,8 +30,8 @@
 	UnconfirmedMachines []string                 `json:"machines_in_doubt"` // machines at which unconfirmed start commands may still arrive
 	CordonedMachines    []string                 `json:"machines_set_aside"`
 	FailingJobs         []string                 `json:"jobs_failing_everywhere"`
-	PagesToWrite             int                      `json:"pages_to_write"`
-	OldestPageWaitS            float64                  `json:"oldest_page_waits_s"`
+	PagesToWrite        int                      `json:"pages_to_write"`
+	OldestPageWaitS     float64                  `json:"oldest_page_waits_s"`
 	BudgetFill          float64                  `json:"write_budget_fill"` // from 0 to 1
 	BudgetWaitS         float64                  `json:"write_budget_waits_s"`
 	Pages               int                      `json:"pages"`
