--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -195,9 +195,9 @@
 
 // exitCommitted records that the result of an ended attempt is durable.
 func (m *Manager) exitCommitted(machine *cluster.Machine, attempt protocol.Attempt) {
-	if finished, ok := machine.Worker.EndedAttempts[attempt]; ok {
-		finished.Committed = true
-		machine.Worker.EndedAttempts[attempt] = finished
+	if ended, ok := machine.Worker.EndedAttempts[attempt]; ok {
+		ended.Committed = true
+		machine.Worker.EndedAttempts[attempt] = ended
 		m.state.QueueCommands(machine)
 	}
 }
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -64,8 +64,8 @@
 		return nil
 	}
 	var attempts []protocol.Attempt
-	for attempt, finished := range machine.Worker.EndedAttempts {
-		if finished.Committed && finished.FencingToken < m.leadership.Token() {
+	for attempt, ended := range machine.Worker.EndedAttempts {
+		if ended.Committed && ended.FencingToken < m.leadership.Token() {
 			attempts = append(attempts, attempt)
 		}
 	}
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -120,8 +120,8 @@
 	if machine.Commands.UnconfirmedToken == token && now-machine.Commands.UnconfirmedAt > m.timing.HeartbeatInterval {
 		return true
 	}
-	for _, finished := range machine.Worker.EndedAttempts {
-		if finished.Committed && finished.FencingToken == token && now-finished.EndedAt > m.timing.Lease {
+	for _, ended := range machine.Worker.EndedAttempts {
+		if ended.Committed && ended.FencingToken == token && now-ended.EndedAt > m.timing.Lease {
 			return true
 		}
 	}
