--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -45,7 +45,7 @@
 func (l *leader) handleAdminRequest(request message.AdminRequest) {
 	c := l.controller
 	switch request.Kind {
-	case message.AdminRead:
+	case message.AdminReadOptions:
 		c.replyJSON(request.ID, http.StatusOK, l.options.Options)
 	case message.AdminJob:
 		l.replyJobStatus(request)
--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -37,7 +37,7 @@
 	startAll(w)
 	w.Run(6 * time.Second)
 	for i, c := range w.Controllers {
-		status, answer := adminRequest(w, i, message.AdminRead, "")
+		status, answer := adminRequest(w, i, message.AdminReadOptions, "")
 		if status != 200 || !strings.Contains(answer, `"sample": 7`) || !strings.Contains(answer, `"warm_room": 0.5`) {
 			t.Errorf("%s: %d %s", c.Name, status, answer)
 		}
@@ -51,7 +51,7 @@
 func TestAdminSettingsNameEveryProblem(t *testing.T) {
 	w := newWorld(t)
 	w.Run(2 * time.Second)
-	_, before := adminRequest(w, 0, message.AdminRead, "")
+	_, before := adminRequest(w, 0, message.AdminReadOptions, "")
 	for body, wantNamed := range map[string][]string{
 		`{"write_share": null}`:              {"write_share"},
 		`{}`:                                 {"no setting is named"},
@@ -72,7 +72,7 @@
 			}
 		})
 	}
-	if _, after := adminRequest(w, 0, message.AdminRead, ""); after != before {
+	if _, after := adminRequest(w, 0, message.AdminReadOptions, ""); after != before {
 		t.Errorf("changed from %s to %s", before, after)
 	}
 }
--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -381,7 +381,7 @@
 		if j != nil {
 			tw.node().Request(message.AdminRequest{Kind: message.AdminJob, Job: j.Submission.ID}, ignore)
 		}
-		tw.node().Request(message.AdminRequest{Kind: message.AdminRead}, ignore)
+		tw.node().Request(message.AdminRequest{Kind: message.AdminReadOptions}, ignore)
 	}
 }
 
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -44,7 +44,7 @@
 	h := &adminHandler{loop: loop, limit: limit}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /admin/status", h.handlerFor(message.AdminStatus))
-	mux.HandleFunc("GET /admin/settings", h.handlerFor(message.AdminRead))
+	mux.HandleFunc("GET /admin/settings", h.handlerFor(message.AdminReadOptions))
 	mux.HandleFunc("PATCH /admin/settings", h.handlerFor(message.AdminChange))
 	mux.HandleFunc("GET /admin/jobs/{id}", h.handlerFor(message.AdminJob))
 	mux.HandleFunc("GET /admin/metrics", h.metrics)
--- a/internal/message/messages.go
+++ b/internal/message/messages.go
@@ -205,7 +205,7 @@
 // Kinds of operator requests.
 const (
 	AdminStatus AdminRequestKind = iota
-	AdminRead
+	AdminReadOptions
 	AdminChange
 	AdminJob
 )
