--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -24,13 +24,13 @@
 		`{"takeover_wait_s": []`: "",
 	} {
 		t.Run(body, func(t *testing.T) {
-			status, answer := adminRequest(w, 0, message.AdminChange, body)
+			status, answer := adminRequest(w, 0, message.AdminChangeOptions, body)
 			if status != 400 || !strings.Contains(answer, wantNamed) {
 				t.Errorf("%d %s", status, answer)
 			}
 		})
 	}
-	if status, answer := adminRequest(w, 1, message.AdminChange, `{"sample": 7, "warm_room": 0.5}`); status != 200 {
+	if status, answer := adminRequest(w, 1, message.AdminChangeOptions, `{"sample": 7, "warm_room": 0.5}`); status != 200 {
 		t.Fatalf("through a follower: %d %s", status, answer)
 	}
 	crashAll(w)
@@ -64,7 +64,7 @@
 		`{"write_share": true, "sample": 1.5, "idle_s": -1, "no_such_figure": 2, "warm_room": 1}`: {"write_share", "sample", "idle_s", "no_such_figure"},
 	} {
 		t.Run(body, func(t *testing.T) {
-			status, answer := adminRequest(w, 0, message.AdminChange, body)
+			status, answer := adminRequest(w, 0, message.AdminChangeOptions, body)
 			for _, name := range wantNamed {
 				if status != 400 || !strings.Contains(answer, name) {
 					t.Errorf("%q is not named: %d %s", name, status, answer)
--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -376,7 +376,7 @@
 	case 6:
 		change := fmt.Sprintf(`{"sample": %d, "warm_room": %d, "idle_s": %d, "moves_per_min": %d}`,
 			tw.between(1, 64), tw.random.IntN(4), tw.random.IntN(8), tw.random.IntN(300))
-		tw.node().Request(message.AdminRequest{Kind: message.AdminChange, Body: []byte(change)}, ignore)
+		tw.node().Request(message.AdminRequest{Kind: message.AdminChangeOptions, Body: []byte(change)}, ignore)
 	case 7:
 		if j != nil {
 			tw.node().Request(message.AdminRequest{Kind: message.AdminJob, Job: j.Submission.ID}, ignore)
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -62,7 +62,7 @@
 // cloud's list: it doesn't know that both are in the same zone.
 func TestSpreadWaitsForUnknownTaskZones(t *testing.T) {
 	w := newWorld(t)
-	if status, answer := adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`); status != 200 {
+	if status, answer := adminRequest(w, 0, message.AdminChangeOptions, `{"warm_room": 0}`); status != 200 {
 		t.Fatal(answer)
 	}
 	first := service(1, 2)
@@ -106,7 +106,7 @@
 func TestReplicasMoveToCheaperMachines(t *testing.T) {
 	w := newWorld(t)
 	w.Run(2 * time.Second)
-	if status, answer := adminRequest(w, 0, message.AdminChange, `{"warm_room": 0, "idle_s": 5}`); status != 200 {
+	if status, answer := adminRequest(w, 0, message.AdminChangeOptions, `{"warm_room": 0, "idle_s": 5}`); status != 200 {
 		t.Fatal(answer)
 	}
 	kind := func(j *fake.Job) string { return w.TypeOf(w.MachinesOf(j.Submission.ID)[0]) }
@@ -144,7 +144,7 @@
 // machines are provisioned then, not when those of the first have had time to report.
 func TestFirstLeaderScalesOutWithoutWaiting(t *testing.T) {
 	w := newWorld(t)
-	status, answer := adminRequest(w, 0, message.AdminChange, `{"takeover_wait_s": 60, "warm_room": 0}`)
+	status, answer := adminRequest(w, 0, message.AdminChangeOptions, `{"takeover_wait_s": 60, "warm_room": 0}`)
 	if status != 200 && status != 0 {
 		t.Fatal(answer)
 	}
@@ -189,7 +189,7 @@
 // ones are provisioned once, not again with every plan until the expensive one is up.
 func TestNoDuplicateScaleOutWhileExpensiveMachineBoots(t *testing.T) {
 	w := newWorld(t)
-	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
+	adminRequest(w, 0, message.AdminChangeOptions, `{"warm_room": 0}`)
 	w.Cloud.BootDelay = 4 * time.Second // booting takes several plans
 	expensive := service(1, 1)
 	expensive.GPUs, expensive.CPUs = 1, 1
@@ -210,7 +210,7 @@
 // sooner than either, and the other one is returned.
 func TestLostReplicaScalesOutTwoMachines(t *testing.T) {
 	w := newWorld(t)
-	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
+	adminRequest(w, 0, message.AdminChangeOptions, `{"warm_room": 0}`)
 	s := service(1, 1)
 	s.CPUs = 4 // all of a small machine
 	w.Submit(s, 0)
@@ -243,7 +243,7 @@
 // later, not only when the first can hardly come any more.
 func TestLateMachineIsReplaced(t *testing.T) {
 	w := newWorld(t)
-	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
+	adminRequest(w, 0, message.AdminChangeOptions, `{"warm_room": 0}`)
 	w.Run(3 * time.Second)
 	w.Cloud.BootDelay = 60 * time.Second
 	s := service(1, 1)
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -90,7 +90,7 @@
 	s.State.WriteRPS = largeFleet
 	w := newWorldWith(t, s)
 	w.Run(2 * time.Second)
-	if status, answer := adminRequest(w, 0, message.AdminChange, `{"sample": 4000}`); status != 200 {
+	if status, answer := adminRequest(w, 0, message.AdminChangeOptions, `{"sample": 4000}`); status != 200 {
 		t.Errorf("%d %s", status, answer)
 	}
 }
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -73,7 +73,7 @@
 	if !c.leads() {
 		t.Fatal("does not lead")
 	}
-	c.deliver(message.AdminRequest{ID: 1, Kind: message.AdminChange, Body: []byte(`{"sample": 7}`)})
+	c.deliver(message.AdminRequest{ID: 1, Kind: message.AdminChangeOptions, Body: []byte(`{"sample": 7}`)})
 	if state.pageWrites != 1 || state.read.ID == 0 {
 		t.Fatalf("%d writes, %+v read", state.pageWrites, state.read)
 	}
--- a/internal/controller/write_share_test.go
+++ b/internal/controller/write_share_test.go
@@ -66,6 +66,6 @@
 
 // changeWriteShare has an operator change write_share at n0, and doesn't wait for the answer.
 func changeWriteShare(w *fake.World, share float64) {
-	request := message.AdminRequest{Kind: message.AdminChange, Body: fmt.Appendf(nil, `{"write_share": %v}`, share)}
+	request := message.AdminRequest{Kind: message.AdminChangeOptions, Body: fmt.Appendf(nil, `{"write_share": %v}`, share)}
 	w.Controllers[0].Request(request, func(message.Reply) {})
 }
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -45,7 +45,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /admin/status", h.handlerFor(message.AdminStatus))
 	mux.HandleFunc("GET /admin/settings", h.handlerFor(message.AdminReadOptions))
-	mux.HandleFunc("PATCH /admin/settings", h.handlerFor(message.AdminChange))
+	mux.HandleFunc("PATCH /admin/settings", h.handlerFor(message.AdminChangeOptions))
 	mux.HandleFunc("GET /admin/jobs/{id}", h.handlerFor(message.AdminJob))
 	mux.HandleFunc("GET /admin/metrics", h.metrics)
 	return mux
--- a/internal/message/messages.go
+++ b/internal/message/messages.go
@@ -206,7 +206,7 @@
 const (
 	AdminStatus AdminRequestKind = iota
 	AdminReadOptions
-	AdminChange
+	AdminChangeOptions
 	AdminJob
 )
 
