--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -155,7 +155,7 @@
 
 // KnownLeader returns the name of the leader, which may be this node, or an empty string if no leader is known.
 func (c *Controller) KnownLeader() string {
-	if c.Leads() {
+	if c.Leading() {
 		return c.config.Node
 	}
 	return c.elector.OtherLeader()
@@ -191,8 +191,8 @@
 // Leadership returns the current election state.
 func (c *Controller) Leadership() election.View { return c.elector.Leadership() }
 
-// Leads reports whether the node leads a term. It stays true while the lease may have expired.
-func (c *Controller) Leads() bool { return c.leader != nil }
+// Leading reports whether the node leads a term. It stays true while the lease may have expired.
+func (c *Controller) Leading() bool { return c.leader != nil }
 
 // Stats returns the counts since the start of the process.
 func (c *Controller) Stats() message.Stats { return c.context.Stats }
--- a/internal/daemon/event_loop.go
+++ b/internal/daemon/event_loop.go
@@ -98,12 +98,12 @@
 // step passes events to the controller, performs the resulting effects and publishes the state
 // that other goroutines read.
 func (l *eventLoop) step(events []message.Event) {
-	wasLeader := l.controller.Leads()
+	wasLeader := l.controller.Leading()
 	now := message.Now{Monotonic: l.process.uptime(), WallMs: time.Now().UnixMilli()}
 	for _, effect := range l.controller.Step(now, events) {
 		l.performEffect(effect)
 	}
-	if wasLeader && !l.controller.Leads() {
+	if wasLeader && !l.controller.Leading() {
 		l.failPendingRequests()
 	}
 	l.observeLeader()
--- a/internal/fake/controller.go
+++ b/internal/fake/controller.go
@@ -78,7 +78,7 @@
 
 // AnswersWorkers tells whether the controller leads, or its lease is uncertain and it still
 // answers workers.
-func (c *Controller) AnswersWorkers() bool { return c.Up && c.impl.Leads() }
+func (c *Controller) AnswersWorkers() bool { return c.Up && c.impl.Leading() }
 
 // Healthy is what the controller tells the load balancer.
 func (c *Controller) Healthy() bool { return c.Up && c.impl.Healthy() }
