--- a/internal/autoscaling/consolidation.go
+++ b/internal/autoscaling/consolidation.go
@@ -54,11 +54,11 @@
 	a.startDraining(bins, 1+schedulable/drainDivisor-draining)
 	// Unused moves accumulate for at most a second.
 	a.nextMoveAt = max(a.nextMoveAt, now-time.Second)
-	promised := a.nominatedResources()
+	reserved := a.nominatedResources()
 	movesPerMin := min(a.options.MaxMovesPerMin, float64(a.activeReplicas())/moveDivisor)
 	for _, machine := range a.state.MachinesByName {
 		if machine.Provisioning.Draining {
-			a.moveReplica(machine, promised, movesPerMin)
+			a.moveReplica(machine, reserved, movesPerMin)
 		}
 	}
 }
@@ -95,15 +95,15 @@
 	return schedulable, draining
 }
 
-// nominatedResources returns, by machine, the resources promised to replicas being moved there.
+// nominatedResources returns, by machine, the resources reserved for replicas being moved there.
 func (a *Autoscaler) nominatedResources() map[*cluster.Machine]resources.Amount {
-	promised := map[*cluster.Machine]resources.Amount{}
+	reserved := map[*cluster.Machine]resources.Amount{}
 	for _, j := range a.state.JobOrder {
 		if nominated := j.Placement.Nominated; nominated != nil {
-			promised[nominated] = promised[nominated].Plus(j.Request)
+			reserved[nominated] = reserved[nominated].Plus(j.Request)
 		}
 	}
-	return promised
+	return reserved
 }
 
 // activeReplicas counts the replicas on machines. A moved replica is unavailable for about a
@@ -233,7 +233,7 @@
 
 // moveReplica stops a replica on a draining machine if another machine is ready for it and no
 // other replica of its job is being moved.
-func (a *Autoscaler) moveReplica(machine *cluster.Machine, promised map[*cluster.Machine]resources.Amount, movesPerMin float64) {
+func (a *Autoscaler) moveReplica(machine *cluster.Machine, reserved map[*cluster.Machine]resources.Amount, movesPerMin float64) {
 	now := a.context.Monotonic()
 	if now < a.nextMoveAt || now < machine.Provisioning.DrainRetryAt {
 		return
@@ -245,14 +245,14 @@
 		if t.Stopping || !t.SeenRunning() || now-t.RunningSince < minRunBeforeMove || t.Job.IdleTasks() > 0 {
 			continue
 		}
-		to := a.moveTarget(t.Job, machine, promised)
+		to := a.moveTarget(t.Job, machine, reserved)
 		if to == nil {
 			continue
 		}
 		a.context.Stats.ReplicasMoved++
 		a.nextMoveAt += time.Duration(float64(time.Minute) / movesPerMin)
 		t.Job.Placement.Nominated = to
-		promised[to] = promised[to].Plus(t.Job.Request)
+		reserved[to] = reserved[to].Plus(t.Job.Request)
 		a.jobs.Preempt(t, "moved to drain its machine")
 		return
 	}
@@ -260,11 +260,11 @@
 }
 
 // moveTarget returns a machine for a replica of a draining machine, or nil.
-func (a *Autoscaler) moveTarget(j *cluster.Job, from *cluster.Machine, promised map[*cluster.Machine]resources.Amount) *cluster.Machine {
+func (a *Autoscaler) moveTarget(j *cluster.Job, from *cluster.Machine, reserved map[*cluster.Machine]resources.Amount) *cluster.Machine {
 	perZone := perZoneWithout(j, from)
 	for _, to := range a.state.MachinesByName {
 		a.context.Stats.MachinesExamined++
-		if j.Request.FitsIn(a.state.Free(to).Minus(promised[to])) && a.mayMove(j, from, to, perZone) {
+		if j.Request.FitsIn(a.state.Free(to).Minus(reserved[to])) && a.mayMove(j, from, to, perZone) {
 			return to
 		}
 	}
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -228,8 +228,9 @@
 // Checkpoints reports whether a task saves its progress when it is stopped.
 func (j *Job) Checkpoints() bool { return j.CheckpointIntervalS > 0 }
 
-// Blocked reports whether the job waits for prerequisites. A blocked job takes no part in
-// placement, quota or provisioning; its user sees it as queued.
+// Blocked reports whether the job waits for prerequisites. A blocked job is not placed, does not
+// count towards its team's guarantee, and no machines are provisioned for it. Its user sees it as
+// queued.
 func (j *Job) Blocked() bool { return j.Prerequisites.Node.Blocked() }
 
 // EffectivePriority returns the highest priority among the job and the jobs that depend on it.
--- a/internal/controller/record_loader.go
+++ b/internal/controller/record_loader.go
@@ -15,8 +15,8 @@
 	complete      bool // all pages have been read
 }
 
-// sendNextRequest sends the next request: first the barrier, then the pages in batches, then a query
-// for whether the archive contains any entries.
+// sendNextRequest sends the next request: first the barrier, then reads of the pages in batches,
+// then a query for whether the archive contains any entries.
 func (r *recordLoader) sendNextRequest() {
 	c := r.controller
 	switch {
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -1,6 +1,6 @@
 // Package scheduling assigns waiting tasks to machines and preempts running tasks in favor of
 // others. It runs in cycles. Each cycle sorts the waiting jobs and places their tasks, job by
-// job, within the quotas of their teams. Package autoscaling provisions machines for the tasks
+// job, within the limits of their teams. Package autoscaling provisions machines for the tasks
 // that could not be placed.
 package scheduling
 
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -86,8 +86,8 @@
 }
 
 // leaseExpiresBy returns when the lease of a machine's worker has certainly expired if the worker
-// gets no further answer. A lease lasts at least from the beginning of the worker's incarnation,
-// which is no later than when the leader first saw that incarnation.
+// gets no further answer. The first lease of an incarnation begins with the incarnation, which is
+// no later than when the leader first saw it.
 func (m *Manager) leaseExpiresBy(machine *cluster.Machine, earlierSilentAt time.Duration) time.Duration {
 	worker := &machine.Worker
 	renewedBy := earlierSilentAt
