--- a/internal/autoscaling/consolidation.go
+++ b/internal/autoscaling/consolidation.go
@@ -24,8 +24,8 @@
 	// maxMovePriceRatio limits the price per task on the machine that a replica is moved to, as
 	// a multiple of the price on its present machine.
 	maxMovePriceRatio = 2
-	// priceExcessExponent weights how far a machine's price per task exceeds the lowest one
-	// against the machine's own price when drain candidates are ranked.
+	// priceExcessExponent is the exponent of the ratio of a machine's price per task to the lowest
+	// one when drain candidates are ranked.
 	priceExcessExponent = 3
 	// drainBaseTasks is added to a machine's number of tasks when drain candidates are ranked.
 	drainBaseTasks = 2
--- a/internal/controller/deferred.go
+++ b/internal/controller/deferred.go
@@ -11,7 +11,8 @@
 
 // deferredRequest is a submission or cancellation that arrived while no leader was known, or a
 // submission to a new leader that did not yet know the machine types. Most failovers complete
-// within the duration of the leader's lease, which is shorter than a client's retry delay.
+// within the duration of the leader's lease. Since that is shorter than a client's retry delay, a
+// deferred request is usually answered sooner than a refused and repeated one.
 type deferredRequest struct {
 	request  message.UserRequest
 	refuseAt time.Duration
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -101,7 +101,7 @@
 	h.reply(id, status, protocol.Encode(response))
 }
 
-// countRunningTasks counts the tasks that workers report as running.
+// countRunningTasks counts the tasks that workers report as running or checkpointing.
 func countRunningTasks(j *cluster.Job) int {
 	running := 0
 	for _, t := range j.ActiveTasks {
--- a/internal/jobs/prerequisites.go
+++ b/internal/jobs/prerequisites.go
@@ -110,8 +110,9 @@
 	return j.Prerequisites.Node
 }
 
-// prerequisiteDone makes the jobs ready for which this job was the last prerequisite. The job's
-// completion must be durable, since a successor that did not know of it could still cancel the job.
+// prerequisiteDone makes the jobs ready whose last unfinished prerequisite was the given job. The
+// completion of that job must be durable, since a successor that did not know of it could still
+// cancel the job.
 func (m *Manager) prerequisiteDone(id string) {
 	for _, ready := range m.state.Dependencies.Complete(id) {
 		j := m.state.Jobs[ready]
--- a/internal/step/context.go
+++ b/internal/step/context.go
@@ -68,7 +68,7 @@
 	c.Emit(message.Reply{ID: id, Status: statusUnavailable, Body: protocol.EncodeError(reason), RetryAfterS: retryAfterS})
 }
 
-// SilenceDuration returns how long a peer or machine has been silent whose last message arrived at
+// SilenceDuration returns how long a peer or machine has been silent if its last message arrived at
 // heardAt. Time during which this process was paused does not count, because no message could be
 // received then.
 func (c *Context) SilenceDuration(heardAt time.Duration) time.Duration {
