--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -43,11 +43,11 @@
 
 // Options are the autoscaler's tunable parameters.
 type Options struct {
-	IdleS         float64 // seconds that an empty machine is kept; 0 stands for its type's boot time
-	WarmRoom      float64 // spare capacity kept for arrivals, in standard deviations of their number
-	GiveUpBoots   float64 // multiple of the boot time after which a machine that isn't up is released
-	FailoverWaitS float64 // seconds that a new leader waits for inherited machines to report
-	MovesPerMin   float64 // upper bound on replicas moved per minute
+	IdleTimeoutS        float64 // seconds that an empty machine is kept; 0 stands for its type's boot time
+	HeadroomStdDevs     float64 // spare capacity kept for arrivals, in standard deviations of their number
+	BootTimeoutMultiple float64 // multiple of the boot time after which a machine that isn't up is released
+	FailoverWaitS       float64 // seconds that a new leader waits for inherited machines to report
+	MaxMovesPerMin      float64 // upper bound on replicas moved per minute
 }
 
 // Autoscaler scales the machines of a cluster.
@@ -69,8 +69,8 @@
 	requestCount  int
 	outOfCapacity map[cluster.Offering]time.Duration // until when an offering is not requested again
 
-	failoverWaitDone bool // the wait for inherited machines has ended
-	nextPlanAt       time.Duration
+	failoverWaitDone bool          // the wait for inherited machines has ended
+	nextPlanAt       time.Duration // when the next plan is made; 0 means immediately
 	nextSummaryAt    time.Duration // when the next summary of the fleet is logged
 	nextMoveAt       time.Duration // when the next replica may be moved
 }
@@ -125,9 +125,8 @@
 }
 
 // mayScale reports whether enough is known to change the fleet. A new leader first gives the
-// machines that it inherited time to report. It doesn't wait if it inherited none, nor for
-// machines that it provisions itself. After a pause of the process the machines also need time
-// to report.
+// machines that it inherited, if any, time to report. It doesn't wait for machines that it
+// provisions itself. After a pause of the process the machines also need time to report.
 func (a *Autoscaler) mayScale() bool {
 	now := a.context.Monotonic()
 	if len(a.state.Catalog.Types) == 0 || a.inventory.listsRead == 0 {
--- a/internal/autoscaling/scale_in.go
+++ b/internal/autoscaling/scale_in.go
@@ -18,8 +18,8 @@
 // idleTimeout returns how long an empty machine of a type is kept. The default is the type's boot
 // time: by then, keeping the machine has cost as much as booting another one.
 func (a *Autoscaler) idleTimeout(machineType *protocol.MachineType) time.Duration {
-	if a.options.IdleS > 0 || machineType == nil {
-		return config.Seconds(a.options.IdleS)
+	if a.options.IdleTimeoutS > 0 || machineType == nil {
+		return config.Seconds(a.options.IdleTimeoutS)
 	}
 	return config.Seconds(machineType.BootS)
 }
@@ -101,7 +101,7 @@
 	if machineType == nil {
 		return ""
 	}
-	if a.context.Monotonic()-provisioning.ProvisionedAt > config.Seconds(machineType.BootS*a.options.GiveUpBoots) {
+	if a.context.Monotonic()-provisioning.ProvisionedAt > config.Seconds(machineType.BootS*a.options.BootTimeoutMultiple) {
 		return "never came up"
 	}
 	return ""
@@ -123,7 +123,7 @@
 		}
 		a.state.RemoveMachine(machine)
 		a.state.ReleasedMachines[name] = true
-		a.context.Stats.MachinesScaledIn++
+		a.context.Stats.MachinesReleased++
 	}
 	if result.Outcome == rpc.OK {
 		a.state.NeedsScheduling = true
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -65,18 +65,19 @@
 
 // GangState is the state of a gang's current attempt.
 type GangState struct {
-	Ran    bool // the attempt has begun to run
+	HasRun bool // the attempt has begun to run
 	Ending bool // the attempt must end before the next one starts
 }
 
 // PlacementState is the state that scheduling cycles keep for a job. Package scheduling owns it,
-// except for NotBefore and IdleSince.
+// except for NotBefore and IdleSince, which packages cluster and jobs set, and for Nominated, which
+// package autoscaling sets.
 type PlacementState struct {
 	NotBefore           time.Duration // no task is placed earlier, for reasons other than failures
 	IdleSince           time.Duration // when a task last started to wait
-	HoldUntil           time.Duration // until when the job may wait for a better machine; 0 if it has not waited
+	HoldUntil           time.Duration // until when the job may wait for a booting machine; 0 if it has not waited
 	Nominated           *Machine      // target machine of a replica that is being moved
-	WithinQuota         bool          // the team's guarantee covers the job, as of the last cycle
+	WithinGuarantee     bool          // the team's guarantee covers the job, as of the last cycle
 	WorthwhileOfferings WorthwhileOfferings
 }
 
@@ -89,12 +90,12 @@
 
 // FailureHistory summarizes a job's failures. Package jobs owns it.
 type FailureHistory struct {
-	Rounds      int             // consecutive failed attempts, each of one or more tasks
-	Tasks       int             // failed tasks since the last one that completed
-	Machines    map[string]bool // machines on which tasks failed
-	JobAtFault  bool            // the job fails on every machine
-	LongestRun  time.Duration   // longest time that a task ran before it failed
-	NextAttempt time.Duration   // earliest time of the next attempt
+	Rounds        int             // consecutive failed attempts, each of one or more tasks
+	Tasks         int             // failed tasks since the last one that completed
+	Machines      map[string]bool // machines on which tasks failed
+	JobAtFault    bool            // the job fails on every machine
+	LongestRun    time.Duration   // longest time that a task ran before it failed
+	NextAttemptAt time.Duration   // earliest time of the next attempt
 }
 
 // Prerequisites are the jobs that must complete before a job can start.
@@ -103,9 +104,9 @@
 	// ArchivedCancelled is whether a prerequisite in the archive was cancelled, which cancels this job,
 	// too. It is not stored; the job's own cancellation is.
 	ArchivedCancelled bool
-	Parts             []*PrerequisitesPart
-	PartsPending      bool             // the parts are not durable yet, so the job must not be recorded
-	Node              *dependency.Node // nil if the job neither has prerequisites nor is one
+	Parts             []*PrerequisitesPart // separate records of the IDs; nil if they fit on the job's page
+	PartsPending      bool                 // the parts are not durable yet, so the job must not be recorded
+	Node              *dependency.Node     // nil if the job neither has prerequisites nor is one
 }
 
 // NewJob returns a job with the given record and without tasks on machines.
@@ -148,8 +149,8 @@
 	return true
 }
 
-// UnfinishedTasks returns the number of active tasks that are not done.
-func (j *Job) UnfinishedTasks() int { return j.counts.unfinished }
+// UnfinishedActiveTasks returns the number of active tasks that are not done.
+func (j *Job) UnfinishedActiveTasks() int { return j.counts.unfinished }
 
 // StoppingTasks returns the number of active tasks that have been told to stop.
 func (j *Job) StoppingTasks() int { return j.counts.stopping }
@@ -227,8 +228,9 @@
 // Checkpoints reports whether a task saves its progress when it is stopped.
 func (j *Job) Checkpoints() bool { return j.CheckpointIntervalS > 0 }
 
-// Blocked reports whether the job waits for prerequisites. A blocked job takes no part in
-// placement, quota or provisioning; its user sees it as queued.
+// Blocked reports whether the job waits for prerequisites. A blocked job is not placed, does not
+// count towards its team's guarantee, and no machines are provisioned for it. Its user sees it as
+// queued.
 func (j *Job) Blocked() bool { return j.Prerequisites.Node.Blocked() }
 
 // EffectivePriority returns the highest priority among the job and the jobs that depend on it.
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -13,7 +13,8 @@
 	Error string `json:"error"`
 }
 
-// handleAdminRequest answers an operator's request. The node's own status is available without a leader.
+// handleAdminRequest answers an operator's request or forwards it to the leader. The node's own
+// status is available without a leader.
 func (c *Controller) handleAdminRequest(request message.AdminRequest) {
 	leader := c.elector.OtherLeader()
 	switch {
@@ -44,7 +45,7 @@
 func (l *leader) handleAdminRequest(request message.AdminRequest) {
 	c := l.controller
 	switch request.Kind {
-	case message.AdminRead:
+	case message.AdminReadOptions:
 		c.replyJSON(request.ID, http.StatusOK, l.options.Options)
 	case message.AdminJob:
 		l.replyJobStatus(request)
--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -24,20 +24,20 @@
 		`{"takeover_wait_s": []`: "",
 	} {
 		t.Run(body, func(t *testing.T) {
-			status, answer := adminRequest(w, 0, message.AdminChange, body)
+			status, answer := adminRequest(w, 0, message.AdminChangeOptions, body)
 			if status != 400 || !strings.Contains(answer, wantNamed) {
 				t.Errorf("%d %s", status, answer)
 			}
 		})
 	}
-	if status, answer := adminRequest(w, 1, message.AdminChange, `{"sample": 7, "warm_room": 0.5}`); status != 200 {
+	if status, answer := adminRequest(w, 1, message.AdminChangeOptions, `{"sample": 7, "warm_room": 0.5}`); status != 200 {
 		t.Fatalf("change through a follower: %d %s", status, answer)
 	}
 	crashAll(w)
 	startAll(w)
 	w.Run(6 * time.Second)
 	for i, c := range w.Controllers {
-		status, answer := adminRequest(w, i, message.AdminRead, "")
+		status, answer := adminRequest(w, i, message.AdminReadOptions, "")
 		if status != 200 || !strings.Contains(answer, `"sample": 7`) || !strings.Contains(answer, `"warm_room": 0.5`) {
 			t.Errorf("%s: %d %s", c.Name, status, answer)
 		}
@@ -52,7 +52,7 @@
 func TestAdminSettingsNameEveryProblem(t *testing.T) {
 	w := newWorld(t)
 	w.Run(2 * time.Second)
-	_, before := adminRequest(w, 0, message.AdminRead, "")
+	_, before := adminRequest(w, 0, message.AdminReadOptions, "")
 	for body, wantNamed := range map[string][]string{
 		`{"write_share": null}`:              {"write_share"},
 		`{}`:                                 {"no setting is named"},
@@ -65,7 +65,7 @@
 		`{"write_share": true, "sample": 1.5, "idle_s": -1, "no_such_figure": 2, "warm_room": 1}`: {"write_share", "sample", "idle_s", "no_such_figure"},
 	} {
 		t.Run(body, func(t *testing.T) {
-			status, answer := adminRequest(w, 0, message.AdminChange, body)
+			status, answer := adminRequest(w, 0, message.AdminChangeOptions, body)
 			for _, name := range wantNamed {
 				if status != 400 || !strings.Contains(answer, name) {
 					t.Errorf("the response does not name %q: %d %s", name, status, answer)
@@ -73,7 +73,7 @@
 			}
 		})
 	}
-	if _, after := adminRequest(w, 0, message.AdminRead, ""); after != before {
+	if _, after := adminRequest(w, 0, message.AdminReadOptions, ""); after != before {
 		t.Errorf("rejected changes modified the settings from %s to %s", before, after)
 	}
 }
--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -183,7 +183,7 @@
 	case message.CloudCall:
 		line = fmt.Sprintf("cloud %d %d %s %x %v %v", x.ID, x.Op, x.StartAfter, protocol.Encode(x.Provisioning), x.Machines, x.NotAfter)
 	case message.CommandsCall:
-		line = fmt.Sprintf("commands %d %s %s %x %v", x.ID, x.Machine, x.Addr, protocol.EncodeCommands(x.FencingToken, x.Incarnation, x.Commands), x.NotAfter)
+		line = fmt.Sprintf("commands %d %s %s %x %v", x.ID, x.Machine, x.Address, protocol.EncodeCommands(x.FencingToken, x.Incarnation, x.Commands), x.NotAfter)
 	case message.PeerCall:
 		line = fmt.Sprintf("peer %s %d %v %v", x.Peer, x.Term, x.SentAt, x.QueriesArchiveSupport)
 	case message.Log:
@@ -377,12 +377,12 @@
 	case 6:
 		change := fmt.Sprintf(`{"sample": %d, "warm_room": %d, "idle_s": %d, "moves_per_min": %d}`,
 			tw.randomInt(1, 64), tw.random.IntN(4), tw.random.IntN(8), tw.random.IntN(300))
-		tw.randomController().Request(message.AdminRequest{Kind: message.AdminChange, Body: []byte(change)}, ignore)
+		tw.randomController().Request(message.AdminRequest{Kind: message.AdminChangeOptions, Body: []byte(change)}, ignore)
 	case 7:
 		if j != nil {
 			tw.randomController().Request(message.AdminRequest{Kind: message.AdminJob, Job: j.Submission.ID}, ignore)
 		}
-		tw.randomController().Request(message.AdminRequest{Kind: message.AdminRead}, ignore)
+		tw.randomController().Request(message.AdminRequest{Kind: message.AdminReadOptions}, ignore)
 	}
 }
 
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -29,8 +29,8 @@
 	w.Submit(s, 0)
 	waitRunning(t, w, s.ID, 1)
 	w.Run(10 * time.Second)
-	if st := w.Controllers[0].Stats(); lost == 0 || int64(len(w.MachineNames())) != st.MachinesScaledOut-st.MachinesScaledIn {
-		n := st.MachinesScaledOut - st.MachinesScaledIn
+	if st := w.Controllers[0].Stats(); lost == 0 || int64(len(w.MachineNames())) != st.MachinesProvisioned-st.MachinesReleased {
+		n := st.MachinesProvisioned - st.MachinesReleased
 		t.Errorf("%d responses lost; %d machines by the leader's counts, but %d are up", lost, n, len(w.MachineNames()))
 	}
 	requireNoViolations(t, w)
@@ -62,7 +62,7 @@
 // from the cloud. It does not know the running task's zone, so it must not place the other task.
 func TestSpreadWaitsForUnknownTaskZones(t *testing.T) {
 	w := newWorld(t)
-	if status, answer := adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`); status != 200 {
+	if status, answer := adminRequest(w, 0, message.AdminChangeOptions, `{"warm_room": 0}`); status != 200 {
 		t.Fatal(answer)
 	}
 	first := service(1, 2)
@@ -106,7 +106,7 @@
 func TestReplicasMoveToCheaperMachines(t *testing.T) {
 	w := newWorld(t)
 	w.Run(2 * time.Second)
-	if status, answer := adminRequest(w, 0, message.AdminChange, `{"warm_room": 0, "idle_s": 5}`); status != 200 {
+	if status, answer := adminRequest(w, 0, message.AdminChangeOptions, `{"warm_room": 0, "idle_s": 5}`); status != 200 {
 		t.Fatal(answer)
 	}
 	machineType := func(j *fake.Job) string { return w.TypeOf(w.MachinesOf(j.Submission.ID)[0]) }
@@ -144,7 +144,7 @@
 // provisions their machines at once, without waiting until the first machines could have reported.
 func TestFirstLeaderScalesOutWithoutWaiting(t *testing.T) {
 	w := newWorld(t)
-	status, answer := adminRequest(w, 0, message.AdminChange, `{"takeover_wait_s": 60, "warm_room": 0}`)
+	status, answer := adminRequest(w, 0, message.AdminChangeOptions, `{"takeover_wait_s": 60, "warm_room": 0}`)
 	if status != 200 && status != 0 {
 		t.Fatal(answer)
 	}
@@ -154,7 +154,7 @@
 		w.Submit(s, 0)
 		w.Run(3 * time.Second)
 	}
-	if n := w.Controllers[0].Stats().MachinesScaledOut; n != 2 {
+	if n := w.Controllers[0].Stats().MachinesProvisioned; n != 2 {
 		t.Errorf("%d machines provisioned", n)
 	}
 	requireNoViolations(t, w)
@@ -179,7 +179,7 @@
 		return delivery
 	}
 	w.Run(2500 * time.Millisecond)
-	if n := w.Controllers[0].Stats().MachinesScaledOut; n < 120 {
+	if n := w.Controllers[0].Stats().MachinesProvisioned; n < 120 {
 		t.Errorf("%d machines provisioned 2.5 s after 200 tasks were submitted", n)
 	}
 	requireNoViolations(t, w)
@@ -190,7 +190,7 @@
 // expensive one is up.
 func TestNoDuplicateScaleOutWhileExpensiveMachineBoots(t *testing.T) {
 	w := newWorld(t)
-	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
+	adminRequest(w, 0, message.AdminChangeOptions, `{"warm_room": 0}`)
 	w.Cloud.BootDelay = 4 * time.Second // booting takes several planning cycles
 	expensive := service(1, 1)
 	expensive.GPUs, expensive.CPUs = 1, 1
@@ -211,7 +211,7 @@
 // is expected to be up sooner than a single one, and the surplus machine is scaled in.
 func TestLostReplicaScalesOutTwoMachines(t *testing.T) {
 	w := newWorld(t)
-	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
+	adminRequest(w, 0, message.AdminChangeOptions, `{"warm_room": 0}`)
 	s := service(1, 1)
 	s.CPUs = 4 // all of a small machine
 	w.Submit(s, 0)
@@ -220,8 +220,8 @@
 	if n := len(w.Cloud.MachineNames()); n != 1 {
 		t.Fatalf("%d machines are provisioned for one replica", n)
 	}
-	before := w.Leader().Stats().MachinesScaledOut
-	scaledOut := func() int64 { return w.Leader().Stats().MachinesScaledOut - before }
+	before := w.Leader().Stats().MachinesProvisioned
+	scaledOut := func() int64 { return w.Leader().Stats().MachinesProvisioned - before }
 	w.Cloud.FailNextBoots = 1 // one of the machines never boots
 	w.Cloud.Fail(w.MachinesOf(s.ID)[0])
 	w.RunUntil(40*time.Second, func() bool { return scaledOut() > 0 })
@@ -244,7 +244,7 @@
 // expected boot time, not only when the first machine is unlikely to boot at all.
 func TestLateMachineIsReplaced(t *testing.T) {
 	w := newWorld(t)
-	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
+	adminRequest(w, 0, message.AdminChangeOptions, `{"warm_room": 0}`)
 	w.Run(3 * time.Second)
 	w.Cloud.BootDelay = 60 * time.Second
 	s := service(1, 1)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -68,15 +68,15 @@
 	limits := c.config.Settings.State.Smallest()
 	store := storage.NewStore(storage.Limits{
 		PageBytes: storage.PageBytes(limits.ValueKB), ChangesPerTxn: limits.TxnOps, WritesPerS: limits.WriteRPS * writeShare,
-	}, fmt.Sprintf("%d", c.elector.Token()), c.timing.StateRetry)
+	}, fmt.Sprintf("%d", c.elector.Token()), c.timing.StateRetryInterval)
 	if c.limitsLowered {
 		store.SetLimitsLowered()
 	}
 	return store
 }
 
-// tick runs the periodic work of the leader and sends what the step's events require. No decisions
-// are made while another node may lead, or after the term has ended within this step.
+// tick runs the periodic work of the leader and sends the writes and commands that are due. No
+// decisions are made while another node may lead, or after the term has ended within this step.
 func (l *leader) tick() {
 	elector := l.controller.elector
 	if elector.HoldsLease() {
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -194,8 +194,8 @@
 		w.Submit(s, 0)
 	}
 	leader := w.Leader()
-	for returned := int64(-1); returned != leader.Stats().MachinesScaledIn; w.Run(40 * time.Second) {
-		returned = leader.Stats().MachinesScaledIn
+	for returned := int64(-1); returned != leader.Stats().MachinesReleased; w.Run(40 * time.Second) {
+		returned = leader.Stats().MachinesReleased
 	}
 	before, machines := leader.Stats(), len(w.MachineNames())
 	if machines < 3 {
@@ -222,7 +222,7 @@
 	if after.Pauses != 1 || after.LongestPauseMs < 5000 || !logContains(w, "process was paused [for 5") {
 		t.Errorf("%d pauses, the longest %d ms", after.Pauses, after.LongestPauseMs)
 	}
-	if after.MachinesScaledOut != before.MachinesScaledOut || after.MachinesScaledIn != before.MachinesScaledIn || after.ReplicasMoved != before.ReplicasMoved || after.TasksLost != before.TasksLost {
+	if after.MachinesProvisioned != before.MachinesProvisioned || after.MachinesReleased != before.MachinesReleased || after.ReplicasMoved != before.ReplicasMoved || after.TasksLost != before.TasksLost {
 		t.Errorf("%+v before, %+v after", before, after)
 	}
 	requireNoViolations(t, w)
@@ -235,15 +235,15 @@
 	w := newWorld(t)
 	w.Run(20 * time.Second)
 	leader := w.Leader()
-	before := leader.Stats().MachinesScaledOut
+	before := leader.Stats().MachinesProvisioned
 	s := service(1, 3)
 	s.CPUs = 4 // one machine per replica
 	w.Submit(s, 0)
-	if !w.RunUntil(5*time.Second, func() bool { return leader.Stats().MachinesScaledOut > before }) {
+	if !w.RunUntil(5*time.Second, func() bool { return leader.Stats().MachinesProvisioned > before }) {
 		t.Fatal("no machine is provisioned")
 	}
 	w.Run(time.Second)
-	before = leader.Stats().MachinesScaledOut
+	before = leader.Stats().MachinesProvisioned
 	w.State.SetOutage(true)
 	resumesAt := w.Now + 9*time.Second
 	w.Network = func(kind, _, to string) fake.Delivery {
@@ -255,7 +255,7 @@
 	w.Run(9 * time.Second)
 	w.State.SetOutage(false)
 	waitRunning(t, w, s.ID, 3)
-	if provisioned := leader.Stats().MachinesScaledOut; provisioned != before || !leader.Leads() {
+	if provisioned := leader.Stats().MachinesProvisioned; provisioned != before || !leader.Leads() {
 		t.Errorf("%d machines provisioned before the pause, %d after", before, provisioned)
 	}
 	requireNoViolations(t, w)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -27,11 +27,11 @@
 	Classes             map[string]ClassCounts   `json:"classes"`
 	Teams               map[string]TeamUsage     `json:"teams"`
 	Machines            map[string]MachineCounts `json:"machines"`
-	UnconfirmedMachines []string                 `json:"machines_in_doubt"` // unconfirmed start commands may still arrive there
+	UnconfirmedMachines []string                 `json:"machines_in_doubt"` // machines at which unconfirmed start commands may still arrive
 	CordonedMachines    []string                 `json:"machines_set_aside"`
 	FailingJobs         []string                 `json:"jobs_failing_everywhere"`
-	Backlog             int                      `json:"pages_to_write"`
-	BacklogS            float64                  `json:"oldest_page_waits_s"`
+	PagesToWrite        int                      `json:"pages_to_write"`
+	OldestPageWaitS     float64                  `json:"oldest_page_waits_s"`
 	BudgetFill          float64                  `json:"write_budget_fill"` // from 0 to 1
 	BudgetWaitS         float64                  `json:"write_budget_waits_s"`
 	Pages               int                      `json:"pages"`
@@ -48,7 +48,7 @@
 	BlockedJobs int `json:"waiting_for_prerequisites"`
 }
 
-// TeamUsage is the resource usage and quota of a team.
+// TeamUsage is the resource usage of a team, with its guarantee and limit.
 type TeamUsage struct {
 	Waiting        int     `json:"waiting"` // tasks
 	CPUs           float64 `json:"cpus"`
@@ -88,7 +88,7 @@
 		Jobs: len(l.state.JobOrder), EndedJobs: len(l.state.EndedJobs), Archive: l.archive.Status(),
 		Classes: map[string]ClassCounts{}, Teams: map[string]TeamUsage{}, Machines: map[string]MachineCounts{},
 		UnconfirmedMachines: []string{}, CordonedMachines: []string{}, FailingJobs: l.failingJobs(),
-		Backlog: pages, BacklogS: oldest.Seconds(), BudgetFill: budget.Fill, BudgetWaitS: budget.WaitingFor.Seconds(), Pages: l.store.PageCount(), OversizedPages: l.store.OversizedPages(),
+		PagesToWrite: pages, OldestPageWaitS: oldest.Seconds(), BudgetFill: budget.Fill, BudgetWaitS: budget.WaitingFor.Seconds(), Pages: l.store.PageCount(), OversizedPages: l.store.OversizedPages(),
 		SteppedDownPeers: elector.SteppedDownPeers(),
 	}
 	for name, t := range l.state.Teams {
@@ -107,21 +107,21 @@
 }
 
 func (s *LeaderStatus) addJob(j *cluster.Job) {
-	queue, team := s.Classes[j.Class], s.Teams[j.Team.Name]
-	queue.Jobs++
+	class, team := s.Classes[j.Class], s.Teams[j.Team.Name]
+	class.Jobs++
 	if j.Blocked() {
-		queue.BlockedJobs++
+		class.BlockedJobs++
 	} else {
-		queue.Waiting += j.IdleTasks()
+		class.Waiting += j.IdleTasks()
 		team.Waiting += j.IdleTasks()
 	}
 	for _, t := range j.ActiveTasks {
-		queue.Placed++
+		class.Placed++
 		if t.SeenRunning() {
-			queue.Running++
+			class.Running++
 		}
 	}
-	s.Classes[j.Class], s.Teams[j.Team.Name] = queue, team
+	s.Classes[j.Class], s.Teams[j.Team.Name] = class, team
 }
 
 func (l *leader) addMachine(s *LeaderStatus, machine *cluster.Machine) {
--- a/internal/controller/write_share_test.go
+++ b/internal/controller/write_share_test.go
@@ -68,6 +68,6 @@
 
 // changeWriteShare sends an operator's change of write_share to n0 and doesn't wait for the response.
 func changeWriteShare(w *fake.World, share float64) {
-	request := message.AdminRequest{Kind: message.AdminChange, Body: fmt.Appendf(nil, `{"write_share": %v}`, share)}
+	request := message.AdminRequest{Kind: message.AdminChangeOptions, Body: fmt.Appendf(nil, `{"write_share": %v}`, share)}
 	w.Controllers[0].Request(request, func(message.Reply) {})
 }
--- a/internal/fake/controller.go
+++ b/internal/fake/controller.go
@@ -79,7 +79,7 @@
 
 // AnswersWorkers reports whether the controller answers workers: it leads, or its lease is
 // uncertain.
-func (c *Controller) AnswersWorkers() bool { return c.Up && c.impl.Leads() }
+func (c *Controller) AnswersWorkers() bool { return c.Up && c.impl.Leading() }
 
 // Healthy reports whether the controller's health check succeeds.
 func (c *Controller) Healthy() bool { return c.Up && c.impl.Healthy() }
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -1,7 +1,7 @@
 // Package jobs manages the life cycle of jobs and their tasks: it records starts, losses and ends,
 // ends finished jobs, tracks their dependencies, and evaluates failures. Every decision is written
-// to the store first. Actions that must not happen before a commit run in the function that waits
-// for the commit.
+// to the store first. Actions that must not happen before a commit run in the callback of its
+// waiter.
 package jobs
 
 import (
@@ -28,7 +28,7 @@
 	store      *storage.Store
 	timing     timing.Timing
 	leadership Leadership
-	// recordBlockTasks is whether BlockTasks is stored for every job.
+	// recordBlockTasks is whether BlockTasks is stored for every new job, even if it has one block.
 	recordBlockTasks bool
 }
 
@@ -121,15 +121,16 @@
 		return
 	}
 	if len(j.ActiveTasks) == 0 {
-		j.Gang.Ran, j.Gang.Ending = false, false
+		j.Gang.HasRun, j.Gang.Ending = false, false
 		return
 	}
-	if j.Gang.Ran {
+	if j.Gang.HasRun {
 		j.Gang.Ending = true
 	}
 }
 
-// MarkLost removes a task that is gone without a reported exit. proof is what shows that it is gone.
+// MarkLost removes a task that is gone without a reported exit. proof names the evidence for this
+// in the log.
 func (m *Manager) MarkLost(t *cluster.Task, proof string) {
 	m.context.Stats.TasksLost++
 	m.context.Log(message.Info, "task lost", "job", t.Job.ID, "task", t.Index, "attempt", t.Attempt, "machine", t.Machine.Name, "proof", proof)
@@ -141,7 +142,7 @@
 // attempt once the result is durable.
 func (m *Manager) HandleExit(t *cluster.Task, status protocol.TaskStatus) {
 	j, machine, attempt := t.Job, t.Machine, status.Attempt
-	machine.Worker.FinishedAttempts[attempt] = cluster.FinishedAttempt{
+	machine.Worker.EndedAttempts[attempt] = cluster.EndedAttempt{
 		FencingToken: max(t.SentToken, m.leadership.FirstToken()-1), EndedAt: m.context.Monotonic(),
 	}
 	waiter := j.DeferredWaiter(func() { m.exitCommitted(machine, attempt) })
@@ -178,7 +179,7 @@
 
 func (m *Manager) taskDone(t *cluster.Task) {
 	j := t.Job
-	m.context.Stats.TasksFinished++
+	m.context.Stats.TasksDone++
 	if t.SeenRunning() && !t.Inherited {
 		m.state.ObserveRun(j, m.context.Monotonic()-t.RunningSince)
 	}
@@ -194,9 +195,9 @@
 
 // exitCommitted records that the result of an ended attempt is durable.
 func (m *Manager) exitCommitted(machine *cluster.Machine, attempt protocol.Attempt) {
-	if finished, ok := machine.Worker.FinishedAttempts[attempt]; ok {
-		finished.Committed = true
-		machine.Worker.FinishedAttempts[attempt] = finished
+	if ended, ok := machine.Worker.EndedAttempts[attempt]; ok {
+		ended.Committed = true
+		machine.Worker.EndedAttempts[attempt] = ended
 		m.state.QueueCommands(machine)
 	}
 }
--- a/internal/message/messages.go
+++ b/internal/message/messages.go
@@ -2,7 +2,7 @@
 // that it emits. The state machine does no input or output; the surrounding process converts
 // requests and results into events and executes the effects.
 //
-// Events and effects, and the data that they point to, must not be modified after they are passed on.
+// Events and effects, and the data that they point to, must not be modified after they are sent.
 package message
 
 import (
@@ -148,7 +148,7 @@
 	// CommandsCall sends commands directly to a worker.
 	CommandsCall struct {
 		ID                        uint64
-		Machine, Addr             string
+		Machine, Address          string
 		FencingToken, Incarnation int64
 		Commands                  []protocol.Command
 		// NotAfter is the deadline for sending the call, as in CloudCall.
@@ -205,8 +205,8 @@
 // Kinds of operator requests.
 const (
 	AdminStatus AdminRequestKind = iota
-	AdminRead
-	AdminChange
+	AdminReadOptions
+	AdminChangeOptions
 	AdminJob
 )
 
--- a/internal/scheduling/cycle.go
+++ b/internal/scheduling/cycle.go
@@ -5,7 +5,7 @@
 	"oakpick/internal/resources"
 )
 
-// cycle caches the results of one scheduling cycle, so that a machine need not be examined
+// cycle caches intermediate results of one scheduling cycle, so that machines need not be examined
 // again for every waiting task.
 type cycle struct {
 	feasible map[cluster.RequestClass][]*cluster.Machine // machines with enough free resources for a task of the class
@@ -33,9 +33,9 @@
 // preemptionClass groups jobs that may preempt the same tasks.
 type preemptionClass struct {
 	cluster.RequestClass
-	rank        int
-	withinQuota bool
-	team        *cluster.Team
+	rank            int
+	withinGuarantee bool
+	team            *cluster.Team
 }
 
 func (s *Scheduler) beginCycle() {
@@ -48,7 +48,7 @@
 	}
 	for _, machine := range s.state.MachinesByName {
 		s.context.Stats.MachinesExamined++
-		machine.ProjectedFree = s.state.Free(machine)
+		machine.Unassigned = s.state.Free(machine)
 		if !machine.Worker.Registered {
 			c.booting = append(c.booting, machine)
 		} else if machine.Stopping != (resources.Amount{}) {
@@ -66,7 +66,7 @@
 	}
 	for _, machine := range s.state.MachinesByName {
 		s.context.Stats.MachinesExamined++
-		if s.Schedulable(machine) && j.AllowedOn(machine.Offering()) && j.Request.FitsIn(s.UsableResources(j, machine, machine.ProjectedFree)) {
+		if s.Schedulable(machine) && j.AllowedOn(machine.Offering()) && j.Request.FitsIn(s.UsableResources(j, machine, machine.Unassigned)) {
 			list = append(list, machine)
 		}
 	}
@@ -74,20 +74,20 @@
 	return list
 }
 
-// freeSnapshot has the projected free resources of machines before tasks were assigned to them.
+// freeSnapshot has the unassigned resources of machines before tasks were assigned to them.
 type freeSnapshot map[*cluster.Machine]resources.Amount
 
-// save records the free resources of a machine unless they are recorded already.
+// save records the unassigned resources of a machine unless they are recorded already.
 func (r freeSnapshot) save(machine *cluster.Machine) {
 	if _, ok := r[machine]; !ok {
-		r[machine] = machine.ProjectedFree
+		r[machine] = machine.Unassigned
 	}
 }
 
-// restoreFree resets the machines' free resources to those of the snapshot.
+// restoreFree resets the machines' unassigned resources to those of the snapshot.
 func (s *Scheduler) restoreFree(r freeSnapshot) {
 	for machine, free := range r {
-		machine.ProjectedFree = free
+		machine.Unassigned = free
 	}
 	if len(r) > 0 {
 		clear(s.cycle.feasible)
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -22,11 +22,11 @@
 		return false
 	}
 	return other.EffectivePriority() < j.EffectivePriority() ||
-		j.Placement.WithinQuota && !other.Placement.WithinQuota && other.Team != j.Team
+		j.Placement.WithinGuarantee && !other.Placement.WithinGuarantee && other.Team != j.Team
 }
 
-// preemptionSearch is the search for machines on which the tasks of one job will fit once
-// other tasks have stopped.
+// preemptionSearch is a search for machines on which tasks of a job will fit once other tasks have
+// stopped.
 type preemptionSearch struct {
 	job     *cluster.Job
 	victims []*cluster.Task
@@ -47,7 +47,7 @@
 
 // projectedFree returns a machine's free resources after its stopping tasks and victims end.
 func (p *preemptionSearch) projectedFree(machine *cluster.Machine) resources.Amount {
-	return machine.ProjectedFree.Plus(machine.Stopping).Plus(p.freed[machine])
+	return machine.Unassigned.Plus(machine.Stopping).Plus(p.freed[machine])
 }
 
 // reserveOrPreempt finds machines for tasks of a job that could not be placed. It reserves
@@ -128,7 +128,7 @@
 // task of the job to fit there. It returns none if the cost exceeds MaxPreemptionCostS.
 func (s *Scheduler) chooseVictims(p *preemptionSearch, perZone map[string]int, first bool) (*cluster.Machine, []*cluster.Task) {
 	j := p.job
-	c := preemptionClass{s.RequestClass(j), rank(j), j.Placement.WithinQuota, j.Team}
+	c := preemptionClass{s.RequestClass(j), rank(j), j.Placement.WithinGuarantee, j.Team}
 	// Free resources only shrink within a cycle, so a failed search holds for every job of the
 	// same class. A search whose result depends on the job itself is not cached: one under zone
 	// limits, and one for a task after the first, for which resources are already reserved.
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -12,7 +12,7 @@
 const msPerS = 1000
 
 // queueDelayPerRunS is the delay in the queue, in seconds, per second of a job's run time. For a
-// job with a deadline that is the run time with the whole of its team's limit.
+// job with a deadline, the run time is estimated as if the job had its team's limit to itself.
 const queueDelayPerRunS = 30
 
 // ranksPerPriority is the number of ranks within a priority.
@@ -21,7 +21,7 @@
 // maxConcurrentTasks bounds the number of tasks of a job that could run concurrently.
 const maxConcurrentTasks = 1 << 30
 
-// queue returns the waiting jobs in scheduling order: by rank, then by queuedAtMs.
+// queue returns the waiting jobs in scheduling order: by descending rank, then by queueOrderMs.
 func (s *Scheduler) queue() []*cluster.Job {
 	requested := map[*cluster.Team]resources.Amount{}
 	var waiting []*cluster.Job
@@ -30,7 +30,7 @@
 	}
 	for _, j := range s.state.JobOrder {
 		s.context.Stats.JobsExamined++
-		j.Placement.WithinQuota = false
+		j.Placement.WithinGuarantee = false
 		if j.Blocked() {
 			continue
 		}
@@ -40,13 +40,13 @@
 		}
 		total := requested[j.Team].Plus(j.Request.Times(float64(j.Tasks - j.DoneTasks)))
 		requested[j.Team] = total
-		j.Placement.WithinQuota = j.Team.Guarantees(total)
+		j.Placement.WithinGuarantee = j.Team.Guarantees(total)
 		if j.IdleTasks() > 0 {
 			waiting = append(waiting, j)
 		}
 	}
 	slices.SortStableFunc(waiting, func(a, b *cluster.Job) int {
-		return cmp.Or(cmp.Compare(rank(b), rank(a)), cmp.Compare(s.queuedAtMs(a), s.queuedAtMs(b)))
+		return cmp.Or(cmp.Compare(rank(b), rank(a)), cmp.Compare(s.queueOrderMs(a), s.queueOrderMs(b)))
 	})
 	return waiting
 }
@@ -62,16 +62,16 @@
 	j.Team.FiniteWaiting = j.Team.FiniteWaiting.Plus(j.Request.Times(waiting))
 }
 
-// queuedAtMs returns the time by which jobs of equal rank are ordered, earliest first. It is the
+// queueOrderMs returns the time by which jobs of equal rank are ordered, earliest first. It is the
 // time at which the job became ready. A job that has a deadline or belongs to a best-effort team
 // is delayed in proportion to its run time, so that short jobs precede long ones. Without the
 // delay, all jobs of a team with a tight limit would be slightly late. Since age counts as well,
 // long jobs are not starved.
 //
-// A job in a pipeline is not delayed. It is ordered by the time at which its last prerequisite
-// completed, or by its latest start for a deadline further down the pipeline, if that is
-// earlier.
-func (s *Scheduler) queuedAtMs(j *cluster.Job) int64 {
+// A job with prerequisites or dependents is not delayed. It is ordered by the time at which it
+// became ready, or by the latest start that lets it and its dependents meet their deadlines, if
+// that is earlier.
+func (s *Scheduler) queueOrderMs(j *cluster.Job) int64 {
 	if j.Prerequisites.Node != nil {
 		return min(j.ReadyMs, j.Prerequisites.Node.LatestStartMs())
 	}
@@ -93,7 +93,7 @@
 func rank(j *cluster.Job) int {
 	base := ranksPerPriority * int(j.EffectivePriority())
 	switch {
-	case j.Placement.WithinQuota:
+	case j.Placement.WithinGuarantee:
 		return base + 2
 	case !j.BestEffort():
 		return base + 1
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -1,6 +1,6 @@
 // Package scheduling assigns waiting tasks to machines and preempts running tasks in favor of
 // others. It runs in cycles. Each cycle sorts the waiting jobs and places their tasks, job by
-// job, within the quotas of their teams. Package autoscaling provisions machines for the tasks
+// job, within the limits of their teams. Package autoscaling provisions machines for the tasks
 // that could not be placed.
 package scheduling
 
@@ -150,7 +150,7 @@
 
 // placeTasks places up to idle tasks of a job and returns the number that it placed.
 func (s *Scheduler) placeTasks(j *cluster.Job, idle int, perZone map[string]int) (placed int) {
-	for placed < idle && j.Team.Allows(j.Request.Plus(reservedQuota(j))) {
+	for placed < idle && j.Team.Allows(j.Request.Plus(unavailableLimit(j))) {
 		machine := s.chooseMachine(j, perZone)
 		if machine == nil {
 			break
@@ -171,7 +171,7 @@
 
 // assign subtracts a task's request from a machine's free resources for the rest of the cycle.
 func assign(machine *cluster.Machine, j *cluster.Job, perZone map[string]int) {
-	machine.ProjectedFree = machine.ProjectedFree.Minus(j.Request)
+	machine.Unassigned = machine.Unassigned.Minus(j.Request)
 	perZone[machine.Zone]++
 }
 
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -12,23 +12,23 @@
 	// minSilentMachines is the smallest number of silent machines for which the leader assumes
 	// that its own connection has failed.
 	minSilentMachines = 3
-	// More than this share of the live machines must be silent, too.
+	// The leader assumes this only if the share of silent machines among the live ones also exceeds
+	// silentShareNumerator/silentShareDenominator.
 	silentShareDenominator, silentShareNumerator = 8, 7
-	// stopGraceHeartbeats is the number of heartbeat intervals that a task may take to stop in
-	// addition to its grace period.
-	stopGraceHeartbeats = 2
-	// stopGraceCheckpoints is the number of checkpoint durations that a task may take in addition.
+	// stopGraceHeartbeats and stopGraceCheckpoints are the numbers of heartbeat intervals and of
+	// checkpoint durations that a task may take to stop in addition to its grace period.
+	stopGraceHeartbeats  = 2
 	stopGraceCheckpoints = 2
 )
 
-// CheckMachines looks for expired worker leases and overdue stops, and advances the fencing token
-// if starts that may still arrive have to be voided.
+// CheckMachines handles expired worker leases and overdue stops of all machines, advances the
+// fencing token if necessary, and resigns if nearly all workers are silent.
 func (m *Manager) CheckMachines() {
 	now := m.context.Monotonic()
-	if now < m.checkAt {
+	if now < m.nextCheckAt {
 		return
 	}
-	m.checkAt = now + m.timing.CheckInterval
+	m.nextCheckAt = now + m.timing.CheckInterval
 	earlierSilentAt := m.leadership.EarlierLeadersSilentAt()
 	needsAdvance := false
 	live, silent := 0, 0
@@ -86,8 +86,8 @@
 }
 
 // leaseExpiresBy returns when the lease of a machine's worker has certainly expired if the worker
-// gets no further answer. A lease lasts at least from the beginning of the worker's incarnation,
-// which is no later than when the leader first saw that incarnation.
+// gets no further answer. The first lease of an incarnation begins with the incarnation, which is
+// no later than when the leader first saw it.
 func (m *Manager) leaseExpiresBy(machine *cluster.Machine, earlierSilentAt time.Duration) time.Duration {
 	worker := &machine.Worker
 	renewedBy := earlierSilentAt
@@ -97,8 +97,8 @@
 	return max(renewedBy, worker.IncarnationSeenAt) + m.timing.Lease
 }
 
-// resendOverdueStops queues stop commands again for tasks that have not stopped, and drops their
-// grace period once it has passed.
+// resendOverdueStops queues stop commands again for tasks that have not stopped, and sets a task's
+// grace period to 0 once it has passed.
 func (m *Manager) resendOverdueStops(machine *cluster.Machine) {
 	now := m.context.Monotonic()
 	for _, t := range machine.Tasks {
@@ -120,8 +120,8 @@
 	if machine.Commands.UnconfirmedToken == token && now-machine.Commands.UnconfirmedAt > m.timing.HeartbeatInterval {
 		return true
 	}
-	for _, finished := range machine.Worker.FinishedAttempts {
-		if finished.Committed && finished.FencingToken == token && now-finished.EndedAt > m.timing.Lease {
+	for _, ended := range machine.Worker.EndedAttempts {
+		if ended.Committed && ended.FencingToken == token && now-ended.EndedAt > m.timing.Lease {
 			return true
 		}
 	}
--- a/internal/workers/manager.go
+++ b/internal/workers/manager.go
@@ -18,10 +18,11 @@
 	HoldsLease() bool
 	// LeaseUntil returns the time until which the leader's lease certainly lasts.
 	LeaseUntil() time.Duration
-	// Token returns the current fencing token, FirstToken the one with which the term began.
+	// Token returns the current fencing token, and FirstToken the one with which the term began.
 	Token() int64
 	FirstToken() int64
-	// EarlierLeadersSilentAt returns when every earlier leader had stopped answering workers.
+	// EarlierLeadersSilentAt returns the time by which every earlier leader has certainly stopped
+	// answering workers.
 	EarlierLeadersSilentAt() time.Duration
 	// AdvanceToken advances the token if needed, or continues an advance in progress.
 	AdvanceToken(needed bool, writesInFlight func() bool)
@@ -38,7 +39,7 @@
 	timing         timing.Workers
 	leadership     Leadership
 	writesInFlight func() bool
-	checkAt        time.Duration // when all machines are checked next
+	nextCheckAt    time.Duration // when all machines are checked next
 }
 
 // NewManager returns a manager of a cluster's workers. writesInFlight reports whether writes that
