--- a/internal/config/extensions_test.go
+++ b/internal/config/extensions_test.go
@@ -32,7 +32,7 @@
 // settings. The tracker's connections are subtracted from those of users and workers.
 func TestExtensionsAreDerivedFromTheSettings(t *testing.T) {
 	cfg := exampleConfig(t)
-	before := cfg.Settings.Sockets().API
+	before := cfg.Settings.ConnectionLimits().API
 	e, err := LoadExtensions("../../deploy/extensions.toml", cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 	if d.Connections != s.Limits.MaxConnections/4 || d.InventoryIntervalS != heartbeat/2 || d.IdleInventoryIntervalS != 2*heartbeat {
 		t.Errorf("%+v", d)
 	}
-	if after := cfg.Settings.Sockets().API; after >= before {
+	if after := cfg.Settings.ConnectionLimits().API; after >= before {
 		t.Errorf("API server has %d connections without and %d with the tracker", before, after)
 	}
 	if address, err := d.TrackerAddress("10.0.0.1:8081"); err != nil || address != "10.0.0.1:8082" {
--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -37,9 +37,9 @@
 	shared   int // sum of both
 }
 
-// Sockets divides max_connections. Connections that workers, users and health checks open take
+// ConnectionLimits divides max_connections. Connections that workers, users and health checks open take
 // precedence over direct commands.
-func (s *Settings) Sockets() Sockets {
+func (s *Settings) ConnectionLimits() Sockets {
 	const megabyte = 1 << 20
 	shared := min(s.Limits.MaxConnections-s.reservedSockets(), int(s.Limits.MemoryMB/2*megabyte/maxConnectionBytes))
 	commands := max(1, shared/minCommandDivisor)
--- a/internal/config/sockets_test.go
+++ b/internal/config/sockets_test.go
@@ -19,7 +19,7 @@
 			if err := s.checkSockets(); err != nil {
 				t.Fatal(err)
 			}
-			sockets := s.Sockets()
+			sockets := s.ConnectionLimits()
 			if needed := c.workers + c.users; sockets.API < needed {
 				t.Errorf("%d connections for the API server, which needs %d", sockets.API, needed)
 			}
@@ -34,7 +34,7 @@
 
 func TestSocketsFitHalfOfTheMemory(t *testing.T) {
 	s := Settings{Size: 3, Limits: Limits{MaxConnections: 100_000, MemoryMB: 64}}
-	if sockets := s.Sockets(); sockets.API*maxConnectionBytes > 32<<20 {
+	if sockets := s.ConnectionLimits(); sockets.API*maxConnectionBytes > 32<<20 {
 		t.Errorf("%d connections to the API server in 64 MB", sockets.API)
 	}
 }
@@ -53,7 +53,7 @@
 	for _, size := range []int{3, 5} {
 		t.Run(fmt.Sprintf("%d controllers", size), func(t *testing.T) {
 			s := Settings{Size: size, Limits: Limits{MaxConnections: 4900, MemoryMB: 225}}
-			sockets := s.Sockets()
+			sockets := s.ConnectionLimits()
 			if sockets.API < workers+users {
 				t.Errorf("%d connections for %d workers and %d users", sockets.API, workers, users)
 			}
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -100,7 +100,7 @@
 	d := &daemon{process: p, loop: newEventLoop(p, clients)}
 	limit := transport.NewConcurrencyLimit(settings.Limits.MaxConnections/4, p.heartbeatInterval(),
 		func() { d.loop.metrics.shed.Add(1) })
-	sockets := settings.Sockets()
+	sockets := settings.ConnectionLimits()
 	d.apiServer = transport.NewAPIServer(d.loop, limit, sockets.API, config.Seconds(settings.Workers.LeaseS))
 	clients.workers = transport.NewWorkerClient(settings.Workers,
 		func() int { return sockets.CommandLimit(d.apiServer.OpenConnections()) })
@@ -125,7 +125,7 @@
 	p := d.process
 	p.goroutines.Go(func() error { return d.apiServer.Serve(l.api) })
 	p.goroutines.Go(func() error {
-		maxStreams := p.config.Settings.Sockets().API
+		maxStreams := p.config.Settings.ConnectionLimits().API
 		return d.peerServer.Serve(p.ctx, l.peers, maxStreams, peerIdleHeartbeatIntervals*p.heartbeatInterval())
 	})
 	p.goroutines.Go(func() error { d.loop.run(); return nil })
