--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -30,8 +30,8 @@
 	maxCommandDivisor = 4
 )
 
-// Sockets is the division of max_connections by purpose.
-type Sockets struct {
+// ConnectionLimits is the division of max_connections by purpose.
+type ConnectionLimits struct {
 	API      int // connections to the API server: workers, users and health checks
 	Commands int // minimum number of connections for direct commands to workers
 	shared   int // sum of both
@@ -39,17 +39,17 @@
 
 // ConnectionLimits divides max_connections. Connections that workers, users and health checks open take
 // precedence over direct commands.
-func (s *Settings) ConnectionLimits() Sockets {
+func (s *Settings) ConnectionLimits() ConnectionLimits {
 	const megabyte = 1 << 20
 	shared := min(s.Limits.MaxConnections-s.reservedSockets(), int(s.Limits.MemoryMB/2*megabyte/maxConnectionBytes))
 	commands := max(1, shared/minCommandDivisor)
-	return Sockets{API: shared - commands, Commands: commands, shared: shared}
+	return ConnectionLimits{API: shared - commands, Commands: commands, shared: shared}
 }
 
 // CommandLimit returns how many connections direct commands may use while the API server has the
 // given number of open connections: the remaining ones, but at most a quarter of all shared
 // connections.
-func (s Sockets) CommandLimit(openAPI int) int {
+func (s ConnectionLimits) CommandLimit(openAPI int) int {
 	return max(s.Commands, min(s.shared/maxCommandDivisor, s.shared-openAPI))
 }
 
