--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -33,7 +33,7 @@
 // ConnectionLimits is the division of max_connections by purpose.
 type ConnectionLimits struct {
 	API      int // connections to the API server: workers, users and health checks
-	Commands int // minimum number of connections for direct commands to workers
+	MinCommands int // minimum number of connections for direct commands to workers
 	shared   int // sum of both
 }
 
@@ -43,14 +43,14 @@
 	const megabyte = 1 << 20
 	shared := min(s.Limits.MaxConnections-s.reservedSockets(), int(s.Limits.MemoryMB/2*megabyte/maxConnectionBytes))
 	commands := max(1, shared/minCommandDivisor)
-	return ConnectionLimits{API: shared - commands, Commands: commands, shared: shared}
+	return ConnectionLimits{API: shared - commands, MinCommands: commands, shared: shared}
 }
 
 // CommandLimit returns how many connections direct commands may use while the API server has the
 // given number of open connections: the remaining ones, but at most a quarter of all shared
 // connections.
 func (s ConnectionLimits) CommandLimit(openAPI int) int {
-	return max(s.Commands, min(s.shared/maxCommandDivisor, s.shared-openAPI))
+	return max(s.MinCommands, min(s.shared/maxCommandDivisor, s.shared-openAPI))
 }
 
 // reservedSockets returns the number of connections reserved for purposes other than users and
