--- a/internal/config/extensions.go
+++ b/internal/config/extensions.go
@@ -47,7 +47,7 @@
 		return e, nil
 	}
 	e.Distribution.setDefaults(&cfg.Settings)
-	cfg.Settings.ExtensionSockets = e.Distribution.Connections
+	cfg.Settings.ExtensionConnections = e.Distribution.Connections
 	return e, e.Distribution.validate(path, cfg)
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -96,9 +96,9 @@
 	Limits       Limits      `json:"limits"`
 	ClockErrorMs float64     `json:"clock_error_ms" validate:"gte=0,lte=3600000"`
 
-	// ExtensionSockets is the number of connections that extensions use. It isn't part of the
+	// ExtensionConnections is the number of connections that extensions use. It isn't part of the
 	// settings file: LoadExtensions sets it.
-	ExtensionSockets int `json:"-"`
+	ExtensionConnections int `json:"-"`
 }
 
 // Seconds converts seconds, the unit of the settings, to a duration.
--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -57,7 +57,7 @@
 // workers.
 func (s *Settings) reservedSockets() int {
 	return StateConnections + StateRenewalConnections + ArchiveReadConnections + CloudConnections +
-		connectionsPerPeer*(s.Size-1) + spareConnections + s.ExtensionSockets
+		connectionsPerPeer*(s.Size-1) + spareConnections + s.ExtensionConnections
 }
 
 // checkSockets returns an error if max_connections is too small for the process to work.
