--- a/internal/config/extensions.go
+++ b/internal/config/extensions.go
@@ -17,8 +17,8 @@
 type Distribution struct {
 	// Port is the listener's port; its host is that of cluster_listen.
 	Port int `toml:"port" validate:"gte=1,lte=65535"`
-	// StoreFetchers is the maximum number of agents that fetch from the store concurrently.
-	StoreFetchers int `toml:"store_slots" validate:"gte=1,lte=1024"`
+	// StoreSlots is the maximum number of agents that fetch from the store concurrently.
+	StoreSlots int `toml:"store_slots" validate:"gte=1,lte=1024"`
 	// Connections is the listener's connection limit; 0 means a quarter of max_connections. It
 	// reduces the connections available to users and workers.
 	Connections int `toml:"connections" validate:"gte=0,lte=1000000"`
--- a/internal/daemon/tracker_loop.go
+++ b/internal/daemon/tracker_loop.go
@@ -55,7 +55,7 @@
 		tracker: tracker.New(tracker.Parameters{
 			ReportInterval: interval, IdleReportInterval: config.Seconds(settings.IdleInventoryIntervalS),
 			RetryInterval: config.Seconds(cfg.Settings.Workers.HeartbeatIntervalS / trackerRetriesPerHeartbeat),
-			StoreSlots:    settings.StoreFetchers, Zones: cfg.Settings.Zones,
+			StoreSlots:    settings.StoreSlots, Zones: cfg.Settings.Zones,
 			ProcessID: cfg.Node + "-" + p.identity.incarnation, Seed: p.identity.seed,
 		}),
 	}
--- a/internal/daemon/tracker_test.go
+++ b/internal/daemon/tracker_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	return config.Extensions{Distribution: &config.Distribution{
-		Port: number, StoreFetchers: 2, Connections: 64, InventoryIntervalS: 0.2, IdleInventoryIntervalS: 0.4,
+		Port: number, StoreSlots: 2, Connections: 64, InventoryIntervalS: 0.2, IdleInventoryIntervalS: 0.4,
 	}}, address
 }
 
--- a/internal/scale/distributionrun/run.go
+++ b/internal/scale/distributionrun/run.go
@@ -123,7 +123,7 @@
 		return err
 	}
 	extensions := config.Extensions{Distribution: &config.Distribution{
-		Port: testbed.TrackerPort, StoreFetchers: p.StoreSlots,
+		Port: testbed.TrackerPort, StoreSlots: p.StoreSlots,
 		Connections:        max(minTrackerConnections, trackerConnectionsPerAgent*p.Agents),
 		InventoryIntervalS: p.InventoryIntervalS, IdleInventoryIntervalS: idleIntervals * p.InventoryIntervalS,
 	}}
