--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -32,8 +32,8 @@
 	CancelWithinS      float64 `json:"cancel_s" validate:"gt=0,lte=86400,gtfield=LeaseS"`
 }
 
-// State holds the limits of the state service.
-type State struct {
+// StateLimits holds the limits of the state service.
+type StateLimits struct {
 	RPS      float64 `json:"rps" validate:"gte=1,lte=1e6"`
 	WriteRPS float64 `json:"write_rps" validate:"gte=1,lte=1e6"`
 	ValueKB  float64 `json:"value_kb" validate:"gte=1,lte=64"`
@@ -53,7 +53,7 @@
 
 // Smallest returns limits that hold both before and after an announced change: the smaller of
 // the current and the announced value of each.
-func (s State) Smallest() State {
+func (s StateLimits) Smallest() StateLimits {
 	if s.Next == nil {
 		return s
 	}
@@ -91,7 +91,7 @@
 	Teams        []Team      `json:"teams" validate:"required,min=1,dive"`
 	Objectives   []Objective `json:"objectives" validate:"dive"`
 	Workers      Workers     `json:"workers"`
-	State        State       `json:"state"`
+	State        StateLimits       `json:"state"`
 	Cloud        Cloud       `json:"cloud"`
 	Limits       Limits      `json:"limits"`
 	ClockErrorMs float64     `json:"clock_error_ms" validate:"gte=0,lte=3600000"`
