--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -67,7 +67,7 @@
 func newStore(c *Controller, writeShare float64) *storage.Store {
 	limits := c.config.Settings.State.Smallest()
 	store := storage.NewStore(storage.Limits{
-		PageBytes: storage.PageBytes(limits.ValueKB), ChangesPerTxn: limits.TxnOps, WritesPerS: limits.WriteRPS * writeShare,
+		PageBytes: storage.PageBytes(limits.ValueKB), ChangesPerTxn: limits.TxnOps, KeysPerS: limits.WriteRPS * writeShare,
 	}, fmt.Sprintf("%d", c.elector.Token()), c.timing.StateRetry)
 	if c.limitsLowered {
 		store.SetLimitsLowered()
--- a/internal/scheduling/queue_test.go
+++ b/internal/scheduling/queue_test.go
@@ -31,7 +31,7 @@
 			context := step.NewContext(1, time.Hour)
 			context.Begin(message.Now{WallMs: doneMs, Monotonic: 89 * time.Second})
 			state := cluster.NewState(context, nil)
-			store := storage.NewStore(storage.Limits{PageBytes: 8 << 10, ChangesPerTxn: 8, WritesPerS: 100}, "test", time.Second)
+			store := storage.NewStore(storage.Limits{PageBytes: 8 << 10, ChangesPerTxn: 8, KeysPerS: 100}, "test", time.Second)
 			times := timing.Timing{Jobs: timing.Jobs{BlockTasks: blockTasks}}
 			manager := jobs.NewManager(context, state, store, times, nil, false)
 			s := New(context, state, store, manager, times, nil, &config.Settings{}, Options{})
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -9,7 +9,7 @@
 type Limits struct {
 	PageBytes     int     // maximum size of a page's value, in bytes of JSON
 	ChangesPerTxn int     // maximum number of keys that one transaction changes
-	WritesPerS    float64 // keys per second
+	KeysPerS    float64 // keys per second
 }
 
 // Store packs items into pages and decides when each page is written. A page is part of at
@@ -40,7 +40,7 @@
 	return &Store{
 		limits:   limits,
 		pageOf:   map[Item]*page{},
-		budget:   newWriteBudget(limits.WritesPerS),
+		budget:   newWriteBudget(limits.KeysPerS),
 		inFlight: inFlightWrites{idPrefix: idPrefix, retryInterval: retryInterval},
 	}
 }
