--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -132,7 +132,7 @@
 // commitWouldTimeOut reports whether a new record could not be committed within commitTimeoutS. Pages
 // that are written only in the background don't delay the record and are not counted.
 func (h *requestHandler) commitWouldTimeOut() bool {
-	pages := h.store.PagesDueBefore(h.context.Monotonic() + config.Seconds(commitTimeoutS))
+	pages := h.store.PagesDueBy(h.context.Monotonic() + config.Seconds(commitTimeoutS))
 	writesPerS := h.leader.controller.config.Settings.State.Smallest().WriteRPS * h.leader.options.WriteShare
 	return h.writesStalled() || float64(pages) > writesPerS*commitTimeoutS
 }
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -131,9 +131,9 @@
 	return len(s.dirty), now - since
 }
 
-// PagesDueBefore returns the number of dirty pages that are due at the given time or
+// PagesDueBy returns the number of dirty pages that are due at the given time or
 // earlier.
-func (s *Store) PagesDueBefore(due time.Duration) int {
+func (s *Store) PagesDueBy(due time.Duration) int {
 	n := 0
 	for _, p := range s.dirty {
 		if p.dueAt <= due {
