--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -40,8 +40,8 @@
 
 // Callbacks are the functions of the leader that the archive calls.
 type Callbacks struct {
-	// Decide handles a user request, given the archived records of the jobs it refers to.
-	Decide func(message.UserRequest, LookupResults)
+	// HandleRequest handles a user request, given the archived records of the jobs it refers to.
+	HandleRequest func(message.UserRequest, LookupResults)
 	// SendWrite sends the transaction that moves jobs into the archive.
 	SendWrite func(*storage.Write)
 }
--- a/internal/archive/lookup.go
+++ b/internal/archive/lookup.go
@@ -69,7 +69,7 @@
 // Handle answers a user request, or queues it until the pages that it needs have been read.
 func (a *Archive) Handle(request message.UserRequest) {
 	if !a.nonEmpty {
-		a.callbacks.Decide(request, nil)
+		a.callbacks.HandleRequest(request, nil)
 		return
 	}
 	earlier := a.pendingSubmission(request)
@@ -85,7 +85,7 @@
 		if earlier != nil && !earlier.userWaiting {
 			a.remove(earlier)
 		}
-		a.callbacks.Decide(request, results)
+		a.callbacks.HandleRequest(request, results)
 	case earlier != nil && earlier.userWaiting:
 		a.context.Refuse(request.ID, alreadyPending)
 	case earlier != nil:
@@ -186,7 +186,7 @@
 			}
 		case len(x.unresolved) == 0 && x.userWaiting && a.leadership.HoldsLease():
 			a.remove(x)
-			a.callbacks.Decide(x.request, x.results)
+			a.callbacks.HandleRequest(x.request, x.results)
 		}
 	}
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -58,7 +58,7 @@
 		c.context, l.state, l.store, l.jobs, l.scheduler, c.timing.Workers, c.elector, settings.Cloud, options.autoscaling())
 	l.requests = newRequestHandler(l)
 	l.archive = archive.New(c.context, l.state, l.store, c.calls, c.timing, c.elector, settings.State.Smallest(), peerNames(c.config.Peers),
-		archive.Callbacks{Decide: l.requests.decide, SendWrite: l.writer.send})
+		archive.Callbacks{HandleRequest: l.requests.decide, SendWrite: l.writer.send})
 	return l
 }
 
