--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -121,7 +121,7 @@
 type Status struct {
 	NonEmpty       bool `json:"used"`
 	MaxEndedJobs   int  `json:"kept"` // ended jobs that may stay outside the archive
-	PagesHeld      int  `json:"pages_held"`
+	CachedPages      int  `json:"pages_held"`
 	PendingLookups int  `json:"requests_waiting"`
 	JobsBeingMoved int  `json:"jobs_being_moved"`
 	PeersReading   int  `json:"peers_reading"` // peers are asked only once there are jobs to move
@@ -130,7 +130,7 @@
 // Status returns the state of the archive.
 func (a *Archive) Status() Status {
 	return Status{
-		NonEmpty: a.nonEmpty, MaxEndedJobs: a.timing.Archive.MaxEndedJobs, PagesHeld: len(a.cache), PendingLookups: len(a.pendingLookups),
+		NonEmpty: a.nonEmpty, MaxEndedJobs: a.timing.Archive.MaxEndedJobs, CachedPages: len(a.cache), PendingLookups: len(a.pendingLookups),
 		JobsBeingMoved: len(a.moves.moving), PeersReading: len(a.moves.archiveReaders),
 	}
 }
