--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -5,8 +5,8 @@
 type StepDownRequest struct {
 	Term   int64  `msgpack:"term"`
 	Leader string `msgpack:"leader"`
-	// ReadsArchive asks whether the peer supports looking up ended jobs in the archive.
-	ReadsArchive bool `msgpack:"reads_archive,omitempty"`
+	// QueriesArchiveSupport asks whether the peer supports looking up ended jobs in the archive.
+	QueriesArchiveSupport bool `msgpack:"reads_archive,omitempty"`
 }
 
 // StepDownResponse reports whether the peer has stepped down from all terms before the request's.
