--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -12,7 +12,7 @@
 	PathHeartbeat    = "/agent/beat"
 	PathCommands     = "/orders"
 	PathMachineTypes = "/flavors"
-	PathScaleOut     = "/rentals"
+	PathMachines     = "/rentals"
 	PathScaleIn      = "/rentals/return"
 	PathKV           = "/kv"
 	PathTxn          = "/txn"
--- a/internal/scale/testbed/cloud_server.go
+++ b/internal/scale/testbed/cloud_server.go
@@ -32,9 +32,9 @@
 	switch path := string(ctx.Path()); {
 	case path == protocol.PathMachineTypes:
 		return message.CloudCall{Op: message.CloudListTypes}, true
-	case path == protocol.PathScaleOut && ctx.IsGet():
+	case path == protocol.PathMachines && ctx.IsGet():
 		return message.CloudCall{Op: message.CloudListMachines, StartAfter: string(ctx.QueryArgs().Peek("after"))}, true
-	case path == protocol.PathScaleOut:
+	case path == protocol.PathMachines:
 		call := message.CloudCall{Op: message.CloudScaleOut}
 		return call, protocol.Decode(ctx.PostBody(), &call.Provisioning) == nil
 	case path == protocol.PathScaleIn:
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -54,9 +54,9 @@
 	case message.CloudListTypes:
 		uri += protocol.PathMachineTypes
 	case message.CloudListMachines:
-		uri += protocol.PathScaleOut + "?" + listQuery(call.StartAfter)
+		uri += protocol.PathMachines + "?" + listQuery(call.StartAfter)
 	case message.CloudScaleOut:
-		uri += protocol.PathScaleOut
+		uri += protocol.PathMachines
 		setPostBody(req, protocol.Encode(call.Provisioning))
 	case message.CloudScaleIn:
 		uri += protocol.PathScaleIn
