--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -25,22 +25,25 @@
 type Leadership interface {
 	// HoldsLease reports whether no other node can lead.
 	HoldsLease() bool
-	// Token returns the fencing token, TermCondition the condition that every write must include.
+	// Token returns the fencing token.
 	Token() int64
+	// TermCondition returns the condition that every write must include.
 	TermCondition() protocol.Condition
-	// AdvancingToken and AwaitsWrites report whether new writes have to wait because the fencing
-	// token is being advanced, or is about to be.
+	// AdvancingToken reports whether an advance of the fencing token is in progress. No write may
+	// be sent during it.
 	AdvancingToken() bool
+	// AwaitsWrites reports whether an advance of the fencing token is waiting for the writes in
+	// flight. No new write may be sent during the wait.
 	AwaitsWrites() bool
 }
 
-// LookupResults maps the IDs of jobs that were looked up to their archived records; nil if the
-// archive has no record of the job.
+// LookupResults maps the IDs of jobs that were looked up to their archived records. The record is
+// nil if the archive has none.
 type LookupResults map[string]*cluster.EndedJob
 
 // Callbacks are the functions of the leader that the archive calls.
 type Callbacks struct {
-	// HandleRequest handles a user request, given the archived records of the jobs it refers to.
+	// HandleRequest answers a user request, given the archived records of the jobs it refers to.
 	HandleRequest func(message.UserRequest, LookupResults)
 	// SendWrite sends the transaction that moves jobs into the archive.
 	SendWrite func(*storage.Write)
@@ -50,8 +53,8 @@
 const (
 	lookupRequestShare    = 0.25 // share of the state service's request rate
 	minPendingLookupLimit = 8
-	pendingLookupsPerRPS  = 0.1 // limit of pending lookups per request/s of the state service
-	pollShare             = 0.5 // share of the pending lookups that may be polls
+	pendingLookupsPerRPS  = 0.1 // limit of pending lookups per request/s that the state service allows
+	pollShare             = 0.5 // share of that limit that polls may use
 )
 
 // Archive reads and writes the archive on behalf of one leader.
@@ -70,7 +73,7 @@
 	pendingLookups []*lookup
 	readInFlight   *readRequest // at most one, so a page is never read twice concurrently
 	readLimiter    *rate.Limiter
-	readRetryAt    time.Duration // earliest time of the next read after a failed one
+	readRetryAt    time.Duration // earliest time of the next read, after a failure
 	moves          moveState
 }
 
@@ -87,7 +90,7 @@
 	}
 }
 
-// SetNonEmpty sets whether the archive holds anything.
+// SetNonEmpty sets whether the archive holds at least one page.
 func (a *Archive) SetNonEmpty(nonEmpty bool) { a.nonEmpty = nonEmpty }
 
 // Tick refuses lookups that timed out, reads the next page that a lookup waits for, and moves
@@ -121,10 +124,10 @@
 type Status struct {
 	NonEmpty       bool `json:"used"`
 	MaxEndedJobs   int  `json:"kept"` // ended jobs that may stay outside the archive
-	CachedPages      int  `json:"pages_held"`
+	CachedPages    int  `json:"pages_held"`
 	PendingLookups int  `json:"requests_waiting"`
 	JobsBeingMoved int  `json:"jobs_being_moved"`
-	PeersReading   int  `json:"peers_reading"` // peers are asked only once there are jobs to move
+	PeersReading   int  `json:"peers_reading"` // 0 until there are jobs to move: peers aren't asked before
 }
 
 // Status returns the state of the archive.
@@ -141,7 +144,7 @@
 	*storage.ArchivePage
 	lowerBound string
 	usedAt     time.Duration
-	// corrupt is true if the page can't be decoded: the archived state of its jobs is unknown.
+	// corrupt is true if the page can't be decoded, so that the state of its jobs is unknown.
 	corrupt bool
 }
 
@@ -169,7 +172,7 @@
 	if !a.readLimiter.AllowN(a.context.Now.LimiterTime(), 1) {
 		return
 	}
-	a.readInFlight = &readRequest{jobID: id, committedMoves: a.moves.committed}
+	a.readInFlight = &readRequest{jobID: id, committedMoves: a.moves.committedMoves}
 	call := storage.StateCall{Op: storage.StateList, Key: storage.ArchivePrefix, StartAfter: storage.ArchivePrefix + id, Limit: 1}
 	a.calls.Send(call, a.handlePage)
 }
@@ -178,8 +181,8 @@
 func (a *Archive) handlePage(result storage.StateResult) {
 	read := a.readInFlight
 	a.readInFlight = nil
-	if read == nil || read.committedMoves != a.moves.committed {
-		return // the page may have been read before a move changed it
+	if read == nil || read.committedMoves != a.moves.committedMoves {
+		return // a move that was committed after the read was sent may have changed the page
 	}
 	if result.Outcome != rpc.OK || len(result.List.Entries) == 0 {
 		a.readRetryAt = a.context.Monotonic() + a.timing.StateRetry
@@ -213,8 +216,9 @@
 	}
 }
 
-// replaceCached caches a page that was written. The earlier copy is dropped first instead of
-// extending the new page's range, because the write may have split the page.
+// replaceCached caches a page that was written. It removes the earlier copy first, because
+// cachePage would extend the new page's range to that of the copy, and the write may have split
+// the page.
 func (a *Archive) replaceCached(p *cachedPage) {
 	a.cache = slices.DeleteFunc(a.cache, func(earlier *cachedPage) bool { return earlier.UpperBound == p.UpperBound })
 	a.cachePage(p)
--- a/internal/archive/lookup.go
+++ b/internal/archive/lookup.go
@@ -16,8 +16,8 @@
 	request     message.UserRequest
 	userWaiting bool // false once the request has been refused
 	refuseAt    time.Duration
-	expiresAt   time.Duration // removal of the lookup if the user does not retry
-	unresolved  []string      // jobs of which it is not known yet whether the archive holds them
+	expiresAt   time.Duration // time at which the lookup is removed unless the user has retried
+	unresolved  []string      // jobs whose archive pages haven't been read yet
 	results     LookupResults
 }
 
@@ -29,7 +29,7 @@
 	readTimedOut   = "the ended jobs can't be read in time"
 )
 
-// retentionLeases is how long the lookup of a submission is kept, in worker leases.
+// retentionLeases is how long the lookup of a submission is kept, as a multiple of the worker lease.
 const retentionLeases = 2
 
 // findCached looks jobs up in the cached pages and adds their records to results. It returns the
@@ -102,8 +102,8 @@
 	}
 }
 
-// lookupTimeout is how long a request may wait for the archive: half of the user's timeout, the
-// same as for a commit.
+// lookupTimeout returns how long a request may wait for the archive: half of the user's timeout,
+// which leaves enough time for the network round trip.
 func lookupTimeout(kind message.UserRequestKind) time.Duration {
 	if kind == message.Poll {
 		return config.Seconds(protocol.PollTimeoutS / 2.0)
@@ -132,7 +132,7 @@
 
 // admit reports whether one more lookup may be queued. Polls are limited to a share of the queue,
 // so that polls of jobs that were never submitted can't block submissions and cancellations. If
-// too many polls are queued, one poll picked at random among them and the new one is refused, so
+// that share is used up, admit refuses either the new poll or a queued one, chosen at random, so
 // that a user who keeps polling isn't refused every time.
 func (a *Archive) admit(kind message.UserRequestKind) bool {
 	limit := max(minPendingLookupLimit, int(a.limits.RPS*pendingLookupsPerRPS))
@@ -157,8 +157,8 @@
 	return true
 }
 
-// nextJobToRead returns a job whose page a lookup waits for. Submissions and cancellations come
-// before polls.
+// nextJobToRead returns a job whose page a lookup waits for, or "" if there is none. Submissions
+// and cancellations come before polls.
 func (a *Archive) nextJobToRead() string {
 	var next *lookup
 	for _, x := range a.pendingLookups {
@@ -172,8 +172,9 @@
 	return next.unresolved[0]
 }
 
-// answerLookups answers the lookups whose pages have all been read. It answers only while the
-// lease is held, because the pages were read in this term.
+// answerLookups answers the lookups whose pages have all been read, and refuses those with a corrupt
+// page. It answers only while the lease is held, because another leader may have changed the
+// pages since.
 func (a *Archive) answerLookups() {
 	for _, x := range slices.Clone(a.pendingLookups) {
 		var corrupt bool
@@ -191,8 +192,8 @@
 	}
 }
 
-// refuseTimedOut refuses lookups whose timeout has passed, and all lookups while the lease may
-// have expired.
+// refuseTimedOut refuses lookups whose timeout has passed, or all lookups if the lease may have
+// expired. It removes the lookups of submissions that the user has not retried in time.
 func (a *Archive) refuseTimedOut() {
 	now := a.context.Monotonic()
 	for _, x := range slices.Clone(a.pendingLookups) {
--- a/internal/archive/move.go
+++ b/internal/archive/move.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	// minChangesPerMove is the smallest transaction limit that allows a move: one page of the
-	// record store and two archive pages, because adding to a page may split it.
+	// minChangesPerMove is the minimum number of changes per transaction (txn_ops) that allows a
+	// move: one page of the record store and two archive pages, because adding records to a page
+	// may split it.
 	minChangesPerMove = 3
-	// urgentBacklogFactor is the backlog, as a multiple of the number of ended jobs that may stay
-	// outside the archive, above which moves no longer wait for an idle write budget.
+	// urgentBacklogFactor is the multiple of MaxEndedJobs above which ended jobs are moved even if
+	// the store isn't idle.
 	urgentBacklogFactor = 2
 )
 
-// moveState is the state of moving ended jobs into the archive. One transaction is in flight at a
-// time. Moves use the spare write budget, and begin only after all peers have confirmed that they
-// read the archive.
+// moveState is the state of moving ended jobs into the archive. At most one move is in flight.
+// Moves use the spare write budget, and begin only after all peers have confirmed that they read
+// the archive.
 type moveState struct {
 	moving         map[string]bool // IDs of the jobs whose move is in flight
-	committed      int
-	retryAt        time.Duration // earliest time of the next move; doesn't delay reads for users
+	committedMoves int
+	retryAt        time.Duration // earliest time of the next move
 	sourcePage     int           // page of the record store to examine next
-	deleteEmptyAt  time.Duration // time of the next deletion of empty pages
+	deleteEmptyAt  time.Duration // earliest time of the next deletion of empty pages
 	peers          []string
 	archiveReaders map[string]bool // peers that have confirmed that they read the archive
 	nextProbeAt    time.Duration   // time at which the remaining peers are asked next
@@ -47,8 +48,8 @@
 	maxPages int
 }
 
-// move moves ended jobs into the archive, off the pages of the record store that a new leader has
-// to load.
+// move moves ended jobs from the pages of the record store, all of which a new leader has to load,
+// to the archive. If an archive page that it needs isn't cached, it only reads that page.
 func (a *Archive) move() {
 	if !a.shouldMove() || !a.allPeersReadArchive() || a.readInFlight != nil {
 		return
@@ -62,8 +63,8 @@
 	for _, e := range ended {
 		p := a.targetPage(e.ID)
 		if p == nil {
-			// At most half of the cache is used for a move, so that reading its other pages
-			// doesn't evict the first ones.
+			// A move uses at most half of the cache, so that reading one of its pages doesn't
+			// evict another one.
 			if len(batch.records) < batch.maxPages && len(batch.records) < a.timing.Archive.MaxCachedPages/2 {
 				a.readPage(e.ID)
 				return
@@ -95,7 +96,7 @@
 }
 
 // allPeersReadArchive reports whether every peer has confirmed that it reads the archive. It asks
-// the peers that haven't.
+// the others, once per probe interval.
 func (a *Archive) allPeersReadArchive() bool {
 	now := a.context.Monotonic()
 	all, asks := true, now >= a.moves.nextProbeAt
@@ -156,7 +157,7 @@
 type plannedMove struct {
 	pages       []*storage.ArchivePage
 	lowerBounds map[string]string // lower bounds of the pages, by their upper bounds
-	moved       map[string]bool
+	moved       map[string]bool   // IDs of the jobs
 }
 
 // planMove merges the jobs of a batch into their archive pages and splits pages that become too
@@ -213,17 +214,17 @@
 	a.callbacks.SendWrite(w)
 }
 
-// postpone skips the current page of the record store until its next turn: its jobs can't be
-// moved now, and need not be examined again in the next step.
+// postpone delays the next move and continues with the next page of the record store, because the
+// jobs of the current page can't be moved now.
 func (a *Archive) postpone() {
 	a.moves.retryAt = a.context.Monotonic() + a.timing.StateRetry
 	a.skipSourcePage()
 }
 
-// moveCommitted handles a durable move: from now on the jobs are looked up in the archive.
+// moveCommitted handles a committed move: from now on the jobs are looked up in the archive.
 func (a *Archive) moveCommitted(planned plannedMove, version int64) {
 	a.nonEmpty = true
-	a.moves.committed++
+	a.moves.committedMoves++
 	a.moves.moving = map[string]bool{}
 	for id := range planned.moved {
 		e := a.state.EndedJobs[id]
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -65,7 +65,7 @@
 	problems = append(problems, findDuplicates("settings.teams", c.Settings.Teams, func(t Team) string { return t.Name })...)
 	problems = append(problems, findDuplicates("others", c.Peers, func(p Peer) string { return p.Name })...)
 	if len(problems) == 0 { // the connection limits are only meaningful if all fields are valid
-		if err := c.Settings.checkSockets(); err != nil {
+		if err := c.Settings.checkMaxConnections(); err != nil {
 			problems = append(problems, err)
 		}
 	}
--- a/internal/config/sockets.go
+++ b/internal/config/connections.go
@@ -4,9 +4,10 @@
 
 // Maximum number of connections that a process uses for purposes other than users and workers.
 const (
-	// StateConnections and StateRenewalConnections are for requests to the state service and for
-	// lease renewals there.
-	StateConnections        = 6
+	// StateConnections are for requests to the state service, except for lease renewals and
+	// revocations.
+	StateConnections = 6
+	// StateRenewalConnections are for lease renewals and revocations.
 	StateRenewalConnections = 4
 	// ArchiveReadConnections are for reading ended jobs from the archive.
 	ArchiveReadConnections = 1
@@ -30,18 +31,19 @@
 	maxCommandDivisor = 4
 )
 
-// ConnectionLimits is the division of max_connections by purpose.
+// ConnectionLimits holds the parts of max_connections that the API server and direct commands to
+// workers may use.
 type ConnectionLimits struct {
-	API      int // connections to the API server: workers, users and health checks
+	API         int // connections to the API server: workers, users and health checks
 	MinCommands int // minimum number of connections for direct commands to workers
-	shared   int // sum of both
+	shared      int // sum of both
 }
 
-// ConnectionLimits divides max_connections. Connections that workers, users and health checks open take
-// precedence over direct commands.
+// ConnectionLimits divides max_connections. Connections that workers, users and health checks open
+// take precedence over direct commands.
 func (s *Settings) ConnectionLimits() ConnectionLimits {
 	const megabyte = 1 << 20
-	shared := min(s.Limits.MaxConnections-s.reservedSockets(), int(s.Limits.MemoryMB/2*megabyte/maxConnectionBytes))
+	shared := min(s.Limits.MaxConnections-s.reservedConnections(), int(s.Limits.MemoryMB/2*megabyte/maxConnectionBytes))
 	commands := max(1, shared/minCommandDivisor)
 	return ConnectionLimits{API: shared - commands, MinCommands: commands, shared: shared}
 }
@@ -49,20 +51,20 @@
 // CommandLimit returns how many connections direct commands may use while the API server has the
 // given number of open connections: the remaining ones, but at most a quarter of all shared
 // connections.
-func (s ConnectionLimits) CommandLimit(openAPI int) int {
-	return max(s.MinCommands, min(s.shared/maxCommandDivisor, s.shared-openAPI))
+func (l ConnectionLimits) CommandLimit(openAPI int) int {
+	return max(l.MinCommands, min(l.shared/maxCommandDivisor, l.shared-openAPI))
 }
 
-// reservedSockets returns the number of connections reserved for purposes other than users and
+// reservedConnections returns the number of connections reserved for purposes other than users and
 // workers.
-func (s *Settings) reservedSockets() int {
+func (s *Settings) reservedConnections() int {
 	return StateConnections + StateRenewalConnections + ArchiveReadConnections + CloudConnections +
 		connectionsPerPeer*(s.Size-1) + spareConnections + s.ExtensionConnections
 }
 
-// checkSockets returns an error if max_connections is too small for the process to work.
-func (s *Settings) checkSockets() error {
-	needed := s.reservedSockets() + minSharedConnections
+// checkMaxConnections returns an error if max_connections is too small for the process to work.
+func (s *Settings) checkMaxConnections() error {
+	needed := s.reservedConnections() + minSharedConnections
 	if s.Limits.MaxConnections >= needed {
 		return nil
 	}
--- a/internal/config/extensions.go
+++ b/internal/config/extensions.go
@@ -17,10 +17,11 @@
 type Distribution struct {
 	// Port is the listener's port; its host is that of cluster_listen.
 	Port int `toml:"port" validate:"gte=1,lte=65535"`
-	// StoreSlots is the maximum number of agents that fetch from the store concurrently.
+	// StoreSlots is the number of upload slots of the store: the maximum number of agents that
+	// fetch from it concurrently.
 	StoreSlots int `toml:"store_slots" validate:"gte=1,lte=1024"`
-	// Connections is the listener's connection limit; 0 means a quarter of max_connections. It
-	// reduces the connections available to users and workers.
+	// Connections is the listener's connection limit; 0 means a quarter of max_connections. These
+	// connections are part of max_connections and are not available to users and workers.
 	Connections int `toml:"connections" validate:"gte=0,lte=1000000"`
 	// InventoryIntervalS and IdleInventoryIntervalS are the times between the inventories that an
 	// agent sends while it fetches and while it doesn't. 0 means half of and twice the workers'
@@ -29,15 +30,15 @@
 	IdleInventoryIntervalS float64 `toml:"idle_report_s" validate:"gte=0,lte=3600"`
 }
 
-// Defaults of Distribution, relative to the settings.
+// Defaults of Distribution. The intervals are in heartbeat intervals of the workers.
 const (
-	maxConnectionsPerTrackerConnection = 4
-	inventoryPerHeartbeatInterval      = 0.5
-	idleInventoryPerHeartbeatInterval  = 2
+	trackerConnectionsDivisor       = 4 // max_connections / Connections
+	inventoryIntervalHeartbeats     = 0.5
+	idleInventoryIntervalHeartbeats = 2
 )
 
 // LoadExtensions reads and validates an extensions file, sets defaults, and sets
-// ExtensionSockets in the settings of cfg. The error joins one *FieldError per invalid key.
+// ExtensionConnections in the settings of cfg. The error joins one *FieldError per invalid key.
 func LoadExtensions(path string, cfg *Config) (Extensions, error) {
 	var e Extensions
 	if err := LoadTOML(path, &e); err != nil {
@@ -53,13 +54,13 @@
 
 func (d *Distribution) setDefaults(s *Settings) {
 	if d.Connections == 0 {
-		d.Connections = s.Limits.MaxConnections / maxConnectionsPerTrackerConnection
+		d.Connections = s.Limits.MaxConnections / trackerConnectionsDivisor
 	}
 	if d.InventoryIntervalS == 0 {
-		d.InventoryIntervalS = s.Workers.HeartbeatIntervalS * inventoryPerHeartbeatInterval
+		d.InventoryIntervalS = s.Workers.HeartbeatIntervalS * inventoryIntervalHeartbeats
 	}
 	if d.IdleInventoryIntervalS == 0 {
-		d.IdleInventoryIntervalS = s.Workers.HeartbeatIntervalS * idleInventoryPerHeartbeatInterval
+		d.IdleInventoryIntervalS = s.Workers.HeartbeatIntervalS * idleInventoryIntervalHeartbeats
 	}
 }
 
@@ -75,7 +76,7 @@
 	if _, port, err := net.SplitHostPort(cfg.PeerListen); err != nil || port == strconv.Itoa(d.Port) {
 		report("port", fmt.Errorf("%d is the port of cluster_listen", d.Port))
 	}
-	if err := cfg.Settings.checkSockets(); err != nil {
+	if err := cfg.Settings.checkMaxConnections(); err != nil {
 		report("connections", err)
 	}
 	return errors.Join(problems...)
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -22,15 +22,16 @@
 // Unwrap returns the reason why the field is invalid.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// Reasons in a FieldError.
+// Errors in FieldError.Err.
 var (
 	errOutOfRange = errors.New("missing or out of range")
 	errUnknownKey = errors.New("unknown key")
 	errDuplicate  = errors.New("named twice")
 )
 
-// checkFields validates a struct, given by a pointer, by its validate tags. nameTag is the tag
-// that holds the fields' names in the file. Each returned error is about one field.
+// checkFields validates the struct that value points to by its validate tags and returns an error
+// for each invalid field. nameTag is the tag that holds the fields' names in the file.
+
 func checkFields(file, nameTag string, value any) (problems []error) {
 	err := NewValidator(nameTag).Struct(value)
 	var failures validator.ValidationErrors
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Team is a team with its quota: guaranteed CPUs and GPUs, and a limit for each. 0 means no
-// guarantee and no limit, respectively.
+// Team is a team with its quota: guaranteed CPUs and GPUs, and a limit for each. A guarantee or
+// limit of 0 means that there is none.
 type Team struct {
 	Name           string  `json:"name" validate:"required"`
 	GuaranteedCPUs float64 `json:"cpus" validate:"gte=0,lte=1e9"`
@@ -32,7 +32,7 @@
 	CancelWithinS      float64 `json:"cancel_s" validate:"gt=0,lte=86400,gtfield=LeaseS"`
 }
 
-// StateLimits holds the limits of the state service.
+// StateLimits holds the limits of the state service, and those announced for a later time.
 type StateLimits struct {
 	RPS      float64 `json:"rps" validate:"gte=1,lte=1e6"`
 	WriteRPS float64 `json:"write_rps" validate:"gte=1,lte=1e6"`
@@ -51,8 +51,8 @@
 	TxnOps   *int     `json:"txn_ops" validate:"omitempty,gte=1,lte=10000"`
 }
 
-// Smallest returns limits that hold both before and after an announced change: the smaller of
-// the current and the announced value of each.
+// Smallest returns limits that hold both before and after the announced change: the smaller of
+// the current and the announced value of each limit.
 func (s StateLimits) Smallest() StateLimits {
 	if s.Next == nil {
 		return s
@@ -91,13 +91,13 @@
 	Teams        []Team      `json:"teams" validate:"required,min=1,dive"`
 	Objectives   []Objective `json:"objectives" validate:"dive"`
 	Workers      Workers     `json:"workers"`
-	State        StateLimits       `json:"state"`
+	State        StateLimits `json:"state"`
 	Cloud        Cloud       `json:"cloud"`
 	Limits       Limits      `json:"limits"`
 	ClockErrorMs float64     `json:"clock_error_ms" validate:"gte=0,lte=3600000"`
 
-	// ExtensionConnections is the number of connections that extensions use. It isn't part of the
-	// settings file: LoadExtensions sets it.
+	// ExtensionConnections is the maximum number of connections that extensions use. It isn't part
+	// of the settings file: LoadExtensions sets it.
 	ExtensionConnections int `json:"-"`
 }
 
--- a/internal/daemon/controller_pair_test.go
+++ b/internal/daemon/controller_pair_test.go
@@ -22,7 +22,7 @@
 // controllerPair runs two complete controllers on loopback addresses; the first one leads.
 type controllerPair struct {
 	apiAddresses, peerAddresses []string
-	state                       *stateService
+	state                       *fakeStateService
 	cancels                     []context.CancelFunc // by controller; each stops one
 }
 
@@ -37,7 +37,7 @@
 	p := &controllerPair{
 		apiAddresses:  []string{freeAddress(t), freeAddress(t)},
 		peerAddresses: []string{freeAddress(t), freeAddress(t)},
-		state:         &stateService{keys: map[string]protocol.Entry{}},
+		state:         &fakeStateService{keys: map[string]protocol.Entry{}},
 	}
 	state, cloud := startHTTPServer(t, p.state), startHTTPServer(t, http.HandlerFunc(emptyCloud))
 	var controllers sync.WaitGroup
--- a/internal/daemon/event_loop.go
+++ b/internal/daemon/event_loop.go
@@ -53,10 +53,10 @@
 	event    message.Event
 	raw      transport.RawRequest
 	reply    chan message.Reply // has room for one reply, so that sending never blocks
-	deadline time.Time          // when Handle stops waiting and refuses the request; zero: no deadline
+	deadline time.Time          // when Handle stops waiting and refuses the request; zero if there is none
 }
 
-// expired tells whether an event is a poll that Handle has already refused: answering it would
+// expired reports whether an event is a poll that Handle has already refused: answering it would
 // only delay other requests. Requests that change something are always processed.
 func (e *queuedEvent) expired(now time.Time) bool {
 	request, ok := e.event.(message.UserRequest)
@@ -77,7 +77,7 @@
 	return reply
 }
 
-// Healthy tells whether the node can serve requests. Any goroutine may call it.
+// Healthy reports whether the node can serve requests. Any goroutine may call it.
 func (l *eventLoop) Healthy() bool { return l.healthy.Load() }
 
 // run steps the controller until the process's context ends.
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -18,10 +18,11 @@
 
 // process holds the values that all parts of a controller process share. It is immutable.
 type process struct {
-	config     *config.Config
-	log        *slog.Logger
-	identity   identity
-	startedAt  time.Time       // start of the monotonic clock
+	config    *config.Config
+	log       *slog.Logger
+	identity  identity
+	startedAt time.Time // zero point of the monotonic clock
+
 	goroutines *errgroup.Group // all goroutines of the process
 	ctx        context.Context // ends when the process has to stop
 }
@@ -33,7 +34,7 @@
 	return config.Seconds(p.config.Settings.Workers.HeartbeatIntervalS)
 }
 
-// pastDeadline tells whether a deadline on the monotonic clock has passed. A deadline of 0 never
+// pastDeadline reports whether a deadline on the monotonic clock has passed. A deadline of 0 never
 // passes.
 func (p *process) pastDeadline(deadline time.Duration) bool {
 	return deadline > 0 && p.uptime() >= deadline
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -26,8 +26,9 @@
 	peerIdleHeartbeatIntervals = 40
 )
 
-// Run runs a controller until the context ends, which is not an error, or until an essential part
-// of the process fails. It returns once all goroutines of the process have ended.
+// Run runs a controller until the context ends or an essential part of the process fails. It
+// returns nil in the first case and the error in the second, once all goroutines of the process
+// have ended.
 func Run(ctx context.Context, cfg *config.Config, extensions config.Extensions, log *slog.Logger) error {
 	tuneRuntime(cfg.Settings.Limits)
 	listeners, err := listen(ctx, cfg)
@@ -63,7 +64,7 @@
 	peers net.Listener // peers and operators
 }
 
-// listen opens the listeners. Its errors begin with the name of the setting that has the address.
+// listen opens the listeners. Its errors begin with the settings key that holds the address.
 func listen(ctx context.Context, cfg *config.Config) (*listeners, error) {
 	var listenConfig net.ListenConfig
 	api, err := listenConfig.Listen(ctx, "tcp4", cfg.APIListen)
@@ -90,7 +91,7 @@
 	loop       *eventLoop
 	apiServer  *transport.APIServer
 	peerServer *transport.PeerServer
-	tracker    *trackerService // nil: disabled
+	tracker    *trackerService // nil if the tracker is disabled
 }
 
 // newDaemon creates the parts. It opens the tracker's listener, but starts no goroutine.
@@ -100,10 +101,10 @@
 	d := &daemon{process: p, loop: newEventLoop(p, clients)}
 	limit := transport.NewConcurrencyLimit(settings.Limits.MaxConnections/4, p.heartbeatInterval(),
 		func() { d.loop.metrics.shed.Add(1) })
-	sockets := settings.ConnectionLimits()
-	d.apiServer = transport.NewAPIServer(d.loop, limit, sockets.API, config.Seconds(settings.Workers.LeaseS))
+	connectionLimits := settings.ConnectionLimits()
+	d.apiServer = transport.NewAPIServer(d.loop, limit, connectionLimits.API, config.Seconds(settings.Workers.LeaseS))
 	clients.workers = transport.NewWorkerClient(settings.Workers,
-		func() int { return sockets.CommandLimit(d.apiServer.OpenConnections()) })
+		func() int { return connectionLimits.CommandLimit(d.apiServer.OpenConnections()) })
 	mounted := map[string]http.Handler{protocol.PathAdmin: newAdminHandler(d.loop, limit)}
 	if extensions.Distribution != nil {
 		var err error
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// jobStatus decodes the status of a job from a response; empty: the response has none.
+// jobStatus decodes the status of a job from a response. It is empty if the response has none.
 func jobStatus(body string) string {
 	var response protocol.JobResponse
 	if protocol.Decode([]byte(body), &response) != nil {
--- a/internal/daemon/state_service_test.go
+++ b/internal/daemon/state_service_test.go
@@ -11,22 +11,22 @@
 	"oakpick/internal/protocol"
 )
 
-// stateService is an in-memory state service over HTTP. Its leases never expire by themselves.
-type stateService struct {
+// fakeStateService is an in-memory state service over HTTP. Its leases never expire by themselves.
+type fakeStateService struct {
 	mu       sync.Mutex
 	keys     map[string]protocol.Entry
 	revision int64
 }
 
 // deleteKey deletes a key, as if its lease had expired.
-func (s *stateService) deleteKey(key string) {
+func (s *fakeStateService) deleteKey(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.keys, key)
 	s.revision++
 }
 
-func (s *stateService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeStateService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	status, response := s.answer(r)
@@ -35,7 +35,7 @@
 }
 
 // answer executes a request. The caller holds s.mu.
-func (s *stateService) answer(r *http.Request) (status int, response any) {
+func (s *fakeStateService) answer(r *http.Request) (status int, response any) {
 	path := r.URL.Path
 	switch {
 	case path == protocol.PathLeases, strings.HasPrefix(path, protocol.PathLeases+"/"):
@@ -58,7 +58,7 @@
 	return http.StatusNotFound, protocol.TxnResponse{}
 }
 
-func (s *stateService) list(prefix string) protocol.EntryList {
+func (s *fakeStateService) list(prefix string) protocol.EntryList {
 	list := protocol.EntryList{Revision: s.revision, Entries: []protocol.Entry{}}
 	for key, entry := range s.keys {
 		if strings.HasPrefix(key, prefix) {
@@ -69,7 +69,7 @@
 }
 
 // commit applies a transaction if its conditions hold. Deletions aren't supported.
-func (s *stateService) commit(body []byte) (status int, response protocol.TxnResponse) {
+func (s *fakeStateService) commit(body []byte) (status int, response protocol.TxnResponse) {
 	var txn struct {
 		If   []protocol.Condition `msgpack:"if"`
 		Then []struct {
--- a/internal/daemon/tracker_loop.go
+++ b/internal/daemon/tracker_loop.go
@@ -29,7 +29,8 @@
 	queue      chan trackerEvent
 	leadership atomic.Pointer[election.View]
 	metrics    *trackerMetrics
-	timeout    time.Duration // of a request
+	// inventoryInterval is also the timeout of a request and the delay of its retry.
+	inventoryInterval time.Duration
 
 	// The fields below are used only by the goroutine of run.
 
@@ -50,7 +51,7 @@
 	cfg := p.config
 	interval := config.Seconds(settings.InventoryIntervalS)
 	l := &trackerLoop{
-		process: p, clients: clients, timeout: interval, metrics: newTrackerMetrics(),
+		process: p, clients: clients, inventoryInterval: interval, metrics: newTrackerMetrics(),
 		queue: make(chan trackerEvent, trackerQueueCapacity), pending: newPendingRequests[trackerEvent](),
 		tracker: tracker.New(tracker.Parameters{
 			ReportInterval: interval, IdleReportInterval: config.Seconds(settings.IdleInventoryIntervalS),
@@ -74,16 +75,16 @@
 // submit passes a command to the tracker and waits for the reply. Any goroutine may call it.
 func (l *trackerLoop) submit(newCommand commandFunc, request trackerRequest) message.Reply {
 	event := trackerEvent{newCommand: newCommand, request: request, reply: make(chan message.Reply, 1)}
-	reply, err := submit(l.queue, event, event.reply, l.timeout)
+	reply, err := submit(l.queue, event, event.reply, l.inventoryInterval)
 	if err != nil {
-		return trackerUnavailable(err.Error(), l.timeout)
+		return trackerUnavailable(err.Error(), l.inventoryInterval)
 	}
 	return reply
 }
 
 // run steps the tracker until the process's context ends.
 func (l *trackerLoop) run() {
-	ticker := time.NewTicker(l.timeout / ticksPerInventory)
+	ticker := time.NewTicker(l.inventoryInterval / ticksPerInventory)
 	defer ticker.Stop()
 	for {
 		commands := make([]tracker.Command, 0, maxTrackerBatch)
@@ -159,7 +160,7 @@
 		return
 	}
 	if event.request.fromPeer {
-		event.reply <- trackerUnavailable("not the leader", l.timeout) // forwarding it again could create a loop
+		event.reply <- trackerUnavailable("not the leader", l.inventoryInterval) // forwarding it again could create a loop
 		return
 	}
 	l.process.goroutines.Go(func() error { event.reply <- l.forwardTo(forward.Peer, event.request); return nil })
@@ -167,7 +168,7 @@
 
 // forwardTo sends a request to the leader and waits for the reply.
 func (l *trackerLoop) forwardTo(peer string, request trackerRequest) message.Reply {
-	ctx, cancel := context.WithTimeout(l.process.ctx, l.timeout)
+	ctx, cancel := context.WithTimeout(l.process.ctx, l.inventoryInterval)
 	defer cancel()
 	path := request.path
 	if request.query != "" {
@@ -175,12 +176,12 @@
 	}
 	reply, err := l.clients.peers.Forward(ctx, peer, request.method, path, request.body)
 	if err != nil {
-		return trackerUnavailable("the leader can't be reached", l.timeout)
+		return trackerUnavailable("the leader can't be reached", l.inventoryInterval)
 	}
 	if !json.Valid(reply.Body) {
 		// A leader without a tracker, because it runs another version or has the tracker
 		// disabled, doesn't answer in JSON.
-		return trackerUnavailable("the leader does not track weights", l.timeout)
+		return trackerUnavailable("the leader does not track weights", l.inventoryInterval)
 	}
 	return reply
 }
--- a/internal/daemon/tracker_requests.go
+++ b/internal/daemon/tracker_requests.go
@@ -40,7 +40,7 @@
 	case request.path == distribution.PathWeights && request.method == http.MethodGet:
 		newCommand, err = parseNames(request.query)
 	case named && request.method == http.MethodPut:
-		newCommand, err = parseUse(name, request.body)
+		newCommand, err = parseSetManifest(name, request.body)
 	case known:
 		return nil, trackerError(http.StatusMethodNotAllowed, "method: not for this path", 0)
 	default:
@@ -83,7 +83,8 @@
 	return func(id uint64) tracker.Command { return tracker.NamesCall{ID: id, After: after} }, nil
 }
 
-// parseAfter returns the entry after which a page of a list begins; empty: the first page.
+// parseAfter returns the entry after which the requested page of a list begins. It is empty for
+// the first page.
 func parseAfter(query string) (string, error) {
 	values, err := url.ParseQuery(query)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return values.Get("after"), nil
 }
 
-func parseUse(name string, body []byte) (commandFunc, error) {
+func parseSetManifest(name string, body []byte) (commandFunc, error) {
 	var use distribution.SetManifestRequest
 	if err := distribution.Decode(body, &use); err != nil {
 		return nil, err
--- a/internal/daemon/tracker_service.go
+++ b/internal/daemon/tracker_service.go
@@ -54,7 +54,7 @@
 	loop := newTrackerLoop(p, clients, settings)
 	s := &trackerService{
 		loop: loop, listener: listener, keepAliveLimit: int(keepAliveShare * float64(settings.Connections)),
-		limit: transport.NewConcurrencyLimit(settings.Connections/4, loop.timeout, func() { loop.metrics.shed.Inc() }),
+		limit: transport.NewConcurrencyLimit(settings.Connections/4, loop.inventoryInterval, func() { loop.metrics.shed.Inc() }),
 	}
 	s.server = s.newServer(settings)
 	return s, nil
--- a/internal/daemon/tracker_test.go
+++ b/internal/daemon/tracker_test.go
@@ -30,8 +30,8 @@
 	}}, address
 }
 
-// newControllersWithTrackers starts two controllers with trackers. It returns the trackers'
-// addresses, too.
+// newControllersWithTrackers starts two controllers with trackers. It also returns the trackers'
+// addresses.
 func newControllersWithTrackers(t *testing.T) (*controllerPair, []string) {
 	t.Helper()
 	first, firstAddress := trackerExtension(t)
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -50,7 +50,7 @@
 	return max(at, d.resumedAt)
 }
 
-// ResumedWithin tells whether the last pause ended less than span ago.
+// ResumedWithin reports whether the last pause ended less than span ago.
 func (d *Detector) ResumedWithin(now, span time.Duration) bool {
 	return d.totals.Count > 0 && now-d.resumedAt < span
 }
--- a/internal/protocol/commands.go
+++ b/internal/protocol/commands.go
@@ -52,13 +52,14 @@
 	}{fencingToken, wireCommands(commands)})
 }
 
-// wireRedirect is the wire format of a redirect to the leader's node; empty if no leader is known.
+// wireRedirect is the wire format of a redirect to the leader's node. Leader is empty if no leader
+// is known.
 type wireRedirect struct {
 	Leader string `msgpack:"foreman,omitempty"`
 }
 
-// EncodeRedirect returns the body of a 421 response that redirects a worker to the leader's
-// node; empty if no leader is known.
+// EncodeRedirect returns the body of a 421 response that redirects a worker to the leader's node.
+// The node is empty if no leader is known.
 func EncodeRedirect(node string) []byte { return Encode(wireRedirect{Leader: node}) }
 
 // EncodeCommands returns the body of a request that sends commands directly to an incarnation of
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,6 +1,7 @@
-// Package protocol defines the messages of every interface: their wire names, Go types and
-// validation. Wire names appear only in this package; the rest of the program uses the standard
-// terms of the field.
+// Package protocol defines the messages that controllers exchange with users, workers, the state
+// service, the cloud and each other: their wire names, Go types and validation. The rest of the
+// program uses the standard terms of the field instead of the wire names. The messages of the
+// weight tracker and of the administration API are defined elsewhere.
 //
 // Message bodies are msgpack maps. The table lists the wire names that don't explain themselves,
 // with their Go names; struct tags map one to the other.
@@ -42,7 +43,7 @@
 //	site                       Zone                           availability zone
 //	loaners, low_price         Spot, SpotPrice                spot capacity and its price
 //	hire                       RequestID                      idempotency key of a provisioning request
-//	rentals, rentals/return    PathScaleOut, PathScaleIn      paths that provision and release machines
+//	rentals, rentals/return    PathMachines, PathScaleIn      paths that list and provision, and release machines
 //	has_next                   More                           more pages follow
 //	path, write, drop          Key, Put, Delete               key of the state service; key to write, key to delete
 //	stamp                      Version                        version of a key
--- a/internal/protocol/enums.go
+++ b/internal/protocol/enums.go
@@ -45,7 +45,7 @@
 	"fetching": Fetching, "gathering": Waiting, "running": Running, "saving": Checkpointing, "ended": Exited,
 }
 
-// ExitCause is the reason for which a task exited or wasn't started.
+// ExitCause is the reason why a task exited or wasn't started.
 type ExitCause uint8
 
 // Exit causes.
--- a/internal/protocol/fields.go
+++ b/internal/protocol/fields.go
@@ -10,8 +10,8 @@
 	maxTypesPerSubmission = 16
 )
 
-// fieldReader reads required fields and keeps the error of the first invalid one. Errors name
-// fields by their wire names.
+// fieldReader reads fields and keeps the error of the first invalid one. Errors name fields by
+// their wire names.
 type fieldReader struct{ err error }
 
 func (f *fieldReader) fail(field, problem string) {
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -46,8 +46,8 @@
 	Spot            bool
 	Incarnation     int64
 	Sequence        int64
-	FencingToken    int64   // the highest that the worker has seen
-	InterruptionInS float64 // seconds until the spot machine is interrupted; negative: no notice
+	FencingToken    int64   // highest token that the worker has seen
+	InterruptionInS float64 // seconds until the spot machine is interrupted; negative if there is no notice
 	Tasks           []TaskStatus
 }
 
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -5,15 +5,16 @@
 type StepDownRequest struct {
 	Term   int64  `msgpack:"term"`
 	Leader string `msgpack:"leader"`
-	// QueriesArchiveSupport asks whether the peer supports looking up ended jobs in the archive.
+	// QueriesArchiveSupport asks whether the peer can look up ended jobs in the archive.
 	QueriesArchiveSupport bool `msgpack:"reads_archive,omitempty"`
 }
 
 // StepDownResponse reports whether the peer has stepped down from all terms before the request's.
 type StepDownResponse struct {
 	SteppedDown    bool  `msgpack:"released"`
-	LastLoadedTerm int64 `msgpack:"taken"` // last term whose records this process has loaded; 0: none
-	UptimeMs       int64 `msgpack:"up_ms"` // time since the process started
-	// ReadsArchive answers StepDownRequest.ReadsArchive. Earlier versions never set it.
+	LastLoadedTerm int64 `msgpack:"taken"` // last term whose records the peer's process has loaded; 0 if there is none
+	UptimeMs       int64 `msgpack:"up_ms"` // time since the peer's process started
+	// ReadsArchive reports whether the peer can look up ended jobs in the archive. It is set only if
+	// the request has QueriesArchiveSupport, and never by earlier versions.
 	ReadsArchive bool `msgpack:"reads_archive,omitempty"`
 }
--- a/internal/protocol/simulation_codec.go
+++ b/internal/protocol/simulation_codec.go
@@ -11,7 +11,7 @@
 // This file implements the other side of each interface for simulators and tests: it encodes and
 // decodes the messages that workers, users, the state service and the cloud send and receive.
 
-// nameOf returns the wire name of a value.
+// nameOf returns the wire name of a value, or "" if it has none.
 func nameOf[V comparable](names map[string]V, value V) string {
 	for w, v := range names {
 		if v == value {
@@ -94,7 +94,7 @@
 	return command, nil
 }
 
-// DecodeRedirect returns the node that a 421 response redirects a worker to; empty if it names none.
+// DecodeRedirect returns the node that a 421 response redirects a worker to, or "" if it names none.
 func DecodeRedirect(body []byte) string {
 	var redirect wireRedirect
 	if Decode(body, &redirect) != nil {
@@ -129,7 +129,7 @@
 	return Encode(wire)
 }
 
-// JobPath returns the path of a job, or with cancel the path that cancels it.
+// JobPath returns the path of a job or, if cancel is true, the path that cancels it.
 func JobPath(id string, cancel bool) string {
 	path := PathJobs + "/" + id
 	if cancel {
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -9,7 +9,7 @@
 	Key     string             `msgpack:"path"`
 	Value   msgpack.RawMessage `msgpack:"value"`
 	Version int64              `msgpack:"stamp"`  // revision of the last write to the key
-	Lease   int64              `msgpack:"permit"` // lease that the key is bound to; 0: none
+	Lease   int64              `msgpack:"permit"` // lease that the key is bound to; 0 if there is none
 }
 
 // EntryList is one page of the keys with a given prefix.
@@ -25,11 +25,11 @@
 	Version int64  `msgpack:"stamp"`
 }
 
-// Change writes or deletes a key.
+// Change writes the key Put or deletes the key Delete.
 type Change struct {
 	Put    string `msgpack:"write,omitempty"`
 	Value  any    `msgpack:"value,omitempty"`
-	Lease  int64  `msgpack:"permit,omitempty"` // lease that the key is bound to; 0: none
+	Lease  int64  `msgpack:"permit,omitempty"` // lease to bind the key to; 0 if there is none
 	Delete string `msgpack:"drop,omitempty"`
 }
 
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -27,15 +27,15 @@
 	MemoryGB            float64
 	Image               string
 	ImageGB             float64
-	Types               []string // allowed machine types; nil: any
-	Zone                string   // required zone; empty: any
+	Types               []string // allowed machine types; nil allows any type
+	Zone                string   // required zone; empty allows any zone
 	OneZone             bool     // run all tasks in the same zone
 	Spread              bool     // spread the tasks over the zones
 	Spot                bool     // tasks may run on spot machines
 	EstimatedRunS       float64  // estimated run time of one task
 	CheckpointIntervalS float64
 	CheckpointDurationS float64
-	DeadlineS           float64 // counted from the submission; 0: no deadline
+	DeadlineS           float64 // counted from the submission; 0 if there is no deadline
 	// Prerequisites are the jobs that have to be done before any task may start.
 	Prerequisites []string
 }
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -12,8 +12,8 @@
 type JobResponse struct {
 	ID      string `msgpack:"id"`
 	Status  string `msgpack:"status"`
-	Done    *int   `msgpack:"done,omitempty"`    // number of tasks done; nil: omitted
-	Running *int   `msgpack:"running,omitempty"` // number of tasks running; nil: omitted
+	Done    *int   `msgpack:"done,omitempty"`    // number of tasks done; omitted if nil
+	Running *int   `msgpack:"running,omitempty"` // number of tasks running; omitted if nil
 }
 
 // wireError is the wire format of an error response.
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -12,7 +12,7 @@
 type Policy struct {
 	InitialDelay time.Duration // after the first failure
 	MaxDelay     time.Duration // upper bound, before jitter
-	// Jitter is the fraction of a delay by which it may be longer or shorter.
+	// Jitter is the maximum deviation from the computed delay, as a fraction of it.
 	Jitter float64
 }
 
--- a/internal/rpc/outcome.go
+++ b/internal/rpc/outcome.go
@@ -27,7 +27,7 @@
 	Refused
 	// NotSent means that no connection was made, so nothing was executed.
 	NotSent
-	// Unknown means that the request may have been executed, or may still be.
+	// Unknown means that the request may have been executed, or may still be executed later.
 	Unknown
 )
 
--- a/internal/storage/archive_move.go
+++ b/internal/storage/archive_move.go
@@ -6,7 +6,7 @@
 	"oakpick/internal/protocol"
 )
 
-// archivePagesPerTxn is the number of archive pages of the maximum size that fit in one transaction.
+// archivePagesPerTxn is the number of archive pages of the maximum size that one request body holds.
 const archivePagesPerTxn = 8
 
 // MaxArchivePageSize returns the maximum size of an archive page in bytes. Several pages of
@@ -69,8 +69,8 @@
 
 // DeleteEmptyPages schedules the deletion of empty pages that may be deleted with the given
 // fencing token: pages that MoveToArchive emptied but could not delete, and empty pages left
-// from earlier terms. Each call schedules at most half the capacity of the write budget, so that
-// new records are not delayed by deletions.
+// from earlier terms. The deletions that one call schedules use at most half the capacity of the
+// write budget, so that they don't delay new records.
 func (s *Store) DeleteEmptyPages(now time.Duration, token int64) {
 	left := max(1, s.budget.capacity()/2)
 	for _, p := range s.pages {
--- a/internal/storage/archive_page.go
+++ b/internal/storage/archive_page.go
@@ -31,7 +31,7 @@
 	Terminal []TerminalRecord `msgpack:"f"`
 }
 
-// ArchivePage is an archive page as it was read or is to be written.
+// ArchivePage is an archive page that was read or is to be written.
 type ArchivePage struct {
 	UpperBound string // exclusive upper bound of the job IDs on the page
 	Version    int64  // revision of the last write; 0 if the page doesn't exist yet
@@ -92,9 +92,9 @@
 // transaction.
 func (p *ArchivePage) TransactionSize() int { return p.size() + changeOverhead }
 
-// Merge returns the pages that replace this page once more records are added: one page, or
-// several if it would exceed maxBytes. The last one has the bound and version of this page,
-// which is not changed. If a job has a record in both places, only one is kept.
+// Merge returns the pages that replace this page when records are added to it: one page, or
+// several if one would exceed maxBytes. The last of them has the bound and version of this page,
+// which is not modified. If a job has a record both on the page and in more, one of them is kept.
 func (p *ArchivePage) Merge(more []TerminalRecord, maxBytes int) []*ArchivePage {
 	all := slices.Concat(p.Terminal, more)
 	slices.SortFunc(all, func(a, b TerminalRecord) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/storage/commit_waiter.go
+++ b/internal/storage/commit_waiter.go
@@ -1,22 +1,21 @@
 package storage
 
-// CommitWaiter calls a function once all pages that it was registered for are committed. It
-// also sets the write priority of these pages. The function is not called if the term ends
-// before that.
+// CommitWaiter calls a function once all pages that it was registered for are committed, unless
+// the term ends before that. It also sets the write priority of these pages.
 type CommitWaiter struct {
-	pendingPages    int
-	onCommit        func()
-	maxDelayRetries int
+	pendingPages      int
+	onCommit          func()
+	maxDelayIntervals int
 }
 
 // Maximum write delay of a page by the priority of its waiter, in retry intervals, relative
 // to a page that a user's response waits for. Changes made to the page during the delay
 // share one write.
 const (
-	startDelayRetries          = 5
-	deferredDelayRetries       = 10
-	backgroundDelayRetries     = 100
-	lowestPriorityDelayRetries = 100_000
+	startDelayIntervals          = 5
+	deferredDelayIntervals       = 10
+	backgroundDelayIntervals     = 100
+	lowestPriorityDelayIntervals = 100_000
 )
 
 // OnCommit returns a waiter of the highest priority, for a commit that a user's response
@@ -28,25 +27,25 @@
 // latency objective for starts is seconds and that for users' responses is fractions of a
 // second, so responses have priority.
 func OnStartCommit(then func()) *CommitWaiter {
-	return &CommitWaiter{onCommit: then, maxDelayRetries: startDelayRetries}
+	return &CommitWaiter{onCommit: then, maxDelayIntervals: startDelayIntervals}
 }
 
 // OnDeferredCommit returns a waiter for a commit that no user and no task start depends on.
 func OnDeferredCommit(then func()) *CommitWaiter {
-	return &CommitWaiter{onCommit: then, maxDelayRetries: deferredDelayRetries}
+	return &CommitWaiter{onCommit: then, maxDelayIntervals: deferredDelayIntervals}
 }
 
 // OnBackgroundCommit returns a waiter for records that a new leader could derive from other
 // records. Until the delay has passed, they are written only with budget that other pages
 // leave unused.
 func OnBackgroundCommit(then func()) *CommitWaiter {
-	return &CommitWaiter{onCommit: then, maxDelayRetries: backgroundDelayRetries}
+	return &CommitWaiter{onCommit: then, maxDelayIntervals: backgroundDelayIntervals}
 }
 
 // OnLowestPriorityCommit returns a waiter for pages that are written only when no other
 // page is dirty, in the order in which they became dirty.
 func OnLowestPriorityCommit(then func()) *CommitWaiter {
-	return &CommitWaiter{onCommit: then, maxDelayRetries: lowestPriorityDelayRetries}
+	return &CommitWaiter{onCommit: then, maxDelayIntervals: lowestPriorityDelayIntervals}
 }
 
 // pageCommitted counts a committed page and calls the function after the last one.
--- a/internal/storage/page.go
+++ b/internal/storage/page.go
@@ -67,7 +67,7 @@
 
 func (p *page) key() string { return fmt.Sprintf("%s%06d", PagePrefix, p.number) }
 
-// condition returns the condition that the page was not written by anyone else.
+// condition returns the condition that the page still has the version known to the store.
 func (p *page) condition() protocol.Condition {
 	return protocol.Condition{Key: p.key(), Version: p.version}
 }
--- a/internal/storage/read.go
+++ b/internal/storage/read.go
@@ -12,8 +12,9 @@
 	Number  int
 	Version int64 // revision of the last write
 	Value   PageValue
-	// Stale reports that records were omitted from Value because another page has a newer
-	// copy of them or the terminal record of their job.
+	// Stale reports that records were removed from Value because another page has a newer copy of
+	// them or the terminal record of their job.
+
 	Stale bool
 }
 
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -2,8 +2,8 @@
 
 import "oakpick/internal/protocol"
 
-// The field _msgpack of a record tells the MessagePack library to encode the record as an
-// array. Nothing else reads it.
+// The field _msgpack of a record only tells the MessagePack library to encode the record as an
+// array.
 
 // StartRecord is a task that was started and may be running on a machine.
 type StartRecord struct {
@@ -13,7 +13,7 @@
 	Task        int
 	Attempt     int64
 	Machine     string
-	Incarnation int64 // incarnation of the machine's agent
+	Incarnation int64 // incarnation of the worker process on the machine
 }
 
 // JobRecord describes a job that has not reached a terminal state.
@@ -92,7 +92,8 @@
 	Starts      []StartRecord
 }
 
-// TerminalRecord is the only record that is kept of a job that is done or cancelled.
+// TerminalRecord is the record of a job that is done or cancelled. It replaces the job's other
+// records.
 type TerminalRecord struct {
 	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
@@ -102,7 +103,8 @@
 	Tasks     int
 }
 
-// ProvisioningRecord is a request for machines, kept until other sources report all of them.
+// ProvisioningRecord is a request for machines. It is kept until all of its machines are known
+// from another source.
 type ProvisioningRecord struct {
 	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
@@ -115,8 +117,8 @@
 	AtMs                  int64    // Unix time of the request
 }
 
-// JobExtension has recorded fields of a job that are not part of its JobRecord. Versions that
-// don't support it ignore it, and drop it when they write the page.
+// JobExtension holds the fields of a job that JobRecord doesn't have. Versions that don't support
+// it ignore it, and drop it when they write the page.
 type JobExtension struct {
 	//nolint:unused // read by the MessagePack library
 	_msgpack struct{} `msgpack:",as_array"`
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Limits are limits that satisfy the state service both now and after any announced change.
+// Limits are limits of the state service that hold both before and after any announced change.
 type Limits struct {
 	PageBytes     int     // maximum size of a page's value, in bytes of JSON
 	ChangesPerTxn int     // maximum number of keys that one transaction changes
-	KeysPerS    float64 // keys per second
+	KeysPerS      float64 // keys per second
 }
 
 // Store packs items into pages and decides when each page is written. A page is part of at
@@ -205,11 +205,11 @@
 
 // markPageDirty queues a page to be written, with the priority of its most urgent waiter.
 func (s *Store) markPageDirty(now time.Duration, p *page, waiter *CommitWaiter) {
-	delayRetries := deferredDelayRetries
+	delayIntervals := deferredDelayIntervals
 	if waiter != nil {
-		delayRetries = waiter.maxDelayRetries
+		delayIntervals = waiter.maxDelayIntervals
 	}
-	due := now + time.Duration(delayRetries)*s.inFlight.retryInterval
+	due := now + time.Duration(delayIntervals)*s.inFlight.retryInterval
 	if !p.dirty {
 		p.dirty, p.dirtySince, p.dueAt = true, now, due
 		s.dirty = append(s.dirty, p)
--- a/internal/storage/write.go
+++ b/internal/storage/write.go
@@ -16,8 +16,8 @@
 	ID string
 	// Txn is the request to send.
 	Txn protocol.Txn
-	// Rejected reports that the state service rejected the request as malformed. The caller sets
-	// and reads it.
+	// Rejected reports that the state service rejected the request as malformed. The Store neither
+	// sets nor reads it; its caller does.
 	Rejected bool
 	// Version is the revision of the commit; 0 until MarkCommitted is called.
 	Version int64
@@ -109,7 +109,7 @@
 		size := p.size()
 		if size > s.limits.PageBytes {
 			if len(w.pages) > 0 {
-				continue // it needs a transaction of its own, and comes first in the next one
+				continue // an oversized page needs a transaction of its own, and is the first page of the next one
 			}
 			if maxPages >= min(s.limits.ChangesPerTxn, s.budget.capacity()) {
 				s.split(p, w)
@@ -126,8 +126,8 @@
 	}
 }
 
-// buildTransaction builds the request. It is not modified afterwards: if the first attempt
-// arrives after a retry, it is the same transaction, or its conditions fail.
+// buildTransaction builds the request, which is not modified afterwards: every attempt to send it
+// is the same transaction, and once one attempt is committed, the conditions of the others fail.
 func (s *Store) buildTransaction(w *Write, term protocol.Condition) {
 	s.inFlight.add(w)
 	w.Txn.If = append(w.Txn.If, term)
@@ -172,8 +172,8 @@
 // because a state service that refuses requests above its rate must not receive more of them.
 func (s *Store) RetryLater(now time.Duration, w *Write) { s.inFlight.retryLater(now, w) }
 
-// StalledFor returns how long transactions have been failing (refused or without a
-// response) with no commit in between; 0 if none has failed since the last commit.
+// StalledFor returns the time since the first failure (a refusal or a missing response) after the
+// last commit; 0 if no transaction has failed since then.
 func (s *Store) StalledFor(now time.Duration) time.Duration {
 	if s.inFlight.stalledSince == nil {
 		return 0
@@ -181,7 +181,7 @@
 	return now - *s.inFlight.stalledSince
 }
 
-// HasWritesInFlight reports whether any transaction was built and is not committed yet.
+// HasWritesInFlight reports whether a transaction was built that is not committed yet.
 func (s *Store) HasWritesInFlight() bool { return len(s.inFlight.writes) > 0 }
 
 // Idle reports whether no page waits to be written and at least half of the write budget is
--- a/internal/storage/write_budget.go
+++ b/internal/storage/write_budget.go
@@ -26,13 +26,13 @@
 
 // setRate changes the rate with effect from the next call that passes the time.
 //
-// The limiter's SetLimit and SetBurst use the wall clock of the process, while the times passed
-// to the budget begin at zero when the process starts. Calling them would set the limiter's
+// It doesn't call the limiter's SetLimit and SetBurst, which use the wall clock, while the times
+// passed to the budget begin at zero when the process starts. These methods would set the limiter's
 // last update decades ahead: the change would fill the budget at once, and the budget would
 // then not fill again until a write is admitted.
 func (b *writeBudget) setRate(keysPerS float64) { b.nextRate = keysPerS }
 
-// applyRate puts a changed rate into force. Unused budget is kept, up to the new capacity.
+// applyRate applies the rate last passed to setRate. Unused budget is kept, up to the new capacity.
 func (b *writeBudget) applyRate(now time.Duration) {
 	if b.nextRate == 0 {
 		return
@@ -91,8 +91,8 @@
 // stallFactor is the multiple of the fill time after which the rate can't explain a wait.
 const stallFactor = 2
 
-// stalled reports whether a write was refused at this time and has been waiting for longer than
-// the rate explains. Without a refusal at this time, the write may be waiting for something else.
+// stalled reports whether a write was refused at the time now and has been waiting for longer than
+// the rate explains. Without a refusal at that time, the write may be waiting for something else.
 func (b *writeBudget) stalled(now time.Duration) bool {
 	if b.waitingSince == nil || b.lastRefusedAt != now {
 		return false
@@ -123,8 +123,8 @@
 	}
 }
 
-// WriteBudgetStalled reports whether the write budget refused a write at this time that has
-// been waiting for longer than its rate explains.
+// WriteBudgetStalled reports whether the write budget refused a write at the time now although the
+// write has been waiting for longer than the rate of the budget explains.
 func (s *Store) WriteBudgetStalled(now time.Duration) bool { return s.budget.stalled(now) }
 
 // limiterTime converts a monotonic time to a time for the limiter, which treats the zero time
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -65,7 +65,8 @@
 	req.SetRequestURI(uri)
 }
 
-// listQuery returns the query for the page of machines after startAfter; empty: the first page.
+// listQuery returns the query for the page of machines that follow startAfter, or for the first
+// page if startAfter is empty.
 func listQuery(startAfter string) string {
 	args := fasthttp.AcquireArgs()
 	defer fasthttp.ReleaseArgs(args)
--- a/internal/transport/concurrency_limit.go
+++ b/internal/transport/concurrency_limit.go
@@ -13,8 +13,8 @@
 
 // Parameters of the limit. Each divisor is the ratio given in its comment.
 const (
-	maxLimitFloor       = 8  // lowest allowed maximum limit
-	minLimitFloor       = 4  // lowest allowed minimum and initial limits
+	maxLimitFloor       = 8  // lower bound of the maximum limit
+	minLimitFloor       = 4  // lower bound of the minimum limit and of the initial limit
 	minLimitDivisor     = 16 // maximum limit / minimum limit
 	initialLimitDivisor = 4  // maximum limit / initial limit
 	minWindowDivisor    = 10 // longest measurement window / shortest window
@@ -58,8 +58,8 @@
 	return runPermitted(permit, answer)
 }
 
-// RunWithPriority answers a request with priority. If it can't be admitted at once, it waits for up
-// to maxWait and takes precedence over requests to Run.
+// RunWithPriority answers a request with priority. A request that can't be admitted at once waits
+// for up to maxWait and takes precedence over the requests passed to Run.
 func (l *ConcurrencyLimit) RunWithPriority(answer func() message.Reply) message.Reply {
 	// The HTTP server has no context that could end the wait before maxWait.
 	permit, err := l.limiter.AcquirePermitWithMaxWait(context.Background(), l.maxWait)
--- a/internal/transport/connection_pool.go
+++ b/internal/transport/connection_pool.go
@@ -10,15 +10,15 @@
 	"oakpick/internal/protocol"
 )
 
-// connectionPool bounds the number of connections to workers. An idle connection stays open until
-// its place is needed for another worker; the least recently used one is closed first.
+// connectionPool bounds the number of connections to workers. It keeps idle connections for reuse.
+// At the limit, it closes the least recently used one to connect to another worker.
 type connectionPool struct {
 	dial           fasthttp.DialFunc
-	idleTimeout    time.Duration // after which the HTTP library closes a connection
+	idleTimeout    time.Duration // idle time after which the HTTP library closes a connection
 	maxConnections func() int
 
 	mu         sync.Mutex
-	open       int        // idle and in use
+	open       int        // number of idle connections and connections in use
 	idle       *list.List // of *workerConnection, the least recently used first
 	idleByAddr map[string]*list.Element
 }
@@ -56,7 +56,7 @@
 	return &workerConnection{addr, client}
 }
 
-// removeIdle removes a connection from the idle ones. The caller holds p.mu.
+// removeIdle removes a connection from the idle connections. The caller holds p.mu.
 func (p *connectionPool) removeIdle(element *list.Element) *workerConnection {
 	connection := p.idle.Remove(element).(*workerConnection)
 	delete(p.idleByAddr, connection.addr)
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -55,7 +55,7 @@
 	return message.Reply{Status: response.status, Body: response.body, RetryAfterS: response.retryAfterS}, nil
 }
 
-// StepDown asks a peer to step down from older terms. If the peer doesn't answer, the
+// StepDown asks a peer to step down from older terms. If there is no valid response, the
 // StepDownResponse of the result is zero, and nothing is known about the peer.
 func (c *PeerClient) StepDown(ctx context.Context, call message.PeerCall) message.PeerResult {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -75,7 +75,7 @@
 // peerResponse is a peer's response, whose body has been read.
 type peerResponse struct {
 	status      int
-	retryAfterS int // 0: no Retry-After header
+	retryAfterS int // 0 if there is no valid Retry-After header
 	body        []byte
 }
 
@@ -94,6 +94,6 @@
 	if err != nil {
 		return peerResponse{}, fmt.Errorf("response of peer %q: %w", peer, err)
 	}
-	retryAfterS, _ := strconv.Atoi(response.Header.Get(headerRetryAfter)) // 0 if absent or malformed
+	retryAfterS, _ := strconv.Atoi(response.Header.Get(retryAfterHeader)) // 0 if absent or malformed
 	return peerResponse{status: response.StatusCode, retryAfterS: retryAfterS, body: content}, nil
 }
--- a/internal/transport/reply.go
+++ b/internal/transport/reply.go
@@ -13,8 +13,8 @@
 // retryAfterS is the number of seconds after which a refused request may be retried.
 const retryAfterS = 1
 
-// headerRetryAfter is the header with the delay of a retry, in seconds.
-const headerRetryAfter = "Retry-After"
+// retryAfterHeader is the header with the delay of a retry, in seconds.
+const retryAfterHeader = "Retry-After"
 
 var (
 	healthyReply     = message.Reply{Status: http.StatusOK, Body: protocol.Encode(map[string]bool{"ok": true})}
@@ -38,7 +38,7 @@
 func WriteReply(w http.ResponseWriter, contentType string, reply message.Reply) {
 	w.Header().Set("Content-Type", contentType)
 	if reply.RetryAfterS > 0 {
-		w.Header().Set(headerRetryAfter, strconv.Itoa(reply.RetryAfterS))
+		w.Header().Set(retryAfterHeader, strconv.Itoa(reply.RetryAfterS))
 	}
 	w.WriteHeader(reply.Status)
 	_, _ = w.Write(reply.Body) // a client that has disconnected will retry
@@ -49,7 +49,7 @@
 	ctx.SetStatusCode(reply.Status)
 	ctx.SetContentType(contentType)
 	if reply.RetryAfterS > 0 {
-		ctx.Response.Header.Set(headerRetryAfter, strconv.Itoa(reply.RetryAfterS))
+		ctx.Response.Header.Set(retryAfterHeader, strconv.Itoa(reply.RetryAfterS))
 	}
 	if reply.CloseConnection {
 		ctx.SetConnectionClose()
--- a/internal/transport/request_handler.go
+++ b/internal/transport/request_handler.go
@@ -11,7 +11,7 @@
 	// Handle answers a request, with Unavailable if there is no reply within the timeout. It
 	// must not retain raw.Body, which belongs to the server.
 	Handle(request message.Request, raw RawRequest, timeout time.Duration) message.Reply
-	// Healthy tells whether requests can be answered at present.
+	// Healthy reports whether requests can be answered at present.
 	Healthy() bool
 }
 
--- a/internal/transport/worker_client.go
+++ b/internal/transport/worker_client.go
@@ -15,8 +15,8 @@
 const idleTimeoutFactor = 24
 
 // WorkerClient sends direct commands to workers over a bounded number of connections. While all
-// connections are in use, commands aren't sent: unresponsive machines can't block the commands for
-// other machines for longer than the timeout of a call.
+// connections are in use, Send reports rpc.NotSent instead of waiting. An unresponsive machine
+// holds a connection for at most the timeout of a call.
 type WorkerClient struct {
 	timeout time.Duration
 	pool    *connectionPool
@@ -55,8 +55,9 @@
 	return result
 }
 
-// decodeCommandsResponse returns the outcome of commands and the worker's heartbeat. A conflict is
-// valid without a readable heartbeat; the outcome of an execution without one is Unknown.
+// decodeCommandsResponse returns the outcome of commands and the worker's heartbeat. With status
+// 409, the outcome is Conflict even if the heartbeat can't be decoded; with status 200, it is then
+// Unknown.
 func decodeCommandsResponse(status int, body []byte) (rpc.Outcome, *protocol.Heartbeat) {
 	if status != fasthttp.StatusOK && status != fasthttp.StatusConflict {
 		return rpc.Unknown, nil
--- a/internal/transport/worker_client_test.go
+++ b/internal/transport/worker_client_test.go
@@ -122,7 +122,8 @@
 	}
 }
 
-// A conflict is valid without a heartbeat; an execution whose heartbeat can't be decoded isn't.
+// A conflict without a readable heartbeat is still a conflict. The outcome of an execution without
+// one is unknown.
 func TestCommandsResponseOutcome(t *testing.T) {
 	heartbeat := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "i-1", Addr: "a:1"})
 	for name, c := range map[string]struct {
