--- a/internal/archive/lookup.go
+++ b/internal/archive/lookup.go
@@ -16,7 +16,7 @@
 	request     message.UserRequest
 	userWaiting bool // false once the request has been refused
 	refuseAt    time.Duration
-	expiresAt   time.Duration // time at which the lookup is removed unless the user has retried
+	expiresAt   time.Duration // time from which the lookup is removed if no user is waiting for it
 	unresolved  []string      // jobs whose archive pages haven't been read yet
 	results     LookupResults
 }
@@ -193,7 +193,7 @@
 }
 
 // refuseTimedOut refuses lookups whose timeout has passed, or all lookups if the lease may have
-// expired. It removes the lookups of submissions that the user has not retried in time.
+// expired. It also removes expired lookups that no user is waiting for.
 func (a *Archive) refuseTimedOut() {
 	now := a.context.Monotonic()
 	for _, x := range slices.Clone(a.pendingLookups) {
--- a/internal/archive/move.go
+++ b/internal/archive/move.go
@@ -27,7 +27,7 @@
 type moveState struct {
 	moving         map[string]bool // IDs of the jobs whose move is in flight
 	committedMoves int
-	retryAt        time.Duration // earliest time of the next move
+	retryAt        time.Duration // earliest time of the next move; reads for lookups don't wait for it
 	sourcePage     int           // page of the record store to examine next
 	deleteEmptyAt  time.Duration // earliest time of the next deletion of empty pages
 	peers          []string
--- a/internal/config/connections.go
+++ b/internal/config/connections.go
@@ -55,8 +55,7 @@
 	return max(l.MinCommands, min(l.shared/maxCommandDivisor, l.shared-openAPI))
 }
 
-// reservedConnections returns the number of connections reserved for purposes other than users and
-// workers.
+// reservedConnections returns the number of connections for purposes other than users and workers.
 func (s *Settings) reservedConnections() int {
 	return StateConnections + StateRenewalConnections + ArchiveReadConnections + CloudConnections +
 		connectionsPerPeer*(s.Size-1) + spareConnections + s.ExtensionConnections
--- a/internal/config/extensions_test.go
+++ b/internal/config/extensions_test.go
@@ -72,9 +72,9 @@
 			"[distribution]\nport = 8082\nstore_slots = 1\nreport_s = 9\nidle_report_s = 1\n",
 			[]string{"distribution.idle_report_s"},
 		},
-		"too many sockets": {"[distribution]\nport = 8082\nstore_slots = 1\nconnections = 1000000\n", []string{"distribution.connections"}},
-		"port in use":      {"[distribution]\nport = 8081\nstore_slots = 1\n", []string{"distribution.port"}},
-		"not TOML":         {"[distribution", []string{"extensions.toml"}},
+		"too many connections": {"[distribution]\nport = 8082\nstore_slots = 1\nconnections = 1000000\n", []string{"distribution.connections"}},
+		"port in use":          {"[distribution]\nport = 8081\nstore_slots = 1\n", []string{"distribution.port"}},
+		"not TOML":             {"[distribution", []string{"extensions.toml"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := LoadExtensions(writeExtensions(t, c.text), exampleConfig(t))
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -31,7 +31,6 @@
 
 // checkFields validates the struct that value points to by its validate tags and returns an error
 // for each invalid field. nameTag is the tag that holds the fields' names in the file.
-
 func checkFields(file, nameTag string, value any) (problems []error) {
 	err := NewValidator(nameTag).Struct(value)
 	var failures validator.ValidationErrors
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -42,8 +42,8 @@
 	Next *NextStateLimits `json:"next" validate:"omitempty"`
 }
 
-// NextStateLimits holds announced limits that the state service will apply at some later time. A nil
-// limit doesn't change.
+// NextStateLimits holds announced limits that the state service will apply at some later time. A
+// nil limit doesn't change.
 type NextStateLimits struct {
 	RPS      *float64 `json:"rps" validate:"omitempty,gte=1,lte=1e6"`
 	WriteRPS *float64 `json:"write_rps" validate:"omitempty,gte=1,lte=1e6"`
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -18,11 +18,10 @@
 
 // process holds the values that all parts of a controller process share. It is immutable.
 type process struct {
-	config    *config.Config
-	log       *slog.Logger
-	identity  identity
-	startedAt time.Time // zero point of the monotonic clock
-
+	config     *config.Config
+	log        *slog.Logger
+	identity   identity
+	startedAt  time.Time       // zero point of the monotonic clock
 	goroutines *errgroup.Group // all goroutines of the process
 	ctx        context.Context // ends when the process has to stop
 }
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -90,7 +90,6 @@
 
 // The error names the first invalid field by its wire name. Its text is part of the response, so
 // it must not change.
-
 func TestDecodeSubmissionNamesTheField(t *testing.T) {
 	fields := validSubmission()
 	fields["vcpus"], fields["rank"] = -1.0, "high"
--- a/internal/storage/read.go
+++ b/internal/storage/read.go
@@ -14,7 +14,6 @@
 	Value   PageValue
 	// Stale reports that records were removed from Value because another page has a newer copy of
 	// them or the terminal record of their job.
-
 	Stale bool
 }
 
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -9,7 +9,7 @@
 type Limits struct {
 	PageBytes     int     // maximum size of a page's value, in bytes of JSON
 	ChangesPerTxn int     // maximum number of keys that one transaction changes
-	KeysPerS      float64 // keys per second
+	KeysPerS      float64 // maximum number of keys that are written per second
 }
 
 // Store packs items into pages and decides when each page is written. A page is part of at
@@ -131,8 +131,7 @@
 	return len(s.dirty), now - since
 }
 
-// PagesDueBy returns the number of dirty pages that are due at the given time or
-// earlier.
+// PagesDueBy returns the number of dirty pages that are due at the given time or earlier.
 func (s *Store) PagesDueBy(due time.Duration) int {
 	n := 0
 	for _, p := range s.dirty {
--- a/internal/storage/write_test.go
+++ b/internal/storage/write_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// Many large pages are dirty, and the number of changes allowed per transaction would exceed its
-// size limit. Every page must be written by a transaction that the state service accepts. The
-// same size limit applies to a single value.
+// Many large pages are dirty: a transaction with as many changes as allowed would exceed the size
+// limit. Every page must be written by a transaction that the state service accepts. The same
+// size limit applies to a single value.
 func TestTransactionsStayWithinTheRequestLimit(t *testing.T) {
 	const items = 40
 	for _, valueKB := range []float64{8, 31, 64, 128} {
