--- a/internal/config/connections.go
+++ b/internal/config/connections.go
@@ -58,7 +58,7 @@
 // reservedConnections returns the number of connections for purposes other than users and workers.
 func (s *Settings) reservedConnections() int {
 	return StateConnections + StateRenewalConnections + ArchiveReadConnections + CloudConnections +
-		connectionsPerPeer*(s.Size-1) + spareConnections + s.ExtensionConnections
+		connectionsPerPeer*(s.ControllerCount-1) + spareConnections + s.ExtensionConnections
 }
 
 // checkMaxConnections returns an error if max_connections is too small for the process to work.
@@ -68,5 +68,5 @@
 		return nil
 	}
 	return settingsError("settings.limits.max_connections",
-		fmt.Errorf("%d is too small for %d controllers, which need at least %d", s.Limits.MaxConnections, s.Size, needed))
+		fmt.Errorf("%d is too small for %d controllers, which need at least %d", s.Limits.MaxConnections, s.ControllerCount, needed))
 }
--- a/internal/config/connections_test.go
+++ b/internal/config/connections_test.go
@@ -15,7 +15,7 @@
 		{2590, 3, 1840, 200, 271}, {2356, 5, 1101, 300, 322}, {700, 3, 64, 100, 98}, {900, 3, 440, 100, 98}, {64, 3, 8, 4, 32},
 	} {
 		t.Run(fmt.Sprintf("%d connections", c.maxConnections), func(t *testing.T) {
-			s := Settings{Size: c.size, Limits: Limits{MaxConnections: c.maxConnections, MemoryMB: c.memoryMB}}
+			s := Settings{ControllerCount: c.size, Limits: Limits{MaxConnections: c.maxConnections, MemoryMB: c.memoryMB}}
 			if err := s.checkMaxConnections(); err != nil {
 				t.Fatal(err)
 			}
@@ -33,14 +33,14 @@
 }
 
 func TestConnectionLimitsFitHalfOfTheMemory(t *testing.T) {
-	s := Settings{Size: 3, Limits: Limits{MaxConnections: 100_000, MemoryMB: 64}}
+	s := Settings{ControllerCount: 3, Limits: Limits{MaxConnections: 100_000, MemoryMB: 64}}
 	if limits := s.ConnectionLimits(); limits.API*maxConnectionBytes > 32<<20 {
 		t.Errorf("%d connections to the API server in 64 MB", limits.API)
 	}
 }
 
 func TestTooFewConnectionsAreRejected(t *testing.T) {
-	s := Settings{Size: 5, Limits: Limits{MaxConnections: 48, MemoryMB: 64}}
+	s := Settings{ControllerCount: 5, Limits: Limits{MaxConnections: 48, MemoryMB: 64}}
 	if s.checkMaxConnections() == nil {
 		t.Error("48 connections accepted for five controllers")
 	}
@@ -52,7 +52,7 @@
 	const workers, users = 4000, 500
 	for _, size := range []int{3, 5} {
 		t.Run(fmt.Sprintf("%d controllers", size), func(t *testing.T) {
-			s := Settings{Size: size, Limits: Limits{MaxConnections: 4900, MemoryMB: 225}}
+			s := Settings{ControllerCount: size, Limits: Limits{MaxConnections: 4900, MemoryMB: 225}}
 			limits := s.ConnectionLimits()
 			if limits.API < workers+users {
 				t.Errorf("%d connections for %d workers and %d users", limits.API, workers, users)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -86,7 +86,7 @@
 
 // Settings holds the settings that are the same for all nodes.
 type Settings struct {
-	Size         int         `json:"size" validate:"gte=1,lte=99"`
+	ControllerCount         int         `json:"size" validate:"gte=1,lte=99"`
 	Zones        []string    `json:"zones" validate:"required,min=1,dive,required"`
 	Teams        []Team      `json:"teams" validate:"required,min=1,dive"`
 	Objectives   []Objective `json:"objectives" validate:"dive"`
--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -215,7 +215,7 @@
 	tw := &traceWorld{random: random, teams: []string{"red", "blue"}, blocked: map[string]bool{}}
 	s := fake.Settings()
 	if tw.oneIn(3) {
-		s.Size = 5
+		s.ControllerCount = 5
 	}
 	if tw.oneIn(2) {
 		s.Teams = append(s.Teams, config.Team{Name: "guests"})
--- a/internal/controller/five_controllers_test.go
+++ b/internal/controller/five_controllers_test.go
@@ -13,7 +13,7 @@
 // fiveControllerSettings are settings like those of a deployment of five.
 func fiveControllerSettings() config.Settings {
 	s := fake.Settings()
-	s.Size = 5
+	s.ControllerCount = 5
 	return s
 }
 
--- a/internal/fake/settings.go
+++ b/internal/fake/settings.go
@@ -8,7 +8,7 @@
 // Settings gives small figures for a test.
 func Settings() config.Settings {
 	return config.Settings{
-		Size: 3, Zones: []string{"a", "b"},
+		ControllerCount: 3, Zones: []string{"a", "b"},
 		Teams: []config.Team{
 			{Name: "red", GuaranteedCPUs: 8, CPULimit: 12},
 			{Name: "blue", GuaranteedCPUs: 4},
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -81,7 +81,7 @@
 func NewWorld(s config.Settings) *World {
 	w := newWorld(s, Types())
 	drifts := []float64{0, 0.0005, -0.0005}
-	for i := range s.Size {
+	for i := range s.ControllerCount {
 		c := &Controller{world: w, Name: "n" + strconv.Itoa(i), Index: i, drift: drifts[i%len(drifts)]}
 		w.Controllers = append(w.Controllers, c)
 	}
--- a/internal/scale/testbed/controllers.go
+++ b/internal/scale/testbed/controllers.go
@@ -59,7 +59,7 @@
 func newControllers(command []string, addresses Addresses, settings config.Settings, directory string) *Controllers {
 	return &Controllers{
 		command: command, addresses: addresses, settings: settings, directory: directory, client: &http.Client{Timeout: adminTimeout},
-		processes: make([]*Process, settings.Size), earlierCPUSeconds: make([]float64, settings.Size),
+		processes: make([]*Process, settings.ControllerCount), earlierCPUSeconds: make([]float64, settings.ControllerCount),
 	}
 }
 
@@ -97,7 +97,7 @@
 		APIListen: c.addresses.API(controller), PeerListen: c.addresses.Peer(controller), Settings: c.settings,
 	}
 	settings.Services.Cloud, settings.Services.State = c.addresses.Cloud(), c.addresses.StateService()
-	for peer := range c.settings.Size {
+	for peer := range c.settings.ControllerCount {
 		if peer != controller {
 			settings.Peers = append(settings.Peers, config.Peer{Name: ControllerName(peer), Zone: c.zone(peer), Addr: c.addresses.Peer(peer)})
 		}
--- a/internal/scale/testbed/spec.go
+++ b/internal/scale/testbed/spec.go
@@ -83,7 +83,7 @@
 // settings are what every controller gets.
 func (s Spec) settings() config.Settings {
 	return config.Settings{
-		Size: s.Controllers, Zones: []string{"z1", "z2", "z3", "z4"},
+		ControllerCount: s.Controllers, Zones: []string{"z1", "z2", "z3", "z4"},
 		Workers: config.Workers{
 			HeartbeatIntervalS: s.HeartbeatIntervalS, LeaseS: s.LeaseS, GangStartTimeoutS: 45, GangPeerTimeoutS: 4, CancelWithinS: s.CancelWithinS,
 		},
