--- a/internal/config/connections.go
+++ b/internal/config/connections.go
@@ -21,9 +21,9 @@
 	// minSharedConnections is the minimum number of connections for users, workers and commands
 	// together, below which a process can't work.
 	minSharedConnections = 16
-	// maxConnectionBytes is the maximum memory of a connection to the API server: two buffers of
-	// 4 KiB, its goroutine and a request in progress. All connections together may use half of
-	// the process's memory.
+	// maxConnectionBytes is the maximum memory that a connection to the API server uses: two
+	// buffers of 4 KiB, its goroutine and a request in progress. All connections together may use
+	// half of the process's memory.
 	maxConnectionBytes = 24 << 10
 	// Commands get at least 1/minCommandDivisor and at most 1/maxCommandDivisor of the shared
 	// connections.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -86,15 +86,15 @@
 
 // Settings holds the settings that are the same for all nodes.
 type Settings struct {
-	ControllerCount         int         `json:"size" validate:"gte=1,lte=99"`
-	Zones        []string    `json:"zones" validate:"required,min=1,dive,required"`
-	Teams        []Team      `json:"teams" validate:"required,min=1,dive"`
-	Objectives   []Objective `json:"objectives" validate:"dive"`
-	Workers      Workers     `json:"workers"`
-	State        StateLimits `json:"state"`
-	Cloud        Cloud       `json:"cloud"`
-	Limits       Limits      `json:"limits"`
-	ClockErrorMs float64     `json:"clock_error_ms" validate:"gte=0,lte=3600000"`
+	ControllerCount int         `json:"size" validate:"gte=1,lte=99"`
+	Zones           []string    `json:"zones" validate:"required,min=1,dive,required"`
+	Teams           []Team      `json:"teams" validate:"required,min=1,dive"`
+	Objectives      []Objective `json:"objectives" validate:"dive"`
+	Workers         Workers     `json:"workers"`
+	State           StateLimits `json:"state"`
+	Cloud           Cloud       `json:"cloud"`
+	Limits          Limits      `json:"limits"`
+	ClockErrorMs    float64     `json:"clock_error_ms" validate:"gte=0,lte=3600000"`
 
 	// ExtensionConnections is the maximum number of connections that extensions use. It isn't part
 	// of the settings file: LoadExtensions sets it.
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -77,7 +77,7 @@
 	m := h.loop.metrics
 	writeJSON(w, http.StatusOK, processMetrics{
 		Latency:        m.latencies.Summaries(),
-		LongestPauseMs: m.longestPauseMs.Load(), Pauses: m.pauses.Load(), PollsExpired: m.expired.Load(),
+		LongestPauseMs: m.longestPauseMs.Load(), Pauses: m.pauses.Load(), PollsExpired: m.expiredPolls.Load(),
 		RequestsInProgress: inProgress, RequestsLimit: limit, RequestsShed: m.shed.Load(),
 	})
 }
--- a/internal/daemon/event_loop.go
+++ b/internal/daemon/event_loop.go
@@ -32,7 +32,7 @@
 	controller  *controller.Controller
 	pending     *pendingRequests[queuedEvent]
 	knownLeader string // last known leader; empty until one is known
-	// observeLeadership, unless nil, is called with the current leadership after every step.
+	// observeLeadership is called with the current leadership after every step, unless it is nil.
 	observeLeadership func(election.View)
 }
 
@@ -106,7 +106,7 @@
 	if wasLeader && !l.controller.Leads() {
 		l.failPendingRequests()
 	}
-	l.observeLeader()
+	l.updateKnownLeader()
 	l.metrics.pauses.Store(l.controller.Stats().Pauses)
 	l.metrics.longestPauseMs.Store(l.controller.Stats().LongestPauseMs)
 	l.healthy.Store(l.controller.Healthy())
@@ -134,7 +134,7 @@
 	now := time.Now()
 	for taken := 1; ; taken++ {
 		if next.expired(now) {
-			l.metrics.expired.Add(1)
+			l.metrics.expiredPolls.Add(1)
 		} else {
 			events = append(events, l.accept(next))
 		}
@@ -167,9 +167,9 @@
 	}
 }
 
-// observeLeader cancels the requests forwarded to a former leader once a new leader is known, so
-// that they are queued again.
-func (l *eventLoop) observeLeader() {
+// updateKnownLeader records a new leader and cancels the requests that were forwarded to other
+// controllers, so that they are queued again.
+func (l *eventLoop) updateKnownLeader() {
 	leader := l.controller.KnownLeader()
 	if leader != "" && leader != l.knownLeader {
 		l.knownLeader = leader
--- a/internal/daemon/event_loop_test.go
+++ b/internal/daemon/event_loop_test.go
@@ -37,7 +37,7 @@
 	if !open || len(events) != 4 || !slices.Equal(jobs, []string{"submitted", "cancelled", "new"}) {
 		t.Errorf("open %t, %d events, of jobs %v", open, len(events), jobs)
 	}
-	if n := loop.metrics.expired.Load(); n != 1 {
+	if n := loop.metrics.expiredPolls.Load(); n != 1 {
 		t.Errorf("%d polls dropped", n)
 	}
 	cancel()
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -11,9 +11,9 @@
 
 // metrics holds the latency histograms and counters of this process. Any goroutine may use it.
 type metrics struct {
-	latencies *latency.Recorder
-	shed      atomic.Int64 // requests refused by the concurrency limit
-	expired   atomic.Int64 // polls dropped because they had already been refused
+	latencies    *latency.Recorder
+	shed         atomic.Int64 // requests refused by the concurrency limit
+	expiredPolls atomic.Int64 // polls dropped because they had already been refused
 	// Pauses of the process, copied from the controller's Stats.
 	pauses, longestPauseMs atomic.Int64
 }
--- a/internal/daemon/tracker_requests.go
+++ b/internal/daemon/tracker_requests.go
@@ -20,8 +20,8 @@
 // commandFunc creates the command of a request with the given ID.
 type commandFunc func(id uint64) tracker.Command
 
-// parseTrackerRequest returns a function that creates the command for a request. If the request
-// is invalid, it returns nil and the refusal.
+// parseTrackerRequest returns the function that creates the command of a request. If the request
+// is invalid, it returns nil and a refusal.
 func parseTrackerRequest(request trackerRequest) (commandFunc, message.Reply) {
 	name, named := strings.CutPrefix(request.path, distribution.PathWeights+"/")
 	if named {
--- a/internal/daemon/tracker_service.go
+++ b/internal/daemon/tracker_service.go
@@ -37,7 +37,7 @@
 	listener       net.Listener
 	server         *fasthttp.Server
 	limit          *transport.ConcurrencyLimit
-	keepAliveLimit int // open connections above which each is closed after its response
+	keepAliveLimit int // number of open connections above which each is closed after its response
 }
 
 // newTrackerService creates the service and opens its listener; start serves it.
--- a/internal/storage/commit_waiter.go
+++ b/internal/storage/commit_waiter.go
@@ -8,8 +8,8 @@
 	maxDelayIntervals int
 }
 
-// Maximum write delay of a page by the priority of its waiter, in retry intervals, relative
-// to a page that a user's response waits for. Changes made to the page during the delay
+// Maximum write delays of a page, in retry intervals, by the priority of its waiter. They are
+// relative to a page that a user's response waits for. Changes made to a page during the delay
 // share one write.
 const (
 	startDelayIntervals          = 5
