--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -65,7 +65,7 @@
 	calls      *step.StateCalls
 	timing     timing.Timing
 	leadership Leadership
-	limits     config.StateLimits
+	limits     config.State
 	callbacks  Callbacks
 
 	nonEmpty       bool // the archive holds at least one page
@@ -80,7 +80,7 @@
 // New returns the archive of a leader, with an empty cache.
 func New(
 	context *step.Context, state *cluster.State, store *storage.Store, calls *step.StateCalls, timing timing.Timing, leadership Leadership,
-	limits config.StateLimits, peers []string, callbacks Callbacks,
+	limits config.State, peers []string, callbacks Callbacks,
 ) *Archive {
 	share := limits.RPS * lookupRequestShare
 	return &Archive{
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -32,8 +32,8 @@
 	CancelWithinS      float64 `json:"cancel_s" validate:"gt=0,lte=86400,gtfield=LeaseS"`
 }
 
-// StateLimits holds the limits of the state service, and those announced for a later time.
-type StateLimits struct {
+// State holds the limits of the state service, and those announced for a later time.
+type State struct {
 	RPS      float64 `json:"rps" validate:"gte=1,lte=1e6"`
 	WriteRPS float64 `json:"write_rps" validate:"gte=1,lte=1e6"`
 	ValueKB  float64 `json:"value_kb" validate:"gte=1,lte=64"`
@@ -53,7 +53,7 @@
 
 // Smallest returns limits that hold both before and after the announced change: the smaller of
 // the current and the announced value of each limit.
-func (s StateLimits) Smallest() StateLimits {
+func (s State) Smallest() State {
 	if s.Next == nil {
 		return s
 	}
@@ -91,7 +91,7 @@
 	Teams           []Team      `json:"teams" validate:"required,min=1,dive"`
 	Objectives      []Objective `json:"objectives" validate:"dive"`
 	Workers         Workers     `json:"workers"`
-	State           StateLimits `json:"state"`
+	State           State `json:"state"`
 	Cloud           Cloud       `json:"cloud"`
 	Limits          Limits      `json:"limits"`
 	ClockErrorMs    float64     `json:"clock_error_ms" validate:"gte=0,lte=3600000"`
--- a/internal/controller/helpers_pipeline_test.go
+++ b/internal/controller/helpers_pipeline_test.go
@@ -13,7 +13,7 @@
 // smallestStateLimits are the limits of a state service that has lowered them.
 func smallestStateLimits() config.Settings {
 	s := fake.Settings()
-	s.State = config.StateLimits{RPS: 120, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
+	s.State = config.State{RPS: 120, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
 	return s
 }
 
--- a/internal/controller/many_prerequisites_test.go
+++ b/internal/controller/many_prerequisites_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	const named = 400
 	s := fake.Settings()
-	s.State = config.StateLimits{RPS: 200, WriteRPS: 60, ValueKB: 1, TxnOps: 4}
+	s.State = config.State{RPS: 200, WriteRPS: 60, ValueKB: 1, TxnOps: 4}
 	w := newWorldWith(t, s)
 	provisionIdleMachines(t, w)
 	held := submitAfter(t, w, job(1, protocol.Array, 1), 45*time.Second)
--- a/internal/fake/settings.go
+++ b/internal/fake/settings.go
@@ -14,7 +14,7 @@
 			{Name: "blue", GuaranteedCPUs: 4},
 		},
 		Workers: config.Workers{HeartbeatIntervalS: 2, LeaseS: 10, GangStartTimeoutS: 15, GangPeerTimeoutS: 3, CancelWithinS: 25},
-		State:   config.StateLimits{RPS: 200, WriteRPS: 40, ValueKB: 2, TxnOps: 4},
+		State:   config.State{RPS: 200, WriteRPS: 40, ValueKB: 2, TxnOps: 4},
 		Cloud:   config.Cloud{RPS: 4, ListLagS: 4},
 		Limits:  config.Limits{CPU: 0.2, MemoryMB: 96, MaxConnections: 400},
 	}
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -46,7 +46,7 @@
 	RejectedForKeys int
 
 	world         *World
-	limits        config.StateLimits
+	limits        config.State
 	limitsLowered bool
 	keys          map[string]entry
 	sortedKeys    []string // nil: they have changed
@@ -59,7 +59,7 @@
 // defaultMaxListed is MaxListed of a new state service.
 const defaultMaxListed = 3
 
-func newState(w *World, limits config.StateLimits) *State {
+func newState(w *World, limits config.State) *State {
 	return &State{
 		world: w, limits: limits, keys: map[string]entry{}, leases: map[int64]lease{},
 		Unreachable: map[string]bool{}, MaxListed: defaultMaxListed,
--- a/internal/scale/testbed/spec.go
+++ b/internal/scale/testbed/spec.go
@@ -87,7 +87,7 @@
 		Workers: config.Workers{
 			HeartbeatIntervalS: s.HeartbeatIntervalS, LeaseS: s.LeaseS, GangStartTimeoutS: 45, GangPeerTimeoutS: 4, CancelWithinS: s.CancelWithinS,
 		},
-		State:  config.StateLimits{RPS: s.StateRPS, WriteRPS: s.StateWriteRPS, ValueKB: s.StateValueKB, TxnOps: 8},
+		State:  config.State{RPS: s.StateRPS, WriteRPS: s.StateWriteRPS, ValueKB: s.StateValueKB, TxnOps: 8},
 		Cloud:  config.Cloud{RPS: 12, ListLagS: 6},
 		Limits: config.Limits{CPU: s.CPU, MemoryMB: s.MemoryMB, MaxConnections: s.MaxConnections},
 		Objectives: []config.Objective{
