--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -39,12 +39,12 @@
 	ValueKB  float64 `json:"value_kb" validate:"gte=1,lte=64"`
 	TxnOps   int     `json:"txn_ops" validate:"gte=1,lte=10000"`
 
-	Next *NextStateLimits `json:"next" validate:"omitempty"`
+	Next *StateNext `json:"next" validate:"omitempty"`
 }
 
-// NextStateLimits holds announced limits that the state service will apply at some later time. A
+// StateNext holds announced limits that the state service will apply at some later time. A
 // nil limit doesn't change.
-type NextStateLimits struct {
+type StateNext struct {
 	RPS      *float64 `json:"rps" validate:"omitempty,gte=1,lte=1e6"`
 	WriteRPS *float64 `json:"write_rps" validate:"omitempty,gte=1,lte=1e6"`
 	ValueKB  *float64 `json:"value_kb" validate:"omitempty,gte=1,lte=64"`
--- a/internal/controller/helpers_upgrade_test.go
+++ b/internal/controller/helpers_upgrade_test.go
@@ -27,8 +27,8 @@
 }
 
 // nextLimits are limits of the state service that are to come.
-func nextLimits(valueKB float64, txnOps int, writeRPS float64) *config.NextStateLimits {
-	return &config.NextStateLimits{ValueKB: &valueKB, TxnOps: &txnOps, WriteRPS: &writeRPS}
+func nextLimits(valueKB float64, txnOps int, writeRPS float64) *config.StateNext {
+	return &config.StateNext{ValueKB: &valueKB, TxnOps: &txnOps, WriteRPS: &writeRPS}
 }
 
 // upgrade replaces a controller's process by one of the new version.
