--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -42,8 +42,8 @@
 	Next *StateNext `json:"next" validate:"omitempty"`
 }
 
-// StateNext holds announced limits that the state service will apply at some later time. A
-// nil limit doesn't change.
+// StateNext holds announced limits that the state service will apply at some later time. A nil
+// limit doesn't change.
 type StateNext struct {
 	RPS      *float64 `json:"rps" validate:"omitempty,gte=1,lte=1e6"`
 	WriteRPS *float64 `json:"write_rps" validate:"omitempty,gte=1,lte=1e6"`
@@ -91,7 +91,7 @@
 	Teams           []Team      `json:"teams" validate:"required,min=1,dive"`
 	Objectives      []Objective `json:"objectives" validate:"dive"`
 	Workers         Workers     `json:"workers"`
-	State           State `json:"state"`
+	State           State       `json:"state"`
 	Cloud           Cloud       `json:"cloud"`
 	Limits          Limits      `json:"limits"`
 	ClockErrorMs    float64     `json:"clock_error_ms" validate:"gte=0,lte=3600000"`
