--- a/internal/distribution/manifest.go
+++ b/internal/distribution/manifest.go
@@ -138,7 +138,7 @@
 		return err
 	}
 	if d.Algorithm() != digest.SHA256 {
-		return fmt.Errorf("unsupported digest algorithm %s", d.Algorithm())
+		return fmt.Errorf("%s digests are not taken", d.Algorithm())
 	}
 	return nil
 }
--- a/internal/distribution/operator/tables.go
+++ b/internal/distribution/operator/tables.go
@@ -26,14 +26,14 @@
 // WriteStatus writes a summary of a name's distribution and a table of the agents: the chunks they
 // hold, their sources and downloaders, and the reasons why they wait.
 func WriteStatus(w io.Writer, s tracker.Status) error {
-	_, err := fmt.Fprintf(w, "%s: manifest %s, revision %d\n%d agents: %d complete, %d active; fetching from the store: %s\n\n",
-		s.Name, s.Manifest, s.Revision, s.Agents, s.Complete, s.Active, cmp.Or(strings.Join(s.Store, ", "), "none"))
+	_, err := fmt.Fprintf(w, "%s is %s, revision %d\n%d agents: %d hold all of it, %d serve it; fetching from the store: %s\n\n",
+		s.Name, s.Manifest, s.Revision, s.Agents, s.Complete, s.Active, cmp.Or(strings.Join(s.Store, ", "), "nobody"))
 	if err != nil {
 		return err
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	// Errors of writing to the table are reported by Flush.
-	_, _ = fmt.Fprintln(table, "agent\tzone\tchunks\tactive\tlast report\tsources\tdownloaders\twait reasons")
+	_, _ = fmt.Fprintln(table, "agent\tzone\tchunks\tserves\theard\tfetches from\tgives to\twaits")
 	for _, member := range s.Members {
 		lastReportAge := time.Duration(member.LastReportAgeS * float64(time.Second)).Round(time.Second / 10)
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d/%d\t%s\t%s ago\t%s\t%s\t%s\n",
@@ -63,12 +63,12 @@
 			text += fmt.Sprintf(" (%d missing)", wait.MissingChunks)
 		}
 		if wait.Chunk != "" {
-			text += ", for example " + wait.Chunk.String()
+			text += ", one is " + wait.Chunk.String()
 		}
 		reasons = append(reasons, wait.Name+": "+text)
 	}
 	if member.DamageReporters > 0 {
-		reasons = append(reasons, fmt.Sprintf("%d agents received damaged chunks from it", member.DamageReporters))
+		reasons = append(reasons, fmt.Sprintf("%d takers got damaged chunks from it", member.DamageReporters))
 	}
 	return strings.Join(reasons, "; ")
 }
