--- a/internal/distribution/tracker/helpers_test.go
+++ b/internal/distribution/tracker/helpers_test.go
@@ -27,7 +27,7 @@
 // service that the tracker uses.
 type testLeader struct {
 	tracker *Tracker
-	term    Term
+	term    Leadership
 	state   *fakeStateService
 }
 
@@ -35,7 +35,7 @@
 	t.Helper()
 	leader := &testLeader{tracker: New(testParameters()), state: newFakeStateService()}
 	token := leader.state.advanceToken()
-	leader.term = Term{Term: token, FencingToken: token, LeaseUntil: time.Hour}
+	leader.term = Leadership{Term: token, FencingToken: token, LeaseUntil: time.Hour}
 	for _, effect := range leader.tracker.Step(0, leader.term, []Command{Tick{}}) {
 		result := StateResult{leader.state.execute(effect.(StateCall).StateCall)}
 		leader.tracker.Step(0, leader.term, []Command{result})
--- a/internal/distribution/tracker/messages.go
+++ b/internal/distribution/tracker/messages.go
@@ -14,8 +14,8 @@
 	"oakpick/internal/storage"
 )
 
-// Term describes the controller's term, or which other controller leads.
-type Term = election.View
+// Leadership describes the controller's term, or which other controller leads.
+type Leadership = election.View
 
 // Command is an input of Step.
 type Command interface{ command() }
--- a/internal/distribution/tracker/model_test.go
+++ b/internal/distribution/tracker/model_test.go
@@ -19,7 +19,7 @@
 	tracker          *Tracker
 	state            *fakeStateService
 	now              time.Duration
-	term             Term
+	term             Leadership
 	lastID           uint64
 	pendingCalls     []storage.StateCall // to the state service, without a result yet
 	delayedCalls     []storage.StateCall // applied later, after the tracker got an unknown outcome
@@ -144,10 +144,10 @@
 func (m *model) failOver() {
 	m.delayedCalls = append(m.delayedCalls, m.pendingCalls...)
 	m.pendingCalls = nil
-	m.term = Term{Leader: "other"}
+	m.term = Leadership{Leader: "other"}
 	m.step(Tick{})
 	token := m.state.advanceToken()
-	m.term = Term{Term: token, FencingToken: token, LeaseUntil: m.now + time.Minute}
+	m.term = Leadership{Term: token, FencingToken: token, LeaseUntil: m.now + time.Minute}
 	m.step(Tick{})
 }
 
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -20,7 +20,7 @@
 
 	// State of the current step.
 	now     time.Duration
-	term    Term
+	term    Leadership
 	effects []Effect
 
 	// State of the term in which this controller leads; nil or zero while it doesn't lead.
@@ -52,7 +52,7 @@
 }
 
 // Step processes commands and returns the effects that the caller has to carry out.
-func (t *Tracker) Step(now time.Duration, term Term, commands []Command) []Effect {
+func (t *Tracker) Step(now time.Duration, term Leadership, commands []Command) []Effect {
 	t.now, t.term, t.effects = now, term, nil
 	t.resetOnNewTerm()
 	for _, c := range commands {
--- a/internal/distribution/tracker/tracker_test.go
+++ b/internal/distribution/tracker/tracker_test.go
@@ -41,15 +41,15 @@
 	if reply.Status != http.StatusServiceUnavailable || reply.RetryAfter == 0 {
 		t.Errorf("after the lease has expired: %+v", reply)
 	}
-	leader.term = Term{}
+	leader.term = Leadership{}
 	if reply := leader.send(11*time.Second, NamesCall{ID: 4}); reply.Status != http.StatusServiceUnavailable {
 		t.Errorf("without a leader: %+v", reply)
 	}
-	effects := leader.tracker.Step(12*time.Second, Term{Leader: "n2"}, []Command{NamesCall{ID: 5}})
+	effects := leader.tracker.Step(12*time.Second, Leadership{Leader: "n2"}, []Command{NamesCall{ID: 5}})
 	if len(effects) != 1 || effects[0] != (Forward{5, "n2"}) {
 		t.Errorf("as a follower: %+v", effects)
 	}
-	leader.term = Term{Term: 9, FencingToken: 9, LeaseUntil: time.Hour}
+	leader.term = Leadership{Term: 9, FencingToken: 9, LeaseUntil: time.Hour}
 	if reply := leader.send(13*time.Second, NamesCall{ID: 6}); reply.Status != http.StatusServiceUnavailable {
 		t.Errorf("before the names are loaded: %+v", reply)
 	}
