--- a/internal/distribution/operator/tables.go
+++ b/internal/distribution/operator/tables.go
@@ -27,7 +27,7 @@
 // hold, their sources and downloaders, and the reasons why they wait.
 func WriteStatus(w io.Writer, s tracker.Status) error {
 	_, err := fmt.Fprintf(w, "%s is %s, revision %d\n%d agents: %d hold all of it, %d serve it; fetching from the store: %s\n\n",
-		s.Name, s.Manifest, s.Revision, s.Agents, s.Complete, s.Active, cmp.Or(strings.Join(s.Store, ", "), "nobody"))
+		s.Name, s.Manifest, s.Revision, s.Agents, s.Complete, s.Active, cmp.Or(strings.Join(s.StoreUsers, ", "), "nobody"))
 	if err != nil {
 		return err
 	}
--- a/internal/distribution/tracker/status.go
+++ b/internal/distribution/tracker/status.go
@@ -59,7 +59,7 @@
 	Agents   int           `json:"agents"`   // that hold some of the manifest or want it
 	Complete int           `json:"complete"` // that hold all of the manifest
 	Active   int           `json:"active"`   // that serve the manifest
-	Store    []string      `json:"store"`    // agents with a lease on the store
+	StoreUsers    []string      `json:"store"`    // agents with a lease on the store
 	Members  []AgentStatus `json:"members"`
 	More     bool          `json:"more"` // further agents follow
 }
@@ -86,14 +86,14 @@
 		t.refuse(call.ID, http.StatusNotFound, "name: no weights of this name are in use")
 		return
 	}
-	status := Status{NameRecord: record, Store: []string{}, Members: []AgentStatus{}}
+	status := Status{NameRecord: record, StoreUsers: []string{}, Members: []AgentStatus{}}
 	swarm := t.swarms[record.Manifest]
 	if swarm == nil {
 		t.reply(call.ID, status)
 		return
 	}
 	for _, lease := range swarm.activeStoreLeases(t.now) {
-		status.Store = append(status.Store, lease.downloader.name)
+		status.StoreUsers = append(status.StoreUsers, lease.downloader.name)
 	}
 	var budget pageBudget
 	for _, name := range slices.Sorted(maps.Keys(swarm.members)) {
