--- a/internal/distribution/agent/core_fetch.go
+++ b/internal/distribution/agent/core_fetch.go
@@ -227,7 +227,7 @@
 	if result.Fault == "" && !result.Cancelled {
 		source.consecutiveFailures, source.refreshInterval = 0, c.settings.ReportInterval/refreshDivisor
 		c.disk.consecutiveFailures = 0
-		c.counts.StoredChunks++
+		c.counts.FetchedChunks++
 		c.markStored(chunk)
 		return
 	}
--- a/internal/distribution/agent/metrics.go
+++ b/internal/distribution/agent/metrics.go
@@ -80,7 +80,7 @@
 
 // update copies Core's counters and disk usage to the metrics.
 func (m *metrics) update(c *Core) {
-	m.storedChunks.Set(float64(c.counts.StoredChunks))
+	m.storedChunks.Set(float64(c.counts.FetchedChunks))
 	m.downloadedBytes.WithLabelValues("peers").Set(float64(c.counts.PeerBytes))
 	m.downloadedBytes.WithLabelValues("store").Set(float64(c.counts.StoreBytes))
 	for fault, n := range c.counts.Faults {
--- a/internal/distribution/simulation/helpers_test.go
+++ b/internal/distribution/simulation/helpers_test.go
@@ -61,7 +61,7 @@
 }
 
 // storedChunks returns the number of chunks that an agent has stored in its current incarnation.
-func storedChunks(a *Agent) int { return int(a.Counts().StoredChunks) }
+func storedChunks(a *Agent) int { return int(a.Counts().FetchedChunks) }
 
 // totalStoredChunks returns the number of chunks that all agents have stored in their current
 // incarnations.
