--- a/internal/distribution/agent/core.go
+++ b/internal/distribution/agent/core.go
@@ -88,7 +88,7 @@
 
 func (c *Core) handleEvent(event Event) {
 	switch e := event.(type) {
-	case TrackerAnswered:
+	case TrackerResponse:
 		c.handleTrackerAnswer(e.Answer)
 	case TrackerFailed:
 		c.handleTrackerFailure(e)
--- a/internal/distribution/agent/core_messages.go
+++ b/internal/distribution/agent/core_messages.go
@@ -20,8 +20,8 @@
 
 // The events of Core.Step.
 type (
-	// TrackerAnswered carries a tracker's answer to a Report.
-	TrackerAnswered struct {
+	// TrackerResponse carries a tracker's answer to a Report.
+	TrackerResponse struct {
 		Answer distribution.InventoryResponse
 	}
 	// TrackerFailed means that no tracker answered a Report.
@@ -67,7 +67,7 @@
 	Tick struct{}
 )
 
-func (TrackerAnswered) event() {}
+func (TrackerResponse) event() {}
 func (TrackerFailed) event()   {}
 func (ManifestResult) event()  {}
 func (ChunkSetResult) event()  {}
--- a/internal/distribution/agent/core_test.go
+++ b/internal/distribution/agent/core_test.go
@@ -37,8 +37,8 @@
 }
 
 // trackerAnswer returns an answer that assigns a manifest to weightsName and lists sources.
-func trackerAnswer(revision int64, m *distribution.Manifest, sources ...distribution.Source) TrackerAnswered {
-	return TrackerAnswered{distribution.InventoryResponse{
+func trackerAnswer(revision int64, m *distribution.Manifest, sources ...distribution.Source) TrackerResponse {
+	return TrackerResponse{distribution.InventoryResponse{
 		Term: 1, NextReportMs: 1000, Sources: sources, Names: []distribution.NameRecord{{Name: weightsName, Manifest: m.Digest, Revision: revision}},
 	}}
 }
--- a/internal/distribution/agent/tracker_client.go
+++ b/internal/distribution/agent/tracker_client.go
@@ -58,7 +58,7 @@
 	for range t.trackers {
 		answer, err := t.send(ctx, t.trackers[t.current], body)
 		if err == nil {
-			return TrackerAnswered{answer}
+			return TrackerResponse{answer}
 		}
 		// The error isn't logged: the agent continues with its last known state, and during an outage
 		// of a tracker every agent would log the error with every report.
