--- a/internal/distribution/agent/core.go
+++ b/internal/distribution/agent/core.go
@@ -89,7 +89,7 @@
 func (c *Core) handleEvent(event Event) {
 	switch e := event.(type) {
 	case TrackerResponse:
-		c.handleTrackerAnswer(e.Answer)
+		c.handleTrackerAnswer(e.Response)
 	case TrackerFailed:
 		c.handleTrackerFailure(e)
 	case ManifestResult:
--- a/internal/distribution/agent/core_disk_test.go
+++ b/internal/distribution/agent/core_disk_test.go
@@ -81,7 +81,7 @@
 	}
 	c.Step(2*time.Second, ActivateResult{Name: weightsName, Manifest: m.Digest})
 	recheck := trackerAnswer(1, m)
-	recheck.Answer.Recheck = []digest.Digest{m.Digest}
+	recheck.Response.Recheck = []digest.Digest{m.Digest}
 	if got := effectsOf[Verify](c.Step(3*time.Second, recheck)); len(got) != 2 {
 		t.Errorf("not every chunk is verified: %+v", got)
 	}
--- a/internal/distribution/agent/core_messages.go
+++ b/internal/distribution/agent/core_messages.go
@@ -22,7 +22,7 @@
 type (
 	// TrackerResponse carries a tracker's answer to a Report.
 	TrackerResponse struct {
-		Answer distribution.InventoryResponse
+		Response distribution.InventoryResponse
 	}
 	// TrackerFailed means that no tracker answered a Report.
 	TrackerFailed struct{ RetryAfter time.Duration }
--- a/internal/distribution/agent/core_sources_test.go
+++ b/internal/distribution/agent/core_sources_test.go
@@ -57,7 +57,7 @@
 		t.Error("the source is removed although no tracker answered")
 	}
 	started := trackerAnswer(1, m)
-	started.Answer.KeepSources = true
+	started.Response.KeepSources = true
 	c.Step(time.Minute, started)
 	if source := c.sources[sourceKey{"two", m.Digest}]; source == nil || source.released {
 		t.Error("the source is released by an answer that sets Keep")
--- a/internal/distribution/agent/core_test.go
+++ b/internal/distribution/agent/core_test.go
@@ -88,7 +88,7 @@
 		t.Errorf("an answer with a lower revision is applied: %+v", got)
 	}
 	lowerTerm := trackerAnswer(11, first)
-	lowerTerm.Answer.Term = 0
+	lowerTerm.Response.Term = 0
 	if got := effectsOf[GetManifest](c.Step(2*time.Second, lowerTerm)); len(got) != 0 {
 		t.Errorf("an answer of a lower term is applied: %+v", got)
 	}
--- a/internal/distribution/simulation/agent_effects.go
+++ b/internal/distribution/simulation/agent_effects.go
@@ -57,7 +57,7 @@
 		a.world.After(networkLatency, func() {
 			a.world.sendInventory(controllerIndex, inventory, func(reply tracker.Reply) {
 				if answer, ok := reply.Body.(distribution.InventoryResponse); ok && reply.Status == http.StatusOK {
-					a.world.After(networkLatency, func() { finish(agent.TrackerResponse{Answer: answer}) })
+					a.world.After(networkLatency, func() { finish(agent.TrackerResponse{Response: answer}) })
 					return
 				}
 				a.controllerIndex = (controllerIndex + 1) % len(a.world.Controllers)
