--- a/internal/distribution/agent/settings.go
+++ b/internal/distribution/agent/settings.go
@@ -20,7 +20,7 @@
 
 	UploadSlots   int     `toml:"upload_slots" validate:"gte=0,lte=1024"`
 	MaxDownloads     int     `toml:"downloads" validate:"gte=1,lte=1024"`
-	DiskBytes     int64   `toml:"disk_bytes" validate:"gte=0"`
+	DiskLimitBytes     int64   `toml:"disk_bytes" validate:"gte=0"`
 	MinimumRate   int64   `toml:"minimum_rate_bytes" validate:"gte=1"`
 	StallS        float64 `toml:"stall_s" validate:"gt=0,lte=3600"`
 	ReportS       float64 `toml:"report_s" validate:"gt=0,lte=3600"`
@@ -71,7 +71,7 @@
 		HasStore:          s.Store != "",
 		UploadSlots:       s.UploadSlots,
 		MaxDownloads:      s.MaxDownloads,
-		DiskLimitBytes:    s.DiskBytes,
+		DiskLimitBytes:    s.DiskLimitBytes,
 		MinBytesPerSecond: s.MinimumRate,
 		StallTimeout:      config.Seconds(s.StallS),
 		ReportInterval:    config.Seconds(s.ReportS),
