--- a/internal/distribution/agent/settings.go
+++ b/internal/distribution/agent/settings.go
@@ -21,7 +21,7 @@
 	UploadSlots   int     `toml:"upload_slots" validate:"gte=0,lte=1024"`
 	MaxDownloads     int     `toml:"downloads" validate:"gte=1,lte=1024"`
 	DiskLimitBytes     int64   `toml:"disk_bytes" validate:"gte=0"`
-	MinimumRate   int64   `toml:"minimum_rate_bytes" validate:"gte=1"`
+	MinBytesPerSecond   int64   `toml:"minimum_rate_bytes" validate:"gte=1"`
 	StallS        float64 `toml:"stall_s" validate:"gt=0,lte=3600"`
 	ReportS       float64 `toml:"report_s" validate:"gt=0,lte=3600"`
 	UploadBytes   int64   `toml:"upload_bytes_per_s" validate:"gte=0"`
@@ -31,7 +31,7 @@
 // Defaults returns the values of settings that the file may leave out.
 func Defaults() Settings {
 	const mebibyte = 1 << 20
-	return Settings{UploadSlots: 4, MaxDownloads: 8, MinimumRate: mebibyte, StallS: 10, ReportS: 2.5}
+	return Settings{UploadSlots: 4, MaxDownloads: 8, MinBytesPerSecond: mebibyte, StallS: 10, ReportS: 2.5}
 }
 
 // LoadSettings reads and validates a settings file. Its error names every invalid key.
@@ -53,9 +53,9 @@
 		errs = append(errs, fmt.Errorf("%s: agent: %q is the store's name", path, s.Agent))
 	}
 	// With a lower download limit, sources would be reported as slow because of that limit.
-	if s.DownloadBytes > 0 && s.MinimumRate*int64(s.MaxDownloads) > s.DownloadBytes {
+	if s.DownloadBytes > 0 && s.MinBytesPerSecond*int64(s.MaxDownloads) > s.DownloadBytes {
 		errs = append(errs, fmt.Errorf("%s: minimum_rate_bytes: %d for each of %d downloads is more than download_bytes_per_s allows, %d",
-			path, s.MinimumRate, s.MaxDownloads, s.DownloadBytes))
+			path, s.MinBytesPerSecond, s.MaxDownloads, s.DownloadBytes))
 	}
 	return errors.Join(errs...)
 }
@@ -72,7 +72,7 @@
 		UploadSlots:       s.UploadSlots,
 		MaxDownloads:      s.MaxDownloads,
 		DiskLimitBytes:    s.DiskLimitBytes,
-		MinBytesPerSecond: s.MinimumRate,
+		MinBytesPerSecond: s.MinBytesPerSecond,
 		StallTimeout:      config.Seconds(s.StallS),
 		ReportInterval:    config.Seconds(s.ReportS),
 		Seed:              seed,
