--- a/internal/distribution/agent/server.go
+++ b/internal/distribution/agent/server.go
@@ -28,7 +28,7 @@
 // handler returns the HTTP handler for peers, for the model server on the same machine, and for
 // metrics. Uploads that wait for the rate limiter are aborted when the context ends.
 func (a *Agent) handler(ctx context.Context) http.Handler {
-	uploads := newLimiter(a.settings.UploadBytes)
+	uploads := newLimiter(a.settings.UploadBytesPerSecond)
 	blobs := &registry.Handler{
 		Content:    peerContent{a},
 		Slots:      a.uploadSlots,
--- a/internal/distribution/agent/settings.go
+++ b/internal/distribution/agent/settings.go
@@ -24,7 +24,7 @@
 	MinBytesPerSecond   int64   `toml:"minimum_rate_bytes" validate:"gte=1"`
 	StallS        float64 `toml:"stall_s" validate:"gt=0,lte=3600"`
 	ReportS       float64 `toml:"report_s" validate:"gt=0,lte=3600"`
-	UploadBytes   int64   `toml:"upload_bytes_per_s" validate:"gte=0"`
+	UploadBytesPerSecond   int64   `toml:"upload_bytes_per_s" validate:"gte=0"`
 	DownloadBytes int64   `toml:"download_bytes_per_s" validate:"gte=0"`
 }
 
