--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -124,7 +124,7 @@
 		chunkSets:   map[digest.Digest]distribution.ChunkSet{},
 	}
 	a.metrics = newMetrics(a)
-	a.client = registry.NewClient(a.requestTimeout(), newLimiter(settings.DownloadBytes), a.metrics.countControlBytes)
+	a.client = registry.NewClient(a.requestTimeout(), newLimiter(settings.DownloadBytesPerSecond), a.metrics.countControlBytes)
 	a.tracker = newTrackerClient(settings.Trackers, a.requestTimeout(), a.metrics.countControlBytes)
 	a.publishState()
 	return a, nil
--- a/internal/distribution/agent/settings.go
+++ b/internal/distribution/agent/settings.go
@@ -25,7 +25,7 @@
 	StallS        float64 `toml:"stall_s" validate:"gt=0,lte=3600"`
 	ReportS       float64 `toml:"report_s" validate:"gt=0,lte=3600"`
 	UploadBytesPerSecond   int64   `toml:"upload_bytes_per_s" validate:"gte=0"`
-	DownloadBytes int64   `toml:"download_bytes_per_s" validate:"gte=0"`
+	DownloadBytesPerSecond int64   `toml:"download_bytes_per_s" validate:"gte=0"`
 }
 
 // Defaults returns the values of settings that the file may leave out.
@@ -53,9 +53,9 @@
 		errs = append(errs, fmt.Errorf("%s: agent: %q is the store's name", path, s.Agent))
 	}
 	// With a lower download limit, sources would be reported as slow because of that limit.
-	if s.DownloadBytes > 0 && s.MinBytesPerSecond*int64(s.MaxDownloads) > s.DownloadBytes {
+	if s.DownloadBytesPerSecond > 0 && s.MinBytesPerSecond*int64(s.MaxDownloads) > s.DownloadBytesPerSecond {
 		errs = append(errs, fmt.Errorf("%s: minimum_rate_bytes: %d for each of %d downloads is more than download_bytes_per_s allows, %d",
-			path, s.MinBytesPerSecond, s.MaxDownloads, s.DownloadBytes))
+			path, s.MinBytesPerSecond, s.MaxDownloads, s.DownloadBytesPerSecond))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/scale/distributionrun/fleet.go
+++ b/internal/scale/distributionrun/fleet.go
@@ -47,7 +47,7 @@
 	settings.Listen, settings.Directory = addresses.Worker(i), filepath.Join(e.directory, settings.Agent)
 	settings.Store, settings.Names = addresses.WeightStore(), []string{name}
 	settings.UploadSlots, settings.ReportS, settings.StallS = p.UploadSlots, p.InventoryIntervalS, stallIntervals*p.InventoryIntervalS
-	settings.UploadBytesPerSecond, settings.DownloadBytes = int64(rate), int64(rate)
+	settings.UploadBytesPerSecond, settings.DownloadBytesPerSecond = int64(rate), int64(rate)
 	settings.MinBytesPerSecond = max(1, int64(rate/minimumRateDivisor))
 	for c := range p.Controllers {
 		settings.Trackers = append(settings.Trackers, addresses.Tracker((c+i)%p.Controllers))
