--- a/internal/distribution/simulation/agent.go
+++ b/internal/distribution/simulation/agent.go
@@ -130,7 +130,7 @@
 		HasStore:          true,
 		UploadSlots:       a.UploadSlots,
 		MaxDownloads:      8,
-		DiskLimitBytes:    o.DiskBytes,
+		DiskLimitBytes:    o.DiskLimitBytes,
 		MinBytesPerSecond: max(1, int64(o.BytesPerSecond/minRateDivisor)),
 		StallTimeout:      2 * a.world.reportInterval(),
 		ReportInterval:    a.world.reportInterval(),
--- a/internal/distribution/simulation/versions_test.go
+++ b/internal/distribution/simulation/versions_test.go
@@ -114,7 +114,7 @@
 // version.
 func TestReaderKeepsItsVersion(t *testing.T) {
 	o := Defaults()
-	o.Agents, o.DiskBytes = 4, 2*chunks*chunkBytes
+	o.Agents, o.DiskLimitBytes = 4, 2*chunks*chunkBytes
 	w, first := startWorld(t, o)
 	requireReady(t, w, first)
 	a := w.Agents[0]
@@ -136,8 +136,8 @@
 	}
 	w.Run(maxWait)
 	requireNoViolations(t, w)
-	if a.DiskUsedBytes() > o.DiskBytes {
-		t.Errorf("%d bytes on disk exceed the limit of %d", a.DiskUsedBytes(), o.DiskBytes)
+	if a.DiskUsedBytes() > o.DiskLimitBytes {
+		t.Errorf("%d bytes on disk exceed the limit of %d", a.DiskUsedBytes(), o.DiskLimitBytes)
 	}
 	if a.Counts().EvictedChunks == 0 {
 		t.Error("no chunk was evicted")
--- a/internal/distribution/simulation/world.go
+++ b/internal/distribution/simulation/world.go
@@ -25,7 +25,7 @@
 	BytesPerSecond float64 // of the link of each agent and of the store, in each direction
 	StoreSlots     int     // concurrent uploads of the store that the tracker may grant
 	Names          []string
-	DiskBytes      int64 // limit for the chunks of each agent; 0: no limit
+	DiskLimitBytes      int64 // limit for the chunks of each agent; 0: no limit
 	Seed           uint64
 	TicksPerReport int // ticks of an agent in each report interval
 }
