--- a/internal/distribution/simulation/benchmark_test.go
+++ b/internal/distribution/simulation/benchmark_test.go
@@ -26,7 +26,7 @@
 					stepTime += time.Since(startedAt)
 				}
 				m := w.Store.Publish(chunks/2, chunkBytes, nil, 0)
-				w.Use(weightsName, m.Digest)
+				w.SetManifest(weightsName, m.Digest)
 				w.StartAll()
 				took, ok := w.RunUntilReady(maxWait, weightsName, m.Digest)
 				if !ok || len(w.Violations) > 0 {
--- a/internal/distribution/simulation/disk_test.go
+++ b/internal/distribution/simulation/disk_test.go
@@ -19,11 +19,11 @@
 	freeBytes := int64(chunks * chunkBytes * 3 / 2)
 	limitedAgent := w.Agents[0]
 	limitedAgent.Disk = &limitedDisk{limitedAgent.Disk, &freeBytes}
-	w.Use(weightsName, first.Digest)
+	w.SetManifest(weightsName, first.Digest)
 	w.StartAll()
 	requireReady(t, w, first)
 	second := w.Store.Publish(chunks, chunkBytes, nil, 0)
-	w.Use(weightsName, second.Digest)
+	w.SetManifest(weightsName, second.Digest)
 	w.Run(maxWait)
 	if limitedAgent.Active(weightsName) != first.Digest || limitedAgent.Counts().Faults[distribution.FaultDisk] == 0 {
 		t.Errorf("the agent serves %s; faults %v", limitedAgent.Active(weightsName), limitedAgent.Counts().Faults)
--- a/internal/distribution/simulation/fleet_test.go
+++ b/internal/distribution/simulation/fleet_test.go
@@ -39,7 +39,7 @@
 	o.Agents, o.StoreSlots, o.TicksPerReport = 1000, 8, 4
 	w := New(o)
 	m := w.Store.Publish(chunks/4, chunkBytes, nil, 0)
-	w.Use(weightsName, m.Digest)
+	w.SetManifest(weightsName, m.Digest)
 	w.StartAll()
 	neverReady := w.Agents[17]
 	neverReady.SetRate(0.01)
--- a/internal/distribution/simulation/helpers_test.go
+++ b/internal/distribution/simulation/helpers_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	w := New(o)
 	m := w.Store.Publish(chunks, chunkBytes, nil, 0)
-	w.Use(weightsName, m.Digest)
+	w.SetManifest(weightsName, m.Digest)
 	w.StartAll()
 	return w, m
 }
--- a/internal/distribution/simulation/outages_test.go
+++ b/internal/distribution/simulation/outages_test.go
@@ -69,7 +69,7 @@
 		m := w.Store.Publish(chunks, chunkBytes, nil, 0)
 		missing := m.Chunks[5].Digest
 		w.Store.MissingChunks[missing] = true
-		w.Use(weightsName, m.Digest)
+		w.SetManifest(weightsName, m.Digest)
 		w.StartAll()
 		w.Run(maxWait / 2)
 		w.Store.Down = true
--- a/internal/distribution/simulation/tracker_host.go
+++ b/internal/distribution/simulation/tracker_host.go
@@ -121,9 +121,9 @@
 	h.step(command(h.nextID))
 }
 
-// Use points a name to a version. Like an operator, it asks one controller after another until one
-// confirms the change. Each call of Use, for any name, ends the retries of earlier calls.
-func (w *World) Use(name string, manifest digest.Digest) {
+// SetManifest points a name to a version. Like an operator, it asks one controller after another until one
+// confirms the change. Each call of SetManifest, for any name, ends the retries of earlier calls.
+func (w *World) SetManifest(name string, manifest digest.Digest) {
 	w.lastUseID++
 	use, attempts := w.lastUseID, 0
 	var try func()
--- a/internal/distribution/simulation/versions_test.go
+++ b/internal/distribution/simulation/versions_test.go
@@ -55,7 +55,7 @@
 		if i > 0 {
 			w.Run(pause)
 		}
-		w.Use(weightsName, version.Digest)
+		w.SetManifest(weightsName, version.Digest)
 	}
 	return versions[len(versions)-1]
 }
@@ -71,7 +71,7 @@
 		return useInTurn(w, 4*time.Second, v[1], v[0])
 	}},
 	{name: "leader crashes during the change", change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
-		w.Use(weightsName, v[1].Digest)
+		w.SetManifest(weightsName, v[1].Digest)
 		w.Run(2 * time.Millisecond) // the write may be in progress
 		leader := w.Leader()
 		leader.Crash()
@@ -124,7 +124,7 @@
 	}
 	for range 3 { // each version needs the disk space of the last but one
 		next := w.Store.Publish(chunks, chunkBytes, nil, 0)
-		w.Use(weightsName, next.Digest)
+		w.SetManifest(weightsName, next.Digest)
 		w.Run(maxWait / 5)
 	}
 	content, err := afero.ReadAll(reader)
@@ -153,7 +153,7 @@
 	for _, name := range o.Names {
 		m := w.Store.Publish(chunks/2, chunkBytes, nil, 0)
 		manifests[name] = m.Digest
-		w.Use(name, m.Digest)
+		w.SetManifest(name, m.Digest)
 		w.Run(2 * time.Second)
 	}
 	w.StartAll()
