--- a/cmd/oakpick/main.go
+++ b/cmd/oakpick/main.go
@@ -27,7 +27,7 @@
 	Serve       serveCommand       `cmd:"" default:"1" help:"Serve as a controller until killed (the default)."`
 	CheckConfig checkConfigCommand `cmd:"" name:"check-config" help:"Check a settings file and name every problem."`
 	Version     versionCommand     `cmd:"" help:"Print the version."`
-	Weights     weights            `cmd:"" help:"Ask and steer the distribution of weights, through any controller."`
+	Weights     weightsCommand     `cmd:"" help:"Ask and steer the distribution of weights, through any controller."`
 }
 
 // load reads and validates the settings and, if --extensions is given, the extensions.
--- a/cmd/oakpick/weights.go
+++ b/cmd/oakpick/weights.go
@@ -15,22 +15,22 @@
 	"oakpick/internal/distribution/registry"
 )
 
-// weights groups the commands for the distribution of weights.
-type weights struct {
+// weightsCommand groups the commands for the distribution of weightsCommand.
+type weightsCommand struct {
 	Controller []string      `help:"Trackers' addresses (HOST:PORT) of one or more controllers; the first that answers is used." placeholder:"ADDRESS"`
 	Timeout    time.Duration `help:"Give up after this time." default:"10s"`
 
-	List   weightsList   `cmd:"" help:"List all names with their manifests."`
-	Status weightsStatus `cmd:"" help:"Tell who holds what of a name, what is fetched from whom, and why agents wait."`
-	Use    weightsUse    `cmd:"" help:"Have a name refer to a manifest, given by digest or by a tag of the store."`
-	Pack   weightsPack   `cmd:"" help:"Cut files into a version in an OCI image layout. No controller is asked."`
-	Check  weightsCheck  `cmd:"" help:"Read every byte of an OCI image layout and name what is missing or damaged. No controller is asked."`
-	Serve  weightsServe  `cmd:"" help:"Serve an OCI image layout to agents, as a small store. No controller is asked."`
+	List   weightsListCommand   `cmd:"" help:"List all names with their manifests."`
+	Status weightsStatusCommand `cmd:"" help:"Tell who holds what of a name, what is fetched from whom, and why agents wait."`
+	Use    weightsUseCommand    `cmd:"" help:"Have a name refer to a manifest, given by digest or by a tag of the store."`
+	Pack   weightsPackCommand   `cmd:"" help:"Cut files into a version in an OCI image layout. No controller is asked."`
+	Check  weightsCheckCommand  `cmd:"" help:"Read every byte of an OCI image layout and name what is missing or damaged. No controller is asked."`
+	Serve  weightsServeCommand  `cmd:"" help:"Serve an OCI image layout to agents, as a small store. No controller is asked."`
 }
 
 // withClient calls run with a client for the controllers and a context that expires after the
 // timeout.
-func (w *weights) withClient(run func(ctx context.Context, client *operator.Client) error) error {
+func (w *weightsCommand) withClient(run func(ctx context.Context, client *operator.Client) error) error {
 	if len(w.Controller) == 0 {
 		return errors.New("--controller ADDRESS is missing")
 	}
@@ -41,11 +41,11 @@
 	return run(ctx, &operator.Client{Controllers: w.Controller, HTTP: http.Client{Timeout: timeoutEach}})
 }
 
-// weightsList lists all names of weights.
-type weightsList struct{}
+// weightsListCommand lists all names of weights.
+type weightsListCommand struct{}
 
 // Run prints a table of names.
-func (weightsList) Run(cli *commandLine) error {
+func (weightsListCommand) Run(cli *commandLine) error {
 	return cli.Weights.withClient(func(ctx context.Context, client *operator.Client) error {
 		names, err := client.Names(ctx)
 		if err != nil {
@@ -55,13 +55,13 @@
 	})
 }
 
-// weightsStatus shows how a name's weights are distributed.
-type weightsStatus struct {
+// weightsStatusCommand shows how a name's weights are distributed.
+type weightsStatusCommand struct {
 	Name string `arg:"" help:"Name of the weights."`
 }
 
 // Run prints a table of agents.
-func (s weightsStatus) Run(cli *commandLine) error {
+func (s weightsStatusCommand) Run(cli *commandLine) error {
 	if err := distribution.CheckName(s.Name); err != nil {
 		return err
 	}
@@ -74,8 +74,8 @@
 	})
 }
 
-// weightsUse makes a name refer to a manifest.
-type weightsUse struct {
+// weightsUseCommand makes a name refer to a manifest.
+type weightsUseCommand struct {
 	Name     string `arg:"" help:"Name of the weights."`
 	Manifest string `help:"Digest of the manifest." placeholder:"DIGEST" xor:"version" required:""`
 	Tag      string `help:"Tag in the store instead; its manifest is fetched and verified." xor:"version" required:""`
@@ -83,7 +83,7 @@
 }
 
 // Run changes the name's manifest and prints the new record.
-func (u weightsUse) Run(cli *commandLine) error {
+func (u weightsUseCommand) Run(cli *commandLine) error {
 	if err := distribution.CheckName(u.Name); err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 }
 
 // resolve returns the digest given by --manifest, or the digest that the store returns for --tag.
-func (u weightsUse) resolve(ctx context.Context, timeout time.Duration) (digest.Digest, error) {
+func (u weightsUseCommand) resolve(ctx context.Context, timeout time.Duration) (digest.Digest, error) {
 	if u.Tag == "" {
 		d := digest.Digest(u.Manifest)
 		if err := distribution.CheckDigest(d); err != nil {
--- a/cmd/oakpick/weights_store.go
+++ b/cmd/oakpick/weights_store.go
@@ -20,8 +20,8 @@
 	"oakpick/internal/logging"
 )
 
-// weightsPack splits files into the chunks of a version and stores them in an OCI image layout.
-type weightsPack struct {
+// weightsPackCommand splits files into the chunks of a version and stores them in an OCI image layout.
+type weightsPackCommand struct {
 	Files   []string `arg:"" type:"existingfile" help:"Files whose bytes, one after the other, are the version."`
 	Out     string   `help:"Directory of the OCI image layout; made if it isn't there." required:"" type:"path"`
 	Tag     string   `help:"Tag that is to name the version." required:""`
@@ -31,7 +31,7 @@
 const bytesPerMebibyte = 1 << 20
 
 // Run packs the files and prints the manifest's digest.
-func (p weightsPack) Run() error {
+func (p weightsPackCommand) Run() error {
 	store, err := layout.Create(afero.NewOsFs(), p.Out)
 	if err != nil {
 		return err
@@ -53,13 +53,13 @@
 	return nil
 }
 
-// weightsCheck verifies an OCI image layout.
-type weightsCheck struct {
+// weightsCheckCommand verifies an OCI image layout.
+type weightsCheckCommand struct {
 	Directory string `arg:"" type:"existingdir" help:"Directory of the OCI image layout."`
 }
 
 // Run verifies the layout and prints its tags.
-func (c weightsCheck) Run() error {
+func (c weightsCheckCommand) Run() error {
 	store, err := layout.Open(afero.NewOsFs(), c.Directory)
 	if err != nil {
 		return err
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// weightsServe serves an OCI image layout to agents as a small store.
-type weightsServe struct {
+// weightsServeCommand serves an OCI image layout to agents as a small store.
+type weightsServeCommand struct {
 	Directory string `arg:"" type:"existingdir" help:"Directory of the OCI image layout."`
 	Listen    string `help:"Address to listen on." default:"127.0.0.1:5000"`
 	Slots     int    `help:"Uploads at a time; others are told when to come back." default:"64"`
@@ -85,7 +85,7 @@
 const storeTimeout = 30 * time.Second
 
 // Run serves the layout until the process receives SIGINT or SIGTERM.
-func (s weightsServe) Run() error {
+func (s weightsServeCommand) Run() error {
 	store, err := layout.Open(afero.NewOsFs(), s.Directory)
 	if err != nil {
 		return err
--- a/internal/distribution/agent/core.go
+++ b/internal/distribution/agent/core.go
@@ -89,7 +89,7 @@
 func (c *Core) handleEvent(event Event) {
 	switch e := event.(type) {
 	case TrackerResponse:
-		c.handleTrackerAnswer(e.Response)
+		c.handleTrackerResponse(e.Response)
 	case TrackerFailed:
 		c.handleTrackerFailure(e)
 	case ManifestResult:
--- a/internal/distribution/agent/core_disk_test.go
+++ b/internal/distribution/agent/core_disk_test.go
@@ -46,7 +46,7 @@
 	c := newCore(stored)
 	c.settings.DiskLimitBytes = diskLimitBytes
 	store := distribution.Source{Agent: distribution.StoreSource, Manifest: wanted.Digest, Stripes: 1}
-	c.Step(0, trackerAnswer(2, wanted, store))
+	c.Step(0, trackerResponse(2, wanted, store))
 	effects := c.Step(1, ManifestResult{Digest: wanted.Digest, Manifest: wanted})
 	removes := effectsOf[Remove](effects)
 	if len(removes) != 1 || len(c.versions[old.Digest].positions[removes[0].Chunk]) == 0 {
@@ -65,7 +65,7 @@
 		if c.DiskUsedBytes() > diskLimitBytes {
 			t.Fatalf("%d bytes are used", c.DiskUsedBytes())
 		}
-		effects = c.Step(time.Duration(i)*100*time.Millisecond, append(successResults(effects), trackerAnswer(2, wanted, store))...)
+		effects = c.Step(time.Duration(i)*100*time.Millisecond, append(successResults(effects), trackerResponse(2, wanted, store))...)
 	}
 	if c.Active(weightsName) != wanted.Digest {
 		t.Errorf("the active version is %s", c.Active(weightsName))
@@ -80,7 +80,7 @@
 		effects = c.Step(time.Second, ChunkResult{ID: effectsOf[GetChunk](effects)[0].ID, ReceivedBytes: 100})
 	}
 	c.Step(2*time.Second, ActivateResult{Name: weightsName, Manifest: m.Digest})
-	recheck := trackerAnswer(1, m)
+	recheck := trackerResponse(1, m)
 	recheck.Response.Recheck = []digest.Digest{m.Digest}
 	if got := effectsOf[Verify](c.Step(3*time.Second, recheck)); len(got) != 2 {
 		t.Errorf("not every chunk is verified: %+v", got)
@@ -89,7 +89,7 @@
 		t.Errorf("verified again at once: %+v", got)
 	}
 	c.Step(5*time.Second, ChunkLost{m.Chunks[0].Digest})
-	effects = c.Step(6*time.Second, trackerAnswer(1, m, peerSource("three", "a", m)))
+	effects = c.Step(6*time.Second, trackerResponse(1, m, peerSource("three", "a", m)))
 	effects = append(effects, c.Step(7*time.Second, ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{3}})...)
 	if got := effectsOf[GetChunk](effects); len(got) != 1 || got[0].Chunk != m.Chunks[0] {
 		t.Errorf("the lost chunk is not fetched again: %+v", got)
@@ -101,7 +101,7 @@
 func TestFullDiskEvictsUnreferencedChunks(t *testing.T) {
 	old, wanted := newManifest(t, "old", 3), newManifest(t, "wanted", 3)
 	c := newCore(storedChunks(old))
-	c.Step(0, trackerAnswer(2, wanted, distribution.Source{Agent: distribution.StoreSource, Manifest: wanted.Digest, Stripes: 1}))
+	c.Step(0, trackerResponse(2, wanted, distribution.Source{Agent: distribution.StoreSource, Manifest: wanted.Digest, Stripes: 1}))
 	get := effectsOf[GetChunk](c.Step(1, ManifestResult{Digest: wanted.Digest, Manifest: wanted}))
 	effects := c.Step(time.Second, ChunkResult{ID: get[0].ID, Fault: distribution.FaultDisk, ReceivedBytes: 40})
 	removes := effectsOf[Remove](effects)
--- a/internal/distribution/agent/core_fetch.go
+++ b/internal/distribution/agent/core_fetch.go
@@ -107,7 +107,7 @@
 	if source.isStore() {
 		return
 	}
-	if c.now-source.lastUsefulAt > maxUselessReports*c.settings.ReportInterval && !c.offersMissingChunk(version, source) {
+	if c.now-source.lastUsefulAt > maxUselessIntervals*c.settings.ReportInterval && !c.offersMissingChunk(version, source) {
 		c.recordFault(source, distribution.FaultUseless, 0)
 		return
 	}
@@ -174,7 +174,7 @@
 	if available.total[position] > 0 {
 		return false
 	}
-	waitsForOthers := source.OtherStoreUsers > 0 && c.now-version.lastFetchAt < stripeWaitReports*c.settings.ReportInterval
+	waitsForOthers := source.OtherStoreUsers > 0 && c.now-version.lastFetchAt < stripeWaitIntervals*c.settings.ReportInterval
 	return source.inStripe(position) || !waitsForOthers
 }
 
--- a/internal/distribution/agent/core_fetch_test.go
+++ b/internal/distribution/agent/core_fetch_test.go
@@ -37,7 +37,7 @@
 				t.Fatal("a chunk that a peer has is fetched from the store")
 			}
 			fetched++
-			c.Step(now, ChunkResult{ID: id, ReceivedBytes: 100}, trackerAnswer(1, m, peerSource("two", "a", m), store))
+			c.Step(now, ChunkResult{ID: id, ReceivedBytes: 100}, trackerResponse(1, m, peerSource("two", "a", m), store))
 		}
 	}
 	if fetched < 15 {
@@ -49,7 +49,7 @@
 func TestRarestChunkIsFetchedFirst(t *testing.T) {
 	m := newManifest(t, "1", 6)
 	c := newCore(StoredState{})
-	c.Step(0, trackerAnswer(1, m, peerSource("two", "a", m), peerSource("three", "a", m), peerSource("four", "a", m)))
+	c.Step(0, trackerResponse(1, m, peerSource("two", "a", m), peerSource("three", "a", m), peerSource("four", "a", m)))
 	c.Step(1, ManifestResult{Digest: m.Digest, Manifest: m})
 	c.Step(2,
 		ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}},
@@ -79,7 +79,7 @@
 	if more := effectsOf[GetChunk](c.Step(100*time.Millisecond, ChunkResult{ID: got[0].ID, ReceivedBytes: 100})); len(more) != 0 {
 		t.Errorf("another stripe is fetched at once: %+v", more)
 	}
-	if more := effectsOf[GetChunk](c.Step(3*time.Second, trackerAnswer(1, m, store))); len(more) != 1 {
+	if more := effectsOf[GetChunk](c.Step(3*time.Second, trackerResponse(1, m, store))); len(more) != 1 {
 		t.Errorf("no other stripe is fetched after the wait: %+v", more)
 	}
 	store.OtherStoreUsers = 0
@@ -95,7 +95,7 @@
 	first, second := newManifest(t, "1", 3), newManifest(t, "2", 3)
 	c, effects := newFetchingCore(t, first, peerSource("two", "a", first))
 	get := effectsOf[GetChunk](effects)[0]
-	cancels := effectsOf[CancelChunk](c.Step(time.Second, trackerAnswer(2, second)))
+	cancels := effectsOf[CancelChunk](c.Step(time.Second, trackerResponse(2, second)))
 	if len(cancels) != 1 || cancels[0].ID != get.ID {
 		t.Fatalf("cancelled %+v, not fetch %d", cancels, get.ID)
 	}
--- a/internal/distribution/agent/core_messages.go
+++ b/internal/distribution/agent/core_messages.go
@@ -164,13 +164,13 @@
 	retryDivisor            = 8  // retry delay after the first failure
 	maxRetryDoublings       = 6  // the retry delay doubles at most this many times
 	refreshDivisor          = 2  // first interval between requests for a source's chunk set
-	maxRefreshReports       = 2  // longest interval between these requests
-	maxUselessReports       = 4  // a source is released after this long without a needed chunk
+	maxRefreshIntervals     = 2  // longest interval between these requests
+	maxUselessIntervals     = 4  // a source is released after this long without a needed chunk
 	maxMissingChunks        = 3  // a source is released after it wrongly claimed this many chunks
 	maxUnreachableFailures  = 2  // an unreachable source is released after this many consecutive failures
-	exclusionReports        = 10 // a released source isn't used again for this long
-	stripeWaitReports       = 2  // other agents' stripes of the store are fetched after this long without a fetch
-	verifyIntervalReports   = 40 // shortest interval between two verifications of a manifest's chunks
+	exclusionIntervals      = 10 // a released source isn't used again for this long
+	stripeWaitIntervals     = 2  // other agents' stripes of the store are fetched after this long without a fetch
+	minVerifyIntervals      = 40 // shortest interval between two verifications of a manifest's chunks
 	maxReportedHoldings     = 64 // per inventory
 	maxReportedFaults       = 64 // per inventory
 )
--- a/internal/distribution/agent/core_reports.go
+++ b/internal/distribution/agent/core_reports.go
@@ -8,22 +8,22 @@
 	"oakpick/internal/distribution"
 )
 
-// handleTrackerAnswer applies the names and sources in a tracker's answer and schedules the next
+// handleTrackerResponse applies the names and sources in a tracker's answer and schedules the next
 // report.
-func (c *Core) handleTrackerAnswer(answer distribution.InventoryResponse) {
+func (c *Core) handleTrackerResponse(response distribution.InventoryResponse) {
 	c.reports.inFlight = false
-	requested := time.Duration(answer.NextReportMs) * time.Millisecond
+	requested := time.Duration(response.NextReportMs) * time.Millisecond
 	c.reports.interval = min(max(requested, c.settings.ReportInterval/maxReportIntervalFactor), c.settings.ReportInterval*maxReportIntervalFactor)
 	c.reports.nextAt = c.now + c.reports.interval
-	if answer.Term < c.reports.term {
+	if response.Term < c.reports.term {
 		return // the answer comes from a leader that has been replaced
 	}
-	c.reports.term = answer.Term
-	for _, record := range answer.Names {
+	c.reports.term = response.Term
+	for _, record := range response.Names {
 		c.applyNameRecord(record)
 	}
-	c.updateSources(answer)
-	for _, manifest := range answer.Recheck {
+	c.updateSources(response)
+	for _, manifest := range response.Recheck {
 		c.verifyManifest(manifest)
 	}
 }
--- a/internal/distribution/agent/core_sources.go
+++ b/internal/distribution/agent/core_sources.go
@@ -53,9 +53,9 @@
 
 // updateSources adds or updates the sources that the tracker lists and releases all others. If the
 // answer sets Keep, none is released: the tracker has just started and doesn't know them yet.
-func (c *Core) updateSources(answer distribution.InventoryResponse) {
+func (c *Core) updateSources(response distribution.InventoryResponse) {
 	listed := map[sourceKey]bool{}
-	for _, entry := range answer.Sources {
+	for _, entry := range response.Sources {
 		key := sourceKey{entry.Agent, entry.Manifest}
 		if !c.acceptsSource(key) {
 			continue
@@ -65,7 +65,7 @@
 		c.addSource(key, entry)
 	}
 	for key, source := range c.sources {
-		if !listed[key] && !answer.KeepSources {
+		if !listed[key] && !response.KeepSources {
 			source.released = true
 		}
 	}
@@ -191,7 +191,7 @@
 		return
 	}
 	source.consecutiveFailures = 0
-	source.refreshInterval = min(source.refreshInterval*2, maxRefreshReports*c.settings.ReportInterval)
+	source.refreshInterval = min(source.refreshInterval*2, maxRefreshIntervals*c.settings.ReportInterval)
 	if c.updateChunkSet(source, result.Chunks) {
 		source.refreshInterval = c.settings.ReportInterval / refreshDivisor
 	}
@@ -241,7 +241,7 @@
 // releaseSource stops using a source and reports its fault, so that the tracker assigns another
 // source.
 func (c *Core) releaseSource(source *sourceState, fault distribution.Fault) {
-	c.excludedUntil[source.key()] = c.now + exclusionReports*c.settings.ReportInterval
+	c.excludedUntil[source.key()] = c.now + exclusionIntervals*c.settings.ReportInterval
 	source.released = true
 	c.reports.faults = append(c.reports.faults, distribution.SourceFault{Source: source.Agent, Manifest: source.Manifest, Fault: fault})
 	c.log("source released", "source", source.Agent, "fault", string(fault))
--- a/internal/distribution/agent/core_sources_test.go
+++ b/internal/distribution/agent/core_sources_test.go
@@ -16,7 +16,7 @@
 	first := effectsOf[GetChunk](effects)[0]
 	effects = c.Step(time.Second, ChunkResult{ID: first.ID, Fault: distribution.FaultUnreachable, ReceivedBytes: 40, PartialBytes: 40})
 	for now := 2 * time.Second; len(effectsOf[GetChunk](effects)) == 0; now += time.Second {
-		effects = c.Step(now, trackerAnswer(1, m, peerSource("two", "a", m), peerSource("three", "a", m)))
+		effects = c.Step(now, trackerResponse(1, m, peerSource("two", "a", m), peerSource("three", "a", m)))
 	}
 	second := effectsOf[GetChunk](effects)[0]
 	if second.Offset != 40 || second.From == first.From {
@@ -56,13 +56,13 @@
 	if len(c.sources) != 1 {
 		t.Error("the source is removed although no tracker answered")
 	}
-	started := trackerAnswer(1, m)
+	started := trackerResponse(1, m)
 	started.Response.KeepSources = true
 	c.Step(time.Minute, started)
 	if source := c.sources[sourceKey{"two", m.Digest}]; source == nil || source.released {
 		t.Error("the source is released by an answer that sets Keep")
 	}
-	c.Step(2*time.Minute, trackerAnswer(1, m))
+	c.Step(2*time.Minute, trackerResponse(1, m))
 	if source := c.sources[sourceKey{"two", m.Digest}]; source != nil && !source.released {
 		t.Error("the source is still used after an answer that doesn't list it")
 	}
--- a/internal/distribution/agent/core_state.go
+++ b/internal/distribution/agent/core_state.go
@@ -10,7 +10,7 @@
 
 // CoreCounts holds the counters since the agent's start.
 type CoreCounts struct {
-	FetchedChunks  int64
+	FetchedChunks int64
 	PeerBytes     int64 // received from other agents
 	StoreBytes    int64 // received from the store
 	Faults        map[distribution.Fault]int64
--- a/internal/distribution/agent/core_targets.go
+++ b/internal/distribution/agent/core_targets.go
@@ -154,7 +154,7 @@
 	if version == nil {
 		return
 	}
-	if at, verified := c.verifiedAt[manifest]; verified && c.now-at < verifyIntervalReports*c.settings.ReportInterval {
+	if at, verified := c.verifiedAt[manifest]; verified && c.now-at < minVerifyIntervals*c.settings.ReportInterval {
 		return
 	}
 	c.verifiedAt[manifest] = c.now
--- a/internal/distribution/agent/core_test.go
+++ b/internal/distribution/agent/core_test.go
@@ -36,8 +36,8 @@
 	}, stored)
 }
 
-// trackerAnswer returns an answer that assigns a manifest to weightsName and lists sources.
-func trackerAnswer(revision int64, m *distribution.Manifest, sources ...distribution.Source) TrackerResponse {
+// trackerResponse returns an answer that assigns a manifest to weightsName and lists sources.
+func trackerResponse(revision int64, m *distribution.Manifest, sources ...distribution.Source) TrackerResponse {
 	return TrackerResponse{distribution.InventoryResponse{
 		Term: 1, NextReportMs: 1000, Sources: sources, Names: []distribution.NameRecord{{Name: weightsName, Manifest: m.Digest, Revision: revision}},
 	}}
@@ -53,7 +53,7 @@
 func newFetchingCore(t *testing.T, m *distribution.Manifest, sources ...distribution.Source) (*Core, []Effect) {
 	t.Helper()
 	c := newCore(StoredState{})
-	c.Step(0, trackerAnswer(1, m, sources...))
+	c.Step(0, trackerResponse(1, m, sources...))
 	all := distribution.NewChunkSet(len(m.Chunks))
 	for i := range m.Chunks {
 		all.Add(i)
@@ -82,18 +82,18 @@
 func TestOlderAnswersAreIgnored(t *testing.T) {
 	first, second := newManifest(t, "1", 2), newManifest(t, "2", 2)
 	c := newCore(StoredState{})
-	lowerRevision := trackerAnswer(7, first)
-	c.Step(0, trackerAnswer(9, second))
+	lowerRevision := trackerResponse(7, first)
+	c.Step(0, trackerResponse(9, second))
 	if got := effectsOf[GetManifest](c.Step(time.Second, lowerRevision)); len(got) != 0 {
 		t.Errorf("an answer with a lower revision is applied: %+v", got)
 	}
-	lowerTerm := trackerAnswer(11, first)
+	lowerTerm := trackerResponse(11, first)
 	lowerTerm.Response.Term = 0
 	if got := effectsOf[GetManifest](c.Step(2*time.Second, lowerTerm)); len(got) != 0 {
 		t.Errorf("an answer of a lower term is applied: %+v", got)
 	}
 	// A newer revision is applied at once, although the previous manifest is still being fetched.
-	if got := effectsOf[GetManifest](c.Step(3*time.Second, trackerAnswer(12, first))); len(got) != 1 || got[0].Digest != first.Digest {
+	if got := effectsOf[GetManifest](c.Step(3*time.Second, trackerResponse(12, first))); len(got) != 1 || got[0].Digest != first.Digest {
 		t.Errorf("a newer revision is ignored: %+v", got)
 	}
 }
@@ -106,7 +106,7 @@
 		Contents: chunkstore.Contents{Chunks: map[digest.Digest]int64{second.Chunks[0].Digest: 100}, Manifests: []*distribution.Manifest{second}},
 		Active:   map[string]distribution.ActiveVersion{weightsName: {Manifest: second.Digest, Revision: 9}},
 	})
-	if got := c.Step(0, trackerAnswer(7, first)); len(effectsOf[GetManifest](got)) != 0 || c.Active(weightsName) != second.Digest {
+	if got := c.Step(0, trackerResponse(7, first)); len(effectsOf[GetManifest](got)) != 0 || c.Active(weightsName) != second.Digest {
 		t.Errorf("active %s, effects %+v", c.Active(weightsName), got)
 	}
 }
--- a/internal/distribution/agent/metrics.go
+++ b/internal/distribution/agent/metrics.go
@@ -8,7 +8,7 @@
 // metrics holds the Prometheus metrics of an agent.
 type metrics struct {
 	registry        *prometheus.Registry
-	storedChunks    prometheus.Gauge
+	fetchedChunks   prometheus.Gauge
 	downloadedBytes *prometheus.GaugeVec
 	faults          *prometheus.GaugeVec
 	activations     prometheus.Gauge
@@ -43,8 +43,8 @@
 // newMetrics creates the metrics of an agent and a registry for them.
 func newMetrics(a *Agent) *metrics {
 	m := &metrics{
-		registry:     prometheus.NewRegistry(),
-		storedChunks: newGauge("chunks_fetched", "Chunks that were fetched and verified since the start."),
+		registry:      prometheus.NewRegistry(),
+		fetchedChunks: newGauge("chunks_fetched", "Chunks that were fetched and verified since the start."),
 		downloadedBytes: newGaugeVec("from", "downloaded_bytes",
 			"Bytes of chunks received since the start, by where from."),
 		faults: newGaugeVec("fault", "source_faults",
@@ -60,7 +60,7 @@
 	}
 	slotsInUse := prometheus.NewGaugeFunc(prometheus.GaugeOpts(metricOpts("upload_slots_in_use", "Upload slots in use.")),
 		func() float64 { return float64(a.uploadSlots.InUse()) })
-	m.registry.MustRegister(m.storedChunks, m.downloadedBytes, m.faults, m.activations, m.evictedChunks, m.diskBytes,
+	m.registry.MustRegister(m.fetchedChunks, m.downloadedBytes, m.faults, m.activations, m.evictedChunks, m.diskBytes,
 		m.uploads, m.uploadedBytes, m.controlBytes, slotsInUse,
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), collectors.NewGoCollector())
 	return m
@@ -80,7 +80,7 @@
 
 // update copies Core's counters and disk usage to the metrics.
 func (m *metrics) update(c *Core) {
-	m.storedChunks.Set(float64(c.counts.FetchedChunks))
+	m.fetchedChunks.Set(float64(c.counts.FetchedChunks))
 	m.downloadedBytes.WithLabelValues("peers").Set(float64(c.counts.PeerBytes))
 	m.downloadedBytes.WithLabelValues("store").Set(float64(c.counts.StoreBytes))
 	for fault, n := range c.counts.Faults {
--- a/internal/distribution/agent/settings.go
+++ b/internal/distribution/agent/settings.go
@@ -18,12 +18,12 @@
 	Store     string   `toml:"store" validate:"omitempty,hostname_port"`
 	Names     []string `toml:"names" validate:"required,min=1,max=64"`
 
-	UploadSlots   int     `toml:"upload_slots" validate:"gte=0,lte=1024"`
-	MaxDownloads     int     `toml:"downloads" validate:"gte=1,lte=1024"`
-	DiskLimitBytes     int64   `toml:"disk_bytes" validate:"gte=0"`
-	MinBytesPerSecond   int64   `toml:"minimum_rate_bytes" validate:"gte=1"`
-	StallS        float64 `toml:"stall_s" validate:"gt=0,lte=3600"`
-	ReportS       float64 `toml:"report_s" validate:"gt=0,lte=3600"`
+	UploadSlots            int     `toml:"upload_slots" validate:"gte=0,lte=1024"`
+	MaxDownloads           int     `toml:"downloads" validate:"gte=1,lte=1024"`
+	DiskLimitBytes         int64   `toml:"disk_bytes" validate:"gte=0"`
+	MinBytesPerSecond      int64   `toml:"minimum_rate_bytes" validate:"gte=1"`
+	StallS                 float64 `toml:"stall_s" validate:"gt=0,lte=3600"`
+	ReportS                float64 `toml:"report_s" validate:"gt=0,lte=3600"`
 	UploadBytesPerSecond   int64   `toml:"upload_bytes_per_s" validate:"gte=0"`
 	DownloadBytesPerSecond int64   `toml:"download_bytes_per_s" validate:"gte=0"`
 }
--- a/internal/distribution/operator/client.go
+++ b/internal/distribution/operator/client.go
@@ -25,20 +25,20 @@
 	HTTP        http.Client
 }
 
-// maxAnswerBytes limits the size of a response body. The largest is a page of a status, which
+// maxResponseBytes limits the size of a response body. The largest is a page of a status, which
 // includes the agents' wait reasons.
-const maxAnswerBytes = 16 << 20
+const maxResponseBytes = 16 << 20
 
 // call sends a request to one controller after another until one fulfils the request or refuses it
 // with an error that isn't retryable. It decodes the answer.
-func (c *Client) call(ctx context.Context, method, path string, body, answer any) error {
+func (c *Client) call(ctx context.Context, method, path string, body, response any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
 	var errs []error
 	for _, controller := range c.Controllers {
-		retryable, err := c.send(ctx, controller, method, path, data, answer)
+		retryable, err := c.send(ctx, controller, method, path, data, response)
 		if err == nil || !retryable {
 			return err
 		}
@@ -49,7 +49,7 @@
 
 // send sends a request to one controller. If it fails, retryable reports whether another
 // controller may succeed.
-func (c *Client) send(ctx context.Context, controller, method, path string, body []byte, answer any) (retryable bool, err error) {
+func (c *Client) send(ctx context.Context, controller, method, path string, body []byte, response any) (retryable bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+controller+path, bytes.NewReader(body))
 	if err != nil {
 		return false, err
@@ -60,7 +60,7 @@
 		return true, err
 	}
 	defer res.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return true, fmt.Errorf("%s: %w", controller, err)
 	}
@@ -68,7 +68,7 @@
 		refused := newRefusedError(controller, res.StatusCode, data)
 		return refused.retryable(), refused
 	}
-	return false, json.Unmarshal(data, answer)
+	return false, json.Unmarshal(data, response)
 }
 
 // RefusedError means that a controller answered with an error status.
@@ -81,11 +81,11 @@
 // newRefusedError returns the error for a response with an error status. Only a tracker's response
 // has the reason in its body.
 func newRefusedError(controller string, status int, body []byte) *RefusedError {
-	var answer distribution.ErrorResponse
-	if json.Unmarshal(body, &answer) != nil {
-		answer.Error = "the response is not from a distribution tracker"
+	var response distribution.ErrorResponse
+	if json.Unmarshal(body, &response) != nil {
+		response.Error = "the response is not from a distribution tracker"
 	}
-	return &RefusedError{Controller: controller, Status: status, Reason: answer.Error}
+	return &RefusedError{Controller: controller, Status: status, Reason: response.Error}
 }
 
 // Error returns the controller, the status and the reason.
--- a/internal/distribution/simulation/agent.go
+++ b/internal/distribution/simulation/agent.go
@@ -18,7 +18,7 @@
 
 // Agent simulates an agent's process and its machine. The disk outlives the process.
 type Agent struct {
-	endpoint
+	networkLink
 	world *World
 	zone  string
 
@@ -47,13 +47,13 @@
 	fetches         map[uint64]*transfer
 }
 
-// directory is the root of the chunk store on an agent's disk.
-const directory = "/weights"
+// storeDirectory is the root of the chunk store on an agent's disk.
+const storeDirectory = "/weights"
 
 func newAgent(w *World, i int) *Agent {
 	zones := w.Options.Settings.Zones
 	return &Agent{
-		endpoint:        endpoint{bytesPerSecond: w.Options.BytesPerSecond},
+		networkLink:     networkLink{bytesPerSecond: w.Options.BytesPerSecond},
 		world:           w,
 		zone:            zones[i%len(zones)],
 		Name:            fmt.Sprintf("agent-%04d", i),
@@ -71,13 +71,13 @@
 // SetRate changes the bandwidth of the agent's link.
 func (a *Agent) SetRate(bytesPerSecond float64) {
 	a.bytesPerSecond = bytesPerSecond
-	reallocateBandwidth(&a.endpoint)
+	reallocateBandwidth(&a.networkLink)
 }
 
 // SetHanging makes the machine hang without breaking its connections, or ends the hang.
 func (a *Agent) SetHanging(hanging bool) {
 	a.hanging = hanging
-	reallocateBandwidth(&a.endpoint)
+	reallocateBandwidth(&a.networkLink)
 }
 
 // Counts returns the counters of the current incarnation.
@@ -91,7 +91,7 @@
 
 // Start starts the process, which loads the chunks and active versions from disk.
 func (a *Agent) Start() {
-	store, err := chunkstore.Open(a.Disk, directory)
+	store, err := chunkstore.Open(a.Disk, storeDirectory)
 	if err != nil {
 		a.world.recordViolation("%s: %v", a.Name, err)
 		return
--- a/internal/distribution/simulation/helpers_test.go
+++ b/internal/distribution/simulation/helpers_test.go
@@ -60,14 +60,14 @@
 	return took
 }
 
-// storedChunks returns the number of chunks that an agent has stored in its current incarnation.
-func storedChunks(a *Agent) int { return int(a.Counts().FetchedChunks) }
+// fetchedChunks returns the number of chunks that an agent has stored in its current incarnation.
+func fetchedChunks(a *Agent) int { return int(a.Counts().FetchedChunks) }
 
-// totalStoredChunks returns the number of chunks that all agents have stored in their current
+// totalFetchedChunks returns the number of chunks that all agents have stored in their current
 // incarnations.
-func totalStoredChunks(w *World) (total int) {
+func totalFetchedChunks(w *World) (total int) {
 	for _, a := range w.Agents {
-		total += storedChunks(a)
+		total += fetchedChunks(a)
 	}
 	return total
 }
@@ -90,7 +90,7 @@
 	var found *Agent
 	w.RunUntil(maxWait, func() bool {
 		for _, a := range w.Agents {
-			if storedChunks(a) >= chunks/2 && len(a.uploads) > 1 && (found == nil || len(a.uploads) > len(found.uploads)) {
+			if fetchedChunks(a) >= chunks/2 && len(a.uploads) > 1 && (found == nil || len(a.uploads) > len(found.uploads)) {
 				found = a
 			}
 		}
--- a/internal/distribution/simulation/outages_test.go
+++ b/internal/distribution/simulation/outages_test.go
@@ -39,10 +39,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			w, m := startWorld(t, Defaults())
 			w.Run(7 * time.Second)
-			before := totalStoredChunks(w)
+			before := totalFetchedChunks(w)
 			test.fail(w)
 			w.Run(4 * time.Second)
-			after := totalStoredChunks(w)
+			after := totalFetchedChunks(w)
 			if after <= before {
 				t.Errorf("%d chunks stored before the failure, %d four seconds later", before, after)
 			}
@@ -89,8 +89,8 @@
 	t.Helper()
 	named := 0
 	for _, a := range w.Agents {
-		if storedChunks(a) != chunks-1 {
-			t.Errorf("%s holds %d chunks", a.Name, storedChunks(a))
+		if fetchedChunks(a) != chunks-1 {
+			t.Errorf("%s holds %d chunks", a.Name, fetchedChunks(a))
 		}
 		if len(a.ReportedWaits) != 1 || a.ReportedWaits[0].Chunk != missing && a.ReportedWaits[0].Chunk != "" {
 			t.Fatalf("%s waits for %+v", a.Name, a.ReportedWaits)
@@ -123,7 +123,7 @@
 func setPartitioned(w *World, zone string, partitioned bool) {
 	w.PartitionedZones[zone] = partitioned
 	for _, a := range w.Agents {
-		reallocateBandwidth(&a.endpoint)
+		reallocateBandwidth(&a.networkLink)
 	}
 }
 
--- a/internal/distribution/simulation/sources_test.go
+++ b/internal/distribution/simulation/sources_test.go
@@ -119,7 +119,7 @@
 // truncateChunks truncates the file of every stored chunk without notifying the agent.
 func truncateChunks(w *World, a *Agent, m *distribution.Manifest) {
 	for _, chunk := range m.Chunks {
-		name := fmt.Sprintf("%s/chunks/%s", directory, chunk.Digest.Encoded())
+		name := fmt.Sprintf("%s/chunks/%s", storeDirectory, chunk.Digest.Encoded())
 		if content, err := afero.ReadFile(a.Disk, name); err == nil {
 			if err := afero.WriteFile(a.Disk, name, content[:len(content)/2], 0o644); err != nil {
 				w.recordViolation("%v", err)
--- a/internal/distribution/simulation/store.go
+++ b/internal/distribution/simulation/store.go
@@ -10,7 +10,7 @@
 
 // Store simulates the store of weights.
 type Store struct {
-	endpoint
+	networkLink
 	world         *World
 	Down          bool
 	DamagedChunks map[digest.Digest]bool // sent with wrong bytes
@@ -23,7 +23,7 @@
 func newStore(w *World) *Store {
 	return &Store{
 		world:         w,
-		endpoint:      endpoint{bytesPerSecond: w.Options.BytesPerSecond},
+		networkLink:   networkLink{bytesPerSecond: w.Options.BytesPerSecond},
 		DamagedChunks: map[digest.Digest]bool{},
 		MissingChunks: map[digest.Digest]bool{},
 		manifests:     map[digest.Digest]*distribution.Manifest{},
--- a/internal/distribution/simulation/tracker_host.go
+++ b/internal/distribution/simulation/tracker_host.go
@@ -124,11 +124,11 @@
 // SetManifest points a name to a version. Like an operator, it asks one controller after another until one
 // confirms the change. Each call of SetManifest, for any name, ends the retries of earlier calls.
 func (w *World) SetManifest(name string, manifest digest.Digest) {
-	w.lastUseID++
-	use, attempts := w.lastUseID, 0
+	w.lastSetManifestID++
+	setManifestID, attempts := w.lastSetManifestID, 0
 	var try func()
 	try = func() {
-		if use != w.lastUseID {
+		if setManifestID != w.lastSetManifestID {
 			return
 		}
 		done := false
--- a/internal/distribution/simulation/transfer.go
+++ b/internal/distribution/simulation/transfer.go
@@ -9,9 +9,9 @@
 	"oakpick/internal/distribution/agent"
 )
 
-// endpoint is the network link of a machine. Uploads share its bandwidth evenly, and so do
+// networkLink is the network link of a machine. Uploads share its bandwidth evenly, and so do
 // downloads.
-type endpoint struct {
+type networkLink struct {
 	bytesPerSecond float64 // in each direction
 	hanging        bool    // transfers stall, but connections don't break
 	uploads        []*transfer
@@ -23,7 +23,7 @@
 // transfer is the transfer of a chunk from a source to an agent.
 type transfer struct {
 	world             *World
-	from              *endpoint
+	from              *networkLink
 	source            *Agent // nil if the source is the store
 	to                *Agent
 	request           agent.GetChunk
@@ -43,7 +43,7 @@
 	chunk := t.request.Chunk
 	var content []byte
 	if t.request.From.Name == distribution.StoreSource {
-		t.from = &t.world.Store.endpoint
+		t.from = &t.world.Store.networkLink
 		if t.world.Store.Down {
 			return distribution.FaultUnreachable
 		}
@@ -53,7 +53,7 @@
 		if peer == nil {
 			return distribution.FaultUnreachable
 		}
-		t.source, t.from = peer, &peer.endpoint
+		t.source, t.from = peer, &peer.networkLink
 		if !peer.hanging && len(peer.uploads) >= peer.UploadSlots {
 			peer.RefusedUploads++
 			return distribution.FaultBusy
@@ -76,7 +76,7 @@
 	t.from.uploads = append(t.from.uploads, t)
 	t.to.downloads = append(t.to.downloads, t)
 	t.from.PeakUploads = max(t.from.PeakUploads, len(t.from.uploads))
-	reallocateBandwidth(t.from, &t.to.endpoint)
+	reallocateBandwidth(t.from, &t.to.networkLink)
 	t.world.After(t.request.Timeout, func() { t.end(distribution.FaultSlow) })
 	t.watchStall()
 }
@@ -106,7 +106,7 @@
 }
 
 // reallocateBandwidth updates the rates of all transfers of the given endpoints.
-func reallocateBandwidth(ends ...*endpoint) {
+func reallocateBandwidth(ends ...*networkLink) {
 	for _, end := range ends {
 		for _, t := range end.uploads {
 			t.updateRate()
@@ -122,7 +122,7 @@
 // them hangs or a partition separates them.
 func (t *transfer) updateRate() {
 	t.updateProgress()
-	to := &t.to.endpoint
+	to := &t.to.networkLink
 	t.bytesPerSecond = min(t.from.bytesPerSecond/float64(len(t.from.uploads)), to.bytesPerSecond/float64(len(to.downloads)))
 	if t.from.hanging || to.hanging || t.world.arePartitioned(t.zone(), t.to.zone) {
 		t.bytesPerSecond = 0
@@ -157,7 +157,7 @@
 	t.ended = true
 	t.from.uploads = withoutTransfer(t.from.uploads, t)
 	t.to.downloads = withoutTransfer(t.to.downloads, t)
-	reallocateBandwidth(t.from, &t.to.endpoint)
+	reallocateBandwidth(t.from, &t.to.networkLink)
 	received := t.content
 	if fault != "" {
 		received = t.content[:int(t.transferredBytes)]
--- a/internal/distribution/simulation/versions_test.go
+++ b/internal/distribution/simulation/versions_test.go
@@ -49,8 +49,8 @@
 	change func(w *World, versions []*distribution.Manifest) *distribution.Manifest
 }
 
-// useInTurn points weightsName to one version after another, with pauses, and returns the last.
-func useInTurn(w *World, pause time.Duration, versions ...*distribution.Manifest) *distribution.Manifest {
+// setInTurn points weightsName to one version after another, with pauses, and returns the last.
+func setInTurn(w *World, pause time.Duration, versions ...*distribution.Manifest) *distribution.Manifest {
 	for i, version := range versions {
 		if i > 0 {
 			w.Run(pause)
@@ -62,13 +62,13 @@
 
 var versionChanges = []versionChange{
 	{name: "once", change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
-		return useInTurn(w, 0, v[1])
+		return setInTurn(w, 0, v[1])
 	}},
 	{name: "twice", change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
-		return useInTurn(w, 3*time.Second, v[1], v[2])
+		return setInTurn(w, 3*time.Second, v[1], v[2])
 	}},
 	{name: "back to the first", change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
-		return useInTurn(w, 4*time.Second, v[1], v[0])
+		return setInTurn(w, 4*time.Second, v[1], v[0])
 	}},
 	{name: "leader crashes during the change", change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
 		w.SetManifest(weightsName, v[1].Digest)
@@ -80,10 +80,10 @@
 		return v[1]
 	}},
 	{name: "response to the write is lost", network: loseEveryOtherResponse, change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
-		return useInTurn(w, 3*time.Second, v[1], v[2])
+		return setInTurn(w, 3*time.Second, v[1], v[2])
 	}},
 	{name: "duplicate write arrives late", network: loseAndDuplicateCalls, change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
-		return useInTurn(w, 3*time.Second, v[1], v[2], v[0])
+		return setInTurn(w, 3*time.Second, v[1], v[2], v[0])
 	}},
 }
 
--- a/internal/distribution/tracker/helpers_test.go
+++ b/internal/distribution/tracker/helpers_test.go
@@ -26,26 +26,26 @@
 // testLeader is the tracker of a controller that leads and has loaded the names, with the state
 // service that the tracker uses.
 type testLeader struct {
-	tracker *Tracker
-	term    Leadership
-	state   *fakeStateService
+	tracker    *Tracker
+	leadership Leadership
+	state      *fakeStateService
 }
 
 func newTestLeader(t *testing.T) *testLeader {
 	t.Helper()
 	leader := &testLeader{tracker: New(testParameters()), state: newFakeStateService()}
 	token := leader.state.advanceToken()
-	leader.term = Leadership{Term: token, FencingToken: token, LeaseUntil: time.Hour}
-	for _, effect := range leader.tracker.Step(0, leader.term, []Command{Tick{}}) {
+	leader.leadership = Leadership{Term: token, FencingToken: token, LeaseUntil: time.Hour}
+	for _, effect := range leader.tracker.Step(0, leader.leadership, []Command{Tick{}}) {
 		result := StateResult{leader.state.execute(effect.(StateCall).StateCall)}
-		leader.tracker.Step(0, leader.term, []Command{result})
+		leader.tracker.Step(0, leader.leadership, []Command{result})
 	}
 	return leader
 }
 
 // send runs a step with one command and returns the reply, or an empty one if there is none.
 func (l *testLeader) send(now time.Duration, command Command) Reply {
-	for _, effect := range l.tracker.Step(now, l.term, []Command{command}) {
+	for _, effect := range l.tracker.Step(now, l.leadership, []Command{command}) {
 		if reply, ok := effect.(Reply); ok {
 			return reply
 		}
@@ -56,7 +56,7 @@
 // setManifest sets the manifest of a name and requires that the change succeeds.
 func (l *testLeader) setManifest(t *testing.T, name string, manifest digest.Digest) {
 	t.Helper()
-	for _, effect := range l.tracker.Step(0, l.term, []Command{SetManifestCall{1, name, manifest}}) {
+	for _, effect := range l.tracker.Step(0, l.leadership, []Command{SetManifestCall{1, name, manifest}}) {
 		call, ok := effect.(StateCall)
 		if !ok {
 			continue
--- a/internal/distribution/tracker/inventory.go
+++ b/internal/distribution/tracker/inventory.go
@@ -52,7 +52,7 @@
 	}
 	if agent == nil {
 		agent = &agentState{
-			name: report.Agent, zone: report.Zone, members: map[digest.Digest]*swarmMember{}, avoidUntil: map[sourceKey]time.Duration{},
+			name: report.Agent, zone: report.Zone, members: map[digest.Digest]*swarmMember{}, excludedUntil: map[sourceKey]time.Duration{},
 		}
 		agent.lastReportElement = t.byLastReport.PushBack(agent)
 		t.agents[agent.name] = agent
@@ -103,8 +103,8 @@
 	if fault.Source == distribution.StoreSource {
 		return
 	}
-	maps.DeleteFunc(agent.avoidUntil, func(_ sourceKey, until time.Duration) bool { return t.now >= until })
-	agent.avoidUntil[sourceKey{fault.Source, fault.Manifest}] = t.now + avoidSourceIntervals*t.parameters.ReportInterval
+	maps.DeleteFunc(agent.excludedUntil, func(_ sourceKey, until time.Duration) bool { return t.now >= until })
+	agent.excludedUntil[sourceKey{fault.Source, fault.Manifest}] = t.now + exclusionIntervals*t.parameters.ReportInterval
 	if fault.Fault == distribution.FaultDamaged {
 		t.recordDamageReport(agent, fault)
 	}
--- a/internal/distribution/tracker/messages.go
+++ b/internal/distribution/tracker/messages.go
@@ -109,7 +109,7 @@
 	maxSourcesPerResponse = 96 // over all manifests
 	leaseIntervals        = 3  // after which a lease expires unless it is renewed
 	stalledIntervals      = 8  // without a new chunk, after which an agent's leases are ended
-	avoidSourceIntervals  = 10 // for which an agent isn't assigned a source again that it found faulty
+	exclusionIntervals    = 10 // for which an agent isn't assigned a source again that it found faulty
 	damageReportIntervals = 40 // for which a report of damaged chunks counts against the source
 	minDamageReporters    = 2  // different agents; a source that so many agents report is assigned to no agent
 	warmUpIntervals       = 2  // idle report intervals after an election, for which agents keep sources that aren't listed
--- a/internal/distribution/tracker/model_test.go
+++ b/internal/distribution/tracker/model_test.go
@@ -19,7 +19,7 @@
 	tracker          *Tracker
 	state            *fakeStateService
 	now              time.Duration
-	term             Leadership
+	leadership       Leadership
 	lastID           uint64
 	pendingCalls     []storage.StateCall // to the state service, without a result yet
 	delayedCalls     []storage.StateCall // applied later, after the tracker got an unknown outcome
@@ -37,7 +37,7 @@
 
 // step runs the tracker with a command and checks the replies and the state that follow.
 func (m *model) step(command Command) {
-	for _, effect := range m.tracker.Step(m.now, m.term, []Command{command}) {
+	for _, effect := range m.tracker.Step(m.now, m.leadership, []Command{command}) {
 		switch e := effect.(type) {
 		case Reply:
 			if m.repliedIDs[e.ID] {
@@ -135,7 +135,7 @@
 // advanceTime advances the time by a drawn duration.
 func (m *model) advanceTime() {
 	m.now += time.Duration(rapid.IntRange(1, 6000).Draw(m.T, "ms")) * time.Millisecond
-	m.term.LeaseUntil = m.now + time.Minute
+	m.leadership.LeaseUntil = m.now + time.Minute
 	m.step(Tick{})
 }
 
@@ -144,10 +144,10 @@
 func (m *model) failOver() {
 	m.delayedCalls = append(m.delayedCalls, m.pendingCalls...)
 	m.pendingCalls = nil
-	m.term = Leadership{Leader: "other"}
+	m.leadership = Leadership{Leader: "other"}
 	m.step(Tick{})
 	token := m.state.advanceToken()
-	m.term = Leadership{Term: token, FencingToken: token, LeaseUntil: m.now + time.Minute}
+	m.leadership = Leadership{Term: token, FencingToken: token, LeaseUntil: m.now + time.Minute}
 	m.step(Tick{})
 }
 
@@ -177,7 +177,7 @@
 			"state result":        func(*rapid.T) { m.deliverStateResult() },
 			"late state call":     func(*rapid.T) { m.executeDelayedCall() },
 			"time":                func(*rapid.T) { m.advanceTime() },
-			"raise fencing token": func(*rapid.T) { m.term.FencingToken = m.state.advanceToken() },
+			"raise fencing token": func(*rapid.T) { m.leadership.FencingToken = m.state.advanceToken() },
 			"take over":           func(*rapid.T) { m.failOver() },
 			"status": func(*rapid.T) {
 				m.lastID++
--- a/internal/distribution/tracker/name_changes.go
+++ b/internal/distribution/tracker/name_changes.go
@@ -47,7 +47,7 @@
 	key := NamesPrefix + change.Name
 	n.write.sequence++
 	n.write.id = fmt.Sprintf("%s-%d-%d", n.tracker.parameters.ProcessID, n.tracker.stateTerm, n.write.sequence)
-	n.write.token, n.write.baseRevision = n.tracker.term.FencingToken, n.records[change.Name].Revision
+	n.write.token, n.write.baseRevision = n.tracker.leadership.FencingToken, n.records[change.Name].Revision
 	n.send(storage.StateCall{Op: storage.StateTxn, Txn: protocol.Txn{
 		If: []protocol.Condition{
 			{Key: election.LeaderKey, Version: n.write.token},
@@ -90,7 +90,7 @@
 		n.scheduleRetry()
 		return
 	}
-	if n.write.token == n.tracker.term.FencingToken && n.records[change.Name].Revision == n.write.baseRevision {
+	if n.write.token == n.tracker.leadership.FencingToken && n.records[change.Name].Revision == n.write.baseRevision {
 		// The token and the revision are still those that the write required, so the conflict means
 		// that another controller leads. The read is repeated until this controller learns that its
 		// term has ended.
--- a/internal/distribution/tracker/names_test.go
+++ b/internal/distribution/tracker/names_test.go
@@ -10,11 +10,11 @@
 // expired. Neither change is confirmed, since another leader may have replaced the record.
 func TestQueuedChangeIsNotConfirmedWithoutLease(t *testing.T) {
 	leader := newTestLeader(t)
-	effects := leader.tracker.Step(0, leader.term, []Command{SetManifestCall{1, "x", manifests[0]}, SetManifestCall{2, "x", manifests[0]}})
+	effects := leader.tracker.Step(0, leader.leadership, []Command{SetManifestCall{1, "x", manifests[0]}, SetManifestCall{2, "x", manifests[0]}})
 	result := StateResult{leader.state.execute(effects[0].(StateCall).StateCall)}
-	leader.term.LeaseUntil = time.Second
+	leader.leadership.LeaseUntil = time.Second
 	statuses := map[uint64]int{}
-	for _, effect := range leader.tracker.Step(2*time.Second, leader.term, []Command{result}) {
+	for _, effect := range leader.tracker.Step(2*time.Second, leader.leadership, []Command{result}) {
 		if reply, ok := effect.(Reply); ok {
 			statuses[reply.ID] = reply.Status
 		}
--- a/internal/distribution/tracker/sources.go
+++ b/internal/distribution/tracker/sources.go
@@ -56,10 +56,10 @@
 		return false
 	}
 	key := sourceKey{source.agent.name, source.swarm.manifest}
-	if until, avoided := agent.avoidUntil[key]; avoided && t.now < until {
+	if until, avoided := agent.excludedUntil[key]; avoided && t.now < until {
 		return false
 	}
-	delete(agent.avoidUntil, key)
+	delete(agent.excludedUntil, key)
 	reporters := t.damageReporterCount(source)
 	_, reportedByAgent := source.damageReportedAt[agent.name]
 	return reporters < minDamageReporters && !reportedByAgent
--- a/internal/distribution/tracker/state.go
+++ b/internal/distribution/tracker/state.go
@@ -20,7 +20,7 @@
 	uploadLeases        []*sourceLease // of other agents, on this agent's upload slots
 	downloadLeases      []*sourceLease // of this agent, on peers and the store
 	waits               []distribution.WaitReason
-	avoidUntil          map[sourceKey]time.Duration // when a faulty source may be assigned to this agent again
+	excludedUntil       map[sourceKey]time.Duration // when a faulty source may be assigned to this agent again
 }
 
 // sourceKey identifies an agent as a source of a manifest.
--- a/internal/distribution/tracker/status.go
+++ b/internal/distribution/tracker/status.go
@@ -56,12 +56,12 @@
 // not only of those on the page.
 type Status struct {
 	distribution.NameRecord
-	Agents   int           `json:"agents"`   // that hold some of the manifest or want it
-	Complete int           `json:"complete"` // that hold all of the manifest
-	Active   int           `json:"active"`   // that serve the manifest
-	StoreUsers    []string      `json:"store"`    // agents with a lease on the store
-	Members  []AgentStatus `json:"members"`
-	More     bool          `json:"more"` // further agents follow
+	Agents     int           `json:"agents"`   // that hold some of the manifest or want it
+	Complete   int           `json:"complete"` // that hold all of the manifest
+	Active     int           `json:"active"`   // that serve the manifest
+	StoreUsers []string      `json:"store"`    // agents with a lease on the store
+	Members    []AgentStatus `json:"members"`
+	More       bool          `json:"more"` // further agents follow
 }
 
 // AgentStatus describes an agent with regard to one manifest. Waits cover all names that the agent
--- a/internal/distribution/tracker/tracker.go
+++ b/internal/distribution/tracker/tracker.go
@@ -19,9 +19,9 @@
 	lastCallID uint64 // of the calls to the state service; never reused, not even in a later term
 
 	// State of the current step.
-	now     time.Duration
-	term    Leadership
-	effects []Effect
+	now        time.Duration
+	leadership Leadership
+	effects    []Effect
 
 	// State of the term in which this controller leads; nil or zero while it doesn't lead.
 	stateTerm    int64
@@ -53,7 +53,7 @@
 
 // Step processes commands and returns the effects that the caller has to carry out.
 func (t *Tracker) Step(now time.Duration, term Leadership, commands []Command) []Effect {
-	t.now, t.term, t.effects = now, term, nil
+	t.now, t.leadership, t.effects = now, term, nil
 	t.resetOnNewTerm()
 	for _, c := range commands {
 		t.handleCommand(c)
@@ -74,13 +74,13 @@
 // resetOnNewTerm discards the state of the previous term when the controller starts or stops
 // leading. In a new term, it starts to load the names.
 func (t *Tracker) resetOnNewTerm() {
-	if t.term.Term == t.stateTerm {
+	if t.leadership.Term == t.stateTerm {
 		return
 	}
 	if t.names != nil {
 		t.names.refuseQueued()
 	}
-	t.stateTerm, t.names, t.agents, t.swarms, t.byLastReport = t.term.Term, nil, nil, nil, nil
+	t.stateTerm, t.names, t.agents, t.swarms, t.byLastReport = t.leadership.Term, nil, nil, nil, nil
 	t.counts = Counts{}
 	if t.stateTerm == 0 {
 		return
@@ -92,7 +92,7 @@
 }
 
 // holdsLease reports whether this controller leads and no other can lead yet.
-func (t *Tracker) holdsLease() bool { return t.stateTerm != 0 && t.now < t.term.LeaseUntil }
+func (t *Tracker) holdsLease() bool { return t.stateTerm != 0 && t.now < t.leadership.LeaseUntil }
 
 func (t *Tracker) emit(e Effect) { t.effects = append(t.effects, e) }
 
@@ -147,8 +147,8 @@
 		t.refuse(id, http.StatusServiceUnavailable, "the leader has not read the names yet")
 	case t.stateTerm != 0:
 		t.refuse(id, http.StatusServiceUnavailable, "the term is in doubt")
-	case t.term.Leader != "":
-		t.emit(Forward{ID: id, Peer: t.term.Leader})
+	case t.leadership.Leader != "":
+		t.emit(Forward{ID: id, Peer: t.leadership.Leader})
 	default:
 		t.refuse(id, http.StatusServiceUnavailable, "no leader")
 	}
--- a/internal/distribution/tracker/tracker_test.go
+++ b/internal/distribution/tracker/tracker_test.go
@@ -35,13 +35,13 @@
 func TestOnlyLeaderWithLeaseAnswers(t *testing.T) {
 	leader := newTestLeader(t)
 	leader.setManifest(t, "x", manifests[0])
-	leader.term.LeaseUntil = 10 * time.Second
+	leader.leadership.LeaseUntil = 10 * time.Second
 	leader.report(t, 9*time.Second, newInventory("one", 1, 0))
 	reply := leader.send(10*time.Second, InventoryCall{3, newInventory("one", 2, 0)})
 	if reply.Status != http.StatusServiceUnavailable || reply.RetryAfter == 0 {
 		t.Errorf("after the lease has expired: %+v", reply)
 	}
-	leader.term = Leadership{}
+	leader.leadership = Leadership{}
 	if reply := leader.send(11*time.Second, NamesCall{ID: 4}); reply.Status != http.StatusServiceUnavailable {
 		t.Errorf("without a leader: %+v", reply)
 	}
@@ -49,7 +49,7 @@
 	if len(effects) != 1 || effects[0] != (Forward{5, "n2"}) {
 		t.Errorf("as a follower: %+v", effects)
 	}
-	leader.term = Leadership{Term: 9, FencingToken: 9, LeaseUntil: time.Hour}
+	leader.leadership = Leadership{Term: 9, FencingToken: 9, LeaseUntil: time.Hour}
 	if reply := leader.send(13*time.Second, NamesCall{ID: 6}); reply.Status != http.StatusServiceUnavailable {
 		t.Errorf("before the names are loaded: %+v", reply)
 	}
@@ -83,7 +83,7 @@
 	leader.setManifest(t, "x", manifests[0])
 	leader.report(t, 0, newInventory("one", 1, 4))
 	leader.report(t, 10*time.Second, newInventory("two", 1, 0))
-	leader.tracker.Step(13*time.Second, leader.term, []Command{Tick{}})
+	leader.tracker.Step(13*time.Second, leader.leadership, []Command{Tick{}})
 	if leader.tracker.AgentCount() != 1 {
 		t.Errorf("%d agents are known", leader.tracker.AgentCount())
 	}
