--- a/cmd/oakpick/weights.go
+++ b/cmd/oakpick/weights.go
@@ -15,7 +15,7 @@
 	"oakpick/internal/distribution/registry"
 )
 
-// weightsCommand groups the commands for the distribution of weightsCommand.
+// weightsCommand groups the commands for the distribution of weights.
 type weightsCommand struct {
 	Controller []string      `help:"Trackers' addresses (HOST:PORT) of one or more controllers; the first that answers is used." placeholder:"ADDRESS"`
 	Timeout    time.Duration `help:"Give up after this time." default:"10s"`
--- a/internal/distribution/agent/agent.go
+++ b/internal/distribution/agent/agent.go
@@ -53,7 +53,7 @@
 
 // Run runs the agent until the context ends or an error occurs that the agent can't recover from.
 func Run(ctx context.Context, settings Settings, log *slog.Logger) error {
-	// A context that has already ended doesn't make Listen fail. The end is handled below.
+	// Listen gets a context that never ends, so that a shutdown isn't reported as a listen error.
 	listener, err := new(net.ListenConfig).Listen(context.WithoutCancel(ctx), "tcp", settings.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
--- a/internal/distribution/agent/core.go
+++ b/internal/distribution/agent/core.go
@@ -23,7 +23,7 @@
 	versions      map[digest.Digest]*versionState
 	chunks        map[digest.Digest]*chunkState
 	sources       map[sourceKey]*sourceState
-	excludedUntil map[sourceKey]time.Duration // time until which a released source isn't used
+	excludedUntil map[sourceKey]time.Duration // when a released source may be used again
 	fetches       map[uint64]*activeFetch
 	lastFetchID   uint64
 	verifiedAt    map[digest.Digest]time.Duration // when a manifest's chunks were last verified at the tracker's request
--- a/internal/distribution/agent/core_fetch.go
+++ b/internal/distribution/agent/core_fetch.go
@@ -101,8 +101,8 @@
 	return false
 }
 
-// handleIdleSource requests the chunk set of a source that has no chunk to fetch now. It releases
-// the source after maxUselessReports without a needed chunk.
+// handleIdleSource requests the chunk set of a source that has no chunk to fetch now. If the source
+// has had no needed chunk for maxUselessIntervals report intervals, it releases the source instead.
 func (c *Core) handleIdleSource(target *targetState, version *versionState, source *sourceState) {
 	if source.isStore() {
 		return
@@ -127,7 +127,7 @@
 // candidate is a chunk that may be fetched from a source.
 type candidate struct {
 	position int
-	peers    int  // number of peers that have it
+	peers    int  // number of peers that have the chunk
 	inStripe bool // in the agent's own stripe of the store
 }
 
@@ -166,7 +166,8 @@
 // mayFetchFrom reports whether the chunk at a position may be fetched from a source. Peers in
 // other zones are used only for chunks that no peer in the agent's zone has, and the store only
 // for chunks that no peer has. While other agents use the store too, each agent fetches its own
-// stripe first, and other stripes only after stripeWaitReports without a fetch.
+// stripe first, and other stripes only after stripeWaitIntervals report intervals without a fetch from
+// a peer or its own stripe.
 func (c *Core) mayFetchFrom(source *sourceState, version *versionState, position int, available availability) bool {
 	if !source.isStore() {
 		return source.Zone == c.settings.Zone || available.sameZone[position] == 0
--- a/internal/distribution/agent/core_fetch_test.go
+++ b/internal/distribution/agent/core_fetch_test.go
@@ -55,7 +55,7 @@
 		ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}},
 		ChunkSetResult{Source: "four", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
 	c.Step(3, ChunkSetResult{Source: "three", Manifest: m.Digest, Chunks: distribution.ChunkSet{0}})
-	for _, source := range c.sources { // sets the chunk sets directly, as if all sources had answered while idle
+	for _, source := range c.sources { // sets the chunk sets directly, as if all sources had responded while idle
 		source.chunks = distribution.ChunkSet{0b110111}
 	}
 	c.sources[sourceKey{"two", m.Digest}].chunks = distribution.ChunkSet{0b111111}
--- a/internal/distribution/agent/core_messages.go
+++ b/internal/distribution/agent/core_messages.go
@@ -2,8 +2,8 @@
 // deterministic state machine, makes the decisions. The rest of the package carries out Core's
 // effects: file access, HTTP requests, upload slots and rate limits.
 //
-// The tracker's answers contain the manifest that each name refers to, and the sources to fetch its
-// chunks from: other agents (peers) and the store.
+// The tracker's responses contain the manifest that each name refers to, and the sources to fetch
+// its chunks from: other agents (peers) and the store.
 package agent
 
 import (
@@ -20,11 +20,11 @@
 
 // The events of Core.Step.
 type (
-	// TrackerResponse carries a tracker's answer to a Report.
+	// TrackerResponse carries a tracker's response to a Report.
 	TrackerResponse struct {
 		Response distribution.InventoryResponse
 	}
-	// TrackerFailed means that no tracker answered a Report.
+	// TrackerFailed means that no tracker accepted a Report.
 	TrackerFailed struct{ RetryAfter time.Duration }
 	// ManifestResult answers GetManifest.
 	ManifestResult struct {
@@ -157,7 +157,7 @@
 	Seed                 uint64
 }
 
-// Limits and durations of Core. The names of durations end in Reports if they are multiples of
+// Limits and durations of Core. The names of durations end in Intervals if they are multiples of
 // the report interval, and in Divisor if they are fractions of it.
 const (
 	maxReportIntervalFactor = 16 // the tracker may shorten or lengthen the interval by at most this factor
--- a/internal/distribution/agent/core_reports.go
+++ b/internal/distribution/agent/core_reports.go
@@ -8,15 +8,15 @@
 	"oakpick/internal/distribution"
 )
 
-// handleTrackerResponse applies the names and sources in a tracker's answer and schedules the next
-// report.
+// handleTrackerResponse applies the names and sources in a tracker's response and schedules the
+// next report.
 func (c *Core) handleTrackerResponse(response distribution.InventoryResponse) {
 	c.reports.inFlight = false
 	requested := time.Duration(response.NextReportMs) * time.Millisecond
 	c.reports.interval = min(max(requested, c.settings.ReportInterval/maxReportIntervalFactor), c.settings.ReportInterval*maxReportIntervalFactor)
 	c.reports.nextAt = c.now + c.reports.interval
 	if response.Term < c.reports.term {
-		return // the answer comes from a leader that has been replaced
+		return // the response comes from a leader that has been replaced
 	}
 	c.reports.term = response.Term
 	for _, record := range response.Names {
--- a/internal/distribution/agent/core_sources.go
+++ b/internal/distribution/agent/core_sources.go
@@ -29,7 +29,7 @@
 	pausedUntil         time.Duration
 	consecutiveFailures int
 	missingChunks       int           // chunks that it claimed but didn't have
-	lastUsefulAt        time.Duration // when it last had a needed chunk
+	lastUsefulAt        time.Duration // when the last fetch from it started, or when it was added
 	released            bool          // released after a fault, or no longer listed by the tracker
 }
 
@@ -52,7 +52,7 @@
 }
 
 // updateSources adds or updates the sources that the tracker lists and releases all others. If the
-// answer sets Keep, none is released: the tracker has just started and doesn't know them yet.
+// response sets KeepSources, it releases none: a new leader doesn't know the earlier sources.
 func (c *Core) updateSources(response distribution.InventoryResponse) {
 	listed := map[sourceKey]bool{}
 	for _, entry := range response.Sources {
--- a/internal/distribution/agent/core_sources_test.go
+++ b/internal/distribution/agent/core_sources_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// While no tracker answers, sources stay in use. An answer that doesn't list them releases them,
-// unless it sets Keep because the tracker has just started.
+// While no tracker responds, sources stay in use. A response that doesn't list them releases them,
+// unless it sets KeepSources because the leader is new.
 func TestSourcesStayInUseWithoutATracker(t *testing.T) {
 	m := newManifest(t, "1", 9)
 	c, _ := newFetchingCore(t, m, peerSource("two", "a", m))
@@ -54,17 +54,17 @@
 		c.Step(now, TrackerFailed{})
 	}
 	if len(c.sources) != 1 {
-		t.Error("the source is removed although no tracker answered")
+		t.Error("the source is removed although no tracker responded")
 	}
 	started := trackerResponse(1, m)
 	started.Response.KeepSources = true
 	c.Step(time.Minute, started)
 	if source := c.sources[sourceKey{"two", m.Digest}]; source == nil || source.released {
-		t.Error("the source is released by an answer that sets Keep")
+		t.Error("the source is released by a response that sets KeepSources")
 	}
 	c.Step(2*time.Minute, trackerResponse(1, m))
 	if source := c.sources[sourceKey{"two", m.Digest}]; source != nil && !source.released {
-		t.Error("the source is still used after an answer that doesn't list it")
+		t.Error("the source is still used after a response that doesn't list it")
 	}
 }
 
--- a/internal/distribution/agent/core_state.go
+++ b/internal/distribution/agent/core_state.go
@@ -65,7 +65,7 @@
 	partialBytes  int64 // bytes on disk of an incomplete chunk
 	fetch         *activeFetch
 	contributors  map[string]bool // names of the sources that sent the partial bytes
-	singleSource  bool            // fetched from one source only, so that damage can be attributed to it
+	singleSource  bool            // must come from one source, so that damage can be attributed to that source
 	removing      bool
 	removeRetryAt time.Duration
 	lastUsedAt    time.Duration
@@ -89,7 +89,7 @@
 
 // reportState tracks the reports to the tracker.
 type reportState struct {
-	term     int64 // highest term of the answers received
+	term     int64 // highest term of the responses received
 	sequence int64 // sequence number of the last inventory
 	inFlight bool
 	nextAt   time.Duration
--- a/internal/distribution/agent/core_targets.go
+++ b/internal/distribution/agent/core_targets.go
@@ -147,8 +147,8 @@
 	return false
 }
 
-// verifyManifest starts the verification of all stored chunks of a manifest, unless the last one
-// was recent.
+// verifyManifest starts the verification of all stored chunks of a manifest, unless they were
+// verified recently.
 func (c *Core) verifyManifest(manifest digest.Digest) {
 	version := c.versions[manifest]
 	if version == nil {
--- a/internal/distribution/agent/core_test.go
+++ b/internal/distribution/agent/core_test.go
@@ -36,7 +36,7 @@
 	}, stored)
 }
 
-// trackerResponse returns an answer that assigns a manifest to weightsName and lists sources.
+// trackerResponse returns a response that assigns a manifest to weightsName and lists sources.
 func trackerResponse(revision int64, m *distribution.Manifest, sources ...distribution.Source) TrackerResponse {
 	return TrackerResponse{distribution.InventoryResponse{
 		Term: 1, NextReportMs: 1000, Sources: sources, Names: []distribution.NameRecord{{Name: weightsName, Manifest: m.Digest, Revision: revision}},
@@ -77,20 +77,20 @@
 	return out
 }
 
-// An answer with a lower revision of a name than the known one, or of an earlier leader, is
+// A response with a lower revision of a name than the known one, or from an earlier leader, is
 // ignored: an agent never returns to an old version by itself.
-func TestOlderAnswersAreIgnored(t *testing.T) {
+func TestOlderResponsesAreIgnored(t *testing.T) {
 	first, second := newManifest(t, "1", 2), newManifest(t, "2", 2)
 	c := newCore(StoredState{})
 	lowerRevision := trackerResponse(7, first)
 	c.Step(0, trackerResponse(9, second))
 	if got := effectsOf[GetManifest](c.Step(time.Second, lowerRevision)); len(got) != 0 {
-		t.Errorf("an answer with a lower revision is applied: %+v", got)
+		t.Errorf("a response with a lower revision is applied: %+v", got)
 	}
 	lowerTerm := trackerResponse(11, first)
 	lowerTerm.Response.Term = 0
 	if got := effectsOf[GetManifest](c.Step(2*time.Second, lowerTerm)); len(got) != 0 {
-		t.Errorf("an answer of a lower term is applied: %+v", got)
+		t.Errorf("a response of a lower term is applied: %+v", got)
 	}
 	// A newer revision is applied at once, although the previous manifest is still being fetched.
 	if got := effectsOf[GetManifest](c.Step(3*time.Second, trackerResponse(12, first))); len(got) != 1 || got[0].Digest != first.Digest {
@@ -98,7 +98,7 @@
 	}
 }
 
-// After a restart, the revision of the active version is known, and an answer with a lower
+// After a restart, the revision of the active version is known, and a response with a lower
 // revision is ignored.
 func TestActiveRevisionSurvivesRestart(t *testing.T) {
 	first, second := newManifest(t, "1", 1), newManifest(t, "2", 1)
--- a/internal/distribution/agent/stored.go
+++ b/internal/distribution/agent/stored.go
@@ -27,8 +27,8 @@
 	return stored, nil
 }
 
-// ClassifyFetch returns the fault of a fetch, or "" if the chunk is stored. It depends on the chunk
-// store's error, the number of bytes received and the fault of the transfer.
+// ClassifyFetch returns the fault of a fetch, or "" if the chunk is stored. Disk errors and damaged
+// chunks take precedence over the fault of the transfer.
 func ClassifyFetch(storeErr error, receivedBytes int64, transferFault distribution.Fault) distribution.Fault {
 	var diskErr *chunkstore.DiskError
 	switch {
--- a/internal/distribution/agent/tracker_client.go
+++ b/internal/distribution/agent/tracker_client.go
@@ -16,8 +16,8 @@
 	"oakpick/internal/distribution/registry"
 )
 
-// trackerClient sends reports to the tracker that answered last. If that tracker fails, it tries
-// the others in turn.
+// trackerClient sends reports to the tracker that accepted the last one. If that tracker fails, it
+// tries the others in turn.
 type trackerClient struct {
 	http     *http.Client
 	trackers []string // addresses
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("tracker %s refused the inventory: status %d", e.tracker, e.status)
 }
 
-// report sends an inventory to one tracker after another until one answers.
+// report sends an inventory to one tracker after another until one accepts it.
 func (t *trackerClient) report(ctx context.Context, inventory distribution.Inventory) Event {
 	body, err := json.Marshal(inventory)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return failed
 }
 
-// send posts an encoded inventory to one tracker and decodes the answer.
+// send posts an encoded inventory to one tracker and decodes the response.
 func (t *trackerClient) send(ctx context.Context, tracker string, body []byte) (distribution.InventoryResponse, error) {
 	var answer distribution.InventoryResponse
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+tracker+distribution.PathInventory, bytes.NewReader(body))
@@ -89,7 +89,7 @@
 		return answer, &refusedError{tracker: tracker, status: res.StatusCode, retryAfter: retryAfter(res)}
 	}
 	if err := json.Unmarshal(data, &answer); err != nil {
-		return answer, fmt.Errorf("tracker %s: answer: %w", tracker, err)
+		return answer, fmt.Errorf("tracker %s: decode response: %w", tracker, err)
 	}
 	return answer, nil
 }
--- a/internal/distribution/manifest.go
+++ b/internal/distribution/manifest.go
@@ -1,5 +1,5 @@
-// Package distribution defines what trackers, agents and stores of weights share: manifests, sets
-// of chunks, and the messages between agents and the tracker with their validation.
+// Package distribution defines the types that trackers, agents and stores of weights share:
+// manifests, sets of chunks, and the messages between agents and the tracker with their validation.
 //
 // A version of weights is a sequence of bytes, split into chunks that an OCI image manifest lists.
 // A name of weights refers to one manifest at a time. Agents fetch the chunks from each other and
@@ -166,9 +166,8 @@
 	}
 }
 
-// Resized returns a copy of the set with the size for the given number of chunks, because sets from
-// other processes may have any size. A smaller copy lacks the positions beyond that number, and a
-// larger copy doesn't contain the additional positions.
+// Resized returns a copy of the set, truncated or extended to the given number of chunks. Sets from
+// other processes may have any size.
 func (s ChunkSet) Resized(chunks int) ChunkSet {
 	resized := NewChunkSet(chunks)
 	copy(resized, s)
--- a/internal/distribution/operator/client.go
+++ b/internal/distribution/operator/client.go
@@ -30,7 +30,7 @@
 const maxResponseBytes = 16 << 20
 
 // call sends a request to one controller after another until one fulfils the request or refuses it
-// with an error that isn't retryable. It decodes the answer.
+// with an error that isn't retryable. It decodes the response body into response.
 func (c *Client) call(ctx context.Context, method, path string, body, response any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return false, json.Unmarshal(data, response)
 }
 
-// RefusedError means that a controller answered with an error status.
+// RefusedError means that a controller responded with an error status.
 type RefusedError struct {
 	Controller string
 	Status     int
--- a/internal/distribution/registry/handler.go
+++ b/internal/distribution/registry/handler.go
@@ -35,8 +35,8 @@
 	Manifest(name, reference string) ([]byte, digest.Digest, error)
 	// Blob opens a blob.
 	Blob(name string, d digest.Digest) (Blob, error)
-	// Chunks returns the chunks of a manifest that are held. If it returns nil, no chunks header
-	// is sent.
+	// Chunks returns which chunks of a manifest the content includes. If it returns nil, the
+	// response has no chunks header.
 	Chunks(manifest digest.Digest) distribution.ChunkSet
 }
 
--- a/internal/distribution/simulation/agent_effects.go
+++ b/internal/distribution/simulation/agent_effects.go
@@ -43,7 +43,7 @@
 }
 
 // report sends an inventory to one controller. If this controller refuses the inventory, or
-// doesn't answer within the report interval, the next inventory goes to the next controller.
+// doesn't reply within the report interval, the next inventory goes to the next controller.
 func (a *Agent) report(inventory distribution.Inventory) {
 	incarnation, finished := a.incarnation, false
 	finish := func(e agent.Event) {
--- a/internal/distribution/simulation/helpers_test.go
+++ b/internal/distribution/simulation/helpers_test.go
@@ -60,10 +60,10 @@
 	return took
 }
 
-// fetchedChunks returns the number of chunks that an agent has stored in its current incarnation.
+// fetchedChunks returns the number of chunks that an agent has fetched in its current incarnation.
 func fetchedChunks(a *Agent) int { return int(a.Counts().FetchedChunks) }
 
-// totalFetchedChunks returns the number of chunks that all agents have stored in their current
+// totalFetchedChunks returns the number of chunks that all agents have fetched in their current
 // incarnations.
 func totalFetchedChunks(w *World) (total int) {
 	for _, a := range w.Agents {
--- a/internal/distribution/simulation/outages_test.go
+++ b/internal/distribution/simulation/outages_test.go
@@ -44,7 +44,7 @@
 			w.Run(4 * time.Second)
 			after := totalFetchedChunks(w)
 			if after <= before {
-				t.Errorf("%d chunks stored before the failure, %d four seconds later", before, after)
+				t.Errorf("%d chunks fetched before the failure, %d four seconds later", before, after)
 			}
 			requireReady(t, w, m)
 			requireFetchedOnce(t, w)
--- a/internal/distribution/simulation/tracker_host.go
+++ b/internal/distribution/simulation/tracker_host.go
@@ -121,8 +121,8 @@
 	h.step(command(h.nextID))
 }
 
-// SetManifest points a name to a version. Like an operator, it asks one controller after another until one
-// confirms the change. Each call of SetManifest, for any name, ends the retries of earlier calls.
+// SetManifest points a name to a manifest. Like an operator, it asks one controller after another
+// until one confirms the change. Each call, for any name, ends the retries of earlier calls.
 func (w *World) SetManifest(name string, manifest digest.Digest) {
 	w.lastSetManifestID++
 	setManifestID, attempts := w.lastSetManifestID, 0
--- a/internal/distribution/simulation/transfer.go
+++ b/internal/distribution/simulation/transfer.go
@@ -105,13 +105,13 @@
 	t.progressUpdatedAt = t.world.Now
 }
 
-// reallocateBandwidth updates the rates of all transfers of the given endpoints.
-func reallocateBandwidth(ends ...*networkLink) {
-	for _, end := range ends {
-		for _, t := range end.uploads {
+// reallocateBandwidth updates the rates of all transfers of the given links.
+func reallocateBandwidth(links ...*networkLink) {
+	for _, link := range links {
+		for _, t := range link.uploads {
 			t.updateRate()
 		}
-		for _, t := range end.downloads {
+		for _, t := range link.downloads {
 			t.updateRate()
 		}
 	}
--- a/internal/distribution/simulation/versions_test.go
+++ b/internal/distribution/simulation/versions_test.go
@@ -43,7 +43,7 @@
 // versionChange describes how the version of weightsName changes during a fetch.
 type versionChange struct {
 	name    string
-	network func(w *World) func(kind, from, to string) fake.Delivery // nil: reliable
+	network func(w *World) func(kind, from, to string) fake.Delivery // nil means reliable
 	// change changes the version, starting from the first of three versions, and returns the last
 	// version that it sets.
 	change func(w *World, versions []*distribution.Manifest) *distribution.Manifest
--- a/internal/distribution/simulation/world.go
+++ b/internal/distribution/simulation/world.go
@@ -25,7 +25,7 @@
 	BytesPerSecond float64 // of the link of each agent and of the store, in each direction
 	StoreSlots     int     // concurrent uploads of the store that the tracker may grant
 	Names          []string
-	DiskLimitBytes int64 // limit for the chunks of each agent; 0: no limit
+	DiskLimitBytes int64 // limit for the chunks of each agent; 0 means no limit
 	Seed           uint64
 	TicksPerReport int // ticks of an agent in each report interval
 }
@@ -59,7 +59,7 @@
 	rng               *rand.Rand
 	trackers          []*trackerHost
 	versions          map[digest.Digest][]byte // the bytes of each published version, by manifest digest
-	lastSetManifestID uint64                   // of the latest call of Use
+	lastSetManifestID uint64                   // of the latest call of SetManifest
 }
 
 // New returns a World in which a leader has been elected and no agent has been started. It waits
--- a/internal/distribution/tracker/invariants_test.go
+++ b/internal/distribution/tracker/invariants_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// checkUploadLeases checks that the downloaders of an agent's upload leases have these leases, too,
-// and that no more of them are valid than the agent has slots.
+// checkUploadLeases checks that each upload lease of an agent is a download lease of its downloader,
+// and that the agent has no more valid upload leases than slots.
 func (m *model) checkUploadLeases(agent *agentState) {
 	valid := 0
 	for _, lease := range agent.uploadLeases {
@@ -85,8 +85,8 @@
 	}
 }
 
-// checkDownloadLeases checks that the sources of an agent's download leases have these leases, too,
-// and are members of the manifest's swarm.
+// checkDownloadLeases checks that each download lease of an agent on a peer is an upload lease of
+// that peer, and that the peer is a member of the manifest's swarm.
 func (m *model) checkDownloadLeases(agent *agentState) {
 	for _, lease := range agent.downloadLeases {
 		if lease.source == nil {
--- a/internal/distribution/tracker/messages.go
+++ b/internal/distribution/tracker/messages.go
@@ -14,7 +14,7 @@
 	"oakpick/internal/storage"
 )
 
-// Leadership describes the controller's term, or which other controller leads.
+// Leadership describes the term in which the controller leads, or which other controller leads.
 type Leadership = election.View
 
 // Command is an input of Step.
@@ -100,17 +100,18 @@
 	Seed               uint64
 }
 
-// Limits, and durations as multiples of the report interval (the names that end in Intervals).
+// Limits and durations. The names of durations end in Intervals: they are multiples of the report
+// interval.
 const (
-	maxSameZoneSources    = 6  // of one agent for one manifest
-	maxOtherZoneSources   = 2  // of one agent for one manifest
-	minSources            = 4  // of one agent for one manifest; an agent with fewer takes over leases of agents with more
-	candidatesPerSource   = 4  // holders examined for each source that is to be assigned
+	maxSameZoneSources    = 6  // peers in its own zone that an agent may fetch one manifest from
+	maxOtherZoneSources   = 2  // peers in other zones that an agent may fetch one manifest from
+	minSources            = 4  // an agent with fewer peers for a manifest takes over leases of agents with more
+	candidatesPerSource   = 4  // holders examined for each source to assign
 	maxSourcesPerResponse = 96 // over all manifests
-	leaseIntervals        = 3  // after which a lease expires unless it is renewed
-	stalledIntervals      = 8  // without a new chunk, after which an agent's leases are ended
-	exclusionIntervals    = 10 // for which an agent isn't assigned a source again that it found faulty
-	damageReportIntervals = 40 // for which a report of damaged chunks counts against the source
-	minDamageReporters    = 2  // different agents; a source that so many agents report is assigned to no agent
-	warmUpIntervals       = 2  // idle report intervals after an election, for which agents keep sources that aren't listed
+	leaseIntervals        = 3  // a lease expires after this long unless it is renewed
+	stalledIntervals      = 8  // an agent's leases are ended after this long without a new chunk
+	exclusionIntervals    = 10 // a source isn't assigned for this long to an agent that found it faulty
+	damageReportIntervals = 40 // a report of damaged chunks counts against the source for this long
+	minDamageReporters    = 2  // a source that this many agents report for damaged chunks is assigned to no agent
+	warmUpIntervals       = 2  // idle report intervals after an election in which agents keep unlisted sources
 )
--- a/internal/distribution/tracker/names.go
+++ b/internal/distribution/tracker/names.go
@@ -21,7 +21,7 @@
 // storedName is the value of a name's key.
 type storedName struct {
 	Manifest string `msgpack:"manifest"`
-	WriteID  string `msgpack:"write"` // shows, after a response was lost, whether that write was applied
+	WriteID  string `msgpack:"write"` // to find out whether a write whose response was lost was applied
 }
 
 // nameStore holds the durable record of each name, and writes changes one at a time. It belongs to
--- a/internal/distribution/tracker/sources.go
+++ b/internal/distribution/tracker/sources.go
@@ -78,7 +78,7 @@
 	return zones
 }
 
-// grantLeases grants an agent up to the wanted number of leases on sources of some zones, and
+// grantLeases grants an agent up to the wanted number of leases on sources in the given zones, and
 // returns the number granted. The number of candidates that it examines depends on the wanted
 // number, not on the size of the swarm.
 func (t *Tracker) grantLeases(agent *agentState, swarm *swarmState, zones []string, wanted int) (granted int) {
@@ -100,7 +100,7 @@
 	return granted
 }
 
-// randomHolder returns a random member of a zone that holds chunks, or nil if there is none.
+// randomHolder returns a random member that is in a zone and holds chunks, or nil if there is none.
 func (t *Tracker) randomHolder(swarm *swarmState, zone string) *swarmMember {
 	holders := swarm.holders[zone]
 	if len(holders) == 0 {
--- a/internal/distribution/tracker/status.go
+++ b/internal/distribution/tracker/status.go
@@ -16,9 +16,8 @@
 	More  bool                      `json:"more,omitempty"` // further names follow
 }
 
-// maxPageBytes is the maximum size of a page's entries as JSON. It is half the size of a message
-// between controllers, because the page for a call that a follower forwarded has to fit into such a
-// message, whatever the size of its last entry.
+// maxPageBytes is the maximum size of a page's entries as JSON. It is half the size of a message, so
+// that a page still fits into a message between controllers if its first entry exceeds this limit.
 const maxPageBytes = distribution.MaxMessageBytes / 2
 
 // pageBudget tracks the size of a page's entries as JSON.
