--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -21,9 +21,9 @@
 	PathWeights   = PathPrefix + "weights" // all names; a single name is at PathWeights/{name}
 )
 
-// ChunksHeader is the response header in which an agent reports the chunks of a manifest that it
+// HeaderChunks is the response header in which an agent reports the chunks of a manifest that it
 // holds: a ChunkSet in base64.
-const ChunksHeader = "Oakpick-Chunks"
+const HeaderChunks = "Oakpick-Chunks"
 
 // ManifestHeader is the request header that names the manifest to which a requested blob belongs.
 const ManifestHeader = "Oakpick-Manifest"
--- a/internal/distribution/registry/client.go
+++ b/internal/distribution/registry/client.go
@@ -132,7 +132,7 @@
 // give.
 func parseHeader(res *http.Response) FetchResult {
 	result := FetchResult{Fault: statusFault(res.StatusCode)}
-	if text := res.Header.Get(distribution.ChunksHeader); text != "" {
+	if text := res.Header.Get(distribution.HeaderChunks); text != "" {
 		if set, err := base64.StdEncoding.DecodeString(text); err == nil { // a malformed chunk set is ignored
 			result.Chunks = set
 		}
--- a/internal/distribution/registry/handler.go
+++ b/internal/distribution/registry/handler.go
@@ -142,7 +142,7 @@
 // returns no chunk set.
 func (h *Handler) setChunksHeader(w http.ResponseWriter, manifest digest.Digest) {
 	if set := h.Content.Chunks(manifest); set != nil {
-		w.Header().Set(distribution.ChunksHeader, base64.StdEncoding.EncodeToString(set))
+		w.Header().Set(distribution.HeaderChunks, base64.StdEncoding.EncodeToString(set))
 	}
 }
 
