--- a/internal/distribution/agent/server.go
+++ b/internal/distribution/agent/server.go
@@ -21,7 +21,7 @@
 
 // Headers of responses below PathActive.
 const (
-	HeaderManifest = distribution.ManifestHeader
+	HeaderManifest = distribution.HeaderManifest
 	HeaderRevision = "Oakpick-Revision"
 )
 
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -25,8 +25,8 @@
 // holds: a ChunkSet in base64.
 const HeaderChunks = "Oakpick-Chunks"
 
-// ManifestHeader is the request header that names the manifest to which a requested blob belongs.
-const ManifestHeader = "Oakpick-Manifest"
+// HeaderManifest is the request header that names the manifest to which a requested blob belongs.
+const HeaderManifest = "Oakpick-Manifest"
 
 // MaxMessageBytes is the maximum size of a message between an agent and the tracker.
 const MaxMessageBytes = 64 << 10
--- a/internal/distribution/registry/blob_client.go
+++ b/internal/distribution/registry/blob_client.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("blob %s: %w", r.Chunk.Digest, err)
 	}
-	req.Header.Set(distribution.ManifestHeader, r.Manifest.String())
+	req.Header.Set(distribution.HeaderManifest, r.Manifest.String())
 	if r.Offset > 0 {
 		req.Header.Set("Range", fmt.Sprintf("bytes=%d-", r.Offset))
 	}
--- a/internal/distribution/registry/handler.go
+++ b/internal/distribution/registry/handler.go
@@ -158,9 +158,9 @@
 		writeError(w, http.StatusBadRequest, codeDigestInvalid, "digest: "+err.Error())
 		return
 	}
-	if manifest := digest.Digest(r.Header.Get(distribution.ManifestHeader)); manifest != "" {
+	if manifest := digest.Digest(r.Header.Get(distribution.HeaderManifest)); manifest != "" {
 		if err := distribution.CheckDigest(manifest); err != nil {
-			writeError(w, http.StatusBadRequest, codeDigestInvalid, distribution.ManifestHeader+": "+err.Error())
+			writeError(w, http.StatusBadRequest, codeDigestInvalid, distribution.HeaderManifest+": "+err.Error())
 			return
 		}
 		h.setChunksHeader(w, manifest)
--- a/internal/distribution/registry/registry_test.go
+++ b/internal/distribution/registry/registry_test.go
@@ -172,7 +172,7 @@
 		{"GET", blobPath, "Range", "bytes=99-", 416, ""},
 		{"GET", blobPath, "Range", "bytes=9-1", 416, ""},
 		{"GET", blobPath, "Range", "lines=1-2", 416, ""},
-		{"GET", blobPath, distribution.ManifestHeader, "x", 400, distribution.ManifestHeader},
+		{"GET", blobPath, distribution.HeaderManifest, "x", 400, distribution.HeaderManifest},
 		{"GET", "/v2/", "", "", 200, ""},
 		{"HEAD", blobPath, "", "", 200, ""},
 		{"GET", blobPath, "Range", "bytes=0-1", 206, "01"},
