--- a/internal/distribution/agent/settings.go
+++ b/internal/distribution/agent/settings.go
@@ -22,7 +22,7 @@
 	MaxDownloads           int     `toml:"downloads" validate:"gte=1,lte=1024"`
 	DiskLimitBytes         int64   `toml:"disk_bytes" validate:"gte=0"`
 	MinBytesPerSecond      int64   `toml:"minimum_rate_bytes" validate:"gte=1"`
-	StallS                 float64 `toml:"stall_s" validate:"gt=0,lte=3600"`
+	StallTimeoutS                 float64 `toml:"stall_s" validate:"gt=0,lte=3600"`
 	ReportS                float64 `toml:"report_s" validate:"gt=0,lte=3600"`
 	UploadBytesPerSecond   int64   `toml:"upload_bytes_per_s" validate:"gte=0"`
 	DownloadBytesPerSecond int64   `toml:"download_bytes_per_s" validate:"gte=0"`
@@ -31,7 +31,7 @@
 // Defaults returns the values of settings that the file may leave out.
 func Defaults() Settings {
 	const mebibyte = 1 << 20
-	return Settings{UploadSlots: 4, MaxDownloads: 8, MinBytesPerSecond: mebibyte, StallS: 10, ReportS: 2.5}
+	return Settings{UploadSlots: 4, MaxDownloads: 8, MinBytesPerSecond: mebibyte, StallTimeoutS: 10, ReportS: 2.5}
 }
 
 // LoadSettings reads and validates a settings file. Its error names every invalid key.
@@ -73,7 +73,7 @@
 		MaxDownloads:      s.MaxDownloads,
 		DiskLimitBytes:    s.DiskLimitBytes,
 		MinBytesPerSecond: s.MinBytesPerSecond,
-		StallTimeout:      config.Seconds(s.StallS),
+		StallTimeout:      config.Seconds(s.StallTimeoutS),
 		ReportInterval:    config.Seconds(s.ReportS),
 		Seed:              seed,
 	}
