--- a/internal/daemon/agents_test.go
+++ b/internal/daemon/agents_test.go
@@ -52,7 +52,7 @@
 	for i := range 4 {
 		settings := agent.Defaults()
 		settings.Trackers, settings.Store, settings.Names = trackers, storeAddress, []string{"models/a"}
-		settings.ReportS, settings.StallTimeoutS = 0.2, 2
+		settings.ReportIntervalS, settings.StallTimeoutS = 0.2, 2
 		settings.Agent, settings.Zone = fmt.Sprint("agent-", i), []string{"north", "south"}[i%2]
 		settings.Listen, settings.Directory = freeAddress(t), filepath.Join(directory, settings.Agent)
 		if err := os.Mkdir(settings.Directory, 0o755); err != nil {
--- a/internal/distribution/agent/settings.go
+++ b/internal/distribution/agent/settings.go
@@ -23,7 +23,7 @@
 	DiskLimitBytes         int64   `toml:"disk_bytes" validate:"gte=0"`
 	MinBytesPerSecond      int64   `toml:"minimum_rate_bytes" validate:"gte=1"`
 	StallTimeoutS                 float64 `toml:"stall_s" validate:"gt=0,lte=3600"`
-	ReportS                float64 `toml:"report_s" validate:"gt=0,lte=3600"`
+	ReportIntervalS                float64 `toml:"report_s" validate:"gt=0,lte=3600"`
 	UploadBytesPerSecond   int64   `toml:"upload_bytes_per_s" validate:"gte=0"`
 	DownloadBytesPerSecond int64   `toml:"download_bytes_per_s" validate:"gte=0"`
 }
@@ -31,7 +31,7 @@
 // Defaults returns the values of settings that the file may leave out.
 func Defaults() Settings {
 	const mebibyte = 1 << 20
-	return Settings{UploadSlots: 4, MaxDownloads: 8, MinBytesPerSecond: mebibyte, StallTimeoutS: 10, ReportS: 2.5}
+	return Settings{UploadSlots: 4, MaxDownloads: 8, MinBytesPerSecond: mebibyte, StallTimeoutS: 10, ReportIntervalS: 2.5}
 }
 
 // LoadSettings reads and validates a settings file. Its error names every invalid key.
@@ -74,7 +74,7 @@
 		DiskLimitBytes:    s.DiskLimitBytes,
 		MinBytesPerSecond: s.MinBytesPerSecond,
 		StallTimeout:      config.Seconds(s.StallTimeoutS),
-		ReportInterval:    config.Seconds(s.ReportS),
+		ReportInterval:    config.Seconds(s.ReportIntervalS),
 		Seed:              seed,
 	}
 }
--- a/internal/distribution/agent/settings_test.go
+++ b/internal/distribution/agent/settings_test.go
@@ -27,7 +27,7 @@
 
 func TestLoadSettingsAppliesDefaults(t *testing.T) {
 	s, err := loadSettings(t, minimalSettings)
-	if err != nil || s.UploadSlots != Defaults().UploadSlots || s.ReportS != Defaults().ReportS || s.Agent != "host-1" {
+	if err != nil || s.UploadSlots != Defaults().UploadSlots || s.ReportIntervalS != Defaults().ReportIntervalS || s.Agent != "host-1" {
 		t.Errorf("%+v %v", s, err)
 	}
 }
--- a/internal/scale/distributionrun/fleet.go
+++ b/internal/scale/distributionrun/fleet.go
@@ -46,7 +46,7 @@
 	settings.Agent, settings.Zone = fmt.Sprintf("%s-%03d", filepath.Base(name), i), zones[zone]
 	settings.Listen, settings.Directory = addresses.Worker(i), filepath.Join(e.directory, settings.Agent)
 	settings.Store, settings.Names = addresses.WeightStore(), []string{name}
-	settings.UploadSlots, settings.ReportS, settings.StallTimeoutS = p.UploadSlots, p.InventoryIntervalS, stallIntervals*p.InventoryIntervalS
+	settings.UploadSlots, settings.ReportIntervalS, settings.StallTimeoutS = p.UploadSlots, p.InventoryIntervalS, stallIntervals*p.InventoryIntervalS
 	settings.UploadBytesPerSecond, settings.DownloadBytesPerSecond = int64(rate), int64(rate)
 	settings.MinBytesPerSecond = max(1, int64(rate/minimumRateDivisor))
 	for c := range p.Controllers {
