--- a/cmd/oakpick/main.go
+++ b/cmd/oakpick/main.go
@@ -43,8 +43,8 @@
 	return cfg, extensions, err
 }
 
-// serveCommand runs a controller until the process is killed. There is no graceful shutdown, and
-// none is needed.
+// serveCommand runs a controller until the process is killed. There is no graceful shutdown, because
+// controllers recover from a kill at any time.
 type serveCommand struct{}
 
 func (serveCommand) Run(cli *commandLine) error {
--- a/internal/distribution/agent/settings.go
+++ b/internal/distribution/agent/settings.go
@@ -22,8 +22,8 @@
 	MaxDownloads           int     `toml:"downloads" validate:"gte=1,lte=1024"`
 	DiskLimitBytes         int64   `toml:"disk_bytes" validate:"gte=0"`
 	MinBytesPerSecond      int64   `toml:"minimum_rate_bytes" validate:"gte=1"`
-	StallTimeoutS                 float64 `toml:"stall_s" validate:"gt=0,lte=3600"`
-	ReportIntervalS                float64 `toml:"report_s" validate:"gt=0,lte=3600"`
+	StallTimeoutS          float64 `toml:"stall_s" validate:"gt=0,lte=3600"`
+	ReportIntervalS        float64 `toml:"report_s" validate:"gt=0,lte=3600"`
 	UploadBytesPerSecond   int64   `toml:"upload_bytes_per_s" validate:"gte=0"`
 	DownloadBytesPerSecond int64   `toml:"download_bytes_per_s" validate:"gte=0"`
 }
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -25,10 +25,12 @@
 // holds: a ChunkSet in base64.
 const HeaderChunks = "Oakpick-Chunks"
 
-// HeaderManifest is the request header that names the manifest to which a requested blob belongs.
+// HeaderManifest is the header that names a manifest: in a request for a blob, the manifest that the
+// blob belongs to, and in an agent's response with the content of a version, that version's manifest.
 const HeaderManifest = "Oakpick-Manifest"
 
-// MaxMessageBytes is the maximum size of a message between an agent and the tracker.
+// MaxMessageBytes is the maximum size of a message between an agent and the tracker, or between the
+// trackers of two controllers.
 const MaxMessageBytes = 64 << 10
 
 // MaxNameBytes is the maximum length of a name of weights.
--- a/internal/distribution/tracker/names.go
+++ b/internal/distribution/tracker/names.go
@@ -41,7 +41,7 @@
 // at most one.
 type pendingCall struct {
 	id             uint64 // 0 if no call is in flight
-	last           storage.StateCall
+	stateCall      storage.StateCall
 	retryScheduled bool
 	retryAt        time.Duration
 }
@@ -57,7 +57,7 @@
 func (n *nameStore) send(call storage.StateCall) {
 	n.tracker.lastCallID++
 	call.ID = n.tracker.lastCallID
-	n.call = pendingCall{id: call.ID, last: call, retryAt: n.call.retryAt}
+	n.call = pendingCall{id: call.ID, stateCall: call, retryAt: n.call.retryAt}
 	n.tracker.emit(StateCall{call})
 }
 
@@ -70,7 +70,7 @@
 // retryIfDue repeats the last call if its retry is due.
 func (n *nameStore) retryIfDue() {
 	if n.call.retryScheduled && n.tracker.now >= n.call.retryAt {
-		n.send(n.call.last)
+		n.send(n.call.stateCall)
 	}
 }
 
@@ -80,7 +80,7 @@
 		return // the result of an earlier term, or of a call that has been repeated since
 	}
 	n.call.id = 0
-	switch n.call.last.Op {
+	switch n.call.stateCall.Op {
 	case storage.StateList:
 		n.handleList(result)
 	case storage.StateTxn:
