--- a/internal/distribution/agent/core_disk.go
+++ b/internal/distribution/agent/core_disk.go
@@ -51,7 +51,7 @@
 	if c.settings.DiskLimitBytes == 0 || c.disk.usedBytes+bytes <= c.settings.DiskLimitBytes {
 		return true
 	}
-	c.disk.overBudget = !c.evict(c.disk.usedBytes + bytes - c.settings.DiskLimitBytes)
+	c.disk.limitReached = !c.evict(c.disk.usedBytes + bytes - c.settings.DiskLimitBytes)
 	return false
 }
 
--- a/internal/distribution/agent/core_fetch.go
+++ b/internal/distribution/agent/core_fetch.go
@@ -22,7 +22,7 @@
 // startFetches starts as many fetches as the sources and MaxDownloads allow. Names are processed
 // in their configured order.
 func (c *Core) startFetches() {
-	c.disk.overBudget = false
+	c.disk.limitReached = false
 	for _, target := range c.targets {
 		version := c.versions[target.wanted]
 		if version == nil || version.complete() {
--- a/internal/distribution/agent/core_reports.go
+++ b/internal/distribution/agent/core_reports.go
@@ -127,7 +127,7 @@
 	switch {
 	case c.now < c.disk.pausedUntil:
 		reason.Description = "the disk takes no more"
-	case c.disk.overBudget:
+	case c.disk.limitReached:
 		reason.Description = "disk_bytes is used up by chunks that are in use"
 	case fetching > 0:
 		reason.Description = "chunks are being fetched"
--- a/internal/distribution/agent/core_state.go
+++ b/internal/distribution/agent/core_state.go
@@ -84,7 +84,7 @@
 	usedBytes           int64         // taken by chunks or reserved for fetches
 	pausedUntil         time.Duration // no fetch starts before this time after a failed write
 	consecutiveFailures int
-	overBudget          bool // a fetch needs space within the disk limit, and no chunk can be evicted
+	limitReached        bool // a fetch needs space within the disk limit, and no chunk can be evicted
 }
 
 // reportState tracks the reports to the tracker.
--- a/internal/distribution/agent/tracker_client.go
+++ b/internal/distribution/agent/tracker_client.go
@@ -56,9 +56,9 @@
 	}
 	var failed TrackerFailed
 	for range t.trackers {
-		answer, err := t.send(ctx, t.trackers[t.current], body)
+		response, err := t.send(ctx, t.trackers[t.current], body)
 		if err == nil {
-			return TrackerResponse{answer}
+			return TrackerResponse{response}
 		}
 		// The error isn't logged: the agent continues with its last known state, and during an outage
 		// of a tracker every agent would log the error with every report.
@@ -73,25 +73,25 @@
 
 // send posts an encoded inventory to one tracker and decodes the response.
 func (t *trackerClient) send(ctx context.Context, tracker string, body []byte) (distribution.InventoryResponse, error) {
-	var answer distribution.InventoryResponse
+	var response distribution.InventoryResponse
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+tracker+distribution.PathInventory, bytes.NewReader(body))
 	if err != nil {
-		return answer, fmt.Errorf("tracker %s: %w", tracker, err)
+		return response, fmt.Errorf("tracker %s: %w", tracker, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	res, err := t.http.Do(req)
 	if err != nil {
-		return answer, fmt.Errorf("tracker %s: %w", tracker, err)
+		return response, fmt.Errorf("tracker %s: %w", tracker, err)
 	}
 	defer res.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(res.Body, distribution.MaxMessageBytes+1))
 	if err != nil || len(data) > distribution.MaxMessageBytes || res.StatusCode != http.StatusOK {
-		return answer, &refusedError{tracker: tracker, status: res.StatusCode, retryAfter: retryAfter(res)}
+		return response, &refusedError{tracker: tracker, status: res.StatusCode, retryAfter: retryAfter(res)}
 	}
-	if err := json.Unmarshal(data, &answer); err != nil {
-		return answer, fmt.Errorf("tracker %s: decode response: %w", tracker, err)
+	if err := json.Unmarshal(data, &response); err != nil {
+		return response, fmt.Errorf("tracker %s: decode response: %w", tracker, err)
 	}
-	return answer, nil
+	return response, nil
 }
 
 // retryAfter returns the delay that a response requests in Retry-After, or 0 if it requests none.
