--- a/internal/archive/lookup.go
+++ b/internal/archive/lookup.go
@@ -16,8 +16,8 @@
 	request     message.UserRequest
 	userWaiting bool // false once the request has been refused
 	refuseAt    time.Duration
-	expiresAt   time.Duration // removal of the lookup if the user does not retry
-	unresolved  []string      // jobs of which it is not known yet whether the archive holds them
+	expiresAt   time.Duration // time from which the lookup is removed if no user is waiting for it
+	unresolved  []string      // jobs whose archive pages haven't been read yet
 	results     LookupResults
 }
 
@@ -29,7 +29,7 @@
 	readTimedOut   = "the ended jobs can't be read in time"
 )
 
-// retentionLeases is how long the lookup of a submission is kept, in worker leases.
+// retentionLeases is how long the lookup of a submission is kept, as a multiple of the worker lease.
 const retentionLeases = 2
 
 // findCached looks jobs up in the cached pages and adds their records to results. It returns the
@@ -69,7 +69,7 @@
 // Handle answers a user request, or queues it until the pages that it needs have been read.
 func (a *Archive) Handle(request message.UserRequest) {
 	if !a.nonEmpty {
-		a.callbacks.Decide(request, nil)
+		a.callbacks.HandleRequest(request, nil)
 		return
 	}
 	earlier := a.pendingSubmission(request)
@@ -85,7 +85,7 @@
 		if earlier != nil && !earlier.userWaiting {
 			a.remove(earlier)
 		}
-		a.callbacks.Decide(request, results)
+		a.callbacks.HandleRequest(request, results)
 	case earlier != nil && earlier.userWaiting:
 		a.context.Refuse(request.ID, alreadyPending)
 	case earlier != nil:
@@ -102,8 +102,8 @@
 	}
 }
 
-// lookupTimeout is how long a request may wait for the archive: half of the user's timeout, the
-// same as for a commit.
+// lookupTimeout returns how long a request may wait for the archive: half of the user's timeout,
+// which leaves enough time for the network round trip.
 func lookupTimeout(kind message.UserRequestKind) time.Duration {
 	if kind == message.Poll {
 		return config.Seconds(protocol.PollTimeoutS / 2.0)
@@ -132,7 +132,7 @@
 
 // admit reports whether one more lookup may be queued. Polls are limited to a share of the queue,
 // so that polls of jobs that were never submitted can't block submissions and cancellations. If
-// too many polls are queued, one poll picked at random among them and the new one is refused, so
+// that share is used up, admit refuses either the new poll or a queued one, chosen at random, so
 // that a user who keeps polling isn't refused every time.
 func (a *Archive) admit(kind message.UserRequestKind) bool {
 	limit := max(minPendingLookupLimit, int(a.limits.RPS*pendingLookupsPerRPS))
@@ -157,8 +157,8 @@
 	return true
 }
 
-// nextJobToRead returns a job whose page a lookup waits for. Submissions and cancellations come
-// before polls.
+// nextJobToRead returns a job whose page a lookup waits for, or "" if there is none. Submissions
+// and cancellations come before polls.
 func (a *Archive) nextJobToRead() string {
 	var next *lookup
 	for _, x := range a.pendingLookups {
@@ -172,8 +172,9 @@
 	return next.unresolved[0]
 }
 
-// answerLookups answers the lookups whose pages have all been read. It answers only while the
-// lease is held, because the pages were read in this term.
+// answerLookups answers the lookups whose pages have all been read, and refuses those with a corrupt
+// page. It answers only while the lease is held, because another leader may have changed the
+// pages since.
 func (a *Archive) answerLookups() {
 	for _, x := range slices.Clone(a.pendingLookups) {
 		var corrupt bool
@@ -186,13 +187,13 @@
 			}
 		case len(x.unresolved) == 0 && x.userWaiting && a.leadership.HoldsLease():
 			a.remove(x)
-			a.callbacks.Decide(x.request, x.results)
+			a.callbacks.HandleRequest(x.request, x.results)
 		}
 	}
 }
 
-// refuseTimedOut refuses lookups whose timeout has passed, and all lookups while the lease may
-// have expired.
+// refuseTimedOut refuses lookups whose timeout has passed, or all lookups if the lease may have
+// expired. It also removes expired lookups that no user is waiting for.
 func (a *Archive) refuseTimedOut() {
 	now := a.context.Monotonic()
 	for _, x := range slices.Clone(a.pendingLookups) {
--- a/internal/config/extensions_test.go
+++ b/internal/config/extensions_test.go
@@ -32,7 +32,7 @@
 // settings. The tracker's connections are subtracted from those of users and workers.
 func TestExtensionsAreDerivedFromTheSettings(t *testing.T) {
 	cfg := exampleConfig(t)
-	before := cfg.Settings.Sockets().API
+	before := cfg.Settings.ConnectionLimits().API
 	e, err := LoadExtensions("../../deploy/extensions.toml", cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 	if d.Connections != s.Limits.MaxConnections/4 || d.InventoryIntervalS != heartbeat/2 || d.IdleInventoryIntervalS != 2*heartbeat {
 		t.Errorf("%+v", d)
 	}
-	if after := cfg.Settings.Sockets().API; after >= before {
+	if after := cfg.Settings.ConnectionLimits().API; after >= before {
 		t.Errorf("API server has %d connections without and %d with the tracker", before, after)
 	}
 	if address, err := d.TrackerAddress("10.0.0.1:8081"); err != nil || address != "10.0.0.1:8082" {
@@ -72,9 +72,9 @@
 			"[distribution]\nport = 8082\nstore_slots = 1\nreport_s = 9\nidle_report_s = 1\n",
 			[]string{"distribution.idle_report_s"},
 		},
-		"too many sockets": {"[distribution]\nport = 8082\nstore_slots = 1\nconnections = 1000000\n", []string{"distribution.connections"}},
-		"port in use":      {"[distribution]\nport = 8081\nstore_slots = 1\n", []string{"distribution.port"}},
-		"not TOML":         {"[distribution", []string{"extensions.toml"}},
+		"too many connections": {"[distribution]\nport = 8082\nstore_slots = 1\nconnections = 1000000\n", []string{"distribution.connections"}},
+		"port in use":          {"[distribution]\nport = 8081\nstore_slots = 1\n", []string{"distribution.port"}},
+		"not TOML":             {"[distribution", []string{"extensions.toml"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := LoadExtensions(writeExtensions(t, c.text), exampleConfig(t))
--- a/internal/controller/five_controllers_test.go
+++ b/internal/controller/five_controllers_test.go
@@ -13,7 +13,7 @@
 // fiveControllerSettings are the settings of a deployment with five controllers.
 func fiveControllerSettings() config.Settings {
 	s := fake.Settings()
-	s.Size = 5
+	s.ControllerCount = 5
 	return s
 }
 
--- a/internal/daemon/event_loop.go
+++ b/internal/daemon/event_loop.go
@@ -32,7 +32,7 @@
 	controller  *controller.Controller
 	pending     *pendingRequests[queuedEvent]
 	knownLeader string // last known leader; empty until one is known
-	// observeLeadership, unless nil, is called with the current leadership after every step.
+	// observeLeadership is called with the current leadership after every step, unless it is nil.
 	observeLeadership func(election.View)
 }
 
@@ -53,10 +53,10 @@
 	event    message.Event
 	raw      transport.RawRequest
 	reply    chan message.Reply // has room for one reply, so that sending never blocks
-	deadline time.Time          // when Handle stops waiting and refuses the request; zero: no deadline
+	deadline time.Time          // when Handle stops waiting and refuses the request; zero if there is none
 }
 
-// expired tells whether an event is a poll that Handle has already refused: answering it would
+// expired reports whether an event is a poll that Handle has already refused: answering it would
 // only delay other requests. Requests that change something are always processed.
 func (e *queuedEvent) expired(now time.Time) bool {
 	request, ok := e.event.(message.UserRequest)
@@ -77,7 +77,7 @@
 	return reply
 }
 
-// Healthy tells whether the node can serve requests. Any goroutine may call it.
+// Healthy reports whether the node can serve requests. Any goroutine may call it.
 func (l *eventLoop) Healthy() bool { return l.healthy.Load() }
 
 // run steps the controller until the process's context ends.
@@ -106,7 +106,7 @@
 	if wasLeader && !l.controller.Leading() {
 		l.failPendingRequests()
 	}
-	l.observeLeader()
+	l.updateKnownLeader()
 	l.metrics.pauses.Store(l.controller.Stats().Pauses)
 	l.metrics.longestPauseMs.Store(l.controller.Stats().LongestPauseMs)
 	l.healthy.Store(l.controller.Healthy())
@@ -134,7 +134,7 @@
 	now := time.Now()
 	for taken := 1; ; taken++ {
 		if next.expired(now) {
-			l.metrics.expired.Add(1)
+			l.metrics.expiredPolls.Add(1)
 		} else {
 			events = append(events, l.accept(next))
 		}
@@ -167,9 +167,9 @@
 	}
 }
 
-// observeLeader cancels the requests forwarded to a former leader once a new leader is known, so
-// that they are queued again.
-func (l *eventLoop) observeLeader() {
+// updateKnownLeader records a new leader and cancels the requests that were forwarded to other
+// controllers, so that they are queued again.
+func (l *eventLoop) updateKnownLeader() {
 	leader := l.controller.KnownLeader()
 	if leader != "" && leader != l.knownLeader {
 		l.knownLeader = leader
--- a/internal/daemon/tracker_test.go
+++ b/internal/daemon/tracker_test.go
@@ -26,12 +26,12 @@
 		t.Fatal(err)
 	}
 	return config.Extensions{Distribution: &config.Distribution{
-		Port: number, StoreFetchers: 2, Connections: 64, InventoryIntervalS: 0.2, IdleInventoryIntervalS: 0.4,
+		Port: number, StoreSlots: 2, Connections: 64, InventoryIntervalS: 0.2, IdleInventoryIntervalS: 0.4,
 	}}, address
 }
 
-// newControllersWithTrackers starts two controllers with trackers. It returns the trackers'
-// addresses, too.
+// newControllersWithTrackers starts two controllers with trackers. It also returns the trackers'
+// addresses.
 func newControllersWithTrackers(t *testing.T) (*controllerPair, []string) {
 	t.Helper()
 	first, firstAddress := trackerExtension(t)
--- a/internal/distribution/agent/core.go
+++ b/internal/distribution/agent/core.go
@@ -23,7 +23,7 @@
 	versions      map[digest.Digest]*versionState
 	chunks        map[digest.Digest]*chunkState
 	sources       map[sourceKey]*sourceState
-	excludedUntil map[sourceKey]time.Duration // time until which a released source isn't used
+	excludedUntil map[sourceKey]time.Duration // when a released source may be used again
 	fetches       map[uint64]*activeFetch
 	lastFetchID   uint64
 	verifiedAt    map[digest.Digest]time.Duration // when a manifest's chunks were last verified at the tracker's request
@@ -88,8 +88,8 @@
 
 func (c *Core) handleEvent(event Event) {
 	switch e := event.(type) {
-	case TrackerAnswered:
-		c.handleTrackerAnswer(e.Answer)
+	case TrackerResponse:
+		c.handleTrackerResponse(e.Response)
 	case TrackerFailed:
 		c.handleTrackerFailure(e)
 	case ManifestResult:
--- a/internal/distribution/agent/core_messages.go
+++ b/internal/distribution/agent/core_messages.go
@@ -2,8 +2,8 @@
 // deterministic state machine, makes the decisions. The rest of the package carries out Core's
 // effects: file access, HTTP requests, upload slots and rate limits.
 //
-// The tracker's answers contain the manifest that each name refers to, and the sources to fetch its
-// chunks from: other agents (peers) and the store.
+// The tracker's responses contain the manifest that each name refers to, and the sources to fetch
+// its chunks from: other agents (peers) and the store.
 package agent
 
 import (
@@ -20,11 +20,11 @@
 
 // The events of Core.Step.
 type (
-	// TrackerAnswered carries a tracker's answer to a Report.
-	TrackerAnswered struct {
-		Answer distribution.InventoryResponse
+	// TrackerResponse carries a tracker's response to a Report.
+	TrackerResponse struct {
+		Response distribution.InventoryResponse
 	}
-	// TrackerFailed means that no tracker answered a Report.
+	// TrackerFailed means that no tracker accepted a Report.
 	TrackerFailed struct{ RetryAfter time.Duration }
 	// ManifestResult answers GetManifest.
 	ManifestResult struct {
@@ -67,7 +67,7 @@
 	Tick struct{}
 )
 
-func (TrackerAnswered) event() {}
+func (TrackerResponse) event() {}
 func (TrackerFailed) event()   {}
 func (ManifestResult) event()  {}
 func (ChunkSetResult) event()  {}
@@ -157,20 +157,20 @@
 	Seed                 uint64
 }
 
-// Limits and durations of Core. The names of durations end in Reports if they are multiples of
+// Limits and durations of Core. The names of durations end in Intervals if they are multiples of
 // the report interval, and in Divisor if they are fractions of it.
 const (
 	maxReportIntervalFactor = 16 // the tracker may shorten or lengthen the interval by at most this factor
 	retryDivisor            = 8  // retry delay after the first failure
 	maxRetryDoublings       = 6  // the retry delay doubles at most this many times
 	refreshDivisor          = 2  // first interval between requests for a source's chunk set
-	maxRefreshReports       = 2  // longest interval between these requests
-	maxUselessReports       = 4  // a source is released after this long without a needed chunk
+	maxRefreshIntervals     = 2  // longest interval between these requests
+	maxUselessIntervals     = 4  // a source is released after this long without a needed chunk
 	maxMissingChunks        = 3  // a source is released after it wrongly claimed this many chunks
 	maxUnreachableFailures  = 2  // an unreachable source is released after this many consecutive failures
-	exclusionReports        = 10 // a released source isn't used again for this long
-	stripeWaitReports       = 2  // other agents' stripes of the store are fetched after this long without a fetch
-	verifyIntervalReports   = 40 // shortest interval between two verifications of a manifest's chunks
+	exclusionIntervals      = 10 // a released source isn't used again for this long
+	stripeWaitIntervals     = 2  // other agents' stripes of the store are fetched after this long without a fetch
+	minVerifyIntervals      = 40 // shortest interval between two verifications of a manifest's chunks
 	maxReportedHoldings     = 64 // per inventory
 	maxReportedFaults       = 64 // per inventory
 )
--- a/internal/distribution/agent/core_state.go
+++ b/internal/distribution/agent/core_state.go
@@ -10,7 +10,7 @@
 
 // CoreCounts holds the counters since the agent's start.
 type CoreCounts struct {
-	StoredChunks  int64
+	FetchedChunks int64
 	PeerBytes     int64 // received from other agents
 	StoreBytes    int64 // received from the store
 	Faults        map[distribution.Fault]int64
@@ -65,7 +65,7 @@
 	partialBytes  int64 // bytes on disk of an incomplete chunk
 	fetch         *activeFetch
 	contributors  map[string]bool // names of the sources that sent the partial bytes
-	singleSource  bool            // fetched from one source only, so that damage can be attributed to it
+	singleSource  bool            // must come from one source, so that damage can be attributed to that source
 	removing      bool
 	removeRetryAt time.Duration
 	lastUsedAt    time.Duration
@@ -84,12 +84,12 @@
 	usedBytes           int64         // taken by chunks or reserved for fetches
 	pausedUntil         time.Duration // no fetch starts before this time after a failed write
 	consecutiveFailures int
-	overBudget          bool // a fetch needs space, and no chunk can be evicted
+	limitReached        bool // a fetch needs space within the disk limit, and no chunk can be evicted
 }
 
 // reportState tracks the reports to the tracker.
 type reportState struct {
-	term     int64 // highest term of the answers received
+	term     int64 // highest term of the responses received
 	sequence int64 // sequence number of the last inventory
 	inFlight bool
 	nextAt   time.Duration
--- a/internal/distribution/agent/core_targets.go
+++ b/internal/distribution/agent/core_targets.go
@@ -147,14 +147,14 @@
 	return false
 }
 
-// verifyManifest starts the verification of all stored chunks of a manifest, unless the last one
-// was recent.
+// verifyManifest starts the verification of all stored chunks of a manifest, unless they were
+// verified recently.
 func (c *Core) verifyManifest(manifest digest.Digest) {
 	version := c.versions[manifest]
 	if version == nil {
 		return
 	}
-	if at, verified := c.verifiedAt[manifest]; verified && c.now-at < verifyIntervalReports*c.settings.ReportInterval {
+	if at, verified := c.verifiedAt[manifest]; verified && c.now-at < minVerifyIntervals*c.settings.ReportInterval {
 		return
 	}
 	c.verifiedAt[manifest] = c.now
--- a/internal/distribution/agent/tracker_client.go
+++ b/internal/distribution/agent/tracker_client.go
@@ -16,8 +16,8 @@
 	"oakpick/internal/distribution/registry"
 )
 
-// trackerClient sends reports to the tracker that answered last. If that tracker fails, it tries
-// the others in turn.
+// trackerClient sends reports to the tracker that accepted the last one. If that tracker fails, it
+// tries the others in turn.
 type trackerClient struct {
 	http     *http.Client
 	trackers []string // addresses
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("tracker %s refused the inventory: status %d", e.tracker, e.status)
 }
 
-// report sends an inventory to one tracker after another until one answers.
+// report sends an inventory to one tracker after another until one accepts it.
 func (t *trackerClient) report(ctx context.Context, inventory distribution.Inventory) Event {
 	body, err := json.Marshal(inventory)
 	if err != nil {
@@ -56,9 +56,9 @@
 	}
 	var failed TrackerFailed
 	for range t.trackers {
-		answer, err := t.send(ctx, t.trackers[t.current], body)
+		response, err := t.send(ctx, t.trackers[t.current], body)
 		if err == nil {
-			return TrackerAnswered{answer}
+			return TrackerResponse{response}
 		}
 		// The error isn't logged: the agent continues with its last known state, and during an outage
 		// of a tracker every agent would log the error with every report.
@@ -71,27 +71,27 @@
 	return failed
 }
 
-// send posts an encoded inventory to one tracker and decodes the answer.
+// send posts an encoded inventory to one tracker and decodes the response.
 func (t *trackerClient) send(ctx context.Context, tracker string, body []byte) (distribution.InventoryResponse, error) {
-	var answer distribution.InventoryResponse
+	var response distribution.InventoryResponse
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+tracker+distribution.PathInventory, bytes.NewReader(body))
 	if err != nil {
-		return answer, fmt.Errorf("tracker %s: %w", tracker, err)
+		return response, fmt.Errorf("tracker %s: %w", tracker, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	res, err := t.http.Do(req)
 	if err != nil {
-		return answer, fmt.Errorf("tracker %s: %w", tracker, err)
+		return response, fmt.Errorf("tracker %s: %w", tracker, err)
 	}
 	defer res.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(res.Body, distribution.MaxMessageBytes+1))
 	if err != nil || len(data) > distribution.MaxMessageBytes || res.StatusCode != http.StatusOK {
-		return answer, &refusedError{tracker: tracker, status: res.StatusCode, retryAfter: retryAfter(res)}
+		return response, &refusedError{tracker: tracker, status: res.StatusCode, retryAfter: retryAfter(res)}
 	}
-	if err := json.Unmarshal(data, &answer); err != nil {
-		return answer, fmt.Errorf("tracker %s: answer: %w", tracker, err)
+	if err := json.Unmarshal(data, &response); err != nil {
+		return response, fmt.Errorf("tracker %s: decode response: %w", tracker, err)
 	}
-	return answer, nil
+	return response, nil
 }
 
 // retryAfter returns the delay that a response requests in Retry-After, or 0 if it requests none.
--- a/internal/distribution/registry/handler.go
+++ b/internal/distribution/registry/handler.go
@@ -35,8 +35,8 @@
 	Manifest(name, reference string) ([]byte, digest.Digest, error)
 	// Blob opens a blob.
 	Blob(name string, d digest.Digest) (Blob, error)
-	// Chunks returns the chunks of a manifest that are held. If it returns nil, no chunks header
-	// is sent.
+	// Chunks returns which chunks of a manifest the content includes. If it returns nil, the
+	// response has no chunks header.
 	Chunks(manifest digest.Digest) distribution.ChunkSet
 }
 
@@ -142,7 +142,7 @@
 // returns no chunk set.
 func (h *Handler) setChunksHeader(w http.ResponseWriter, manifest digest.Digest) {
 	if set := h.Content.Chunks(manifest); set != nil {
-		w.Header().Set(distribution.ChunksHeader, base64.StdEncoding.EncodeToString(set))
+		w.Header().Set(distribution.HeaderChunks, base64.StdEncoding.EncodeToString(set))
 	}
 }
 
@@ -158,9 +158,9 @@
 		writeError(w, http.StatusBadRequest, codeDigestInvalid, "digest: "+err.Error())
 		return
 	}
-	if manifest := digest.Digest(r.Header.Get(distribution.ManifestHeader)); manifest != "" {
+	if manifest := digest.Digest(r.Header.Get(distribution.HeaderManifest)); manifest != "" {
 		if err := distribution.CheckDigest(manifest); err != nil {
-			writeError(w, http.StatusBadRequest, codeDigestInvalid, distribution.ManifestHeader+": "+err.Error())
+			writeError(w, http.StatusBadRequest, codeDigestInvalid, distribution.HeaderManifest+": "+err.Error())
 			return
 		}
 		h.setChunksHeader(w, manifest)
--- a/internal/distribution/simulation/agent_effects.go
+++ b/internal/distribution/simulation/agent_effects.go
@@ -43,7 +43,7 @@
 }
 
 // report sends an inventory to one controller. If this controller refuses the inventory, or
-// doesn't answer within the report interval, the next inventory goes to the next controller.
+// doesn't reply within the report interval, the next inventory goes to the next controller.
 func (a *Agent) report(inventory distribution.Inventory) {
 	incarnation, finished := a.incarnation, false
 	finish := func(e agent.Event) {
@@ -57,7 +57,7 @@
 		a.world.After(networkLatency, func() {
 			a.world.sendInventory(controllerIndex, inventory, func(reply tracker.Reply) {
 				if answer, ok := reply.Body.(distribution.InventoryResponse); ok && reply.Status == http.StatusOK {
-					a.world.After(networkLatency, func() { finish(agent.TrackerAnswered{Answer: answer}) })
+					a.world.After(networkLatency, func() { finish(agent.TrackerResponse{Response: answer}) })
 					return
 				}
 				a.controllerIndex = (controllerIndex + 1) % len(a.world.Controllers)
--- a/internal/distribution/simulation/tracker_host.go
+++ b/internal/distribution/simulation/tracker_host.go
@@ -121,14 +121,14 @@
 	h.step(command(h.nextID))
 }
 
-// Use points a name to a version. Like an operator, it asks one controller after another until one
-// confirms the change. Each call of Use, for any name, ends the retries of earlier calls.
-func (w *World) Use(name string, manifest digest.Digest) {
-	w.lastUseID++
-	use, attempts := w.lastUseID, 0
+// SetManifest points a name to a manifest. Like an operator, it asks one controller after another
+// until one confirms the change. Each call, for any name, ends the retries of earlier calls.
+func (w *World) SetManifest(name string, manifest digest.Digest) {
+	w.lastSetManifestID++
+	setManifestID, attempts := w.lastSetManifestID, 0
 	var try func()
 	try = func() {
-		if use != w.lastUseID {
+		if setManifestID != w.lastSetManifestID {
 			return
 		}
 		done := false
--- a/internal/distribution/simulation/versions_test.go
+++ b/internal/distribution/simulation/versions_test.go
@@ -43,35 +43,35 @@
 // versionChange describes how the version of weightsName changes during a fetch.
 type versionChange struct {
 	name    string
-	network func(w *World) func(kind, from, to string) fake.Delivery // nil: reliable
+	network func(w *World) func(kind, from, to string) fake.Delivery // nil means reliable
 	// change changes the version, starting from the first of three versions, and returns the last
 	// version that it sets.
 	change func(w *World, versions []*distribution.Manifest) *distribution.Manifest
 }
 
-// useInTurn points weightsName to one version after another, with pauses, and returns the last.
-func useInTurn(w *World, pause time.Duration, versions ...*distribution.Manifest) *distribution.Manifest {
+// setInTurn points weightsName to one version after another, with pauses, and returns the last.
+func setInTurn(w *World, pause time.Duration, versions ...*distribution.Manifest) *distribution.Manifest {
 	for i, version := range versions {
 		if i > 0 {
 			w.Run(pause)
 		}
-		w.Use(weightsName, version.Digest)
+		w.SetManifest(weightsName, version.Digest)
 	}
 	return versions[len(versions)-1]
 }
 
 var versionChanges = []versionChange{
 	{name: "once", change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
-		return useInTurn(w, 0, v[1])
+		return setInTurn(w, 0, v[1])
 	}},
 	{name: "twice", change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
-		return useInTurn(w, 3*time.Second, v[1], v[2])
+		return setInTurn(w, 3*time.Second, v[1], v[2])
 	}},
 	{name: "back to the first", change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
-		return useInTurn(w, 4*time.Second, v[1], v[0])
+		return setInTurn(w, 4*time.Second, v[1], v[0])
 	}},
 	{name: "leader crashes during the change", change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
-		w.Use(weightsName, v[1].Digest)
+		w.SetManifest(weightsName, v[1].Digest)
 		w.Run(2 * time.Millisecond) // the write may be in progress
 		leader := w.Leader()
 		leader.Crash()
@@ -80,10 +80,10 @@
 		return v[1]
 	}},
 	{name: "response to the write is lost", network: loseEveryOtherResponse, change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
-		return useInTurn(w, 3*time.Second, v[1], v[2])
+		return setInTurn(w, 3*time.Second, v[1], v[2])
 	}},
 	{name: "duplicate write arrives late", network: loseAndDuplicateCalls, change: func(w *World, v []*distribution.Manifest) *distribution.Manifest {
-		return useInTurn(w, 3*time.Second, v[1], v[2], v[0])
+		return setInTurn(w, 3*time.Second, v[1], v[2], v[0])
 	}},
 }
 
@@ -114,7 +114,7 @@
 // version.
 func TestReaderKeepsItsVersion(t *testing.T) {
 	o := Defaults()
-	o.Agents, o.DiskBytes = 4, 2*chunks*chunkBytes
+	o.Agents, o.DiskLimitBytes = 4, 2*chunks*chunkBytes
 	w, first := startWorld(t, o)
 	requireReady(t, w, first)
 	a := w.Agents[0]
@@ -124,7 +124,7 @@
 	}
 	for range 3 { // each version needs the disk space of the last but one
 		next := w.Store.Publish(chunks, chunkBytes, nil, 0)
-		w.Use(weightsName, next.Digest)
+		w.SetManifest(weightsName, next.Digest)
 		w.Run(maxWait / 5)
 	}
 	content, err := afero.ReadAll(reader)
@@ -136,8 +136,8 @@
 	}
 	w.Run(maxWait)
 	requireNoViolations(t, w)
-	if a.DiskUsedBytes() > o.DiskBytes {
-		t.Errorf("%d bytes on disk exceed the limit of %d", a.DiskUsedBytes(), o.DiskBytes)
+	if a.DiskUsedBytes() > o.DiskLimitBytes {
+		t.Errorf("%d bytes on disk exceed the limit of %d", a.DiskUsedBytes(), o.DiskLimitBytes)
 	}
 	if a.Counts().EvictedChunks == 0 {
 		t.Error("no chunk was evicted")
@@ -153,7 +153,7 @@
 	for _, name := range o.Names {
 		m := w.Store.Publish(chunks/2, chunkBytes, nil, 0)
 		manifests[name] = m.Digest
-		w.Use(name, m.Digest)
+		w.SetManifest(name, m.Digest)
 		w.Run(2 * time.Second)
 	}
 	w.StartAll()
--- a/internal/distribution/tracker/status.go
+++ b/internal/distribution/tracker/status.go
@@ -16,9 +16,8 @@
 	More  bool                      `json:"more,omitempty"` // further names follow
 }
 
-// maxPageBytes is the maximum size of a page's entries as JSON. It is half the size of a message
-// between controllers, because the page for a call that a follower forwarded has to fit into such a
-// message, whatever the size of its last entry.
+// maxPageBytes is the maximum size of a page's entries as JSON. It is half the size of a message, so
+// that a page still fits into a message between controllers if its first entry exceeds this limit.
 const maxPageBytes = distribution.MaxMessageBytes / 2
 
 // pageBudget tracks the size of a page's entries as JSON.
@@ -56,12 +55,12 @@
 // not only of those on the page.
 type Status struct {
 	distribution.NameRecord
-	Agents   int           `json:"agents"`   // that hold some of the manifest or want it
-	Complete int           `json:"complete"` // that hold all of the manifest
-	Active   int           `json:"active"`   // that serve the manifest
-	Store    []string      `json:"store"`    // agents with a lease on the store
-	Members  []AgentStatus `json:"members"`
-	More     bool          `json:"more"` // further agents follow
+	Agents     int           `json:"agents"`   // that hold some of the manifest or want it
+	Complete   int           `json:"complete"` // that hold all of the manifest
+	Active     int           `json:"active"`   // that serve the manifest
+	StoreUsers []string      `json:"store"`    // agents with a lease on the store
+	Members    []AgentStatus `json:"members"`
+	More       bool          `json:"more"` // further agents follow
 }
 
 // AgentStatus describes an agent with regard to one manifest. Waits cover all names that the agent
@@ -86,14 +85,14 @@
 		t.refuse(call.ID, http.StatusNotFound, "name: no weights of this name are in use")
 		return
 	}
-	status := Status{NameRecord: record, Store: []string{}, Members: []AgentStatus{}}
+	status := Status{NameRecord: record, StoreUsers: []string{}, Members: []AgentStatus{}}
 	swarm := t.swarms[record.Manifest]
 	if swarm == nil {
 		t.reply(call.ID, status)
 		return
 	}
 	for _, lease := range swarm.activeStoreLeases(t.now) {
-		status.Store = append(status.Store, lease.downloader.name)
+		status.StoreUsers = append(status.StoreUsers, lease.downloader.name)
 	}
 	var budget pageBudget
 	for _, name := range slices.Sorted(maps.Keys(swarm.members)) {
--- a/internal/scale/testbed/spec.go
+++ b/internal/scale/testbed/spec.go
@@ -82,7 +82,7 @@
 // settings returns the settings that all controllers share.
 func (s Spec) settings() config.Settings {
 	return config.Settings{
-		Size: s.Controllers, Zones: []string{"z1", "z2", "z3", "z4"},
+		ControllerCount: s.Controllers, Zones: []string{"z1", "z2", "z3", "z4"},
 		Workers: config.Workers{
 			HeartbeatIntervalS: s.HeartbeatIntervalS, LeaseS: s.LeaseS, GangStartTimeoutS: 45, GangPeerTimeoutS: 4, CancelWithinS: s.CancelWithinS,
 		},
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Limits are limits that satisfy the state service both now and after any announced change.
+// Limits are limits of the state service that hold both before and after any announced change.
 type Limits struct {
 	PageBytes     int     // maximum size of a page's value, in bytes of JSON
 	ChangesPerTxn int     // maximum number of keys that one transaction changes
-	WritesPerS    float64 // keys per second
+	KeysPerS      float64 // maximum number of keys that are written per second
 }
 
 // Store packs items into pages and decides when each page is written. A page is part of at
@@ -40,7 +40,7 @@
 	return &Store{
 		limits:   limits,
 		pageOf:   map[Item]*page{},
-		budget:   newWriteBudget(limits.WritesPerS),
+		budget:   newWriteBudget(limits.KeysPerS),
 		inFlight: inFlightWrites{idPrefix: idPrefix, retryInterval: retryInterval},
 	}
 }
@@ -131,9 +131,8 @@
 	return len(s.dirty), now - since
 }
 
-// PagesDueBefore returns the number of dirty pages that are due at the given time or
-// earlier.
-func (s *Store) PagesDueBefore(due time.Duration) int {
+// PagesDueBy returns the number of dirty pages that are due at the given time or earlier.
+func (s *Store) PagesDueBy(due time.Duration) int {
 	n := 0
 	for _, p := range s.dirty {
 		if p.dueAt <= due {
@@ -205,11 +204,11 @@
 
 // markPageDirty queues a page to be written, with the priority of its most urgent waiter.
 func (s *Store) markPageDirty(now time.Duration, p *page, waiter *CommitWaiter) {
-	delayRetries := deferredDelayRetries
+	delayIntervals := deferredDelayIntervals
 	if waiter != nil {
-		delayRetries = waiter.maxDelayRetries
+		delayIntervals = waiter.maxDelayIntervals
 	}
-	due := now + time.Duration(delayRetries)*s.inFlight.retryInterval
+	due := now + time.Duration(delayIntervals)*s.inFlight.retryInterval
 	if !p.dirty {
 		p.dirty, p.dirtySince, p.dueAt = true, now, due
 		s.dirty = append(s.dirty, p)
