--- a/internal/controller/archive_moves_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -75,7 +75,7 @@
 	jobs := completeJobs(t, w, 100_000, 80)
 	for n := range 120 {
 		for _, j := range jobs[n%8 : min(len(jobs), n%8+20)] {
-			w.QueryEverywhere(j)
+			w.PollAndResubmitEverywhere(j)
 		}
 		w.Run(50 * time.Millisecond)
 		requireRecorded(t, w, jobs)
@@ -101,7 +101,7 @@
 		}
 		w.Leader().Request(message.UserRequest{Kind: message.Poll, Job: fmt.Sprintf("wk-%06d", 100_000+(n*37)%99_000)}, func(message.Reply) {})
 		if n%4 == 0 {
-			w.QueryEverywhere(jobs[n/4%len(jobs)])
+			w.PollAndResubmitEverywhere(jobs[n/4%len(jobs)])
 		}
 		w.Run(50 * time.Millisecond)
 		requireRecorded(t, w, jobs)
--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -179,7 +179,7 @@
 		w.Run(500 * time.Millisecond)
 		for _, j := range r.jobs {
 			if !r.peersPartitioned || int(w.Now/time.Second)%3 == 0 {
-				w.QueryEverywhere(j)
+				w.PollAndResubmitEverywhere(j)
 			}
 			r.countConfirmed(j)
 		}
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -57,7 +57,7 @@
 	}
 	for n := range 80 {
 		if n%10 == 5 {
-			w.QueryEverywhere(j) // the user does not wait for the crashed controller's response
+			w.PollAndResubmitEverywhere(j) // the user does not wait for the crashed controller's response
 		}
 		w.Run(100 * time.Millisecond)
 		requireParentRecords(t, w, nil)
--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -365,7 +365,7 @@
 		tw.world.SubmitInvalidJobs()
 	case 3:
 		if j != nil && j.Accepted {
-			tw.world.QueryEverywhere(j)
+			tw.world.PollAndResubmitEverywhere(j)
 		}
 	case 4:
 		if j != nil && j.Accepted && !j.CancelRequested && j.Submission.Kind != protocol.Service {
--- a/internal/controller/helpers_archive_test.go
+++ b/internal/controller/helpers_archive_test.go
@@ -122,7 +122,7 @@
 	for _, j := range jobs {
 		before := j.AnsweredAt
 		for tries := 0; tries < 20 && j.AnsweredAt == before; tries++ {
-			w.QueryEverywhere(j)
+			w.PollAndResubmitEverywhere(j)
 			w.Run(100 * time.Millisecond)
 		}
 		if j.AnsweredAt == before {
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -154,7 +154,7 @@
 	for at := time.Duration(0); at < d; at += 7 * time.Millisecond {
 		w.After(at, func() {
 			for _, j := range jobs {
-				w.QueryEverywhere(j)
+				w.PollAndResubmitEverywhere(j)
 			}
 		})
 	}
@@ -166,7 +166,7 @@
 	for range times {
 		w.Run(interval)
 		for _, j := range jobs {
-			w.QueryEverywhere(j)
+			w.PollAndResubmitEverywhere(j)
 		}
 	}
 }
--- a/internal/controller/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -93,7 +93,7 @@
 	for w.Now < root.CancelledAt+config.Seconds(w.Cfg.Settings.Workers.CancelWithinS) {
 		w.Run(500 * time.Millisecond)
 		for _, j := range queried {
-			w.QueryEverywhere(j)
+			w.PollAndResubmitEverywhere(j)
 		}
 		if other.Accepted && acceptedAfter == 0 {
 			acceptedAfter = w.Now - from
--- a/internal/controller/many_prerequisites_test.go
+++ b/internal/controller/many_prerequisites_test.go
@@ -113,7 +113,7 @@
 	w.After(2*time.Second, w.Controllers[0].Start)
 	w.Network = nil
 	waitAccepted(t, w, j, 40*time.Second)
-	w.QueryEverywhere(j)
+	w.PollAndResubmitEverywhere(j)
 	if cancelled == "later" {
 		w.CancelEverywhere(running)
 	}
--- a/internal/controller/model_actions_test.go
+++ b/internal/controller/model_actions_test.go
@@ -77,7 +77,7 @@
 func (d *randomWorld) queryRapidly() {
 	for range 5 {
 		for i := range d.jobs {
-			d.world.QueryEverywhere(d.jobByNumber(i + 1))
+			d.world.PollAndResubmitEverywhere(d.jobByNumber(i + 1))
 		}
 		d.world.Run(30 * time.Millisecond)
 	}
--- a/internal/controller/pipeline_cancellation_test.go
+++ b/internal/controller/pipeline_cancellation_test.go
@@ -250,7 +250,7 @@
 		w.CancelEverywhere(prerequisite)
 		for range 20 + step {
 			w.Run(70 * time.Millisecond)
-			w.QueryEverywhere(j)
+			w.PollAndResubmitEverywhere(j)
 		}
 		runAndPoll(w, 20*time.Second)
 		if j.Status != protocol.StatusCancelled || !j.Accepted {
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -19,7 +19,7 @@
 	jobs := submitPipeline(t, w, 1)
 	w.Run(time.Second)
 	for _, j := range jobs {
-		w.QueryEverywhere(j)
+		w.PollAndResubmitEverywhere(j)
 	}
 	w.Run(time.Second)
 	for _, j := range jobs[1:] {
@@ -67,7 +67,7 @@
 					}
 					if int(w.Now/(50*time.Millisecond))%10 == 0 {
 						for _, j := range jobs {
-							w.QueryEverywhere(j)
+							w.PollAndResubmitEverywhere(j)
 						}
 					}
 				}
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -141,8 +141,8 @@
 	})
 }
 
-// QueryEverywhere queries a job at every controller at once, and resubmits it to each of them.
-func (w *World) QueryEverywhere(j *Job) {
+// PollAndResubmitEverywhere queries a job at every controller at once, and resubmits it to each of them.
+func (w *World) PollAndResubmitEverywhere(j *Job) {
 	for _, c := range w.Controllers {
 		w.poll(c, j)
 		w.resubmitAt(c, j)
