--- a/internal/controller/best_effort_test.go
+++ b/internal/controller/best_effort_test.go
@@ -67,13 +67,13 @@
 		w.Submit(s, 30*time.Second)
 		began := w.Now
 		w.Run(20 * time.Second)
-		if n := w.Running(s.ID); n != 0 {
+		if n := w.RunningTasks(s.ID); n != 0 {
 			t.Errorf("%d best-effort tasks run on CPUs that unused GPUs need", n)
 		}
 		if crash {
 			restartLeader(w, 2*time.Second)
 		}
-		if !w.RunUntil(90*time.Second, func() bool { return w.Running(s.ID) == 1 }) {
+		if !w.RunUntil(90*time.Second, func() bool { return w.RunningTasks(s.ID) == 1 }) {
 			t.Errorf("the best-effort job still waits after %v", w.Now-began)
 		}
 		runAndPoll(w, 20*time.Second)
@@ -97,7 +97,7 @@
 		s := bestEffortJob(2, 3)
 		s.CPUs, s.EstimatedRunS = 2, 400
 		j := w.Submit(s, 400*time.Second)
-		if !w.RunUntil(60*time.Second, func() bool { return w.Running(s.ID) > 0 }) {
+		if !w.RunUntil(60*time.Second, func() bool { return w.RunningTasks(s.ID) > 0 }) {
 			t.Fatal("the best-effort tasks do not run")
 		}
 		w.CancelEverywhere(w.Jobs[guaranteed.ID])
@@ -108,8 +108,8 @@
 		if !w.RunUntil(150*time.Second, func() bool { return !slices.Contains(w.MachineNames(), machine) }) {
 			t.Errorf("%s is not scaled in; the best-effort tasks are on %v", machine, w.MachinesOf(s.ID))
 		}
-		if !w.RunUntil(90*time.Second, func() bool { return w.Running(s.ID) == 3 }) {
-			t.Errorf("%d of 3 best-effort tasks resumed", w.Running(s.ID))
+		if !w.RunUntil(90*time.Second, func() bool { return w.RunningTasks(s.ID) == 3 }) {
+			t.Errorf("%d of 3 best-effort tasks resumed", w.RunningTasks(s.ID))
 		}
 		for _, h := range w.MachinesOf(s.ID) {
 			if w.TypeOf(h) != "small" {
--- a/internal/controller/block_length_test.go
+++ b/internal/controller/block_length_test.go
@@ -25,7 +25,7 @@
 	maxRunning := 0
 	for range 40 {
 		w.Run(time.Second)
-		maxRunning = max(maxRunning, w.Running(large.ID))
+		maxRunning = max(maxRunning, w.RunningTasks(large.ID))
 	}
 	if maxRunning < 20 || maxRunning >= 60 {
 		t.Errorf("%d of 60 tasks ran at a time", maxRunning)
@@ -51,7 +51,7 @@
 	// Machines with tasks of the first block hang, so that later tasks end first, and fail
 	// before the controllers restart.
 	var first []string
-	w.RunUntil(60*time.Second, func() bool { return w.Running(large.ID) >= 30 })
+	w.RunUntil(60*time.Second, func() bool { return w.RunningTasks(large.ID) >= 30 })
 	for _, line := range w.Log {
 		var task int
 		var machine string
--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -212,7 +212,7 @@
 			t.Fatalf("%s: %s status %q, on %v", r.failoverScenario, j.Submission.ID, j.Status, w.MachinesOf(j.Submission.ID))
 		}
 	}
-	if n := w.Running(r.uncancelled().Submission.ID); n != 2 {
+	if n := w.RunningTasks(r.uncancelled().Submission.ID); n != 2 {
 		t.Fatalf("%s: %d of 2 replicas of the uncancelled job run\n%s", r.failoverScenario, n, logTail(w, 60))
 	}
 }
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -119,7 +119,7 @@
 			w := newWorldWith(t, onePagePerTransaction())
 			provisionIdleMachines(t, w)
 			j := w.Submit(multiBlockJob(1, protocol.Array), 6*time.Second)
-			if !w.RunUntil(30*time.Second, func() bool { return w.Running(j.Submission.ID) == j.Submission.Tasks }) {
+			if !w.RunUntil(30*time.Second, func() bool { return w.RunningTasks(j.Submission.ID) == j.Submission.Tasks }) {
 				t.Fatal("not all tasks run")
 			}
 			w.Run(2 * time.Second)
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -62,7 +62,7 @@
 			j := w.Submit(service(1, 1), 0)
 			waitRunning(t, w, j.Submission.ID, 1)
 			w.Run(60 * time.Second)
-			if w.Running(j.Submission.ID) != 1 || len(w.MachinesOf(j.Submission.ID)) != 1 {
+			if w.RunningTasks(j.Submission.ID) != 1 || len(w.MachinesOf(j.Submission.ID)) != 1 {
 				t.Errorf("on %v", w.MachinesOf(j.Submission.ID))
 			}
 			requireNoViolations(t, w)
@@ -119,7 +119,7 @@
 			s.CPUs, s.MemoryGB, s.Zone = 0.05, 0.1, "a" // only one machine is eligible
 			w.Submit(s, 0)
 		}
-		if !w.RunUntil(60*time.Second, func() bool { return len(w.MachineNames()) > 0 && w.Running("wk-000080") == 1 }) {
+		if !w.RunUntil(60*time.Second, func() bool { return len(w.MachineNames()) > 0 && w.RunningTasks("wk-000080") == 1 }) {
 			t.Fatal("the replicas don't run")
 		}
 		w.Run(5 * time.Second)
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -91,8 +91,8 @@
 	}
 	w.Run(9 * time.Second)
 	requireNoViolations(t, w)
-	if w.Leader() == nil || w.Running(s.ID) != 1 {
-		t.Errorf("%d tasks run, expected 1, or there is no leader", w.Running(s.ID))
+	if w.Leader() == nil || w.RunningTasks(s.ID) != 1 {
+		t.Errorf("%d tasks run, expected 1, or there is no leader", w.RunningTasks(s.ID))
 	}
 	partitioned = ""
 	w.Network = nil
@@ -230,7 +230,7 @@
 		t.Errorf("%d machines are provisioned for a lost replica", n)
 	}
 	w.Run(6 * time.Second)
-	if n := w.Running(s.ID); n != 1 {
+	if n := w.RunningTasks(s.ID); n != 1 {
 		t.Errorf("%d replicas run once one of the machines is up", n)
 	}
 	w.Run(80 * time.Second)
--- a/internal/controller/grace_period_test.go
+++ b/internal/controller/grace_period_test.go
@@ -125,7 +125,7 @@
 	if w.Leader() == nil || w.Leader().Name == "n0" {
 		t.Fatal("no other controller leads")
 	}
-	if w.Running(j.Submission.ID) != 1 {
+	if w.RunningTasks(j.Submission.ID) != 1 {
 		t.Error("the replica was not replaced")
 	}
 	w.Network = nil
@@ -143,7 +143,7 @@
 	w.Controllers[0].Crash()
 	w.After(3*time.Second, w.Controllers[0].Start)
 	w.Cloud.Fail(machine)
-	if !w.RunUntil(22*time.Second, func() bool { return w.Running(j.Submission.ID) == 1 }) {
+	if !w.RunUntil(22*time.Second, func() bool { return w.RunningTasks(j.Submission.ID) == 1 }) {
 		t.Errorf("not replaced within 22 s\n%s", strings.Join(w.Log, "\n"))
 	}
 	requireNoViolations(t, w)
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -72,8 +72,8 @@
 // waitRunning waits until the given number of a job's tasks are running.
 func waitRunning(t *testing.T, w *fake.World, id string, tasks int) {
 	t.Helper()
-	if !w.RunUntil(90*time.Second, func() bool { return w.Running(id) == tasks }) {
-		t.Fatalf("%s: %d of %d tasks run\n%s", id, w.Running(id), tasks, strings.Join(w.Log, "\n"))
+	if !w.RunUntil(90*time.Second, func() bool { return w.RunningTasks(id) == tasks }) {
+		t.Fatalf("%s: %d of %d tasks run\n%s", id, w.RunningTasks(id), tasks, strings.Join(w.Log, "\n"))
 	}
 }
 
@@ -210,7 +210,7 @@
 				t.Fatalf("%s has status %q, although a job that it depends on is cancelled", id, j.Status)
 			}
 		case j.Submission.Kind == protocol.Service:
-			if n := w.Running(id); n != j.Submission.Tasks {
+			if n := w.RunningTasks(id); n != j.Submission.Tasks {
 				t.Fatalf("%s: %d of %d replicas run\n%s", id, n, j.Submission.Tasks, logTail(w, 60))
 			}
 		case j.Status != protocol.StatusDone:
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -22,7 +22,7 @@
 // allReplicasRun reports whether all replicas of newFleet's jobs are running.
 func allReplicasRun(w *fake.World) bool {
 	for i := range largeFleet / replicasPerJob {
-		if w.Running(service(i+1, replicasPerJob).ID) != replicasPerJob {
+		if w.RunningTasks(service(i+1, replicasPerJob).ID) != replicasPerJob {
 			return false
 		}
 	}
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -38,8 +38,8 @@
 		s := service(1, idle)
 		s.CPUs = 4 // one machine per replica
 		w.Submit(s, 0)
-		if !w.RunUntil(stall-time.Second, func() bool { return w.Running(s.ID) == idle }) && stall > 5*time.Second {
-			t.Errorf("%v: %d of %d replicas run", stall, w.Running(s.ID), idle)
+		if !w.RunUntil(stall-time.Second, func() bool { return w.RunningTasks(s.ID) == idle }) && stall > 5*time.Second {
+			t.Errorf("%v: %d of %d replicas run", stall, w.RunningTasks(s.ID), idle)
 		}
 		w.Run(45 * time.Second)
 		if n := w.TasksLostWithMachine; n > 0 {
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -217,7 +217,7 @@
 	if a.Status != protocol.StatusDone || b.Status != protocol.StatusDone {
 		t.Errorf("the low-priority array has status %q, its urgent dependent %q", a.Status, b.Status)
 	}
-	if w.Running(kept.Submission.ID) != 1 {
+	if w.RunningTasks(kept.Submission.ID) != 1 {
 		t.Error("the production service was preempted")
 	}
 	requireNoViolations(t, w)
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -39,7 +39,7 @@
 	high := service(2, 1)
 	high.Priority, high.CPUs, high.Types = protocol.Production, 4, []string{"small"}
 	w.Submit(high, 0)
-	if !w.RunUntil(6*time.Second, func() bool { return w.Running(high.ID) == 1 }) {
+	if !w.RunUntil(6*time.Second, func() bool { return w.RunningTasks(high.ID) == 1 }) {
 		t.Error("the service has not started after 6 s")
 	}
 	if len(j.CheckpointedRunTime) == 0 {
@@ -73,11 +73,11 @@
 	high := service(3, 2)
 	high.Team, high.Priority, high.CPUs = "red", protocol.Production, 3
 	s := w.Submit(high, 0)
-	if !w.RunUntil(6*time.Second, func() bool { return w.Running(high.ID) == 2 }) {
-		t.Errorf("%d of 2 replicas run after 6 s", w.Running(high.ID))
+	if !w.RunUntil(6*time.Second, func() bool { return w.RunningTasks(high.ID) == 2 }) {
+		t.Errorf("%d of 2 replicas run after 6 s", w.RunningTasks(high.ID))
 	}
 	w.Run(2 * time.Second)
-	if n := w.Running(low.ID); n != 6 || len(batch.CheckpointedRunTime) != 6 {
+	if n := w.RunningTasks(low.ID); n != 6 || len(batch.CheckpointedRunTime) != 6 {
 		t.Errorf("%d batch tasks still run and %d have saved a checkpoint, want 6 of each", n, len(batch.CheckpointedRunTime))
 	}
 	w.CancelJob(s)
@@ -109,7 +109,7 @@
 	w.Run(3 * time.Second)
 	w.CancelJob(a)
 	waitRunning(t, w, low.ID, 4)
-	if n := w.Running(c.Submission.ID); n != 0 {
+	if n := w.RunningTasks(c.Submission.ID); n != 0 {
 		t.Errorf("%d replicas of the waiting service run, which leaves nothing to the batch work", n)
 	}
 	waitRunning(t, w, c.Submission.ID, 2)
@@ -136,8 +136,8 @@
 	withinGuarantee.Priority, withinGuarantee.CPUs, withinGuarantee.Types, withinGuarantee.Zone, withinGuarantee.Team = protocol.High, 4, []string{"small"}, "b", "red"
 	w.Submit(withinGuarantee, 0)
 	w.Run(10 * time.Second)
-	if n := w.Controllers[0].Stats().TasksPreempted; n != 0 || w.Running(more.ID) != 1 {
-		t.Errorf("%d tasks preempted, %d of 1 replicas run", n, w.Running(more.ID))
+	if n := w.Controllers[0].Stats().TasksPreempted; n != 0 || w.RunningTasks(more.ID) != 1 {
+		t.Errorf("%d tasks preempted, %d of 1 replicas run", n, w.RunningTasks(more.ID))
 	}
 	requireNoViolations(t, w)
 }
@@ -188,7 +188,7 @@
 	w.Run(40 * time.Second)
 	requireNoViolations(t, w)
 	for _, j := range next {
-		if n := w.Running(j.Submission.ID); n != 2 {
+		if n := w.RunningTasks(j.Submission.ID); n != 2 {
 			t.Errorf("%s: %d of 2 replicas run", j.Submission.ID, n)
 		}
 	}
@@ -260,7 +260,7 @@
 		w.Run(15 * time.Second)
 		n := 0
 		for _, j := range urgent {
-			n += w.Running(j.Submission.ID)
+			n += w.RunningTasks(j.Submission.ID)
 		}
 		if n < 4 { // of six replicas; each machine has capacity for two
 			t.Errorf("latency %v: %d urgent replicas run", slow, n)
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -78,8 +78,8 @@
 	if again := w.Submit(job(40, protocol.Array, 1), time.Second); !w.RunUntil(time.Second, func() bool { return again.Accepted }) {
 		t.Error("a submission is not accepted although writes are accepted again")
 	}
-	if w.Running(running.Submission.ID) != 2 || dependent.Status != protocol.StatusCancelled {
-		t.Errorf("%d of 2 replicas run; the dependent has status %q", w.Running(running.Submission.ID), dependent.Status)
+	if w.RunningTasks(running.Submission.ID) != 2 || dependent.Status != protocol.StatusCancelled {
+		t.Errorf("%d of 2 replicas run; the dependent has status %q", w.RunningTasks(running.Submission.ID), dependent.Status)
 	}
 	requireNoViolations(t, w)
 }
--- a/internal/fake/queries.go
+++ b/internal/fake/queries.go
@@ -31,8 +31,8 @@
 	return known
 }
 
-// Running returns the number of running tasks of a job.
-func (w *World) Running(id string) int {
+// RunningTasks returns the number of running tasks of a job.
+func (w *World) RunningTasks(id string) int {
 	count := 0
 	for a := range w.attemptsOnMachines(id) {
 		if a.State == protocol.Running {
