--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -130,7 +130,7 @@
 		c.world.RecordViolation(ruleCloud, "termination request for %d machines exceeds the limit", len(names))
 	}
 	for _, name := range names {
-		c.Reclaim(name)
+		c.Terminate(name)
 	}
 }
 
@@ -160,8 +160,8 @@
 	return m.Name
 }
 
-// Reclaim terminates a machine and the tasks on it.
-func (c *Cloud) Reclaim(name string) {
+// Terminate terminates a machine and the tasks on it.
+func (c *Cloud) Terminate(name string) {
 	for _, m := range c.machines {
 		if m.Name != name || m.terminated {
 			continue
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if worker.interruptionAt > 0 && now >= worker.interruptionAt {
-		worker.world.Cloud.Reclaim(worker.machine.Name)
+		worker.world.Cloud.Terminate(worker.machine.Name)
 		return
 	}
 	if now-worker.leaseRenewedAt > worker.leaseDuration() {
