--- a/internal/scale/parameters.go
+++ b/internal/scale/parameters.go
@@ -47,7 +47,7 @@
 	Windows   int           `name:"windows" default:"4" validate:"gte=1,lte=100" help:"Windows of that time."`
 	Faults    []string      `name:"faults" default:"" validate:"dive,oneof=leader all-controllers state cut rack restarts write-share" help:"Faults after the last step: leader, all-controllers, state, cut, rack, restarts, write-share."`
 	Recover   time.Duration `name:"recover" default:"40s" validate:"gte=1000000000,lte=1h" help:"Time for which a fault is watched after its end."`
-	BreakRule bool          `json:"Provoke" name:"provoke" help:"Start one task twice on purpose, to show that the check finds it."`
+	DuplicateStart bool          `json:"Provoke" name:"provoke" help:"Start one task twice on purpose, to show that the check finds it."`
 	Seed      uint64        `name:"seed" default:"1" help:"What is drawn."`
 }
 
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -97,7 +97,7 @@
 	if err := e.sleep(ctx, "settles", p.Settle); err != nil {
 		return err
 	}
-	if p.BreakRule {
+	if p.DuplicateStart {
 		return e.injectDuplicateStart(ctx)
 	}
 	return nil
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -100,7 +100,7 @@
 
 func TestRunFindsTaskStartedTwice(t *testing.T) {
 	p, command := smallParameters(t)
-	p.Steps, p.BreakRule = []float64{1}, true
+	p.Steps, p.DuplicateStart = []float64{1}, true
 	report := runSmall(t.Context(), t, p, command)
 	if report.Sound() || !strings.Contains(strings.Join(report.Violations, "\n"), "ran_twice") {
 		t.Errorf("the duplicate start is not among the violations: %v", report.Violations)
