--- a/internal/scale/measurement.go
+++ b/internal/scale/measurement.go
@@ -73,7 +73,7 @@
 	r.Workers, r.Running, r.Starts = w.workers, w.running, w.starts
 	r.LeaderChanged = !w.sameLeader
 	for controller, usage := range w.usage {
-		role := RoleUsage{Name: testbed.ControllerName(controller), Cores: w.cores[controller], MemoryMB: usage.MemoryMB, Sockets: usage.Sockets}
+		role := ControllerUsage{Name: testbed.ControllerName(controller), Cores: w.cores[controller], MemoryMB: usage.MemoryMB, Sockets: usage.Sockets}
 		if controller == w.leader {
 			r.Leader = role
 		} else {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -30,8 +30,8 @@
 	Running  float64 `json:"tasks_on_machines"`
 	Starts   float64 `json:"starts_per_s"`
 
-	Leader    RoleUsage   `json:"leader"`
-	Followers []RoleUsage `json:"followers"`
+	Leader    ControllerUsage   `json:"leader"`
+	Followers []ControllerUsage `json:"followers"`
 	// LeaderChanged is true unless the same controller led at the beginning and at the end.
 	LeaderChanged bool `json:"leader_changed"`
 
@@ -53,9 +53,9 @@
 	windows []window
 }
 
-// RoleUsage is the resource usage of a controller: the mean processor usage during the measurement,
+// ControllerUsage is the resource usage of a controller: the mean processor usage during the measurement,
 // and memory and sockets at its end.
-type RoleUsage struct {
+type ControllerUsage struct {
 	Name     string  `json:"name"`
 	Cores    float64 `json:"cores"`     // processor seconds a second
 	MemoryMB float64 `json:"memory_mb"` // resident
--- a/internal/scale/report_table.go
+++ b/internal/scale/report_table.go
@@ -31,7 +31,7 @@
 func (t table) writeSteps(steps []StepReport) {
 	t.row("part\tworkers\ttasks\tstarts/s\tleader cores\tMB\tsockets\tfollower cores\tMB\tstate req/s\tputs/s\tkeys\tworker B/s\tmsg/s")
 	for _, s := range steps {
-		var follower RoleUsage
+		var follower ControllerUsage
 		if len(s.Followers) > 0 {
 			follower = s.Followers[0]
 		}
