--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -46,7 +46,7 @@
 	StateBytes      int     `json:"state_bytes"`
 	StateWritesPerS float64 `json:"state_writes_per_s"`
 
-	Times           map[string]latency.Summary `json:"times"`   // by operation
+	Latencies           map[string]latency.Summary `json:"times"`   // by operation
 	Answers         map[string]int64           `json:"answers"` // by operation and status
 	JobsNotAccepted int                        `json:"jobs_not_accepted"`
 
@@ -91,5 +91,5 @@
 // Summary returns a one-line summary of the step for the progress log.
 func (r *StepReport) Summary() string {
 	return fmt.Sprintf("%.2f: %.0f workers, %.0f tasks, %.0f starts/s; leader %.3f cores, %.0f MB; submit p99 %.0f ms, urgent start p99 %.0f ms",
-		r.Fraction, r.Workers, r.Running, r.Starts, r.Leader.Cores, r.Leader.MemoryMB, r.Times["submit"].P99, r.Times[urgentStartReceived].P99)
+		r.Fraction, r.Workers, r.Running, r.Starts, r.Leader.Cores, r.Leader.MemoryMB, r.Latencies["submit"].P99, r.Latencies[urgentStartReceived].P99)
 }
--- a/internal/scale/report_table.go
+++ b/internal/scale/report_table.go
@@ -45,8 +45,8 @@
 	t.row("")
 	t.row("part\ttime of\tcount\tp50 ms\tp99 ms\tmax ms")
 	for _, s := range steps {
-		for _, operation := range slices.Sorted(maps.Keys(s.Times)) {
-			times := s.Times[operation]
+		for _, operation := range slices.Sorted(maps.Keys(s.Latencies)) {
+			times := s.Latencies[operation]
 			t.row("%.2f\t%s\t%d\t%.1f\t%.1f\t%.1f", s.Fraction, operation, times.Count, times.P50, times.P99, times.Max)
 		}
 		t.row("%.2f\tanswers\t%v", s.Fraction, s.Answers)
