--- a/internal/scale/measurement.go
+++ b/internal/scale/measurement.go
@@ -60,7 +60,7 @@
 		previous = next
 	}
 	r.setMeans(newWindow(first, previous))
-	r.Latencies, r.Answers = e.testbed.Meter.Latencies.Summaries(), e.testbed.Meter.ResponseCounts()
+	r.Latencies, r.ResponseCounts = e.testbed.Meter.Latencies.Summaries(), e.testbed.Meter.ResponseCounts()
 	e.testbed.DoAndWait(func() {
 		r.StateKeys, r.StateBytes = e.testbed.World.State.Size()
 		r.JobsNotAccepted = e.workload.overdueSubmissions()
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -47,7 +47,7 @@
 	StateWritesPerS float64 `json:"state_writes_per_s"`
 
 	Latencies           map[string]latency.Summary `json:"times"`   // by operation
-	Answers         map[string]int64           `json:"answers"` // by operation and status
+	ResponseCounts         map[string]int64           `json:"answers"` // by operation and status
 	JobsNotAccepted int                        `json:"jobs_not_accepted"`
 
 	windows []window
--- a/internal/scale/report_table.go
+++ b/internal/scale/report_table.go
@@ -49,7 +49,7 @@
 			times := s.Latencies[operation]
 			t.row("%.2f\t%s\t%d\t%.1f\t%.1f\t%.1f", s.Fraction, operation, times.Count, times.P50, times.P99, times.Max)
 		}
-		t.row("%.2f\tanswers\t%v", s.Fraction, s.Answers)
+		t.row("%.2f\tanswers\t%v", s.Fraction, s.ResponseCounts)
 	}
 }
 
