--- a/internal/scale/measurement.go
+++ b/internal/scale/measurement.go
@@ -70,7 +70,7 @@
 
 // setMeans sets the means over the whole measurement, and the memory and sockets at its end.
 func (r *StepReport) setMeans(w window) {
-	r.Workers, r.Running, r.Starts = w.workers, w.running, w.starts
+	r.Workers, r.Running, r.StartsPerS = w.workers, w.running, w.starts
 	r.LeaderChanged = !w.sameLeader
 	for controller, usage := range w.usage {
 		role := ControllerUsage{Name: testbed.ControllerName(controller), Cores: w.cores[controller], MemoryMB: usage.MemoryMB, Sockets: usage.Sockets}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -28,7 +28,7 @@
 	Fraction float64 `json:"part"` // of the full size
 	Workers  float64 `json:"workers_up"`
 	Running  float64 `json:"tasks_on_machines"`
-	Starts   float64 `json:"starts_per_s"`
+	StartsPerS   float64 `json:"starts_per_s"`
 
 	Leader    ControllerUsage   `json:"leader"`
 	Followers []ControllerUsage `json:"followers"`
@@ -91,5 +91,5 @@
 // Summary returns a one-line summary of the step for the progress log.
 func (r *StepReport) Summary() string {
 	return fmt.Sprintf("%.2f: %.0f workers, %.0f tasks, %.0f starts/s; leader %.3f cores, %.0f MB; submit p99 %.0f ms, urgent start p99 %.0f ms",
-		r.Fraction, r.Workers, r.Running, r.Starts, r.Leader.Cores, r.Leader.MemoryMB, r.Latencies["submit"].P99, r.Latencies[urgentStartReceived].P99)
+		r.Fraction, r.Workers, r.Running, r.StartsPerS, r.Leader.Cores, r.Leader.MemoryMB, r.Latencies["submit"].P99, r.Latencies[urgentStartReceived].P99)
 }
--- a/internal/scale/report_table.go
+++ b/internal/scale/report_table.go
@@ -35,7 +35,7 @@
 		if len(s.Followers) > 0 {
 			follower = s.Followers[0]
 		}
-		t.row("%.2f\t%.0f\t%.0f\t%.0f\t%.3f\t%.0f\t%d\t%.3f\t%.0f\t%.0f\t%.1f\t%d\t%.0f\t%.2f", s.Fraction, s.Workers, s.Running, s.Starts,
+		t.row("%.2f\t%.0f\t%.0f\t%.0f\t%.3f\t%.0f\t%d\t%.3f\t%.0f\t%.0f\t%.1f\t%d\t%.0f\t%.2f", s.Fraction, s.Workers, s.Running, s.StartsPerS,
 			s.Leader.Cores, s.Leader.MemoryMB, s.Leader.Sockets, follower.Cores, follower.MemoryMB,
 			s.MessagesPerS[string(testbed.StateTraffic)], s.StateWritesPerS, s.StateKeys, s.WorkerBytesPerS, s.WorkerMessagesPerS)
 	}
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -88,7 +88,7 @@
 		t.Fatalf("%d steps and %d faults, want 2 and 1", len(report.Steps), len(report.Faults))
 	}
 	for _, s := range report.Steps {
-		if s.Starts == 0 || s.Workers == 0 || s.Latencies["submit"].Count == 0 || s.MessagesPerS["report"] == 0 || s.WorkerBytesPerS == 0 || s.Leader.MemoryMB == 0 || s.StateKeys == 0 {
+		if s.StartsPerS == 0 || s.Workers == 0 || s.Latencies["submit"].Count == 0 || s.MessagesPerS["report"] == 0 || s.WorkerBytesPerS == 0 || s.Leader.MemoryMB == 0 || s.StateKeys == 0 {
 			t.Errorf("figures are missing: %+v", s)
 		}
 	}
