--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -70,7 +70,7 @@
 	// of the recovery time.
 	LongestAnswerGapS float64         `json:"longest_without_answers_s"`
 	LongestStartGapS  float64         `json:"longest_without_starts_s"`
-	KilledByLease     int             `json:"tasks_killed_by_lease"`
+	TasksLostToLeaseExpiry     int             `json:"tasks_killed_by_lease"`
 	TasksDied         int             `json:"tasks_on_machines_that_died"`
 	Violations        int             `json:"rules_broken"`
 	Urgent            latency.Summary `json:"urgent_start_received"`
