--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -209,7 +209,7 @@
 		}
 		e.report.Faults = append(e.report.Faults, *r)
 		e.progress.Logf("fault %s: %.1f s without answers, %.1f s without starts, %d tasks killed by lease, %d died, %d rules broken",
-			name, r.LongestAnswerGapS, r.LongestStartGapS, r.TasksLostToLeaseExpiry, r.TasksDied, r.Violations)
+			name, r.LongestAnswerGapS, r.LongestStartGapS, r.TasksLostToLeaseExpiry, r.TasksLostWithMachine, r.Violations)
 	}
 	return nil
 }
@@ -257,7 +257,7 @@
 		r.LongestAnswerGapS = e.gaps.answers.longestUntil(now).Seconds()
 		r.LongestStartGapS = e.gaps.starts.longestUntil(now).Seconds()
 		r.TasksLostToLeaseExpiry = after.killedByLease - before.killedByLease
-		r.TasksDied = after.tasksDied - before.tasksDied
+		r.TasksLostWithMachine = after.tasksDied - before.tasksDied
 		r.Violations = after.violations - before.violations
 	})
 	return r
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -71,7 +71,7 @@
 	LongestAnswerGapS float64         `json:"longest_without_answers_s"`
 	LongestStartGapS  float64         `json:"longest_without_starts_s"`
 	TasksLostToLeaseExpiry     int             `json:"tasks_killed_by_lease"`
-	TasksDied         int             `json:"tasks_on_machines_that_died"`
+	TasksLostWithMachine         int             `json:"tasks_on_machines_that_died"`
 	Violations        int             `json:"rules_broken"`
 	Urgent            latency.Summary `json:"urgent_start_received"`
 }
