--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -251,7 +251,7 @@
 }
 
 func (e *experiment) reportFault(name string, before faultCounts) *FaultReport {
-	r := &FaultReport{Fault: name, Urgent: e.testbed.Meter.Latencies.Summaries()[urgentStartReceived]}
+	r := &FaultReport{Fault: name, UrgentStartReceived: e.testbed.Meter.Latencies.Summaries()[urgentStartReceived]}
 	e.testbed.DoAndWait(func() {
 		now, after := e.testbed.World.Now, e.countFaultEffects()
 		r.LongestAnswerGapS = e.gaps.answers.longestUntil(now).Seconds()
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -73,7 +73,7 @@
 	TasksLostToLeaseExpiry     int             `json:"tasks_killed_by_lease"`
 	TasksLostWithMachine         int             `json:"tasks_on_machines_that_died"`
 	Violations        int             `json:"rules_broken"`
-	Urgent            latency.Summary `json:"urgent_start_received"`
+	UrgentStartReceived            latency.Summary `json:"urgent_start_received"`
 }
 
 // WriteJSON writes the report as indented JSON.
--- a/internal/scale/report_table.go
+++ b/internal/scale/report_table.go
@@ -71,7 +71,7 @@
 	t.row("")
 	t.row("fault\twithout answers s\twithout starts s\tkilled by lease\tdied\trules broken\turgent p99 ms")
 	for _, f := range faults {
-		t.row("%s\t%.1f\t%.1f\t%d\t%d\t%d\t%.0f", f.Fault, f.LongestAnswerGapS, f.LongestStartGapS, f.TasksLostToLeaseExpiry, f.TasksLostWithMachine, f.Violations, f.Urgent.P99)
+		t.row("%s\t%.1f\t%.1f\t%d\t%d\t%d\t%.0f", f.Fault, f.LongestAnswerGapS, f.LongestStartGapS, f.TasksLostToLeaseExpiry, f.TasksLostWithMachine, f.Violations, f.UrgentStartReceived.P99)
 	}
 }
 
