--- a/internal/scale/regression.go
+++ b/internal/scale/regression.go
@@ -14,8 +14,8 @@
 	Independent string  `json:"against"`
 	Intercept   float64 `json:"intercept"`
 	Slope       float64 `json:"slope"`
-	// Error is the standard error of the slope.
-	Error  float64 `json:"error"`
+	// StandardError is the standard error of the slope.
+	StandardError  float64 `json:"error"`
 	Points int     `json:"points"`
 	// R2 is the share of the dependent variable's variance that the line explains.
 	R2 float64 `json:"r2"`
@@ -46,7 +46,7 @@
 		residual := ys[i] - line.at(x)
 		residuals += residual * residual
 	}
-	line.Error = math.Sqrt(residuals / (points - 2) / spread)
+	line.StandardError = math.Sqrt(residuals / (points - 2) / spread)
 	return line, true
 }
 
--- a/internal/scale/report_table.go
+++ b/internal/scale/report_table.go
@@ -60,7 +60,7 @@
 	t.row("")
 	t.row("line\tagainst\tintercept\tslope\terror\tR2\tpoints")
 	for _, l := range lines {
-		t.row("%s\t%s\t%.4g\t%.4g\t%.2g\t%.3f\t%d", l.Dependent, l.Independent, l.Intercept, l.Slope, l.Error, l.R2, l.Points)
+		t.row("%s\t%s\t%.4g\t%.4g\t%.2g\t%.3f\t%d", l.Dependent, l.Independent, l.Intercept, l.Slope, l.StandardError, l.R2, l.Points)
 	}
 }
 
