--- a/internal/scale/parameters.go
+++ b/internal/scale/parameters.go
@@ -40,15 +40,15 @@
 
 // Procedure configures the steps, measurements and faults of an experiment.
 type Procedure struct {
-	Steps     []float64     `name:"steps" default:"0.25,0.5,1" validate:"min=1,max=8,dive,gt=0,lte=1" help:"Parts of the full size, one after the other."`
-	Vary      string        `name:"vary" default:"all" validate:"oneof=all workers running starts ended" help:"What the steps are parts of; the rest is at its full size."`
-	Settle    time.Duration `name:"settle" default:"45s" validate:"gte=0,lte=1h" help:"Time for each step to settle before it is measured."`
-	Measure   time.Duration `name:"measure" default:"40s" validate:"gte=1000000000,lte=1h" help:"Time for which each step is measured, in windows."`
-	Windows   int           `name:"windows" default:"4" validate:"gte=1,lte=100" help:"Windows of that time."`
-	Faults    []string      `name:"faults" default:"" validate:"dive,oneof=leader all-controllers state cut rack restarts write-share" help:"Faults after the last step: leader, all-controllers, state, cut, rack, restarts, write-share."`
-	Recover   time.Duration `name:"recover" default:"40s" validate:"gte=1000000000,lte=1h" help:"Time for which a fault is watched after its end."`
+	Steps          []float64     `name:"steps" default:"0.25,0.5,1" validate:"min=1,max=8,dive,gt=0,lte=1" help:"Parts of the full size, one after the other."`
+	Vary           string        `name:"vary" default:"all" validate:"oneof=all workers running starts ended" help:"What the steps are parts of; the rest is at its full size."`
+	Settle         time.Duration `name:"settle" default:"45s" validate:"gte=0,lte=1h" help:"Time for each step to settle before it is measured."`
+	Measure        time.Duration `name:"measure" default:"40s" validate:"gte=1000000000,lte=1h" help:"Time for which each step is measured, in windows."`
+	Windows        int           `name:"windows" default:"4" validate:"gte=1,lte=100" help:"Windows of that time."`
+	Faults         []string      `name:"faults" default:"" validate:"dive,oneof=leader all-controllers state cut rack restarts write-share" help:"Faults after the last step: leader, all-controllers, state, cut, rack, restarts, write-share."`
+	Recover        time.Duration `name:"recover" default:"40s" validate:"gte=1000000000,lte=1h" help:"Time for which a fault is watched after its end."`
 	DuplicateStart bool          `json:"Provoke" name:"provoke" help:"Start one task twice on purpose, to show that the check finds it."`
-	Seed      uint64        `name:"seed" default:"1" help:"What is drawn."`
+	Seed           uint64        `name:"seed" default:"1" help:"What is drawn."`
 }
 
 // Limits are the limits of the protocol, the state service and the controllers.
--- a/internal/scale/regression.go
+++ b/internal/scale/regression.go
@@ -15,8 +15,8 @@
 	Intercept   float64 `json:"intercept"`
 	Slope       float64 `json:"slope"`
 	// StandardError is the standard error of the slope.
-	StandardError  float64 `json:"error"`
-	Points int     `json:"points"`
+	StandardError float64 `json:"error"`
+	Points        int     `json:"points"`
 	// R2 is the share of the dependent variable's variance that the line explains.
 	R2 float64 `json:"r2"`
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -25,10 +25,10 @@
 // StepReport holds the figures of one step. Rates and the numbers of workers and tasks are means
 // over the measurement.
 type StepReport struct {
-	Fraction float64 `json:"part"` // of the full size
-	Workers  float64 `json:"workers_up"`
-	Running  float64 `json:"tasks_on_machines"`
-	StartsPerS   float64 `json:"starts_per_s"`
+	Fraction   float64 `json:"part"` // of the full size
+	Workers    float64 `json:"workers_up"`
+	Running    float64 `json:"tasks_on_machines"`
+	StartsPerS float64 `json:"starts_per_s"`
 
 	Leader    ControllerUsage   `json:"leader"`
 	Followers []ControllerUsage `json:"followers"`
@@ -46,8 +46,8 @@
 	StateBytes      int     `json:"state_bytes"`
 	StateWritesPerS float64 `json:"state_writes_per_s"`
 
-	Latencies           map[string]latency.Summary `json:"times"`   // by operation
-	ResponseCounts         map[string]int64           `json:"answers"` // by operation and status
+	Latencies       map[string]latency.Summary `json:"times"`   // by operation
+	ResponseCounts  map[string]int64           `json:"answers"` // by operation and status
 	JobsNotAccepted int                        `json:"jobs_not_accepted"`
 
 	windows []window
@@ -68,12 +68,12 @@
 	// LongestAnswerGapS is the longest period without an answer to a user, and LongestStartGapS the
 	// longest without an executed start, in seconds, from the injection of the fault until the end
 	// of the recovery time.
-	LongestAnswerGapS float64         `json:"longest_without_answers_s"`
-	LongestStartGapS  float64         `json:"longest_without_starts_s"`
-	TasksLostToLeaseExpiry     int             `json:"tasks_killed_by_lease"`
-	TasksLostWithMachine         int             `json:"tasks_on_machines_that_died"`
-	Violations        int             `json:"rules_broken"`
-	UrgentStartReceived            latency.Summary `json:"urgent_start_received"`
+	LongestAnswerGapS      float64         `json:"longest_without_answers_s"`
+	LongestStartGapS       float64         `json:"longest_without_starts_s"`
+	TasksLostToLeaseExpiry int             `json:"tasks_killed_by_lease"`
+	TasksLostWithMachine   int             `json:"tasks_on_machines_that_died"`
+	Violations             int             `json:"rules_broken"`
+	UrgentStartReceived    latency.Summary `json:"urgent_start_received"`
 }
 
 // WriteJSON writes the report as indented JSON.
