--- a/internal/fake/attempt.go
+++ b/internal/fake/attempt.go
@@ -62,8 +62,8 @@
 	worker.images[job.Submission.Image] = a.imageReadyAt
 	worker.addToMachine(a)
 	w.checkStart(worker, a)
-	if w.OnTaskPresent != nil {
-		w.OnTaskPresent(job, a.Task)
+	if w.OnImageReady != nil {
+		w.OnImageReady(job, a.Task)
 	}
 	switch {
 	case worker.FailsTasks || job.AlwaysFails:
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -52,9 +52,9 @@
 	OnEffect func(controller string, effect message.Effect)
 	// OnStep is called after every step of a controller, before the step's effects are performed.
 	OnStep func(c *Controller, effects []message.Effect)
-	// OnStart is called for every start command that a worker executes, OnTaskPresent for every task
+	// OnStart is called for every start command that a worker executes, OnImageReady for every task
 	// whose image is fetched.
-	OnStart, OnTaskPresent func(j *Job, task int)
+	OnStart, OnImageReady func(j *Job, task int)
 	// OnBoot is called with every machine that has booted.
 	OnBoot func(m protocol.Machine)
 
--- a/internal/scale/workload.go
+++ b/internal/scale/workload.go
@@ -78,7 +78,7 @@
 		jobs: map[string]*fake.Job{}, urgentStarted: map[taskID]bool{},
 	}
 	world.OnStart = w.taskStarted
-	world.OnTaskPresent = w.taskPresent
+	world.OnImageReady = w.taskPresent
 	return w
 }
 
