--- a/internal/controller/archive_moves_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	jobs := completeJobs(t, w, 100_000, 60)
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
@@ -119,7 +119,7 @@
 	w := newWorldWith(t, s)
 	provisionIdleMachines(t, w)
 	completeJobs(t, w, 100_000, 60)
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -123,7 +123,7 @@
 				t.Fatal("not all tasks run")
 			}
 			w.Run(2 * time.Second)
-			w.SeparateWrites = true
+			w.SeparatePageWrites = true
 			w.Network = loseEverySecondWrite(lost)
 			before := w.Now
 			if !w.RunUntil(20*time.Second, func() bool { return len(j.DoneTasks) == j.Submission.Tasks }) {
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -125,7 +125,7 @@
 		w.Run(5 * time.Second)
 		machine := w.MachinesOf("wk-000001")[0]
 		incarnation := w.Incarnation(machine)
-		w.SeparateWrites = true
+		w.SeparatePageWrites = true
 		placed := func() int { return strings.Count(strings.Join(w.Log, "\n"), "task placed [job wk-000001 ") }
 		remaining := durable
 		w.Network = func(kind, from, to string) fake.Delivery {
--- a/internal/controller/helpers_archive_test.go
+++ b/internal/controller/helpers_archive_test.go
@@ -144,7 +144,7 @@
 // delayWrites delays writes of pages, and responses to reads even more, so that other events
 // happen while a move or a read is in progress.
 func delayWrites(w *fake.World) {
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
 		switch kind {
--- a/internal/controller/helpers_durability_test.go
+++ b/internal/controller/helpers_durability_test.go
@@ -71,7 +71,7 @@
 // injectFirstWriteFault makes the first transaction that writes pages lost, late or refused, as
 // given by fault. All others succeed.
 func injectFirstWriteFault(w *fake.World, fault string) {
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
@@ -122,7 +122,7 @@
 // loseNthWrite returns a network that loses the given write of a page, counted from now on, and
 // delivers all others.
 func loseNthWrite(w *fake.World, number int) func(kind, from, to string) fake.Delivery {
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
@@ -137,7 +137,7 @@
 // loseWritesAfter returns a network that delivers the first count writes of pages and loses all
 // others.
 func loseWritesAfter(w *fake.World, count int) func(kind, from, to string) fake.Delivery {
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
--- a/internal/controller/hung_leader_test.go
+++ b/internal/controller/hung_leader_test.go
@@ -45,7 +45,7 @@
 	cancelled := w.Submit(service(2, 2), 0)
 	w.Run(25 * time.Second)
 	old := w.Leader()
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	w.Network = delayOldLeader(old, late)
 	w.CancelEverywhere(cancelled)
 	for i := range 8 { // so that several transactions are in flight when the leader hangs
--- a/internal/controller/late_page_creation_test.go
+++ b/internal/controller/late_page_creation_test.go
@@ -25,7 +25,7 @@
 		s.Limits.MemoryMB = 0.02 // one ended job is kept in memory
 		w := newWorldWith(t, s)
 		provisionIdleMachines(t, w)
-		w.SeparateWrites = true
+		w.SeparatePageWrites = true
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			delivery := fake.Reliable()
 			if kind == fake.KindWrite {
--- a/internal/controller/many_prerequisites_test.go
+++ b/internal/controller/many_prerequisites_test.go
@@ -93,7 +93,7 @@
 	t.Helper()
 	w, dependent, running := newWorldWithManyPrerequisites(t)
 	sent := 0
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
 		if kind == fake.KindWrite {
--- a/internal/controller/mixed_prerequisites_test.go
+++ b/internal/controller/mixed_prerequisites_test.go
@@ -86,7 +86,7 @@
 	w, cancelled := newWorldWithCancelledInArchive(t)
 	checkDependenciesAlways(t, w)
 	disturbed, writes := false, 0
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		delivery := fake.Reliable()
 		if kind == fake.KindWrite && from == "n0" {
--- a/internal/controller/pipeline_cancellation_test.go
+++ b/internal/controller/pipeline_cancellation_test.go
@@ -139,7 +139,7 @@
 		t.Fatal("the first job does not end")
 	}
 	delayed, crashedAt := false, time.Duration(0)
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		delivery := fake.Reliable()
 		if kind == fake.KindWrite && from == "n0" && !delayed {
@@ -235,7 +235,7 @@
 		prerequisite := submitAfter(t, w, first, time.Hour)
 		waitRunning(t, w, prerequisite.Submission.ID, 1)
 		w.Run(3 * time.Second)
-		w.SeparateWrites = true
+		w.SeparatePageWrites = true
 		delayed := false
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			delivery := fake.Reliable()
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -38,9 +38,9 @@
 	// Network decides how each exchange is delivered. The kind is one of the Kind constants. If
 	// Network is nil, there are no faults.
 	Network func(kind, from, to string) Delivery
-	// SeparateWrites makes page writes appear to Network as KindWrite, apart from the other requests
+	// SeparatePageWrites makes page writes appear to Network as KindWrite, apart from the other requests
 	// to the state service.
-	SeparateWrites bool
+	SeparatePageWrites bool
 	// RewriteAsProduction returns a stored value as the version in production writes it back after
 	// reading it: without the fields that it does not know.
 	RewriteAsProduction func(key string, value []byte) []byte
