--- a/internal/controller/archive_moves_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -36,7 +36,7 @@
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind != fake.KindWrite {
+		if kind != fake.KindPageWrite {
 			return delivery
 		}
 		writes++
@@ -123,7 +123,7 @@
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind == fake.KindWrite {
+		if kind == fake.KindPageWrite {
 			writes++
 			delivery.LoseRequest = writes%3 == 0
 		}
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -131,7 +131,7 @@
 		w.Network = func(kind, from, to string) fake.Delivery {
 			delivery := fake.Reliable()
 			delivery.LoseRequest = w.Incarnation(machine) == incarnation && (from == machine || to == machine)
-			if kind == fake.KindWrite && placed() > 1 {
+			if kind == fake.KindPageWrite && placed() > 1 {
 				remaining--
 				delivery.LoseRequest = remaining < 0
 			}
--- a/internal/controller/helpers_archive_test.go
+++ b/internal/controller/helpers_archive_test.go
@@ -148,7 +148,7 @@
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
 		switch kind {
-		case fake.KindWrite:
+		case fake.KindPageWrite:
 			delivery.RequestDelay = 200 * time.Millisecond
 		case fake.KindState:
 			delivery.ResponseDelay = 350 * time.Millisecond
--- a/internal/controller/helpers_durability_test.go
+++ b/internal/controller/helpers_durability_test.go
@@ -75,7 +75,7 @@
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind != fake.KindWrite {
+		if kind != fake.KindPageWrite {
 			return delivery
 		}
 		writes++
@@ -126,7 +126,7 @@
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind == fake.KindWrite {
+		if kind == fake.KindPageWrite {
 			writes++
 			delivery.LoseRequest = writes == number
 		}
@@ -141,7 +141,7 @@
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind == fake.KindWrite {
+		if kind == fake.KindPageWrite {
 			writes++
 			delivery.LoseRequest = writes > count
 		}
@@ -155,7 +155,7 @@
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind == fake.KindWrite {
+		if kind == fake.KindPageWrite {
 			writes++
 			delivery.LoseRequest = writes >= from && writes%2 == from%2
 		}
--- a/internal/controller/hung_leader_test.go
+++ b/internal/controller/hung_leader_test.go
@@ -83,7 +83,7 @@
 func delayOldLeader(old *fake.Controller, late time.Duration) func(kind, from, to string) fake.Delivery {
 	return func(kind, from, to string) fake.Delivery {
 		delivery := fake.Reliable()
-		delayed := kind == fake.KindWrite || kind == fake.KindCommands || kind == fake.KindForward
+		delayed := kind == fake.KindPageWrite || kind == fake.KindCommands || kind == fake.KindForward
 		if from == old.Name && old.RunsProductionVersion && delayed {
 			delivery.RequestDelay = late
 		}
--- a/internal/controller/late_page_creation_test.go
+++ b/internal/controller/late_page_creation_test.go
@@ -28,7 +28,7 @@
 		w.SeparatePageWrites = true
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			delivery := fake.Reliable()
-			if kind == fake.KindWrite {
+			if kind == fake.KindPageWrite {
 				delivery.DuplicateAfter = copied
 			}
 			return delivery
--- a/internal/controller/many_prerequisites_test.go
+++ b/internal/controller/many_prerequisites_test.go
@@ -96,7 +96,7 @@
 	w.SeparatePageWrites = true
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind == fake.KindWrite {
+		if kind == fake.KindPageWrite {
 			sent++
 			delivery.LoseRequest = sent == writes+1 || sent == writes+2 // later writes are carried out
 		}
--- a/internal/controller/mixed_prerequisites_test.go
+++ b/internal/controller/mixed_prerequisites_test.go
@@ -89,7 +89,7 @@
 	w.SeparatePageWrites = true
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind == fake.KindWrite && from == "n0" {
+		if kind == fake.KindPageWrite && from == "n0" {
 			writes++
 			if writes == number {
 				disturbed = true
--- a/internal/controller/pipeline_cancellation_test.go
+++ b/internal/controller/pipeline_cancellation_test.go
@@ -142,7 +142,7 @@
 	w.SeparatePageWrites = true
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind == fake.KindWrite && from == "n0" && !delayed {
+		if kind == fake.KindPageWrite && from == "n0" && !delayed {
 			delayed = true // the first write after the end
 			delivery.RequestDelay = 5 * time.Second
 		}
@@ -239,7 +239,7 @@
 		delayed := false
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			delivery := fake.Reliable()
-			if kind == fake.KindWrite && !delayed {
+			if kind == fake.KindPageWrite && !delayed {
 				delayed = true // the first write records the acceptance
 				delivery.RequestDelay = 3 * time.Second
 			}
--- a/internal/fake/effects.go
+++ b/internal/fake/effects.go
@@ -65,7 +65,7 @@
 	asProduction := c.asProduction // saved, because a duplicate may arrive after a restart
 	kind := KindState
 	if len(e.Txn.Then) > 0 && e.Txn.Then[0].Put != election.LeaderKey && w.SeparatePageWrites {
-		kind = KindWrite
+		kind = KindPageWrite
 	}
 	c.call(kind, stateService, w.heartbeatInterval()/2, func() (message.Event, bool) {
 		return message.StateResult{StateResult: w.State.execute(c.Name, asProduction, e.StateCall)}, true
