--- a/internal/controller/helpers_takeover_test.go
+++ b/internal/controller/helpers_takeover_test.go
@@ -46,7 +46,7 @@
 	s.State.ValueKB = 8
 	w := fake.NewWorld(s)
 	crashAll(w)
-	w.State.MaxListed = 200
+	w.State.MaxListedEntries = 200
 	values := map[string][]byte{}
 	pages := 0
 	add := func(v storage.PageValue) {
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -27,9 +27,9 @@
 	Down bool
 	// Unreachable names the controllers whose requests are refused (503).
 	Unreachable map[string]bool
-	// MaxListed is the maximum number of entries in a list response. It is small so that tests
+	// MaxListedEntries is the maximum number of entries in a list response. It is small so that tests
 	// exercise paging.
-	MaxListed int
+	MaxListedEntries int
 	// WriteTransactions counts the transactions that changed something.
 	WriteTransactions int
 	// Puts counts the values that were written.
@@ -62,7 +62,7 @@
 func newState(w *World, limits config.State) *State {
 	return &State{
 		world: w, limits: limits, keys: map[string]entry{}, leases: map[int64]lease{},
-		Unreachable: map[string]bool{}, MaxListed: defaultMaxListed,
+		Unreachable: map[string]bool{}, MaxListedEntries: defaultMaxListed,
 	}
 }
 
--- a/internal/fake/state_requests.go
+++ b/internal/fake/state_requests.go
@@ -94,8 +94,8 @@
 		s.sortedKeys = slices.Sorted(maps.Keys(s.keys))
 	}
 	first, _ := slices.BinarySearch(s.sortedKeys, max(prefix, startAfter))
-	if limit == 0 || limit > s.MaxListed {
-		limit = s.MaxListed
+	if limit == 0 || limit > s.MaxListedEntries {
+		limit = s.MaxListedEntries
 	}
 	size := 0
 	for _, key := range s.sortedKeys[first:] {
--- a/internal/scale/testbed/testbed.go
+++ b/internal/scale/testbed/testbed.go
@@ -52,7 +52,7 @@
 	t.servers = newSimulatedServers(t.loop, t.Meter, spec.StateRPS)
 	t.sender = newRequestSender(t.loop, t.Meter, apiAddresses, spec.userConnections())
 	t.World = fake.NewWithRemoteControllers(settings, spec.machineTypes(settings.Zones), names, t.sender.sendTo)
-	t.World.State.MaxListed = maxListedKeys
+	t.World.State.MaxListedEntries = maxListedKeys
 	t.World.Cloud.Address = addresses.Worker
 	t.World.Cloud.CapacityOf = spec.capacity(len(settings.Zones))
 	t.World.OnBoot = t.servers.openWorkerListener
