--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -119,8 +119,8 @@
 	if cancelled.Status != protocol.StatusCancelled {
 		t.Errorf("the cancelled service has status %q", cancelled.Status)
 	}
-	if w.State.RejectedForSize > 3*len(w.Controllers) {
-		t.Errorf("%d transactions were refused for their size", w.State.RejectedForSize)
+	if w.State.RejectedOverLimits > 3*len(w.Controllers) {
+		t.Errorf("%d transactions were refused for their size", w.State.RejectedOverLimits)
 	}
 }
 
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -34,9 +34,9 @@
 	WriteTransactions int
 	// Puts counts the values that were written.
 	Puts int
-	// RejectedForSize counts the transactions that were rejected because of their number of changes
+	// RejectedOverLimits counts the transactions that were rejected because of their number of changes
 	// or the size of a value. Before LowerLimits, such a transaction is also a violation.
-	RejectedForSize int
+	RejectedOverLimits int
 	// RejectPageWrites makes the service refuse every page write as over the write rate (429).
 	RejectPageWrites bool
 	// MinRejectedChanges is the number of changes from which on a transaction is refused as over the
--- a/internal/fake/state_txn.go
+++ b/internal/fake/state_txn.go
@@ -54,7 +54,7 @@
 		if !s.limitsLowered {
 			s.world.RecordViolation(ruleState, "%s", excess)
 		}
-		s.RejectedForSize++
+		s.RejectedOverLimits++
 		return rpc.Invalid
 	}
 	if len(txn.Then) > s.limits.TxnOps || len(txn.If) > conditionsPerChange*s.limits.TxnOps {
