--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -107,9 +107,9 @@
 	w.PollUnknown()
 }
 
-// PollEnded queries a job that was done before the simulation started, and checks that it is still
+// PollDone queries a job that was done before the simulation started, and checks that it is still
 // known as done.
-func (w *World) PollEnded(id string) {
+func (w *World) PollDone(id string) {
 	w.sendRequest(message.UserRequest{Kind: message.Poll, Job: id}, func(r message.Reply, answered bool) {
 		var response protocol.JobResponse
 		notDone := r.Status == http.StatusOK &&
--- a/internal/scale/workload.go
+++ b/internal/scale/workload.go
@@ -130,7 +130,7 @@
 		return
 	}
 	if record := archivedRecord(w.random.IntN(w.parameters.Archived)); !record.Cancelled {
-		w.world.PollEnded(record.ID)
+		w.world.PollDone(record.ID)
 	}
 }
 
