--- a/internal/scale/distributionrun/fleet.go
+++ b/internal/scale/distributionrun/fleet.go
@@ -193,7 +193,7 @@
 		case <-ticker.C:
 		}
 		progress := Progress{
-			AtS: time.Since(fetch.startedAt).Seconds(), StoreMB: float64(e.store.sentBytes.Load()-fetch.sentBefore) / mebibyte, Chunks: map[string]int{},
+			AtS: time.Since(fetch.startedAt).Seconds(), StoreSentMB: float64(e.store.sentBytes.Load()-fetch.sentBefore) / mebibyte, Chunks: map[string]int{},
 		}
 		if status, err := e.operator.Status(ctx, fleetName); err == nil {
 			for _, member := range status.Members {
--- a/internal/scale/distributionrun/report_plots.go
+++ b/internal/scale/distributionrun/report_plots.go
@@ -107,7 +107,7 @@
 	var before Progress
 	for _, at := range run.Progress {
 		if at.AtS > before.AtS {
-			points = append(points, plotter.XY{X: at.AtS, Y: (at.StoreMB - before.StoreMB) / (at.AtS - before.AtS)})
+			points = append(points, plotter.XY{X: at.AtS, Y: (at.StoreSentMB - before.StoreSentMB) / (at.AtS - before.AtS)})
 		}
 		before = at
 	}
