--- a/internal/scale/distributionrun/report.go
+++ b/internal/scale/distributionrun/report.go
@@ -47,9 +47,9 @@
 
 // Progress is the progress of the agents at one time, according to the leader.
 type Progress struct {
-	AtS     float64        `json:"at_s"` // since the start of the fetch
+	AtS         float64        `json:"at_s"` // since the start of the fetch
 	StoreSentMB float64        `json:"store_sent_mb"`
-	Chunks  map[string]int `json:"chunks"` // number of chunks held, by agent
+	Chunks      map[string]int `json:"chunks"` // number of chunks held, by agent
 }
 
 func (r *Report) setMedianRatio() {
