--- a/internal/fake/attempt.go
+++ b/internal/fake/attempt.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// handleImageReady starts a task whose image is fetched. A gang task waits for its peers first.
-// A task that is set to fail or is already done exits at once.
+// handleImageReady starts a task whose image is present. A gang task waits for its peers first. A
+// task that is configured to fail or is already done exits at once.
 func (worker *Worker) handleImageReady(a *attempt) {
 	w, job := worker.world, a.job
 	worker.images[job.Submission.Image] = a.imageReadyAt
@@ -124,7 +124,7 @@
 	worker.heartbeatSoon()
 }
 
-// gangComplete reports whether all tasks of the gang attempt are on machines.
+// gangComplete reports whether all tasks of the gang are on machines with this attempt's number.
 func (a *attempt) gangComplete() bool {
 	present := 0
 	for member := range a.job.attemptsOnMachines {
@@ -135,12 +135,12 @@
 	return present == a.job.Submission.Tasks
 }
 
-// gangStartSpread is the maximum time between the starts of a gang's tasks. Missing peers are
-// ignored for that long after a task starts running.
+// gangStartSpread is the maximum time between the starts of a gang's tasks. A task ignores missing
+// peers for that long after its own start.
 const gangStartSpread = time.Second
 
-// gangPeersPresent reports whether a running gang task has all its peers. It also returns true for a
-// task that has just started or is done.
+// gangPeersPresent reports whether all tasks of a running task's gang are on machines. It also
+// returns true if the task has just started or is done.
 func (worker *Worker) gangPeersPresent(a *attempt) bool {
 	return worker.world.Now-a.startedAt < gangStartSpread || a.gangComplete() || a.job.DoneTasks[a.Task]
 }
--- a/internal/fake/clock.go
+++ b/internal/fake/clock.go
@@ -11,7 +11,7 @@
 // event is a call that is scheduled for a simulated time.
 type event struct {
 	at  time.Duration
-	seq int // scheduling order, which decides between events of the same time
+	seq int // scheduling order, by which events of the same time are ordered
 	run func()
 }
 
@@ -103,7 +103,7 @@
 	w.Now = until
 }
 
-// tick lets the workers and controllers handle whatever is due, and checks the invariants.
+// tick lets the workers and controllers handle everything that is due, and checks the invariants.
 func (w *World) tick() {
 	w.lastTick = w.Now
 	for _, name := range w.workerNames {
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -27,17 +27,18 @@
 	CapacityOf map[string]int
 	// BootDelay is added to the boot time of the machine type.
 	BootDelay time.Duration
-	// FailNextBoots is how many of the machines provisioned next never finish booting.
+	// FailNextBoots is the number of machines, beginning with the next one provisioned, that never
+	// finish booting.
 	FailNextBoots int
 	// Address returns the address of the n-th machine. If it is nil, machines get addresses that
 	// are never dialed.
 	Address func(n int) string
 
-	world       *World
-	types       []protocol.MachineType
-	machines    []*machine
-	provisioned map[string][]string // machine names by ID of the provisioning request
-	lastNumber  int
+	world             *World
+	types             []protocol.MachineType
+	machines          []*machine
+	provisioned       map[string][]string // machine names by ID of the provisioning request
+	lastMachineNumber int
 }
 
 // defaultCapacity is the Capacity of a new Cloud.
@@ -66,7 +67,7 @@
 	return result
 }
 
-// list returns the inventory. New machines appear in it only after the configured lag.
+// list returns the inventory, which lists a new machine only after the configured lag.
 func (c *Cloud) list() []protocol.Machine {
 	lag := seconds(c.world.Cfg.Settings.Cloud.ListLagS)
 	var machines []protocol.Machine
@@ -136,13 +137,13 @@
 
 // addMachine provisions a machine and returns its name. Once booted, it starts sending heartbeats.
 func (c *Cloud) addMachine(machineType, zone string, spot bool) string {
-	c.lastNumber++
-	addr := fmt.Sprintf("10.1.0.%d:9000", c.lastNumber)
+	c.lastMachineNumber++
+	addr := fmt.Sprintf("10.1.0.%d:9000", c.lastMachineNumber)
 	if c.Address != nil {
-		addr = c.Address(c.lastNumber)
+		addr = c.Address(c.lastMachineNumber)
 	}
 	m := &machine{provisionedAt: c.world.Now, Machine: protocol.Machine{
-		Name: fmt.Sprintf("i-%06d", c.lastNumber), Addr: addr, Type: machineType, Zone: zone, Spot: spot,
+		Name: fmt.Sprintf("i-%06d", c.lastMachineNumber), Addr: addr, Type: machineType, Zone: zone, Spot: spot,
 		Status: protocol.MachineBooting,
 	}}
 	c.machines = append(c.machines, m)
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// start starts fetching a task's image, or makes the task exit if the worker refuses it.
+// start begins to fetch a task's image, or makes the task exit if the worker refuses it.
 func (worker *Worker) start(id protocol.Attempt) {
 	w := worker.world
 	a := &attempt{TaskStatus: protocol.TaskStatus{Attempt: id, State: protocol.Fetching}, job: w.Jobs[id.Job], worker: worker}
@@ -75,8 +75,8 @@
 	}
 }
 
-// refusal reports whether the worker must refuse a task, and the exit cause: it already has the
-// task or lacks the resources.
+// refusal reports whether the worker must refuse a task, because it already has the task or lacks
+// the resources. It also returns the exit cause.
 func (worker *Worker) refusal(a *attempt) (cause protocol.ExitCause, refused bool) {
 	submission := a.job.Submission
 	cpus, gpus, memory := submission.CPUs, submission.GPUs, submission.MemoryGB
--- a/internal/fake/controller.go
+++ b/internal/fake/controller.go
@@ -37,11 +37,11 @@
 	incarnation  int
 	asProduction bool // value of RunsProductionVersion at the last start
 
-	nextID      uint64
-	pending     map[uint64]pendingRequest
-	forwarded   []*forwardedRequest // requests forwarded to other controllers
-	knownLeader string              // leader known after the last step
-	remote      RemoteSend          // sends requests to a process outside the world; nil: the process runs inside
+	lastRequestID uint64
+	pending       map[uint64]pendingRequest
+	forwarded     []*forwardedRequest // requests forwarded to other controllers
+	knownLeader   string              // leader known after the last step
+	remote        RemoteSend          // sends requests to a process outside the world; nil if the process is simulated
 }
 
 // pendingRequest is a request that has no reply yet.
@@ -131,12 +131,12 @@
 		})
 		return
 	}
-	c.nextID++
-	c.pending[c.nextID] = pending
-	c.step(pending.request.WithID(c.nextID))
+	c.lastRequestID++
+	c.pending[c.lastRequestID] = pending
+	c.step(pending.request.WithID(c.lastRequestID))
 }
 
-// Tick lets the controller handle whatever is due.
+// Tick lets the controller handle everything that is due.
 func (c *Controller) Tick() { c.step(message.Tick{}) }
 
 // wallClockStart is the wall clock time at the start of the world. It is not zero, so that wall
--- a/internal/fake/effects.go
+++ b/internal/fake/effects.go
@@ -11,8 +11,8 @@
 	"oakpick/internal/storage"
 )
 
-// performAll performs effects in order. If StallBefore pauses the process before one of them,
-// the remaining effects are performed after the pause.
+// performAll performs effects in order. If StallBefore pauses the process before an effect, that
+// effect and the remaining ones are performed after the pause.
 func (c *Controller) performAll(effects []message.Effect) {
 	incarnation := c.incarnation
 	for i, effect := range effects {
--- a/internal/fake/exchange.go
+++ b/internal/fake/exchange.go
@@ -31,7 +31,7 @@
 	RequestDelay, ResponseDelay time.Duration
 	// LoseRequest and LoseResponse drop the message.
 	LoseRequest, LoseResponse bool
-	// DuplicateAfter is the delay after which a duplicate of the request arrives; 0 means none.
+	// DuplicateAfter is the delay after which a duplicate of the request arrives; 0 disables this.
 	DuplicateAfter time.Duration
 }
 
@@ -63,8 +63,8 @@
 }
 
 // exchange executes a request and calls done with its result, subject to network faults. If there is
-// no result within the timeout, done is called with timeoutResult. It is not called if the
-// process crashes or restarts first.
+// no result within the timeout, done is called with timeoutResult. If the process crashes or
+// restarts first, done is not called.
 func exchange[R any](c *Controller, kind, to string, timeout time.Duration, execute func() (R, bool), timeoutResult R, done func(R)) {
 	w, incarnation := c.world, c.incarnation
 	delivery := w.deliveryOf(kind, c.Name, to)
--- a/internal/fake/job.go
+++ b/internal/fake/job.go
@@ -25,16 +25,16 @@
 	SubmittedAt, AcceptedAt time.Duration
 	// Accepted reports whether the user was told that the job is accepted.
 	Accepted bool
-	// RejectedWith is the HTTP status of the permanent rejection of the submission; 0 means none.
+	// RejectedWith is the HTTP status with which the submission was permanently rejected, or 0.
 	RejectedWith int
 	// CancelRequested reports whether the user asked to cancel the job.
 	CancelRequested bool
-	// Cancelled reports whether the user was told that the job is cancelled, CancelledAt when.
+	// Cancelled reports whether the user was told that the job is cancelled, at CancelledAt.
 	Cancelled   bool
 	CancelledAt time.Duration
 	// Status is the last status that the user was told.
 	Status string
-	// AnsweredAt is when a user last got a response with the job's status; 0 means never.
+	// AnsweredAt is when a user last got a response with the job's status, or 0.
 	AnsweredAt time.Duration
 
 	statusReportedAt   time.Duration     // when the user was told Status
@@ -50,7 +50,7 @@
 	j := &Job{Submission: s, RunTime: runTime, CheckpointedRunTime: map[int]time.Duration{}, DoneTasks: map[int]bool{}, SubmittedAt: w.Now}
 	w.hasPipelines = w.hasPipelines || len(s.Prerequisites) > 0
 	w.Jobs[s.ID] = j
-	w.jobNames = append(w.jobNames, s.ID)
+	w.jobIDs = append(w.jobIDs, s.ID)
 	w.submit(j)
 	return j
 }
--- a/internal/fake/peers.go
+++ b/internal/fake/peers.go
@@ -15,7 +15,7 @@
 	finished bool
 }
 
-// finish replies to the request unless that has been done.
+// finish replies to the request, unless it was already replied to.
 func (f *forwardedRequest) finish(reply message.Reply) {
 	if !f.finished {
 		f.finished = true
--- a/internal/fake/pipelines.go
+++ b/internal/fake/pipelines.go
@@ -25,7 +25,7 @@
 		return j.ancestors
 	}
 	ancestors := map[*Job]bool{}
-	j.ancestors = ancestors // set first: a job that names itself, which is rejected, must not recurse forever
+	j.ancestors = ancestors // set before the recursion, which would not end for a rejected job that names itself
 	for _, p := range w.prerequisites(j) {
 		ancestors[p] = true
 		maps.Copy(ancestors, w.ancestors(p))
@@ -63,7 +63,7 @@
 	if status == protocol.StatusQueued || status == protocol.StatusRunning {
 		w.checkAncestors(j, status, askedAt)
 	}
-	for _, id := range w.jobNames {
+	for _, id := range w.jobIDs {
 		if descendant := w.Jobs[id]; w.ancestors(descendant)[j] {
 			w.checkDescendant(j, descendant, status)
 		}
@@ -76,8 +76,8 @@
 		if ancestor.Cancelled && askedAt > ancestor.CancelledAt+w.cancelWithin() {
 			w.RecordViolation(ruleOrphaned, "%s is reported %s more than cancel_s after ancestor %s was cancelled", j.Submission.ID, status, ancestor.Submission.ID)
 		}
-		// Stricter than the rule, which allows cancel_s: a job that waits for its ancestors has no
-		// tasks to stop.
+		// The protocol allows cancel_s, but a job that waits for its ancestors has no tasks to stop, so
+		// its status must change at once.
 		if ancestor.Cancelled && askedAt > ancestor.CancelledAt {
 			w.RecordViolation(ruleOrphaned, "%s is reported %s after its user was told that ancestor %s is cancelled", j.Submission.ID, status, ancestor.Submission.ID)
 		}
--- a/internal/fake/queries.go
+++ b/internal/fake/queries.go
@@ -42,7 +42,7 @@
 	return count
 }
 
-// attemptsOnMachines returns the attempts of a job that are on machines.
+// attemptsOnMachines returns the attempts of a job whose tasks are on machines.
 func (w *World) attemptsOnMachines(id string) map[*attempt]bool {
 	if j := w.Jobs[id]; j != nil {
 		return j.attemptsOnMachines
@@ -54,7 +54,7 @@
 func (w *World) TasksOnMachines() int {
 	count := 0
 	for _, name := range w.workerNames {
-		count += w.Workers[name].attemptsOnMachine()
+		count += w.Workers[name].tasksOnMachine()
 	}
 	return count
 }
@@ -89,7 +89,7 @@
 // Incarnation returns the current incarnation of a machine's worker.
 func (w *World) Incarnation(name string) int64 { return w.Workers[name].incarnation }
 
-// AnnounceInterruption makes the cloud reclaim a machine after the given time, and notifies the
+// AnnounceInterruption makes the cloud terminate a machine after the given time, and notifies the
 // machine's worker now.
 func (w *World) AnnounceInterruption(name string, in time.Duration) {
 	if worker := w.Workers[name]; worker != nil && !worker.terminated {
--- a/internal/fake/remote_controllers.go
+++ b/internal/fake/remote_controllers.go
@@ -27,13 +27,14 @@
 	serve(w, KindState, stateService, func() (storage.StateResult, bool) { return w.State.Execute(call), true }, answer)
 }
 
-// ServeCloud executes a request to the cloud API, subject to the same network faults.
+// ServeCloud executes a request to the cloud API and passes the result to answer, unless the network
+// loses the request or the result.
 func (w *World) ServeCloud(call message.CloudCall, answer func(message.CloudResult)) {
 	serve(w, KindCloud, cloudService, func() (message.CloudResult, bool) { return w.Cloud.execute(call), true }, answer)
 }
 
-// ServeCommands lets a worker execute commands that were sent directly to it. There is no answer if
-// the machine is unknown or terminated, if its worker hangs, or if the network loses a message.
+// ServeCommands lets a worker execute commands that were sent directly to it, and passes the result
+// to answer. There is no answer if the machine is unknown or terminated, if its worker hangs, or if the network loses a message.
 func (w *World) ServeCommands(call message.CommandsCall, answer func(message.CommandsResult)) {
 	serve(w, KindCommands, call.Machine, func() (message.CommandsResult, bool) { return w.executeCommands(call) }, answer)
 }
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -12,7 +12,7 @@
 type entry struct {
 	value   []byte
 	version int64
-	lease   int64  // lease that the key is attached to; 0: none
+	lease   int64  // lease that the key is attached to, or 0
 	writer  string // controller that wrote the value
 }
 
@@ -34,13 +34,14 @@
 	WriteTransactions int
 	// Puts counts the values that were written.
 	Puts int
-	// RejectedOverLimits counts the transactions that were rejected because of their number of changes
-	// or the size of a value. Before LowerLimits, such a transaction is also a violation.
+	// RejectedOverLimits counts the transactions that were rejected because they exceed the limit on
+	// the number of changes or on the size of a value. Before LowerLimits, such a transaction is also
+	// a violation.
 	RejectedOverLimits int
 	// RejectPageWrites makes the service refuse every page write as over the write rate (429).
 	RejectPageWrites bool
-	// MinRejectedChanges is the number of changes from which on a transaction is refused as over the
-	// write rate (429); 0 disables this.
+	// MinRejectedChanges is the smallest number of changes for which the service refuses a
+	// transaction as over the write rate (429); 0 disables this.
 	MinRejectedChanges int
 	// RejectedForChanges counts the transactions refused because of MinRejectedChanges.
 	RejectedForChanges int
@@ -49,10 +50,10 @@
 	limits        config.State
 	limitsLowered bool
 	keys          map[string]entry
-	sortedKeys    []string // cache; nil: the set of keys has changed
+	sortedKeys    []string // cache; nil after the set of keys has changed
 	leases        map[int64]lease
 	revision      int64
-	nextID        int64           // ID of the last lease
+	lastLeaseID   int64           // ID of the last lease
 	recentWrites  []time.Duration // times of the changes within the last second
 }
 
--- a/internal/fake/state_requests.go
+++ b/internal/fake/state_requests.go
@@ -19,8 +19,8 @@
 	return s.execute("", false, call)
 }
 
-// execute executes a request of a controller. asProduction means that the controller runs as the
-// version in production.
+// execute executes a request of a controller. asProduction reports whether the controller runs as
+// the version in production.
 func (s *State) execute(from string, asProduction bool, call storage.StateCall) storage.StateResult {
 	result := storage.StateResult{ID: call.ID}
 	if s.Down || s.Unreachable[from] {
@@ -53,9 +53,9 @@
 	if ttl < minLeaseTTL {
 		s.world.RecordViolation(ruleState, "lease TTL of %v is too short", ttl)
 	}
-	s.nextID++
-	s.leases[s.nextID] = lease{ttl, s.world.Now + ttl}
-	return s.nextID
+	s.lastLeaseID++
+	s.leases[s.lastLeaseID] = lease{ttl, s.world.Now + ttl}
+	return s.lastLeaseID
 }
 
 func (s *State) renewLease(id int64) rpc.Outcome {
--- a/internal/fake/state_txn.go
+++ b/internal/fake/state_txn.go
@@ -13,7 +13,7 @@
 	"oakpick/internal/rpc"
 )
 
-// Limits that are multiples of configured ones.
+// Limits of the state service, relative to the configured ones.
 const (
 	conditionsPerChange = 4 // maximum number of conditions in a transaction, as a multiple of TxnOps
 	writeBurstSeconds   = 2 // maximum burst of writes, in seconds of WriteRPS
@@ -29,7 +29,7 @@
 			return rpc.Conflict
 		}
 	}
-	if !asProduction { // checked after the conditions: a late duplicate that fails them does no harm
+	if !asProduction { // checked after the conditions, because a late duplicate that fails them does no harm
 		s.checkNextLimits(from, txn)
 	}
 	for _, change := range txn.Then {
--- a/internal/fake/statuses.go
+++ b/internal/fake/statuses.go
@@ -19,7 +19,7 @@
 	status := response.Status
 	w.checkPipeline(j, status, askedAt)
 	if askedAt < j.statusReportedAt && !isFinal(status) {
-		return // the request was sent before the last response arrived, so the responses may be out of order
+		return // the request was sent before the last response arrived, so its response may be older
 	}
 	w.checkProgress(j, status)
 	if j.Status != status {
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -11,7 +11,7 @@
 
 const (
 	userTimeout    = 5 * time.Second // for the reply to a user's request
-	userRetryDelay = time.Second     // minimum; a reply may ask for a longer delay
+	userRetryDelay = time.Second     // minimum delay; a reply may ask for a longer one
 )
 
 // submit submits a job and retries until it is accepted or permanently rejected.
@@ -36,7 +36,7 @@
 	})
 }
 
-// accepts reports whether a status means that the submission is accepted, now or earlier.
+// accepts reports whether a status means that the submission is accepted, or was accepted earlier.
 func accepts(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
 
 // rejects reports whether a status means that the submission is permanently rejected.
@@ -101,7 +101,7 @@
 
 // PollAll queries every submitted job, and a job that was never submitted.
 func (w *World) PollAll() {
-	for _, id := range w.jobNames {
+	for _, id := range w.jobIDs {
 		w.Poll(w.Jobs[id])
 	}
 	w.PollUnknown()
@@ -141,7 +141,7 @@
 	})
 }
 
-// PollAndResubmitEverywhere queries a job at every controller at once, and resubmits it to each of them.
+// PollAndResubmitEverywhere queries a job at every controller at once, and resubmits it to each.
 func (w *World) PollAndResubmitEverywhere(j *Job) {
 	for _, c := range w.Controllers {
 		w.poll(c, j)
--- a/internal/fake/violations.go
+++ b/internal/fake/violations.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Rules that a World checks. Violations begin with the rule's name.
+// Names of the rules that a World checks. The text of a violation contains the time and this name.
 const (
 	ruleState            = "state"             // requests to the state service are within its limits
 	ruleCloud            = "cloud"             // requests to the cloud API are within its limits
@@ -18,7 +18,7 @@
 	ruleWrongPlace       = "wrong_place"       // machine types, zones and capacity types are as submitted
 	ruleTooEarly         = "too_early"         // a job starts only after its prerequisites are done
 	ruleStartedCancelled = "started_cancelled" // no task is started after the user was told that the job is cancelled
-	ruleRanCancelled     = "ran_cancelled"     // no task is on a machine more than cancel_s after the user was told so
+	ruleRanCancelled     = "ran_cancelled"     // no task is on a machine more than cancel_s after the user was told that the job is cancelled
 	ruleOrphaned         = "orphaned"          // descendants of a cancelled job are cancelled, too
 	ruleNotDone          = "not_done"          // all tasks of a job that is reported done have run to completion
 	ruleWentBack         = "went_back"         // statuses only move forward
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -19,7 +19,7 @@
 	machine        *machine
 	machineType    protocol.MachineType
 	terminated     bool
-	interruptionAt time.Duration // when the cloud reclaims the machine; 0: not announced
+	interruptionAt time.Duration // when the cloud terminates the machine, or 0 if no interruption is announced
 
 	incarnation     int64
 	sequence        int64 // sequence number of the last heartbeat
@@ -28,7 +28,7 @@
 	leaseRenewedAt  time.Duration // when the last heartbeat that renewed the lease was sent
 
 	attempts []*attempt
-	images   map[string]time.Duration // fetched images and when each was fetched
+	images   map[string]time.Duration // when each image was fetched, by name
 
 	controllerIndex   int // controller that gets the next heartbeat
 	nextHeartbeatAt   time.Duration
@@ -48,7 +48,7 @@
 	slices.Sort(w.workerNames)
 }
 
-// tick handles whatever is due: the machine's interruption, lease expiry, the progress of tasks and
+// tick handles everything that is due: the machine's interruption, lease expiry, the progress of tasks and
 // heartbeats.
 func (worker *Worker) tick() {
 	now := worker.world.Now
@@ -83,7 +83,7 @@
 func (worker *Worker) expireLease() {
 	now := worker.world.Now
 	worker.incarnation++
-	worker.world.TasksLostToLeaseExpiry += worker.attemptsOnMachine()
+	worker.world.TasksLostToLeaseExpiry += worker.tasksOnMachine()
 	worker.dropAttempts()
 	worker.leaseRenewedAt, worker.images = now, map[string]time.Duration{}
 	worker.nextHeartbeatAt = now
@@ -92,7 +92,7 @@
 // terminate ends the worker and its tasks together with the machine.
 func (worker *Worker) terminate() {
 	worker.terminated = true
-	worker.world.TasksLostWithMachine += worker.attemptsOnMachine()
+	worker.world.TasksLostWithMachine += worker.tasksOnMachine()
 	worker.dropAttempts()
 }
 
@@ -104,8 +104,8 @@
 	worker.attempts = nil
 }
 
-// attemptsOnMachine returns the number of attempts whose tasks are on the machine.
-func (worker *Worker) attemptsOnMachine() int {
+// tasksOnMachine returns the number of tasks that occupy the machine.
+func (worker *Worker) tasksOnMachine() int {
 	count := 0
 	for _, a := range worker.attempts {
 		if a.onMachine {
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -1,7 +1,7 @@
-// Package fake simulates everything outside a controller in memory: the state
-// service, the cloud, workers, users and the network between them. The simulation
-// enforces the rules of the protocol on limits, leases, tokens, incarnations and versions.
-// Time is simulated, so that a test controls the order of events exactly.
+// Package fake simulates everything outside a controller in memory: the state service, the cloud,
+// workers, users and the network between them. The simulation enforces the rules of the protocol on
+// limits, leases, tokens, incarnations and versions. Time is simulated, so that a test controls the
+// order of events exactly.
 package fake
 
 import (
@@ -42,7 +42,7 @@
 	// to the state service.
 	SeparatePageWrites bool
 	// RewriteAsProduction returns a stored value as the version in production writes it back after
-	// reading it: without the fields that it does not know.
+	// reading it, without the fields unknown to that version.
 	RewriteAsProduction func(key string, value []byte) []byte
 
 	// OnHeartbeat is called with every heartbeat that a worker sends, so that a test can save copies
@@ -53,7 +53,7 @@
 	// OnStep is called after every step of a controller, before the step's effects are performed.
 	OnStep func(c *Controller, effects []message.Effect)
 	// OnStart is called for every start command that a worker executes, OnImageReady for every task
-	// whose image is fetched.
+	// whose image is present on its machine.
 	OnStart, OnImageReady func(j *Job, task int)
 	// OnBoot is called with every machine that has booted.
 	OnBoot func(m protocol.Machine)
@@ -64,7 +64,7 @@
 	TasksLostWithMachine int
 
 	workerNames  []string // sorted
-	jobNames     []string // in order of submission
+	jobIDs       []string // in order of submission
 	hasPipelines bool     // whether any job names prerequisites
 	usageByTeam  map[string]usage
 	cancelled    []*Job // jobs that were reported cancelled and may still have tasks on machines
@@ -111,7 +111,7 @@
 func (w *World) cancelWithin() time.Duration { return seconds(w.Cfg.Settings.Workers.CancelWithinS) }
 
 // rewriteAsProduction returns a transaction as the version in production would write it, with only
-// the parts of each value that this version knows.
+// the fields that the version in production knows.
 func (w *World) rewriteAsProduction(txn protocol.Txn) protocol.Txn {
 	if w.RewriteAsProduction == nil {
 		return txn
