--- a/internal/scale/distributionrun/agent_process.go
+++ b/internal/scale/distributionrun/agent_process.go
@@ -26,7 +26,7 @@
 	command      []string
 	client       *http.Client
 	process      *testbed.Process // nil before the first start
-	failed       atomic.Bool      // killed or suspended permanently by a fault; the run continues without the agent
+	failed       atomic.Bool      // a fault killed or suspended the agent permanently; the run continues without it
 }
 
 // newAgentProcess writes an agent's settings to the directory. It doesn't start the process. The
--- a/internal/scale/distributionrun/faults.go
+++ b/internal/scale/distributionrun/faults.go
@@ -18,7 +18,7 @@
 	leaderRestartDelay = time.Second
 )
 
-// errAllComplete is returned if a fault needs an incomplete agent and there is none.
+// errAllComplete is returned if a fault needs an incomplete agent, but every agent is complete.
 var errAllComplete = errors.New("every agent already holds all chunks")
 
 // injectFault waits for the time of a fault and injects it, unless the context ends earlier.
@@ -58,7 +58,7 @@
 func (e *experiment) restartLeader(ctx context.Context) error {
 	leader := testbed.NoLeader
 	err := waitUntil(ctx, controlTimeout, "no controller is the leader", func() bool {
-		// A fault that has begun is completed even if all agents become ready in the meantime.
+		// The leader is killed and restarted even if all agents become ready in the meantime.
 		leader = e.testbed.Controllers.Leader(context.WithoutCancel(ctx))
 		return leader != testbed.NoLeader
 	})
@@ -66,7 +66,7 @@
 		return err
 	}
 	e.testbed.Controllers.Kill(leader)
-	time.Sleep(leaderRestartDelay) // ignores the end of the context: the fault has to be completed
+	time.Sleep(leaderRestartDelay) // ignores the end of the context, because the leader has to be restarted
 	return e.testbed.Controllers.Start(leader)
 }
 
--- a/internal/scale/distributionrun/fleet.go
+++ b/internal/scale/distributionrun/fleet.go
@@ -27,10 +27,10 @@
 	minFetchTimeout    = time.Minute
 )
 
-// Agent settings, relative to the link's rate and the inventory interval.
+// Ratios of agent settings to the link's rate and the inventory interval.
 const (
 	minimumRateDivisor = 64 // link's rate divided by the minimum rate of a source
-	stallIntervals     = 3  // stall timeout of a fetch, in inventory intervals
+	stallIntervals     = 3  // stall timeout of a fetch, as a multiple of the inventory interval
 )
 
 // newAgent writes the settings of the i-th agent that fetches the given name.
@@ -96,7 +96,7 @@
 
 // fleetFetch describes the fleet's fetch of a version.
 type fleetFetch struct {
-	version    *distribution.Manifest // initial version; newVersionFault switches the fleet to another
+	version    *distribution.Manifest // initial version; newVersionFault replaces it in experiment.version
 	startedAt  time.Time
 	sentBefore int64 // bytes that the store had sent at the start
 }
--- a/internal/scale/distributionrun/measurement.go
+++ b/internal/scale/distributionrun/measurement.go
@@ -109,7 +109,7 @@
 // StoreFetchError reports that a client could not fetch a chunk from the store.
 type StoreFetchError struct {
 	Chunk distribution.Chunk
-	Fault distribution.Fault // empty if the content is wrong
+	Fault distribution.Fault // empty if only the digest is wrong
 }
 
 // Error names the chunk and the fault.
--- a/internal/scale/distributionrun/parameters.go
+++ b/internal/scale/distributionrun/parameters.go
@@ -58,8 +58,8 @@
 // linkBytesPerS returns the rate of an agent's link in each direction.
 func (p *Parameters) linkBytesPerS() float64 { return p.RateMB * mebibyte }
 
-// Settings of the controllers. Those named Intervals are multiples of the interval between
-// inventories. Connection limits are proportional to the number of agents, but have a minimum.
+// Settings of the controllers. Constants whose names end in Intervals are multiples of the interval
+// between inventories. Connection limits are proportional to the number of agents, but have a minimum.
 const (
 	heartbeatIntervals         = 2
 	leaseIntervals             = 10
--- a/internal/scale/distributionrun/report_html.go
+++ b/internal/scale/distributionrun/report_html.go
@@ -25,7 +25,8 @@
 	Progress, Sources, Store template.HTML
 }
 
-// WriteHTML writes an HTML page with plots: progress by agent, bytes by source, load on the store.
+// WriteHTML writes an HTML page with plots of each agent's progress, of the bytes by source and of the
+// load on the store.
 func (r *Report) WriteHTML(w io.Writer) error {
 	parsed, err := template.New("weights").Parse(pageTemplate)
 	if err != nil {
--- a/internal/scale/distributionrun/report_plots.go
+++ b/internal/scale/distributionrun/report_plots.go
@@ -47,7 +47,8 @@
 	return p
 }
 
-// plotProgress draws one line per agent: the number of chunks that it holds over time.
+// plotProgress draws one line per agent, which shows the number of chunks that the agent holds over
+// time.
 func plotProgress(run RunReport) (*plot.Plot, error) {
 	p := newPlot("Progress by agent, as the leader knew it", "seconds", "chunks")
 	for _, name := range slices.Sorted(maps.Keys(run.ReadyS)) {
@@ -70,7 +71,7 @@
 	return p, nil
 }
 
-// plotSources draws one bar per agent: bytes from peers, with bytes from the store stacked on top.
+// plotSources draws one bar per agent, with the bytes from peers and, on top, those from the store.
 func plotSources(run RunReport) (*plot.Plot, error) {
 	p := newPlot("Bytes by source", "agents, in the order of their names", "MiB")
 	var peers, store plotter.Values
--- a/internal/scale/distributionrun/run_test.go
+++ b/internal/scale/distributionrun/run_test.go
@@ -28,10 +28,10 @@
 	return report
 }
 
-// The test runs real agents and controllers. Faults kill the leader and an agent that others fetch
-// from, corrupt and truncate responses of the store, and change the version. Every remaining agent has
-// to serve every byte of the last version, and the report has to contain the sources of the bytes. The
-// test sets no limits on durations.
+// Faults kill the leader and an agent that others fetch from, corrupt and truncate responses of the
+// store, and change the version of a fleet of real agents. Every remaining agent must serve every byte
+// of the last version, and the report must contain the sources of the bytes. The test sets no limits on
+// durations.
 func TestRunWithFaultsVerifiesEveryRemainingAgent(t *testing.T) {
 	p := smallParameters(t)
 	p.Faults = []string{"wrong@0.1", "cut@0.2", "kill@0.4", "leader@0.5", "version@0.6"}
@@ -68,7 +68,7 @@
 	}
 }
 
-// The error has to name the bad parameter, and Run must not start anything.
+// An invalid parameter is rejected with an error that names its flag. No process is started.
 func TestRunRefusesBadParametersByName(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/scale/distributionrun/store.go
+++ b/internal/scale/distributionrun/store.go
@@ -51,8 +51,8 @@
 	return s.publishWithSharedChunks(chunks, chunkBytes, nil)
 }
 
-// publishWithSharedChunks publishes a version that begins with chunks of another
-// version, followed by random chunks.
+// publishWithSharedChunks publishes a version that begins with chunks of another version, followed by
+// random chunks.
 func (s *simulatedStore) publishWithSharedChunks(chunks int, chunkBytes int64, kept []distribution.Chunk) (*distribution.Manifest, error) {
 	var contents [][]byte
 	for _, chunk := range kept {
@@ -70,7 +70,7 @@
 		seed[i] = byte(s.random.Uint32())
 	}
 	content := make([]byte, size)
-	_, _ = rand.NewChaCha8(seed).Read(content) // it never fails
+	_, _ = rand.NewChaCha8(seed).Read(content) // never fails
 	return content
 }
 
@@ -78,7 +78,7 @@
 func (s *simulatedStore) contentDigest(version *distribution.Manifest) digest.Digest {
 	hash := digest.SHA256.Digester()
 	for _, chunk := range version.Chunks {
-		_, _ = hash.Hash().Write(s.Bytes(chunk.Digest)) // it never fails
+		_, _ = hash.Hash().Write(s.Bytes(chunk.Digest)) // never fails
 	}
 	return hash.Digest()
 }
@@ -103,7 +103,7 @@
 	return false
 }
 
-// retryAfter is the time after which the store lets clients retry if all slots are taken.
+// retryAfter is the delay after which clients may retry if all slots of the store are taken.
 const retryAfter = time.Second
 
 // serve starts the store's server at an address. close stops the server.
--- a/internal/scale/ended_jobs.go
+++ b/internal/scale/ended_jobs.go
@@ -7,23 +7,23 @@
 	"oakpick/internal/storage"
 )
 
-// Prefixes of the ids of jobs that ended before the run.
+// Prefixes of the IDs of jobs that ended before the run.
 const archivedPrefix, endedPrefix = "wk-8", "wk-9"
 
-// archivedCancelledEvery is the interval at which the archive contains cancelled jobs, beginning with
-// the first job.
+// archivedCancelledEvery is n if every n-th job in the archive is cancelled, beginning with the first.
 const archivedCancelledEvery = 10
 
 // endedJobTasks is the number of tasks of each job that ended before the run.
 const endedJobTasks = 3
 
-// endedJobBytes is the size of an ended job in JSON. The limit on values counts the JSON form.
+// endedJobBytes is the size of an ended job's record in JSON, the encoding in which the limit on values
+// is measured.
 const endedJobBytes = 40
 
 // pageFillRatio is the share of a page that ended jobs may use; the rest is for its other content.
 const pageFillRatio = 0.9
 
-// writeIDBeforeRun is the id of writes made before the run.
+// writeIDBeforeRun is the write ID of pages that are stored before the run.
 const writeIDBeforeRun = "0-0"
 
 // endedJobsPerPage returns how many ended jobs fit into a value of valueKB KiB.
@@ -42,7 +42,7 @@
 	return record
 }
 
-// archivedPages returns the archive's pages, by key, with count ended jobs.
+// archivedPages returns archive pages with the given number of ended jobs, by key.
 func archivedPages(count int, valueKB float64) map[string][]byte {
 	pages := map[string][]byte{}
 	forEachEndedPage(archivedRecord, count, valueKB, func(next int, records []storage.TerminalRecord) {
@@ -55,7 +55,7 @@
 	return pages
 }
 
-// endedPages returns the state service's pages, by key, with count ended jobs.
+// endedPages returns record pages with the given number of ended jobs, by key.
 func endedPages(count int, valueKB float64) map[string][]byte {
 	pages := map[string][]byte{}
 	endedRecord := func(number int) storage.TerminalRecord { return newTerminalRecord(endedPrefix, number) }
@@ -66,8 +66,8 @@
 	return pages
 }
 
-// forEachEndedPage divides count ended jobs into pages and calls emit for each page. The argument
-// next is the number of the first job after the page.
+// forEachEndedPage divides ended jobs into pages and calls emit for each page. Jobs are numbered from
+// 0; emit's argument next is the number of the first job after the page.
 func forEachEndedPage(record func(number int) storage.TerminalRecord, count int, valueKB float64, emit func(next int, records []storage.TerminalRecord)) {
 	perPage := endedJobsPerPage(valueKB)
 	for first := 0; first < count; first += perPage {
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -16,7 +16,7 @@
 type fault struct {
 	inject   func(context.Context, *experiment) error
 	duration time.Duration
-	leases   float64                 // additional duration, in worker leases
+	leases   float64                 // additional duration, as a multiple of the workers' lease
 	heal     func(*experiment) error // reverts the fault; nil if there is nothing to revert
 }
 
@@ -29,11 +29,11 @@
 	rackMachines             = 40
 	machineRestartsPerDay    = 210
 	machineRestartsDuration  = time.Minute
-	minRejectedKeys          = 4 // the lowest write_share admits fewer keys at once in small runs
+	minRejectedChanges       = 4 // with the lowest write_share, the write budget of a small run admits fewer changes at once
 	rejectionTimeout         = 20 * time.Second
 	writeShareChangeInterval = 75 * time.Millisecond
 	writeShareDuration       = 20 * time.Second
-	writeShareTimeout        = 20 * time.Second // limit for confirmWriteShare
+	writeShareTimeout        = 20 * time.Second // of confirmWriteShare
 )
 
 // faults maps the names on the command line to the faults.
@@ -44,7 +44,7 @@
 	"cut":             {inject: partitionWorkers, leases: partitionLeases, heal: healPartition},
 	"rack":            {inject: failRack},
 	"write-share":     {inject: changeWriteShare, duration: writeShareDuration, heal: confirmWriteShare},
-	"restarts":        {inject: restartMachines, duration: machineRestartsDuration},
+	"restarts":        {inject: failRandomMachines, duration: machineRestartsDuration},
 }
 
 // errNoLeader means that the fault needs a leader and no controller is the leader.
@@ -99,18 +99,18 @@
 // Settings patches with the lowest and the highest write_share that operators may set.
 const lowestWriteShare, highestWriteShare = `{"write_share": 0.05}`, `{"write_share": 0.95}`
 
-// errNoLargeWrite means that no transaction was large enough to be rejected.
-var errNoLargeWrite = errors.New("the leader sent no transaction with enough keys to be rejected")
+// errNoLargeWrite means that the leader sent no transaction of at least minRejectedChanges.
+var errNoLargeWrite = errors.New("the leader sent no transaction with enough changes to be rejected")
 
-// changeWriteShare lowers write_share and raises it again while the state service rejects large
-// transactions, so that a write of the leader is waiting for its retry. Both changes take effect
-// at once, before they are durable. The settings are not changed again until the fault ends.
+// changeWriteShare lowers write_share and raises it again while a large transaction, which the state
+// service has rejected, waits for its retry. Both changes take effect before they are durable. The
+// settings are not changed again until the fault ends.
 func changeWriteShare(ctx context.Context, e *experiment) error {
 	leader := e.testbed.Controllers.Leader(ctx)
 	if leader == testbed.NoLeader {
 		return errNoLeader
 	}
-	e.rejectLargeWrites(minRejectedKeys)
+	e.rejectLargeWrites(minRejectedChanges)
 	defer e.rejectLargeWrites(0)
 	if err := e.waitForRejection(ctx); err != nil {
 		return err
@@ -118,7 +118,7 @@
 	var changes errgroup.Group
 	for _, patch := range []string{lowestWriteShare, highestWriteShare} {
 		changes.Go(func() error {
-			_ = e.testbed.Controllers.ChangeSettings(ctx, leader, patch) // times out: the change becomes durable too late
+			_ = e.testbed.Controllers.ChangeSettings(ctx, leader, patch) // a timeout is expected: the change becomes durable too late
 			return nil
 		})
 		if err := e.sleep(ctx, "write_share", writeShareChangeInterval); err != nil {
@@ -130,9 +130,9 @@
 }
 
 // rejectLargeWrites makes the state service reject transactions with at least the given number of
-// keys; 0 disables the rejection.
-func (e *experiment) rejectLargeWrites(keys int) {
-	e.testbed.DoAndWait(func() { e.testbed.World.State.MinRejectedChanges = keys })
+// changes; 0 disables the rejection.
+func (e *experiment) rejectLargeWrites(changes int) {
+	e.testbed.DoAndWait(func() { e.testbed.World.State.MinRejectedChanges = changes })
 }
 
 // waitForRejection waits until the state service has rejected another large transaction.
@@ -181,9 +181,9 @@
 	return nil
 }
 
-// restartMachines makes random machines fail for a minute, at the rate of an hour in which all of a
-// day's restarts happen.
-func restartMachines(_ context.Context, e *experiment) error {
+// failRandomMachines makes random machines fail one after the other during machineRestartsDuration. The
+// rate corresponds to all machine restarts of a day within one hour.
+func failRandomMachines(_ context.Context, e *experiment) error {
 	const interval = time.Hour / machineRestartsPerDay
 	e.testbed.DoAndWait(func() {
 		for at := interval / 2; at < machineRestartsDuration; at += interval {
@@ -208,14 +208,14 @@
 			return err
 		}
 		e.report.Faults = append(e.report.Faults, *r)
-		e.progress.Logf("fault %s: %.1f s without answers, %.1f s without starts, %d tasks killed by lease, %d died, %d rules broken",
+		e.progress.Logf("fault %s: %.1f s without answers, %.1f s without starts, %d tasks lost to lease expiry, %d lost with their machines, %d rules broken",
 			name, r.LongestAnswerGapS, r.LongestStartGapS, r.TasksLostToLeaseExpiry, r.TasksLostWithMachine, r.Violations)
 	}
 	return nil
 }
 
-// runFault injects a fault and reverts it. The report covers the effects until the end of the
-// recovery time.
+// runFault injects a fault and reverts it. The report covers the effects from the injection until the
+// end of the recovery time.
 func (e *experiment) runFault(ctx context.Context, name string) (*FaultReport, error) {
 	fault := faults[name]
 	var before faultCounts
@@ -242,12 +242,12 @@
 
 // faultCounts are the simulated world's counts of lost tasks and violations since the start of the
 // step.
-type faultCounts struct{ killedByLease, tasksDied, violations int }
+type faultCounts struct{ tasksLostToLeaseExpiry, tasksLostWithMachine, violations int }
 
 // countFaultEffects reads the counts from the simulated world. The testbed's loop calls it.
 func (e *experiment) countFaultEffects() faultCounts {
 	world := e.testbed.World
-	return faultCounts{killedByLease: world.TasksLostToLeaseExpiry, tasksDied: world.TasksLostWithMachine, violations: len(world.Violations)}
+	return faultCounts{tasksLostToLeaseExpiry: world.TasksLostToLeaseExpiry, tasksLostWithMachine: world.TasksLostWithMachine, violations: len(world.Violations)}
 }
 
 func (e *experiment) reportFault(name string, before faultCounts) *FaultReport {
@@ -256,8 +256,8 @@
 		now, after := e.testbed.World.Now, e.countFaultEffects()
 		r.LongestAnswerGapS = e.gaps.answers.longestUntil(now).Seconds()
 		r.LongestStartGapS = e.gaps.starts.longestUntil(now).Seconds()
-		r.TasksLostToLeaseExpiry = after.killedByLease - before.killedByLease
-		r.TasksLostWithMachine = after.tasksDied - before.tasksDied
+		r.TasksLostToLeaseExpiry = after.tasksLostToLeaseExpiry - before.tasksLostToLeaseExpiry
+		r.TasksLostWithMachine = after.tasksLostWithMachine - before.tasksLostWithMachine
 		r.Violations = after.violations - before.violations
 	})
 	return r
--- a/internal/scale/machine_limits.go
+++ b/internal/scale/machine_limits.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/procfs"
 )
 
-// Conservative estimates of the simulated side's resource usage, for the check before a run.
+// Conservative estimates of the simulated world's resource usage, for the check before a run.
 const (
 	openFilesPerWorker = 4 // listener, heartbeat, command, and a connection that is being replaced
 	otherOpenFiles     = 2000
--- a/internal/scale/measurement.go
+++ b/internal/scale/measurement.go
@@ -35,7 +35,7 @@
 	return s
 }
 
-// resetMeasurement clears the latencies, the answer counts and the service gaps. The testbed's loop
+// resetMeasurement clears the latencies, the response counts and the service gaps. The testbed's loop
 // calls it.
 func (e *experiment) resetMeasurement() {
 	e.testbed.Meter.Reset()
--- a/internal/scale/parameters.go
+++ b/internal/scale/parameters.go
@@ -64,7 +64,7 @@
 	Sockets            int     `name:"sockets" default:"0" validate:"omitempty,gte=64,lte=1000000" help:"Sockets in the controllers' settings; 0: by --workers."`
 }
 
-// Values of Procedure.Vary: the dimension of the load that the steps scale.
+// Values of Procedure.Vary, which selects the dimension of the load that the steps scale.
 const (
 	varyAll     = "all"
 	varyWorkers = "workers"
@@ -87,7 +87,7 @@
 	return errors.Join(problems...)
 }
 
-// Default limits of a controller: an amount for each worker, and a minimum.
+// Default limits of a controller. They are proportional to the number of workers, but have a minimum.
 const (
 	socketsPerWorker  = 2.5
 	memoryMBPerWorker = 0.22125
@@ -95,8 +95,7 @@
 	minMemoryMB       = 128
 )
 
-// deriveLimits sets the socket and memory limits that are not given. It derives them from the number
-// of workers.
+// deriveLimits derives the socket and memory limits that are not given from the number of workers.
 func (p *Parameters) deriveLimits() {
 	if p.Sockets == 0 {
 		p.Sockets = max(minSockets, int(socketsPerWorker*float64(p.Workers)))
--- a/internal/scale/parameters_test.go
+++ b/internal/scale/parameters_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// An invalid parameter is rejected with an error that names its flag. A run that exceeds the
-// machine's limits is rejected with an error that says how to change it. No process is started.
+// An invalid parameter is rejected with an error that names its flag, and a run that exceeds the
+// machine's limits with an error that names a remedy. No process is started.
 func TestRunRefusesBadParametersByName(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -54,7 +54,7 @@
 }
 
 // A step scales the dimension that Vary selects; the other dimensions keep their full size.
-func TestStepScalesWhatVaries(t *testing.T) {
+func TestStepScalesVariedDimension(t *testing.T) {
 	type size struct {
 		workers, running int
 		starts           float64
--- a/internal/scale/pipelines.go
+++ b/internal/scale/pipelines.go
@@ -13,7 +13,7 @@
 
 // Parameters of the random pipeline jobs.
 const (
-	maxRecentJobs             = 64  // candidates for prerequisites
+	maxRecentJobs             = 64  // number of candidates for prerequisites
 	maxRecentPrerequisites    = 4   // of a pipeline job, among the candidates
 	archivedPrerequisiteShare = 0.5 // share of the pipeline jobs that also need an archived job
 	pipelineRunTime           = 3 * time.Second
@@ -48,7 +48,7 @@
 	w.submit(job, pipelineRunTime)
 }
 
-// randomRecentAccepted returns the id of a random recent job, or "" if that job isn't accepted.
+// randomRecentAccepted returns the ID of a random recent job, or "" if that job isn't accepted.
 func (w *workload) randomRecentAccepted() string {
 	if len(w.recent) == 0 {
 		return ""
--- a/internal/scale/progress.go
+++ b/internal/scale/progress.go
@@ -8,7 +8,8 @@
 // progressInterval is the time between progress lines while an experiment waits.
 const progressInterval = 10 * time.Second
 
-// sleep waits and logs the progress at every interval. The phase labels the log lines.
+// sleep waits for a duration and logs the progress at every progressInterval. The phase labels the log
+// lines. If the context ends earlier, sleep returns its error.
 func (e *experiment) sleep(ctx context.Context, phase string, duration time.Duration) error {
 	for end := time.Now().Add(duration); ; {
 		left := time.Until(end)
--- a/internal/scale/regression.go
+++ b/internal/scale/regression.go
@@ -14,7 +14,7 @@
 	Independent string  `json:"against"`
 	Intercept   float64 `json:"intercept"`
 	Slope       float64 `json:"slope"`
-	// StandardError is the standard error of the slope.
+	// StandardError is the standard error of Slope.
 	StandardError float64 `json:"error"`
 	Points        int     `json:"points"`
 	// R2 is the share of the dependent variable's variance that the line explains.
@@ -56,8 +56,8 @@
 	value func(window) float64
 }
 
-// sizes returns the independent variables: the dimensions of the load.
-func sizes() []variable {
+// loadVariables returns the independent variables, which are the dimensions of the load.
+func loadVariables() []variable {
 	return []variable{
 		{"workers", func(w window) float64 { return w.workers }},
 		{"tasks running", func(w window) float64 { return w.running }},
@@ -65,8 +65,8 @@
 	}
 }
 
-// costs returns the dependent variables, which may grow with the load.
-func costs() []variable {
+// costVariables returns the dependent variables, which may grow with the load.
+func costVariables() []variable {
 	return []variable{
 		{"leader cores", func(w window) float64 { return w.cores[w.leader] }},
 		{"leader MB", func(w window) float64 { return w.usage[w.leader].MemoryMB }},
@@ -83,8 +83,8 @@
 	}
 }
 
-// fitLines fits every cost against every size. It uses the windows of all steps, except windows with
-// different leaders at the beginning and at the end.
+// fitLines fits every cost variable against every load variable. It uses the windows of all steps,
+// except windows with different leaders at the beginning and at the end.
 func fitLines(steps []StepReport) []Line {
 	var windows []window
 	for _, step := range steps {
@@ -95,10 +95,10 @@
 		}
 	}
 	var lines []Line
-	for _, size := range sizes() {
-		xs := valuesIn(size, windows)
-		for _, cost := range costs() {
-			if line, ok := fitLine(cost.name, size.name, xs, valuesIn(cost, windows)); ok {
+	for _, load := range loadVariables() {
+		xs := valuesIn(load, windows)
+		for _, cost := range costVariables() {
+			if line, ok := fitLine(cost.name, load.name, xs, valuesIn(cost, windows)); ok {
 				lines = append(lines, line)
 			}
 		}
--- a/internal/scale/regression_test.go
+++ b/internal/scale/regression_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-func TestFitLineNeedsPointsOfSeveralSizes(t *testing.T) {
+func TestFitLineNeedsDifferentX(t *testing.T) {
 	if _, ok := fitLine("y", "x", []float64{2, 2, 2}, []float64{1, 2, 3}); ok {
 		t.Error("line fitted through points with the same x")
 	}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -22,8 +22,8 @@
 	Partial string `json:"partial,omitempty"`
 }
 
-// StepReport holds the figures of one step. Rates and the numbers of workers and tasks are means
-// over the measurement.
+// StepReport holds the figures of one step. Rates and the numbers of workers and tasks are means over
+// the measurement.
 type StepReport struct {
 	Fraction   float64 `json:"part"` // of the full size
 	Workers    float64 `json:"workers_up"`
@@ -32,7 +32,8 @@
 
 	Leader    ControllerUsage   `json:"leader"`
 	Followers []ControllerUsage `json:"followers"`
-	// LeaderChanged is true unless the same controller led at the beginning and at the end.
+	// LeaderChanged is true unless the same controller led at the beginning and at the end of the
+	// measurement.
 	LeaderChanged bool `json:"leader_changed"`
 
 	MessagesPerS map[string]float64 `json:"messages_per_s"`       // by kind, counted by the simulated side
@@ -53,11 +54,11 @@
 	windows []window
 }
 
-// ControllerUsage is the resource usage of a controller: the mean processor usage during the measurement,
-// and memory and sockets at its end.
+// ControllerUsage is the resource usage of a controller: the mean CPU usage during the measurement, and
+// the memory and sockets at its end.
 type ControllerUsage struct {
 	Name     string  `json:"name"`
-	Cores    float64 `json:"cores"`     // processor seconds a second
+	Cores    float64 `json:"cores"`     // CPU seconds per second
 	MemoryMB float64 `json:"memory_mb"` // resident
 	Sockets  int     `json:"sockets"`
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -11,9 +11,10 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// Run executes the steps in order and injects the faults after the last step. The command starts a
-// controller. Run writes progress as lines of text. It stops every process that it started, also
-// when the context is cancelled; the report is then marked as partial.
+// Run executes the steps in order and injects the faults after the last step. The command, followed by
+// the path of a settings file, starts a controller. Run writes progress as lines of text. Before it
+// returns, it kills every process that it has started. If the context ends early, the report is
+// partial.
 func Run(ctx context.Context, p Parameters, command []string, progress io.Writer) (*Report, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -49,7 +50,7 @@
 	testbed      *testbed.Testbed
 	workload     *workload
 	gaps         *serviceGaps // owned by the testbed's loop
-	killedLeader int          // the controller that the "leader" fault killed
+	killedLeader int          // number of the controller that killLeader killed
 }
 
 // run builds the testbed, runs the workload, measures the step and removes the testbed.
@@ -90,7 +91,8 @@
 	e.workload = newWorkload(p, e.testbed.World, e.testbed.Meter, e.gaps)
 }
 
-// settle waits for the settling time of the step. If BreakRule is set, it then starts a task twice.
+// settle waits for the settling time of the step. If DuplicateStart is set, it then starts a running
+// task a second time.
 func (e *experiment) settle(ctx context.Context) error {
 	p := e.parameters
 	e.progress.Logf("step %g: %d workers, %d tasks, %.0f starts/s, %d ended jobs, %d controllers", e.fraction, p.Workers, p.Running, p.Starts, p.Ended, p.Controllers)
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -32,7 +32,7 @@
 	}, []string{os.Args[0]}
 }
 
-// runSmall runs the experiment and fails the test if that returns an error.
+// runSmall runs the experiment and fails the test on an error.
 func runSmall(ctx context.Context, t *testing.T, p Parameters, command []string) *Report {
 	t.Helper()
 	var progress bytes.Buffer
@@ -59,9 +59,10 @@
 
 // An operator lowers write_share and raises it again while the state service rejects a large
 // transaction. Pipeline jobs have archived, ended, cancelled and unfinished prerequisites. The rules
-// must hold, no controller may crash, and tasks must start again well before the fault ends. Guards
-// against docs/incidents/2026-12-03-write-budget-never-fills.md, where no task started until another
-// change of the settings.
+// must hold, no controller may crash, and tasks must start again well before the fault ends.
+//
+// This guards against a write budget that no longer fills after such changes, so that no task starts
+// until the settings are changed again (docs/incidents/2026-12-03-write-budget-never-fills.md).
 func TestRunKeepsRulesWhenWriteShareChanges(t *testing.T) {
 	p, command := smallParameters(t)
 	p.Steps, p.Pipelines, p.Jobs, p.Starts, p.Running = []float64{1}, 3, 1, 40, 300
@@ -98,7 +99,7 @@
 	checkControllersGone(t, p)
 }
 
-func TestRunFindsTaskStartedTwice(t *testing.T) {
+func TestRunReportsDuplicateStart(t *testing.T) {
 	p, command := smallParameters(t)
 	p.Steps, p.DuplicateStart = []float64{1}, true
 	report := runSmall(t.Context(), t, p, command)
--- a/internal/scale/service_gaps.go
+++ b/internal/scale/service_gaps.go
@@ -6,7 +6,7 @@
 // a task start. The testbed's loop owns it. Times are on the simulated world's clock.
 type serviceGaps struct {
 	answers, starts gap
-	totalStarts     int64 // never reset
+	totalStarts     int64 // since the start of the step; reset doesn't change it
 }
 
 // gap measures the longest period between two consecutive events since the last reset.
--- a/internal/scale/testbed/cloud_server.go
+++ b/internal/scale/testbed/cloud_server.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// pageOfMachines sorts the machines by name and returns up to limit of those whose names come
-// after the given one. A limit of 0 or more than MaxMachinesListed means MaxMachinesListed.
+// pageOfMachines sorts the machines by name and returns up to limit of those whose names come after
+// the given one. A limit that is not positive or exceeds MaxMachinesPerPage means MaxMachinesPerPage.
 func pageOfMachines(list protocol.MachineList, after string, limit int) protocol.MachineList {
 	slices.SortFunc(list.Machines, func(a, b protocol.Machine) int { return strings.Compare(a.Name, b.Name) })
 	first := slices.IndexFunc(list.Machines, func(machine protocol.Machine) bool { return machine.Name > after })
--- a/internal/scale/testbed/process.go
+++ b/internal/scale/testbed/process.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// Usage is the resource usage of a controller.
+// Usage is the resource usage of a process or, from Controllers.Usage, of a controller.
 type Usage struct {
-	CPUSeconds float64 `json:"cpu_s"`     // since the run began
+	CPUSeconds float64 `json:"cpu_s"`     // of the process; Controllers.Usage adds earlier processes
 	MemoryMB   float64 `json:"memory_mb"` // resident, MiB
 	Sockets    int     `json:"sockets"`   // open
 }
--- a/internal/scale/testbed/request_sender.go
+++ b/internal/scale/testbed/request_sender.go
@@ -37,7 +37,7 @@
 	connectTimeout   = 500 * time.Millisecond
 )
 
-// idleTimeout is the time until an unused connection is closed. It is longer than a run.
+// idleTimeout is the time after which an unused connection is closed. It is longer than a run.
 const idleTimeout = time.Hour
 
 // Buffer sizes of a connection. They are small because thousands of connections are open.
@@ -142,7 +142,7 @@
 // httpRequest is an HTTP request to a controller.
 type httpRequest struct {
 	method, path string
-	body         []byte // nil if there is none
+	body         []byte // nil for a request without a body
 	timeout      time.Duration
 }
 
--- a/internal/scale/testbed/servers.go
+++ b/internal/scale/testbed/servers.go
@@ -18,7 +18,7 @@
 type simulatedServers struct {
 	loop         *worldLoop
 	meter        *Meter
-	machineNames sync.Map // machine name by the worker's listen address
+	machineNames sync.Map // machine names by the listen address of the worker
 
 	stateRate *rate.Limiter
 
--- a/internal/scale/testbed/spec.go
+++ b/internal/scale/testbed/spec.go
@@ -9,7 +9,7 @@
 
 // Spec defines the size of a testbed and the settings of its controllers.
 type Spec struct {
-	Workers      int // machines that can be provisioned
+	Workers      int // number of machines that can be provisioned
 	Accelerators int // total, with AcceleratorsPerMachine on each machine that has any
 	RunningTasks int // tasks that run at the same time
 	Teams        int // each has a quota
@@ -43,7 +43,7 @@
 // UrgentClass is the class of jobs for which the controllers have a service-level objective.
 const UrgentClass = "urgent"
 
-// userConnectionDivisor is the ratio of a controller's connections to those that users may take.
+// userConnectionDivisor is a controller's MaxConnections divided by the connections left to users.
 const userConnectionDivisor = 15
 
 // userConnections returns how many connections users may have to each controller.
--- a/internal/scale/testbed/testbed.go
+++ b/internal/scale/testbed/testbed.go
@@ -33,8 +33,8 @@
 	probing  sync.WaitGroup
 }
 
-// maxListedKeys is the largest number of entries in a list response of the state service.
-const maxListedKeys = 1000
+// maxListedEntries is the largest number of entries in a list response of the state service.
+const maxListedEntries = 1000
 
 // New returns a testbed that is not yet started. The command, followed by the path of a settings
 // file, starts a controller. Settings files and logs are written to the directory.
@@ -52,7 +52,7 @@
 	t.servers = newSimulatedServers(t.loop, t.Meter, spec.StateRPS)
 	t.sender = newRequestSender(t.loop, t.Meter, apiAddresses, spec.userConnections())
 	t.World = fake.NewWithRemoteControllers(settings, spec.machineTypes(settings.Zones), names, t.sender.sendTo)
-	t.World.State.MaxListedEntries = maxListedKeys
+	t.World.State.MaxListedEntries = maxListedEntries
 	t.World.Cloud.Address = addresses.Worker
 	t.World.Cloud.CapacityOf = spec.capacity(len(settings.Zones))
 	t.World.OnBoot = t.servers.openWorkerListener
--- a/internal/scale/window_test.go
+++ b/internal/scale/window_test.go
@@ -7,7 +7,8 @@
 	"oakpick/internal/scale/testbed"
 )
 
-// sampleAt returns a sample at a second, up to which a controller has handled some heartbeats.
+// sampleAt returns a sample taken at the given second, when as many workers exist and the leader has
+// handled the given number of heartbeats and started as many tasks.
 func sampleAt(second, leader int, reports int64) sample {
 	return sample{
 		at: time.Unix(int64(second), 0), leader: leader, workers: second, starts: reports, handled: map[string]int64{"report": reports},
--- a/internal/scale/workload.go
+++ b/internal/scale/workload.go
@@ -46,7 +46,7 @@
 	gangClass    = "large-gang"
 )
 
-// The mix of jobs, and how often users submit jobs and poll their status.
+// Parameters of the mix of jobs and of the users' requests.
 const (
 	servicesShare       = 0.25 // share of the running tasks that are replicas of services
 	replicasPerService  = 8
@@ -64,7 +64,7 @@
 	resubmittedShare    = 0.02             // share of the jobs that are submitted a second time
 	maxChangeDelay      = 20 * time.Second // until a submitted job is resubmitted or cancelled
 	imageGB             = 0.1
-	images              = 6
+	images              = 6                // number of different images
 	rampUp              = 10 * time.Second // during which the services are submitted, before the other jobs
 	submissionTimeout   = 5 * time.Second  // after which an unaccepted submission is overdue
 )
@@ -78,11 +78,11 @@
 		jobs: map[string]*fake.Job{}, urgentStarted: map[taskID]bool{},
 	}
 	world.OnStart = w.taskStarted
-	world.OnImageReady = w.taskPresent
+	world.OnImageReady = w.imageReady
 	return w
 }
 
-// begin submits the services during the ramp-up and starts the other arrivals after it.
+// begin submits the services during the ramp-up and then starts the arrivals of the other jobs.
 func (w *workload) begin() {
 	accelerated := w.parameters.testbedSpec().AcceleratedMachines() * testbed.AcceleratorsPerMachine / gpusPerReplica
 	plain := max(0, int(float64(w.parameters.Running)*servicesShare)-accelerated)
@@ -192,8 +192,8 @@
 }
 
 // submitArray submits an array with a random number of tasks and a random run time. The mean number
-// of tasks yields the configured rate of starts; the mean run time keeps, together with the services,
-// the configured number of tasks running.
+// of tasks yields the configured rate of task starts. The mean run time yields the configured number
+// of running tasks, less the share of the services.
 func (w *workload) submitArray() {
 	p := w.parameters
 	meanTasks := p.Starts / p.Jobs
@@ -224,16 +224,16 @@
 	}
 }
 
-// taskPresent is called when a task's image is present on its machine. For urgent tasks it records
+// imageReady is called when a task's image is present on its machine. For an urgent task, it records
 // the latency since the submission.
-func (w *workload) taskPresent(job *fake.Job, task int) {
+func (w *workload) imageReady(job *fake.Job, task int) {
 	if job.Submission.Class == testbed.UrgentClass && w.urgentStarted[taskID{job.Submission.ID, task}] {
 		w.meter.Latencies.Add(urgentStartExecuted, w.world.Now-job.SubmittedAt)
 	}
 }
 
-// unansweredJobs returns the ids of the accepted jobs that haven't ended and whose last successful
-// status poll, or else their acceptance, is longer ago than the timeout.
+// unansweredJobs returns the IDs of the accepted, unfinished jobs whose acceptance and last answered
+// poll are both longer ago than the timeout.
 func (w *workload) unansweredJobs(timeout time.Duration) []string {
 	var ids []string
 	for id, job := range w.jobs {
--- a/tools/metrics/main.go
+++ b/tools/metrics/main.go
@@ -4,8 +4,8 @@
 //	go -C tools run ./metrics ..
 //
 // Lines of files include comments and blank lines. An embedded field of a struct counts as one field.
-// The length of a function is the number of lines between its first and last line without comments,
-// as funlen counts them. Exported identifiers are functions, types, constants, variables and methods
+// The length of a function is the number of lines between its first and last line, without comments,
+// as the linter funlen counts them. Exported identifiers are functions, types, constants, variables and methods
 // of exported types; a comment on a group of constants or variables documents every name in it.
 // Linters don't require comments on a few well-known methods, such as String; here such methods
 // without a comment count as undocumented.
@@ -26,27 +26,27 @@
 	"text/tabwriter"
 )
 
-// longFunction is the maximum number of lines of a function that isn't counted as long.
+// longFunction is the number of lines above which a function counts as long.
 const longFunction = 40
 
-// largest is the maximum of some sizes and the name of the item that has it.
-type largest struct {
+// maximum is the largest size seen so far, with the name of the item that has it.
+type maximum struct {
 	size int
 	name string
 }
 
-func (l *largest) update(size int, name string) {
+func (l *maximum) update(size int, name string) {
 	if size > l.size {
-		*l = largest{size, name}
+		*l = maximum{size, name}
 	}
 }
 
-func (l *largest) String() string { return fmt.Sprintf("%d %s", l.size, l.name) }
+func (l *maximum) String() string { return fmt.Sprintf("%d %s", l.size, l.name) }
 
-// packageSizes are the figures of a package.
+// packageSizes holds the figures of a package, or their totals over all packages.
 type packageSizes struct {
 	lines, files, longFunctions, exported, undocumented int
-	file, function, fields                              largest
+	file, function, fields                              maximum
 }
 
 func main() {
@@ -115,7 +115,7 @@
 		case *ast.FuncDecl:
 			s.addFunction(d, functionLines(files, file, d))
 		case *ast.GenDecl:
-			s.addGroup(d)
+			s.addDeclaration(d)
 		}
 	}
 	return nil
@@ -159,8 +159,8 @@
 	return ""
 }
 
-// addGroup adds types, constants or variables from one declaration.
-func (s *packageSizes) addGroup(group *ast.GenDecl) {
+// addDeclaration adds the types, constants or variables of a declaration.
+func (s *packageSizes) addDeclaration(group *ast.GenDecl) {
 	for _, spec := range group.Specs {
 		switch spec := spec.(type) {
 		case *ast.TypeSpec:
@@ -187,7 +187,7 @@
 	}
 }
 
-// add adds the figures of a package to a total.
+// add adds the figures of the named package to a total.
 func (s *packageSizes) add(o *packageSizes, name string) {
 	s.lines += o.lines
 	s.files += o.files
