--- a/internal/controller/archive_moves_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/protocol"
 )
 
-// The leader crashes before, during or after a move of jobs to the archive. From some write of the
-// move on, requests are lost or executed late, or responses are lost. Every job must have a record
+// The leader crashes before, during or after a move of jobs to the archive. After the first writes of
+// the move, all further ones are lost, executed late, or get no response. Every job must have a record
 // at all times.
 func TestLeaderCrashDuringArchiveMove(t *testing.T) {
 	t.Parallel()
@@ -69,6 +69,7 @@
 }
 
 // Completed jobs are polled and resubmitted at all controllers while they are moved to the archive.
+// They must always have a record and stay done.
 func TestRepeatedSubmissionDuringArchiveMove(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
@@ -111,8 +112,9 @@
 	requireAllDone(t, w, jobs)
 }
 
-// Jobs of several blocks complete, some writes are lost, among them removals of blocks, and the
-// leader crashes repeatedly. No block may remain whose job's record is only in the archive.
+// Jobs of several blocks complete and are archived while every third write is lost, which may be the
+// removal of a block, and the leader crashes repeatedly. No block may remain whose job's record is
+// only in the archive, because a new leader would not know the block's job.
 func TestBlocksRemovedBeforeJobIsArchived(t *testing.T) {
 	s := smallMemorySettings()
 	s.State.TxnOps = 3
--- a/internal/controller/archive_prerequisites_test.go
+++ b/internal/controller/archive_prerequisites_test.go
@@ -68,12 +68,10 @@
 // A submission depends on a cancelled job in the archive and on an unfinished job. It is cancelled,
 // and the end of the unfinished job must not crash the leader.
 //
-// This guards against a crash: the submitted job was linked to the unfinished one in the dependency
-// graph before it was cancelled because of the archived one, and its own end did not remove the
-// edge. When the end of the unfinished job was committed, MarkCommitted called endCommitted, which
-// called (*Manager).prerequisiteDone. That function looked up the dependent job, which no longer
-// existed, and dereferenced nil. See
-// docs/incidents/2026-12-03-cancelled-job-in-dependency-graph.md.
+// This guards against a crash (docs/incidents/2026-12-03-cancelled-job-in-dependency-graph.md). The
+// submitted job got an edge to the unfinished one in the dependency graph and was then cancelled
+// because of the archived one, but the edge remained. When the unfinished job ended, the leader looked
+// up the dependent job, which no longer existed, and dereferenced nil.
 func TestArchivedCancelledPrerequisiteBesideAnUnfinishedOne(t *testing.T) {
 	defer func() {
 		if err := recover(); err != nil {
@@ -81,7 +79,7 @@
 		}
 	}()
 	s := smallMemorySettings()
-	s.Limits.MemoryMB = 0.02 // one terminal job is kept in memory
+	s.Limits.MemoryMB = 0.02 // the leader keeps one terminal job in memory
 	w := newWorldWith(t, s)
 	cancelled := submitAfter(t, w, job(1, protocol.Array, 1), time.Minute)
 	w.Run(2 * time.Second)
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -80,7 +80,7 @@
 
 // No job is moved to the archive until all peers have reported that they support it, nor while
 // only few jobs are terminal.
-func TestNothingArchivedUntilAllPeersReadArchive(t *testing.T) {
+func TestNothingArchivedUntilAllPeersSupportArchive(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
 	w.Controllers[2].Crash()
@@ -105,8 +105,8 @@
 	}
 }
 
-// A page of the archive is corrupt. Polls for its jobs get 503, polls for all other jobs are
-// answered, and the leader does not change.
+// A page of the archive is corrupt. Polls for its jobs get 503, polls for all other jobs get 200, and
+// the leader does not change.
 func TestCorruptArchivePage(t *testing.T) {
 	w, jobs := newWorldWithArchive(t, 300)
 	var damaged string
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/protocol"
 )
 
-// BenchmarkStep measures ticks, requests, a second with waiting tasks, and a takeover at several
-// fleet sizes. The cases in which simulated time passes include the cost of the fakes.
+// BenchmarkStep measures ticks, requests, a simulated second with waiting tasks, and a takeover at
+// several fleet sizes. Where simulated time passes, the results include the cost of the fakes.
 func BenchmarkStep(b *testing.B) {
 	for _, machines := range []int{100, 400, 1600} {
 		_, leader := newFleet(b, machines)
@@ -68,11 +68,11 @@
 	arraysPerSecond float64
 	tasksPerArray   int
 	runTime         time.Duration // of each task
-	dueArrays       float64       // not submitted yet; the fraction carries over to the next step
+	dueArrays       float64       // arrays to submit; the fraction carries over to the next step
 	lastID          int
 }
 
-// newPeakLoad makes a fleet at peak load, with the given numbers of running tasks and of task
+// newPeakLoad makes a fleet at peak load with the given numbers of machines, running tasks and task
 // starts per second.
 func newPeakLoad(tb testing.TB, machines, running int, starts float64) *peakLoad {
 	tb.Helper()
--- a/internal/controller/best_effort_test.go
+++ b/internal/controller/best_effort_test.go
@@ -18,16 +18,16 @@
 	return newWorldWith(t, s)
 }
 
-// bestEffortJob is an array of the team without guaranteed resources.
+// bestEffortJob returns an array of the team without guaranteed resources.
 func bestEffortJob(id, tasks int) protocol.Submission {
 	s := job(id, protocol.Array, tasks)
 	s.Team, s.Priority, s.Spot = "guests", protocol.Low, true
 	return s
 }
 
-// Best-effort teams submit far more work than the cheap machines can run at a time, and leaders
-// crash meanwhile. No controller may provision a machine for them that costs more than twice as much
-// per task as the cheapest one. All of the work must still complete.
+// A best-effort team submits far more work than the cheap machines can run at a time, and leaders
+// crash meanwhile. No controller may provision a machine for the team that costs more than twice as
+// much per task as the cheapest one. All of the work must still complete.
 func TestBestEffortScaleOutIsLimitedByCost(t *testing.T) {
 	w := newBestEffortWorld(t)
 	w.Cloud.CapacityOf = map[string]int{"small": 3}
--- a/internal/controller/block_length_test.go
+++ b/internal/controller/block_length_test.go
@@ -38,8 +38,9 @@
 	requireNoViolations(t, w)
 }
 
-// The limits are lowered, and the settings change accordingly. With the block length of the new
-// settings, a block number would refer to other tasks, so the recorded block length must be used.
+// The limits are lowered, and the settings change accordingly. The new settings result in another
+// block length, with which a block number would refer to other tasks. A new leader must use the
+// recorded block length.
 func TestBlockLengthIsReadFromRecords(t *testing.T) {
 	s := fake.Settings()
 	s.State.ValueKB, s.State.Next = 4, nextLimits(1, 4, 40)
@@ -48,8 +49,8 @@
 	large := job(1, protocol.Array, 60)
 	large.CPUs = 0.5
 	j := w.Submit(large, 5*time.Second)
-	// Machines with tasks of the first block hang, so that later tasks end first, and fail
-	// before the controllers restart.
+	// Machines with tasks of the first block hang, so that tasks of later blocks end first. These
+	// machines fail before the controllers restart.
 	var first []string
 	w.RunUntil(60*time.Second, func() bool { return w.RunningTasks(large.ID) >= 30 })
 	for _, line := range w.Log {
@@ -82,8 +83,8 @@
 	requireNoViolations(t, w)
 }
 
-// Operators change value_kb without announcing the new limits beforehand. A job of several blocks
-// that this version accepted continues with its recorded block length.
+// Operators change value_kb without announcing the new limit beforehand. A job of several blocks that
+// this version accepted continues with its recorded block length.
 func TestMultiBlockJobSurvivesValueSizeChange(t *testing.T) {
 	for _, sizes := range [][2]float64{{4, 1}, {1, 4}} {
 		t.Run(fmt.Sprintf("from %v to %v KiB", sizes[0], sizes[1]), func(t *testing.T) {
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -68,7 +68,7 @@
 	requireNoViolations(t, w)
 }
 
-// leaderChanges are faults after which the leader n0 is replaced.
+// leaderChanges has functions that apply a fault after which the leader n0 is replaced.
 var leaderChanges = map[string]func(w *fake.World){
 	"crashes": func(w *fake.World) { w.Controllers[0].Crash() },
 	"refused": func(w *fake.World) { w.State.Unreachable["n0"] = true },
--- a/internal/controller/cancellation_failover_test.go
+++ b/internal/controller/cancellation_failover_test.go
@@ -58,7 +58,7 @@
 	failoverScenario
 	world *fake.World
 	jobs  []*fake.Job   // all but the last are cancelled
-	start time.Duration // of the refusal
+	start time.Duration // when the refusal begins
 
 	counted map[*fake.Job]bool // jobs that are included in confirmed
 	// confirmed counts the jobs whose cancellation was confirmed to the user, and confirmedOnMachine
@@ -121,7 +121,7 @@
 		r.recordsUnreadable && r.world.Leader() == nil && since > 1500*time.Millisecond
 }
 
-// schedule calls the function after the delay, unless the delay is 0.
+// schedule schedules the call after a delay, unless the delay is 0.
 func (r *failover) schedule(d time.Duration, call func()) {
 	if d > 0 {
 		r.world.After(d, call)
@@ -200,7 +200,8 @@
 	}
 }
 
-// requireOutcome fails unless the cancelled jobs have no tasks left and the other job runs.
+// requireOutcome fails unless no rule was violated, the cancelled jobs have no tasks left and the
+// other job runs.
 func (r *failover) requireOutcome(t *testing.T) {
 	t.Helper()
 	w := r.world
@@ -219,28 +220,27 @@
 
 // failoverScenarios are the scenarios that TestCancellationDuringFailover sweeps.
 var failoverScenarios = map[string]failoverScenario{
-	"no other fault":                         {},
-	"old leader partitioned":                 {peersPartitioned: true},
-	"slow responses":                         {slowResponses: true},
-	"records unreadable":                     {recordsUnreadable: true},
-	"term unknown":                           {termUnknown: true},
-	"term unknown, partitioned":              {termUnknown: true, peersPartitioned: true},
-	"records unreadable, partitioned":        {recordsUnreadable: true, peersPartitioned: true},
-	"successor crashes":                      {successorCrashAt: 6 * time.Second},
-	"successor crashes, partitioned":         {successorCrashAt: 6 * time.Second, peersPartitioned: true},
-	"successor restarts at once":             {successorCrashAt: 5 * time.Second, successorDownFor: 200 * time.Millisecond, peersPartitioned: true},
-	"successor crashes early":                {successorCrashAt: 2200 * time.Millisecond, successorDownFor: 3 * time.Second, peersPartitioned: true},
-	"successor paused":                       {successorPauseAt: 4 * time.Second, peersPartitioned: true},
-	"old leader hears a restarted successor": {peersPartitioned: true, outageAt: 7 * time.Second, successorCrashAt: 9 * time.Second, successorDownFor: 200 * time.Millisecond, healAt: 10 * time.Second},
-	"old leader can ask and not be asked":    {peersPartitioned: true, oneWay: true},
-	"no direct commands":                     {commandsLost: true},
-	"no direct commands, partitioned":        {commandsLost: true, peersPartitioned: true},
-	"old leader restarts":                    {oldLeaderRestarts: true},
-	"old leader restarts, successor crashes": {oldLeaderRestarts: true, successorCrashAt: 4 * time.Second, successorDownFor: time.Second},
+	"no other fault":                          {},
+	"old leader partitioned":                  {peersPartitioned: true},
+	"slow responses":                          {slowResponses: true},
+	"records unreadable":                      {recordsUnreadable: true},
+	"term unknown":                            {termUnknown: true},
+	"term unknown, partitioned":               {termUnknown: true, peersPartitioned: true},
+	"records unreadable, partitioned":         {recordsUnreadable: true, peersPartitioned: true},
+	"successor crashes":                       {successorCrashAt: 6 * time.Second},
+	"successor crashes, partitioned":          {successorCrashAt: 6 * time.Second, peersPartitioned: true},
+	"successor restarts at once":              {successorCrashAt: 5 * time.Second, successorDownFor: 200 * time.Millisecond, peersPartitioned: true},
+	"successor crashes early":                 {successorCrashAt: 2200 * time.Millisecond, successorDownFor: 3 * time.Second, peersPartitioned: true},
+	"successor paused":                        {successorPauseAt: 4 * time.Second, peersPartitioned: true},
+	"partition heals after successor restart": {peersPartitioned: true, outageAt: 7 * time.Second, successorCrashAt: 9 * time.Second, successorDownFor: 200 * time.Millisecond, healAt: 10 * time.Second},
+	"one-way partition":                       {peersPartitioned: true, oneWay: true},
+	"no direct commands":                      {commandsLost: true},
+	"no direct commands, partitioned":         {commandsLost: true, peersPartitioned: true},
+	"old leader restarts":                     {oldLeaderRestarts: true},
+	"old leader restarts, successor crashes":  {oldLeaderRestarts: true, successorCrashAt: 4 * time.Second, successorDownFor: time.Second},
 }
 
-// sweep returns variants of the scenario that differ in the times of the cancellation and the
-// outage after the refusal, and in the time of the refusal after the workers' heartbeats.
+// sweep returns variants of the scenario that differ in phase, cancelAt and outageAt.
 func (s failoverScenario) sweep(phases, steps int) []failoverScenario {
 	var scenarios []failoverScenario
 	for phase := range phases {
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -8,9 +8,9 @@
 	"oakpick/internal/message"
 )
 
-// The number of machines and jobs that the leader examines grows with the number of machines or
-// of waiting tasks, but not with their product, and is independent of both for a request that
-// concerns a single job or machine.
+// The numbers of machines and jobs that the leader examines may grow with the number of machines or
+// with the number of waiting tasks, but not with their product. For polls, they must be
+// independent of both.
 func TestDecisionCostScalesLinearly(t *testing.T) {
 	for _, machines := range []int{100, 400} {
 		t.Run(fmt.Sprint(machines, " machines"), func(t *testing.T) {
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -10,11 +10,13 @@
 	"oakpick/internal/protocol"
 )
 
-// No task may start before its job's record is durable. Here, the transaction with the job's record
-// is lost, delayed or refused, those with the job's other blocks succeed, and the leader crashes. The
-// next leader does not know the job, and the user submits it again. The machines that may have
-// received starts after the first submission do not respond. In a large benchmark run, a new leader
-// logged "block of an unknown job dropped" in this situation and dropped the starts in the block.
+// No task may start before its job's record is durable. The transaction with the job's record is lost,
+// delayed or refused, those with the job's other blocks succeed, and the leader crashes. The next
+// leader does not know the job, and the user submits it again. A machine that may have received
+// starts after the first submission does not respond.
+//
+// This guards against a fault that occurred in a large benchmark run: a new leader logged "block of an
+// unknown job dropped" in this situation and lost the starts in the block.
 func TestNoStartBeforeJobIsDurable(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []protocol.JobKind{protocol.Array, protocol.Gang, protocol.Service} {
@@ -74,9 +76,9 @@
 	}
 }
 
-// All prerequisites of a job are completed, so the job could start at once. The list of its
-// prerequisites is stored in separate records. The job must not become durable before these
-// records are, whichever write is lost.
+// All prerequisites of a job are done, so the job could start at once. The list of its prerequisites
+// is stored in separate records. Whichever write is lost, the job's record must not become durable
+// before these records.
 func TestNoStartBeforePrerequisitesAreDurable(t *testing.T) {
 	t.Parallel()
 	for lost := 1; lost <= 4; lost++ {
--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -151,7 +151,7 @@
 		trace.out = io.MultiWriter(digest, file)
 	}
 	tw := newTraceWorld(seed)
-	tw.world.OnEffect = func(node string, effect message.Effect) { trace.add(tw.world.Now, node, effect) }
+	tw.world.OnEffect = func(controller string, effect message.Effect) { trace.add(tw.world.Now, controller, effect) }
 	tw.run()
 	if trace.effects == 0 {
 		t.Fatalf("seed %d: the controllers emitted no effects", seed)
@@ -169,7 +169,7 @@
 var machinesExaminedField = regexp.MustCompile(`"machines_looked_at": \d+`)
 
 // add writes an effect as it appears on the wire or in the state service.
-func (e *effectTrace) add(now time.Duration, node string, effect message.Effect) {
+func (e *effectTrace) add(now time.Duration, controller string, effect message.Effect) {
 	line := ""
 	switch x := effect.(type) {
 	case message.Reply:
@@ -192,7 +192,7 @@
 		panic(fmt.Sprintf("unknown effect %T", x))
 	}
 	e.effects++
-	if _, err := fmt.Fprintf(e.out, "%d %s %s\n", now, node, line); err != nil {
+	if _, err := fmt.Fprintf(e.out, "%d %s %s\n", now, controller, line); err != nil {
 		panic(err)
 	}
 }
@@ -203,7 +203,7 @@
 	random           *rand.Rand
 	teams            []string
 	submitted        int
-	blocked          map[string]bool // "from>to", links that lose every request
+	blocked          map[string]bool // links that lose every request, as "from>to"
 	lossPercent      int             // of requests and of responses
 	duplicatePercent int             // of requests
 	stateLatency     time.Duration   // added to the state service's responses
@@ -469,7 +469,7 @@
 	tw.world.After(tw.randomMillis(0, 8000), n.Start)
 }
 
-// partition loses all messages between a node and the given other nodes for a limited time.
+// partition loses all messages between one process and others for the duration d.
 func (tw *traceWorld) partition(name string, d time.Duration, others ...string) {
 	set := func(blocked bool) {
 		for _, other := range others {
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -94,8 +94,8 @@
 	PrerequisiteArchived   = "archived"
 )
 
-// PrerequisiteKind returns which of these kinds an accepted job is, or an empty string if the
-// controller does not lead.
+// PrerequisiteKind returns the kind of prerequisite that an accepted job would be, or an empty string
+// if the controller does not lead.
 func (c *Controller) PrerequisiteKind(id string) string {
 	if c.leader == nil {
 		return ""
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -19,7 +19,7 @@
 	return j
 }
 
-// countStarts counts, by job, the task starts that workers execute from now on.
+// countStarts returns a map that counts, by job ID, the task starts that workers execute from now on.
 func countStarts(w *fake.World) map[string]int {
 	starts := map[string]int{}
 	w.OnStart = func(j *fake.Job, _ int) { starts[j.Submission.ID]++ }
@@ -130,7 +130,8 @@
 	requireNoViolations(t, w)
 }
 
-// A faulty machine is detected even while many jobs always fail, and no other machine is cordoned.
+// A faulty machine must be cordoned even while many jobs always fail, and no other machine may be
+// cordoned.
 func TestFaultyMachineCordonedAmongFailingJobs(t *testing.T) {
 	w := newWorld(t)
 	a := w.Submit(service(50, 1), 0)
@@ -155,9 +156,9 @@
 	requireAllServed(t, w)
 }
 
-// A job fails on three faulty machines, and the failures are attributed to the job. Once its next
-// attempt succeeds, its remaining tasks start without delay.
-func TestWronglyBlamedJobRecovers(t *testing.T) {
+// The tasks of a job fail on several faulty machines, and the leader attributes the failures to the
+// job. Once an attempt succeeds, the remaining tasks must start without further backoff.
+func TestMisattributedFailuresDoNotDelayJob(t *testing.T) {
 	w := newWorld(t)
 	s := job(1, protocol.Array, 12)
 	s.CPUs = 2
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -35,11 +35,11 @@
 	requireAllServed(t, w)
 }
 
-// A start command gets no response, and later commands to the machine are lost. Its heartbeats
-// arrive and do not list the task. The task must not run elsewhere until a higher fencing token has
-// invalidated the start command, which may arrive just before that or much later. The job is
-// submitted at different times within the heartbeat interval, so that in some cases a heartbeat
-// arrives between the timeout of the commands and the next attempt.
+// A start command gets no response, and later commands to the machine are lost. The machine's
+// heartbeats arrive and do not list the task. The task must not run elsewhere until a higher fencing
+// token has invalidated the start command, which may arrive just before that or much later. The time
+// of the submission within the heartbeat interval varies, so that in some cases a heartbeat arrives
+// between the timeout of the command and the next attempt.
 func TestUnconfirmedStartIsFencedBeforeRetry(t *testing.T) {
 	for at := range 40 {
 		late := []time.Duration{2500, 2900, 3300, 30_000}[at%4]
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -36,8 +36,8 @@
 	requireNoViolations(t, w)
 }
 
-// An empty machine is partitioned while the leader crashes. The successor knows it only from the
-// cloud's inventory, which lists it as running. The machine must not be treated as one that failed
+// An empty machine is partitioned while the leader crashes. The successor knows the machine only from
+// the cloud's inventory, which lists it as running. The machine must not be treated as one that failed
 // to boot, and must still exist when the partition heals.
 func TestPartitionedMachineIsNotScaledInAfterFailover(t *testing.T) {
 	w := newWorld(t)
@@ -185,9 +185,9 @@
 	requireNoViolations(t, w)
 }
 
-// An expensive machine is booting that has room for waiting tasks, but cheap machines would run them
-// sooner. The cheap machines are provisioned once, not again in each planning cycle until the
-// expensive one is up.
+// An expensive machine that has room for waiting tasks is booting, but cheap machines would run the
+// tasks sooner. The cheap machines must be provisioned only once, not in each planning cycle until the
+// expensive machine is up.
 func TestNoDuplicateScaleOutWhileExpensiveMachineBoots(t *testing.T) {
 	w := newWorld(t)
 	adminRequest(w, 0, message.AdminChange, `{"warm_room": 0}`)
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -20,9 +20,9 @@
 		has    []string // kinds of records that must occur
 		hasNot []string
 	}{
-		{productionFile, []string{"jobs", "blocks", "finals", "rentals", "options"}, []string{"extensions"}},
-		{pipelinesFile, []string{"jobs", "blocks", "finals", "rentals", "options", "extensions"}, nil},
-		{dividingFile, []string{"jobs", "blocks"}, nil},
+		{productionFile, []string{"jobs", "blocks", "terminal", "provisioning", "options"}, []string{"extensions"}},
+		{pipelinesFile, []string{"jobs", "blocks", "terminal", "provisioning", "options", "extensions"}, nil},
+		{pageSplitFile, []string{"jobs", "blocks"}, nil},
 	} {
 		t.Run(test.file, func(t *testing.T) {
 			records := map[string]int{}
@@ -67,11 +67,11 @@
 	return nil
 }
 
-// A leader of this version takes over the pages of an earlier version, even if the earlier one was
-// still splitting them. The new leader knows every job, reports the status of the ended jobs, and
+// A leader of this version takes over the pages of an earlier version, even if that version was still
+// splitting them. The new leader knows every job, reports the status of the ended jobs, and
 // loses no job when it splits the pages for the lower limits that were announced.
 func TestTakeOverOfEarlierVersionsPages(t *testing.T) {
-	for _, file := range []string{productionFile, pipelinesFile, dividingFile} {
+	for _, file := range []string{productionFile, pipelinesFile, pageSplitFile} {
 		t.Run(file, func(t *testing.T) {
 			pages := goldenPages(t, file)
 			unfinished, finished := recordedJobs(t, pages)
@@ -120,18 +120,17 @@
 // The production version decodes the messages between peers as this version does.
 func TestPeerMessagesMatchProduction(t *testing.T) {
 	request := protocol.Encode(protocol.StepDownRequest{Term: 1 << 40, Leader: "n1"})
-	if !bytes.Equal(roundTrip[productionStepDown](request), request) {
+	if !bytes.Equal(roundTrip[productionStepDownRequest](request), request) {
 		t.Error("production decodes a step-down request differently")
 	}
 	answer := protocol.Encode(protocol.StepDownResponse{SteppedDown: true, LastLoadedTerm: 1 << 40, UptimeMs: 5})
-	if !bytes.Equal(roundTrip[productionStepDownAnswer](answer), answer) {
+	if !bytes.Equal(roundTrip[productionStepDownResponse](answer), answer) {
 		t.Error("production decodes a step-down response differently")
 	}
 }
 
-// When prerequisites are used, the first version with prerequisites decodes every stored value and
-// encodes it to the same bytes. It could therefore have written the value itself, and can run
-// beside this version.
+// When jobs with prerequisites are stored, the first version with prerequisites decodes every stored
+// value and encodes it to the same bytes, so it can run beside this version.
 func TestPipelineRecordsMatchFirstVersion(t *testing.T) {
 	s := fake.Settings()
 	s.State.Next = nextLimits(1, 3, 25)
@@ -157,8 +156,8 @@
 	requirePipelineOutcome(t, w, jobs)
 }
 
-// While no new feature is used, production decodes every stored value and encodes it to the same
-// bytes, so it could have written the value itself.
+// While no new feature is used, the version in production decodes every stored value and encodes it to
+// the same bytes, so it can run beside this version.
 func TestProductionFormatUnlessNewFeaturesUsed(t *testing.T) {
 	w := fake.NewWorld(fake.Settings())
 	seen := 0
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -8,8 +8,8 @@
 	"oakpick/internal/protocol"
 )
 
-// A machine that runs a member of a gang fails: the other members are stopped, and all members
-// start again together in the next attempt.
+// A machine that runs a member of a gang fails. The other members are stopped, and all members start
+// again together in the next attempt.
 func TestGangRestartsTogether(t *testing.T) {
 	w := newWorld(t)
 	s := job(1, protocol.Gang, 3)
--- a/internal/controller/grace_period_test.go
+++ b/internal/controller/grace_period_test.go
@@ -16,7 +16,8 @@
 // whether that peer has led in the meantime. If the outage ends before the heartbeat grace period and
 // the workers' leases have expired, no replica is lost. If it lasts longer, all replicas are lost,
 // but none runs twice. While all peers answer that they haven't led, no replica is lost, however long
-// the outage lasts. A restarted peer doesn't know whether its earlier process led.
+// the outage lasts. A restarted peer can't give this answer, because it doesn't know whether its
+// earlier process led.
 func TestStateOutageAroundHeartbeatGracePeriod(t *testing.T) {
 	for _, test := range []struct {
 		name  string
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// Copies of a worker's heartbeats, also of an earlier incarnation, are sent to every controller as
-// soon as a new leader is elected. They must not prove that a task is absent or present, that the
-// machine is alive, or that its lease has expired.
+// Copies of a worker's earlier heartbeats, some of them of an earlier incarnation, are sent to every
+// controller as soon as a new leader is elected. The leader must not conclude from them that a task is
+// absent or present, that the machine is alive, or that its lease has expired.
 func TestStaleHeartbeatsReachNewLeader(t *testing.T) {
 	for _, died := range []bool{false, true} {
 		t.Run(fmt.Sprint("machine has died ", died), func(t *testing.T) {
--- a/internal/controller/helpers_archive_test.go
+++ b/internal/controller/helpers_archive_test.go
@@ -72,12 +72,13 @@
 	}
 }
 
-// completeJobs submits count small jobs, numbered from first on, and waits until they are done.
+// completeJobs submits count small jobs with IDs in the 100,000 numbers from first on, and waits until
+// they are done.
 func completeJobs(t *testing.T, w *fake.World, first, count int) []*fake.Job {
 	t.Helper()
 	var jobs []*fake.Job
 	for n := range count {
-		s := job(first+n*7919%100_000, protocol.Array, 1) // IDs in no order
+		s := job(first+n*7919%100_000, protocol.Array, 1) // not in the order of the IDs
 		s.CPUs, s.MemoryGB, s.ImageGB = 0.05, 0.05, 0.01
 		jobs = append(jobs, w.Submit(s, 500*time.Millisecond))
 	}
@@ -91,7 +92,7 @@
 	return jobs
 }
 
-// waitArchived waits until no more ended jobs have to be moved to the archive.
+// waitArchived waits until at most terminalJobsInMemory ended jobs are left on record pages.
 func waitArchived(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
 	for range 600 {
@@ -105,7 +106,8 @@
 	t.Fatalf("%d ended jobs are on record pages, %d in the archive\n%s", len(pages), len(archive), logTail(w, 20))
 }
 
-// newWorldWithArchive makes a world with count ended jobs, most of which are in the archive.
+// newWorldWithArchive makes a world with the given number of done jobs, most of which are in the
+// archive. It also returns the jobs.
 func newWorldWithArchive(t *testing.T, count int) (*fake.World, []*fake.Job) {
 	t.Helper()
 	w := newWorldWith(t, smallMemorySettings())
--- a/internal/controller/helpers_durability_test.go
+++ b/internal/controller/helpers_durability_test.go
@@ -29,9 +29,8 @@
 	return s
 }
 
-// requireParentRecords fails if a record is durable before the record that it belongs to: a block
-// without its job, or a job without some of its prerequisites. prerequisites has the number of
-// prerequisites by job ID.
+// requireParentRecords fails if a block is durable before its job, or a job before the records of all
+// its prerequisites. The map has the number of prerequisites by job ID.
 func requireParentRecords(t *testing.T, w *fake.World, prerequisites map[string]int) {
 	t.Helper()
 	jobs, blocks, named := map[string]bool{}, map[string]bool{}, map[string]int{}
@@ -68,8 +67,8 @@
 	}
 }
 
-// injectFirstWriteFault makes the first transaction that writes pages lost, late or refused, as
-// given by fault. All others succeed.
+// injectFirstWriteFault makes the first transaction that writes pages be lost, late or refused, as
+// given by fault. The next ones succeed.
 func injectFirstWriteFault(w *fake.World, fault string) {
 	w.SeparatePageWrites = true
 	writes := 0
--- a/internal/controller/helpers_formats_test.go
+++ b/internal/controller/helpers_formats_test.go
@@ -52,7 +52,7 @@
 // pagesOf returns the pages in the state service of a world.
 func pagesOf(w *fake.World) map[string][]byte { return onlyPages(w.State.Values()) }
 
-// onlyPages removes all values but pages.
+// onlyPages removes all values but record pages from the map, and returns the map.
 func onlyPages(values map[string][]byte) map[string][]byte {
 	maps.DeleteFunc(values, func(key string, _ []byte) bool { return !strings.HasPrefix(key, storage.PagePrefix) })
 	return values
@@ -61,7 +61,7 @@
 const (
 	productionFile = "production/values.json"
 	pipelinesFile  = "pipelines/values.json"
-	dividingFile   = "pipelines/dividing.json"
+	pageSplitFile  = "pipelines/dividing.json"
 )
 
 // recordKinds counts the records of a page by kind.
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	return map[string]int{
-		"jobs": len(page.Jobs), "blocks": len(page.Blocks), "finals": len(page.Terminal), "rentals": len(page.Provisioning),
+		"jobs": len(page.Jobs), "blocks": len(page.Blocks), "terminal": len(page.Terminal), "provisioning": len(page.Provisioning),
 		"options": len(page.Options), "extensions": len(page.Extensions),
 		"prerequisites": len(page.Prerequisites),
 	}
--- a/internal/controller/helpers_pipeline_test.go
+++ b/internal/controller/helpers_pipeline_test.go
@@ -38,8 +38,8 @@
 	return w.Submit(s, run)
 }
 
-// submitPipeline submits a pipeline of four jobs, each of which needs the one before: two arrays, a
-// gang, and an array with high priority and a deadline.
+// submitPipeline submits a pipeline of four jobs, numbered from first on, each of which depends on the
+// one before: two arrays, a gang, and an array with high priority and a deadline.
 func submitPipeline(t *testing.T, w *fake.World, first int) []*fake.Job {
 	t.Helper()
 	clean, split, evaluate, publish := job(first, protocol.Array, 2), job(first+1, protocol.Array, 4), job(first+2, protocol.Gang, 2), job(first+3, protocol.Array, 1)
@@ -51,8 +51,8 @@
 	return []*fake.Job{a, b, c, d}
 }
 
-// requirePipelineOutcome fails unless every job of a pipeline is done, or all jobs from the first
-// cancelled one on are cancelled and those before it are done.
+// requirePipelineOutcome fails unless the jobs before the first cancelled one are done and all later
+// jobs are cancelled. If no job is cancelled, all must be done.
 func requirePipelineOutcome(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
 	cancelled := false
--- a/internal/controller/helpers_takeover_test.go
+++ b/internal/controller/helpers_takeover_test.go
@@ -39,8 +39,8 @@
 }
 
 // newWorldWithRecords makes a world whose state service holds records of unfinished jobs, of ended
-// jobs that a leader keeps in memory, and of archived jobs, in the given numbers. All its
-// controllers are down; the configuration is for a new one.
+// jobs that a leader keeps in memory, and of archived jobs, in the given numbers. All controllers of
+// the world are down. The returned configuration is for another controller.
 func newWorldWithRecords(unfinished, kept, archived int) (*fake.World, *config.Config) {
 	s := fake.Settings()
 	s.State.ValueKB = 8
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -149,7 +149,8 @@
 	w.Run(time.Second)
 }
 
-// queryRapidly schedules queries about jobs at every controller, every 7 ms for the duration d.
+// queryRapidly polls and resubmits jobs at every controller every 7 ms for the duration d. It only
+// schedules the requests, and lets no time pass.
 func queryRapidly(w *fake.World, jobs []*fake.Job, d time.Duration) {
 	for at := time.Duration(0); at < d; at += 7 * time.Millisecond {
 		w.After(at, func() {
@@ -160,8 +161,8 @@
 	}
 }
 
-// queryRepeatedly queries jobs at every controller and submits them again there, the given number of
-// times and each time after an interval.
+// queryRepeatedly polls and resubmits jobs at every controller the given number of times, each time
+// after an interval.
 func queryRepeatedly(w *fake.World, jobs []*fake.Job, times int, interval time.Duration) {
 	for range times {
 		w.Run(interval)
--- a/internal/controller/helpers_upgrade_test.go
+++ b/internal/controller/helpers_upgrade_test.go
@@ -31,7 +31,7 @@
 	return &config.StateNext{ValueKB: &valueKB, TxnOps: &txnOps, WriteRPS: &writeRPS}
 }
 
-// upgrade replaces a controller's process by one of the new version, which starts after a time.
+// upgrade crashes a controller's process and starts one of the new version after a time.
 func upgrade(w *fake.World, c *fake.Controller, after time.Duration) {
 	c.Crash()
 	c.RunsProductionVersion = false
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// largeFleet is the number of machines of the largest fleet that users run. No fixed limit may
-	// be lower.
+	// largeFleet is the number of machines of the largest fleet that users run. No fixed limit of the
+	// controllers may be lower.
 	largeFleet = 4000
 	// rackMachines is the number of machines that fail together.
 	rackMachines   = 40
--- a/internal/controller/late_page_creation_test.go
+++ b/internal/controller/late_page_creation_test.go
@@ -12,17 +12,15 @@
 // Duplicates of all writes arrive after the jobs that they recorded have been moved to the archive
 // and their pages are empty. Then the leader crashes. Jobs that were reported as done must stay done.
 //
-// The test guards against a late duplicate that creates a page again. Moving jobs to the archive
-// used to delete a page that it emptied. The write that creates a page is conditional only on the
-// page's absence and on the fencing token, so a duplicate in the same term succeeded and restored
-// the first record of an archived job, which the next leader took for a job that has not started.
-// Found with -rapid.seed=895798: the write that creates page/000002 came at 22.4 s and again at
-// 23.5 s, and the move deleted the page at 30.2 s. The term ended at 39.2 s ("a write met another
-// leader's"), followed by the violation "went_back: wk-000007: queued after done".
+// This guards against a late duplicate that creates a page again. A move to the archive used to delete
+// the pages that it emptied. The write that creates a page is conditional only on the page's absence
+// and on the fencing token, so a duplicate in the same term succeeded and restored the first record of
+// an archived job. The next leader took the job for one that has not started, which a random test with
+// -rapid.seed=895798 reported as "went_back: wk-000007: queued after done".
 func TestLateDuplicateOfPageCreationAfterArchiving(t *testing.T) {
 	for _, copied := range []time.Duration{4 * time.Second, 8 * time.Second, 12 * time.Second} {
 		s := fake.Settings()
-		s.Limits.MemoryMB = 0.02 // one ended job is kept in memory
+		s.Limits.MemoryMB = 0.02 // the leader keeps one terminal job in memory
 		w := newWorldWith(t, s)
 		provisionIdleMachines(t, w)
 		w.SeparatePageWrites = true
--- a/internal/controller/leadership_end_test.go
+++ b/internal/controller/leadership_end_test.go
@@ -12,11 +12,12 @@
 	"oakpick/internal/storage"
 )
 
-// termLost is the message that a node logs when its term ends.
+// termLost is the message that a controller logs when its term ends.
 const termLost = "term lost"
 
 // checkLeaderEffects returns an error if an effect that requires leadership follows the end of the
-// node's term in the same step, or if a request to provision or release a machine has no time limit.
+// controller's term in the same step, or if a request to provision or terminate machines has no time
+// limit.
 func checkLeaderEffects(c *fake.Controller, effects []message.Effect) error {
 	ended := false
 	for _, effect := range effects {
@@ -37,8 +38,8 @@
 	return call.Op == message.CloudScaleOut || call.Op == message.CloudScaleIn
 }
 
-// needsLeadership reports whether an effect requires leadership. Every node may tell its peers that
-// it has stepped down, and report its status to operators.
+// needsLeadership reports whether an effect requires leadership. Every controller may tell its peers
+// that it has stepped down, and report its status to operators.
 func needsLeadership(c *fake.Controller, effect message.Effect) bool {
 	switch effect := effect.(type) {
 	case message.CloudCall, message.CommandsCall:
@@ -65,10 +66,10 @@
 	return false
 }
 
-// The leader loses the connection to all workers while machines have to be provisioned and released,
-// and resigns. From then on, also in the same step, none of its effects may require leadership. By
-// the time such a request is sent, another leader may have placed tasks that the former leader
-// doesn't know of, and the request could release a machine that has tasks again.
+// The leader loses the connection to all workers while machines have to be provisioned and scaled in,
+// and resigns. From then on, also in the same step, none of its effects may require leadership. By the
+// time such a request is sent, another leader may have placed tasks that the former leader doesn't
+// know, and the request could terminate a machine with such tasks.
 func TestNoLeaderEffectsAfterResignation(t *testing.T) {
 	t.Parallel()
 	resigned := 0
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -29,11 +29,11 @@
 }
 
 // stateServiceStub responds immediately, except to reads of pages and renewals of leases. It stores
-// the last call of each, so that the test can respond later.
+// the last read and the last renewal, so that the test can respond later.
 type stateServiceStub struct {
 	read, renewal message.StateCall
 	term          int64 // of the last write of the leader's key
-	pageWrites    int   // each of them gets a conflict
+	pageWrites    int   // number of page writes, all of which fail with a conflict
 }
 
 // respond returns the response to a call, or nil if the call is stored.
@@ -65,8 +65,8 @@
 }
 
 // After a conflict, the leader reads the page to find out whether an earlier copy of its write was
-// carried out. It loses its lease before the response, and leads again. The response to the read,
-// which was about a write of the earlier term, must not end the new term.
+// executed. It loses its lease before the response arrives, and is elected again. The response belongs
+// to the earlier term and must not end the new one.
 func TestResponseFromEarlierTermIsIgnored(t *testing.T) {
 	state := &stateServiceStub{}
 	c := newSteppedController(&config.Config{Node: "n0", Settings: fake.Settings()}, state.respond)
@@ -184,8 +184,8 @@
 	requireNoViolations(t, w)
 }
 
-// The three tasks of a job end at different times, two of them on hung workers, and the leader
-// changes between the ends. Each end counts once, and the job is done.
+// The three tasks of a job end at different times, because the workers of two of them hang, and the
+// leader changes in between. Each end must count once, and the job must be done.
 func TestTaskEndsSpreadOverLeaderChanges(t *testing.T) {
 	for _, kind := range []protocol.JobKind{protocol.Array, protocol.Gang} {
 		for step := range 6 {
@@ -263,10 +263,10 @@
 	}
 }
 
-// All controllers are down for longer than a worker's lease. Then all of them restart, or one
-// restarts first. No task starts before its earlier attempt has certainly ended, and then all tasks
-// run again.
-func TestAllControllersDownLongerThanLease(t *testing.T) {
+// All controllers are down for about as long as a worker's lease, or longer. Then all of them restart,
+// or one restarts first. No task starts before its earlier attempt has certainly ended, and in the end
+// all tasks run again.
+func TestAllControllersDownAroundLeaseDuration(t *testing.T) {
 	for _, back := range []int{1, 3} {
 		for away := 8 * time.Second; away <= 16*time.Second; away += 700 * time.Millisecond {
 			w := newWorld(t)
--- a/internal/controller/many_prerequisites_test.go
+++ b/internal/controller/many_prerequisites_test.go
@@ -14,8 +14,8 @@
 // A job names far more prerequisites than one page holds. The leader crashes between any two writes
 // of the acceptance while the user repeats the submission, in some cases also while a prerequisite
 // is cancelled. A new leader must find the job with all its prerequisites or not at all. The job
-// starts once its last prerequisite is done, or is cancelled with one, and leaves no records of
-// prerequisites.
+// starts once its last prerequisite is done, or is cancelled with one of them, and leaves no records
+// of prerequisites.
 func TestMorePrerequisitesThanOnePageHolds(t *testing.T) {
 	t.Parallel()
 	for writes := range 5 {
@@ -28,8 +28,8 @@
 	}
 }
 
-// newWorldWithManyPrerequisites makes a world with many jobs that are done and one that still runs.
-// It returns a submission that names them all, and the running job.
+// newWorldWithManyPrerequisites makes a world with many done jobs and one running job. It also returns
+// a submission that names all of them as prerequisites, and the running job.
 func newWorldWithManyPrerequisites(t *testing.T) (*fake.World, protocol.Submission, *fake.Job) {
 	t.Helper()
 	const named = 400
@@ -98,7 +98,7 @@
 		delivery := fake.Reliable()
 		if kind == fake.KindPageWrite {
 			sent++
-			delivery.LoseRequest = sent == writes+1 || sent == writes+2 // later writes are carried out
+			delivery.LoseRequest = sent == writes+1 || sent == writes+2 // later writes are executed
 		}
 		return delivery
 	}
--- a/internal/controller/mixed_prerequisites_test.go
+++ b/internal/controller/mixed_prerequisites_test.go
@@ -14,7 +14,7 @@
 func newWorldWithCancelledInArchive(t *testing.T) (w *fake.World, cancelled *fake.Job) {
 	t.Helper()
 	s := smallMemorySettings()
-	s.Limits.MemoryMB = 0.02 // one ended job is kept in memory
+	s.Limits.MemoryMB = 0.02 // the leader keeps one terminal job in memory
 	w = newWorldWith(t, s)
 	cancelled = submitAfter(t, w, job(1, protocol.Array, 1), time.Minute)
 	w.Run(2 * time.Second)
@@ -31,8 +31,8 @@
 	return w, cancelled
 }
 
-// checkDependenciesAlways makes the test fail as soon as a leader's dependency graph contains a job
-// that has ended or lacks a job that waits.
+// checkDependenciesAlways fails the test as soon as a leader's dependency graph contains a job that has
+// ended or lacks a waiting job.
 func checkDependenciesAlways(t *testing.T, w *fake.World) {
 	t.Helper()
 	w.OnStep = func(c *fake.Controller, _ []message.Effect) {
@@ -44,29 +44,30 @@
 
 // writeFaults has functions that apply a fault to one write of the leader n0 and may crash n0.
 var writeFaults = map[string]func(w *fake.World, delivery *fake.Delivery){
-	"lost, leader ends": func(w *fake.World, delivery *fake.Delivery) {
+	"lost, leader crashes": func(w *fake.World, delivery *fake.Delivery) {
 		delivery.LoseRequest = true
 		crashFor(w, w.Controllers[0], 3*time.Second)
 	},
-	"carried out, leader ends": func(w *fake.World, _ *fake.Delivery) {
+	"executed, leader crashes": func(w *fake.World, _ *fake.Delivery) {
 		w.After(5*time.Millisecond, func() { crashFor(w, w.Controllers[0], 3*time.Second) })
 	},
-	"carried out late, leader ends": func(w *fake.World, delivery *fake.Delivery) {
+	"executed late, leader crashes": func(w *fake.World, delivery *fake.Delivery) {
 		delivery.RequestDelay = 4 * time.Second
 		crashFor(w, w.Controllers[0], 3*time.Second)
 	},
-	"answer lost":      func(_ *fake.World, delivery *fake.Delivery) { delivery.LoseResponse = true },
-	"carried out late": func(_ *fake.World, delivery *fake.Delivery) { delivery.RequestDelay = 4 * time.Second },
+	"response lost": func(_ *fake.World, delivery *fake.Delivery) { delivery.LoseResponse = true },
+	"executed late": func(_ *fake.World, delivery *fake.Delivery) { delivery.RequestDelay = 4 * time.Second },
 }
 
 // A job depends on an archived cancelled job and on an unfinished one, and further jobs depend on
 // these. The leader crashes at any of its writes, or the responses of the state service are late or
 // lost. The users of the jobs that depend on the cancelled one are told within cancel_s that their
-// jobs are cancelled, and no node reports an older status afterwards. The unfinished job, and a job
-// that needs only that one, are done.
+// jobs are cancelled, and no controller reports an older status afterwards. The unfinished job and a
+// job that depends only on that one are done in the end.
 //
-// Before the fix of docs/incidents/2026-12-03-cancelled-job-in-dependency-graph.md, 39 of the 40
-// cases failed with "wk-000003 is in the graph, and its job is over or refers to another node".
+// This guards against edges of a cancelled job that remain in the dependency graph
+// (docs/incidents/2026-12-03-cancelled-job-in-dependency-graph.md), with which 39 of the 40 cases
+// failed.
 func TestMixedPrerequisitesDuringLeaderFaults(t *testing.T) {
 	t.Parallel()
 	const writes = 8 // in the scenario without faults
--- a/internal/controller/model_actions_test.go
+++ b/internal/controller/model_actions_test.go
@@ -20,8 +20,8 @@
 // String returns the name, under which a failing draw is printed.
 func (a action) String() string { return a.name }
 
-// actions are drawn with equal probability. An action that is listed twice is drawn twice as often.
-// Their order and number decide which worlds a seed generates.
+// actions are drawn with equal probability. An action that is listed twice is drawn twice as often. The
+// order and number of the actions determine the worlds that a seed generates.
 var actions = []action{
 	{"submit", (*randomWorld).submit},
 	{"submit", (*randomWorld).submit},
@@ -235,7 +235,7 @@
 	d.world.After(d.drawSeconds("for", 40), func() { delete(d.network.heartbeatsLost, machine) })
 }
 
-// recordHeartbeats records heartbeats, which replayHeartbeats sends again.
+// recordHeartbeats starts to record heartbeats, which replayHeartbeats sends again.
 func (d *randomWorld) recordHeartbeats() {
 	const most = 300
 	d.world.OnHeartbeat = func(heartbeat protocol.Heartbeat) {
@@ -246,7 +246,7 @@
 	}
 }
 
-// hangWorker makes a worker hang. Its lease keeps running.
+// hangWorker makes a worker hang. The worker's lease may expire meanwhile.
 func (d *randomWorld) hangWorker() {
 	if worker, _ := d.drawWorker(); worker != nil {
 		worker.HangUntil = d.world.Now + d.drawSeconds("for", 30)
--- a/internal/controller/model_network_test.go
+++ b/internal/controller/model_network_test.go
@@ -21,7 +21,7 @@
 
 	// Probabilities of faults for each message.
 	lossPercent, latePercent, duplicatePercent int
-	stateLatency                               time.Duration // of responses of the state service
+	stateLatency                               time.Duration // added to responses of the state service
 }
 
 // newRandomNetwork makes a network without faults.
--- a/internal/controller/model_prerequisites_test.go
+++ b/internal/controller/model_prerequisites_test.go
@@ -17,14 +17,13 @@
 
 // TestPrerequisiteInvariantsUnderRandomFaults runs random pipelines. Jobs name archived, ended,
 // cancelled and unfinished jobs in any combination, several levels deep, also with prerequisites in
-// records of their own, while controllers crash and are upgraded and responses of the state service
+// separate records, while controllers crash and are upgraded and responses of the state service
 // are late or lost. After every step of a controller, the dependency graph contains only unfinished
 // jobs, and at the end all controllers report the same.
 //
-// It guards against a job that is cancelled on submission and still gets an edge to an unfinished
-// prerequisite (docs/incidents/2026-12-03-cancelled-job-in-dependency-graph.md). Before the fix, its
-// second world failed with "wk-000004 is in the graph, and its job is over or refers to another
-// node".
+// This guards against a job that is cancelled on submission and still gets an edge to an unfinished
+// prerequisite (docs/incidents/2026-12-03-cancelled-job-in-dependency-graph.md). With that fault, the
+// second world of the test failed.
 func TestPrerequisiteInvariantsUnderRandomFaults(t *testing.T) {
 	coverage := &pipelineCoverage{byPrerequisiteKinds: map[string]int{}, jobsWithParts: map[string]bool{}}
 	rapid.Check(t, func(t *rapid.T) {
@@ -45,7 +44,7 @@
 	coverage.requireCovered(t)
 }
 
-// maxPipelineJobs is the maximum number of jobs in a random world of pipelines.
+// maxPipelineJobs is the maximum number of jobs in a world of newPipelineWorld.
 const maxPipelineJobs = 16
 
 // pipelineActions are drawn with equal probability. An action that is listed twice is drawn twice as
@@ -155,7 +154,7 @@
 	worlds, submissions int
 	byPrerequisiteKinds map[string]int  // submissions by the kinds of their prerequisites
 	maxDepth            int             // number of edges on the longest path from a job to a job without prerequisites
-	jobsWithParts       map[string]bool // jobs with prerequisites in records of their own
+	jobsWithParts       map[string]bool // jobs whose prerequisites are in separate records
 	afterUpgrade        int             // submissions with prerequisites in worlds that started with the version in production
 }
 
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -14,8 +14,8 @@
 	"oakpick/internal/protocol"
 )
 
-// TestInvariantsUnderRandomFaults runs random worlds: jobs of all kinds, with crashes, partitions,
-// outages, hangs, and lost, late and duplicated messages in any order. The invariants hold
+// TestInvariantsUnderRandomFaults runs worlds with random jobs of all kinds, and with crashes,
+// partitions, outages, hangs, and lost, late and duplicated messages in any order. The invariants hold
 // throughout, and once the faults have ended, every job is served.
 func TestInvariantsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -233,7 +233,8 @@
 	d.world.Run(time.Second)
 }
 
-// requireRecentAnswers fails unless a query about every accepted job was answered recently.
+// requireRecentAnswers fails unless a query for every accepted job was answered after the given time
+// and within the last 75 seconds.
 func (d *randomWorld) requireRecentAnswers(since time.Duration) {
 	for id, j := range d.world.Jobs {
 		if j.Accepted && j.AnsweredAt < max(since, d.world.Now-75*time.Second) {
--- a/internal/controller/paused_controllers_test.go
+++ b/internal/controller/paused_controllers_test.go
@@ -66,7 +66,7 @@
 }
 
 // The leader crashes, and its lease expires at about the time at which another controller resumes
-// from a pause. The third controller, which was not paused, must be the next to lead.
+// from a pause. The third controller, which was not paused, must become the leader.
 func TestElectionPrefersControllerThatWasNotPaused(t *testing.T) {
 	for ahead := 500 * time.Millisecond; ahead <= 1100*time.Millisecond; ahead += 50 * time.Millisecond {
 		w := newWorld(t)
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -14,8 +14,8 @@
 )
 
 // The leader decides to scale in an idle machine and is paused before it calls the cloud. Another
-// controller leads and starts a task on that machine. After the former leader resumes, it must not
-// return the machine.
+// controller becomes the leader and starts a task on that machine. After the former leader resumes, it
+// must not terminate the machine.
 func TestLeaderPausedBeforeScaleIn(t *testing.T) {
 	for _, stall := range []time.Duration{3 * time.Second, 16 * time.Second, 40 * time.Second} {
 		w := newWorld(t)
@@ -43,7 +43,7 @@
 		}
 		w.Run(45 * time.Second)
 		if n := w.TasksLostWithMachine; n > 0 {
-			t.Errorf("%v: %d tasks were lost with machines that the former leader returned", stall, n)
+			t.Errorf("%v: %d tasks were lost with machines that the former leader terminated", stall, n)
 		}
 		requireNoViolations(t, w)
 	}
@@ -183,10 +183,10 @@
 }
 
 // The leader is paused during an outage of the state service, in which no other controller can
-// acquire the term. The pause and the outage end together. The leader must not draw conclusions
-// about machines from heartbeats that it missed during its own pause: it keeps the term, provisions
-// and returns no machines, moves no replicas and loses no tasks.
-func TestNoConclusionsFromOwnPause(t *testing.T) {
+// acquire the term. The pause and the outage end together. The leader must not treat machines as
+// failed because of heartbeats that it missed during its own pause: it keeps the term, provisions and
+// terminates no machines, moves no replicas and treats no tasks as lost.
+func TestPausedLeaderIgnoresMissedHeartbeats(t *testing.T) {
 	w := newWorld(t)
 	for i := range 3 {
 		s := service(i+1, 2)
--- a/internal/controller/pipeline_cancellation_test.go
+++ b/internal/controller/pipeline_cancellation_test.go
@@ -11,8 +11,8 @@
 	"oakpick/internal/storage"
 )
 
-// leaderFaults are faults of the leader n0, of all controllers or of the state service. Each begins
-// when its function is called or shortly after.
+// leaderFaults has functions that apply a fault to the leader n0, to all controllers or to the state
+// service. Each fault begins when its function is called.
 var leaderFaults = map[string]func(w *fake.World){
 	"leader crashes": func(w *fake.World) { crashFor(w, w.Controllers[0], 4*time.Second) },
 	"leader paused":  func(w *fake.World) { w.Controllers[0].PausedUntil = w.Now + 6*time.Second },
--- a/internal/controller/production_formats_test.go
+++ b/internal/controller/production_formats_test.go
@@ -6,50 +6,51 @@
 	"oakpick/internal/election"
 )
 
-// The record types of the version in production, as of the commit that deploy/service.toml names.
-// They must not change with the current sources: they stand for processes of that version, which run
-// beside current ones, read the records that current processes write, and write them back.
+// The record types of the version in production, as of the commit that deploy/service.toml names. The
+// formats must not change with the current sources: processes of that version run beside current ones,
+// read the records that current processes write, and write them back. Only the order and types of the
+// fields and the struct tags define a format; the field names are those of the current sources.
 type (
 	productionStart struct {
 		//nolint:unused // read by the MessagePack library
 		_msgpack struct{} `msgpack:",as_array"`
 
-		Task    int
-		Try     int64
-		Host    string
-		Session int64
+		Task        int
+		Attempt     int64
+		Machine     string
+		Incarnation int64
 	}
 	productionJob struct {
 		//nolint:unused // read by the MessagePack library
 		_msgpack struct{} `msgpack:",as_array"`
 
-		ID, Class, Team, Image, Zone string
-		Shape                        uint8
-		Priority                     uint8
-		Tasks                        int
-		CPUs, GPUs, MemoryGB         float64
-		ImageGB                      float64
-		AnyType                      bool
-		Types                        []string
-		OneZone, Spread, Spot        bool
-		Estimate, SaveEach, SaveTime float64
-		Deadline                     float64
-		SubmittedMs                  int64
-		Cancelled                    bool
-		Try                          int64
-		Full                         string
+		ID, Class, Team, Image, Zone                            string
+		Kind                                                    uint8
+		Priority                                                uint8
+		Tasks                                                   int
+		CPUs, GPUs, MemoryGB                                    float64
+		ImageGB                                                 float64
+		AnyType                                                 bool
+		Types                                                   []string
+		OneZone, Spread, Spot                                   bool
+		EstimatedRunS, CheckpointIntervalS, CheckpointDurationS float64
+		DeadlineS                                               float64
+		SubmittedMs                                             int64
+		Cancelled                                               bool
+		GangAttempt                                             int64
+		CompletedBlocks                                         string
 	}
 	productionBlock struct {
 		//nolint:unused // read by the MessagePack library
 		_msgpack struct{} `msgpack:",as_array"`
 
-		Job    string
-		Block  int
-		Try    int64
-		Done   string
-		Starts []productionStart
+		Job         string
+		Block       int
+		LastAttempt int64
+		Done        string
+		Starts      []productionStart
 	}
-	productionFinal struct {
+	productionTerminal struct {
 		//nolint:unused // read by the MessagePack library
 		_msgpack struct{} `msgpack:",as_array"`
 
@@ -57,24 +58,24 @@
 		Cancelled bool
 		Tasks     int
 	}
-	productionRental struct {
+	productionProvisioning struct {
 		//nolint:unused // read by the MessagePack library
 		_msgpack struct{} `msgpack:",as_array"`
 
-		Request, Type, Zone string
-		Spot                bool
-		Count               int
-		Answered            bool
-		Hosts               []string
-		AtMs                int64
+		RequestID, Type, Zone string
+		Spot                  bool
+		Count                 int
+		Answered              bool
+		Machines              []string
+		AtMs                  int64
 	}
 	productionPage struct {
-		ID      string             `msgpack:"id"`
-		Jobs    []productionJob    `msgpack:"j,omitempty"`
-		Blocks  []productionBlock  `msgpack:"b,omitempty"`
-		Finals  []productionFinal  `msgpack:"f,omitempty"`
-		Rentals []productionRental `msgpack:"r,omitempty"`
-		Options string             `msgpack:"o,omitempty"`
+		WriteID      string                   `msgpack:"id"`
+		Jobs         []productionJob          `msgpack:"j,omitempty"`
+		Blocks       []productionBlock        `msgpack:"b,omitempty"`
+		Terminal     []productionTerminal     `msgpack:"f,omitempty"`
+		Provisioning []productionProvisioning `msgpack:"r,omitempty"`
+		Options      string                   `msgpack:"o,omitempty"`
 	}
 	// pipelinesExtension is a record of the first version with prerequisites, whose pages have an
 	// additional field for such records.
@@ -91,19 +92,19 @@
 		Extensions []pipelinesExtension `msgpack:"x,omitempty"`
 	}
 	productionLeader struct {
-		Node  string `msgpack:"node"`
-		Boot  string `msgpack:"boot"`
-		Lease int64  `msgpack:"permit"`
-		Raise int64  `msgpack:"raise"`
+		Node          string `msgpack:"node"`
+		Process       string `msgpack:"boot"`
+		Lease         int64  `msgpack:"permit"`
+		TokenAdvances int64  `msgpack:"raise"`
 	}
-	productionStepDown struct {
+	productionStepDownRequest struct {
 		Term   int64  `msgpack:"term"`
 		Leader string `msgpack:"leader"`
 	}
-	productionStepDownAnswer struct {
-		SteppedDown bool  `msgpack:"released"`
-		Led         int64 `msgpack:"taken"`
-		UpMs        int64 `msgpack:"up_ms"`
+	productionStepDownResponse struct {
+		SteppedDown    bool  `msgpack:"released"`
+		LastLoadedTerm int64 `msgpack:"taken"`
+		UptimeMs       int64 `msgpack:"up_ms"`
 	}
 )
 
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -63,9 +63,9 @@
 	w.Submit(more, 3*time.Second)
 	w.Run(5 * time.Second)
 	slowMachine := w.MachinesOf(low.ID)[0] // commands to it are delayed, so its tasks stop last
-	w.Network = func(kind, _, b string) fake.Delivery {
+	w.Network = func(kind, _, to string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind == fake.KindCommands && b == slowMachine {
+		if kind == fake.KindCommands && to == slowMachine {
 			delivery.RequestDelay = 700 * time.Millisecond
 		}
 		return delivery
@@ -119,7 +119,7 @@
 }
 
 // A job within its team's guarantee finds no capacity. The running work has a higher priority but
-// exceeds the guarantee of its own team. The queue would give freed capacity back to the running
+// exceeds the guarantee of its own team. The queue order would give freed capacity back to the running
 // work, so nothing may be preempted.
 func TestPreemptionFollowsQueueOrder(t *testing.T) {
 	w := newWorld(t)
@@ -291,7 +291,7 @@
 		rest := job(2, protocol.Array, 12)
 		rest.Team, rest.Types = "red", []string{"large"}
 		w.Submit(rest, 30*time.Second)
-		w.Run(7500*time.Millisecond + time.Duration(step)*100*time.Millisecond) // within gang_peer_s of the gang's end
+		w.Run(7500*time.Millisecond + time.Duration(step)*100*time.Millisecond) // until at most gang_peer_s before the gang's end
 		if on := w.MachinesOf(j.Submission.ID); len(on) > 0 {
 			w.Workers[on[len(on)-1]].HangUntil = w.Now + 26*time.Second
 		}
--- a/internal/controller/repeated_queries_test.go
+++ b/internal/controller/repeated_queries_test.go
@@ -17,8 +17,9 @@
 	return delivery
 }
 
-// queryFaults are faults of the leader n0 or of the state service while users query jobs. Slow
-// writes begin at once; the time of the other faults depends on at.
+// queryFaults has functions that apply a fault to the leader n0 or to the state service. Slow writes
+// begin at once. The other faults begin after the delay at, or after an eighth of it if they are
+// combined with slow writes.
 var queryFaults = map[string]func(w *fake.World, at time.Duration){
 	"none":           func(*fake.World, time.Duration) {},
 	"leader crashes": func(w *fake.World, at time.Duration) { w.After(at, w.Controllers[0].Crash) },
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -66,12 +66,12 @@
 	}
 }
 
-// The limits of the state service are lowered after a rolling upgrade, with and without time to
-// split the large pages that the old version left, and with writes in flight. Records on these
-// pages still change afterwards.
+// The limits of the state service are lowered after a rolling upgrade, with and without time to split
+// the large pages that the old version left, and with writes in flight. Records on these pages still
+// change afterwards.
 //
-// The first copy of a write may be executed late, after the same write was refused for its size and
-// its pages were split. By then, the copy belongs to an earlier term.
+// A copy of a write may be executed late, after the same write was rejected for its size and its pages
+// were split. By then, the copy belongs to an earlier term.
 func TestLimitsLoweredAfterRollingUpgrade(t *testing.T) {
 	t.Parallel()
 	for _, wait := range []time.Duration{0, 500 * time.Millisecond, 20 * time.Second} {
@@ -120,7 +120,7 @@
 		t.Errorf("the cancelled service has status %q", cancelled.Status)
 	}
 	if w.State.RejectedOverLimits > 3*len(w.Controllers) {
-		t.Errorf("%d transactions were refused for their size", w.State.RejectedOverLimits)
+		t.Errorf("%d transactions were rejected for exceeding the limits", w.State.RejectedOverLimits)
 	}
 }
 
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -9,12 +9,12 @@
 	"oakpick/internal/protocol"
 )
 
-// submissionLoad submits jobs to n0 at a fixed rate, once each, and counts the responses.
+// submissionLoad submits jobs to n0 at a fixed rate, each of them once, and counts the responses.
 type submissionLoad struct {
-	world            *fake.World
-	id               int
-	answers, refused int
-	slowest          time.Duration
+	world              *fake.World
+	lastID             int
+	responses, refused int
+	slowest            time.Duration
 }
 
 // submissionsPerSecond is several times the write rate.
@@ -30,14 +30,14 @@
 
 // submit submits the next job. Unlike World.Submit, it never retries.
 func (l *submissionLoad) submit() {
-	l.id++
+	l.lastID++
 	w := l.world
-	s, sentAt := job(l.id, protocol.Array, 1), w.Now
+	s, sentAt := job(l.lastID, protocol.Array, 1), w.Now
 	s.CPUs = 0.1
 	// The workers have to know the job to run it.
 	w.Jobs[s.ID] = &fake.Job{Submission: s, RunTime: 100 * time.Millisecond, CheckpointedRunTime: map[int]time.Duration{}, DoneTasks: map[int]bool{}}
 	w.Controllers[0].Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) {
-		l.answers++
+		l.responses++
 		l.slowest = max(l.slowest, w.Now-sentAt)
 		if r.Status == 503 && r.RetryAfterS > 0 {
 			l.refused++
@@ -61,18 +61,18 @@
 	cancelled = append(cancelled, after)
 	w.Run(5 * time.Second)
 	terms, lost := w.Controllers[0].Stats().TermsAcquired, w.Controllers[0].Stats().TasksLost
-	load := &submissionLoad{world: w, id: 1000}
+	load := &submissionLoad{world: w, lastID: 1000}
 	refuseWritesUnderLoad(t, load, cancelled)
 	if s := w.Controllers[0].Stats(); s.TermsAcquired != terms || s.TasksLost != lost || !w.Controllers[0].Leads() {
 		t.Errorf("%d new terms, %d tasks lost", s.TermsAcquired-terms, s.TasksLost-lost)
 	}
 	if load.slowest > 3*time.Second || load.refused == 0 {
-		t.Errorf("the slowest response took %v; %d of %d submissions were refused", load.slowest, load.refused, load.answers)
+		t.Errorf("the slowest response took %v; %d of %d submissions were refused", load.slowest, load.refused, load.responses)
 	}
 	// Submissions that were refused because nothing could be written must not be recorded later.
 	open, ended := recordedJobs(t, pagesOf(w))
-	if n := len(open) + len(ended); n > load.answers-load.refused/2 {
-		t.Errorf("%d jobs are recorded, %d of %d submissions were refused", n, load.refused, load.answers)
+	if n := len(open) + len(ended); n > load.responses-load.refused/2 {
+		t.Errorf("%d jobs are recorded, %d of %d submissions were refused", n, load.refused, load.responses)
 	}
 	runAndPoll(w, 60*time.Second)
 	if again := w.Submit(job(40, protocol.Array, 1), time.Second); !w.RunUntil(time.Second, func() bool { return again.Accepted }) {
@@ -100,8 +100,8 @@
 	return jobs
 }
 
-// refuseWritesUnderLoad has the state service refuse writes for longer than a worker's lease, cancels
-// jobs meanwhile, and requires them to be cancelled a second after writes are accepted again.
+// refuseWritesUnderLoad makes the state service refuse page writes for longer than a worker's lease,
+// cancels jobs meanwhile, and requires them to be cancelled a second after writes are accepted again.
 func refuseWritesUnderLoad(t *testing.T, load *submissionLoad, toCancel []*fake.Job) {
 	t.Helper()
 	w := load.world
--- a/internal/controller/write_responses_test.go
+++ b/internal/controller/write_responses_test.go
@@ -36,17 +36,17 @@
 	requireNoViolations(t, w)
 }
 
-// submissionAnswer is the response to a submission, with its latency.
-type submissionAnswer struct {
-	status  int // 0: there is no response yet
+// submissionResponse is the status of the response to a submission, with its latency.
+type submissionResponse struct {
+	status  int // 0 until the response arrives
 	latency time.Duration
 }
 
 // submitOnce submits a service to n0 once.
-func submitOnce(w *fake.World, id int) *submissionAnswer {
-	s, answer, sentAt := service(id, 3), &submissionAnswer{}, w.Now
+func submitOnce(w *fake.World, id int) *submissionResponse {
+	s, answer, sentAt := service(id, 3), &submissionResponse{}, w.Now
 	w.Controllers[0].Request(message.UserRequest{Kind: message.Submit, Job: s.ID, Submission: &s}, func(r message.Reply) {
-		*answer = submissionAnswer{r.Status, w.Now - sentAt}
+		*answer = submissionResponse{r.Status, w.Now - sentAt}
 	})
 	return answer
 }
@@ -85,7 +85,7 @@
 	t.Helper()
 	w := newWorld(t)
 	w.Run(5 * time.Second)
-	var answers []*submissionAnswer
+	var answers []*submissionResponse
 	const submitted = 600 // more than the write budget permits before the submissions time out
 	for i := range submitted {
 		answers = append(answers, submitOnce(w, i+1))
@@ -154,8 +154,8 @@
 	}
 }
 
-// testWritesWithLostResponses starts its count of requests at requestOffset, so each offset selects
-// other requests that get no response.
+// testWritesWithLostResponses counts requests from requestOffset on, so that each offset selects other
+// requests to get no response.
 func testWritesWithLostResponses(t *testing.T, lossy lossyWrites, requestOffset int) {
 	t.Helper()
 	w := newWorld(t)
@@ -198,11 +198,11 @@
 	}
 }
 
-// conflictingStateService refuses every write of a page as if a condition had failed, and returns
-// pages that appear to be written by another leader.
+// conflictingStateService responds to every page write with a conflict, and returns pages that appear
+// to be written by another leader.
 type conflictingStateService struct {
 	conflicts int
-	replies   []message.Reply // of the controller to its users
+	replies   []message.Reply // from the controller to its users
 }
 
 // respond returns the response to an effect, or nil if there is none.
@@ -236,9 +236,9 @@
 	return result
 }
 
-// A write is refused because its condition fails, and the page has neither its former value nor
-// the value that this leader wrote, so another controller leads. This controller must stop leading,
-// and no user may be told that a request is durable.
+// A write fails with a conflict, and the page has neither its former value nor the value that this
+// leader wrote, so another controller leads. This controller must stop leading, and must not tell a
+// user that a request is durable.
 func TestConflictingWriteOfAnotherLeader(t *testing.T) {
 	state := &conflictingStateService{}
 	c := newSteppedController(&config.Config{Node: "n0", Settings: fake.Settings()}, state.respond)
--- a/internal/controller/write_share_test.go
+++ b/internal/controller/write_share_test.go
@@ -16,13 +16,11 @@
 // the leader must continue at once: submissions are accepted, and the write budget is never reported
 // as stalled.
 //
-// This guards against a fault in which Store.SetWriteRate used the wall clock of the process,
-// whereas the rest of the code is given the time of the step, which begins at zero when the process
-// starts. The time of the budget's last refill then lay decades ahead, so the budget no longer
-// filled. What remained within the lowered capacity was too little for the transaction, which
-// blocked all other writes. No submission was accepted until a setting was changed again or the
-// leader ended. The log said "write budget stalled waited_s 2.002 fill 0.053 keys_per_s 38", and
-// write_budget_waits_s in /admin/status grew by a second each second.
+// This guards against a write budget that no longer fills
+// (docs/incidents/2026-12-03-write-budget-never-fills.md). The change of the rate used the wall clock
+// instead of the time of the step, which begins at zero when the process starts, so the time of the
+// last refill lay decades ahead. The budget was then too small for the transaction, which blocked all
+// other writes until a setting was changed again or the leader ended.
 func TestWriteShareChangedWhileWritesWaitForRetry(t *testing.T) {
 	w := newWorld(t)
 	provisionIdleMachines(t, w)
@@ -53,8 +51,8 @@
 	requireNoViolations(t, w)
 }
 
-// rejectFirstLargeWrite has the state service refuse writes as soon as a write of several pages is
-// sent. It returns a flag that becomes true at that time.
+// rejectFirstLargeWrite makes the state service refuse page writes as soon as a write of several pages
+// is sent. It returns a flag that becomes true at that time.
 func rejectFirstLargeWrite(w *fake.World) (rejected *bool) {
 	rejected = new(bool)
 	w.OnEffect = func(_ string, effect message.Effect) {
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -57,9 +57,9 @@
 	requireAllServed(t, w)
 }
 
-// The last task of a job is done, and the leader crashes after one of the writes that record the end
-// of the job; each iteration selects another one. The final state may be durable while other pages
-// still have blocks of the job.
+// The last task of a job is done, and the leader crashes after one of the writes that record the end of
+// the job, another one in each iteration. The next leader must report the job as done, even if the
+// job's final state is durable while other pages still have blocks of the job.
 func TestLeaderCrashBetweenWritesOfJobEnd(t *testing.T) {
 	for writes := range 6 {
 		settings := fake.Settings()
--- a/internal/fake/exchange.go
+++ b/internal/fake/exchange.go
@@ -11,7 +11,7 @@
 // Kinds of exchange that World.Network distinguishes.
 const (
 	KindState     = "state"     // request to the state service
-	KindPageWrite = "write"     // page write to the state service, see World.SeparateWrites
+	KindPageWrite = "write"     // page write to the state service, see World.SeparatePageWrites
 	KindCloud     = "cloud"     // request to the cloud API
 	KindCommands  = "commands"  // commands sent directly to a worker
 	KindHeartbeat = "heartbeat" // heartbeat of a worker to a controller
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -57,13 +57,13 @@
 	recentWrites  []time.Duration // times of the changes within the last second
 }
 
-// defaultMaxListed is the MaxListed of a new State.
-const defaultMaxListed = 3
+// defaultMaxListedEntries is the MaxListedEntries of a new State.
+const defaultMaxListedEntries = 3
 
 func newState(w *World, limits config.State) *State {
 	return &State{
 		world: w, limits: limits, keys: map[string]entry{}, leases: map[int64]lease{},
-		Unreachable: map[string]bool{}, MaxListedEntries: defaultMaxListed,
+		Unreachable: map[string]bool{}, MaxListedEntries: defaultMaxListedEntries,
 	}
 }
 
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -38,8 +38,8 @@
 	// Network decides how each exchange is delivered. The kind is one of the Kind constants. If
 	// Network is nil, there are no faults.
 	Network func(kind, from, to string) Delivery
-	// SeparatePageWrites makes page writes appear to Network as KindWrite, apart from the other requests
-	// to the state service.
+	// SeparatePageWrites makes page writes appear to Network as KindPageWrite, apart from the other
+	// requests to the state service.
 	SeparatePageWrites bool
 	// RewriteAsProduction returns a stored value as the version in production writes it back after
 	// reading it, without the fields unknown to that version.
