--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -84,7 +84,8 @@
 
 // Jobs are cancelled one after the other during a change of leader, from the old leader's last lease
 // renewal to the new leader's first placements. The old leader crashes, is refused by the state
-// service, resigns because it receives no heartbeats, or is paused.
+// service, resigns because it receives no heartbeats, or is paused. Every job must be cancelled in the
+// end, and no task may run longer than permitted after the cancellation was confirmed.
 func TestCancellationDuringLeaderChange(t *testing.T) {
 	t.Parallel()
 	phases := 3
--- a/internal/controller/five_controllers_test.go
+++ b/internal/controller/five_controllers_test.go
@@ -29,7 +29,8 @@
 }
 
 // Controllers are upgraded two at a time, including the leader. Meanwhile, workers switch between
-// controllers, and one job of a running pipeline is cancelled.
+// controllers, and one job of a running pipeline is cancelled. No rule may be violated, and every other
+// job must be served.
 func TestRollingUpgradeTwoOfFiveAtATime(t *testing.T) {
 	t.Parallel()
 	for _, downFor := range []time.Duration{200 * time.Millisecond, 1500 * time.Millisecond, 5 * time.Second} {
@@ -64,7 +65,8 @@
 }
 
 // Two zones cannot reach each other, but both reach the controllers elsewhere, the state service and
-// the cloud. The leader is in one of the two zones or in neither, and crashes in some of the cases.
+// the cloud. The leader is in one of the two zones or in neither, and crashes in some of the cases. No
+// rule may be violated, and every job must be served once the partition heals.
 func TestPartitionBetweenTwoZones(t *testing.T) {
 	t.Parallel()
 	for name, inZone := range map[string]map[string]string{
--- a/internal/controller/hung_leader_test.go
+++ b/internal/controller/hung_leader_test.go
@@ -13,7 +13,7 @@
 // The leader runs the version in production and hangs during a rolling upgrade, with requests and
 // writes in flight. It is upgraded after the other controllers and hangs until then, or resumes before
 // that. Its writes and responses arrive late, after the other controllers were upgraded, the limits
-// lowered, pages split and a pipeline cancelled.
+// lowered, pages split and a pipeline cancelled. They must not violate a rule or lose a job.
 func TestHungLeaderDuringRollingUpgrade(t *testing.T) {
 	t.Parallel()
 	for _, hang := range []time.Duration{2 * time.Second, 9 * time.Second, 25 * time.Second} {
--- a/internal/controller/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -155,7 +155,7 @@
 
 // Jobs with the same prerequisite are submitted in the same millisecond at all controllers, some of
 // them twice. The prerequisite is done, and after a restart of all processes only its terminal record
-// is left.
+// is left. Each job must be accepted as new exactly once, and must run.
 func TestPrerequisiteEndedBeforeAllRestarts(t *testing.T) {
 	w := newWorld(t)
 	done := w.Submit(job(1, protocol.Gang, 2), time.Second)
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -216,7 +216,8 @@
 }
 
 // Ten leader changes in two minutes are caused by crashes, pauses and an unreachable state service,
-// some of them during outages, while jobs are submitted, end and are cancelled.
+// some of them during outages, while jobs are submitted, end and are cancelled. No rule may be
+// violated, and every job must be served in the end.
 func TestTenLeaderChanges(t *testing.T) {
 	for seed := range 6 {
 		w := newWorld(t)
--- a/internal/controller/paused_leader_test.go
+++ b/internal/controller/paused_leader_test.go
@@ -86,7 +86,8 @@
 // The leader is paused before it performs an effect: a reply to a user, commands to a worker, a
 // call to the cloud, or a request to the state service, such as a renewal or a write. It resumes
 // within its lease, within its heartbeat grace period, or long after another controller has begun to
-// lead. Meanwhile, jobs are submitted, end, or are cancelled.
+// lead. Meanwhile, jobs are submitted, end, or are cancelled. The late effect must not violate a rule
+// or lose a job.
 func TestLeaderPausedBeforeEffect(t *testing.T) {
 	t.Parallel()
 	kinds := map[string]func(message.Effect) bool{
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The number of entries that a take-over reads must not grow with the archive.
+// The number of entries that a takeover reads must not grow with the archive.
 func TestTakeOverDoesNotReadArchive(t *testing.T) {
 	few, cfg := newWorldWithRecords(100, 100, 0)
 	many, _ := newWorldWithRecords(100, 100, 20_000)
@@ -16,7 +16,7 @@
 	}
 }
 
-// BenchmarkTakeOver measures a take-over from the request for a lease until the controller leads.
+// BenchmarkTakeOver measures a takeover from the request for a lease until the controller leads.
 // The state service responds at once.
 func BenchmarkTakeOver(b *testing.B) {
 	const unfinished, kept = 2600, 6000
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -68,7 +68,8 @@
 
 // The limits of the state service are lowered after a rolling upgrade, with and without time to split
 // the large pages that the old version left, and with writes in flight. Records on these pages still
-// change afterwards.
+// change afterwards. Nothing may be lost, and only few transactions may be rejected for exceeding the
+// limits.
 //
 // A copy of a write may be executed late, after the same write was rejected for its size and its pages
 // were split. By then, the copy belongs to an earlier term.
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -11,7 +11,7 @@
 )
 
 // An array with more tasks than fit on a page is stored in several blocks. The leader changes while
-// the array runs.
+// the array runs. Every task must be done in the end.
 func TestLargeArrayOnSmallPages(t *testing.T) {
 	w := newWorld(t)
 	s := job(1, protocol.Array, 300)
@@ -117,7 +117,7 @@
 
 // Jobs of one task are submitted four times a second for minutes with the smallest write budget, and
 // a quarter of them are cancelled. Each must be accepted promptly or refused at once, no queue may
-// grow, and a take-over at the end must read the records as fast as one at the beginning.
+// grow, and a takeover at the end must read the records as fast as one at the beginning.
 func TestManySmallJobsAtSmallestWriteBudget(t *testing.T) {
 	s := fake.Settings()
 	s.State.WriteRPS, s.State.RPS, s.State.ValueKB = 25, 120, 4
