--- a/internal/scheduling/best_effort.go
+++ b/internal/scheduling/best_effort.go
@@ -14,8 +14,7 @@
 
 // maxPriceRatio is the highest price per task at which a machine is provisioned for a
 // best-effort job, as a multiple of the job's lowest price per task. Overdue work is bought
-// elsewhere at twice its cost (see "How aims are counted" in the protocol), so a higher price
-// is never worth it.
+// elsewhere at twice its cost, so a higher price is never worth it.
 const maxPriceRatio = 2
 
 // RequestClass returns the class of a job's tasks in the current cycle.
