--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -9,11 +9,10 @@
 )
 
 const (
-	// minSilentMachines is the smallest number of silent machines for which the leader assumes
-	// that its own connection has failed.
-	minSilentMachines = 3
-	// The leader assumes this only if the share of silent machines among the live ones also exceeds
+	// The leader assumes that its own connection has failed if at least minLiveMachines machines
+	// are live and the share of silent ones among them exceeds
 	// silentShareNumerator/silentShareDenominator.
+	minLiveMachines                              = 3
 	silentShareDenominator, silentShareNumerator = 8, 7
 	// stopGraceHeartbeats and stopGraceCheckpoints are the numbers of heartbeat intervals and of
 	// checkpoint durations that a task may take to stop in addition to its grace period.
@@ -48,8 +47,8 @@
 	// If nearly all workers are silent, this node is most likely the one that is cut off, and the
 	// workers know no other node that would answer them. Another node must lead before their
 	// leases expire.
-	if live >= minSilentMachines && silent*silentShareDenominator > live*silentShareNumerator {
-		m.leadership.Resign("no worker is heard any more")
+	if live >= minLiveMachines && silent*silentShareDenominator > live*silentShareNumerator {
+		m.leadership.Resign("heartbeats from nearly all workers are overdue")
 	}
 }
 
