--- a/internal/dependency/validate.go
+++ b/internal/dependency/validate.go
@@ -18,7 +18,7 @@
 func (g *Graph) Validate(nodeOf func(id string) *Node) error {
 	for id, n := range g.nodes {
 		if n.job.ID != id || nodeOf(id) != n {
-			return fmt.Errorf("%s is in the graph, and its job is over or refers to another node", id)
+			return fmt.Errorf("%s is in the graph, but its job has ended, is unknown or refers to another node", id)
 		}
 		if err := g.validateEdges(n); err != nil {
 			return err
