--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -64,7 +64,7 @@
 	leading       bool          // set once the records are loaded; before that the node must not answer requests or start tasks
 	loadedTerm    int64         // first token of the last term whose records were loaded; 0 if none
 	loadedAt      time.Duration // when those records were loaded
-	termFloor     int64         // this node must not begin a term up to and including this one
+	termFloor     int64         // this node must not begin a term with this number or a lower one
 }
 
 // New returns the elector of a node. The process identifier distinguishes this process from
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -174,7 +174,7 @@
 	}
 	h.answer(7*time.Second, h.request(storage.StateTxn), storage.StateResult{Revision: 9})
 	if h.Token() != 9 || h.FirstToken() != firstToken || h.delegate.advanced != 1 {
-		t.Errorf("token %d, first %d, told %d times", h.Token(), h.FirstToken(), h.delegate.advanced)
+		t.Errorf("token %d, first %d, delegate notified %d times", h.Token(), h.FirstToken(), h.delegate.advanced)
 	}
 }
 
--- a/internal/election/leader_key.go
+++ b/internal/election/leader_key.go
@@ -145,8 +145,8 @@
 	if result.Outcome == rpc.Invalid {
 		e.acquisition = nil
 	}
-	// The transaction was refused or not answered, or another node was faster. The next read of the
-	// key shows which.
+	// The transaction was refused or not answered, or another node acquired the key first. The next
+	// read of the key shows which.
 	e.scheduleLeaderCheck()
 	e.observed.nextCheckAt = e.context.Monotonic() + e.timing.RetryInterval
 }
--- a/internal/election/peers.go
+++ b/internal/election/peers.go
@@ -52,8 +52,8 @@
 	return e.context.SilenceDuration(e.observed.lastContactAt) > e.timing.ProbeTimeout
 }
 
-// probePeersWhileUncertain asks the peers whether any of them has led, while this node's lease
-// may have expired.
+// probePeersWhileUncertain asks the peers whether any of them has led. It does so only while this
+// node's lease may have expired.
 func (e *Elector) probePeersWhileUncertain() {
 	now := e.context.Monotonic()
 	if e.HoldsLease() || now < e.peers.nextUncertaintyProbeAt {
@@ -75,7 +75,7 @@
 	}
 }
 
-// requestStepDown asks every peer that has not yet confirmed it to end all older terms.
+// requestStepDown asks each peer without a recorded confirmation to end all older terms.
 func (e *Elector) requestStepDown() {
 	now := e.context.Monotonic()
 	if len(e.peers.steppedDownAt) == len(e.peers.names) || now < e.peers.nextRequestAt || now > e.held.loadedAt+e.timing.HeartbeatGrace {
@@ -136,8 +136,8 @@
 // EarlierLeadersSilentAt returns the time by which every earlier leader has certainly stopped
 // answering workers: the time of the last peer's confirmation, or else the latest possible end of
 // the grace period. Each earlier leader's lease expired before this node's lease was granted. An
-// earlier leader answers workers for at most the grace period after that expiry, or after this
-// node last told it that it had not led.
+// earlier leader answers workers for at most the grace period after that expiry, or after the last
+// probe to which this node answered that it had not led.
 func (e *Elector) EarlierLeadersSilentAt() time.Duration {
 	grace := e.timing.HeartbeatGrace
 	silentAt := e.held.loadedAt
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -12,8 +12,8 @@
 // which. A machine is cordoned if several jobs failed on it that run well on others. A job that
 // fails on several machines was most likely submitted with a mistake. Since that is not certain, it
 // is still attempted, but one task (or one gang) at a time and with growing backoff. No machine is
-// cordoned and no task preempted for such a job, and a machine is provisioned only after it has
-// waited for a long time.
+// cordoned and no task preempted for such a job, and a machine is provisioned only after the job
+// has waited for a long time.
 
 // MinFailedMachinesForJobFault is the number of machines on which a job must fail to be considered
 // at fault itself.
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -186,7 +186,8 @@
 	m.clearFailures(j, t.Machine)
 	m.markDone(j, t.Index)
 	if j.Kind == protocol.Gang { // all members complete together
-		// The other members stay on their machines until they report their own exit; one may hang.
+		// The other members stay on their machines until they report their own exit, since a member may
+		// hang instead of exiting.
 		for i := range j.Tasks {
 			m.markDone(j, i)
 		}
--- a/internal/jobs/prerequisites.go
+++ b/internal/jobs/prerequisites.go
@@ -112,7 +112,7 @@
 
 // prerequisiteDone makes the jobs ready whose last unfinished prerequisite was the given job. The
 // completion of that job must be durable, since a successor that did not know of it could still
-// cancel the job.
+// cancel the completed job.
 func (m *Manager) prerequisiteDone(id string) {
 	for _, ready := range m.state.Dependencies.Complete(id) {
 		j := m.state.Jobs[ready]
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -55,9 +55,9 @@
 		!heartbeat.Newer(worker.HeartbeatIncarnation, worker.HeartbeatSequence)
 }
 
-// mustNotRenewLease reports whether a machine may hold a task of a cancelled job that a response
-// cannot stop, because its start may still arrive with the current token. The worker's lease must
-// then be allowed to expire in time.
+// mustNotRenewLease reports whether a heartbeat must be refused so that the worker's lease expires
+// in time. This is the case if, some time after a job was cancelled, the start of one of its tasks
+// may still arrive with the current token: a stop command in the response cannot prevent such a start.
 func (m *Manager) mustNotRenewLease(machine *cluster.Machine) bool {
 	if machine.Commands.UnconfirmedToken < m.leadership.Token() {
 		return false
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -65,7 +65,7 @@
 // reconcileKnown updates a recorded task from its reported state.
 func (m *Manager) reconcileKnown(t *cluster.Task, status protocol.TaskStatus) {
 	if t.SentToken == 0 && !t.Inherited {
-		return // the worker cannot know an attempt whose start was not sent; ignoring it is harmless
+		return // the worker cannot know an attempt whose start was not sent; ignoring such a report is harmless
 	}
 	if !t.Reported {
 		t.Reported, t.Confirmed = true, true
