--- a/internal/controller/archive_moves_test.go
+++ b/internal/controller/archive_moves_test.go
@@ -10,8 +10,8 @@
 	"oakpick/internal/protocol"
 )
 
-// The leader crashes before, during or after a move of jobs to the archive. From some write of the
-// move on, requests are lost or executed late, or responses are lost. Every job must have a record
+// The leader crashes before, during or after a move of jobs to the archive. After the first writes of
+// the move, all further ones are lost, executed late, or get no response. Every job must have a record
 // at all times.
 func TestLeaderCrashDuringArchiveMove(t *testing.T) {
 	t.Parallel()
@@ -31,12 +31,12 @@
 	t.Helper()
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	jobs := completeJobs(t, w, 100_000, 60)
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind != fake.KindWrite {
+		if kind != fake.KindPageWrite {
 			return delivery
 		}
 		writes++
@@ -69,13 +69,14 @@
 }
 
 // Completed jobs are polled and resubmitted at all controllers while they are moved to the archive.
+// They must always have a record and stay done.
 func TestRepeatedSubmissionDuringArchiveMove(t *testing.T) {
 	w := newWorldWith(t, smallMemorySettings())
 	provisionIdleMachines(t, w)
 	jobs := completeJobs(t, w, 100_000, 80)
 	for n := range 120 {
 		for _, j := range jobs[n%8 : min(len(jobs), n%8+20)] {
-			w.QueryEverywhere(j)
+			w.PollAndResubmitEverywhere(j)
 		}
 		w.Run(50 * time.Millisecond)
 		requireRecorded(t, w, jobs)
@@ -101,7 +102,7 @@
 		}
 		w.Leader().Request(message.UserRequest{Kind: message.Poll, Job: fmt.Sprintf("wk-%06d", 100_000+(n*37)%99_000)}, func(message.Reply) {})
 		if n%4 == 0 {
-			w.QueryEverywhere(jobs[n/4%len(jobs)])
+			w.PollAndResubmitEverywhere(jobs[n/4%len(jobs)])
 		}
 		w.Run(50 * time.Millisecond)
 		requireRecorded(t, w, jobs)
@@ -111,19 +112,20 @@
 	requireAllDone(t, w, jobs)
 }
 
-// Jobs of several blocks complete, some writes are lost, among them removals of blocks, and the
-// leader crashes repeatedly. No block may remain whose job's record is only in the archive.
+// Jobs of several blocks complete and are archived while every third write is lost, which may be the
+// removal of a block, and the leader crashes repeatedly. No block may remain whose job's record is
+// only in the archive, because a new leader would not know the block's job.
 func TestBlocksRemovedBeforeJobIsArchived(t *testing.T) {
 	s := smallMemorySettings()
 	s.State.TxnOps = 3
 	w := newWorldWith(t, s)
 	provisionIdleMachines(t, w)
 	completeJobs(t, w, 100_000, 60)
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind == fake.KindWrite {
+		if kind == fake.KindPageWrite {
 			writes++
 			delivery.LoseRequest = writes%3 == 0
 		}
--- a/internal/controller/best_effort_test.go
+++ b/internal/controller/best_effort_test.go
@@ -18,16 +18,16 @@
 	return newWorldWith(t, s)
 }
 
-// bestEffortJob is an array of the team without guaranteed resources.
+// bestEffortJob returns an array of the team without guaranteed resources.
 func bestEffortJob(id, tasks int) protocol.Submission {
 	s := job(id, protocol.Array, tasks)
 	s.Team, s.Priority, s.Spot = "guests", protocol.Low, true
 	return s
 }
 
-// Best-effort teams submit far more work than the cheap machines can run at a time, and leaders
-// crash meanwhile. No controller may provision a machine for them that costs more than twice as much
-// per task as the cheapest one. All of the work must still complete.
+// A best-effort team submits far more work than the cheap machines can run at a time, and leaders
+// crash meanwhile. No controller may provision a machine for the team that costs more than twice as
+// much per task as the cheapest one. All of the work must still complete.
 func TestBestEffortScaleOutIsLimitedByCost(t *testing.T) {
 	w := newBestEffortWorld(t)
 	w.Cloud.CapacityOf = map[string]int{"small": 3}
@@ -67,13 +67,13 @@
 		w.Submit(s, 30*time.Second)
 		began := w.Now
 		w.Run(20 * time.Second)
-		if n := w.Running(s.ID); n != 0 {
+		if n := w.RunningTasks(s.ID); n != 0 {
 			t.Errorf("%d best-effort tasks run on CPUs that unused GPUs need", n)
 		}
 		if crash {
 			restartLeader(w, 2*time.Second)
 		}
-		if !w.RunUntil(90*time.Second, func() bool { return w.Running(s.ID) == 1 }) {
+		if !w.RunUntil(90*time.Second, func() bool { return w.RunningTasks(s.ID) == 1 }) {
 			t.Errorf("the best-effort job still waits after %v", w.Now-began)
 		}
 		runAndPoll(w, 20*time.Second)
@@ -97,7 +97,7 @@
 		s := bestEffortJob(2, 3)
 		s.CPUs, s.EstimatedRunS = 2, 400
 		j := w.Submit(s, 400*time.Second)
-		if !w.RunUntil(60*time.Second, func() bool { return w.Running(s.ID) > 0 }) {
+		if !w.RunUntil(60*time.Second, func() bool { return w.RunningTasks(s.ID) > 0 }) {
 			t.Fatal("the best-effort tasks do not run")
 		}
 		w.CancelEverywhere(w.Jobs[guaranteed.ID])
@@ -108,8 +108,8 @@
 		if !w.RunUntil(150*time.Second, func() bool { return !slices.Contains(w.MachineNames(), machine) }) {
 			t.Errorf("%s is not scaled in; the best-effort tasks are on %v", machine, w.MachinesOf(s.ID))
 		}
-		if !w.RunUntil(90*time.Second, func() bool { return w.Running(s.ID) == 3 }) {
-			t.Errorf("%d of 3 best-effort tasks resumed", w.Running(s.ID))
+		if !w.RunUntil(90*time.Second, func() bool { return w.RunningTasks(s.ID) == 3 }) {
+			t.Errorf("%d of 3 best-effort tasks resumed", w.RunningTasks(s.ID))
 		}
 		for _, h := range w.MachinesOf(s.ID) {
 			if w.TypeOf(h) != "small" {
--- a/internal/controller/block_length_test.go
+++ b/internal/controller/block_length_test.go
@@ -25,7 +25,7 @@
 	maxRunning := 0
 	for range 40 {
 		w.Run(time.Second)
-		maxRunning = max(maxRunning, w.Running(large.ID))
+		maxRunning = max(maxRunning, w.RunningTasks(large.ID))
 	}
 	if maxRunning < 20 || maxRunning >= 60 {
 		t.Errorf("%d of 60 tasks ran at a time", maxRunning)
@@ -38,8 +38,9 @@
 	requireNoViolations(t, w)
 }
 
-// The limits are lowered, and the settings change accordingly. With the block length of the new
-// settings, a block number would refer to other tasks, so the recorded block length must be used.
+// The limits are lowered, and the settings change accordingly. The new settings result in another
+// block length, with which a block number would refer to other tasks. A new leader must use the
+// recorded block length.
 func TestBlockLengthIsReadFromRecords(t *testing.T) {
 	s := fake.Settings()
 	s.State.ValueKB, s.State.Next = 4, nextLimits(1, 4, 40)
@@ -48,10 +49,10 @@
 	large := job(1, protocol.Array, 60)
 	large.CPUs = 0.5
 	j := w.Submit(large, 5*time.Second)
-	// Machines with tasks of the first block hang, so that later tasks end first, and fail
-	// before the controllers restart.
+	// Machines with tasks of the first block hang, so that tasks of later blocks end first. These
+	// machines fail before the controllers restart.
 	var first []string
-	w.RunUntil(60*time.Second, func() bool { return w.Running(large.ID) >= 30 })
+	w.RunUntil(60*time.Second, func() bool { return w.RunningTasks(large.ID) >= 30 })
 	for _, line := range w.Log {
 		var task int
 		var machine string
@@ -82,8 +83,8 @@
 	requireNoViolations(t, w)
 }
 
-// Operators change value_kb without announcing the new limits beforehand. A job of several blocks
-// that this version accepted continues with its recorded block length.
+// Operators change value_kb without announcing the new limit beforehand. A job of several blocks that
+// this version accepted continues with its recorded block length.
 func TestMultiBlockJobSurvivesValueSizeChange(t *testing.T) {
 	for _, sizes := range [][2]float64{{4, 1}, {1, 4}} {
 		t.Run(fmt.Sprintf("from %v to %v KiB", sizes[0], sizes[1]), func(t *testing.T) {
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -35,11 +35,11 @@
 	requireAllServed(t, w)
 }
 
-// A start command gets no response, and later commands to the machine are lost. Its heartbeats
-// arrive and do not list the task. The task must not run elsewhere until a higher fencing token has
-// invalidated the start command, which may arrive just before that or much later. The job is
-// submitted at different times within the heartbeat interval, so that in some cases a heartbeat
-// arrives between the timeout of the commands and the next attempt.
+// A start command gets no response, and later commands to the machine are lost. The machine's
+// heartbeats arrive and do not list the task. The task must not run elsewhere until a higher fencing
+// token has invalidated the start command, which may arrive just before that or much later. The time
+// of the submission within the heartbeat interval varies, so that in some cases a heartbeat arrives
+// between the timeout of the command and the next attempt.
 func TestUnconfirmedStartIsFencedBeforeRetry(t *testing.T) {
 	for at := range 40 {
 		late := []time.Duration{2500, 2900, 3300, 30_000}[at%4]
@@ -62,7 +62,7 @@
 			j := w.Submit(service(1, 1), 0)
 			waitRunning(t, w, j.Submission.ID, 1)
 			w.Run(60 * time.Second)
-			if w.Running(j.Submission.ID) != 1 || len(w.MachinesOf(j.Submission.ID)) != 1 {
+			if w.RunningTasks(j.Submission.ID) != 1 || len(w.MachinesOf(j.Submission.ID)) != 1 {
 				t.Errorf("on %v", w.MachinesOf(j.Submission.ID))
 			}
 			requireNoViolations(t, w)
@@ -119,19 +119,19 @@
 			s.CPUs, s.MemoryGB, s.Zone = 0.05, 0.1, "a" // only one machine is eligible
 			w.Submit(s, 0)
 		}
-		if !w.RunUntil(60*time.Second, func() bool { return len(w.MachineNames()) > 0 && w.Running("wk-000080") == 1 }) {
+		if !w.RunUntil(60*time.Second, func() bool { return len(w.MachineNames()) > 0 && w.RunningTasks("wk-000080") == 1 }) {
 			t.Fatal("the replicas don't run")
 		}
 		w.Run(5 * time.Second)
 		machine := w.MachinesOf("wk-000001")[0]
 		incarnation := w.Incarnation(machine)
-		w.SeparateWrites = true
+		w.SeparatePageWrites = true
 		placed := func() int { return strings.Count(strings.Join(w.Log, "\n"), "task placed [job wk-000001 ") }
 		remaining := durable
 		w.Network = func(kind, from, to string) fake.Delivery {
 			delivery := fake.Reliable()
 			delivery.LoseRequest = w.Incarnation(machine) == incarnation && (from == machine || to == machine)
-			if kind == fake.KindWrite && placed() > 1 {
+			if kind == fake.KindPageWrite && placed() > 1 {
 				remaining--
 				delivery.LoseRequest = remaining < 0
 			}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -36,8 +36,8 @@
 	requireNoViolations(t, w)
 }
 
-// An empty machine is partitioned while the leader crashes. The successor knows it only from the
-// cloud's inventory, which lists it as running. The machine must not be treated as one that failed
+// An empty machine is partitioned while the leader crashes. The successor knows the machine only from
+// the cloud's inventory, which lists it as running. The machine must not be treated as one that failed
 // to boot, and must still exist when the partition heals.
 func TestPartitionedMachineIsNotScaledInAfterFailover(t *testing.T) {
 	w := newWorld(t)
@@ -91,8 +91,8 @@
 	}
 	w.Run(9 * time.Second)
 	requireNoViolations(t, w)
-	if w.Leader() == nil || w.Running(s.ID) != 1 {
-		t.Errorf("%d tasks run, expected 1, or there is no leader", w.Running(s.ID))
+	if w.Leader() == nil || w.RunningTasks(s.ID) != 1 {
+		t.Errorf("%d tasks run, expected 1, or there is no leader", w.RunningTasks(s.ID))
 	}
 	partitioned = ""
 	w.Network = nil
@@ -185,9 +185,9 @@
 	requireNoViolations(t, w)
 }
 
-// An expensive machine is booting that has room for waiting tasks, but cheap machines would run them
-// sooner. The cheap machines are provisioned once, not again in each planning cycle until the
-// expensive one is up.
+// An expensive machine that has room for waiting tasks is booting, but cheap machines would run the
+// tasks sooner. The cheap machines must be provisioned only once, not in each planning cycle until the
+// expensive machine is up.
 func TestNoDuplicateScaleOutWhileExpensiveMachineBoots(t *testing.T) {
 	w := newWorld(t)
 	adminRequest(w, 0, message.AdminChangeOptions, `{"warm_room": 0}`)
@@ -230,7 +230,7 @@
 		t.Errorf("%d machines are provisioned for a lost replica", n)
 	}
 	w.Run(6 * time.Second)
-	if n := w.Running(s.ID); n != 1 {
+	if n := w.RunningTasks(s.ID); n != 1 {
 		t.Errorf("%d replicas run once one of the machines is up", n)
 	}
 	w.Run(80 * time.Second)
--- a/internal/controller/grace_period_test.go
+++ b/internal/controller/grace_period_test.go
@@ -16,7 +16,8 @@
 // whether that peer has led in the meantime. If the outage ends before the heartbeat grace period and
 // the workers' leases have expired, no replica is lost. If it lasts longer, all replicas are lost,
 // but none runs twice. While all peers answer that they haven't led, no replica is lost, however long
-// the outage lasts. A restarted peer doesn't know whether its earlier process led.
+// the outage lasts. A restarted peer can't give this answer, because it doesn't know whether its
+// earlier process led.
 func TestStateOutageAroundHeartbeatGracePeriod(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -125,7 +126,7 @@
 	if w.Leader() == nil || w.Leader().Name == "n0" {
 		t.Fatal("no other controller leads")
 	}
-	if w.Running(j.Submission.ID) != 1 {
+	if w.RunningTasks(j.Submission.ID) != 1 {
 		t.Error("the replica was not replaced")
 	}
 	w.Network = nil
@@ -143,7 +144,7 @@
 	w.Controllers[0].Crash()
 	w.After(3*time.Second, w.Controllers[0].Start)
 	w.Cloud.Fail(machine)
-	if !w.RunUntil(22*time.Second, func() bool { return w.Running(j.Submission.ID) == 1 }) {
+	if !w.RunUntil(22*time.Second, func() bool { return w.RunningTasks(j.Submission.ID) == 1 }) {
 		t.Errorf("not replaced within 22 s\n%s", strings.Join(w.Log, "\n"))
 	}
 	requireNoViolations(t, w)
--- a/internal/controller/helpers_archive_test.go
+++ b/internal/controller/helpers_archive_test.go
@@ -72,12 +72,13 @@
 	}
 }
 
-// completeJobs submits count small jobs, numbered from first on, and waits until they are done.
+// completeJobs submits count small jobs with IDs in the 100,000 numbers from first on, and waits until
+// they are done.
 func completeJobs(t *testing.T, w *fake.World, first, count int) []*fake.Job {
 	t.Helper()
 	var jobs []*fake.Job
 	for n := range count {
-		s := job(first+n*7919%100_000, protocol.Array, 1) // IDs in no order
+		s := job(first+n*7919%100_000, protocol.Array, 1) // not in the order of the IDs
 		s.CPUs, s.MemoryGB, s.ImageGB = 0.05, 0.05, 0.01
 		jobs = append(jobs, w.Submit(s, 500*time.Millisecond))
 	}
@@ -91,7 +92,7 @@
 	return jobs
 }
 
-// waitArchived waits until no more ended jobs have to be moved to the archive.
+// waitArchived waits until at most terminalJobsInMemory ended jobs are left on record pages.
 func waitArchived(t *testing.T, w *fake.World, jobs []*fake.Job) {
 	t.Helper()
 	for range 600 {
@@ -105,7 +106,8 @@
 	t.Fatalf("%d ended jobs are on record pages, %d in the archive\n%s", len(pages), len(archive), logTail(w, 20))
 }
 
-// newWorldWithArchive makes a world with count ended jobs, most of which are in the archive.
+// newWorldWithArchive makes a world with the given number of done jobs, most of which are in the
+// archive. It also returns the jobs.
 func newWorldWithArchive(t *testing.T, count int) (*fake.World, []*fake.Job) {
 	t.Helper()
 	w := newWorldWith(t, smallMemorySettings())
@@ -122,7 +124,7 @@
 	for _, j := range jobs {
 		before := j.AnsweredAt
 		for tries := 0; tries < 20 && j.AnsweredAt == before; tries++ {
-			w.QueryEverywhere(j)
+			w.PollAndResubmitEverywhere(j)
 			w.Run(100 * time.Millisecond)
 		}
 		if j.AnsweredAt == before {
@@ -144,11 +146,11 @@
 // delayWrites delays writes of pages, and responses to reads even more, so that other events
 // happen while a move or a read is in progress.
 func delayWrites(w *fake.World) {
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
 		switch kind {
-		case fake.KindWrite:
+		case fake.KindPageWrite:
 			delivery.RequestDelay = 200 * time.Millisecond
 		case fake.KindState:
 			delivery.ResponseDelay = 350 * time.Millisecond
--- a/internal/controller/helpers_durability_test.go
+++ b/internal/controller/helpers_durability_test.go
@@ -29,9 +29,8 @@
 	return s
 }
 
-// requireParentRecords fails if a record is durable before the record that it belongs to: a block
-// without its job, or a job without some of its prerequisites. prerequisites has the number of
-// prerequisites by job ID.
+// requireParentRecords fails if a block is durable before its job, or a job before the records of all
+// its prerequisites. The map has the number of prerequisites by job ID.
 func requireParentRecords(t *testing.T, w *fake.World, prerequisites map[string]int) {
 	t.Helper()
 	jobs, blocks, named := map[string]bool{}, map[string]bool{}, map[string]int{}
@@ -68,14 +67,14 @@
 	}
 }
 
-// injectFirstWriteFault makes the first transaction that writes pages lost, late or refused, as
-// given by fault. All others succeed.
+// injectFirstWriteFault makes the first transaction that writes pages be lost, late or refused, as
+// given by fault. The next ones succeed.
 func injectFirstWriteFault(w *fake.World, fault string) {
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	writes := 0
 	w.Network = func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind != fake.KindWrite {
+		if kind != fake.KindPageWrite {
 			return delivery
 		}
 		writes++
@@ -122,11 +121,11 @@
 // loseNthWrite returns a network that loses the given write of a page, counted from now on, and
 // delivers all others.
 func loseNthWrite(w *fake.World, number int) func(kind, from, to string) fake.Delivery {
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind == fake.KindWrite {
+		if kind == fake.KindPageWrite {
 			writes++
 			delivery.LoseRequest = writes == number
 		}
@@ -137,11 +136,11 @@
 // loseWritesAfter returns a network that delivers the first count writes of pages and loses all
 // others.
 func loseWritesAfter(w *fake.World, count int) func(kind, from, to string) fake.Delivery {
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind == fake.KindWrite {
+		if kind == fake.KindPageWrite {
 			writes++
 			delivery.LoseRequest = writes > count
 		}
@@ -155,7 +154,7 @@
 	writes := 0
 	return func(kind, _, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind == fake.KindWrite {
+		if kind == fake.KindPageWrite {
 			writes++
 			delivery.LoseRequest = writes >= from && writes%2 == from%2
 		}
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -72,8 +72,8 @@
 // waitRunning waits until the given number of a job's tasks are running.
 func waitRunning(t *testing.T, w *fake.World, id string, tasks int) {
 	t.Helper()
-	if !w.RunUntil(90*time.Second, func() bool { return w.Running(id) == tasks }) {
-		t.Fatalf("%s: %d of %d tasks run\n%s", id, w.Running(id), tasks, strings.Join(w.Log, "\n"))
+	if !w.RunUntil(90*time.Second, func() bool { return w.RunningTasks(id) == tasks }) {
+		t.Fatalf("%s: %d of %d tasks run\n%s", id, w.RunningTasks(id), tasks, strings.Join(w.Log, "\n"))
 	}
 }
 
@@ -149,24 +149,25 @@
 	w.Run(time.Second)
 }
 
-// queryRapidly schedules queries about jobs at every controller, every 7 ms for the duration d.
+// queryRapidly polls and resubmits jobs at every controller every 7 ms for the duration d. It only
+// schedules the requests, and lets no time pass.
 func queryRapidly(w *fake.World, jobs []*fake.Job, d time.Duration) {
 	for at := time.Duration(0); at < d; at += 7 * time.Millisecond {
 		w.After(at, func() {
 			for _, j := range jobs {
-				w.QueryEverywhere(j)
+				w.PollAndResubmitEverywhere(j)
 			}
 		})
 	}
 }
 
-// queryRepeatedly queries jobs at every controller and submits them again there, the given number of
-// times and each time after an interval.
+// queryRepeatedly polls and resubmits jobs at every controller the given number of times, each time
+// after an interval.
 func queryRepeatedly(w *fake.World, jobs []*fake.Job, times int, interval time.Duration) {
 	for range times {
 		w.Run(interval)
 		for _, j := range jobs {
-			w.QueryEverywhere(j)
+			w.PollAndResubmitEverywhere(j)
 		}
 	}
 }
@@ -210,7 +211,7 @@
 				t.Fatalf("%s has status %q, although a job that it depends on is cancelled", id, j.Status)
 			}
 		case j.Submission.Kind == protocol.Service:
-			if n := w.Running(id); n != j.Submission.Tasks {
+			if n := w.RunningTasks(id); n != j.Submission.Tasks {
 				t.Fatalf("%s: %d of %d replicas run\n%s", id, n, j.Submission.Tasks, logTail(w, 60))
 			}
 		case j.Status != protocol.StatusDone:
--- a/internal/controller/hung_leader_test.go
+++ b/internal/controller/hung_leader_test.go
@@ -11,9 +11,9 @@
 )
 
 // The leader runs the version in production and hangs during a rolling upgrade, with requests and
-// writes in flight. It hangs until its process is replaced, after those of the other controllers, or
-// resumes before that. Its writes and responses arrive late, after the other controllers were
-// upgraded, the limits lowered, pages split and a pipeline cancelled.
+// writes in flight. It is upgraded after the other controllers and hangs until then, or resumes before
+// that. Its writes and responses arrive late, after the other controllers were upgraded, the limits
+// lowered, pages split and a pipeline cancelled. They must not violate a rule or lose a job.
 func TestHungLeaderDuringRollingUpgrade(t *testing.T) {
 	t.Parallel()
 	for _, hang := range []time.Duration{2 * time.Second, 9 * time.Second, 25 * time.Second} {
@@ -45,7 +45,7 @@
 	cancelled := w.Submit(service(2, 2), 0)
 	w.Run(25 * time.Second)
 	old := w.Leader()
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	w.Network = delayOldLeader(old, late)
 	w.CancelEverywhere(cancelled)
 	for i := range 8 { // so that several transactions are in flight when the leader hangs
@@ -83,7 +83,7 @@
 func delayOldLeader(old *fake.Controller, late time.Duration) func(kind, from, to string) fake.Delivery {
 	return func(kind, from, to string) fake.Delivery {
 		delivery := fake.Reliable()
-		delayed := kind == fake.KindWrite || kind == fake.KindCommands || kind == fake.KindForward
+		delayed := kind == fake.KindPageWrite || kind == fake.KindCommands || kind == fake.KindForward
 		if from == old.Name && old.RunsProductionVersion && delayed {
 			delivery.RequestDelay = late
 		}
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// largeFleet is the number of machines of the largest fleet that users run. No fixed limit may
-	// be lower.
+	// largeFleet is the number of machines of the largest fleet that users run. No fixed limit of the
+	// controllers may be lower.
 	largeFleet = 4000
 	// rackMachines is the number of machines that fail together.
 	rackMachines   = 40
@@ -22,7 +22,7 @@
 // allReplicasRun reports whether all replicas of newFleet's jobs are running.
 func allReplicasRun(w *fake.World) bool {
 	for i := range largeFleet / replicasPerJob {
-		if w.Running(service(i+1, replicasPerJob).ID) != replicasPerJob {
+		if w.RunningTasks(service(i+1, replicasPerJob).ID) != replicasPerJob {
 			return false
 		}
 	}
--- a/internal/controller/large_pipeline_test.go
+++ b/internal/controller/large_pipeline_test.go
@@ -93,7 +93,7 @@
 	for w.Now < root.CancelledAt+config.Seconds(w.Cfg.Settings.Workers.CancelWithinS) {
 		w.Run(500 * time.Millisecond)
 		for _, j := range queried {
-			w.QueryEverywhere(j)
+			w.PollAndResubmitEverywhere(j)
 		}
 		if other.Accepted && acceptedAfter == 0 {
 			acceptedAfter = w.Now - from
@@ -155,7 +155,7 @@
 
 // Jobs with the same prerequisite are submitted in the same millisecond at all controllers, some of
 // them twice. The prerequisite is done, and after a restart of all processes only its terminal record
-// is left.
+// is left. Each job must be accepted as new exactly once, and must run.
 func TestPrerequisiteEndedBeforeAllRestarts(t *testing.T) {
 	w := newWorld(t)
 	done := w.Submit(job(1, protocol.Gang, 2), time.Second)
--- a/internal/controller/pipeline_cancellation_test.go
+++ b/internal/controller/pipeline_cancellation_test.go
@@ -11,8 +11,8 @@
 	"oakpick/internal/storage"
 )
 
-// leaderFaults are faults of the leader n0, of all controllers or of the state service. Each begins
-// when its function is called or shortly after.
+// leaderFaults has functions that apply a fault to the leader n0, to all controllers or to the state
+// service. Each fault begins when its function is called.
 var leaderFaults = map[string]func(w *fake.World){
 	"leader crashes": func(w *fake.World) { crashFor(w, w.Controllers[0], 4*time.Second) },
 	"leader paused":  func(w *fake.World) { w.Controllers[0].PausedUntil = w.Now + 6*time.Second },
@@ -139,10 +139,10 @@
 		t.Fatal("the first job does not end")
 	}
 	delayed, crashedAt := false, time.Duration(0)
-	w.SeparateWrites = true
+	w.SeparatePageWrites = true
 	w.Network = func(kind, from, _ string) fake.Delivery {
 		delivery := fake.Reliable()
-		if kind == fake.KindWrite && from == "n0" && !delayed {
+		if kind == fake.KindPageWrite && from == "n0" && !delayed {
 			delayed = true // the first write after the end
 			delivery.RequestDelay = 5 * time.Second
 		}
@@ -235,11 +235,11 @@
 		prerequisite := submitAfter(t, w, first, time.Hour)
 		waitRunning(t, w, prerequisite.Submission.ID, 1)
 		w.Run(3 * time.Second)
-		w.SeparateWrites = true
+		w.SeparatePageWrites = true
 		delayed := false
 		w.Network = func(kind, _, _ string) fake.Delivery {
 			delivery := fake.Reliable()
-			if kind == fake.KindWrite && !delayed {
+			if kind == fake.KindPageWrite && !delayed {
 				delayed = true // the first write records the acceptance
 				delivery.RequestDelay = 3 * time.Second
 			}
@@ -250,7 +250,7 @@
 		w.CancelEverywhere(prerequisite)
 		for range 20 + step {
 			w.Run(70 * time.Millisecond)
-			w.QueryEverywhere(j)
+			w.PollAndResubmitEverywhere(j)
 		}
 		runAndPoll(w, 20*time.Second)
 		if j.Status != protocol.StatusCancelled || !j.Accepted {
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -11,7 +11,7 @@
 )
 
 // An array with more tasks than fit on a page is stored in several blocks. The leader changes while
-// the array runs.
+// the array runs. Every task must be done in the end.
 func TestLargeArrayOnSmallPages(t *testing.T) {
 	w := newWorld(t)
 	s := job(1, protocol.Array, 300)
@@ -57,9 +57,9 @@
 	requireAllServed(t, w)
 }
 
-// The last task of a job is done, and the leader crashes after one of the writes that record the end
-// of the job; each iteration selects another one. The final state may be durable while other pages
-// still have blocks of the job.
+// The last task of a job is done, and the leader crashes after one of the writes that record the end of
+// the job, another one in each iteration. The next leader must report the job as done, even if the
+// job's final state is durable while other pages still have blocks of the job.
 func TestLeaderCrashBetweenWritesOfJobEnd(t *testing.T) {
 	for writes := range 6 {
 		settings := fake.Settings()
@@ -117,7 +117,7 @@
 
 // Jobs of one task are submitted four times a second for minutes with the smallest write budget, and
 // a quarter of them are cancelled. Each must be accepted promptly or refused at once, no queue may
-// grow, and a take-over at the end must read the records as fast as one at the beginning.
+// grow, and a takeover at the end must read the records as fast as one at the beginning.
 func TestManySmallJobsAtSmallestWriteBudget(t *testing.T) {
 	s := fake.Settings()
 	s.State.WriteRPS, s.State.RPS, s.State.ValueKB = 25, 120, 4
--- a/internal/fake/effects.go
+++ b/internal/fake/effects.go
@@ -11,8 +11,8 @@
 	"oakpick/internal/storage"
 )
 
-// performAll performs effects in order. If StallBefore pauses the process before one of them,
-// the remaining effects are performed after the pause.
+// performAll performs effects in order. If StallBefore pauses the process before an effect, that
+// effect and the remaining ones are performed after the pause.
 func (c *Controller) performAll(effects []message.Effect) {
 	incarnation := c.incarnation
 	for i, effect := range effects {
@@ -64,8 +64,8 @@
 	}
 	asProduction := c.asProduction // saved, because a duplicate may arrive after a restart
 	kind := KindState
-	if len(e.Txn.Then) > 0 && e.Txn.Then[0].Put != election.LeaderKey && w.SeparateWrites {
-		kind = KindWrite
+	if len(e.Txn.Then) > 0 && e.Txn.Then[0].Put != election.LeaderKey && w.SeparatePageWrites {
+		kind = KindPageWrite
 	}
 	c.call(kind, stateService, w.heartbeatInterval()/2, func() (message.Event, bool) {
 		return message.StateResult{StateResult: w.State.execute(c.Name, asProduction, e.StateCall)}, true
--- a/internal/scale/measurement.go
+++ b/internal/scale/measurement.go
@@ -35,7 +35,7 @@
 	return s
 }
 
-// resetMeasurement clears the latencies, the answer counts and the service gaps. The testbed's loop
+// resetMeasurement clears the latencies, the response counts and the service gaps. The testbed's loop
 // calls it.
 func (e *experiment) resetMeasurement() {
 	e.testbed.Meter.Reset()
@@ -60,7 +60,7 @@
 		previous = next
 	}
 	r.setMeans(newWindow(first, previous))
-	r.Times, r.Answers = e.testbed.Meter.Latencies.Summaries(), e.testbed.Meter.ResponseCounts()
+	r.Latencies, r.ResponseCounts = e.testbed.Meter.Latencies.Summaries(), e.testbed.Meter.ResponseCounts()
 	e.testbed.DoAndWait(func() {
 		r.StateKeys, r.StateBytes = e.testbed.World.State.Size()
 		r.JobsNotAccepted = e.workload.overdueSubmissions()
@@ -70,10 +70,10 @@
 
 // setMeans sets the means over the whole measurement, and the memory and sockets at its end.
 func (r *StepReport) setMeans(w window) {
-	r.Workers, r.Running, r.Starts = w.workers, w.running, w.starts
+	r.Workers, r.Running, r.StartsPerS = w.workers, w.running, w.starts
 	r.LeaderChanged = !w.sameLeader
 	for controller, usage := range w.usage {
-		role := RoleUsage{Name: testbed.ControllerName(controller), Cores: w.cores[controller], MemoryMB: usage.MemoryMB, Sockets: usage.Sockets}
+		role := ControllerUsage{Name: testbed.ControllerName(controller), Cores: w.cores[controller], MemoryMB: usage.MemoryMB, Sockets: usage.Sockets}
 		if controller == w.leader {
 			r.Leader = role
 		} else {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -22,17 +22,18 @@
 	Partial string `json:"partial,omitempty"`
 }
 
-// StepReport holds the figures of one step. Rates and the numbers of workers and tasks are means
-// over the measurement.
+// StepReport holds the figures of one step. Rates and the numbers of workers and tasks are means over
+// the measurement.
 type StepReport struct {
-	Fraction float64 `json:"part"` // of the full size
-	Workers  float64 `json:"workers_up"`
-	Running  float64 `json:"tasks_on_machines"`
-	Starts   float64 `json:"starts_per_s"`
+	Fraction   float64 `json:"part"` // of the full size
+	Workers    float64 `json:"workers_up"`
+	Running    float64 `json:"tasks_on_machines"`
+	StartsPerS float64 `json:"starts_per_s"`
 
-	Leader    RoleUsage   `json:"leader"`
-	Followers []RoleUsage `json:"followers"`
-	// LeaderChanged is true unless the same controller led at the beginning and at the end.
+	Leader    ControllerUsage   `json:"leader"`
+	Followers []ControllerUsage `json:"followers"`
+	// LeaderChanged is true unless the same controller led at the beginning and at the end of the
+	// measurement.
 	LeaderChanged bool `json:"leader_changed"`
 
 	MessagesPerS map[string]float64 `json:"messages_per_s"`       // by kind, counted by the simulated side
@@ -46,18 +47,18 @@
 	StateBytes      int     `json:"state_bytes"`
 	StateWritesPerS float64 `json:"state_writes_per_s"`
 
-	Times           map[string]latency.Summary `json:"times"`   // by operation
-	Answers         map[string]int64           `json:"answers"` // by operation and status
+	Latencies       map[string]latency.Summary `json:"times"`   // by operation
+	ResponseCounts  map[string]int64           `json:"answers"` // by operation and status
 	JobsNotAccepted int                        `json:"jobs_not_accepted"`
 
 	windows []window
 }
 
-// RoleUsage is the resource usage of a controller: the mean processor usage during the measurement,
-// and memory and sockets at its end.
-type RoleUsage struct {
+// ControllerUsage is the resource usage of a controller: the mean CPU usage during the measurement, and
+// the memory and sockets at its end.
+type ControllerUsage struct {
 	Name     string  `json:"name"`
-	Cores    float64 `json:"cores"`     // processor seconds a second
+	Cores    float64 `json:"cores"`     // CPU seconds per second
 	MemoryMB float64 `json:"memory_mb"` // resident
 	Sockets  int     `json:"sockets"`
 }
@@ -68,12 +69,12 @@
 	// LongestAnswerGapS is the longest period without an answer to a user, and LongestStartGapS the
 	// longest without an executed start, in seconds, from the injection of the fault until the end
 	// of the recovery time.
-	LongestAnswerGapS float64         `json:"longest_without_answers_s"`
-	LongestStartGapS  float64         `json:"longest_without_starts_s"`
-	KilledByLease     int             `json:"tasks_killed_by_lease"`
-	TasksDied         int             `json:"tasks_on_machines_that_died"`
-	Violations        int             `json:"rules_broken"`
-	Urgent            latency.Summary `json:"urgent_start_received"`
+	LongestAnswerGapS      float64         `json:"longest_without_answers_s"`
+	LongestStartGapS       float64         `json:"longest_without_starts_s"`
+	TasksLostToLeaseExpiry int             `json:"tasks_killed_by_lease"`
+	TasksLostWithMachine   int             `json:"tasks_on_machines_that_died"`
+	Violations             int             `json:"rules_broken"`
+	UrgentStartReceived    latency.Summary `json:"urgent_start_received"`
 }
 
 // WriteJSON writes the report as indented JSON.
@@ -91,5 +92,5 @@
 // Summary returns a one-line summary of the step for the progress log.
 func (r *StepReport) Summary() string {
 	return fmt.Sprintf("%.2f: %.0f workers, %.0f tasks, %.0f starts/s; leader %.3f cores, %.0f MB; submit p99 %.0f ms, urgent start p99 %.0f ms",
-		r.Fraction, r.Workers, r.Running, r.Starts, r.Leader.Cores, r.Leader.MemoryMB, r.Times["submit"].P99, r.Times[urgentStartReceived].P99)
+		r.Fraction, r.Workers, r.Running, r.StartsPerS, r.Leader.Cores, r.Leader.MemoryMB, r.Latencies["submit"].P99, r.Latencies[urgentStartReceived].P99)
 }
