--- a/internal/controller/effect_trace_test.go
+++ b/internal/controller/effect_trace_test.go
@@ -419,8 +419,8 @@
 	case 7:
 		tw.partition(n.Name, tw.randomMillis(1000, 30_000), "state", "cloud", "n0", "n1", "n2", "n3", "n4")
 	case 8:
-		w.Cloud.Down = true
-		w.After(tw.randomMillis(500, 20_000), func() { w.Cloud.Down = false })
+		w.Cloud.RefuseRequests = true
+		w.After(tw.randomMillis(500, 20_000), func() { w.Cloud.RefuseRequests = false })
 	case 9:
 		tw.lossPercent, tw.duplicatePercent = tw.random.IntN(20), tw.random.IntN(15)
 	case 10:
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -71,7 +71,7 @@
 	waitRunning(t, w, first.ID, 2)
 	w.CancelJob(j) // leaves two empty machines in zone a
 	w.Run(3 * time.Second)
-	w.Cloud.Down = true
+	w.Cloud.RefuseRequests = true
 	s := service(2, 2)
 	s.CPUs, s.Spread, s.Types = 4, true, []string{"small"}
 	w.Submit(s, 0)
@@ -79,7 +79,7 @@
 	w.Run(3 * time.Second)
 	partitioned, calls := w.MachinesOf(s.ID)[0], 0
 	w.Controllers[0].Crash()
-	w.Cloud.Down = false
+	w.Cloud.RefuseRequests = false
 	w.Network = func(kind, from, to string) fake.Delivery {
 		delivery := fake.Reliable()
 		delivery.LoseRequest = from == partitioned || to == partitioned
--- a/internal/controller/model_actions_test.go
+++ b/internal/controller/model_actions_test.go
@@ -196,8 +196,8 @@
 
 // startCloudOutage makes all requests to the cloud fail.
 func (d *randomWorld) startCloudOutage() {
-	d.world.Cloud.Down = true
-	d.world.After(d.drawSeconds("for", 30), func() { d.world.Cloud.Down = false })
+	d.world.Cloud.RefuseRequests = true
+	d.world.After(d.drawSeconds("for", 30), func() { d.world.Cloud.RefuseRequests = false })
 }
 
 // makeNetworkUnreliable draws the percentages of messages that are lost, delayed and duplicated from
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -19,8 +19,8 @@
 
 // Cloud simulates the cloud API and its machines.
 type Cloud struct {
-	// Down makes the cloud refuse every request.
-	Down bool
+	// RefuseRequests makes the cloud refuse every request.
+	RefuseRequests bool
 	// Capacity is the number of machines available per machine type, zone and capacity type.
 	Capacity int
 	// CapacityOf overrides Capacity for individual machine types.
@@ -50,7 +50,7 @@
 
 func (c *Cloud) execute(call message.CloudCall) message.CloudResult {
 	result := message.CloudResult{ID: call.ID}
-	if c.Down {
+	if c.RefuseRequests {
 		result.Outcome = rpc.Refused
 		return result
 	}
