--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -51,10 +51,10 @@
 
 // Limits of lookups, relative to the limits of the state service.
 const (
-	lookupRequestShare    = 0.25 // share of the state service's request rate
-	minPendingLookupLimit = 8
-	pendingLookupsPerRPS  = 0.1 // limit of pending lookups per request/s that the state service allows
-	pollShare             = 0.5 // share of that limit that polls may use
+	lookupRequestShare    = 0.25 // share of the state service's request rate that page reads may use
+	minPendingLookupLimit = 8    // lower bound of the limit on pending lookups
+	pendingLookupsPerRPS  = 0.1  // limit on pending lookups, per request/s that the state service allows
+	pollShare             = 0.5  // share of the limit on pending lookups that polls may use
 )
 
 // Archive reads and writes the archive on behalf of one leader.
--- a/internal/archive/move.go
+++ b/internal/archive/move.go
@@ -231,7 +231,7 @@
 		delete(a.state.EndedJobs, id)
 		for _, x := range a.pendingLookups {
 			if _, asked := x.results[id]; asked {
-				x.results[id] = e // the job wasn't in the archive when it was looked up
+				x.results[id] = e // the earlier result was recorded before the job was in the archive
 			}
 		}
 	}
--- a/internal/config/connections.go
+++ b/internal/config/connections.go
@@ -4,17 +4,20 @@
 
 // Maximum number of connections that a process uses for purposes other than users and workers.
 const (
-	// StateConnections are for requests to the state service, except for lease renewals and
-	// revocations.
+	// StateConnections is the number of connections for requests to the state service, except for
+	// lease renewals and revocations.
 	StateConnections = 6
-	// StateRenewalConnections are for lease renewals and revocations.
+	// StateRenewalConnections is the number of connections for lease renewals and revocations, which
+	// are also requests to the state service.
 	StateRenewalConnections = 4
-	// ArchiveReadConnections are for reading ended jobs from the archive.
+	// ArchiveReadConnections is the number of connections for reading ended jobs from the archive.
 	ArchiveReadConnections = 1
-	// CloudConnections are for requests to the cloud.
-	CloudConnections   = 6
-	connectionsPerPeer = 4 // in both directions, while a new connection replaces an old one
-	spareConnections   = 8 // listeners, the Go runtime's own file descriptors, and operators' tools
+	// CloudConnections is the number of connections for requests to the cloud.
+	CloudConnections = 6
+	// connectionsPerPeer is the number of connections with each other controller: one in each
+	// direction, and one more in each direction while a new connection replaces an old one.
+	connectionsPerPeer = 4
+	spareConnections   = 8 // for listeners, the Go runtime's own file descriptors, and operators' tools
 )
 
 const (
--- a/internal/distribution/agent/core_fetch.go
+++ b/internal/distribution/agent/core_fetch.go
@@ -32,11 +32,10 @@
 	}
 }
 
-// availability holds, for each position of a version, the number of usable peers that have its
-// chunk.
+// availability holds, for each chunk position of a version, how many usable peers have the chunk.
 type availability struct {
-	sameZone []int
-	total    []int // over all zones
+	sameZone []int // peers in the agent's own zone
+	total    []int // peers in any zone
 }
 
 // countAvailability counts the usable peers that have each chunk of a version.
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -23,9 +23,9 @@
 // for the machine to be cordoned.
 const minFailedJobsToCordon = 2
 
-// avoidLeases is the number of worker lease durations for which a machine is avoided after several
-// jobs have failed on it.
-const avoidLeases = 10
+// longAvoidanceLeases is how long a machine is avoided after several jobs have failed on it, as a
+// multiple of the worker lease.
+const longAvoidanceLeases = 10
 
 // healthyRunFactor determines how long a task must run for its job to count as healthy: this
 // multiple of the sum of the job's longest failed run and a heartbeat interval.
@@ -87,7 +87,7 @@
 	}
 	health.AvoidUntil = max(health.AvoidUntil, now+lease)
 	if len(health.FailedJobs) >= minFailedJobsToCordon {
-		health.AvoidUntil = max(health.AvoidUntil, now+avoidLeases*lease)
+		health.AvoidUntil = max(health.AvoidUntil, now+longAvoidanceLeases*lease)
 	}
 	if m.runsElsewhere(j, machine) {
 		m.confirmMachineFailure(machine, j)
--- a/internal/protocol/commands_test.go
+++ b/internal/protocol/commands_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Encoded errors and redirects are compared byte by byte: maps with at most one pair.
+// The bodies of errors and redirects have exactly the expected bytes: a MessagePack map with one
+// entry, or an empty map if no leader is known.
 func TestErrorAndRedirectEncoding(t *testing.T) {
 	for name, c := range map[string]struct {
 		got  []byte
--- a/internal/rpc/outcome.go
+++ b/internal/rpc/outcome.go
@@ -23,7 +23,8 @@
 	NotFound
 	// Invalid means that the component rejected the request as malformed.
 	Invalid
-	// Refused means that the component did not execute the request because of its load.
+	// Refused means that the component did not execute the request because the component is
+	// overloaded or unavailable.
 	Refused
 	// NotSent means that no connection was made, so nothing was executed.
 	NotSent
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -134,9 +134,9 @@
 	// interruptionMarginS is how many seconds before the interruption a checkpoint must be
 	// complete.
 	interruptionMarginS = 1
-	// finishMarginS is how many seconds before the interruption a task must be expected to end
-	// if it is left running.
-	finishMarginS = 2
+	// taskEndMarginS is how many seconds before the interruption a task that can write a checkpoint
+	// must be expected to end to be left running.
+	taskEndMarginS = 2
 )
 
 // prepareForInterruption stops the tasks that benefit from it: those that can write a checkpoint in
@@ -148,7 +148,7 @@
 		j := t.Job
 		checkpointsInTime := j.Checkpoints() && j.CheckpointDurationS+interruptionMarginS < remaining.Seconds() && t.SeenRunning()
 		notRunning := !t.Reported || t.State == protocol.Fetching || t.State == protocol.Waiting
-		if checkpointsInTime && !m.expectedToEndWithin(t, remaining.Seconds()-finishMarginS) || notRunning {
+		if checkpointsInTime && !m.expectedToEndWithin(t, remaining.Seconds()-taskEndMarginS) || notRunning {
 			m.jobs.Preempt(t, "interruption notice for the machine")
 		}
 	}
